--- a/src/primrosescale/request/gate.py
+++ b/src/primrosescale/request/gate.py
@@ -1,8 +1,11 @@
-"""Whether a caller's request is accepted, and as what.
-
-A request is judged by the newest version known here. What is not known for
-certain is refused so that the caller can come back: a route or key that is
-missing may have been added in a version that this router has not seen yet.
+"""Accepts or refuses a caller's request, by its route and its API key.
+
+It looks up the route, the organisation of the key, the service, the priority and
+the allowed regions in the newest configuration that this router knows. A route or
+key that is missing there may have been added in a version that this router has not
+received yet. So "not found" and "unauthorised" are answered only while the
+configuration is known to be recent; otherwise the request is refused with a status
+that lets the caller retry.
 """
 
 from __future__ import annotations
@@ -21,12 +24,12 @@
     from primrosescale.version.routing_table import Route
     from primrosescale.version.routing_table import RoutingTable
 
-LEAST_URGENT = 9
+LOWEST_PRIORITY = 9
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerHead:
-    """What the head of a caller's request says.
+    """The head of a caller's request, parsed.
 
     Parameters
     ----------
@@ -37,17 +40,17 @@
     host : str
         Host name.
     request_id : str
-        The caller's name for this attempt; empty when missing.
+        The caller's id for this attempt; empty when missing.
     key : str
-        The caller's key; empty when missing.
+        The caller's API key; empty when missing.
     time_left : float | None
-        Seconds that the caller will wait, when it says so.
+        Seconds that the caller will wait, when it states them.
     prompt : Prompt | None
         The prompt, for model engines.
     last_event : int | None
-        Event after which a stream is to go on.
+        Id of the event after which a stream is to resume.
     headers : tuple[tuple[bytes, bytes], ...]
-        Headers to hand on.
+        Headers to forward.
     traceparent : str
         Trace context; empty for none.
     """
@@ -70,11 +73,11 @@
     Parameters
     ----------
     freshness : Freshness
-        How old the knowledge of the configuration is.
+        Age of the known configuration.
     certain_for : float
-        Seconds for which "there is no such route or key" may be said.
+        Age in seconds up to which an unknown route or key is answered as such.
     rng : Random
-        Source of chance for routes that lead to several services.
+        Random generator for routes that are split between several services.
     """
 
     def __init__(self, freshness: Freshness, certain_for: float, rng: Random) -> None:
@@ -83,12 +86,12 @@
         self._rng = rng
 
     def configure(self, certain_for: float) -> None:
-        """Take in a changed setting.
+        """Apply a changed setting.
 
         Parameters
         ----------
         certain_for : float
-            Seconds for which "there is no such route or key" may be said.
+            Age in seconds up to which an unknown route or key is answered as such.
         """
         self._certain_for = certain_for
 
@@ -104,24 +107,24 @@
         Parameters
         ----------
         head : CallerHead
-            What its head says.
+            Its head.
         body : bytes
             Its body.
         table : RoutingTable | None
-            The newest version, if any.
+            The newest known version of the configuration, if any.
         now : float
             Present time in seconds.
 
         Returns
         -------
         IncomingRequest | Refusal
-            The accepted request, or why it is refused.
+            The accepted request, or why it was refused.
         """
         if table is None:
             return Refusal.NO_CONFIGURATION
         route = table.route(head.host, head.path.decode("latin-1"))
         if route is None:
-            return self._if_certain(Refusal.NO_ROUTE, now)
+            return self._unless_outdated(Refusal.NO_ROUTE, now)
         if not head.request_id:
             return Refusal.NO_REQUEST_ID
         name, priority = "", route.priority
@@ -129,7 +132,7 @@
         if table.has_keys and not route.is_open:
             organisation = table.organisation(head.key)
             if organisation is None:
-                return self._if_certain(Refusal.UNKNOWN_KEY, now)
+                return self._unless_outdated(Refusal.UNKNOWN_KEY, now)
             if not self._freshness.allows_keys(now):
                 return Refusal.STALE
             name = organisation.name
@@ -146,17 +149,17 @@
             route=route,
             service=self._service(route),
             organisation=name,
-            priority=min(LEAST_URGENT, max(0, priority)),
+            priority=min(LOWEST_PRIORITY, max(0, priority)),
             prompt=head.prompt,
             last_event=head.last_event,
             received_at=now,
             deadline=now + wait,
             version=table.version,
             traceparent=head.traceparent,
-            allowed_regions=_allowed_by_all(bounds),
+            allowed_regions=_common_regions(bounds),
         )
 
-    def _if_certain(self, refusal: Refusal, now: float) -> Refusal:
+    def _unless_outdated(self, refusal: Refusal, now: float) -> Refusal:
         age = self._freshness.age(now)
         if age is None or age > self._certain_for:
             return Refusal.STALE
@@ -169,7 +172,7 @@
         return self._rng.choices(route.services, weights)[0].service
 
 
-def _allowed_by_all(bounds: list[frozenset[str]]) -> frozenset[str] | None:
-    """Return the regions that all bounds allow; None where none of them says."""
-    told = [regions for regions in bounds if regions]
-    return frozenset.intersection(*told) if told else None
+def _common_regions(bounds: list[frozenset[str]]) -> frozenset[str] | None:
+    """Return the regions that all bounds allow; None when none of them has any."""
+    given = [regions for regions in bounds if regions]
+    return frozenset.intersection(*given) if given else None
