--- a/src/primrosescale/request/event_stream.py
+++ b/src/primrosescale/request/event_stream.py
@@ -1,4 +1,7 @@
-"""Cutting a stream into whole events, so that it can go on elsewhere."""
+"""Splits a server-sent event stream into events, each with its id.
+
+A stream that breaks can be resumed at another target after the last complete event.
+"""
 
 from __future__ import annotations
 
@@ -6,9 +9,9 @@
 
 BLANK_LINE = b"\n\n"
 ID_FIELD = b"id:"
-# An event that does not end would be held in memory; the events of the model
-# engines of today have some hundred bytes.
-LONGEST_EVENT = 256 * 1024
+# An incomplete event is buffered in memory, so its size needs a limit. The events of
+# present model engines have a few hundred bytes.
+MAX_EVENT_BYTES = 256 * 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,9 +21,9 @@
     Parameters
     ----------
     number : int | None
-        Its id; None when it has none or one that is no number.
+        Its id; None when it has none or one that is not a number.
     data : bytes
-        All of its bytes, with the blank line that ends it.
+        All of its bytes, including the blank line that ends it.
     """
 
     number: int | None
@@ -28,7 +31,7 @@
 
 
 class EventSplitter:
-    """Collects bytes and returns whole events."""
+    """Buffers bytes of a stream and returns complete events."""
 
     __slots__ = ("_rest",)
 
@@ -37,11 +40,11 @@
 
     @property
     def rest(self) -> bytes:
-        """Return the bytes of an event that has not ended."""
+        """Return the bytes of the last, incomplete event."""
         return self._rest
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Take in bytes.
+        """Add bytes of the stream.
 
         Parameters
         ----------
@@ -51,12 +54,12 @@
         Returns
         -------
         list[StreamEvent]
-            Events that are whole now, in order.
+            Events that are complete now, in order.
 
         Raises
         ------
         ValueError
-            When an event is longer than any that is expected.
+            When an event exceeds `MAX_EVENT_BYTES`.
         """
         text = self._rest + data
         events: list[StreamEvent] = []
@@ -70,8 +73,8 @@
             events.append(StreamEvent(_number(piece), piece))
             start = end
         self._rest = text[start:]
-        if len(self._rest) > LONGEST_EVENT:
-            raise ValueError(f"event over {LONGEST_EVENT} bytes")
+        if len(self._rest) > MAX_EVENT_BYTES:
+            raise ValueError(f"event exceeds {MAX_EVENT_BYTES} bytes")
         return events
 
 
