--- a/src/primrosescale/request/answer_check.py
+++ b/src/primrosescale/request/answer_check.py
@@ -1,4 +1,4 @@
-"""Checks that an answer arrives whole, in order and unaltered."""
+"""Checks that a response arrives complete, in order and unaltered."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class AnswerCheck:
-    """Follows an answer by offset and digest."""
+    """Verifies the pieces of a response by offset and digest."""
 
     def __init__(self) -> None:
         self._offset = 0
@@ -17,7 +17,7 @@
 
     @property
     def offset(self) -> int:
-        """Return the bytes of the answer that have come."""
+        """Return how many bytes of the response have arrived."""
         return self._offset
 
     def accept(self, offset: int, data: bytes) -> bytes:
@@ -26,14 +26,14 @@
         Parameters
         ----------
         offset : int
-            Bytes of the answer before the piece.
+            Number of bytes of the response before the piece.
         data : bytes
             The piece.
 
         Returns
         -------
         bytes
-            What was not known yet; empty for a repeated piece.
+            The bytes that had not arrived yet; empty for a repeated piece.
 
         Raises
         ------
@@ -41,21 +41,21 @@
             When bytes are missing before the piece.
         """
         if offset > self._offset:
-            raise AnswerCutError(f"bytes {self._offset} to {offset} are missing")
+            raise AnswerCutError(f"bytes {self._offset} to {offset} missing")
         fresh = data[self._offset - offset :]
         self._digest.update(fresh)
         self._offset += len(fresh)
         return fresh
 
     def finish(self, length: int, digest: bytes) -> None:
-        """Check that the answer is whole.
+        """Check that the response is complete.
 
         Parameters
         ----------
         length : int
-            Bytes it should have.
+            Expected number of bytes.
         digest : bytes
-            Digest it should have.
+            Expected digest.
 
         Raises
         ------
@@ -63,18 +63,18 @@
             When length or digest differ.
         """
         if length != self._offset:
-            raise AnswerCutError(f"{self._offset} bytes of {length} have come")
+            raise AnswerCutError(f"received {self._offset} of {length} bytes")
         if digest != self._digest.digest():
-            raise AnswerCutError("the digest differs")
+            raise AnswerCutError("digest mismatch")
 
 
 def digest_of(body: bytes) -> bytes:
-    """Return the digest of a whole answer.
+    """Return the digest of a complete response.
 
     Parameters
     ----------
     body : bytes
-        The answer.
+        The response body.
 
     Returns
     -------
--- a/src/primrosescale/request/answer_relay.py
+++ b/src/primrosescale/request/answer_relay.py
@@ -1,4 +1,8 @@
-"""What a caller has got of its answer, and how the rest is handed on."""
+"""Relays a response to its caller and tracks how much of it the caller has.
+
+A stream may come from several targets in turn. Its head is sent once, and events
+that the caller has already received are skipped.
+"""
 
 from __future__ import annotations
 
@@ -12,14 +16,14 @@
 
 
 class AnswerRelay:
-    """Hands an answer on to its caller, whichever targets it comes from.
+    """Sends a response to its caller, whichever targets it comes from.
 
     Parameters
     ----------
     sink : CallerSink
-        The caller.
+        Sends it to the caller.
     last_event : int | None
-        Event after which the caller wants a stream to go on.
+        Id of the event after which the caller wants a stream to resume.
     """
 
     __slots__ = ("_first_byte_at", "_has_begun", "_is_stream", "_last_event", "_sink")
@@ -33,31 +37,31 @@
 
     @property
     def has_begun(self) -> bool:
-        """Tell whether the caller has got a head."""
+        """Tell whether a head was sent to the caller."""
         return self._has_begun
 
     @property
     def is_stream(self) -> bool:
-        """Tell whether the caller has got the head of a stream."""
+        """Tell whether the head of a stream was sent to the caller."""
         return self._is_stream
 
     @property
     def last_event(self) -> int | None:
-        """Return the event after which a stream has to go on."""
+        """Return the id of the last event that the caller has, if any."""
         return self._last_event
 
     @property
     def first_byte_at(self) -> float | None:
-        """Return when the caller got the first byte, in seconds."""
+        """Return when the first byte was sent to the caller, in seconds."""
         return self._first_byte_at
 
     def begin_stream(self, head: AnswerHead) -> None:
-        """Send the head of a stream; that of a later target is not sent.
+        """Send the head of a stream, once; heads of later targets are ignored.
 
         Parameters
         ----------
         head : AnswerHead
-            The target's head.
+            Status and headers from the target.
         """
         if not self._has_begun:
             self._has_begun = True
@@ -65,12 +69,12 @@
             self._sink.begin(head)
 
     def pass_events(self, events: list[StreamEvent], now: float) -> bool:
-        """Send the events that the caller has not got yet.
+        """Send the events that the caller has not received yet.
 
         Parameters
         ----------
         events : list[StreamEvent]
-            Whole events, in order.
+            Complete events, in order.
         now : float
             Present time in seconds.
 
@@ -79,39 +83,39 @@
         bool
             Whether any was sent.
         """
-        passed = []
+        unsent = []
         for event in events:
             if event.number is not None:
                 if self._last_event is not None and event.number <= self._last_event:
                     continue
                 self._last_event = event.number
-            passed.append(event.data)
-        if not passed:
+            unsent.append(event.data)
+        if not unsent:
             return False
-        self._note_first_byte(now)
-        self._sink.write(b"".join(passed))
+        self._record_first_byte(now)
+        self._sink.write(b"".join(unsent))
         return True
 
-    def begin(self, head: AnswerHead, held: list[bytes], now: float) -> None:
-        """Send the head of a plain answer, and what was held back of its body.
+    def begin(self, head: AnswerHead, buffered: list[bytes], now: float) -> None:
+        """Send the head of a plain response and the buffered part of its body.
 
         Parameters
         ----------
         head : AnswerHead
-            The target's head.
-        held : list[bytes]
-            Bytes that have come of the body.
+            Status and headers from the target.
+        buffered : list[bytes]
+            Bytes of the body received so far.
         now : float
             Present time in seconds.
         """
         self._has_begun = True
-        self._note_first_byte(now)
+        self._record_first_byte(now)
         self._sink.begin(head)
-        if held:
-            self._sink.write(b"".join(held))
+        if buffered:
+            self._sink.write(b"".join(buffered))
 
     def write(self, data: bytes) -> None:
-        """Send more of a plain answer.
+        """Send more of a plain response.
 
         Parameters
         ----------
@@ -121,25 +125,25 @@
         self._sink.write(data)
 
     def finish(self) -> None:
-        """End the answer as whole."""
+        """End a complete response."""
         self._sink.finish()
 
     def break_off(self) -> None:
-        """End the answer so that it cannot be taken for whole."""
+        """Abort the response so that the caller sees that it is truncated."""
         self._sink.break_off()
 
     def refuse(self, refusal: Refusal, retry_after: float | None) -> None:
-        """Send an answer of the router's own.
+        """Send a response of the router's own.
 
         Parameters
         ----------
         refusal : Refusal
-            Why.
+            Why the request was refused.
         retry_after : float | None
-            Seconds after which asking again is worth it.
+            Seconds after which the caller should try again; None to state no time.
         """
         self._sink.refuse(refusal, retry_after)
 
-    def _note_first_byte(self, now: float) -> None:
+    def _record_first_byte(self, now: float) -> None:
         if self._first_byte_at is None:
             self._first_byte_at = now
--- a/src/primrosescale/request/answer_sink.py
+++ b/src/primrosescale/request/answer_sink.py
@@ -1,4 +1,4 @@
-"""Where a router puts a call's answer."""
+"""Interface through which a router sends the response of a call to its caller."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class AnswerSink(ABC):
-    """The caller's side of one call.
+    """Sends the response of one call to its caller.
 
     Exactly one of `finish`, `refuse` and `cut` ends it.
     """
@@ -20,28 +20,28 @@
     @property
     @abstractmethod
     def has_begun(self) -> bool:
-        """Tell whether the caller has been given any of the answer."""
+        """Tell whether any of the response was sent to the caller."""
 
     @property
     @abstractmethod
     def is_blocked(self) -> bool:
-        """Tell whether the caller does not take bytes at the moment."""
+        """Tell whether the caller is not reading at the moment."""
 
     @abstractmethod
     def head(self, status: int, headers: list[Header]) -> None:
-        """Take in the answer's status and headers.
+        """Handle the status and headers of the response.
 
         Parameters
         ----------
         status : int
             HTTP status.
         headers : list[Header]
-            Headers of the target.
+            Headers from the target.
         """
 
     @abstractmethod
     def data(self, data: bytes) -> None:
-        """Take in bytes of the answer.
+        """Handle bytes of the response.
 
         Parameters
         ----------
@@ -51,15 +51,15 @@
 
     @abstractmethod
     def reset(self) -> None:
-        """Drop what came of an attempt that will be repeated."""
+        """Discard what was received from an attempt that will be repeated."""
 
     @abstractmethod
     def finish(self) -> None:
-        """Take in that the answer is whole."""
+        """Handle that the response is complete."""
 
     @abstractmethod
     def refuse(self, failure: AttemptFailure) -> None:
-        """Take in that there is no answer.
+        """Handle that there is no response.
 
         Parameters
         ----------
@@ -69,7 +69,7 @@
 
     @abstractmethod
     def cut(self, failure: AttemptFailure) -> None:
-        """Take in that an answer that had begun ends here, not whole.
+        """Handle that a response that had begun is truncated here.
 
         Parameters
         ----------
