--- a/src/primrosescale/request/attempt_pair.py
+++ b/src/primrosescale/request/attempt_pair.py
@@ -1,4 +1,9 @@
-"""The attempt whose answer a caller gets, and one that may take its place."""
+"""The attempt whose response the caller receives, and a hedged one besides it.
+
+When the target of the primary attempt falls silent, the request is sent to another
+target as well. The first of the two that sends more of the response becomes the
+primary attempt, and the other one is closed.
+"""
 
 from __future__ import annotations
 
@@ -8,66 +13,62 @@
     from primrosescale.request.target_attempt import TargetAttempt
 
 
-class AttemptPair:
-    """At most two attempts of one request.
-
-    The serving one has the caller. A successor is asked while the serving one
-    is silent; whichever of them goes on first serves, and the other is left.
-    """
+class HedgedAttempts:
+    """At most two attempts of one request: the primary one and its hedge."""
 
-    __slots__ = ("_serving", "_successor")
+    __slots__ = ("_hedge", "_primary")
 
     def __init__(self) -> None:
-        self._serving: TargetAttempt | None = None
-        self._successor: TargetAttempt | None = None
+        self._primary: TargetAttempt | None = None
+        self._hedge: TargetAttempt | None = None
 
     @property
-    def serving(self) -> TargetAttempt | None:
-        """Return the attempt that has the caller."""
-        return self._serving
+    def primary(self) -> TargetAttempt | None:
+        """Return the attempt whose response is sent to the caller."""
+        return self._primary
 
     @property
-    def successor(self) -> TargetAttempt | None:
-        """Return the attempt that was asked besides."""
-        return self._successor
+    def hedge(self) -> TargetAttempt | None:
+        """Return the attempt that was started besides the primary one."""
+        return self._hedge
 
-    def serve_from(self, attempt: TargetAttempt) -> None:
-        """Give the caller to an attempt; there was none, or it has ended.
+    def set_primary(self, attempt: TargetAttempt) -> None:
+        """Set the primary attempt; there was none, or it has ended.
 
         Parameters
         ----------
         attempt : TargetAttempt
             The attempt.
         """
-        self._serving = attempt
+        self._primary = attempt
 
-    def ask(self, attempt: TargetAttempt) -> None:
-        """Put an attempt beside the serving one.
+    def set_hedge(self, attempt: TargetAttempt) -> None:
+        """Add an attempt besides the primary one.
 
         Parameters
         ----------
         attempt : TargetAttempt
             The attempt.
         """
-        self._successor = attempt
+        self._hedge = attempt
 
-    def promote(self, outcome: str, now: float) -> None:
-        """Give the caller to the successor, and leave the attempt before.
+    def promote_hedge(self, outcome: str, now: float) -> None:
+        """Make the hedge the primary attempt, and close the former primary.
 
         Parameters
         ----------
         outcome : str
-            How the attempt before ended, if it has not ended yet.
+            How the former primary attempt ended, if it has not ended yet.
         now : float
             Present time in seconds.
         """
-        left, self._serving = self._serving, self._successor
-        self._successor = None
-        if left is not None:
-            left.leave(outcome, now)
+        former, self._primary = self._primary, self._hedge
+        self._hedge = None
+        if former is not None:
+            former.close(outcome, now)
 
-    def drop_successor(self, outcome: str, now: float) -> TargetAttempt | None:
-        """Leave the successor, if there is one.
+    def drop_hedge(self, outcome: str, now: float) -> TargetAttempt | None:
+        """Close the hedge, if there is one.
 
         Parameters
         ----------
@@ -79,15 +80,15 @@
         Returns
         -------
         TargetAttempt | None
-            The attempt that was left.
+            The attempt that was closed.
         """
-        left, self._successor = self._successor, None
-        if left is not None:
-            left.leave(outcome, now)
-        return left
+        former, self._hedge = self._hedge, None
+        if former is not None:
+            former.close(outcome, now)
+        return former
 
     def remove(self, attempt: TargetAttempt, now: float) -> bool:
-        """Take an attempt out that has ended.
+        """Remove an attempt that has ended.
 
         Parameters
         ----------
@@ -99,19 +100,19 @@
         Returns
         -------
         bool
-            Whether the other one goes on.
+            Whether another attempt continues; it is the primary one then.
         """
-        if attempt is self._successor:
-            self._successor = None
+        if attempt is self._hedge:
+            self._hedge = None
             return True
-        if self._successor is not None:
-            self.promote("", now)
+        if self._hedge is not None:
+            self.promote_hedge("", now)
             return True
-        self._serving = None
+        self._primary = None
         return False
 
-    def leave_all(self, outcome: str, now: float) -> None:
-        """Leave both.
+    def close_all(self, outcome: str, now: float) -> None:
+        """Close both attempts.
 
         Parameters
         ----------
@@ -120,8 +121,8 @@
         now : float
             Present time in seconds.
         """
-        for attempt in (self._serving, self._successor):
+        for attempt in (self._primary, self._hedge):
             if attempt is not None:
-                attempt.leave(outcome, now)
-        self._serving = None
-        self._successor = None
+                attempt.close(outcome, now)
+        self._primary = None
+        self._hedge = None
--- a/src/primrosescale/request/forwarded_call.py
+++ b/src/primrosescale/request/forwarded_call.py
@@ -1,16 +1,17 @@
-"""The course of one request that the router sends to targets itself.
-
-What may be sent again follows from the route. A request that may run once is
-sent to one target, unless nothing was sent or the target says that it did not
-run it. Others go to another target after a failure, within the route's number
-of targets and the shared budget. A stream that may be resumed goes on at
-another target after the last whole event that the caller got.
-
-A target that is only silent may be about to answer: one that read a long prompt
-sent again 0.05 s after two streams had been ended there for want of another. The
-request is sent to another target as well, and the first of the two that goes on
-has the caller. The silent one is left with the other's head, never before, so
-that silence costs nobody the answer that was under way.
+"""Forwards one request to targets: retries, hedging, stream resumption and timeouts.
+
+The route determines what may be retried. A request that may run only once is sent
+to one target, unless nothing was sent or the target states that it did not run it.
+Other requests are retried at another target after a failure, within the route's
+maximum number of targets and the shared retry budget. A resumable stream continues
+at another target after the last complete event that the caller received.
+
+A silent target may be about to respond: one that was processing a long prompt
+started to send again 0.05 s after two streams there had been aborted, with no other
+target to continue them. So the request is hedged: it is sent to another target as
+well, and the first of the two that sends more of the response serves the caller. The
+silent attempt is closed only when the other one sends its head, so that silence
+never costs a response that is in progress.
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 
 from primrosescale.clock import cancel_timer
 from primrosescale.request.answer_relay import AnswerRelay
-from primrosescale.request.attempt_pair import AttemptPair
+from primrosescale.request.attempt_pair import HedgedAttempts
 from primrosescale.request.direct_port import Refusal
 from primrosescale.request.direct_port import Sending
 from primrosescale.request.silence import Silence
 from primrosescale.request.silence import SilenceVerdict
-from primrosescale.request.silence import patience
+from primrosescale.request.silence import silence_timeout
 from primrosescale.request.target_attempt import AttemptListener
 from primrosescale.request.target_attempt import AttemptRecord
 from primrosescale.request.target_attempt import TargetAttempt
@@ -42,26 +43,26 @@
     from primrosescale.request.target_choice import Choice
     from primrosescale.request.target_state import TargetState
 
-FIRST_SUCCESS = 200
-FIRST_REDIRECT = 300
-FIRST_SERVER_ERROR = 500
-# A timer may fire this much before the time that it was set for, by rounding.
-TIMER_SLACK = 0.001
+MIN_SUCCESS_STATUS = 200
+MIN_REDIRECT_STATUS = 300
+MIN_SERVER_ERROR_STATUS = 500
+# A timer may fire early by up to this much because of rounding.
+TIMER_SLACK_SECONDS = 0.001
 
 
 class ForwardedCall(AttemptListener):
-    """One request, from its acceptance to its end.
+    """Forwards one request, from its acceptance to its end.
 
     Parameters
     ----------
     request : IncomingRequest
         The request.
     sink : CallerSink
-        The caller.
+        Sends the response to the caller.
     tools : ForwardTools
-        What all calls share.
+        Settings and collaborators that all calls share.
     on_end : Callable[[ForwardedCall, str], None]
-        Told of the end, once, with the outcome.
+        Called once at the end, with the outcome.
     """
 
     def __init__(
@@ -76,19 +77,19 @@
         self._tools = tools
         self._on_end = on_end
         self._attempts: list[AttemptRecord] = []
-        self._pair = AttemptPair()
+        self._active = HedgedAttempts()
         self._tried = TriedTargets(request.route.max_targets)
-        self._unreached = 0
+        self._unreachable_count = 0
         self._may_have_run = False
         self._is_suspect = False
         self._status: int | None = None
-        self._is_held_up = False
+        self._is_paused = False
         self._is_over = False
-        self._timer: Timer | None = None
-        self._stall: Timer | None = None
-        self._waits_since = request.received_at
-        self._verdict: SilenceVerdict | None = None
-        self._room: Timer | None = None
+        self._deadline_timer: Timer | None = None
+        self._silence_timer: Timer | None = None
+        self._waiting_since = request.received_at
+        self._last_verdict: SilenceVerdict | None = None
+        self._capacity_timer: Timer | None = None
         self._hop = tools.start_hop("router", request.traceparent)
 
     @property
@@ -98,27 +99,27 @@
 
     @property
     def attempts(self) -> list[AttemptRecord]:
-        """Return the attempts so far."""
+        """Return the records of the attempts so far."""
         return self._attempts
 
     @property
     def status(self) -> int | None:
-        """Return the status of the target's answer that is passed on, if any."""
+        """Return the status of the response that is relayed, if any."""
         return self._status
 
     @property
     def is_suspect(self) -> bool:
-        """Tell whether an answer to it was lost, or it was held back."""
+        """Tell whether a response to it was lost, or it was held back."""
         return self._is_suspect
 
     @property
     def first_byte_at(self) -> float | None:
-        """Return when the caller got the first byte, in seconds."""
+        """Return when the first byte was sent to the caller, in seconds."""
         return self._relay.first_byte_at
 
     @property
     def is_over(self) -> bool:
-        """Tell whether it has ended."""
+        """Tell whether the call has ended."""
         return self._is_over
 
     def start(self, now: float) -> None:
@@ -133,37 +134,37 @@
             self._refuse(Refusal.TOO_LATE)
             return
         left = self._request.give_up_at - now
-        self._timer = self._tools.clock.callLater(left, self._give_up)
+        self._deadline_timer = self._tools.clock.callLater(left, self._on_deadline)
         self._tools.budget_of(self._request.service).requested(now)
-        self._serve_from_any(now)
+        self._send_to_any(now)
 
     def caller_gone(self) -> None:
-        """Take in that the caller has closed its connection."""
+        """Handle that the caller has closed its connection."""
         if self._is_over:
             return
-        self._pair.leave_all("caller left", self._now())
+        self._active.close_all("caller disconnected", self._now())
         self._end("caller_gone")
 
     def pause(self) -> None:
-        """Take no more bytes from the target for a while."""
-        self._is_held_up = True
-        self._drop_successor("not needed: the caller is slow", self._now())
-        if self._pair.serving is not None:
-            self._pair.serving.pause()
+        """Stop reading from the target until `resume`."""
+        self._is_paused = True
+        self._drop_hedge("not needed: the caller reads slowly", self._now())
+        if self._active.primary is not None:
+            self._active.primary.pause()
 
     def resume(self) -> None:
-        """Take bytes from the target again."""
-        self._is_held_up = False
-        serving = self._pair.serving
-        if serving is not None:
+        """Read from the target again."""
+        self._is_paused = False
+        primary = self._active.primary
+        if primary is not None:
             now = self._now()
-            serving.resume(now)
-            self._watch_silence(now)
+            primary.resume(now)
+            self._track_silence(now)
 
-    # What a target says
+    # Events of attempts
 
     def attempt_sent(self, attempt: TargetAttempt) -> None:
-        """Note where it went; see `AttemptListener.attempt_sent`."""
+        """Record the target; see `AttemptListener.attempt_sent`."""
         now = self._now()
         self._tried.sent(attempt.incarnation)
         self._tools.harm.sent(self._request, now)
@@ -177,117 +178,117 @@
             )
             if is_news:
                 self._tools.parts_changed()
-        if attempt is self._pair.serving:
-            self._watch_silence(now)
+        if attempt is self._active.primary:
+            self._track_silence(now)
 
     def attempt_not_sent(self, attempt: TargetAttempt, detail: str) -> None:
         """Try another target; see `AttemptListener.attempt_not_sent`."""
         now = self._now()
         attempt.state.unreachable(now)
         self._tools.harm.unreached(attempt.state, now)
-        attempt.leave(f"not sent: {detail}", now)
+        attempt.close(f"not sent: {detail}", now)
         self._tried.not_sent(attempt.incarnation)
-        was_serving = attempt is self._pair.serving
-        if self._other_goes_on(attempt, now):
-            # The repeat is paid for already.
-            may_ask = not was_serving and not self._held_for(now)
-            choice = self._choose_sure(now) if may_ask else None
+        was_primary = attempt is self._active.primary
+        if self._continue_with_other(attempt, now):
+            # The retry was already charged to the budget.
+            may_hedge = not was_primary and not self._held_for(now)
+            choice = self._choose_healthy(now) if may_hedge else None
             if choice is not None:
-                self._ask_besides(choice, now)
+                self._start_hedge(choice, now)
             return
-        self._unreached += 1
-        if self._unreached >= self._tools.settings.unreached_most:
+        self._unreachable_count += 1
+        if self._unreachable_count >= self._tools.settings.unreached_most:
             self._fail(Refusal.NO_TARGET)
             return
-        self._serve_from_any(now)
+        self._send_to_any(now)
 
     def attempt_head(self, attempt: TargetAttempt, head: AnswerHead) -> None:
-        """Look at the head of an answer; see `AttemptListener.attempt_head`."""
+        """Check the head of a response; see `AttemptListener.attempt_head`."""
         now = self._now()
         if head.is_other_incarnation:
             self._tools.harm.replaced(attempt.state, now)
-            self._declined(attempt, head, now)
+            self._handle_declined(attempt, head, now)
             return
         if attempt.state.answered(head, now):
             self._tools.statement_made(self._request, attempt.state, head)
         self._tools.harm.heard(attempt.state, attempt.began_at, now)
         if head.is_not_run:
-            self._declined(attempt, head, now)
+            self._handle_declined(attempt, head, now)
             return
         self._may_have_run = True
         fault = self._fault_of(head)
         if fault:
-            self._lost(attempt, fault, now)
+            self._handle_lost(attempt, fault, now)
             return
-        if head.status >= FIRST_SERVER_ERROR:
+        if head.status >= MIN_SERVER_ERROR_STATUS:
             attempt.state.failed(now)
-            if self._passes_over(attempt, head, now):
+            if self._retries_elsewhere(attempt, head, now):
                 return
-        self._settle_on(attempt, now)
+        self._keep_only(attempt, now)
         attempt.head = head
         self._status = head.status
         if self._request.route.is_stream and _is_success(head):
             self._relay.begin_stream(head)
-        self._watch_silence(now)
+        self._track_silence(now)
 
     def attempt_data(self, attempt: TargetAttempt, data: bytes) -> None:
-        """Hand bytes on, or hold them back; see `AttemptListener.attempt_data`."""
+        """Relay or buffer bytes; see `AttemptListener.attempt_data`."""
         now = self._now()
         attempt.state.heard(now)
-        self._settle_on(attempt, now)
+        self._keep_only(attempt, now)
         if self._relay.is_stream:
             self._pass_events(attempt, data, now)
             return
         if self._relay.has_begun:
             self._relay.write(data)
             return
-        attempt.hold(data)
-        if attempt.held_bytes > self._tools.settings.buffer_limit:
-            self._pass_on(attempt, now)
+        attempt.buffer(data)
+        if attempt.buffered_bytes > self._tools.settings.buffer_limit:
+            self._send_buffered(attempt, now)
 
     def attempt_done(self, attempt: TargetAttempt) -> None:
-        """End the answer; see `AttemptListener.attempt_done`."""
+        """Finish the response; see `AttemptListener.attempt_done`."""
         now = self._now()
         if self._relay.is_stream and attempt.is_inside_event:
-            self._lost(attempt, "stream ended inside an event", now)
+            self._handle_lost(attempt, "stream ended inside an event", now)
             return
         head = attempt.head
-        if head is not None and head.status < FIRST_SERVER_ERROR:
+        if head is not None and head.status < MIN_SERVER_ERROR_STATUS:
             attempt.state.succeeded(now)
             self._tools.harm.answered(self._request, attempt.state, now)
         if not self._relay.has_begun:
-            self._pass_on(attempt, now)
-        attempt.leave("answered", now, is_whole=True)
+            self._send_buffered(attempt, now)
+        attempt.close("answered", now, is_whole=True)
         self._relay.finish()
         self._end("answered")
 
     def attempt_cut(self, attempt: TargetAttempt, detail: str) -> None:
-        """Go on elsewhere if allowed; see `AttemptListener.attempt_cut`."""
+        """Retry at another target if allowed; see `AttemptListener.attempt_cut`."""
         self._may_have_run = True
-        self._lost(attempt, detail, self._now())
+        self._handle_lost(attempt, detail, self._now())
 
-    def _settle_on(self, attempt: TargetAttempt, now: float) -> None:
-        """Leave the other of two attempts: this one has gone on first."""
-        if attempt is self._pair.successor:
+    def _keep_only(self, attempt: TargetAttempt, now: float) -> None:
+        """Close the other one of two attempts: this one was first to respond."""
+        if attempt is self._active.hedge:
             self._may_have_run = True
-            self._pair.promote("silent", now)
+            self._active.promote_hedge("silent", now)
         else:
-            self._drop_successor("not needed: the target before went on", now)
+            self._drop_hedge("not needed: the first target responded", now)
 
     def _fault_of(self, head: AnswerHead) -> str:
-        """Return why an answer cannot be this request's; empty if it can."""
+        """Return why a response cannot belong to this request; empty if it can."""
         if head.request_id != self._request.request_id:
-            return "answer of another request"
+            return "response to another request"
         if _is_success(head):
-            return "" if head.is_receipted else "no receipt"
+            return "" if head.is_receipted else "no receipt header"
         if self._relay.is_stream:
-            return f"status {head.status} in place of the rest"
+            return f"status {head.status} instead of the rest of the stream"
         return ""
 
-    # Where it goes
+    # Choice of targets
 
-    def _serve_from_any(self, now: float) -> None:
-        """Send it to a target, even a doubtful one; refuse it if there is none."""
+    def _send_to_any(self, now: float) -> None:
+        """Send it to a target, if need be an avoided one; wait or refuse if none."""
         if not self._has_time_left(now):
             self._fail(Refusal.TIMED_OUT_UNSENT)
             return
@@ -296,56 +297,58 @@
             return
         choice = self._choose(now)
         if choice is not None:
-            self._serve_from(choice, now)
+            self._start_primary(choice, now)
         else:
-            self._serve_once_there_is_room(now)
+            self._wait_for_capacity(now)
 
-    def _serve_once_there_is_room(self, now: float) -> None:
-        """Wait for a target, or refuse it with the time until there is room."""
+    def _wait_for_capacity(self, now: float) -> None:
+        """Wait until a target has capacity, or refuse with the time until then."""
         states = self._states()
         excluded = self._tried.excluded(states)
         left = [state for state in states if state.incarnation not in excluded]
-        room_in = self._tools.room.shortest_wait(left, now)
-        if not room_in:
+        capacity_in = self._tools.room.shortest_wait(left, now)
+        if not capacity_in:
             crowded = left and self._tools.chooser.is_crowded(states, now)
             self._fail(Refusal.TARGETS_CROWDED if crowded else Refusal.NO_TARGET)
-        elif now + room_in <= self._latest_start():
-            self._room = self._tools.clock.callLater(room_in, self._look_for_room)
+        elif now + capacity_in <= self._latest_start():
+            self._capacity_timer = self._tools.clock.callLater(
+                capacity_in, self._on_capacity_expected
+            )
         elif all(state.statements.is_limited for state in left if state.takes_work):
-            self._fail_while_all_rest(room_in)
+            self._fail_all_resting(capacity_in)
         else:
-            self._fail(Refusal.TARGETS_COLD, room_in)
+            self._fail(Refusal.TARGETS_COLD, capacity_in)
 
-    def _fail_while_all_rest(self, room_in: float) -> None:
-        """Refuse it until after the first rest, by times that are spread."""
+    def _fail_all_resting(self, capacity_in: float) -> None:
+        """Refuse it with a jittered Retry-After past the end of the first rest."""
         refusal = Refusal.TARGETS_RESTING
         spread = self._tools.settings.come_back_after(refusal, self._tools.rng) or 0.0
-        self._fail(refusal, room_in + spread)
+        self._fail(refusal, capacity_in + spread)
 
     def _latest_start(self) -> float:
-        """Return until when waiting for a cold target may still serve in time."""
+        """Return the latest time for which waiting for a cold target is worth it."""
         objective = self._request.route.latency_objective
         patience = self._tools.settings.cold_patience * objective
         return min(self._request.received_at + patience, self._request.give_up_at)
 
-    def _look_for_room(self) -> None:
-        self._room = None
+    def _on_capacity_expected(self) -> None:
+        self._capacity_timer = None
         if not self._is_over:
-            self._serve_from_any(self._now())
+            self._send_to_any(self._now())
 
-    def _serve_from(self, choice: Choice, now: float) -> None:
+    def _start_primary(self, choice: Choice, now: float) -> None:
         attempt = self._new_attempt(choice, now)
-        self._pair.serve_from(attempt)
-        # Silence counts from the sending on.
-        self._stop_watching()
+        self._active.set_primary(attempt)
+        # Silence is measured from the time at which the request is sent.
+        self._cancel_silence_timer()
         self._begin(attempt, choice, now)
-        if self._is_held_up:
+        if self._is_paused:
             attempt.pause()
 
-    def _ask_besides(self, choice: Choice, now: float) -> None:
-        """Send it to another target as well, to see which goes on first."""
+    def _start_hedge(self, choice: Choice, now: float) -> None:
+        """Send it to another target as well; the first to respond is kept."""
         attempt = self._new_attempt(choice, now)
-        self._pair.ask(attempt)
+        self._active.set_hedge(attempt)
         self._begin(attempt, choice, now)
 
     def _choose(self, now: float) -> Choice | None:
@@ -362,8 +365,8 @@
         region_of = self._tools.regions.get
         return [state for state in states if region_of(state.target.domain) in allowed]
 
-    def _choose_sure(self, now: float) -> Choice | None:
-        """Return a target that nothing speaks against."""
+    def _choose_healthy(self, now: float) -> Choice | None:
+        """Return a target that is not avoided, such as for failures or silence."""
         choice = self._choose(now)
         if choice is None or choice.state.is_avoided(now):
             return None
@@ -384,7 +387,7 @@
             passed_resting=choice.passed_resting,
         )
         self._attempts.append(record)
-        self._tried.engage(choice.state.incarnation)
+        self._tried.attempted(choice.state.incarnation)
         hop = self._tools.start_hop("target", self._hop.traceparent)
         return TargetAttempt(self, choice.state, record, hop)
 
@@ -403,12 +406,12 @@
         attempt.begin(self._tools.caller, sending, now)
 
     def _needs_new_connection(self, attempt: TargetAttempt, now: float) -> bool:
-        """Tell whether a kept connection could cost an attempt that matters.
+        """Tell whether the attempt must not risk a stale pooled connection.
 
-        A connection that opens shows that the target lives, and no old answer
-        can be on it.
+        Opening a connection shows that the target is alive, and a new connection
+        cannot carry an old response.
         """
-        if attempt is self._pair.successor:
+        if attempt is self._active.hedge:
             return True
         route = self._request.route
         if route.may_repeat:
@@ -417,14 +420,16 @@
             return True
         return now - attempt.state.heard_at > self._tools.settings.heard_lately
 
-    # After a failure
+    # Retries and failures
 
-    def _next_choice(self, now: float, *, is_sure: bool = False) -> Choice | None:
-        """Return another target, paid for; None when the request may not go on."""
+    def _next_choice(
+        self, now: float, *, must_be_healthy: bool = False
+    ) -> Choice | None:
+        """Return another target, charged to the budget; None if it may not retry."""
         if not self._has_time_left(now):
             return None
-        choice = self._choose_sure(now) if is_sure else self._choose(now)
-        if choice is None or not self._spend(now):
+        choice = self._choose_healthy(now) if must_be_healthy else self._choose(now)
+        if choice is None or not self._spend_retry(now):
             return None
         return choice
 
@@ -439,235 +444,241 @@
         return self._relay.is_stream or not self._relay.has_begun
 
     def _held_for(self, now: float) -> float:
-        """Return the seconds for which no target should run it."""
+        """Return the seconds for which it must not be sent to any target."""
         return self._tools.harm.held_for(self._request, now)
 
-    def _spend(self, now: float) -> bool:
+    def _spend_retry(self, now: float) -> bool:
         budget = self._tools.budget_of(self._request.service)
         return budget.spend(self._tools.routers(), now)
 
-    def _declined(self, attempt: TargetAttempt, head: AnswerHead, now: float) -> None:
-        """Take in that the target did not run the request."""
+    def _handle_declined(
+        self, attempt: TargetAttempt, head: AnswerHead, now: float
+    ) -> None:
+        """Handle that the target did not run the request."""
         if head.is_other_incarnation:
             attempt.state.unreachable(now)
         else:
             attempt.state.failed(now)
-        attempt.leave(f"declined with status {head.status}", now)
-        if self._other_goes_on(attempt, now):
+        attempt.close(f"declined with status {head.status}", now)
+        if self._continue_with_other(attempt, now):
             return
         choice = None if self._held_for(now) else self._next_choice(now)
         if choice is not None:
-            self._serve_from(choice, now)
+            self._start_primary(choice, now)
             return
-        room_in = self._tools.room.shortest_wait(self._states(), now)
-        if room_in and attempt.state.statements.is_resting(now):
-            self._fail_while_all_rest(room_in)
+        capacity_in = self._tools.room.shortest_wait(self._states(), now)
+        if capacity_in and attempt.state.statements.is_resting(now):
+            self._fail_all_resting(capacity_in)
         else:
             self._fail(Refusal.TARGETS_FULL)
 
-    def _lost(self, attempt: TargetAttempt, detail: str, now: float) -> None:
-        """Take in that the request may have run and its answer is lost."""
+    def _handle_lost(self, attempt: TargetAttempt, detail: str, now: float) -> None:
+        """Handle that the request may have run and its response is lost."""
         self._is_suspect = True
         attempt.state.failed(now)
-        attempt.leave(f"lost: {detail}", now)
+        attempt.close(f"lost: {detail}", now)
         self._tools.harm.answer_lost(self._request, attempt.state, now)
-        if self._other_goes_on(attempt, now):
+        if self._continue_with_other(attempt, now):
             return
         choice = self._next_choice(now) if self._may_repeat(now) else None
         if choice is None:
             self._fail(Refusal.CUT)
             return
-        self._serve_from(choice, now)
+        self._start_primary(choice, now)
 
-    def _passes_over(
+    def _retries_elsewhere(
         self, attempt: TargetAttempt, head: AnswerHead, now: float
     ) -> bool:
-        """Ask another target after a failure; False passes the failure on."""
+        """Retry after an error response; return False if that is to be relayed."""
         outcome = f"status {head.status}"
-        successor = self._pair.successor
-        if successor is not None:
-            if attempt is not successor and not successor.is_at_target:
+        hedge = self._active.hedge
+        if hedge is not None:
+            if attempt is not hedge and not hedge.was_sent:
                 return False
-            attempt.leave(outcome, now)
-            return self._other_goes_on(attempt, now)
-        # The failure is an answer that is there: not given up for a doubtful one.
-        choice = self._next_choice(now, is_sure=True) if self._may_repeat(now) else None
+            attempt.close(outcome, now)
+            return self._continue_with_other(attempt, now)
+        # The error is a response in hand: it is not given up for an avoided target.
+        choice = (
+            self._next_choice(now, must_be_healthy=True)
+            if self._may_repeat(now)
+            else None
+        )
         if choice is None:
             return False
-        attempt.leave(outcome, now)
-        self._serve_from(choice, now)
+        attempt.close(outcome, now)
+        self._start_primary(choice, now)
         return True
 
-    def _other_goes_on(self, attempt: TargetAttempt, now: float) -> bool:
-        """Have the other of two attempts go on after one was left, if there is."""
-        was_serving = attempt is self._pair.serving
-        if not self._pair.remove(attempt, now):
+    def _continue_with_other(self, attempt: TargetAttempt, now: float) -> bool:
+        """Continue with the other one of two attempts, if there is one."""
+        was_primary = attempt is self._active.primary
+        if not self._active.remove(attempt, now):
             return False
-        if was_serving:
-            self._watch_silence(now)
+        if was_primary:
+            self._track_silence(now)
         else:
-            self._judge_in(self._tools.settings.silence_patience, now)
+            self._schedule_silence_check(self._tools.settings.silence_patience, now)
         return True
 
-    def _drop_successor(self, outcome: str, now: float) -> None:
-        left = self._pair.drop_successor(outcome, now)
+    def _drop_hedge(self, outcome: str, now: float) -> None:
+        left = self._active.drop_hedge(outcome, now)
         if left is not None:
-            self._tried.spare(left.incarnation)
+            self._tried.allow_again(left.incarnation)
 
-    def _fail(self, refusal: Refusal, come_back: float | None = None) -> None:
-        """End without an answer, and say "not run" only when that is so."""
+    def _fail(self, refusal: Refusal, retry_delay: float | None = None) -> None:
+        """End without a response; state "not run" only if that is certain."""
         if self._relay.has_begun:
             self._relay.break_off()
             self._end(f"broken_off: {refusal.name.lower()}")
             return
         if self._may_have_run and refusal.is_not_run:
-            refusal, come_back = Refusal.CUT, None
-        self._refuse(refusal, come_back)
+            refusal, retry_delay = Refusal.CUT, None
+        self._refuse(refusal, retry_delay)
 
-    def _refuse(self, refusal: Refusal, come_back: float | None = None) -> None:
+    def _refuse(self, refusal: Refusal, retry_delay: float | None = None) -> None:
         tools = self._tools
-        if come_back is None:
-            come_back = tools.settings.come_back_after(refusal, tools.rng)
+        if retry_delay is None:
+            retry_delay = tools.settings.come_back_after(refusal, tools.rng)
         held_for = self._held_for(self._now())
         if held_for and refusal.is_not_run:
-            # Whatever else kept it from being sent, it would not be sent sooner.
+            # It would not be sent any sooner, whatever else prevented it.
             self._is_suspect = True
-            refusal, come_back = Refusal.HELD_BACK, held_for
-        self._relay.refuse(refusal, come_back)
+            refusal, retry_delay = Refusal.HELD_BACK, held_for
+        self._relay.refuse(refusal, retry_delay)
         self._end(f"refused: {refusal.name.lower()}")
 
-    # Passing on
+    # Relaying
 
     def _pass_events(self, attempt: TargetAttempt, data: bytes, now: float) -> None:
         try:
             events = attempt.split(data)
         except ValueError as error:
-            self._lost(attempt, str(error), now)
+            self._handle_lost(attempt, str(error), now)
             return
         is_first = self._relay.first_byte_at is None
         if not self._relay.pass_events(events, now):
             return
         if is_first:
-            self._note_lateness(attempt, now)
-        self._watch_silence(now)
+            self._record_lateness(attempt, now)
+        self._track_silence(now)
 
-    def _pass_on(self, attempt: TargetAttempt, now: float) -> None:
-        """Send what was held back of a plain answer."""
+    def _send_buffered(self, attempt: TargetAttempt, now: float) -> None:
+        """Send the buffered part of a plain response."""
         head = attempt.head
         if head is None:
             return
-        self._note_lateness(attempt, now)
-        self._relay.begin(head, attempt.take_held(), now)
+        self._record_lateness(attempt, now)
+        self._relay.begin(head, attempt.take_buffered(), now)
 
-    def _note_lateness(self, attempt: TargetAttempt, now: float) -> None:
+    def _record_lateness(self, attempt: TargetAttempt, now: float) -> None:
         if now - attempt.began_at > self._request.route.latency_objective:
             attempt.state.late(now)
 
-    # Silence and time
+    # Silent targets
 
-    def _watch_silence(self, now: float) -> None:
-        """Count the silence of the serving target from now on, where it matters.
+    def _track_silence(self, now: float) -> None:
+        """Measure the silence of the primary target from now on, where needed.
 
-        A judgement that is due already stands: it comes no later than the next
-        one can be, and setting it anew with each event took a third of the time
-        that an event takes here.
+        A timer that is already running is kept: it fires no later than a new one
+        would, and setting it again for each event took a third of the time spent
+        on an event here.
         """
-        self._waits_since = now
-        self._verdict = None
-        serving = self._pair.serving
-        if self._stall is not None or serving is None or not serving.is_at_target:
+        self._waiting_since = now
+        self._last_verdict = None
+        primary = self._active.primary
+        if self._silence_timer is not None or primary is None or not primary.was_sent:
             return
-        if self._is_silence_watched():
-            self._judge_in(self._silence_due_in(serving, now), now)
+        if self._is_silence_tracked():
+            self._schedule_silence_check(self._silent_in(primary, now), now)
 
-    def _is_silence_watched(self) -> bool:
+    def _is_silence_tracked(self) -> bool:
         may_repeat = self._request.route.may_repeat
         return may_repeat or self._relay.first_byte_at is None
 
-    def _stop_watching(self) -> None:
-        cancel_timer(self._stall)
-        self._stall = None
+    def _cancel_silence_timer(self) -> None:
+        cancel_timer(self._silence_timer)
+        self._silence_timer = None
 
-    def _judge_in(self, pause: float, now: float) -> None:
-        self._stop_watching()
+    def _schedule_silence_check(self, pause: float, now: float) -> None:
+        self._cancel_silence_timer()
         if now + pause < self._request.give_up_at:
-            self._stall = self._tools.clock.callLater(
-                max(0.0, pause), self._judge_silence
+            self._silence_timer = self._tools.clock.callLater(
+                max(0.0, pause), self._check_silence
             )
 
-    def _silence_due_in(self, serving: TargetAttempt, now: float) -> float:
-        """Return the seconds until the silence of a target is too long.
+    def _silent_in(self, primary: TargetAttempt, now: float) -> float:
+        """Return the seconds until the target counts as silent for this request.
 
-        It is after a short time for one that sends nothing to anyone here, and
-        after a longer one for one that others hear from.
+        The time is short for a target that sends nothing to this router, and longer
+        for one that sends data for other requests.
         """
         settings = self._tools.settings
         has_begun = self._relay.first_byte_at is not None
-        for_all = settings.silence_patience - serving.state.silence(now)
-        for_this = patience(settings, self._request, has_begun=has_begun)
-        return min(for_all, for_this - (now - self._waits_since))
+        target_silent_in = settings.silence_patience - primary.state.silence(now)
+        request_timeout = silence_timeout(settings, self._request, has_begun=has_begun)
+        return min(target_silent_in, request_timeout - (now - self._waiting_since))
 
-    def _judge_silence(self) -> None:
-        self._stall = None
-        serving = self._pair.serving
-        if self._is_over or serving is None or not serving.is_at_target:
+    def _check_silence(self) -> None:
+        self._silence_timer = None
+        primary = self._active.primary
+        if self._is_over or primary is None or not primary.was_sent:
             return
-        if not self._is_silence_watched():
+        if not self._is_silence_tracked():
             return
         now = self._now()
-        again = self._tools.settings.silence_patience
-        if self._is_held_up:
-            # Nothing of it is read, since its caller takes nothing.
-            self._judge_in(again, now)
+        recheck = self._tools.settings.silence_patience
+        if self._is_paused:
+            # Nothing is read from the target because the caller is not reading.
+            self._schedule_silence_check(recheck, now)
             return
-        due = self._silence_due_in(serving, now)
-        if due > TIMER_SLACK:
-            self._judge_in(due, now)
+        due = self._silent_in(primary, now)
+        if due > TIMER_SLACK_SECONDS:
+            self._schedule_silence_check(due, now)
             return
         if not self._request.route.may_repeat:
-            # It stays where it is; what it shows is for the requests to come.
-            self._tell_silence(serving, SilenceVerdict.MAY_NOT_REPEAT, now)
-            serving.state.failed(now)
+            # It stays where it is; the failure counts for later requests only.
+            self._report_silence(primary, SilenceVerdict.MAY_NOT_REPEAT, now)
+            primary.state.failed(now)
             return
-        self._judge_in(again, now)
-        self._ask_for_silence(serving, now)
+        self._schedule_silence_check(recheck, now)
+        self._hedge_silent(primary, now)
 
-    def _ask_for_silence(self, serving: TargetAttempt, now: float) -> None:
-        """Ask another target besides a silent one, if one can be asked."""
-        successor = self._pair.successor
-        if successor is not None and not successor.state.is_avoided(now):
+    def _hedge_silent(self, primary: TargetAttempt, now: float) -> None:
+        """Start a hedge besides a silent target, if another target is available."""
+        hedge = self._active.hedge
+        if hedge is not None and not hedge.state.is_avoided(now):
             return
         if not self._may_repeat(now) or not self._has_time_left(now):
             return
-        choice = self._choose_sure(now)
+        choice = self._choose_healthy(now)
         if choice is None:
-            self._tell_silence(serving, SilenceVerdict.NO_OTHER, now)
+            self._report_silence(primary, SilenceVerdict.NO_OTHER, now)
             return
-        if not self._spend(now):
-            self._tell_silence(serving, SilenceVerdict.NO_BUDGET, now)
+        if not self._spend_retry(now):
+            self._report_silence(primary, SilenceVerdict.NO_BUDGET, now)
             return
-        self._tell_silence(serving, SilenceVerdict.ANOTHER_ASKED, now)
-        least = self._tools.settings.silence_patience - TIMER_SLACK
-        if serving.state.silence(now) >= least:
-            serving.state.unreachable(now)
+        self._report_silence(primary, SilenceVerdict.ANOTHER_ASKED, now)
+        threshold = self._tools.settings.silence_patience - TIMER_SLACK_SECONDS
+        if primary.state.silence(now) >= threshold:
+            primary.state.unreachable(now)
         else:
-            serving.state.failed(now)
-        self._pair.drop_successor("silent too", now)
-        self._ask_besides(choice, now)
+            primary.state.failed(now)
+        self._active.drop_hedge("also silent", now)
+        self._start_hedge(choice, now)
 
-    def _tell_silence(
+    def _report_silence(
         self, attempt: TargetAttempt, verdict: SilenceVerdict, now: float
     ) -> None:
-        """Have a judgement logged, once while it stays the same."""
-        if verdict is self._verdict:
+        """Report a decision about silence, once while it stays the same."""
+        if verdict is self._last_verdict:
             return
-        self._verdict = verdict
+        self._last_verdict = verdict
         tools = self._tools
         states = self._states()
         silence = Silence(
             target=attempt.name,
             silent_for=attempt.state.silence(now),
-            waited=now - self._waits_since,
+            waited=now - self._waiting_since,
             others=tools.chooser.count_open(states, self._tried.excluded(states), now),
             verdict=verdict,
         )
@@ -675,17 +686,17 @@
 
     # The end
 
-    def _give_up(self) -> None:
-        """Answer at the time at which the caller or the route gives up."""
-        self._timer = None
+    def _on_deadline(self) -> None:
+        """End the call at the deadline of the caller or the route."""
+        self._deadline_timer = None
         if self._is_over:
             return
         now = self._now()
-        for attempt in (self._pair.serving, self._pair.successor):
-            if attempt is not None and attempt.is_at_target:
+        for attempt in (self._active.primary, self._active.hedge):
+            if attempt is not None and attempt.was_sent:
                 attempt.state.failed(now)
                 self._may_have_run = True
-        self._pair.leave_all("timed out", now)
+        self._active.close_all("timed out", now)
         sent = self._may_have_run
         self._fail(Refusal.TIMED_OUT if sent else Refusal.TIMED_OUT_UNSENT)
 
@@ -693,11 +704,11 @@
         if self._is_over:
             return
         self._is_over = True
-        self._pair.leave_all("not needed: the request ended", self._now())
-        cancel_timer(self._timer)
-        self._timer = None
-        cancel_timer(self._room)
-        self._stop_watching()
+        self._active.close_all("not needed: the request ended", self._now())
+        cancel_timer(self._deadline_timer)
+        self._deadline_timer = None
+        cancel_timer(self._capacity_timer)
+        self._cancel_silence_timer()
         self._hop.end(request=self._request.request_id, outcome=outcome)
         self._on_end(self, outcome)
 
@@ -706,4 +717,4 @@
 
 
 def _is_success(head: AnswerHead) -> bool:
-    return FIRST_SUCCESS <= head.status < FIRST_REDIRECT
+    return MIN_SUCCESS_STATUS <= head.status < MIN_REDIRECT_STATUS
--- a/src/primrosescale/request/silence.py
+++ b/src/primrosescale/request/silence.py
@@ -1,4 +1,8 @@
-"""What a router makes of a target that has sent nothing for a while."""
+"""How long a request waits for a silent target, and what is decided then.
+
+A target is silent when it has sent no bytes for some time though requests are in
+flight there.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
 
 
 class SilenceVerdict(Enum):
-    """What becomes of a request whose target is silent."""
+    """What is done about a request whose target is silent."""
 
     ANOTHER_ASKED = "another target is asked"
     NO_OTHER = "kept: no other target that it may go to"
@@ -22,21 +26,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Silence:
-    """A judgement on a silent target, for the log.
+    """A decision about a request at a silent target, for the log.
 
     Parameters
     ----------
     target : str
-        The target.
+        Name of the target.
     silent_for : float
-        Seconds since it last sent anything to this router, 0 while other
-        requests here hear from it.
+        Seconds since it last sent anything to this router; 0 while it sends data
+        for other requests of this router.
     waited : float
         Seconds that this request has waited for its next bytes.
     others : int
-        Targets that this router would send the request to now.
+        Number of targets that this router would send the request to now.
     verdict : SilenceVerdict
-        What was decided.
+        The decision.
     """
 
     target: str
@@ -46,19 +50,19 @@
     verdict: SilenceVerdict
 
 
-def patience(
+def silence_timeout(
     settings: ForwardSettings, request: IncomingRequest, *, has_begun: bool
 ) -> float:
-    """Return how long a request waits for a target that others hear from.
+    """Return how long a request waits for a target that responds to others.
 
     Parameters
     ----------
     settings : ForwardSettings
-        Timing.
+        Timing settings.
     request : IncomingRequest
         The request.
     has_begun : bool
-        Whether the caller has got the first byte.
+        Whether the caller has received the first byte.
 
     Returns
     -------
--- a/src/primrosescale/request/target_attempt.py
+++ b/src/primrosescale/request/target_attempt.py
@@ -1,4 +1,4 @@
-"""One request at one target: what comes of it, and what was not passed on yet."""
+"""One attempt of a request at one target: its progress, buffer and log record."""
 
 from __future__ import annotations
 
@@ -25,40 +25,41 @@
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """What became of a request at one target, for the log.
+    """The attempt of a request at one target, for the log.
 
     Parameters
     ----------
     target : str
-        The target.
+        Name of the target.
     began_at : float
-        Seconds.
+        When it began, in seconds.
     load : float
-        Requests there by the best knowledge.
+        Estimated number of requests at the target when it was chosen.
     mean : float
-        Mean load that the target's was held against.
+        Mean load of the targets, which its load was compared with.
     load_age : float
-        How old the knowledge of other routers' requests was, in seconds.
+        Age in seconds of the information about other routers' requests.
     held : int
-        Leading tokens that it was taken to have cached.
+        Leading tokens of the prompt that it was assumed to have cached.
     is_home : bool
-        Whether other routers expect the prompt there without being told.
+        Whether it is the home target of the prompt, where other routers expect the
+        prompt to be cached without a report.
     fetched_from : str
         Target whose cache was to be copied; empty for none.
     outcome : str
         How it ended.
     ended_at : float | None
-        Seconds; None while it runs.
+        When it ended, in seconds; None while it runs.
     passed_cold : int
-        Cold targets that were passed over.
+        Number of cold targets that were passed over.
     passed_resting : int
-        Targets that were passed over since they had asked for a rest.
+        Number of targets passed over because they had asked for no requests.
     said_leaving : bool
-        Whether its answer said that the target leaves.
+        Whether the response stated that the target is leaving.
     asked_rest : float | None
-        Seconds for which its answer asked for no more requests.
+        Seconds for which the response asked for no more requests.
     is_rest_odd : bool
-        Whether it asked in a way that had to be bounded, or could not be read.
+        Whether that time had to be bounded or could not be parsed.
     """
 
     target: str
@@ -79,11 +80,11 @@
 
 
 class AttemptListener(ABC):
-    """Decides about a request by what its attempts tell."""
+    """Receives the progress of the attempts of a request and decides about it."""
 
     @abstractmethod
     def attempt_sent(self, attempt: TargetAttempt) -> None:
-        """Handle that the request goes out: from here on it may run.
+        """Handle that the request is being sent: from now on it may run.
 
         Parameters
         ----------
@@ -105,7 +106,7 @@
 
     @abstractmethod
     def attempt_head(self, attempt: TargetAttempt, head: AnswerHead) -> None:
-        """Handle the head of an answer.
+        """Handle the status and headers of a response.
 
         Parameters
         ----------
@@ -117,7 +118,7 @@
 
     @abstractmethod
     def attempt_data(self, attempt: TargetAttempt, data: bytes) -> None:
-        """Handle bytes of an answer's body.
+        """Handle bytes of a response body.
 
         Parameters
         ----------
@@ -129,7 +130,7 @@
 
     @abstractmethod
     def attempt_done(self, attempt: TargetAttempt) -> None:
-        """Handle that an answer is whole.
+        """Handle that a response is complete.
 
         Parameters
         ----------
@@ -139,7 +140,7 @@
 
     @abstractmethod
     def attempt_cut(self, attempt: TargetAttempt, detail: str) -> None:
-        """Handle that an answer ended early or never came.
+        """Handle that a response was truncated or never arrived.
 
         Parameters
         ----------
@@ -151,32 +152,32 @@
 
 
 class TargetAttempt(RunObserver):
-    """One request at one target.
+    """One attempt of a request at one target.
 
     Parameters
     ----------
     listener : AttemptListener
-        Told of what becomes of it, until it is left.
+        Receives its progress until it is closed.
     state : TargetState
         What is known of the target.
     record : AttemptRecord
-        Its entry for the log.
+        Its record for the log.
     hop : Hop
         Its span.
     """
 
     __slots__ = (
-        "_held",
-        "_held_bytes",
+        "_buffered",
+        "_buffered_bytes",
         "_hop",
-        "_is_at_target",
-        "_is_held_up",
         "_is_over",
+        "_is_paused",
         "_listener",
         "_record",
         "_run",
         "_splitter",
         "_state",
+        "_was_sent",
         "head",
     )
 
@@ -192,17 +193,17 @@
         self._record = record
         self._hop = hop
         self._run: Run | None = None
-        self._is_at_target = False
-        self._is_held_up = False
+        self._was_sent = False
+        self._is_paused = False
         self._is_over = False
-        self._held: list[bytes] = []
-        self._held_bytes = 0
+        self._buffered: list[bytes] = []
+        self._buffered_bytes = 0
         self._splitter = EventSplitter()
         self.head: AnswerHead | None = None
 
     @property
     def is_home(self) -> bool:
-        """Tell whether other routers expect the prompt at its target."""
+        """Tell whether its target is the home target of the prompt."""
         return self._record.is_home
 
     @property
@@ -231,19 +232,19 @@
         return self._hop.traceparent
 
     @property
-    def is_at_target(self) -> bool:
+    def was_sent(self) -> bool:
         """Tell whether the request was sent and may run."""
-        return self._is_at_target
+        return self._was_sent
 
     @property
     def is_inside_event(self) -> bool:
-        """Tell whether the last event that came has not ended."""
+        """Tell whether the last event received is incomplete."""
         return bool(self._splitter.rest)
 
     @property
-    def held_bytes(self) -> int:
-        """Return how much of the body is held back."""
-        return self._held_bytes
+    def buffered_bytes(self) -> int:
+        """Return how many bytes of the body are buffered."""
+        return self._buffered_bytes
 
     def begin(self, caller: TargetCaller, sending: Sending, now: float) -> None:
         """Send the request.
@@ -264,8 +265,8 @@
         else:
             self._run = run
 
-    def leave(self, outcome: str, now: float, *, is_whole: bool = False) -> None:
-        """End what goes on at the target; nothing more is told of it.
+    def close(self, outcome: str, now: float, *, is_whole: bool = False) -> None:
+        """End the attempt; the listener is not called again.
 
         Parameters
         ----------
@@ -274,7 +275,7 @@
         now : float
             Present time in seconds.
         is_whole : bool
-            Whether its answer is whole, so that the connection can be kept.
+            Whether its response is complete, so that the connection can be reused.
         """
         if self._is_over:
             return
@@ -282,55 +283,55 @@
         self._record.outcome = outcome
         self._record.ended_at = now
         self._hop.end(target=self.name, outcome=outcome)
-        if self._is_held_up:
+        if self._is_paused:
             self._state.read_again(now)
         self._state.ended()
         if self._run is not None and not is_whole:
             self._run.cancel()
 
     def pause(self) -> None:
-        """Take no more bytes for a while, since the caller takes none."""
-        if self._is_over or self._is_held_up:
+        """Stop reading the response while the caller is not reading."""
+        if self._is_over or self._is_paused:
             return
-        self._is_held_up = True
+        self._is_paused = True
         self._state.held_up()
         if self._run is not None:
             self._run.pause()
 
     def resume(self, now: float) -> None:
-        """Take bytes again.
+        """Read the response again.
 
         Parameters
         ----------
         now : float
             Present time in seconds.
         """
-        if self._is_over or not self._is_held_up:
+        if self._is_over or not self._is_paused:
             return
-        self._is_held_up = False
+        self._is_paused = False
         self._state.read_again(now)
         if self._run is not None:
             self._run.resume()
 
-    def hold(self, data: bytes) -> None:
-        """Hold bytes of the body back.
+    def buffer(self, data: bytes) -> None:
+        """Buffer bytes of the body that are not sent to the caller yet.
 
         Parameters
         ----------
         data : bytes
             The bytes.
         """
-        self._held.append(data)
-        self._held_bytes += len(data)
+        self._buffered.append(data)
+        self._buffered_bytes += len(data)
 
-    def take_held(self) -> list[bytes]:
-        """Return what was held back, once."""
-        held, self._held = self._held, []
-        self._held_bytes = 0
-        return held
+    def take_buffered(self) -> list[bytes]:
+        """Remove and return the buffered part of the body."""
+        buffered, self._buffered = self._buffered, []
+        self._buffered_bytes = 0
+        return buffered
 
     def split(self, data: bytes) -> list[StreamEvent]:
-        """Return the events of a stream that are whole now.
+        """Return the events of a stream that are complete now.
 
         Parameters
         ----------
@@ -345,23 +346,23 @@
         Raises
         ------
         ValueError
-            When an event is longer than any that is expected.
+            When an event is too long; see `EventSplitter.feed`.
         """
         return self._splitter.feed(data)
 
     def run_sent(self) -> None:
-        """Tell that it goes out; see `RunObserver.run_sent`."""
-        self._is_at_target = True
+        """Report that it is being sent; see `RunObserver.run_sent`."""
+        self._was_sent = True
         if not self._is_over:
             self._listener.attempt_sent(self)
 
     def run_not_sent(self, detail: str) -> None:
-        """Tell that nothing was sent; see `RunObserver.run_not_sent`."""
+        """Report that nothing was sent; see `RunObserver.run_not_sent`."""
         if not self._is_over:
             self._listener.attempt_not_sent(self, detail)
 
     def run_head(self, head: AnswerHead) -> None:
-        """Tell of the head; see `RunObserver.run_head`."""
+        """Report the status and headers; see `RunObserver.run_head`."""
         if self._is_over:
             return
         self._record.said_leaving = head.is_leaving
@@ -370,16 +371,16 @@
         self._listener.attempt_head(self, head)
 
     def run_data(self, data: bytes) -> None:
-        """Tell of bytes; see `RunObserver.run_data`."""
+        """Report bytes of the body; see `RunObserver.run_data`."""
         if not self._is_over:
             self._listener.attempt_data(self, data)
 
     def run_done(self) -> None:
-        """Tell that the answer is whole; see `RunObserver.run_done`."""
+        """Report that the response is complete; see `RunObserver.run_done`."""
         if not self._is_over:
             self._listener.attempt_done(self)
 
     def run_cut(self, detail: str) -> None:
-        """Tell that the answer ended early; see `RunObserver.run_cut`."""
+        """Report that the response was truncated; see `RunObserver.run_cut`."""
         if not self._is_over:
             self._listener.attempt_cut(self, detail)
--- a/src/primrosescale/request/tried_targets.py
+++ b/src/primrosescale/request/tried_targets.py
@@ -1,4 +1,8 @@
-"""Where one request has been, which says where it may still go."""
+"""Decides which targets a request may still be sent to, by its former attempts.
+
+A target that was tried is excluded, and so are all others once the route's maximum
+number of targets is reached.
+"""
 
 from __future__ import annotations
 
@@ -14,36 +18,36 @@
 class TriedTargets:
     """Targets that one request was sent to, or could not be sent to.
 
-    A target that has started again is another one here.
+    Targets are told apart by incarnation: one that has restarted is another target.
 
     Parameters
     ----------
-    most : int
-        Targets that it may be sent to.
+    max_targets : int
+        Maximum number of targets that it may be sent to.
     """
 
-    __slots__ = ("_engaged", "_most", "_sent", "_spare", "_unreachable")
+    __slots__ = ("_attempted", "_max_targets", "_reusable", "_sent", "_unreachable")
 
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self._engaged: set[TargetIncarnation] = set()
+    def __init__(self, max_targets: int) -> None:
+        self._max_targets = max_targets
+        self._attempted: set[TargetIncarnation] = set()
         self._sent: set[TargetIncarnation] = set()
-        self._spare: set[TargetIncarnation] = set()
+        self._reusable: set[TargetIncarnation] = set()
         self._unreachable: set[TargetIncarnation] = set()
 
-    def engage(self, target: TargetIncarnation) -> None:
-        """Take in that it is on its way to a target, which counts from now on.
+    def attempted(self, target: TargetIncarnation) -> None:
+        """Record that an attempt at a target starts; it counts from now on.
 
         Parameters
         ----------
         target : TargetIncarnation
             The incarnation of the target.
         """
-        self._engaged.add(target)
-        self._spare.discard(target)
+        self._attempted.add(target)
+        self._reusable.discard(target)
 
     def sent(self, target: TargetIncarnation) -> None:
-        """Take in that it was sent.
+        """Record that the request was sent to a target.
 
         Parameters
         ----------
@@ -53,7 +57,7 @@
         self._sent.add(target)
 
     def not_sent(self, target: TargetIncarnation) -> None:
-        """Take in that the target could not be reached; it does not count.
+        """Record that a target could not be reached; it does not count.
 
         Parameters
         ----------
@@ -61,23 +65,24 @@
             The incarnation of the target.
         """
         if target not in self._sent:
-            self._engaged.discard(target)
+            self._attempted.discard(target)
         self._unreachable.add(target)
 
-    def spare(self, target: TargetIncarnation) -> None:
-        """Take in that it was left there only since another target went on.
+    def allow_again(self, target: TargetIncarnation) -> None:
+        """Record that an attempt was closed only because it was not needed.
 
-        It may be asked again, and is no further target then.
+        The request may be sent to this target again, which does not count as a
+        further target.
 
         Parameters
         ----------
         target : TargetIncarnation
             The incarnation of the target.
         """
-        self._spare.add(target)
+        self._reusable.add(target)
 
     def excluded(self, states: Sequence[TargetState]) -> set[TargetIncarnation]:
-        """Return incarnations of a target that it must not go to.
+        """Return the targets that the request must not be sent to.
 
         Parameters
         ----------
@@ -87,10 +92,10 @@
         Returns
         -------
         set[TargetIncarnation]
-            Those where it was, and once its number of targets is reached all
-            others too; never those that were spared.
+            The unreachable ones; those that were attempted and, once the maximum
+            number is reached, all others, except those allowed again.
         """
-        excluded = set(self._engaged)
-        if len(self._engaged) >= self._most:
+        excluded = set(self._attempted)
+        if len(self._attempted) >= self._max_targets:
             excluded.update(state.incarnation for state in states)
-        return (excluded - self._spare) | self._unreachable
+        return (excluded - self._reusable) | self._unreachable
