--- a/src/primrosescale/request/forward_tools.py
+++ b/src/primrosescale/request/forward_tools.py
@@ -1,4 +1,4 @@
-"""What all forwarded calls of a router share: timing and tools."""
+"""Settings and collaborators that all forwarded calls of a router share."""
 
 from __future__ import annotations
 
@@ -33,84 +33,86 @@
     from primrosescale.request.target_state import TargetState
 
 
-# A caller is told to come back after a time between these parts of the setting.
-RETURN_SPREAD = (0.5, 1.5)
+# Retry-After is drawn between these multiples of the setting, so that refused callers
+# do not return all at once.
+RETRY_AFTER_JITTER = (0.5, 1.5)
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardSettings:
-    """Timing of requests that the router sends to targets itself."""
+    """Timing of requests that the router forwards to targets itself."""
 
     shortest_time: float = option(
         SECONDS,
-        "seconds that must be left for sending a request to be worth it; a plain "
-        "request works 0.06 s in the mean",
+        "minimum seconds that must be left for a request to be sent; a plain "
+        "request takes 0.06 s on average",
         0.02,
     )
     unreached_most: int = option(
         COUNT,
-        "targets that may be unreachable before a request is refused",
+        "number of unreachable targets after which a request is refused",
         4,
     )
     plain_patience: float = option(
         SECONDS,
-        "part of the time for a plain request after which a silent target is left "
-        "for another; nine in ten answers come within a third of it",
+        "fraction of the time for a plain request after which it is also sent to "
+        "another target, when its target is silent; nine in ten responses arrive "
+        "within a third of that time",
         0.5,
     )
     first_event_patience: float = option(
         SECONDS,
         "multiple of the latency objective after which a stream without an event "
-        "goes on elsewhere",
+        "is also requested from another target",
         2.0,
     )
     silence_patience: float = option(
         SECONDS,
-        "seconds after which a request at a target that sends nothing to anyone is "
-        "sent to another too, so that a stream goes on within the pause that is "
-        "allowed",
+        "seconds without any data from a target, for any request, after which its "
+        "requests are also sent to another target, so that a stream continues "
+        "within the allowed pause",
         0.45,
     )
     heard_lately: float = option(
         SECONDS,
-        "seconds since a target was last heard for which a kept connection is "
-        "good enough for a stream that may be sent only once",
+        "seconds since the last data from a target within which a stream that may "
+        "be sent only once may use a pooled connection to it",
         0.15,
     )
     gap_patience: float = option(
         SECONDS,
-        "multiple of the pause allowed between events after which a stream goes "
-        "on elsewhere",
+        "multiple of the allowed pause between events after which a stream is also "
+        "requested from another target",
         1.5,
     )
     buffer_limit: int = option(
         COUNT,
-        "bytes of a plain answer that are held back until it is whole, so that a "
-        "cut one can be asked for again",
+        "bytes of a plain response that are buffered until it is complete, so that "
+        "the request can be repeated if the response is truncated",
         262144,
     )
     cold_patience: float = option(
         SECONDS,
-        "part of the latency objective for which a request waits for a target that "
-        "has just started, when no other can serve it",
+        "fraction of the latency objective for which a request waits for a target "
+        "that has just started, when no other can serve it",
         0.5,
     )
     retry_after: float = option(
         SECONDS,
-        "seconds after which a refused caller is told to come back, with a spread "
-        "of half of it",
+        "seconds that a refused caller is asked to wait (Retry-After), varied by up "
+        "to half of it",
         0.4,
     )
 
     def come_back_after(self, refusal: Refusal, rng: Random) -> float | None:
-        """Return when a refused caller is told to come back.
+        """Return the Retry-After time of a refusal, with random jitter.
 
         Parameters
         ----------
         refusal : Refusal
-            Why it was refused.
+            Why the request was refused.
         rng : Random
-            Source of chance, so that callers do not return together.
+            Random generator for the jitter.
 
         Returns
         -------
@@ -119,59 +121,59 @@
         """
         if not refusal.is_not_run:
             return None
-        return self.retry_after * rng.uniform(*RETURN_SPREAD)
+        return self.retry_after * rng.uniform(*RETRY_AFTER_JITTER)
 
 
-def _unlogged(_: IncomingRequest, __: Silence) -> None:
+def _ignore_silence(_: IncomingRequest, __: Silence) -> None:
     pass
 
 
-def _unheeded(*_: object) -> None:
+def _ignore_statement(*_: object) -> None:
     pass
 
 
-def _untraced(_: str, traceparent: str) -> Hop:
+def _start_unrecorded(_: str, traceparent: str) -> Hop:
     return UntracedHop(traceparent)
 
 
 @dataclass(slots=True)
 class ForwardTools:
-    """What all calls of a router share.
+    """Settings and collaborators that all forwarded calls of a router share.
 
     Parameters
     ----------
     settings : ForwardSettings
-        Timing.
+        Timing settings.
     clock : Clock
         Source of time and timers.
     rng : Random
-        Source of chance.
+        Random generator.
     caller : TargetCaller
         Sends requests to targets.
     chooser : TargetChooser
         Chooses targets.
     parts : PartDirectory
-        Where parts of prompts are cached.
+        Which targets have which parts of prompts cached.
     states_of : Callable[[str], list[TargetState]]
-        Targets of a service.
+        Returns the targets of a service.
     budget_of : Callable[[str], RepeatBudget]
-        Budget of a service.
+        Returns the retry budget of a service.
     routers : Callable[[], int]
-        How many routers share the budgets.
+        Returns how many routers share the budgets.
     parts_changed : Callable[[], None]
-        Told that a part went to a target that was not known to have it.
+        Called when a part was sent to a target that was not known to have it.
     start_hop : Callable[[str, str], Hop]
-        Starts a hop of a name after the hop before; costs nothing for a
-        request without a trace context.
+        Starts a span, given its name and the trace context of the previous hop.
+        It costs nothing for a request without a trace context.
     silence_judged : Callable[[IncomingRequest, Silence], None]
-        Told of each judgement on a silent target.
+        Called with each decision about a silent target.
     statement_made : Callable[[IncomingRequest, TargetState, AnswerHead], None]
-        Told when the answer to a request says something new of what its target
-        may be given.
+        Called when the response to a request states something new about which
+        requests its target accepts.
     harm : HarmWatch
-        Knows which requests end targets.
+        Detects requests that make targets end.
     room : TargetRoom
-        Says what each target may be given.
+        Decides which requests each target may be sent.
     regions : Mapping[str, str]
         The region of each failure domain.
     """
@@ -186,24 +188,24 @@
     budget_of: Callable[[str], RepeatBudget]
     routers: Callable[[], int]
     parts_changed: Callable[[], None]
-    start_hop: Callable[[str, str], Hop] = _untraced
-    silence_judged: Callable[[IncomingRequest, Silence], None] = _unlogged
+    start_hop: Callable[[str, str], Hop] = _start_unrecorded
+    silence_judged: Callable[[IncomingRequest, Silence], None] = _ignore_silence
     statement_made: Callable[[IncomingRequest, TargetState, AnswerHead], None] = (
-        _unheeded
+        _ignore_statement
     )
     harm: HarmWatch = field(default_factory=Unwatched)
     room: TargetRoom = field(default_factory=TargetRoom)
     regions: Mapping[str, str] = field(default_factory=dict)
 
     def configure(self, settings: ForwardSettings, choice: ChoiceSettings) -> None:
-        """Take in changed settings, for the calls under way too.
+        """Apply changed settings, also to calls in progress.
 
         Parameters
         ----------
         settings : ForwardSettings
-            Timing.
+            Timing settings.
         choice : ChoiceSettings
-            Weights of the choice of targets.
+            Weights for choosing targets.
         """
         self.settings = settings
         self.chooser.configure(choice)
