--- a/src/primrosescale/request/repeat_budget.py
+++ b/src/primrosescale/request/repeat_budget.py
@@ -1,9 +1,9 @@
-"""A bound on how often requests are sent again, over a sliding window.
+"""One router's share of a service's retry budget, over a sliding window.
 
-The pattern it answers: many requests fail at once, and sending each of them
-again would double the load that made them fail. All routers together may send
-a share of a service's requests again, and a fixed number besides; each keeps
-to its part of that.
+When many requests fail at once, retrying each of them would double the load that
+made them fail. So all routers together may retry a fraction of a service's requests
+plus a fixed number. Each router applies the fraction to its own requests and uses an
+equal part of the fixed number.
 """
 
 from __future__ import annotations
@@ -11,22 +11,23 @@
 from collections import deque
 from dataclasses import dataclass
 
-# Part of the bound that is used, since routers learn late how many they are.
-SAFETY = 0.8
+# Fraction of the budget that is used, because routers learn with a delay how many
+# routers there are.
+SAFETY_FACTOR = 0.8
 
 
 @dataclass(frozen=True, slots=True)
 class RepeatBounds:
-    """How many repeats all routers together may make.
+    """Limits on the retries of all routers together.
 
     Parameters
     ----------
     ratio : float
-        Repeats per request.
+        Retries per request.
     window : float
-        Seconds over which both are counted.
+        Seconds over which requests and retries are counted.
     extra : float
-        Repeats besides, in a window.
+        Further retries per window, whatever the number of requests.
     """
 
     ratio: float
@@ -35,12 +36,12 @@
 
 
 class RepeatBudget:
-    """One router's part of the bound, for one service.
+    """One router's share of the retry budget of one service.
 
     Parameters
     ----------
     bounds : RepeatBounds
-        The bound of all routers.
+        The limits for all routers together.
     """
 
     __slots__ = ("_bounds", "_repeats", "_requests")
@@ -51,7 +52,7 @@
         self._repeats: deque[float] = deque()
 
     def requested(self, now: float) -> None:
-        """Count a request of a caller.
+        """Count a new request of a caller.
 
         Parameters
         ----------
@@ -59,32 +60,32 @@
             Present time in seconds.
         """
         self._requests.append(now)
-        self._forget(now)
+        self._drop_expired(now)
 
     def spend(self, routers: int, now: float) -> bool:
-        """Take one repeat from the budget.
+        """Take one retry from the budget.
 
         Parameters
         ----------
         routers : int
-            Routers that share the bound, this one included.
+            Number of routers that share the budget, including this one.
         now : float
             Present time in seconds.
 
         Returns
         -------
         bool
-            False when there is none left.
+            False when the budget is exhausted.
         """
-        self._forget(now)
+        self._drop_expired(now)
         bounds = self._bounds
         allowed = bounds.ratio * len(self._requests) + bounds.extra / max(1, routers)
-        if len(self._repeats) + 1 > SAFETY * allowed:
+        if len(self._repeats) + 1 > SAFETY_FACTOR * allowed:
             return False
         self._repeats.append(now)
         return True
 
-    def _forget(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         for times in (self._requests, self._repeats):
             while times and now - times[0] > self._bounds.window:
                 times.popleft()
--- a/src/primrosescale/request/retry_after.py
+++ b/src/primrosescale/request/retry_after.py
@@ -1,4 +1,7 @@
-"""The rest that a target asks for when it turns a request away."""
+"""Parses the time for which a target asks for no requests, from Retry-After.
+
+Code and metrics call that time a rest. Only a 503 response can ask for one.
+"""
 
 from __future__ import annotations
 
@@ -10,28 +13,28 @@
     from collections.abc import Sequence
 
 UNAVAILABLE = 503
-# Seconds. A longer rest is shortened to this: a target that asks for a year has
-# made a mistake, and is asked again some time.
+# Seconds. A longer rest is shortened to this: a target that asks for a year has made a
+# mistake and must be tried again eventually.
 LONGEST_REST = 600.0
 
 
 def asked_rest(status: int, values: Iterable[str]) -> float | None:
-    """Return the seconds for which a target wants no requests.
+    """Return the seconds for which a target asks for no requests.
 
-    The longest of several values counts. What is no number above 0, such as a
-    date, asks for nothing.
+    Of several values the longest counts. A value that is not a number above 0, such
+    as a date, is ignored.
 
     Parameters
     ----------
     status : int
-        HTTP status of its answer.
+        HTTP status of its response.
     values : Iterable[str]
-        Values of the answer's Retry-After headers.
+        Values of the response's Retry-After headers.
 
     Returns
     -------
     float | None
-        Seconds, at most `LONGEST_REST`; None where it asks for no rest.
+        Seconds, at most `LONGEST_REST`; None when it asks for no rest.
     """
     if status != UNAVAILABLE:
         return None
@@ -39,20 +42,20 @@
 
 
 def is_odd_rest(status: int, values: Sequence[str]) -> bool:
-    """Tell whether a rest was asked for in another way than one plain number.
+    """Tell whether Retry-After is anything but one number within bounds.
 
     Parameters
     ----------
     status : int
-        HTTP status of the target's answer.
+        HTTP status of the target's response.
     values : Sequence[str]
-        Values of the answer's Retry-After headers.
+        Values of the response's Retry-After headers.
 
     Returns
     -------
     bool
-        True for several values, and for one that is no number, negative, or longer
-        than `LONGEST_REST`.
+        True for several values, and for one that is not a number, is negative or is
+        longer than `LONGEST_REST`.
     """
     if status != UNAVAILABLE or not values:
         return False
