--- a/src/primrosescale/request/fresh_answers.py
+++ b/src/primrosescale/request/fresh_answers.py
@@ -1,8 +1,9 @@
-"""Whole answers that prove nothing yet: their target may end in a moment.
+"""Complete responses that do not show yet that their request is harmless.
 
-A request that ends its target may be answered whole first. So an answer clears a
-request only once its target has been heard from later, or would have been found to
-have ended by then; and the target that ends just after an answer ends under it.
+A request that makes its target end may receive a complete response first. So a
+response clears its request only when the target has sent something later, or when
+enough time has passed for an end of the target to be known. If a target ends just
+after a response, the request of that response is among the possible causes.
 """
 
 from __future__ import annotations
@@ -13,25 +14,26 @@
 if TYPE_CHECKING:
     from primrosescale.request.target_state import TargetState
 
-# A target that is heard from so many seconds after an answer did not end under it.
+# A target that sends something at least this long after a response did not end
+# because of its request.
 PROOF_SECONDS = 0.25
-# Seconds after which an answer counts though nothing was heard since: by then the
-# entry of a target that had ended would be gone.
+# Seconds after which a response is confirmed although the target has sent nothing
+# since: by then the entry of a target that had ended would have been removed.
 LONGEST_WAIT = 5.0
-MOST_FRESH = 2048
+MAX_UNCONFIRMED = 2048
 
 
 class FreshAnswer(NamedTuple):
-    """A request that was answered whole, and where.
+    """A request that received a complete response, and the target.
 
     Parameters
     ----------
     fingerprint : int
-        What it asked for.
+        Fingerprint of the request's content.
     target : int
         Short name of the target's incarnation.
     at : float
-        When, in seconds.
+        When the response was complete, in seconds.
     state : TargetState
         What is known of the target.
     """
@@ -41,8 +43,8 @@
     at: float
     state: TargetState
 
-    def is_proved(self, now: float) -> bool:
-        """Tell whether the target did not end under it.
+    def is_confirmed(self, now: float) -> bool:
+        """Tell whether the target did not end because of the request.
 
         Parameters
         ----------
@@ -52,33 +54,33 @@
         Returns
         -------
         bool
-            Whether it lived on, or its end would be known by now.
+            Whether it was alive later, or its end would be known by now.
         """
-        is_sure = self.state.incarnation.is_named_by_id
-        if is_sure and self.state.heard_at >= self.at + PROOF_SECONDS:
+        is_identified = self.state.incarnation.is_named_by_id
+        if is_identified and self.state.heard_at >= self.at + PROOF_SECONDS:
             return True
         return now - self.at >= LONGEST_WAIT
 
     def is_just_before(self, lost_at: float | None) -> bool:
-        """Tell whether its target, which has ended, ended just after it.
+        """Tell whether its target, which has ended, ended just after the response.
 
         Parameters
         ----------
         lost_at : float | None
-            When the first answer was lost there, in seconds; None where none was.
-            Then what was last heard from it is the latest that is known.
+            When the first response was lost there, in seconds; None when none was.
+            The time of the last data from the target is used then.
 
         Returns
         -------
         bool
-            Whether the target may have ended under it.
+            Whether the request may have made the target end.
         """
         last = self.state.heard_at if lost_at is None else lost_at
         return last < self.at + PROOF_SECONDS
 
 
 class FreshAnswers:
-    """The last whole answers, the oldest first."""
+    """The most recent unconfirmed responses, the oldest first."""
 
     __slots__ = ("_answers",)
 
@@ -86,23 +88,23 @@
         self._answers: list[FreshAnswer] = []
 
     def __len__(self) -> int:
-        """Return how many have proved nothing yet."""
+        """Return how many responses are unconfirmed."""
         return len(self._answers)
 
     def add(self, answer: FreshAnswer) -> None:
-        """Take in an answer; the oldest makes room.
+        """Add a response; the oldest is dropped when there are too many.
 
         Parameters
         ----------
         answer : FreshAnswer
-            The answer.
+            The response.
         """
         self._answers.append(answer)
-        if len(self._answers) > MOST_FRESH:
+        if len(self._answers) > MAX_UNCONFIRMED:
             del self._answers[0]
 
     def take_proved(self, now: float) -> list[FreshAnswer]:
-        """Return the answers whose targets did not end under them, once.
+        """Remove and return the confirmed responses.
 
         Parameters
         ----------
@@ -112,15 +114,15 @@
         Returns
         -------
         list[FreshAnswer]
-            The answers, the oldest first.
+            The responses, the oldest first.
         """
-        proved = [answer for answer in self._answers if answer.is_proved(now)]
-        if proved:
-            self._answers = [a for a in self._answers if not a.is_proved(now)]
-        return proved
+        confirmed = [answer for answer in self._answers if answer.is_confirmed(now)]
+        if confirmed:
+            self._answers = [a for a in self._answers if not a.is_confirmed(now)]
+        return confirmed
 
     def has_any(self, target: int) -> bool:
-        """Tell whether a target has answered just now.
+        """Tell whether any response of a target is unconfirmed.
 
         Parameters
         ----------
@@ -130,12 +132,12 @@
         Returns
         -------
         bool
-            Whether any of its answers has proved nothing yet.
+            Whether there is one.
         """
         return any(answer.target == target for answer in self._answers)
 
     def take_at(self, target: int) -> list[FreshAnswer]:
-        """Return the answers of a target that has ended, once.
+        """Remove and return the responses of a target that has ended.
 
         Parameters
         ----------
@@ -145,9 +147,9 @@
         Returns
         -------
         list[FreshAnswer]
-            The answers, the oldest first.
+            The responses, the oldest first.
         """
-        there = [answer for answer in self._answers if answer.target == target]
-        if there:
+        removed = [answer for answer in self._answers if answer.target == target]
+        if removed:
             self._answers = [a for a in self._answers if a.target != target]
-        return there
+        return removed
--- a/src/primrosescale/request/lost_answers.py
+++ b/src/primrosescale/request/lost_answers.py
@@ -1,24 +1,25 @@
-"""Answers that were lost, until it is known whether their target has ended.
+"""Requests whose response was lost, until it is known whether their target has ended.
 
-An answer is lost for many reasons: a link, a fault of the target with one request,
-a connection that was closed for its age. Only the end of the target speaks against
-the requests that were there.
+A response can be lost for many reasons: a network fault, an error of the target with
+one request, a connection that was closed for its age. Only if the target has ended
+are the requests that were in flight there suspected of having caused it.
 """
 
 from __future__ import annotations
 
-# Seconds for which a lost answer waits to be explained. The entry of a target that
-# has ended goes after three heartbeats.
+# Seconds for which a lost response waits for the end of its target to be reported. The
+# entry of a target that has ended is removed after three heartbeats.
 WAIT_SECONDS = 8.0
-# Bytes that a target sent before it ended are read up to so many seconds later.
+# Seconds after the end of a target for which bytes that it sent before are still read.
 BUFFERED_SECONDS = 0.2
-# Lost answers that wait, and targets whose end is remembered for those still to come.
-MOST_WAITING = 1024
-MOST_ENDED = 256
+# Maximum number of lost responses that wait at a target, and of ended targets that are
+# remembered for losses reported later.
+MAX_WAITING = 1024
+MAX_ENDED = 256
 
 
 class LostAnswers:
-    """Requests whose answer was lost, by the incarnation of the target."""
+    """Requests whose response was lost, by the incarnation of the target."""
 
     __slots__ = ("_ended", "_waiting")
 
@@ -27,28 +28,28 @@
         self._ended: dict[int, float] = {}
 
     def __len__(self) -> int:
-        """Return at how many targets lost answers wait."""
+        """Return the number of targets with lost responses that wait."""
         return len(self._waiting)
 
     def lost(self, fingerprint: int, target: int, now: float) -> None:
-        """Take in that an answer was lost.
+        """Record that a response was lost.
 
         Parameters
         ----------
         fingerprint : int
-            What the request asked for.
+            Fingerprint of the request's content.
         target : int
             Short name of the target's incarnation.
         now : float
             Present time in seconds.
         """
-        self._forget_old(now)
+        self._drop_expired(now)
         waiting = self._waiting.setdefault(target, {})
-        if len(waiting) < MOST_WAITING:
+        if len(waiting) < MAX_WAITING:
             waiting[fingerprint] = now
 
     def has_ended(self, target: int, now: float) -> bool:
-        """Tell whether a target is known to have ended lately.
+        """Tell whether a target is known to have ended recently.
 
         Parameters
         ----------
@@ -60,12 +61,12 @@
         Returns
         -------
         bool
-            True for some seconds after its end.
+            True for `WAIT_SECONDS` after its end was recorded.
         """
         return now - self._ended.get(target, -WAIT_SECONDS) < WAIT_SECONDS
 
     def is_waiting(self, target: int, now: float) -> bool:
-        """Tell whether lost answers wait at a target.
+        """Tell whether lost responses of a target wait.
 
         Parameters
         ----------
@@ -79,11 +80,11 @@
         bool
             Whether there are any.
         """
-        self._forget_old(now)
+        self._drop_expired(now)
         return target in self._waiting
 
     def ended(self, target: int, now: float) -> dict[int, float]:
-        """Take in that a target has ended.
+        """Record that a target has ended, and return its lost responses.
 
         Parameters
         ----------
@@ -95,17 +96,17 @@
         Returns
         -------
         dict[int, float]
-            When the answers there were lost, by the requests' fingerprints.
+            When the responses were lost, by the requests' fingerprints.
         """
-        self._forget_old(now)
+        self._drop_expired(now)
         self._ended.pop(target, None)
         self._ended[target] = now
-        if len(self._ended) > MOST_ENDED:
+        if len(self._ended) > MAX_ENDED:
             del self._ended[next(iter(self._ended))]
         return self._waiting.pop(target, {})
 
     def lived(self, target: int, at: float) -> None:
-        """Take in that a target was there at some time: no answer before ended it.
+        """Record that a target was alive at a time; earlier losses have other causes.
 
         Parameters
         ----------
@@ -117,7 +118,7 @@
         self._ended.pop(target, None)
         self._drop_before(target, at)
 
-    def _forget_old(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         for target in list(self._waiting):
             self._drop_before(target, now - WAIT_SECONDS)
 
--- a/tests/request/test_lost_answers.py
+++ b/tests/request/test_lost_answers.py
@@ -4,8 +4,8 @@
 
 from testtools import TestCase
 
-from primrosescale.request.lost_answers import MOST_ENDED
-from primrosescale.request.lost_answers import MOST_WAITING
+from primrosescale.request.lost_answers import MAX_ENDED
+from primrosescale.request.lost_answers import MAX_WAITING
 from primrosescale.request.lost_answers import WAIT_SECONDS
 from primrosescale.request.lost_answers import LostAnswers
 
@@ -53,10 +53,10 @@
         self.assertEqual({}, self.lost.ended(7, NOW + WAIT_SECONDS + 0.1))
 
     def test_their_number_is_bounded(self):
-        for fingerprint in range(2 * MOST_WAITING):
+        for fingerprint in range(2 * MAX_WAITING):
             self.lost.lost(fingerprint, 7, NOW)
-        self.assertEqual(MOST_WAITING, len(self.lost.ended(7, NOW)))
-        for target in range(2 * MOST_ENDED):
+        self.assertEqual(MAX_WAITING, len(self.lost.ended(7, NOW)))
+        for target in range(2 * MAX_ENDED):
             self.lost.ended(target, NOW)
         self.assertFalse(self.lost.has_ended(0, NOW))
-        self.assertTrue(self.lost.has_ended(2 * MOST_ENDED - 1, NOW))
+        self.assertTrue(self.lost.has_ended(2 * MAX_ENDED - 1, NOW))
