--- a/src/primrosescale/request/__init__.py
+++ b/src/primrosescale/request/__init__.py
@@ -1,1 +1,4 @@
-"""What lives as long as one request, and the decisions made about it."""
+"""Handling of a single request, and the decisions about it.
+
+It covers admission, the choice of a target, forwarding, retries and the response.
+"""
--- a/src/primrosescale/request/exceptions.py
+++ b/src/primrosescale/request/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of requests."""
+"""Exceptions of the request package."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class RequestError(PrimrosescaleError):
-    """Base of the errors of this package."""
+    """Base class of the exceptions of this package."""
 
 
 class AnswerCutError(RequestError):
-    """An answer ended early, was crossed or was altered on its way."""
+    """A response was truncated, belongs to another request, or was altered."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(
-            f"answer is not whole: {detail}",
-            "ask again; a repeat of an idempotent request is safe",
+            f"response incomplete or altered: {detail}",
+            "retry; repeating an idempotent request is safe",
         )
