--- a/src/primrosescale/request/forwarded_call.py
+++ b/src/primrosescale/request/forwarded_call.py
@@ -328,8 +328,8 @@
     def _latest_start(self) -> float:
         """Return the latest time for which waiting for a cold target is worth it."""
         objective = self._request.route.latency_objective
-        patience = self._tools.settings.cold_patience * objective
-        return min(self._request.received_at + patience, self._request.give_up_at)
+        max_wait = self._tools.settings.cold_patience * objective
+        return min(self._request.received_at + max_wait, self._request.give_up_at)
 
     def _on_capacity_expected(self) -> None:
         self._capacity_timer = None
--- a/tests/entry/fakes.py
+++ b/tests/entry/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the two sides of a forwarded call, and requests to play with."""
+"""Fake callers and targets for forwarded calls, and builders of requests."""
 
 from __future__ import annotations
 
@@ -86,8 +86,8 @@
 
 
 def prompt(*parts, output=100):
-    made = tuple(PromptPart(name, tokens) for name, tokens in parts)
-    return Prompt(made, sum(tokens for _, tokens in parts), output, "m")
+    prompt_parts = tuple(PromptPart(name, tokens) for name, tokens in parts)
+    return Prompt(prompt_parts, sum(tokens for _, tokens in parts), output, "m")
 
 
 def request(route=LOOKUP, now=START, **fields):
@@ -159,8 +159,8 @@
 class FakeCaller(TargetCaller):
     """Records what is sent.
 
-    Targets named in `unreachable` refuse at once; to those in `opening` a
-    connection stays in the opening.
+    Targets named in `unreachable` refuse connections at once; connections to those in
+    `opening` are never established.
     """
 
     def __init__(self):
@@ -184,7 +184,7 @@
         self.checks.append((target, on_check))
 
     def end_former(self, present):
-        """End runs as the transport does, told in the same words."""
+        """End runs as the transport does, with the same details."""
         for run in list(self.runs):
             former = run.sending.target.incarnation
             if former.name != present.name or not former.is_followed_by(present):
@@ -226,7 +226,7 @@
 
 
 class Desk:
-    """A router's deciding objects around fakes, on a virtual clock."""
+    """A router's forwarding objects with fakes around them, on a virtual clock."""
 
     def __init__(self, targets, *, extra=20.0, choice=None):
         self.clock = Clock()
@@ -262,13 +262,13 @@
         return next(s for s in self.states if s.target.name == name)
 
     def restart(self, name, started_at, **fields):
-        """Learn of a target's restart, as the router does."""
-        place = self.states.index(self.state(name))
-        former = self.states[place].target
-        begun = replace(former, started_at=started_at, is_draining=False, **fields)
-        self.states[place] = TargetState(begun, self.clock.seconds())
+        """Handle the restart of a target as the router does."""
+        index = self.states.index(self.state(name))
+        former = self.states[index].target
+        present = replace(former, started_at=started_at, is_draining=False, **fields)
+        self.states[index] = TargetState(present, self.clock.seconds())
         self.parts.forget_target(former.incarnation)
-        self.caller.end_former(begun.incarnation)
+        self.caller.end_former(present.incarnation)
 
     def call(self, incoming):
         sink = FakeSink()
--- a/tests/entry/test_asked_rest.py
+++ b/tests/entry/test_asked_rest.py
@@ -1,10 +1,10 @@
-"""Targets that turn requests away and ask for some seconds without any.
+"""Targets that decline requests and ask for some seconds without any (a rest).
 
-What was seen: two of five targets asked one router for 3 s of rest, and got three
-requests and more from it in that time. Their callers were refused.
-
-Cause: what a target asked for was not read; the request that it turned away counted
-as one failure, which long prompts that it held outweighed.
+Guards against requests sent to a target during its rest. When Retry-After of a 503 was
+not read, a declined request counted as one failure only, which the long prompts that
+the target had cached outweighed: two of five targets that asked one router for a rest
+of 3 s received three or more requests from it in that time, and their callers were
+refused.
 """
 
 from __future__ import annotations
@@ -27,32 +27,32 @@
 from primrosescale.standin.users_engine import EngineScript
 from support.router_site import RouterSiteTest
 
-# Seconds after the answer from which on the rest is counted.
-REST_BEGINS = 0.5
-# Requests of one router that may come to a target in a rest.
-MOST_IN_A_REST = 2
-REST = 3.0
+# Seconds after the response from which on requests in the rest are counted.
+REST_BEGINS_SECONDS = 0.5
+# Requests that a target may receive in the counted part of its rest.
+MAX_REQUESTS_IN_REST = 2
+REST_SECONDS = 3.0
 
 
 class AskedRestTest(TestCase):
-    """Requests of each kind after targets have asked for rest."""
+    """Requests of each kind after targets have asked for a rest."""
 
     def desk(self, route, count=3):
         service = route.services[0].service
         return Desk([target(f"m{n}", service) for n in range(1, count + 1)])
 
     def send(self, desk, route, **fields):
-        """Call once; return the runs that this brought, unanswered, and the sink."""
+        """Send one request; return the runs that it started, and the sink."""
         before = len(desk.caller.runs)
         now = desk.clock.seconds()
         _, sink = desk.call(request(route, now=now, deadline=now + 1.5, **fields))
         return desk.caller.runs[before:], sink
 
-    def decline(self, run, rest=REST):
+    def decline(self, run, rest=REST_SECONDS):
         run.observer.run_head(head(503, is_not_run=True, rest=rest))
 
-    def rest_all(self, desk, route, rest=REST):
-        """Have all targets turn requests away; return how often each was asked."""
+    def rest_all(self, desk, route, rest=REST_SECONDS):
+        """Have all targets decline requests and ask for a rest."""
         count = len(desk.states)
         for _ in range(count):
             before = len(desk.caller.runs)
@@ -61,7 +61,7 @@
                 self.decline(desk.caller.runs[before], rest)
                 before += 1
 
-    # Guards against requests to a target that holds the prompt and asked for rest.
+    # Guards against requests to a resting target that has the prompt cached.
     def test_a_resting_target_gets_nothing_until_its_rest_is_over(self):
         for route in (LOOKUP, CONFIRMATION, STREAM, FRAGILE_STREAM):
             desk = self.desk(route)
@@ -73,7 +73,7 @@
                     self.assertNotEqual(run.name, sent.name)
                     sent.answer()
 
-    # Guards against a repeat that ends at another target that rests.
+    # Guards against a retry at another resting target.
     def test_a_declined_request_goes_to_one_that_does_not_rest(self):
         desk = self.desk(LOOKUP)
         [first], _ = self.send(desk, LOOKUP)
@@ -84,7 +84,7 @@
             [sent], _ = self.send(desk, LOOKUP)
             self.assertNotIn(sent.name, {first.name, second.name})
 
-    # Guards against a stream that is resumed at a target that rests.
+    # Guards against a stream that is resumed at a resting target.
     def test_a_cut_stream_goes_on_at_one_that_does_not_rest(self):
         desk = self.desk(STREAM)
         [first], _ = self.send(desk, STREAM)
@@ -95,37 +95,37 @@
         run.observer.run_cut("reset")
         self.assertNotIn(desk.caller.last.name, {first.name, run.name})
 
-    # Guards against holding callers, or sending, while all targets rest.
+    # Guards against delaying or sending requests while all targets rest.
     def test_a_request_is_refused_at_once_while_all_rest(self):
         for route in (LOOKUP, CONFIRMATION, STREAM, FRAGILE_STREAM):
             desk = self.desk(route)
             self.rest_all(desk, route)
             desk.pass_time(1.0, step=0.1)
-            told = set()
+            delays = set()
             for _ in range(10):
                 sent, sink = self.send(desk, route)
                 self.assertEqual([], sent)
                 self.assertEqual(503, sink.refusal.status)
-                told.add(sink.retry_after)
-            self.assertTrue(min(told) >= REST - 1.0, told)
-            self.assertTrue(max(told) <= REST, told)
-            self.assertTrue(len(told) > 1, "all callers would return together")
+                delays.add(sink.retry_after)
+            self.assertTrue(min(delays) >= REST_SECONDS - 1.0, delays)
+            self.assertTrue(max(delays) <= REST_SECONDS, delays)
+            self.assertTrue(len(delays) > 1, "all callers would return together")
 
-    # Guards against callers who are told a time far beyond the end of the rest.
+    # Guards against requests that are refused beyond the end of the rest.
     def test_a_request_is_served_once_rest_is_over(self):
         desk = self.desk(LOOKUP)
         self.rest_all(desk, LOOKUP)
-        desk.pass_time(REST, step=0.1)
+        desk.pass_time(REST_SECONDS, step=0.1)
         sent, sink = self.send(desk, LOOKUP)
         self.assertEqual(1, len(sent))
         sent[0].answer()
         self.assertTrue(sink.is_finished)
 
-    # Guards against all that was refused coming to a target the moment its rest ends.
-    def test_the_return_after_a_rest_rises_with_what_is_answered(self):
+    # Guards against a burst of all refused requests when the rest of a target ends.
+    def test_after_a_rest_requests_increase_with_answers(self):
         desk = self.desk(LOOKUP, count=1)
         self.rest_all(desk, LOOKUP)
-        desk.pass_time(REST + 0.1, step=0.1)
+        desk.pass_time(REST_SECONDS + 0.1, step=0.1)
         first = [run for _ in range(8) for run in self.send(desk, LOOKUP)[0]]
         self.assertTrue(1 <= len(first) <= 2, len(first))
         for run in first:
@@ -136,7 +136,7 @@
         sent = [run for _ in range(8) for run in self.send(desk, LOOKUP)[0]]
         self.assertEqual(8, len(sent))
 
-    # Guards against a rest that is shortened by a later, shorter one.
+    # Guards against a rest being shortened by a later, shorter one.
     def test_the_latest_end_that_was_asked_for_counts(self):
         desk = self.desk(LOOKUP, count=1)
         runs = [self.send(desk, LOOKUP)[0][0] for _ in range(2)]
@@ -145,7 +145,7 @@
         desk.pass_time(2.0, step=0.1)
         self.assertEqual([], self.send(desk, LOOKUP)[0])
 
-    # Guards against holding a later start to what the former one asked for.
+    # Guards against applying a rest to the next incarnation of the target.
     def test_it_holds_for_that_incarnation_alone(self):
         desk = self.desk(LOOKUP, count=1)
         self.rest_all(desk, LOOKUP)
@@ -153,7 +153,7 @@
         desk.restart("m1", 1_790_000_000_000)
         self.assertEqual(1, len(self.send(desk, LOOKUP)[0]))
 
-    def test_a_rest_that_cannot_be_read_is_told_with_its_attempt(self):
+    def test_a_rest_that_cannot_be_parsed_is_recorded_with_its_attempt(self):
         desk = self.desk(LOOKUP)
         call, _ = desk.call(request(LOOKUP))
         run = desk.caller.last
@@ -162,7 +162,7 @@
 
 
 class RestingFleetTest(RouterSiteTest):
-    """Routers, a store and targets over sockets, while callers come without a pause."""
+    """Routers, a store and targets over sockets, under continuous requests."""
 
     def setUp(self):
         super().setUp()
@@ -196,7 +196,7 @@
             script.arrivals.clear()
             script.is_resting = True
         self.statuses.clear()
-        yield self.ask_all(0.2 + REST_BEGINS)
+        yield self.ask_all(0.2 + REST_BEGINS_SECONDS)
         counted = {name: len(self.scripts[name].arrivals) for name in resting}
         yield self.ask_all(0.5)
         return [
@@ -204,19 +204,19 @@
             for name, before in counted.items()
         ]
 
-    # Guards against requests in a rest while other targets have room.
+    # Guards against requests during a rest while other targets have capacity.
     @inlineCallbacks
     def test_one_of_three_rests(self):
-        came = yield self.watch(["i-0"])
-        self.assertTrue(max(came) <= MOST_IN_A_REST, came)
+        arrived = yield self.watch(["i-0"])
+        self.assertTrue(max(arrived) <= MAX_REQUESTS_IN_REST, arrived)
         served = [status for _, status in self.statuses if status == b"200"]
         self.assertEqual(len(self.statuses), len(served))
 
-    # Guards against requests in a rest where there is nowhere else to go.
+    # Guards against requests during a rest when no other target is available.
     @inlineCallbacks
     def test_all_rest_and_are_served_again(self):
-        came = yield self.watch(list(self.scripts))
-        self.assertTrue(max(came) <= MOST_IN_A_REST, came)
+        arrived = yield self.watch(list(self.scripts))
+        self.assertTrue(max(arrived) <= MAX_REQUESTS_IN_REST, arrived)
         for script in self.scripts.values():
             script.is_resting = False
         yield self.ask_all(1.5)
--- a/tests/entry/test_forwarded_call.py
+++ b/tests/entry/test_forwarded_call.py
@@ -1,4 +1,4 @@
-"""Each failure at each step of a forwarded call: what is sent, what is said."""
+"""Failures at each step of a forwarded call, and what targets and callers are sent."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         super().setUp()
         self.desk = Desk(PORTAL)
 
-    def test_a_whole_answer_is_passed_on(self):
+    def test_a_complete_answer_is_relayed(self):
         call, sink = self.desk.call(request())
         self.desk.caller.last.answer(200, b"meter 7")
         self.assertEqual((200, b"meter 7"), (sink.head.status, sink.body))
@@ -69,7 +69,7 @@
         self.assertEqual(Refusal.CUT, sink.refusal)
         self.assertIsNone(sink.retry_after)
 
-    def test_a_failure_of_the_last_target_is_passed_on_unchanged(self):
+    def test_a_failure_of_the_last_target_is_relayed_unchanged(self):
         _, sink = self.desk.call(request())
         self.desk.caller.last.observer.run_head(head(500))
         self.desk.caller.last.answer(500, b"broken")
@@ -93,7 +93,7 @@
         self.assertEqual(1, len(desk.caller.runs))
         self.assertEqual(Refusal.CUT, sink.refusal)
 
-    def test_the_route_s_time_ends_it(self):
+    def test_it_times_out_after_the_route_s_timeout(self):
         desk = Desk(PORTAL, extra=0.0)
         _, sink = desk.call(request())
         desk.pass_time(0.79)
@@ -111,14 +111,14 @@
         self.assertEqual(Refusal.TOO_LATE, sink.refusal)
         self.assertEqual([], self.desk.caller.runs)
 
-    def test_a_caller_that_leaves_ends_the_work(self):
+    def test_a_caller_that_disconnects_cancels_the_request(self):
         call, _ = self.desk.call(request())
         call.caller_gone()
         self.assertTrue(self.desk.caller.last.is_cancelled)
         self.assertEqual(["caller_gone"], self.desk.ended)
         self.assertEqual(0, sum(state.own_running for state in self.desk.states))
 
-    def test_what_comes_after_the_end_is_dropped(self):
+    def test_data_after_the_end_is_dropped(self):
         call, sink = self.desk.call(request())
         run = self.desk.caller.last
         call.caller_gone()
@@ -143,7 +143,7 @@
 
 
 class OnceCallTest(TestCase):
-    """A request that may run once."""
+    """A request that may run only once."""
 
     def setUp(self):
         super().setUp()
@@ -166,12 +166,12 @@
             self.assertEqual(refusal, sink.refusal)
             self.assertFalse(sink.refusal.is_not_run)
 
-    def test_a_target_s_own_failure_is_passed_on(self):
+    def test_a_target_s_own_failure_is_relayed(self):
         _, sink = self.desk.call(request(CONFIRMATION))
         self.desk.caller.last.answer(500, b"broken")
         self.assertEqual(500, sink.head.status)
 
-    def test_a_target_that_declined_is_told_as_not_run(self):
+    def test_a_request_that_was_declined_is_reported_as_not_run(self):
         _, sink = self.desk.call(request(CONFIRMATION))
         self.desk.caller.last.observer.run_head(head(503, is_not_run=True))
         self.assertEqual(Refusal.TARGETS_FULL, sink.refusal)
@@ -190,7 +190,7 @@
         self.desk.pass_time(0.02)
         self.assertEqual(Refusal.TIMED_OUT, sink.refusal)
 
-    def test_all_unreachable_is_told_as_not_run(self):
+    def test_all_unreachable_is_reported_as_not_run(self):
         self.desk.caller.unreachable = {"p1", "p2", "p3"}
         _, sink = self.desk.call(request(CONFIRMATION))
         self.assertEqual(Refusal.NO_TARGET, sink.refusal)
@@ -203,7 +203,7 @@
         self.call, self.sink = self.desk.call(request(STREAM, deadline=1012.0))
         self.run1 = self.desk.caller.last
 
-    def test_events_are_passed_on_as_they_come(self):
+    def test_events_are_relayed_as_they_arrive(self):
         self.run1.observer.run_head(head())
         self.assertEqual(200, self.sink.head.status)
         self.run1.observer.run_data(event(1) + event(2)[:5])
@@ -213,7 +213,7 @@
         self.run1.observer.run_done()
         self.assertTrue(self.sink.is_finished)
 
-    def test_a_broken_stream_goes_on_after_the_last_whole_event(self):
+    def test_a_broken_stream_resumes_after_the_last_complete_event(self):
         self.run1.observer.run_head(head(headers=((b"A", b"1"),)))
         self.run1.observer.run_data(event(1) + event(2) + event(3)[:4])
         self.run1.observer.run_cut("reset")
@@ -226,14 +226,14 @@
         self.assertEqual(((b"A", b"1"),), self.sink.head.headers)
         self.assertTrue(self.sink.is_finished)
 
-    def test_an_end_inside_an_event_is_no_end(self):
+    def test_an_end_inside_an_event_counts_as_a_loss(self):
         self.run1.observer.run_head(head())
         self.run1.observer.run_data(event(1) + event(2)[:4])
         self.run1.observer.run_done()
         self.assertFalse(self.sink.is_finished)
         self.assertEqual(1, self.desk.caller.last.sending.resume_after)
 
-    def test_the_target_before_is_left_with_the_first_word_of_the_next(self):
+    def test_the_silent_target_is_cancelled_with_the_head_of_the_next(self):
         self.run1.observer.run_head(head())
         self.run1.observer.run_data(event(1))
         self.until(lambda: len(self.desk.caller.runs) == 2)
@@ -243,7 +243,7 @@
         self.desk.caller.last.observer.run_head(head())
         self.assertTrue(self.run1.is_cancelled)
 
-    def test_a_stream_that_cannot_go_on_is_broken_off(self):
+    def test_a_stream_that_cannot_resume_is_aborted(self):
         self.run1.observer.run_head(head())
         self.run1.observer.run_data(event(1))
         self.run1.observer.run_cut("reset")
@@ -251,7 +251,7 @@
         self.assertTrue(self.sink.is_broken)
         self.assertFalse(self.sink.is_finished)
 
-    def test_a_failure_in_place_of_the_rest_breaks_it_off(self):
+    def test_a_failure_instead_of_the_rest_aborts_it(self):
         self.run1.observer.run_head(head())
         self.run1.observer.run_data(event(1))
         self.run1.observer.run_cut("reset")
@@ -259,7 +259,7 @@
         self.assertTrue(self.sink.is_broken)
         self.assertEqual(event(1), self.sink.body)
 
-    def test_where_parts_went_is_noted_and_told(self):
+    def test_the_target_of_prompt_parts_is_recorded_and_reported(self):
         incarnation = self.run1.sending.target.incarnation
         self.assertEqual(520, self.desk.parts.held(incarnation, self.parts(), 1000))
         self.assertEqual(1, self.desk.parts_told)
@@ -273,20 +273,20 @@
     def parts(self):
         return self.call.request.prompt.parts
 
-    def until(self, is_so):
-        """Return the time at which something is so, within 2 s."""
+    def until(self, condition):
+        """Advance the clock until a condition holds, 2 s at most; return the time."""
         for _ in range(200):
-            if is_so():
+            if condition():
                 break
             self.desk.clock.advance(0.01)
-        self.assertTrue(is_so())
+        self.assertTrue(condition())
         return self.desk.clock.seconds()
 
 
 class SilenceTest(TestCase):
-    """Targets that are dark, hang or are slow."""
+    """Targets that are unreachable, hang or are slow."""
 
-    def test_a_stream_leaves_a_target_that_is_silent_to_all_within_the_pause(self):
+    def test_a_stream_leaves_a_target_silent_to_all_within_the_pause(self):
         desk = Desk(MODEL)
         desk.call(request(STREAM, deadline=1012.0))
         first = desk.caller.last
@@ -299,7 +299,7 @@
         self.assertTrue(first.is_cancelled)
         self.assertTrue(desk.state(first.name).is_paused(desk.clock.seconds()))
 
-    def test_each_judgement_on_silence_is_told_with_its_grounds(self):
+    def test_each_decision_on_silence_is_reported_with_its_reasons(self):
         for route, verdict, others in (
             (STREAM, SilenceVerdict.ANOTHER_ASKED, 2),
             (FRAGILE_STREAM, SilenceVerdict.MAY_NOT_REPEAT, 0),
@@ -307,14 +307,14 @@
             desk = Desk(MODEL)
             desk.call(request(route, deadline=1012.0))
             desk.pass_time(0.5)
-            (told,) = desk.silences
-            self.assertEqual(verdict, told.verdict)
-            self.assertEqual(desk.caller.runs[0].name, told.target)
-            self.assertEqual(others, told.others)
-            self.assertAlmostEqual(0.45, told.silent_for, delta=0.02)
-            self.assertAlmostEqual(0.45, told.waited, delta=0.02)
-
-    def test_one_that_only_hangs_here_is_waited_for_longer(self):
+            (silence,) = desk.silences
+            self.assertEqual(verdict, silence.verdict)
+            self.assertEqual(desk.caller.runs[0].name, silence.target)
+            self.assertEqual(others, silence.others)
+            self.assertAlmostEqual(0.45, silence.silent_for, delta=0.02)
+            self.assertAlmostEqual(0.45, silence.waited, delta=0.02)
+
+    def test_a_target_that_responds_to_others_is_waited_for_longer(self):
         desk = Desk(MODEL[:1])
         desk.call(request(STREAM, deadline=1012.0))
         hanging = desk.caller.last
@@ -337,7 +337,7 @@
             desk.call(request(FRAGILE_STREAM, deadline=1012.0))
             self.assertNotEqual(silent, desk.caller.last.name)
 
-    def test_a_hanging_target_is_known_before_its_requests_time_out(self):
+    def test_a_hanging_target_counts_as_failed_before_its_requests_time_out(self):
         desk = Desk(MODEL)
         _, sink = desk.call(request(FRAGILE_STREAM, deadline=1012.0))
         name = desk.caller.last.name
@@ -357,7 +357,7 @@
         self.assertAlmostEqual(1.0, good)
         self.assertAlmostEqual(0.5, bad)
 
-    def test_a_stream_that_may_be_sent_once_shuns_a_connection_that_may_be_dead(self):
+    def test_a_stream_that_may_be_sent_once_avoids_a_stale_connection(self):
         desk = Desk(MODEL[:1])
         desk.call(request(FRAGILE_STREAM, deadline=1012.0))
         self.assertFalse(desk.caller.last.sending.needs_new_connection)
@@ -370,7 +370,7 @@
 class FragileStreamTest(TestCase):
     """A stream that may not be resumed."""
 
-    def test_it_is_broken_off_when_its_target_is_lost(self):
+    def test_it_is_aborted_when_its_answer_is_lost(self):
         desk = Desk(MODEL)
         _, sink = desk.call(request(FRAGILE_STREAM, deadline=1012.0))
         run = desk.caller.last
@@ -388,7 +388,7 @@
         self.assertEqual(1, len(desk.caller.runs))
 
 
-class BookkeepingTest(TestCase):
+class LoadAccountingTest(TestCase):
     def test_loads_return_to_zero_whatever_happens(self):
         desk = Desk(PORTAL)
         for step in range(4):
--- a/tests/entry/test_silent_target.py
+++ b/tests/entry/test_silent_target.py
@@ -1,15 +1,11 @@
-"""A target that sends nothing for a while, and what requests at it lose by that.
-
-An incident: four of five model engines had left. The last one read a prompt of
-30,000 tokens and sent nothing to anyone for 0.46 s. Two routers took it for
-dark, ended their streams there, found no other target, and broke off what
-their callers had been getting; it sent again 0.05 s later.
-
-The cause: a request gave up the answer that it had under way before it knew of
-one to take its place. Proved by the lines of both routers (`silent`, then
-`no_target`, one attempt) and by the first test here, which fails without the
-mend. The other two are the same cause with another target at hand that turns
-out not to take the request, and with a plain request.
+"""Requests at a target that sends nothing for a while are hedged, not abandoned.
+
+Guards against a request giving up the response in progress before another target has
+begun to respond. With one of five model engines left, a prompt of 30,000 tokens kept
+that engine silent for 0.46 s; two routers closed their streams there, logged `silent`
+and then `no_target` after one attempt, and aborted the responses of their callers,
+0.05 s before the engine sent again. The first test fails if that happens. The two
+after it cover another target that declines the request, and a plain request.
 """
 
 from __future__ import annotations
@@ -48,7 +44,7 @@
 
 
 class NowhereElseTest(TestCase):
-    """There is no other target, or none that takes the request."""
+    """There is no other target, or none that accepts the request."""
 
     def test_a_stream_stays_with_the_only_target(self):
         desk = Desk(MODEL[:1])
@@ -60,7 +56,7 @@
         self.assertEqual(event(1) + event(2), sink.body)
         self.assertTrue(sink.is_finished)
 
-    def test_a_stream_outlives_a_target_that_would_not_take_it_up(self):
+    def test_a_stream_continues_when_the_other_target_declines(self):
         desk = Desk(MODEL[:2])
         run, sink = begun_stream(desk)
         desk.pass_time(0.5)
@@ -80,8 +76,8 @@
         self.assertEqual(b"meter 7", sink.body)
 
 
-class TrialTest(TestCase):
-    """Another target was asked while the first is still silent."""
+class HedgeTest(TestCase):
+    """A request was sent to another target while the first is still silent."""
 
     def setUp(self):
         super().setUp()
@@ -94,7 +90,7 @@
         self.second = self.desk.caller.last
         self.assertNotEqual(self.first.name, self.second.name)
 
-    def test_the_one_that_goes_on_first_has_the_stream(self):
+    def test_the_first_to_respond_serves_the_stream(self):
         self.first.observer.run_data(event(2))
         self.assertTrue(self.second.is_cancelled)
         self.second.observer.run_head(head())
@@ -103,7 +99,7 @@
         self.first.observer.run_done()
         self.check_whole(3)
 
-    def test_nothing_of_the_one_before_is_passed_on_once_the_next_has_begun(self):
+    def test_the_first_is_ignored_once_the_next_has_begun(self):
         self.second.observer.run_head(head())
         self.first.observer.run_data(event(2) + event(3))
         self.first.observer.run_done()
@@ -112,7 +108,7 @@
         self.second.observer.run_done()
         self.check_whole(3)
 
-    def test_a_next_one_that_fails_costs_nothing(self):
+    def test_a_hedge_that_fails_costs_nothing(self):
         for fail in (
             lambda run: run.observer.run_cut("reset"),
             lambda run: run.observer.run_head(head(500)),
@@ -131,7 +127,7 @@
             self.assertEqual(event(1) + event(2), sink.body)
             self.assertTrue(sink.is_finished)
 
-    def test_a_loss_of_the_first_leaves_the_next_in_its_place(self):
+    def test_a_loss_of_the_first_leaves_the_hedge_in_its_place(self):
         self.first.observer.run_cut("reset")
         self.assertEqual(2, len(self.desk.caller.runs))
         self.second.observer.run_head(head())
@@ -139,7 +135,7 @@
         self.second.observer.run_done()
         self.check_whole(2)
 
-    def test_a_next_one_that_says_nothing_is_no_reason_to_leave(self):
+    def test_a_hedge_that_is_silent_does_not_end_the_first(self):
         desk = Desk(MODEL[:2])
         first, sink = begun_stream(desk)
         desk.pass_time(3.0)
@@ -150,7 +146,7 @@
         self.assertTrue(sink.is_finished)
         self.assertTrue(desk.caller.last.is_cancelled)
 
-    def test_a_next_one_that_is_silent_to_all_makes_way_for_another(self):
+    def test_a_hedge_that_is_silent_to_all_is_replaced(self):
         desk = Desk(MODEL)
         first, _ = begun_stream(desk, replace(STREAM, max_targets=3))
         desk.pass_time(1.0)
@@ -161,18 +157,18 @@
         third.observer.run_head(head())
         self.assertTrue(first.is_cancelled)
 
-    def test_the_next_one_is_asked_on_a_new_connection(self):
+    def test_a_hedge_uses_a_new_connection(self):
         self.assertFalse(self.first.sending.needs_new_connection)
         self.assertTrue(self.second.sending.needs_new_connection)
 
-    def test_a_next_one_that_declines_late_costs_nothing(self):
+    def test_a_hedge_that_declines_late_costs_nothing(self):
         self.desk.pass_time(0.6)
         self.second.observer.run_head(head(503, is_not_run=True))
         self.first.observer.run_data(event(2))
         self.first.observer.run_done()
         self.check_whole(2)
 
-    def test_one_that_was_not_needed_can_be_asked_again(self):
+    def test_a_target_whose_hedge_was_not_needed_can_be_used_again(self):
         self.first.observer.run_data(event(2))
         self.first.observer.run_cut("reset")
         third = self.desk.caller.last
@@ -183,24 +179,24 @@
         third.observer.run_done()
         self.check_whole(3)
 
-    def test_a_caller_that_leaves_ends_both(self):
+    def test_a_caller_that_disconnects_cancels_both(self):
         self.call.caller_gone()
         self.assertTrue(self.first.is_cancelled)
         self.assertTrue(self.second.is_cancelled)
         self.assertEqual([], self.desk.clock.getDelayedCalls())
 
     def check_whole(self, events):
-        wanted = b"".join(event(number) for number in range(1, events + 1))
-        self.assertEqual(wanted, self.sink.body)
+        expected = b"".join(event(number) for number in range(1, events + 1))
+        self.assertEqual(expected, self.sink.body)
         self.assertTrue(self.sink.is_finished)
         self.assertEqual([0, 0, 0], [s.own_running for s in self.desk.states])
         self.assertEqual([], self.desk.clock.getDelayedCalls())
 
 
-class SearchTest(TestCase):
-    """Which target is asked, and when."""
+class HedgeTargetTest(TestCase):
+    """Which target a hedge is sent to, and when."""
 
-    def test_the_next_one_is_asked_at_once_when_one_cannot_be_reached(self):
+    def test_another_is_tried_at_once_when_one_cannot_be_reached(self):
         desk = Desk(MODEL)
         first, sink = begun_stream(desk)
         names = [state.target.name for state in desk.states]
@@ -214,7 +210,7 @@
         self.assertEqual(event(1) + event(2), sink.body)
         self.assertTrue(sink.is_finished)
 
-    def test_with_none_that_can_be_reached_it_stays(self):
+    def test_a_stream_stays_when_no_other_can_be_reached(self):
         desk = Desk(MODEL)
         first, sink = begun_stream(desk)
         desk.caller.unreachable = {s.target.name for s in desk.states}
@@ -224,7 +220,7 @@
         first.observer.run_done()
         self.assertTrue(sink.is_finished)
 
-    def test_one_that_is_listed_later_takes_over(self):
+    def test_a_target_that_is_listed_later_takes_over(self):
         desk = Desk(MODEL[:1])
         first, sink = begun_stream(desk)
         desk.pass_time(1.0)
@@ -244,7 +240,7 @@
         desk.pass_time(5.0)
         self.assertTrue(desk.budget.spend(1, desk.clock.seconds()))
 
-    def test_a_long_silence_has_one_line(self):
+    def test_a_long_silence_is_reported_once(self):
         desk = Desk(MODEL[:1])
         begun_stream(desk)
         desk.pass_time(5.0)
@@ -254,7 +250,7 @@
 
 
 class SlowCallerTest(TestCase):
-    """A caller that takes no bytes keeps its target from being heard."""
+    """A target whose caller reads slowly does not count as silent."""
 
     def test_a_target_that_waits_for_the_caller_is_not_silent(self):
         desk = Desk(MODEL)
@@ -271,7 +267,7 @@
         run.observer.run_done()
         self.assertEqual(event(1) + event(2), sink.body)
 
-    def test_after_the_pause_silence_counts_from_its_end(self):
+    def test_silence_is_measured_from_the_end_of_a_pause(self):
         desk = Desk(MODEL)
         call, _ = desk.call(request(STREAM, deadline=1012.0))
         run = desk.caller.last
@@ -285,7 +281,7 @@
         desk.pass_time(0.1)
         self.assertEqual(2, len(desk.caller.runs))
 
-    def test_a_caller_that_becomes_slow_ends_a_trial(self):
+    def test_a_caller_that_becomes_slow_ends_a_hedge(self):
         desk = Desk(MODEL)
         call, _ = desk.call(request(STREAM, deadline=1012.0))
         first = desk.caller.last
@@ -306,8 +302,8 @@
         self.assertTrue(desk.caller.last.is_paused)
 
 
-class FirstWordTest(TestCase):
-    """Nothing has come of the answer yet when another target is asked."""
+class NoResponseYetTest(TestCase):
+    """Nothing of the response has arrived when the request is hedged."""
 
     def setUp(self):
         super().setUp()
@@ -317,7 +313,7 @@
         self.desk.pass_time(0.46)
         self.second = self.desk.caller.last
 
-    def test_a_head_of_the_first_is_its_going_on(self):
+    def test_a_head_of_the_first_ends_the_hedge(self):
         self.first.observer.run_head(head())
         self.assertTrue(self.second.is_cancelled)
         self.desk.pass_time(0.4)
@@ -341,7 +337,7 @@
 class TimingTest(TestCase):
     """When a target counts as silent."""
 
-    def test_bytes_to_others_delay_it_by_no_more_than_their_age(self):
+    def test_data_for_others_delays_it_by_no_more_than_its_age(self):
         desk = Desk(MODEL)
         begun_stream(desk)
         desk.clock.advance(0.003)
@@ -350,8 +346,8 @@
             desk.clock.advance(0.01)
         self.assertEqual(2, len(desk.caller.runs))
 
-    def test_what_is_not_sent_yet_is_not_silent(self):
-        for route, desk in ((LOOKUP, SlowDesk(3)), (STREAM, SlowDesk(3, "model"))):
+    def test_a_target_is_not_silent_before_the_request_is_sent(self):
+        for route, desk in ((LOOKUP, ManualDesk(3)), (STREAM, ManualDesk(3, "model"))):
             desk.call(request(route, deadline=1012.0))
             first = desk.caller.last
             first.observer.run_sent()
@@ -361,8 +357,8 @@
             desk.pass_time(0.3)
             self.assertEqual([first, second], desk.caller.runs)
 
-    def test_one_that_is_being_opened_counts_as_a_target(self):
-        desk = SlowDesk(3)
+    def test_a_target_that_is_being_connected_to_counts(self):
+        desk = ManualDesk(3)
         desk.call(request(replace(LOOKUP, timeout=0.6)))
         first = desk.caller.last
         first.observer.run_sent()
@@ -374,9 +370,9 @@
 
 
 class ReadyAnswerTest(TestCase):
-    """An answer that is there is not given up for nothing."""
+    """A response in hand is not given up for an uncertain one."""
 
-    def test_a_failure_is_passed_on_when_there_is_no_other_target(self):
+    def test_a_failure_is_relayed_when_there_is_no_other_target(self):
         desk = Desk(PORTAL[:1])
         _, sink = desk.call(request(LOOKUP))
         desk.caller.last.answer(500, b"broken")
@@ -391,7 +387,7 @@
         self.assertEqual((500, b"broken"), (sink.head.status, sink.body))
 
     def test_a_failure_is_not_given_up_for_a_connection_that_is_being_opened(self):
-        desk = SlowDesk(2)
+        desk = ManualDesk(2)
         _, sink = desk.call(request(LOOKUP))
         first = desk.caller.last
         first.observer.run_sent()
@@ -400,7 +396,7 @@
         first.answer(500, b"broken")
         self.assertEqual((500, b"broken"), (sink.head.status, sink.body))
 
-    def test_another_answer_in_place_of_the_rest_does_not_end_a_stream(self):
+    def test_an_error_instead_of_the_rest_aborts_a_stream(self):
         desk = Desk(MODEL)
         run, sink = begun_stream(desk)
         run.observer.run_cut("reset")
@@ -409,12 +405,12 @@
         self.assertTrue(sink.is_broken)
 
 
-class DrawnTest(TestCase):
-    """Targets that open, speak, fail and fall silent in any order."""
+class RandomTest(TestCase):
+    """Targets that connect, respond, fail and fall silent in random order."""
 
-    PLAYS = 250
+    SCENARIOS = 250
 
-    def test_every_promise_holds_whatever_happens(self):
+    def test_all_invariants_hold(self):
         for route in (
             STREAM,
             LOOKUP,
@@ -422,14 +418,14 @@
             replace(CONFIRMATION, max_targets=2),
             FRAGILE_STREAM,
         ):
-            for seed in range(self.PLAYS):
-                play = Play(route, seed)
-                play.run()
-                self.assertEqual([], list(play.faults()), (route.name, seed))
+            for seed in range(self.SCENARIOS):
+                scenario = Scenario(route, seed)
+                scenario.run()
+                self.assertEqual([], list(scenario.faults()), (route.name, seed))
 
 
-class Play:
-    """One call among targets that behave as a seed has it."""
+class Scenario:
+    """One call with targets whose behaviour is drawn from a seed."""
 
     def __init__(self, route, seed):
         self._rng = random.Random(seed)
@@ -438,7 +434,7 @@
             self._route = replace(route, max_targets=self._rng.randint(1, 3))
         service = "model" if route.is_stream else "portal"
         self._desk = Desk([target(f"t{n + 1}", service) for n in range(seed % 4 + 1)])
-        self._desk.caller = DrawnCaller(self._desk.clock, self._rng)
+        self._desk.caller = RandomCaller(self._desk.clock, self._rng)
         self._desk.tools.caller = self._desk.caller
         incoming = request(self._route, deadline=1006.0)
         self._call, self._sink = self._desk.call(incoming)
@@ -446,21 +442,21 @@
 
     def run(self):
         desk, rng = self._desk, self._rng
-        leave_at = desk.clock.seconds() + rng.uniform(0, 30)
+        disconnect_at = desk.clock.seconds() + rng.uniform(0, 30)
         while not self._call.is_over:
             desk.pass_time(rng.choice((0.01, 0.05, 0.2, 0.5)))
-            if desk.clock.seconds() > leave_at:
+            if desk.clock.seconds() > disconnect_at:
                 self._call.caller_gone()
             elif rng.random() < 0.1:
                 rng.choice((self._call.pause, self._call.resume))()
             for run in list(desk.caller.runs):
                 if run.is_sent and not run.is_cancelled and not self._call.is_over:
-                    make = FakeEngine(run, rng, self._route)
-                    self._engines.setdefault(id(run), make).act()
+                    engine = FakeEngine(run, rng, self._route)
+                    self._engines.setdefault(id(run), engine).act()
         desk.pass_time(0.5)
 
     def faults(self):
-        """Yield the promises that were broken."""
+        """Yield the invariants that were broken."""
         runs = [run for run in self._desk.caller.runs if run.is_sent]
         engines = list(self._engines.values())
         if len({run.name for run in runs}) > self._route.max_targets:
@@ -476,7 +472,7 @@
         refusal = self._sink.refusal
         if refusal is not None and refusal.is_not_run:
             if any(not engine.has_declined for engine in engines):
-                yield "said not run of what may have run"
+                yield "reported not run though it may have run"
         yield from self._faults_of_answer()
 
     def _faults_of_answer(self):
@@ -486,22 +482,22 @@
         if self._route.is_stream and sink.head.status == 200:
             count = sink.body.count(b"id:")
             if sink.body != b"".join(event(n + 1) for n in range(count)):
-                yield "events lost, doubled or mixed"
+                yield "events lost, duplicated or mixed"
             if sink.is_finished and count != LAST_EVENT:
-                yield "ended as whole too early"
+                yield "ended as complete too early"
         elif len(set(sink.body.split(b"!")) - {b""}) > 1:
             yield "bodies mixed"
 
 
-class DrawnRun(FakeRun):
-    """A run that knows how far it has come."""
+class RandomRun(FakeRun):
+    """A run that records whether it was sent and has ended."""
 
     is_sent = False
     is_ended = False
 
 
-class DrawnCaller(FakeCaller):
-    """Opens connections at once, late or not at all, as chance has it."""
+class RandomCaller(FakeCaller):
+    """Opens connections at once, late or not at all, at random."""
 
     def __init__(self, clock, rng):
         super().__init__()
@@ -509,7 +505,7 @@
         self._rng = rng
 
     def send(self, sending, observer):
-        run = DrawnRun(sending, observer)
+        run = RandomRun(sending, observer)
         self.runs.append(run)
         is_reached = self._rng.random() > 0.2
         delay = self._rng.choice((0, 0, 0.002, 0.1, 0.35, 0.4))
@@ -529,16 +525,16 @@
             run.observer.run_not_sent("refused")
 
 
-class SlowDesk(Desk):
-    """A desk whose connections open when the test says so."""
+class ManualDesk(Desk):
+    """A desk whose connections open when the test reports it."""
 
     def __init__(self, count, service="portal"):
         super().__init__([target(f"t{n + 1}", service) for n in range(count)])
-        self.caller = self.tools.caller = OpeningCaller()
+        self.caller = self.tools.caller = ManualCaller()
 
 
-class OpeningCaller(FakeCaller):
-    """Records what is to be sent and says nothing."""
+class ManualCaller(FakeCaller):
+    """Records what is to be sent and reports no progress."""
 
     def send(self, sending, observer):
         run = FakeRun(sending, observer)
@@ -547,7 +543,7 @@
 
 
 class FakeEngine:
-    """Makes the answer of one run, or fails, as chance has it."""
+    """Sends the response of one run, or fails, at random."""
 
     def __init__(self, run, rng, route):
         self._run = run
@@ -559,17 +555,17 @@
         self.has_declined = False
 
     def act(self):
-        drawn = self._rng.random()
-        if self._run.is_ended or drawn < 0.5:
+        chance = self._rng.random()
+        if self._run.is_ended or chance < 0.5:
             return
         observer = self._run.observer
-        if drawn < 0.53:
+        if chance < 0.53:
             self._run.is_ended = True
             observer.run_cut("reset")
         elif not self._has_head:
             self._begin(observer)
         elif self._is_plain:
-            self._go_on_plainly(observer)
+            self._continue_plain(observer)
         elif self._next > LAST_EVENT:
             self._run.is_ended = True
             observer.run_done()
@@ -578,18 +574,18 @@
             observer.run_data(event(number))
 
     def _begin(self, observer):
-        drawn = self._rng.random()
+        chance = self._rng.random()
         self._has_head = True
-        if drawn < 0.12:
+        if chance < 0.12:
             self.has_declined = self._run.is_ended = True
             observer.run_head(head(503, is_not_run=True))
-        elif drawn < 0.2:
+        elif chance < 0.2:
             self._is_plain = True
             observer.run_head(head(self._rng.choice((404, 500))))
         else:
             observer.run_head(head())
 
-    def _go_on_plainly(self, observer):
+    def _continue_plain(self, observer):
         if self._rng.random() < 0.5:
             observer.run_data(self._run.name.encode() + b"!")
         else:
--- a/tests/request/test_answers.py
+++ b/tests/request/test_answers.py
@@ -1,4 +1,4 @@
-"""Answers: whole, in order, resumable, and never taken for another's."""
+"""Responses arrive complete, in order and unaltered, and can be resumed."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
                 buffer.credit(buffer.sent)
         self.assertTrue(buffer.kept <= 30)
 
-    def test_a_reader_resumes_where_it_was(self):
+    def test_a_reader_resumes_at_its_offset(self):
         buffer = AnswerBuffer(window=100, keep=100)
         buffer.append(b"abcdef")
         buffer.take(100)
@@ -54,11 +54,13 @@
         st.lists(st.binary(min_size=1, max_size=40), min_size=1, max_size=20),
         st.integers(0, 10_000),
     )
-    def test_any_interleaving_of_sends_losses_and_resumes_is_whole(self, parts, seed):
+    def test_any_interleaving_of_sends_losses_and_resumes_is_complete(
+        self, parts, seed
+    ):
         rng = random.Random(seed)
         buffer = AnswerBuffer(window=64, keep=10_000)
         check = AnswerCheck()
-        got = b""
+        received = b""
         queue = list(parts)
         while queue or not buffer.is_sent:
             if queue and rng.random() < 0.5:
@@ -71,12 +73,12 @@
             if rng.random() < 0.2:
                 buffer.resume(check.offset)
                 continue
-            got += check.accept(piece.offset, piece.data)
+            received += check.accept(piece.offset, piece.data)
             if rng.random() < 0.2:
-                got += check.accept(piece.offset, piece.data)
+                received += check.accept(piece.offset, piece.data)
             buffer.credit(check.offset)
         check.finish(buffer.length, buffer.digest)
-        self.assertEqual(b"".join(parts), got)
+        self.assertEqual(b"".join(parts), received)
 
 
 class AnswerCheckTest(TestCase):
@@ -85,12 +87,12 @@
         check.accept(0, b"ab")
         self.assertRaises(AnswerCutError, check.accept, 3, b"d")
 
-    def test_a_short_answer_is_not_whole(self):
+    def test_a_short_answer_is_incomplete(self):
         check = AnswerCheck()
         check.accept(0, b"ab")
         self.assertRaises(AnswerCutError, check.finish, 3, b"")
 
-    def test_an_altered_answer_is_not_whole(self):
+    def test_an_altered_answer_is_an_error(self):
         buffer, check = AnswerBuffer(10, 10), AnswerCheck()
         buffer.append(b"ab")
         check.accept(0, b"aB")
@@ -112,7 +114,7 @@
         names.bar(CallName(1, 2), 0.0)
         self.assertEqual(NameState.BARRED, names.state(CallName(1, 2)))
 
-    def test_at_the_limit_no_name_fits(self):
+    def test_it_is_full_at_the_limit(self):
         names = CallNames(keep=60.0, limit=2)
         names.take(CallName(1, 1), 0.0)
         names.take(CallName(1, 2), 0.0)
--- a/tests/request/test_lost_answers.py
+++ b/tests/request/test_lost_answers.py
@@ -1,4 +1,4 @@
-"""Answers that were lost, until it is known whether their target has ended."""
+"""Lost responses are kept until it is known whether their target has ended."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         self.lost.lost(1, 8, NOW)
         self.assertEqual(2, len(self.lost))
 
-    def test_an_end_names_who_was_on_board_and_when(self):
+    def test_an_end_returns_the_lost_answers_and_their_times(self):
         self.lost.lost(1, 7, NOW)
         self.lost.lost(2, 7, NOW + 0.1)
         self.lost.lost(3, 8, NOW)
@@ -34,25 +34,25 @@
         self.assertFalse(self.lost.has_ended(8, NOW + 2))
         self.assertFalse(self.lost.has_ended(7, NOW + 1 + WAIT_SECONDS))
 
-    def test_a_target_that_lives_explains_them_otherwise(self):
+    def test_answers_of_a_target_that_is_alive_are_dropped(self):
         self.lost.lost(1, 7, NOW)
         self.lost.lived(7, NOW + 0.1)
         self.assertFalse(self.lost.is_waiting(7, NOW))
         self.assertEqual({}, self.lost.ended(7, NOW))
 
-    def test_only_what_was_lost_before_is_explained_so(self):
+    def test_only_answers_lost_before_a_sign_of_life_are_dropped(self):
         self.lost.lost(1, 7, NOW)
         self.lost.lost(2, 7, NOW + 1)
         self.lost.lived(7, NOW + 0.5)
         self.assertEqual({2: NOW + 1}, self.lost.ended(7, NOW + 1))
 
-    def test_they_wait_for_a_while_only(self):
+    def test_lost_answers_expire(self):
         self.lost.lost(1, 7, NOW)
         self.assertTrue(self.lost.is_waiting(7, NOW + WAIT_SECONDS))
         self.assertFalse(self.lost.is_waiting(7, NOW + WAIT_SECONDS + 0.1))
         self.assertEqual({}, self.lost.ended(7, NOW + WAIT_SECONDS + 0.1))
 
-    def test_their_number_is_bounded(self):
+    def test_lost_answers_and_ended_targets_are_bounded(self):
         for fingerprint in range(2 * MAX_WAITING):
             self.lost.lost(fingerprint, 7, NOW)
         self.assertEqual(MAX_WAITING, len(self.lost.ended(7, NOW)))
