--- a/src/primrosescale/request/forwarded_call.py
+++ b/src/primrosescale/request/forwarded_call.py
@@ -20,9 +20,9 @@
 
 from primrosescale.clock import cancel_timer
 from primrosescale.request.answer_relay import AnswerRelay
+from primrosescale.request.attempt_pair import HedgedAttempts
 from primrosescale.request.direct_port import Refusal
 from primrosescale.request.direct_port import Sending
-from primrosescale.request.hedged_attempts import HedgedAttempts
 from primrosescale.request.silence import Silence
 from primrosescale.request.silence import SilenceVerdict
 from primrosescale.request.silence import silence_timeout
