--- a/src/primrosescale/request/work.py
+++ b/src/primrosescale/request/work.py
@@ -50,12 +50,12 @@
 
     def __init__(self, settings: WorkSettings) -> None:
         self._settings = settings
-        self._output = float(settings.output_default)
+        self._expected_output = float(settings.output_default)
 
     @property
     def expected_output(self) -> float:
         """Return the tokens an answer is expected to have."""
-        return self._output
+        return self._expected_output
 
     def estimate(self, prompt: int, cached: int, output_limit: int) -> int:
         """Return the work units of a model request.
@@ -74,7 +74,7 @@
         int
             At least 1.
         """
-        output = self._output
+        output = self._expected_output
         if output_limit:
             output = min(output, output_limit)
         fresh = max(0, prompt - cached)
@@ -98,7 +98,7 @@
         output : int
             Its tokens.
         """
-        self._output += LEARNING_RATE * (output - self._output)
+        self._expected_output += LEARNING_RATE * (output - self._expected_output)
 
 
 def tokens_of(size: int) -> int:
