--- a/src/primrosescale/request/work.py
+++ b/src/primrosescale/request/work.py
@@ -77,8 +77,8 @@
         output = self._expected_output
         if output_limit:
             output = min(output, output_limit)
-        fresh = max(0, prompt - cached)
-        return max(1, round(fresh * self._settings.prefill_cost + output))
+        uncached = max(0, prompt - cached)
+        return max(1, round(uncached * self._settings.prefill_cost + output))
 
     def estimate_plain(self) -> int:
         """Return the work units of a call to a plain service.
