--- a/src/primrosescale/request/admission.py
+++ b/src/primrosescale/request/admission.py
@@ -22,7 +22,7 @@
 
 T = TypeVar("T")
 
-NEWCOMER_WEIGHT = 1
+RESERVED_ORGANISATION_WEIGHT = 1
 RATE_LEARNING = 0.1
 MINIMUM_RETRY_AFTER = 0.25
 
@@ -357,7 +357,7 @@
         """
         own = self._running.get(call.organisation, ())
         weight = max(1, call.weight)
-        weights = self._running_weight + NEWCOMER_WEIGHT
+        weights = self._running_weight + RESERVED_ORGANISATION_WEIGHT
         if not own:
             weights += weight
         share = self._settings.slots * weight / weights
