--- a/src/primrosescale/request/admission.py
+++ b/src/primrosescale/request/admission.py
@@ -24,7 +24,7 @@
 
 RESERVED_ORGANISATION_WEIGHT = 1
 RATE_LEARNING = 0.1
-MINIMUM_RETRY_AFTER = 0.25
+MIN_RETRY_AFTER_SECONDS = 0.25
 
 
 @dataclass(frozen=True, slots=True)
@@ -304,7 +304,7 @@
         return ahead / self._rate
 
     def _refuse(self, reason: Reason, retry_after: float) -> Verdict[T]:
-        after = max(MINIMUM_RETRY_AFTER, retry_after)
+        after = max(MIN_RETRY_AFTER_SECONDS, retry_after)
         return Verdict(VerdictKind.REFUSED, reason=reason, retry_after=after)
 
     def _make_room(
