--- a/src/primrosescale/request/admission.py
+++ b/src/primrosescale/request/admission.py
@@ -23,7 +23,7 @@
 T = TypeVar("T")
 
 RESERVED_ORGANISATION_WEIGHT = 1
-RATE_LEARNING = 0.1
+RATE_LEARNING_FACTOR = 0.1
 MIN_RETRY_AFTER_SECONDS = 0.25
 
 
@@ -372,6 +372,6 @@
         if since is None or now - since < 1.0:
             return
         seen = self._done_work / (now - since)
-        self._rate += RATE_LEARNING * (seen - self._rate)
+        self._rate += RATE_LEARNING_FACTOR * (seen - self._rate)
         self._done_work = 0
         self._busy_since = now
