--- a/src/primrosescale/request/admission.py
+++ b/src/primrosescale/request/admission.py
@@ -116,7 +116,7 @@
         self._running_work = 0
         self._rate = settings.rate_default
         self._is_draining = False
-        self._rests_until = 0.0
+        self._paused_until = 0.0
         self._busy_since: float | None = None
         self._done_work = 0
 
@@ -164,7 +164,7 @@
         now : float
             Present time in seconds.
         """
-        self._rests_until = max(self._rests_until, now + seconds)
+        self._paused_until = max(self._paused_until, now + seconds)
 
     def offer(self, call: QueuedCall[T], now: float) -> Verdict[T]:
         """Decide about a call; an admitted one is queued.
@@ -185,8 +185,8 @@
             return self._refuse(Reason.DRAINING, 0.0)
         if call.deadline <= now:
             return self._refuse(Reason.DEADLINE, 0.0)
-        if now < self._rests_until:
-            return self._refuse(Reason.TARGET_UNHEALTHY, self._rests_until - now)
+        if now < self._paused_until:
+            return self._refuse(Reason.TARGET_UNHEALTHY, self._paused_until - now)
         if not self._health.admits(now):
             return self._refuse(Reason.TARGET_UNHEALTHY, self._health.retry_after(now))
         wait = self.expected_wait(call)
@@ -215,7 +215,7 @@
             The calls; each must be given to `finished` once.
         """
         started: list[QueuedCall[T]] = []
-        while now >= self._rests_until:
+        while now >= self._paused_until:
             call = self._next_call()
             if call is None:
                 break
