--- a/src/primrosescale/request/admission.py
+++ b/src/primrosescale/request/admission.py
@@ -117,7 +117,7 @@
         self._rate = settings.rate_default
         self._is_draining = False
         self._paused_until = 0.0
-        self._busy_since: float | None = None
+        self._rate_window_start: float | None = None
         self._done_work = 0
 
     @property
@@ -221,7 +221,7 @@
                 break
             self._queue.discard_started(call)
             if not self._running_count:
-                self._busy_since = now
+                self._rate_window_start = now
             own = self._running.get(call.organisation)
             if own is None:
                 own = self._running[call.organisation] = []
@@ -368,10 +368,10 @@
 
     def _learn_rate(self, work: int, now: float) -> None:
         self._done_work += work
-        since = self._busy_since
+        since = self._rate_window_start
         if since is None or now - since < 1.0:
             return
         seen = self._done_work / (now - since)
         self._rate += RATE_LEARNING_FACTOR * (seen - self._rate)
         self._done_work = 0
-        self._busy_since = now
+        self._rate_window_start = now
