--- a/src/primrosescale/request/admission.py
+++ b/src/primrosescale/request/admission.py
@@ -118,7 +118,7 @@
         self._is_draining = False
         self._paused_until = 0.0
         self._rate_window_start: float | None = None
-        self._done_work = 0
+        self._rate_window_work = 0
 
     @property
     def load(self) -> int:
@@ -367,11 +367,11 @@
         return work / self._rate
 
     def _learn_rate(self, work: int, now: float) -> None:
-        self._done_work += work
+        self._rate_window_work += work
         since = self._rate_window_start
         if since is None or now - since < 1.0:
             return
-        seen = self._done_work / (now - since)
+        seen = self._rate_window_work / (now - since)
         self._rate += RATE_LEARNING_FACTOR * (seen - self._rate)
-        self._done_work = 0
+        self._rate_window_work = 0
         self._rate_window_start = now
