--- a/src/primrosescale/request/admission.py
+++ b/src/primrosescale/request/admission.py
@@ -320,7 +320,7 @@
         displaced: list[QueuedCall[T]] = []
         while not self._fits(call, now):
             last = self._queue.most_over_share()
-            if last is None or not self._outweighs(last, call):
+            if last is None or not self._is_further_over_share(last, call):
                 for given in displaced:
                     self._queue.push(given)
                 return None
@@ -333,7 +333,7 @@
             return False
         return self._bound.admits(self.load, call.work, now)
 
-    def _outweighs(self, last: QueuedCall[T], call: QueuedCall[T]) -> bool:
+    def _is_further_over_share(self, last: QueuedCall[T], call: QueuedCall[T]) -> bool:
         if last.organisation == call.organisation:
             return False
         theirs = self._queue.work_of(last.organisation) / max(1, last.weight)
