--- a/src/primrosescale/request/admission.py
+++ b/src/primrosescale/request/admission.py
@@ -251,7 +251,7 @@
             self._running_weight -= max(1, call.weight)
         self._running_count -= 1
         self._running_work -= call.work
-        self._learn_rate(call.work, now)
+        self._update_rate(call.work, now)
 
     def withdraw(self, call: QueuedCall[T]) -> bool:
         """Remove a waiting call.
@@ -366,7 +366,7 @@
     def _drain_time(self, work: int) -> float:
         return work / self._rate
 
-    def _learn_rate(self, work: int, now: float) -> None:
+    def _update_rate(self, work: int, now: float) -> None:
         self._rate_window_work += work
         since = self._rate_window_start
         if since is None or now - since < 1.0:
