--- a/src/primrosescale/request/admission.py
+++ b/src/primrosescale/request/admission.py
@@ -371,7 +371,7 @@
         since = self._rate_window_start
         if since is None or now - since < 1.0:
             return
-        seen = self._rate_window_work / (now - since)
-        self._rate += RATE_LEARNING_FACTOR * (seen - self._rate)
+        measured = self._rate_window_work / (now - since)
+        self._rate += RATE_LEARNING_FACTOR * (measured - self._rate)
         self._rate_window_work = 0
         self._rate_window_start = now
