--- a/src/primrosescale/request/admission.py
+++ b/src/primrosescale/request/admission.py
@@ -321,8 +321,8 @@
         while not self._fits(call, now):
             last = self._queue.most_over_share()
             if last is None or not self._is_further_over_share(last, call):
-                for given in displaced:
-                    self._queue.push(given)
+                for removed in displaced:
+                    self._queue.push(removed)
                 return None
             self._queue.discard(last)
             displaced.append(last)
