--- a/src/primrosescale/request/fair_queue.py
+++ b/src/primrosescale/request/fair_queue.py
@@ -49,18 +49,18 @@
 class _PriorityClass(Generic[T]):
     """The flows of one priority and their virtual time."""
 
-    __slots__ = ("finish_tags", "flows", "heap", "virtual")
+    __slots__ = ("finish_tags", "flows", "heap", "virtual_time")
 
     def __init__(self) -> None:
         self.flows: dict[str, deque[QueuedCall[T]]] = {}
         self.finish_tags: dict[str, float] = {}
         self.heap: list[tuple[float, str]] = []
-        self.virtual = 0.0
+        self.virtual_time = 0.0
 
     def push(self, call: QueuedCall[T]) -> None:
         """Append a call to its organisation's flow."""
         name = call.organisation
-        start = max(self.virtual, self.finish_tags.get(name, 0.0))
+        start = max(self.virtual_time, self.finish_tags.get(name, 0.0))
         call.start_tag = start
         self.finish_tags[name] = start + call.work / max(1, call.weight)
         flow = self.flows.get(name)
@@ -82,7 +82,7 @@
 
     def start(self, call: QueuedCall[T]) -> None:
         """Remove the first call of its flow and move virtual time on."""
-        self.virtual = max(self.virtual, call.start_tag)
+        self.virtual_time = max(self.virtual_time, call.start_tag)
         flow = self.flows[call.organisation]
         flow.popleft()
         self._renew(call.organisation, flow)
@@ -105,7 +105,9 @@
             return
         del self.flows[name]
         if not self.flows:
-            self.virtual = max(self.finish_tags.values(), default=self.virtual)
+            self.virtual_time = max(
+                self.finish_tags.values(), default=self.virtual_time
+            )
             self.finish_tags = {}
 
     def _refund(self, call: QueuedCall[T], flow: deque[QueuedCall[T]]) -> None:
