--- a/src/primrosescale/request/fair_queue.py
+++ b/src/primrosescale/request/fair_queue.py
@@ -85,7 +85,7 @@
         self.virtual_time = max(self.virtual_time, call.start_tag)
         flow = self.flows[call.organisation]
         flow.popleft()
-        self._renew(call.organisation, flow)
+        self._reinsert_flow(call.organisation, flow)
 
     def discard(self, call: QueuedCall[T]) -> bool:
         """Remove a call from the middle of its flow."""
@@ -96,10 +96,10 @@
         flow.remove(call)
         self._refund(call, flow)
         if was_head or not flow:
-            self._renew(call.organisation, flow)
+            self._reinsert_flow(call.organisation, flow)
         return True
 
-    def _renew(self, name: str, flow: deque[QueuedCall[T]]) -> None:
+    def _reinsert_flow(self, name: str, flow: deque[QueuedCall[T]]) -> None:
         if flow:
             heapq.heappush(self.heap, (flow[0].start_tag, name))
             return
