--- a/src/primrosescale/request/fair_queue.py
+++ b/src/primrosescale/request/fair_queue.py
@@ -125,7 +125,7 @@
     def __init__(self) -> None:
         self._classes: dict[int, _PriorityClass[T]] = {}
         self._work: dict[str, int] = {}
-        self._total = 0
+        self._total_work = 0
         self._count = 0
 
     def __len__(self) -> int:
@@ -135,7 +135,7 @@
     @property
     def work(self) -> int:
         """Return the work units that wait."""
-        return self._total
+        return self._total_work
 
     @property
     def organisations(self) -> int:
@@ -311,7 +311,7 @@
 
     def _account(self, call: QueuedCall[T], sign: int) -> None:
         self._count += sign
-        self._total += sign * call.work
+        self._total_work += sign * call.work
         left = self._work.get(call.organisation, 0) + sign * call.work
         if left:
             self._work[call.organisation] = left
