--- a/src/primrosescale/request/fair_queue.py
+++ b/src/primrosescale/request/fair_queue.py
@@ -124,7 +124,7 @@
 
     def __init__(self) -> None:
         self._classes: dict[int, _PriorityClass[T]] = {}
-        self._work: dict[str, int] = {}
+        self._work_by_organisation: dict[str, int] = {}
         self._total_work = 0
         self._count = 0
 
@@ -140,7 +140,7 @@
     @property
     def organisations(self) -> int:
         """Return how many organisations have calls waiting."""
-        return len(self._work)
+        return len(self._work_by_organisation)
 
     def work_of(self, organisation: str) -> int:
         """Return the work units of an organisation that wait.
@@ -155,7 +155,7 @@
         int
             Work units.
         """
-        return self._work.get(organisation, 0)
+        return self._work_by_organisation.get(organisation, 0)
 
     def push(self, call: QueuedCall[T]) -> None:
         """Append a call.
@@ -312,8 +312,8 @@
     def _account(self, call: QueuedCall[T], sign: int) -> None:
         self._count += sign
         self._total_work += sign * call.work
-        left = self._work.get(call.organisation, 0) + sign * call.work
+        left = self._work_by_organisation.get(call.organisation, 0) + sign * call.work
         if left:
-            self._work[call.organisation] = left
+            self._work_by_organisation[call.organisation] = left
         else:
-            del self._work[call.organisation]
+            del self._work_by_organisation[call.organisation]
