--- a/src/primrosescale/request/rate_limit.py
+++ b/src/primrosescale/request/rate_limit.py
@@ -15,7 +15,7 @@
 from primrosescale.ini.options import SECONDS
 from primrosescale.ini.options import option
 
-HALF_LIFE = 5.0
+DEMAND_HALF_LIFE_SECONDS = 5.0
 LN_2 = math.log(2.0)
 
 
@@ -77,7 +77,7 @@
     def demand_at(self, now: float) -> float:
         """Return the demand, faded to the present."""
         passed = max(0.0, now - self.seen_at)
-        return float(self.demand * 0.5 ** (passed / HALF_LIFE))
+        return float(self.demand * 0.5 ** (passed / DEMAND_HALF_LIFE_SECONDS))
 
 
 class OrganisationLimiter:
@@ -122,7 +122,7 @@
         allowed = self._allowed(meter, now)
         burst = max(1.0, allowed * self._settings.burst)
         meter.tokens = min(burst, meter.tokens + passed * allowed)
-        meter.demand = meter.demand_at(now) + LN_2 / HALF_LIFE
+        meter.demand = meter.demand_at(now) + LN_2 / DEMAND_HALF_LIFE_SECONDS
         meter.seen_at = now
         if meter.tokens >= 1.0:
             meter.tokens -= 1.0
@@ -148,7 +148,10 @@
         found: list[Demand] = []
         for name, meter in list(self._meters.items()):
             rate = meter.demand_at(now)
-            if rate < meter.limit * share * 0.01 and now - meter.seen_at > HALF_LIFE:
+            if (
+                rate < meter.limit * share * 0.01
+                and now - meter.seen_at > DEMAND_HALF_LIFE_SECONDS
+            ):
                 del self._meters[name]
             elif rate >= meter.limit * share:
                 found.append(Demand(name, rate))
