--- a/src/primrosescale/request/rate_limit.py
+++ b/src/primrosescale/request/rate_limit.py
@@ -64,7 +64,7 @@
 class _Meter:
     """What a router knows of one organisation's rate."""
 
-    __slots__ = ("demand", "heard_at", "limit", "seen_at", "tokens", "total")
+    __slots__ = ("demand", "limit", "seen_at", "tokens", "total", "total_received_at")
 
     def __init__(self, limit: float, burst: float, now: float) -> None:
         self.limit = limit
@@ -72,7 +72,7 @@
         self.seen_at = now
         self.tokens = max(1.0, limit * burst)
         self.total = 0.0
-        self.heard_at = -1.0e9
+        self.total_received_at = -1.0e9
 
     def demand_at(self, now: float) -> float:
         """Return the demand, faded to the present."""
@@ -170,7 +170,7 @@
         meter = self._meters.get(total.organisation)
         if meter is not None:
             meter.total = total.rate
-            meter.heard_at = now
+            meter.total_received_at = now
 
     def _meter(self, organisation: str, limit: float, now: float) -> _Meter:
         meter = self._meters.get(organisation)
@@ -185,7 +185,7 @@
 
     def _allowed(self, meter: _Meter, now: float) -> float:
         """Return the rate at which this router may let requests through."""
-        if now - meter.heard_at > self._settings.total_keep:
+        if now - meter.total_received_at > self._settings.total_keep:
             return meter.limit
         own = meter.demand_at(now)
         total = max(meter.total, own)
