--- a/src/primrosescale/request/rate_limit.py
+++ b/src/primrosescale/request/rate_limit.py
@@ -64,19 +64,26 @@
 class _Meter:
     """What a router knows of one organisation's rate."""
 
-    __slots__ = ("demand", "limit", "seen_at", "tokens", "total", "total_received_at")
+    __slots__ = (
+        "demand",
+        "last_request_at",
+        "limit",
+        "tokens",
+        "total",
+        "total_received_at",
+    )
 
     def __init__(self, limit: float, burst: float, now: float) -> None:
         self.limit = limit
         self.demand = 0.0
-        self.seen_at = now
+        self.last_request_at = now
         self.tokens = max(1.0, limit * burst)
         self.total = 0.0
         self.total_received_at = -1.0e9
 
     def demand_at(self, now: float) -> float:
         """Return the demand, faded to the present."""
-        passed = max(0.0, now - self.seen_at)
+        passed = max(0.0, now - self.last_request_at)
         return float(self.demand * 0.5 ** (passed / DEMAND_HALF_LIFE_SECONDS))
 
 
@@ -118,12 +125,12 @@
         if limit <= 0:
             return 0.0
         meter = self._meter(organisation, limit, now)
-        passed = max(0.0, now - meter.seen_at)
+        passed = max(0.0, now - meter.last_request_at)
         allowed = self._allowed(meter, now)
         burst = max(1.0, allowed * self._settings.burst)
         meter.tokens = min(burst, meter.tokens + passed * allowed)
         meter.demand = meter.demand_at(now) + LN_2 / DEMAND_HALF_LIFE_SECONDS
-        meter.seen_at = now
+        meter.last_request_at = now
         if meter.tokens >= 1.0:
             meter.tokens -= 1.0
             return 0.0
@@ -150,7 +157,7 @@
             rate = meter.demand_at(now)
             if (
                 rate < meter.limit * share * 0.01
-                and now - meter.seen_at > DEMAND_HALF_LIFE_SECONDS
+                and now - meter.last_request_at > DEMAND_HALF_LIFE_SECONDS
             ):
                 del self._meters[name]
             elif rate >= meter.limit * share:
