--- a/src/primrosescale/request/rate_limit.py
+++ b/src/primrosescale/request/rate_limit.py
@@ -126,7 +126,7 @@
             return 0.0
         meter = self._meter(organisation, limit, now)
         passed = max(0.0, now - meter.last_request_at)
-        allowed = self._allowed(meter, now)
+        allowed = self._allowed_rate(meter, now)
         burst = max(1.0, allowed * self._settings.burst)
         meter.tokens = min(burst, meter.tokens + passed * allowed)
         meter.demand = meter.demand_at(now) + LN_2 / DEMAND_HALF_LIFE_SECONDS
@@ -190,7 +190,7 @@
         meter.limit = limit
         return meter
 
-    def _allowed(self, meter: _Meter, now: float) -> float:
+    def _allowed_rate(self, meter: _Meter, now: float) -> float:
         """Return the rate at which this router may let requests through."""
         if now - meter.total_received_at > self._settings.total_keep:
             return meter.limit
