--- a/src/primrosescale/request/retry_budget.py
+++ b/src/primrosescale/request/retry_budget.py
@@ -8,7 +8,7 @@
 from primrosescale.ini.options import SECONDS
 from primrosescale.ini.options import option
 
-BUDGETS_KEPT = 4096
+MAX_BUDGETS = 4096
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,7 +97,7 @@
         budget = self._budgets.get(organisation)
         if budget is None:
             budget = self._budgets[organisation] = RetryBudget(self._settings)
-            if len(self._budgets) > BUDGETS_KEPT:
+            if len(self._budgets) > MAX_BUDGETS:
                 self._budgets.popitem(last=False)
         self._budgets.move_to_end(organisation)
         return budget
