--- a/src/primrosescale/request/load_bound.py
+++ b/src/primrosescale/request/load_bound.py
@@ -152,7 +152,7 @@
             cap = multiple * view.load / view.targets
             late = age - self._settings.stale_after
             cap *= 0.5 ** (late / self._settings.stale_half_life)
-        return max(floor, floor + (cap - floor) * self._joined(now))
+        return max(floor, floor + (cap - floor) * self._slow_start_fraction(now))
 
     def admits(self, own: int, work: int, now: float) -> bool:
         """Tell whether some work may be taken.
@@ -173,7 +173,7 @@
         """
         return own + work <= self.cap(own, work, now)
 
-    def _joined(self, now: float) -> float:
+    def _slow_start_fraction(self, now: float) -> float:
         if self._settings.slow_start <= 0:
             return 1.0
         grown = (now - self._started_at) / self._settings.slow_start
