--- a/src/primrosescale/request/load_bound.py
+++ b/src/primrosescale/request/load_bound.py
@@ -176,5 +176,5 @@
     def _slow_start_fraction(self, now: float) -> float:
         if self._settings.slow_start <= 0:
             return 1.0
-        grown = (now - self._started_at) / self._settings.slow_start
-        return min(1.0, max(0.0, grown))
+        fraction = (now - self._started_at) / self._settings.slow_start
+        return min(1.0, max(0.0, fraction))
