--- a/src/primrosescale/request/load_bound.py
+++ b/src/primrosescale/request/load_bound.py
@@ -150,8 +150,8 @@
             cap = multiple * total / view.targets
         else:
             cap = multiple * view.load / view.targets
-            late = age - self._settings.stale_after
-            cap *= 0.5 ** (late / self._settings.stale_half_life)
+            overdue = age - self._settings.stale_after
+            cap *= 0.5 ** (overdue / self._settings.stale_half_life)
         return max(floor, floor + (cap - floor) * self._slow_start_fraction(now))
 
     def admits(self, own: int, work: int, now: float) -> bool:
