--- a/src/primrosescale/request/candidates.py
+++ b/src/primrosescale/request/candidates.py
@@ -21,7 +21,7 @@
     from primrosescale.connection.endpoint import Endpoint
 
 POINTS_PER_TARGET = 16
-FAR_CANDIDATES = 2
+REMOTE_REGION_CANDIDATES = 2
 HASHES_PER_CANDIDATE = 2
 
 
@@ -309,8 +309,8 @@
         for place, region in enumerate(regions):
             is_last = place + 1 == len(regions)
             wanted = count - len(names)
-            if not is_last and wanted > FAR_CANDIDATES:
-                wanted -= FAR_CANDIDATES
+            if not is_last and wanted > REMOTE_REGION_CANDIDATES:
+                wanted -= REMOTE_REGION_CANDIDATES
             names += self._rings[region].walk(key, wanted)
             if len(names) >= count:
                 break
