--- a/src/primrosescale/request/candidates.py
+++ b/src/primrosescale/request/candidates.py
@@ -99,7 +99,7 @@
         number = len(self._names)
         self._names.append(name)
         self._index[name] = number
-        for point in self._points_of(name):
+        for point in self._ring_points(name):
             place = bisect_left(self._hashes, point)
             self._hashes.insert(place, point)
             self._owners.insert(place, number)
@@ -117,7 +117,7 @@
         pairs = sorted(
             (point, number)
             for number, name in enumerate(self._names)
-            for point in self._points_of(name)
+            for point in self._ring_points(name)
         )
         self._hashes = array("Q", [pair[0] for pair in pairs])
         self._owners = array("I", [pair[1] for pair in pairs])
@@ -181,7 +181,7 @@
                 found.append(owner)
         return [self._names[owner] for owner in found]
 
-    def _points_of(self, name: str) -> list[int]:
+    def _ring_points(self, name: str) -> list[int]:
         data = name.encode()
         return [_point(data, number) for number in range(self._points)]
 
