--- a/src/primrosescale/request/candidates.py
+++ b/src/primrosescale/request/candidates.py
@@ -100,9 +100,9 @@
         self._names.append(name)
         self._index[name] = number
         for point in self._ring_points(name):
-            place = bisect_left(self._hashes, point)
-            self._hashes.insert(place, point)
-            self._owners.insert(place, number)
+            position = bisect_left(self._hashes, point)
+            self._hashes.insert(position, point)
+            self._owners.insert(position, number)
 
     def fill(self, names: Iterable[str]) -> None:
         """Replace all targets at once, cheaper than adding each.
@@ -166,17 +166,17 @@
         if not wanted:
             return []
         data = key.encode()
-        place = 0
+        position = 0
         for seed in range(wanted * HASHES_PER_CANDIDATE):
-            place = bisect_right(self._hashes, _point(data, seed))
-            owner = self._owners[place % size]
+            position = bisect_right(self._hashes, _point(data, seed))
+            owner = self._owners[position % size]
             if owner not in found:
                 found.append(owner)
             if len(found) == wanted:
                 break
         while len(found) < wanted:
-            place += 1
-            owner = self._owners[place % size]
+            position += 1
+            owner = self._owners[position % size]
             if owner not in found:
                 found.append(owner)
         return [self._names[owner] for owner in found]
@@ -306,8 +306,8 @@
         """
         regions = self._regions()
         names: list[str] = []
-        for place, region in enumerate(regions):
-            is_last = place + 1 == len(regions)
+        for position, region in enumerate(regions):
+            is_last = position + 1 == len(regions)
             wanted = count - len(names)
             if not is_last and wanted > REMOTE_REGION_CANDIDATES:
                 wanted -= REMOTE_REGION_CANDIDATES
