--- a/src/primrosescale/request/backoff.py
+++ b/src/primrosescale/request/backoff.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from random import Random
 
-GROWTH = 3.0
+GROWTH_FACTOR = 3.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,6 +54,6 @@
         float
             Seconds.
         """
-        drawn = self._rng.uniform(self._settings.shortest, self._last * GROWTH)
+        drawn = self._rng.uniform(self._settings.shortest, self._last * GROWTH_FACTOR)
         self._last = min(self._settings.longest, drawn)
         return self._last
