--- a/src/primrosescale/request/backoff.py
+++ b/src/primrosescale/request/backoff.py
@@ -44,7 +44,7 @@
     def __init__(self, settings: BackoffSettings, rng: Random) -> None:
         self._settings = settings
         self._rng = rng
-        self._last = settings.shortest
+        self._last_wait = settings.shortest
 
     def next_wait(self) -> float:
         """Return the next wait.
@@ -54,6 +54,8 @@
         float
             Seconds.
         """
-        drawn = self._rng.uniform(self._settings.shortest, self._last * GROWTH_FACTOR)
-        self._last = min(self._settings.longest, drawn)
-        return self._last
+        drawn = self._rng.uniform(
+            self._settings.shortest, self._last_wait * GROWTH_FACTOR
+        )
+        self._last_wait = min(self._settings.longest, drawn)
+        return self._last_wait
