--- a/src/primrosescale/request/call_names.py
+++ b/src/primrosescale/request/call_names.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class _Entry:
+class _NameRecord:
     """A remembered name."""
 
     state: NameState
@@ -58,7 +58,7 @@
     def __init__(self, keep: float, limit: int) -> None:
         self._keep = keep
         self._limit = limit
-        self._entries: dict[CallName, _Entry] = {}
+        self._entries: dict[CallName, _NameRecord] = {}
         self._due: dict[int, list[CallName]] = {}
 
     def __len__(self) -> int:
@@ -134,5 +134,5 @@
 
     def _put(self, name: CallName, state: NameState, deadline: float) -> None:
         until = deadline + self._keep
-        self._entries[name] = _Entry(state, until)
+        self._entries[name] = _NameRecord(state, until)
         self._due.setdefault(math.ceil(until), []).append(name)
