--- a/src/primrosescale/request/call_names.py
+++ b/src/primrosescale/request/call_names.py
@@ -83,8 +83,8 @@
         NameState
             `NameState.FRESH` for one never seen.
         """
-        entry = self._entries.get(name)
-        return NameState.FRESH if entry is None else entry.state
+        record = self._entries.get(name)
+        return NameState.FRESH if record is None else record.state
 
     def take(self, name: CallName, deadline: float) -> None:
         """Remember that a call has arrived.
@@ -126,8 +126,8 @@
         forgotten = 0
         for second in [due for due in self._due if due < now]:
             for name in self._due.pop(second):
-                entry = self._entries.get(name)
-                if entry is not None and entry.until <= now:
+                record = self._entries.get(name)
+                if record is not None and record.until <= now:
                     del self._entries[name]
                     forgotten += 1
         return forgotten
