--- a/src/primrosescale/request/call_names.py
+++ b/src/primrosescale/request/call_names.py
@@ -41,7 +41,7 @@
     """A remembered name."""
 
     state: NameState
-    until: float
+    expires_at: float
 
 
 class CallNames:
@@ -127,12 +127,12 @@
         for second in [due for due in self._due if due < now]:
             for name in self._due.pop(second):
                 record = self._entries.get(name)
-                if record is not None and record.until <= now:
+                if record is not None and record.expires_at <= now:
                     del self._entries[name]
                     forgotten += 1
         return forgotten
 
     def _put(self, name: CallName, state: NameState, deadline: float) -> None:
-        until = deadline + self._keep
-        self._entries[name] = _NameRecord(state, until)
-        self._due.setdefault(math.ceil(until), []).append(name)
+        expires_at = deadline + self._keep
+        self._entries[name] = _NameRecord(state, expires_at)
+        self._due.setdefault(math.ceil(expires_at), []).append(name)
