--- a/src/primrosescale/request/call_names.py
+++ b/src/primrosescale/request/call_names.py
@@ -59,7 +59,7 @@
         self._keep = keep
         self._limit = limit
         self._entries: dict[CallName, _NameRecord] = {}
-        self._due: dict[int, list[CallName]] = {}
+        self._names_by_expiry: dict[int, list[CallName]] = {}
 
     def __len__(self) -> int:
         """Return how many names are kept."""
@@ -124,8 +124,8 @@
             How many were forgotten.
         """
         forgotten = 0
-        for second in [due for due in self._due if due < now]:
-            for name in self._due.pop(second):
+        for second in [due for due in self._names_by_expiry if due < now]:
+            for name in self._names_by_expiry.pop(second):
                 record = self._entries.get(name)
                 if record is not None and record.expires_at <= now:
                     del self._entries[name]
@@ -135,4 +135,4 @@
     def _put(self, name: CallName, state: NameState, deadline: float) -> None:
         expires_at = deadline + self._keep
         self._entries[name] = _NameRecord(state, expires_at)
-        self._due.setdefault(math.ceil(expires_at), []).append(name)
+        self._names_by_expiry.setdefault(math.ceil(expires_at), []).append(name)
