--- a/src/primrosescale/request/call_names.py
+++ b/src/primrosescale/request/call_names.py
@@ -58,17 +58,17 @@
     def __init__(self, keep: float, limit: int) -> None:
         self._keep = keep
         self._limit = limit
-        self._entries: dict[CallName, _NameRecord] = {}
+        self._records: dict[CallName, _NameRecord] = {}
         self._names_by_expiry: dict[int, list[CallName]] = {}
 
     def __len__(self) -> int:
         """Return how many names are kept."""
-        return len(self._entries)
+        return len(self._records)
 
     @property
     def is_full(self) -> bool:
         """Tell whether no new name fits."""
-        return len(self._entries) >= self._limit
+        return len(self._records) >= self._limit
 
     def state(self, name: CallName) -> NameState:
         """Return what is known of a name.
@@ -83,7 +83,7 @@
         NameState
             `NameState.FRESH` for one never seen.
         """
-        record = self._entries.get(name)
+        record = self._records.get(name)
         return NameState.FRESH if record is None else record.state
 
     def take(self, name: CallName, deadline: float) -> None:
@@ -126,13 +126,13 @@
         forgotten = 0
         for second in [due for due in self._names_by_expiry if due < now]:
             for name in self._names_by_expiry.pop(second):
-                record = self._entries.get(name)
+                record = self._records.get(name)
                 if record is not None and record.expires_at <= now:
-                    del self._entries[name]
+                    del self._records[name]
                     forgotten += 1
         return forgotten
 
     def _put(self, name: CallName, state: NameState, deadline: float) -> None:
         expires_at = deadline + self._keep
-        self._entries[name] = _NameRecord(state, expires_at)
+        self._records[name] = _NameRecord(state, expires_at)
         self._names_by_expiry.setdefault(math.ceil(expires_at), []).append(name)
