--- a/src/primrosescale/request/call_names.py
+++ b/src/primrosescale/request/call_names.py
@@ -124,7 +124,7 @@
             How many were forgotten.
         """
         forgotten = 0
-        for second in [due for due in self._names_by_expiry if due < now]:
+        for second in [expiry for expiry in self._names_by_expiry if expiry < now]:
             for name in self._names_by_expiry.pop(second):
                 record = self._records.get(name)
                 if record is not None and record.expires_at <= now:
