--- a/src/primrosescale/request/answer_buffer.py
+++ b/src/primrosescale/request/answer_buffer.py
@@ -160,7 +160,7 @@
 
     def _trim(self) -> None:
         """Drop bytes the reader has, beyond what is kept for resuming."""
-        spare = min(len(self._data) - self._keep, self._credited - self._start)
-        if spare > 0:
-            del self._data[:spare]
-            self._start += spare
+        removable = min(len(self._data) - self._keep, self._credited - self._start)
+        if removable > 0:
+            del self._data[:removable]
+            self._start += removable
