--- a/src/primrosescale/request/answer_buffer.py
+++ b/src/primrosescale/request/answer_buffer.py
@@ -107,12 +107,12 @@
         """Mark the answer as whole."""
         self._is_ended = True
 
-    def take(self, most: int) -> Piece | None:
+    def take(self, max_bytes: int) -> Piece | None:
         """Return the next bytes that may be sent now.
 
         Parameters
         ----------
-        most : int
+        max_bytes : int
             Bytes of one piece at the most.
 
         Returns
@@ -121,7 +121,7 @@
             The piece, unless all is sent or credit has run out.
         """
         allowed = self._credited + self._window - self._sent
-        size = min(most, allowed, self.length - self._sent)
+        size = min(max_bytes, allowed, self.length - self._sent)
         if size <= 0:
             return None
         begin = self._sent - self._start
