--- a/src/primrosescale/request/attempts.py
+++ b/src/primrosescale/request/attempts.py
@@ -14,7 +14,7 @@
     from primrosescale.request.candidates import Target
     from primrosescale.request.retry_budget import RetryBudget
 
-FINAL_REASONS = frozenset(
+NON_RETRYABLE_REASONS = frozenset(
     {
         Reason.DEADLINE,
         Reason.KEY_HELD,
@@ -191,7 +191,7 @@
         self._note(failure)
         if failure.outcome is not Outcome.NOT_RUN:
             return self._after_unknown(failure, now)
-        if failure.reason in FINAL_REASONS:
+        if failure.reason in NON_RETRYABLE_REASONS:
             return self._give_up(failure)
         if failure.reason == Reason.TARGET_FAILED and not self._is_idempotent:
             # Its claim is being given back; another agent would find it held.
