--- a/src/primrosescale/request/attempts.py
+++ b/src/primrosescale/request/attempts.py
@@ -123,7 +123,7 @@
         self._backoff = backoff
         self._next = 0
         self._was_directed = False
-        self._skip = ""
+        self._directed_name = ""
         self._was_over_bound = False
         self._may_have_run = False
         self._attempts = 0
@@ -227,7 +227,7 @@
         self._next = 0
         if directed is None:
             return self._try_next(now, failure, 0.0)
-        self._skip = directed.name
+        self._directed_name = directed.name
         self._attempts += 1
         return Step(StepKind.TRY, target=directed, is_directed=True)
 
@@ -251,7 +251,7 @@
         """Pass over the candidate that the directory has named already."""
         if self._next >= len(self._candidates):
             return
-        if self._candidates[self._next].name == self._skip:
+        if self._candidates[self._next].name == self._directed_name:
             self._next += 1
 
     def _give_up(self, failure: AttemptFailure) -> Step:
