--- a/src/primrosescale/request/attempts.py
+++ b/src/primrosescale/request/attempts.py
@@ -188,7 +188,7 @@
         Step
             What to do.
         """
-        self._note(failure)
+        self._record_failure(failure)
         if failure.outcome is not Outcome.NOT_RUN:
             return self._after_unknown(failure, now)
         if failure.reason in NON_RETRYABLE_REASONS:
@@ -200,7 +200,7 @@
             return self._follow(failure, directed, now)
         return self._try_next(now, failure, 0.0)
 
-    def _note(self, failure: AttemptFailure) -> None:
+    def _record_failure(self, failure: AttemptFailure) -> None:
         if failure.outcome is not Outcome.NOT_RUN:
             self._may_have_run = True
         if failure.reason == Reason.OVER_BOUND:
