--- a/src/primrosescale/request/attempts.py
+++ b/src/primrosescale/request/attempts.py
@@ -197,7 +197,7 @@
             # Its claim is being given back; another agent would find it held.
             return self._give_up(failure)
         if failure.reason == Reason.ELSEWHERE:
-            return self._follow(failure, directed, now)
+            return self._follow_directory(failure, directed, now)
         return self._try_next(now, failure, 0.0)
 
     def _record_failure(self, failure: AttemptFailure) -> None:
@@ -215,7 +215,7 @@
             return self._give_up(failure)
         return self._try_next(now, failure, self._backoff.next_wait())
 
-    def _follow(
+    def _follow_directory(
         self,
         failure: AttemptFailure,
         directed: Target | None,
