--- a/src/primrosescale/request/attempts.py
+++ b/src/primrosescale/request/attempts.py
@@ -121,7 +121,7 @@
         self._deadline = deadline
         self._budget = budget
         self._backoff = backoff
-        self._next = 0
+        self._next_index = 0
         self._was_directed = False
         self._directed_name = ""
         self._was_over_bound = False
@@ -224,7 +224,7 @@
         if self._was_directed:
             return self._try_next(now, failure, 0.0)
         self._was_directed = True
-        self._next = 0
+        self._next_index = 0
         if directed is None:
             return self._try_next(now, failure, 0.0)
         self._directed_name = directed.name
@@ -233,12 +233,12 @@
 
     def _try_next(self, now: float, failure: AttemptFailure, wait: float) -> Step:
         self._skip_directed()
-        if self._next >= len(self._candidates):
+        if self._next_index >= len(self._candidates):
             return self._give_up(failure)
         if now + wait >= self._deadline:
             return self._give_up(failure)
-        target = self._candidates[self._next]
-        self._next += 1
+        target = self._candidates[self._next_index]
+        self._next_index += 1
         self._attempts += 1
         return Step(
             StepKind.TRY,
@@ -249,10 +249,10 @@
 
     def _skip_directed(self) -> None:
         """Pass over the candidate that the directory has named already."""
-        if self._next >= len(self._candidates):
+        if self._next_index >= len(self._candidates):
             return
-        if self._candidates[self._next].name == self._directed_name:
-            self._next += 1
+        if self._candidates[self._next_index].name == self._directed_name:
+            self._next_index += 1
 
     def _give_up(self, failure: AttemptFailure) -> Step:
         """Stop at once, and never say "not run" after an unknown attempt."""
