--- a/src/primrosescale/request/attempts.py
+++ b/src/primrosescale/request/attempts.py
@@ -127,7 +127,7 @@
         self._was_over_bound = False
         self._may_have_run = False
         self._attempts = 0
-        self._shortest_retry: float | None = None
+        self._shortest_retry_after: float | None = None
 
     @property
     def attempts(self) -> int:
@@ -206,9 +206,9 @@
         if failure.reason == Reason.OVER_BOUND:
             self._was_over_bound = True
         if failure.retry_after > 0:
-            known = self._shortest_retry
+            known = self._shortest_retry_after
             after = failure.retry_after
-            self._shortest_retry = after if known is None else min(known, after)
+            self._shortest_retry_after = after if known is None else min(known, after)
 
     def _after_unknown(self, failure: AttemptFailure, now: float) -> Step:
         if not self._is_idempotent or not self._budget.spend():
@@ -257,7 +257,7 @@
     def _give_up(self, failure: AttemptFailure) -> Step:
         """Stop at once, and never say "not run" after an unknown attempt."""
         outcome = Outcome.UNKNOWN if self._may_have_run else failure.outcome
-        after = self._shortest_retry
+        after = self._shortest_retry_after
         reason = failure.reason
         if self._was_over_bound and reason == Reason.DRAINING:
             reason = Reason.OVER_BOUND
