--- a/src/primrosescale/request/attempts.py
+++ b/src/primrosescale/request/attempts.py
@@ -158,13 +158,13 @@
             What to do.
         """
         self._budget.earn()
-        nobody = AttemptFailure(
+        no_candidate = AttemptFailure(
             Outcome.NOT_RUN,
             Reason.NO_CANDIDATE,
             retry_after=1.0,
             detail="no target of the service is known",
         )
-        return self._try_next(now, nobody, 0.0)
+        return self._try_next(now, no_candidate, 0.0)
 
     def after(
         self,
