--- a/src/primrosescale/request/attempts.py
+++ b/src/primrosescale/request/attempts.py
@@ -261,11 +261,11 @@
         reason = failure.reason
         if self._was_over_bound and reason == Reason.DRAINING:
             reason = Reason.OVER_BOUND
-        told = AttemptFailure(
+        final = AttemptFailure(
             outcome,
             reason,
             retry_after=failure.retry_after if after is None else after,
             place=failure.place,
             detail=failure.detail,
         )
-        return Step(StepKind.GIVE_UP, failure=told)
+        return Step(StepKind.GIVE_UP, failure=final)
