--- a/src/primrosescale/request/call_table.py
+++ b/src/primrosescale/request/call_table.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from primrosescale.connection.wire import ttypes as wire
-from primrosescale.request.routed_call import CallHost
+from primrosescale.request.routed_call import CallContext
 from primrosescale.request.routed_call import RoutedCall
 
 if TYPE_CHECKING:
@@ -33,7 +33,7 @@
 
     @abstractmethod
     def find_target(self, service: str, name: str) -> Target | None:
-        """Return a usable target; see `CallHost.find_target`."""
+        """Return a usable target; see `CallContext.find_target`."""
 
     @abstractmethod
     def suspect(self, target: Target) -> None:
@@ -48,7 +48,7 @@
         """Take in that a call has ended."""
 
 
-class CallTable(CallHost):
+class CallTable(CallContext):
     """Matches answers to calls by name; what matches none is counted.
 
     Parameters
@@ -89,13 +89,13 @@
         return self._strays
 
     def register(self, call: RoutedCall) -> int:
-        """Give an attempt a number; see `CallHost.register`."""
+        """Give an attempt a number; see `CallContext.register`."""
         self._next_number += 1
         self._calls[self._next_number] = call
         return self._next_number
 
     def unregister(self, number: int) -> None:
-        """Forget an attempt; see `CallHost.unregister`."""
+        """Forget an attempt; see `CallContext.unregister`."""
         self._calls.pop(number, None)
 
     def connect(self, target: Target) -> Deferred[Link]:
--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -89,7 +89,7 @@
     cached_tokens: int
 
 
-class CallHost(ABC):
+class CallContext(ABC):
     """What a routed call needs of the router it runs in."""
 
     @abstractmethod
@@ -215,7 +215,7 @@
         Decides about attempts.
     sink : AnswerSink
         The caller.
-    host : CallHost
+    host : CallContext
         The router.
     clock : Clock
         Source of time and timers.
@@ -252,7 +252,7 @@
         request: CallRequest,
         plan: AttemptPlan,
         sink: AnswerSink,
-        host: CallHost,
+        host: CallContext,
         clock: Clock,
         settings: RoutedCallSettings,
     ) -> None:
