--- a/src/primrosescale/request/agent_call.py
+++ b/src/primrosescale/request/agent_call.py
@@ -30,7 +30,7 @@
     from primrosescale.request.target_port import TargetRun
 
 MILLISECONDS = 1000
-RETRY_AFTER = "retry-after"
+RETRY_AFTER_HEADER = "retry-after"
 
 
 @dataclass(frozen=True, slots=True)
@@ -329,7 +329,7 @@
             return
         name = self._name
         self._head = wire.AnswerHead(name.router, name.number, status, headers)
-        values = [h.value for h in headers if h.name.lower() == RETRY_AFTER]
+        values = [h.value for h in headers if h.name.lower() == RETRY_AFTER_HEADER]
         self._asked_rest = asked_rest(status, values)
 
     def target_data(self, data: bytes) -> None:
