--- a/src/primrosescale/request/agent_call.py
+++ b/src/primrosescale/request/agent_call.py
@@ -99,7 +99,7 @@
     __slots__ = (
         "_asked_rest",
         "_buffer",
-        "_cached",
+        "_cached_tokens",
         "_call",
         "_claim",
         "_deadline",
@@ -146,7 +146,7 @@
         self._head: wire.AnswerHead | None = None
         self._asked_rest: float | None = None
         self._head_sent = False
-        self._cached = 0
+        self._cached_tokens = 0
         self._failure: wire.CallFailed | None = None
         self._run: TargetRun | None = None
         self._claim: Claim | None = None
@@ -200,7 +200,7 @@
     @property
     def cached_tokens(self) -> int:
         """Return the prompt tokens served from the target's cache."""
-        return self._cached
+        return self._cached_tokens
 
     @property
     def is_replay(self) -> bool:
@@ -347,7 +347,7 @@
         if self._phase is CallPhase.ENDED:
             return
         self._run = None
-        self._cached = cached_tokens
+        self._cached_tokens = cached_tokens
         self._buffer.end()
         self._finish(is_answered=True)
         if self._may_send_whole():
@@ -457,7 +457,7 @@
                 head.headers,
                 body,
                 digest_of(body),
-                self._cached,
+                self._cached_tokens,
                 self._load(),
             ),
         )
@@ -471,7 +471,7 @@
                 name.number,
                 buffer.length,
                 buffer.digest,
-                self._cached,
+                self._cached_tokens,
                 self._load(),
             ),
         )
