--- a/src/primrosescale/request/agent_call.py
+++ b/src/primrosescale/request/agent_call.py
@@ -350,7 +350,7 @@
         self._cached_tokens = cached_tokens
         self._buffer.end()
         self._finish(is_answered=True)
-        if self._may_send_whole():
+        if self._fits_one_message():
             self._send_whole()
             return
         self.flush()
@@ -437,7 +437,7 @@
         if self._buffer.is_ended and self._buffer.is_sent:
             self._send_end()
 
-    def _may_send_whole(self) -> bool:
+    def _fits_one_message(self) -> bool:
         if self._link is None or self._head is None or self._head_sent:
             return False
         return self._buffer.length <= self._settings.whole_limit
