--- a/src/primrosescale/request/agent_call.py
+++ b/src/primrosescale/request/agent_call.py
@@ -351,7 +351,7 @@
         self._buffer.end()
         self._finish(is_answered=True)
         if self._fits_one_message():
-            self._send_whole()
+            self._send_in_one_message()
             return
         self.flush()
 
@@ -442,7 +442,7 @@
             return False
         return self._buffer.length <= self._settings.whole_limit
 
-    def _send_whole(self) -> None:
+    def _send_in_one_message(self) -> None:
         head = self._head
         body = self._buffer.snapshot()
         if head is None or body is None:
