--- a/src/primrosescale/request/agent_call.py
+++ b/src/primrosescale/request/agent_call.py
@@ -329,7 +329,11 @@
             return
         name = self._name
         self._head = wire.AnswerHead(name.router, name.number, status, headers)
-        values = [h.value for h in headers if h.name.lower() == RETRY_AFTER_HEADER]
+        values = [
+            header.value
+            for header in headers
+            if header.name.lower() == RETRY_AFTER_HEADER
+        ]
         self._asked_rest = asked_rest(status, values)
 
     def target_data(self, data: bytes) -> None:
