--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -35,7 +35,7 @@
     from primrosescale.request.candidates import Target
 
 MILLISECONDS = 1000
-ENDS = (wire.Answer, wire.AnswerEnd, wire.CallFailed)
+FINAL_MESSAGES = (wire.Answer, wire.AnswerEnd, wire.CallFailed)
 
 
 @dataclass(frozen=True, slots=True)
@@ -336,7 +336,7 @@
         """
         if self._is_done:
             return
-        if isinstance(message, ENDS) and self._target is not None:
+        if isinstance(message, FINAL_MESSAGES) and self._target is not None:
             self._host.load_heard(self._target, message.load)
         try:
             self._dispatch(message)
