--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -351,7 +351,7 @@
             self._sink.data(self._check.accept(message.offset, message.data))
             self._give_credit()
         elif isinstance(message, wire.Answer):
-            self._whole(message)
+            self._receive_whole(message)
         elif isinstance(message, wire.AnswerHead):
             self._sink.head(message.status, message.headers)
         elif isinstance(message, wire.AnswerEnd):
@@ -360,7 +360,7 @@
         elif isinstance(message, wire.CallFailed):
             self._fail(_failure_of(message))
 
-    def _whole(self, message: wire.Answer) -> None:
+    def _receive_whole(self, message: wire.Answer) -> None:
         if digest_of(message.body) != message.digest:
             raise AnswerCutError("the digest differs")
         self._sink.head(message.status, message.headers)
