--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -298,7 +298,7 @@
         now = self._clock.seconds()
         left = max(0.0, self._request.deadline - now)
         self._timer = self._clock.callLater(left, self._deadline_passed)
-        self._take(self._plan.first(now))
+        self._execute(self._plan.first(now))
 
     def cancel(self) -> None:
         """Stop because the caller has gone away."""
@@ -373,7 +373,7 @@
         self._sink.finish()
         self._end(Outcome.RAN, None)
 
-    def _take(self, step: Step) -> None:
+    def _execute(self, step: Step) -> None:
         if step.kind is StepKind.GIVE_UP or step.target is None:
             self._give_up(step.failure)
             return
@@ -520,7 +520,7 @@
         if failure.place:
             directed = self._host.find_target(self._request.service, failure.place)
         now = self._clock.seconds()
-        self._take(self._plan.after(failure, directed, now))
+        self._execute(self._plan.after(failure, directed, now))
 
     def _give_up(self, failure: AttemptFailure | None) -> None:
         told = failure or AttemptFailure(Outcome.UNKNOWN, Reason.NO_CANDIDATE)
