--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -369,7 +369,7 @@
 
     def _finish(self, cached_tokens: int) -> None:
         self._cached = cached_tokens
-        self._settle()
+        self._release_link()
         self._sink.finish()
         self._end(Outcome.RAN, None)
 
@@ -508,7 +508,7 @@
     def _fail(self, failure: AttemptFailure) -> None:
         """End the present attempt and take the next step."""
         self._host.unregister(self._number)
-        self._settle()
+        self._release_link()
         self._is_in_flight = False
         self._attempt += 1
         if self._sink.has_begun:
@@ -559,7 +559,7 @@
                 wire.Credit(self._host.incarnation, self._number, taken),
             )
 
-    def _settle(self) -> None:
+    def _release_link(self) -> None:
         if self._link is not None:
             self._link.settle()
             self._link = None
@@ -568,7 +568,7 @@
         if self._is_done:
             return
         self._is_done = True
-        self._settle()
+        self._release_link()
         self._host.unregister(self._number)
         for timer in (self._timer, self._wait_timer):
             cancel_timer(timer)
