--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -324,7 +324,7 @@
         if self._is_done or link is not self._link:
             return
         self._link = None
-        self._resume_later(detail)
+        self._schedule_resume(detail)
 
     def message(self, message: Message) -> None:
         """Take in what the agent says of the present attempt.
@@ -453,7 +453,7 @@
             streamed=request.is_streamed,
         )
 
-    def _resume_later(self, detail: str) -> None:
+    def _schedule_resume(self, detail: str) -> None:
         """Ask for the answer by name on a new connection, soon."""
         if self._resumes >= self._settings.resume_attempts:
             self._lost(detail)
@@ -498,7 +498,7 @@
     def _resume_failed(self, failure: Failure, attempt: int) -> None:
         if self._is_done or attempt != self._attempt:
             return
-        self._resume_later(failure.getErrorMessage())
+        self._schedule_resume(failure.getErrorMessage())
 
     def _lost(self, detail: str) -> None:
         if self._target is not None:
