--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -358,7 +358,7 @@
             self._check.finish(message.length, message.digest)
             self._finish(message.cached_tokens)
         elif isinstance(message, wire.CallFailed):
-            self._fail(_failure_of(message))
+            self._fail(_failure_from(message))
 
     def _receive_whole(self, message: wire.Answer) -> None:
         if digest_of(message.body) != message.digest:
@@ -577,7 +577,7 @@
         self._host.call_ended(self, report)
 
 
-def _failure_of(message: wire.CallFailed) -> AttemptFailure:
+def _failure_from(message: wire.CallFailed) -> AttemptFailure:
     return AttemptFailure(
         Outcome(message.outcome),
         Reason(message.reason),
