--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -229,6 +229,7 @@
         "_check",
         "_clock",
         "_credited",
+        "_deadline_timer",
         "_host",
         "_is_directed",
         "_is_done",
@@ -243,7 +244,6 @@
         "_sink",
         "_target",
         "_target_incarnation",
-        "_timer",
         "_wait_timer",
     )
 
@@ -276,7 +276,7 @@
         self._is_directed = False
         self._is_in_flight = False
         self._wait_timer: Timer | None = None
-        self._timer: Timer | None = None
+        self._deadline_timer: Timer | None = None
 
     @property
     def request(self) -> CallRequest:
@@ -297,7 +297,7 @@
         """Make the first attempt."""
         now = self._clock.seconds()
         left = max(0.0, self._request.deadline - now)
-        self._timer = self._clock.callLater(left, self._deadline_passed)
+        self._deadline_timer = self._clock.callLater(left, self._deadline_passed)
         self._execute(self._plan.first(now))
 
     def cancel(self) -> None:
@@ -531,8 +531,8 @@
         """Stop waiting; an agent that has the call says what became of it."""
         if self._is_done:
             return
-        if self._link is not None and self._timer is not None:
-            self._timer = None
+        if self._link is not None and self._deadline_timer is not None:
+            self._deadline_timer = None
             self._cancel_attempt()
             self._clock.callLater(self._settings.grace, self._deadline_passed)
             return
@@ -570,7 +570,7 @@
         self._is_done = True
         self._release_link()
         self._host.unregister(self._number)
-        for timer in (self._timer, self._wait_timer):
+        for timer in (self._deadline_timer, self._wait_timer):
             cancel_timer(timer)
         name = self._target.name if self._target and outcome is Outcome.RAN else ""
         report = CallReport(outcome, reason, self._plan.attempts, name, self._cached)
