--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -225,7 +225,7 @@
 
     __slots__ = (
         "_attempt",
-        "_cached",
+        "_cached_tokens",
         "_check",
         "_clock",
         "_credited",
@@ -270,7 +270,7 @@
         self._attempt = 0
         self._resumes = 0
         self._credited = 0
-        self._cached = 0
+        self._cached_tokens = 0
         self._sent_at = 0.0
         self._is_done = False
         self._is_directed = False
@@ -368,7 +368,7 @@
         self._finish(message.cached_tokens)
 
     def _finish(self, cached_tokens: int) -> None:
-        self._cached = cached_tokens
+        self._cached_tokens = cached_tokens
         self._release_link()
         self._sink.finish()
         self._end(Outcome.RAN, None)
@@ -573,7 +573,9 @@
         for timer in (self._deadline_timer, self._wait_timer):
             cancel_timer(timer)
         name = self._target.name if self._target and outcome is Outcome.RAN else ""
-        report = CallReport(outcome, reason, self._plan.attempts, name, self._cached)
+        report = CallReport(
+            outcome, reason, self._plan.attempts, name, self._cached_tokens
+        )
         self._host.call_ended(self, report)
 
 
