--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -225,6 +225,7 @@
 
     __slots__ = (
         "_attempt",
+        "_attempt_number",
         "_cached_tokens",
         "_check",
         "_clock",
@@ -235,7 +236,6 @@
         "_is_done",
         "_is_in_flight",
         "_link",
-        "_number",
         "_plan",
         "_request",
         "_resumes",
@@ -266,7 +266,7 @@
         self._link: Link | None = None
         self._target: Target | None = None
         self._target_incarnation = 0
-        self._number = 0
+        self._attempt_number = 0
         self._attempt = 0
         self._resumes = 0
         self._credited = 0
@@ -406,7 +406,7 @@
     def _connected(self, link: Link, attempt: int) -> None:
         if self._is_done or attempt != self._attempt or link.peer is None:
             return
-        self._number = self._host.register(self)
+        self._attempt_number = self._host.register(self)
         self._check = AnswerCheck()
         self._credited = 0
         self._resumes = 0
@@ -429,7 +429,7 @@
         left = max(0.0, request.deadline - self._sent_at)
         return wire.Call(
             router=self._host.incarnation,
-            number=self._number,
+            number=self._attempt_number,
             target_incarnation=target_incarnation,
             service_name=request.service,
             organisation=request.organisation,
@@ -488,7 +488,7 @@
         link.send(
             wire.Resume(
                 router=self._host.incarnation,
-                number=self._number,
+                number=self._attempt_number,
                 offset=self._check.offset,
                 target_incarnation=self._target_incarnation,
                 age_ms=int(age * MILLISECONDS),
@@ -507,7 +507,7 @@
 
     def _fail(self, failure: AttemptFailure) -> None:
         """End the present attempt and take the next step."""
-        self._host.unregister(self._number)
+        self._host.unregister(self._attempt_number)
         self._release_link()
         self._is_in_flight = False
         self._attempt += 1
@@ -547,7 +547,7 @@
 
     def _cancel_attempt(self) -> None:
         if self._link is not None:
-            self._link.send(wire.Cancel(self._host.incarnation, self._number))
+            self._link.send(wire.Cancel(self._host.incarnation, self._attempt_number))
 
     def _give_credit(self) -> None:
         if self._link is None or self._sink.is_blocked:
@@ -556,7 +556,7 @@
         if taken - self._credited >= self._settings.credit_step:
             self._credited = taken
             self._link.send(
-                wire.Credit(self._host.incarnation, self._number, taken),
+                wire.Credit(self._host.incarnation, self._attempt_number, taken),
             )
 
     def _release_link(self) -> None:
@@ -569,7 +569,7 @@
             return
         self._is_done = True
         self._release_link()
-        self._host.unregister(self._number)
+        self._host.unregister(self._attempt_number)
         for timer in (self._deadline_timer, self._wait_timer):
             cancel_timer(timer)
         name = self._target.name if self._target and outcome is Outcome.RAN else ""
