--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -238,7 +238,7 @@
         "_link",
         "_plan",
         "_request",
-        "_resumes",
+        "_resume_count",
         "_sent_at",
         "_settings",
         "_sink",
@@ -268,7 +268,7 @@
         self._target_incarnation = 0
         self._attempt_number = 0
         self._attempt = 0
-        self._resumes = 0
+        self._resume_count = 0
         self._credited = 0
         self._cached_tokens = 0
         self._sent_at = 0.0
@@ -409,7 +409,7 @@
         self._attempt_number = self._host.register(self)
         self._check = AnswerCheck()
         self._credited = 0
-        self._resumes = 0
+        self._resume_count = 0
         self._sent_at = self._clock.seconds()
         self._target_incarnation = link.peer.incarnation
         self._link = link
@@ -455,11 +455,11 @@
 
     def _schedule_resume(self, detail: str) -> None:
         """Ask for the answer by name on a new connection, soon."""
-        if self._resumes >= self._settings.resume_attempts:
+        if self._resume_count >= self._settings.resume_attempts:
             self._lost(detail)
             return
-        pause = self._settings.resume_pause if self._resumes else 0.0
-        self._resumes += 1
+        pause = self._settings.resume_pause if self._resume_count else 0.0
+        self._resume_count += 1
         attempt = self._attempt
         self._wait_timer = self._clock.callLater(pause, self._resume, attempt)
 
