--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -229,9 +229,9 @@
         "_cached_tokens",
         "_check",
         "_clock",
+        "_context",
         "_credited",
         "_deadline_timer",
-        "_host",
         "_is_directed",
         "_is_done",
         "_is_in_flight",
@@ -259,7 +259,7 @@
         self._request = request
         self._plan = plan
         self._sink = sink
-        self._host = host
+        self._context = host
         self._clock = clock
         self._settings = settings
         self._check = AnswerCheck()
@@ -337,7 +337,7 @@
         if self._is_done:
             return
         if isinstance(message, FINAL_MESSAGES) and self._target is not None:
-            self._host.load_heard(self._target, message.load)
+            self._context.load_heard(self._target, message.load)
         try:
             self._dispatch(message)
         except AnswerCutError as error:
@@ -391,11 +391,11 @@
             return
         self._attempt += 1
         attempt = self._attempt
-        link = self._host.open_link(target)
+        link = self._context.open_link(target)
         if link is not None:
             self._connected(link, attempt)
             return
-        connecting = self._host.connect(target)
+        connecting = self._context.connect(target)
         connecting.addCallbacks(
             self._connected,
             self._dial_failed,
@@ -406,7 +406,7 @@
     def _connected(self, link: Link, attempt: int) -> None:
         if self._is_done or attempt != self._attempt or link.peer is None:
             return
-        self._attempt_number = self._host.register(self)
+        self._attempt_number = self._context.register(self)
         self._check = AnswerCheck()
         self._credited = 0
         self._resume_count = 0
@@ -420,7 +420,7 @@
     def _dial_failed(self, failure: Failure, attempt: int, target: Target) -> None:
         if self._is_done or attempt != self._attempt:
             return
-        self._host.suspect(target)
+        self._context.suspect(target)
         detail = failure.getErrorMessage()
         self._fail(AttemptFailure(Outcome.NOT_RUN, Reason.LINK_LOST, detail=detail))
 
@@ -428,7 +428,7 @@
         request = self._request
         left = max(0.0, request.deadline - self._sent_at)
         return wire.Call(
-            router=self._host.incarnation,
+            router=self._context.incarnation,
             number=self._attempt_number,
             target_incarnation=target_incarnation,
             service_name=request.service,
@@ -468,7 +468,7 @@
         target = self._target
         if self._is_done or attempt != self._attempt or target is None:
             return
-        connecting = self._host.connect(target)
+        connecting = self._context.connect(target)
         connecting.addCallbacks(
             self._resumed,
             self._resume_failed,
@@ -487,7 +487,7 @@
         age = self._clock.seconds() - self._sent_at
         link.send(
             wire.Resume(
-                router=self._host.incarnation,
+                router=self._context.incarnation,
                 number=self._attempt_number,
                 offset=self._check.offset,
                 target_incarnation=self._target_incarnation,
@@ -502,12 +502,12 @@
 
     def _lost(self, detail: str) -> None:
         if self._target is not None:
-            self._host.suspect(self._target)
+            self._context.suspect(self._target)
         self._fail(AttemptFailure(Outcome.UNKNOWN, Reason.LINK_LOST, detail=detail))
 
     def _fail(self, failure: AttemptFailure) -> None:
         """End the present attempt and take the next step."""
-        self._host.unregister(self._attempt_number)
+        self._context.unregister(self._attempt_number)
         self._release_link()
         self._is_in_flight = False
         self._attempt += 1
@@ -518,7 +518,7 @@
         self._sink.reset()
         directed = None
         if failure.place:
-            directed = self._host.find_target(self._request.service, failure.place)
+            directed = self._context.find_target(self._request.service, failure.place)
         now = self._clock.seconds()
         self._execute(self._plan.after(failure, directed, now))
 
@@ -547,7 +547,9 @@
 
     def _cancel_attempt(self) -> None:
         if self._link is not None:
-            self._link.send(wire.Cancel(self._host.incarnation, self._attempt_number))
+            self._link.send(
+                wire.Cancel(self._context.incarnation, self._attempt_number)
+            )
 
     def _give_credit(self) -> None:
         if self._link is None or self._sink.is_blocked:
@@ -556,7 +558,7 @@
         if taken - self._credited >= self._settings.credit_step:
             self._credited = taken
             self._link.send(
-                wire.Credit(self._host.incarnation, self._attempt_number, taken),
+                wire.Credit(self._context.incarnation, self._attempt_number, taken),
             )
 
     def _release_link(self) -> None:
@@ -569,14 +571,14 @@
             return
         self._is_done = True
         self._release_link()
-        self._host.unregister(self._attempt_number)
+        self._context.unregister(self._attempt_number)
         for timer in (self._deadline_timer, self._wait_timer):
             cancel_timer(timer)
         name = self._target.name if self._target and outcome is Outcome.RAN else ""
         report = CallReport(
             outcome, reason, self._plan.attempts, name, self._cached_tokens
         )
-        self._host.call_ended(self, report)
+        self._context.call_ended(self, report)
 
 
 def _failure_from(message: wire.CallFailed) -> AttemptFailure:
