--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -215,7 +215,7 @@
         Decides about attempts.
     sink : AnswerSink
         The caller.
-    host : CallContext
+    context : CallContext
         The router.
     clock : Clock
         Source of time and timers.
@@ -252,14 +252,14 @@
         request: CallRequest,
         plan: AttemptPlan,
         sink: AnswerSink,
-        host: CallContext,
+        context: CallContext,
         clock: Clock,
         settings: RoutedCallSettings,
     ) -> None:
         self._request = request
         self._plan = plan
         self._sink = sink
-        self._context = host
+        self._context = context
         self._clock = clock
         self._settings = settings
         self._check = AnswerCheck()
