--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -224,10 +224,10 @@
     """
 
     __slots__ = (
+        "_answer_check",
         "_attempt",
         "_attempt_number",
         "_cached_tokens",
-        "_check",
         "_clock",
         "_context",
         "_credited",
@@ -262,7 +262,7 @@
         self._context = context
         self._clock = clock
         self._settings = settings
-        self._check = AnswerCheck()
+        self._answer_check = AnswerCheck()
         self._link: Link | None = None
         self._target: Target | None = None
         self._target_incarnation = 0
@@ -348,14 +348,14 @@
 
     def _dispatch(self, message: Message) -> None:
         if isinstance(message, wire.AnswerChunk):
-            self._sink.data(self._check.accept(message.offset, message.data))
+            self._sink.data(self._answer_check.accept(message.offset, message.data))
             self._give_credit()
         elif isinstance(message, wire.Answer):
             self._receive_whole(message)
         elif isinstance(message, wire.AnswerHead):
             self._sink.head(message.status, message.headers)
         elif isinstance(message, wire.AnswerEnd):
-            self._check.finish(message.length, message.digest)
+            self._answer_check.finish(message.length, message.digest)
             self._finish(message.cached_tokens)
         elif isinstance(message, wire.CallFailed):
             self._fail(_failure_from(message))
@@ -407,7 +407,7 @@
         if self._is_done or attempt != self._attempt or link.peer is None:
             return
         self._attempt_number = self._context.register(self)
-        self._check = AnswerCheck()
+        self._answer_check = AnswerCheck()
         self._credited = 0
         self._resume_count = 0
         self._sent_at = self._clock.seconds()
@@ -489,7 +489,7 @@
             wire.Resume(
                 router=self._context.incarnation,
                 number=self._attempt_number,
-                offset=self._check.offset,
+                offset=self._answer_check.offset,
                 target_incarnation=self._target_incarnation,
                 age_ms=int(age * MILLISECONDS),
             ),
@@ -554,7 +554,7 @@
     def _give_credit(self) -> None:
         if self._link is None or self._sink.is_blocked:
             return
-        taken = self._check.offset
+        taken = self._answer_check.offset
         if taken - self._credited >= self._settings.credit_step:
             self._credited = taken
             self._link.send(
