--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -523,9 +523,9 @@
         self._execute(self._plan.after(failure, directed, now))
 
     def _give_up(self, failure: AttemptFailure | None) -> None:
-        told = failure or AttemptFailure(Outcome.UNKNOWN, Reason.NO_CANDIDATE)
-        self._sink.refuse(told)
-        self._end(told.outcome, told.reason)
+        final = failure or AttemptFailure(Outcome.UNKNOWN, Reason.NO_CANDIDATE)
+        self._sink.refuse(final)
+        self._end(final.outcome, final.reason)
 
     def _deadline_passed(self) -> None:
         """Stop waiting; an agent that has the call says what became of it."""
