--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -296,8 +296,8 @@
     def start(self) -> None:
         """Make the first attempt."""
         now = self._clock.seconds()
-        left = max(0.0, self._request.deadline - now)
-        self._deadline_timer = self._clock.callLater(left, self._deadline_passed)
+        remaining = max(0.0, self._request.deadline - now)
+        self._deadline_timer = self._clock.callLater(remaining, self._deadline_passed)
         self._execute(self._plan.first(now))
 
     def cancel(self) -> None:
@@ -426,7 +426,7 @@
 
     def _wire_call(self, target_incarnation: int) -> wire.Call:
         request = self._request
-        left = max(0.0, request.deadline - self._sent_at)
+        remaining = max(0.0, request.deadline - self._sent_at)
         return wire.Call(
             router=self._context.incarnation,
             number=self._attempt_number,
@@ -438,7 +438,7 @@
             path=request.path,
             headers=request.headers,
             body=request.body,
-            deadline_ms=int(left * MILLISECONDS),
+            deadline_ms=int(remaining * MILLISECONDS),
             prompt_tokens=request.prompt_tokens,
             output_tokens=request.output_tokens,
             priority=request.priority,
