--- a/src/primrosescale/request/work.py
+++ b/src/primrosescale/request/work.py
@@ -1,9 +1,10 @@
-"""Work units of a request: what it will cost its target.
+"""Estimates the cost of a request to its target, in work units.
 
-A unit is the cost of generating one token. Prompt tokens that the target's
-cache holds cost nothing; the others cost a fraction of a unit. Weighing a
-request by its share of a target's profiled capacity follows the residual
-capacity of the paper "Rim: Offloading Inference to the Edge", section 3.3.
+One work unit is the cost of generating one token. Prompt tokens already in the
+target's prefix cache cost nothing; each other prompt token costs a fraction of
+a unit. Weighing a request against the profiled capacity of its target follows
+the residual capacity in section 3.3 of the paper "Rim: Offloading Inference to
+the Edge".
 """
 
 from __future__ import annotations
@@ -20,32 +21,32 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkSettings:
-    """Profile of a service's targets."""
+    """Cost profile of a service's targets."""
 
     prefill_cost: float = option(
         SECONDS,
-        "work units of one uncached prompt token",
+        "cost in work units of one uncached prompt token",
         0.05,
     )
     output_default: int = option(
         COUNT,
-        "tokens an answer is taken to have before any was seen",
+        "expected tokens of an answer before the first answer has been observed",
         200,
     )
     plain_cost: int = option(
         COUNT,
-        "work units of a call to a plain service",
+        "cost in work units of a call to a plain service",
         100,
     )
 
 
 class WorkEstimator:
-    """Weighs requests and learns how long answers are.
+    """Estimates the work of requests and learns the mean length of answers.
 
     Parameters
     ----------
     settings : WorkSettings
-        Profile of the service.
+        Cost profile of the service.
     """
 
     def __init__(self, settings: WorkSettings) -> None:
@@ -54,25 +55,25 @@
 
     @property
     def expected_output(self) -> float:
-        """Return the tokens an answer is expected to have."""
+        """Return the expected number of tokens of an answer."""
         return self._expected_output
 
     def estimate(self, prompt: int, cached: int, output_limit: int) -> int:
-        """Return the work units of a model request.
+        """Estimate the work of a request to a model.
 
         Parameters
         ----------
         prompt : int
-            Tokens of the prompt.
+            Number of prompt tokens.
         cached : int
-            Tokens of it that the target's cache holds.
+            Number of prompt tokens in the target's cache.
         output_limit : int
-            Tokens the caller allows for the answer; 0 for no limit.
+            Maximum number of answer tokens set by the caller; 0 for no limit.
 
         Returns
         -------
         int
-            At least 1.
+            Work units, at least 1.
         """
         output = self._expected_output
         if output_limit:
@@ -81,33 +82,33 @@
         return max(1, round(uncached * self._settings.prefill_cost + output))
 
     def estimate_plain(self) -> int:
-        """Return the work units of a call to a plain service.
+        """Return the work of a call to a plain service.
 
         Returns
         -------
         int
-            At least 1.
+            Work units, at least 1.
         """
         return max(1, self._settings.plain_cost)
 
     def learn(self, output: int) -> None:
-        """Take in how long an answer was.
+        """Update the expected answer length from a completed answer.
 
         Parameters
         ----------
         output : int
-            Its tokens.
+            Number of tokens of the answer.
         """
         self._expected_output += LEARNING_RATE * (output - self._expected_output)
 
 
 def tokens_of(size: int) -> int:
-    """Return the tokens that a text of a size is taken to have.
+    """Estimate the number of tokens of a text from its size.
 
     Parameters
     ----------
     size : int
-        Bytes of the text.
+        Size of the text in bytes.
 
     Returns
     -------
