--- a/src/primrosescale/request/claim.py
+++ b/src/primrosescale/request/claim.py
@@ -1,4 +1,8 @@
-"""What an agent needs of the ledger of claims."""
+"""Claims on idempotency keys, and the agent's interface to their ledger.
+
+A non-idempotent request runs only after its idempotency key has been claimed in
+the ledger, so that a repeat of the key is answered instead of run again.
+"""
 
 from __future__ import annotations
 
@@ -21,18 +25,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """One claimant's wish to run a non-idempotent request.
+    """A claim on the right to run a non-idempotent request.
 
     Parameters
     ----------
     key : bytes
         Digest of service, organisation and idempotency key; 16 bytes.
     token : bytes
-        Names the claimant; used once.
+        Single-use identifier of the claimant.
     fingerprint : bytes
         Digest of the request itself; 16 bytes.
     writer : str
-        Endpoint of the router to ask first; empty for the calling one.
+        Endpoint of the router that is asked first to write the claim; empty for
+        the router that sent the call.
     """
 
     key: bytes
@@ -42,28 +47,28 @@
 
 
 def claim_key(service: str, organisation: str, key: str) -> bytes:
-    """Return the digest under which a key is claimed.
+    """Return the digest under which an idempotency key is claimed.
 
     Parameters
     ----------
     service : str
-        The service.
+        Name of the service.
     organisation : str
-        Whose key it is.
+        Organisation that sent the key.
     key : str
         The idempotency key as sent.
 
     Returns
     -------
     bytes
-        16 bytes.
+        Digest of 16 bytes.
     """
     parts = SEPARATOR.join(part.encode() for part in (service, organisation, key))
     return blake2b(parts, digest_size=KEY_SIZE).digest()
 
 
 def request_fingerprint(method: str, path: str, body: bytes) -> bytes:
-    """Return the digest that tells two requests with one key apart.
+    """Return the digest that distinguishes requests sent with the same key.
 
     Parameters
     ----------
@@ -72,12 +77,12 @@
     path : str
         Path and query.
     body : bytes
-        Content.
+        Request body.
 
     Returns
     -------
     bytes
-        16 bytes.
+        Digest of 16 bytes.
     """
     digest = blake2b(digest_size=KEY_SIZE)
     for part in (method.encode(), path.encode(), body):
@@ -86,7 +91,7 @@
 
 
 class Ledger(ABC):
-    """The record of which non-idempotent requests were claimed."""
+    """Records which non-idempotent requests have been claimed."""
 
     @abstractmethod
     def claim(self, claim: Claim, link: Link | None) -> Deferred[ClaimReply]:
@@ -97,17 +102,18 @@
         claim : Claim
             The claim.
         link : Link | None
-            Connection of the router whose call it is.
+            Connection to the router that sent the call.
 
         Returns
         -------
         Deferred[ClaimReply]
-            Never fails; `ClaimState.UNAVAILABLE` when nobody could tell.
+            Never fails; `ClaimState.UNAVAILABLE` when no router could decide
+            about the claim.
         """
 
     @abstractmethod
     def record(self, claim: Claim, answer: StoredAnswer) -> None:
-        """Keep the answer of a claimed request for repeats of its key.
+        """Store the answer of a claimed request for repeats of its key.
 
         Parameters
         ----------
@@ -119,7 +125,7 @@
 
     @abstractmethod
     def abandon(self, claim: Claim) -> None:
-        """Give a claim back whose request never ran and never will.
+        """Release a claim whose request did not run and will not run.
 
         Parameters
         ----------
