--- a/src/primrosescale/request/admission.py
+++ b/src/primrosescale/request/admission.py
@@ -1,4 +1,9 @@
-"""An agent's decision about a call: run it, queue it or refuse it."""
+"""Admission control of an agent: decides whether a call is queued or refused.
+
+Calls are admitted while the target's load stays within its bound, and admitted
+calls start in fair order between organisations. A call of an organisation that
+is under its share may displace a waiting call of one that is over its share.
+"""
 
 from __future__ import annotations
 
@@ -29,32 +34,32 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionSettings:
-    """Limits of an agent."""
+    """Admission limits of an agent."""
 
     slots: int = option(
         COUNT,
-        "calls the target runs at once",
+        "maximum number of calls running at the target",
         16,
     )
     reserve: int = option(
         COUNT,
-        "slots that organisations over their share may not take",
+        "slots not available to organisations that are over their share",
         2,
     )
     queue_limit: int = option(
         COUNT,
-        "calls that may wait",
+        "maximum number of waiting calls",
         256,
     )
     rate_default: float = option(
         SECONDS,
-        "work units a second the target is taken to do before it was seen",
+        "assumed work units a second of the target before a rate has been measured",
         1000.0,
     )
 
 
 class VerdictKind(Enum):
-    """What becomes of an offered call."""
+    """Whether an offered call was admitted."""
 
     ADMITTED = "admitted"
     REFUSED = "refused"
@@ -67,13 +72,13 @@
     Parameters
     ----------
     kind : VerdictKind
-        Whether it was taken.
+        Whether the call was admitted.
     reason : Reason | None
-        Why it was refused.
+        Why the call was refused; None when it was admitted.
     retry_after : float
-        Seconds after which asking again is worth it.
+        Seconds after which a retry may succeed.
     displaced : list[QueuedCall[T]]
-        Waiting calls that gave way and will not run.
+        Waiting calls that were removed in favour of this one and will not run.
     """
 
     kind: VerdictKind
@@ -83,21 +88,21 @@
 
     @property
     def is_admitted(self) -> bool:
-        """Tell whether the call was taken."""
+        """Return whether the call was admitted."""
         return self.kind is VerdictKind.ADMITTED
 
 
 class Admission(Generic[T]):
-    """Takes calls within the bound and starts them in fair order.
+    """Admits calls within the load bound and starts them in fair order.
 
     Parameters
     ----------
     settings : AdmissionSettings
-        Limits.
+        Admission limits.
     bound : LoadBound
-        The bound on the load.
+        Bound on the target's load.
     health : TargetHealth
-        Whether the target answers well.
+        Circuit breaker of the target.
     """
 
     def __init__(
@@ -122,59 +127,59 @@
 
     @property
     def load(self) -> int:
-        """Return the work units outstanding, waiting and running."""
+        """Return the work units of all waiting and running calls."""
         return self._queue.work + self._running_work
 
     @property
     def running(self) -> int:
-        """Return how many calls run."""
+        """Return the number of running calls."""
         return self._running_count
 
     @property
     def waiting(self) -> int:
-        """Return how many calls wait."""
+        """Return the number of waiting calls."""
         return len(self._queue)
 
     @property
     def rate(self) -> float:
-        """Return the work units a second the target was seen to do."""
+        """Return the measured throughput of the target in work units a second."""
         return self._rate
 
     @property
     def is_draining(self) -> bool:
-        """Tell whether the target takes no new calls."""
+        """Return whether new calls are refused because the target is draining."""
         return self._is_draining
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether nothing waits and nothing runs."""
+        """Return whether no call is waiting or running."""
         return not self._running_count and not len(self._queue)
 
     def drain(self) -> None:
-        """Take no new calls from now on."""
+        """Refuse new calls from now on."""
         self._is_draining = True
 
     def rest(self, seconds: float, now: float) -> None:
-        """Take and start no calls for a while, as the target asked.
+        """Neither admit nor start calls for a period that the target requested.
 
         Parameters
         ----------
         seconds : float
-            How long; a later end that was asked for before stays.
+            Length of the period. It never shortens a period requested earlier.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         self._paused_until = max(self._paused_until, now + seconds)
 
     def offer(self, call: QueuedCall[T], now: float) -> Verdict[T]:
-        """Decide about a call; an admitted one is queued.
+        """Admit and queue a call, or refuse it.
 
         Parameters
         ----------
         call : QueuedCall[T]
             The call.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
@@ -202,17 +207,17 @@
         return Verdict(VerdictKind.ADMITTED, displaced=displaced)
 
     def start_next(self, now: float) -> list[QueuedCall[T]]:
-        """Return the calls that start now, in order.
+        """Start waiting calls while slots are free, and return them in order.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         list[QueuedCall[T]]
-            The calls; each must be given to `finished` once.
+            The started calls; each must be passed to `finished` when it ends.
         """
         started: list[QueuedCall[T]] = []
         while now >= self._paused_until:
@@ -233,14 +238,14 @@
         return started
 
     def finished(self, call: QueuedCall[T], now: float) -> None:
-        """Take in that a started call no longer runs.
+        """Free the slot of a call that has ended; a repeated report is ignored.
 
         Parameters
         ----------
         call : QueuedCall[T]
-            The call.
+            The call, as returned by `start_next`.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         calls = self._running.get(call.organisation, [])
         if call not in calls:
@@ -264,7 +269,7 @@
         Returns
         -------
         bool
-            True when it waited, so that it never ran.
+            True when the call was still waiting, and so did not run.
         """
         return self._queue.discard(call)
 
@@ -274,17 +279,17 @@
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         list[QueuedCall[T]]
-            The calls; none of them ran.
+            The removed calls; none of them ran.
         """
         return self._queue.expired(now)
 
     def expected_wait(self, call: QueuedCall[T]) -> float:
-        """Return how long a call would wait under fair queueing.
+        """Estimate how long a call would wait in the fair queue.
 
         Parameters
         ----------
@@ -294,7 +299,7 @@
         Returns
         -------
         float
-            Seconds.
+            Expected waiting time in seconds.
         """
         if self._running_count < self._settings.slots and not len(self._queue):
             return 0.0
@@ -312,10 +317,11 @@
         call: QueuedCall[T],
         now: float,
     ) -> list[QueuedCall[T]] | None:
-        """Return who gives way to a call; None when it does not fit.
+        """Remove waiting calls until a call fits; None when it cannot fit.
 
-        Only an organisation that has more waiting than the caller's, by
-        weight, gives way, its last call first: its calls never ran.
+        Only calls of organisations with more waiting work for their weight than
+        the caller's organisation are removed, the last call first. They have not
+        run, so that their callers can be sent to another target.
         """
         displaced: list[QueuedCall[T]] = []
         while not self._fits(call, now):
@@ -341,7 +347,10 @@
         return theirs > ours / max(1, call.weight)
 
     def _next_call(self) -> QueuedCall[T] | None:
-        """Return the call that may start now; the last slots are reserved."""
+        """Return the next call that may start.
+
+        The last `reserve` slots are open only to organisations under their share.
+        """
         free = self._settings.slots - self._running_count
         if free <= 0:
             return None
@@ -350,10 +359,11 @@
         return self._queue.head_where(self._is_under_share)
 
     def _is_under_share(self, call: QueuedCall[T]) -> bool:
-        """Tell whether an organisation runs less than its part.
+        """Return whether an organisation would stay within its share of slots.
 
-        One more organisation than those that run is reckoned with: the one
-        that has not come yet is whom the reserve is for.
+        Shares are computed as if one more organisation were running, because
+        the reserved slots are meant for an organisation that has not sent a call
+        yet.
         """
         own = self._running.get(call.organisation, ())
         weight = max(1, call.weight)
