--- a/src/primrosescale/request/admission.py
+++ b/src/primrosescale/request/admission.py
@@ -320,8 +320,8 @@
         """Remove waiting calls until a call fits; None when it cannot fit.
 
         Only calls of organisations with more waiting work for their weight than
-        the caller's organisation are removed, the last call first. They have not
-        run, so that their callers can be sent to another target.
+        the caller's organisation are removed, the last call first. Running calls
+        are never removed.
         """
         displaced: list[QueuedCall[T]] = []
         while not self._fits(call, now):
