--- a/src/primrosescale/request/fair_queue.py
+++ b/src/primrosescale/request/fair_queue.py
@@ -1,4 +1,8 @@
-"""Start-time fair queueing between organisations, within a priority."""
+"""Start-time fair queueing of calls between organisations, within a priority.
+
+Calls of a lower priority number go first. Within a priority, organisations share
+the target in proportion to their weights, measured in work units.
+"""
 
 from __future__ import annotations
 
@@ -17,24 +21,24 @@
 
 @dataclass(slots=True, eq=False)
 class QueuedCall(Generic[T]):
-    """A call that waits for its turn.
+    """A call waiting in the queue.
 
     Parameters
     ----------
     organisation : str
-        Whose call it is.
+        Organisation that sent the call.
     weight : int
-        The organisation's weight, at least 1.
+        Weight of the organisation, at least 1.
     priority : int
-        Class; a lower number goes first.
+        Priority class; a lower number goes first.
     work : int
-        Work units.
+        Estimated work units.
     deadline : float
-        When the caller stops waiting, in seconds.
+        Time at which the caller stops waiting, in seconds.
     item : T
-        What the caller of the queue wants back.
+        Object associated with the call by the user of the queue.
     start_tag : float
-        Virtual time at which it is due; set by the queue.
+        Virtual start time; set by the queue.
     """
 
     organisation: str
@@ -47,7 +51,11 @@
 
 
 class _PriorityClass(Generic[T]):
-    """The flows of one priority and their virtual time."""
+    """Queues of the organisations within one priority, and their virtual time.
+
+    The heap may hold outdated entries; `head` drops those whose start tag is no
+    longer that of the first call of its organisation.
+    """
 
     __slots__ = ("finish_tags", "flows", "heap", "virtual_time")
 
@@ -58,7 +66,7 @@
         self.virtual_time = 0.0
 
     def push(self, call: QueuedCall[T]) -> None:
-        """Append a call to its organisation's flow."""
+        """Append a call to the queue of its organisation."""
         name = call.organisation
         start = max(self.virtual_time, self.finish_tags.get(name, 0.0))
         call.start_tag = start
@@ -71,7 +79,7 @@
             flow.append(call)
 
     def head(self) -> QueuedCall[T] | None:
-        """Return the call that is due next."""
+        """Return the call with the smallest start tag."""
         while self.heap:
             start, name = self.heap[0]
             flow = self.flows.get(name)
@@ -81,14 +89,14 @@
         return None
 
     def start(self, call: QueuedCall[T]) -> None:
-        """Remove the first call of its flow and move virtual time on."""
+        """Remove the first call of its organisation and advance virtual time."""
         self.virtual_time = max(self.virtual_time, call.start_tag)
         flow = self.flows[call.organisation]
         flow.popleft()
         self._reinsert_flow(call.organisation, flow)
 
     def discard(self, call: QueuedCall[T]) -> bool:
-        """Remove a call from the middle of its flow."""
+        """Remove a call that will not run, wherever it stands in its queue."""
         flow = self.flows.get(call.organisation)
         if flow is None or call not in flow:
             return False
@@ -111,7 +119,7 @@
             self.finish_tags = {}
 
     def _refund(self, call: QueuedCall[T], flow: deque[QueuedCall[T]]) -> None:
-        """Give a call's share back to its organisation: it never ran."""
+        """Undo the charge for a call that did not run."""
         share = call.work / max(1, call.weight)
         self.finish_tags[call.organisation] -= share
         for later in flow:
@@ -120,7 +128,10 @@
 
 
 class FairQueue(Generic[T]):
-    """Bounded queue, fair between organisations by weight and work."""
+    """Queue of calls that is fair between organisations by weight and work.
+
+    The queue itself has no size limit; admission bounds it.
+    """
 
     def __init__(self) -> None:
         self._classes: dict[int, _PriorityClass[T]] = {}
@@ -129,26 +140,26 @@
         self._count = 0
 
     def __len__(self) -> int:
-        """Return how many calls wait."""
+        """Return the number of waiting calls."""
         return self._count
 
     @property
     def work(self) -> int:
-        """Return the work units that wait."""
+        """Return the work units of all waiting calls."""
         return self._total_work
 
     @property
     def organisations(self) -> int:
-        """Return how many organisations have calls waiting."""
+        """Return the number of organisations with waiting calls."""
         return len(self._work_by_organisation)
 
     def work_of(self, organisation: str) -> int:
-        """Return the work units of an organisation that wait.
+        """Return the work units of an organisation's waiting calls.
 
         Parameters
         ----------
         organisation : str
-            Its name.
+            Name of the organisation.
 
         Returns
         -------
@@ -158,7 +169,7 @@
         return self._work_by_organisation.get(organisation, 0)
 
     def push(self, call: QueuedCall[T]) -> None:
-        """Append a call.
+        """Add a call to the queue of its organisation.
 
         Parameters
         ----------
@@ -172,12 +183,12 @@
         self._account(call, 1)
 
     def head(self) -> QueuedCall[T] | None:
-        """Return the call that is due next and leave it there.
+        """Return the next call without removing it.
 
         Returns
         -------
         QueuedCall[T] | None
-            The call, if any waits.
+            The call; None when the queue is empty.
         """
         for priority in sorted(self._classes):
             call = self._classes[priority].head()
@@ -189,17 +200,17 @@
         self,
         may_start: Callable[[QueuedCall[T]], bool],
     ) -> QueuedCall[T] | None:
-        """Return the first call in order that may start, if any does.
+        """Return the next call that may start, without removing it.
 
         Parameters
         ----------
         may_start : Callable[[QueuedCall[T]], bool]
-            Asked about the first call of each organisation.
+            Predicate applied to the first call of each organisation.
 
         Returns
         -------
         QueuedCall[T] | None
-            The call, left in the queue.
+            The call; None when no call may start.
         """
         for priority in sorted(self._classes):
             flows = self._classes[priority].flows.values()
@@ -209,23 +220,23 @@
         return None
 
     def discard_started(self, call: QueuedCall[T]) -> None:
-        """Remove the first call of its organisation because it starts.
+        """Remove a call that is being started.
 
         Parameters
         ----------
         call : QueuedCall[T]
-            The call, as `head` or `head_where` returned it.
+            The call, as returned by `head` or `head_where`.
         """
         self._classes[call.priority].start(call)
         self._account(call, -1)
 
     def pop(self) -> QueuedCall[T] | None:
-        """Remove and return the call that is due next.
+        """Remove and return the next call.
 
         Returns
         -------
         QueuedCall[T] | None
-            The call, if any waits.
+            The call; None when the queue is empty.
         """
         call = self.head()
         if call is not None:
@@ -243,7 +254,7 @@
         Returns
         -------
         bool
-            Whether it was waiting.
+            Whether the call was in the queue.
         """
         found = self._classes.get(call.priority)
         if found is None or not found.discard(call):
@@ -257,12 +268,12 @@
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         list[QueuedCall[T]]
-            The calls.
+            The removed calls.
         """
         late = [call for call in self._all() if call.deadline <= now]
         for call in late:
@@ -275,7 +286,7 @@
         Returns
         -------
         list[QueuedCall[T]]
-            The calls.
+            The removed calls.
         """
         calls = self._all()
         for call in calls:
@@ -283,12 +294,12 @@
         return calls
 
     def most_over_share(self) -> QueuedCall[T] | None:
-        """Return the last call of the organisation furthest over its share.
+        """Return the last call of the organisation with most work for its weight.
 
         Returns
         -------
         QueuedCall[T] | None
-            The call, if any waits.
+            The call; None when the queue is empty.
         """
         worst: QueuedCall[T] | None = None
         most = -1.0
