--- a/src/primrosescale/request/rate_limit.py
+++ b/src/primrosescale/request/rate_limit.py
@@ -1,8 +1,8 @@
-"""An organisation's rate limit, held across routers.
+"""Enforces the rate limit of an organisation across all routers.
 
-Every router measures the demand it sees. It reports only organisations whose
-demand is a noticeable part of their limit; the sums of these come back, and
-each router lets through the share limit / demand of what it sees.
+Each router measures the demand that it receives and reports organisations whose
+demand is a significant part of their limit. It receives the total demand over all
+routers in return, and admits the fraction limit / total of its own demand.
 """
 
 from __future__ import annotations
@@ -21,40 +21,40 @@
 
 @dataclass(frozen=True, slots=True)
 class RateSettings:
-    """How limits are held."""
+    """Settings of the rate limiter."""
 
     burst: float = option(
         SECONDS,
-        "seconds of its limit that an organisation may save up",
+        "burst of an organisation, in seconds of its limit",
         2.0,
     )
     report_share: float = option(
         SECONDS,
-        "part of a router's equal share of a limit from which demand is reported",
+        "fraction of a router's equal share of a limit from which demand is reported",
         0.125,
     )
     meters: int = option(
         COUNT,
-        "organisations metered at the most",
+        "maximum number of metered organisations",
         4096,
     )
     total_keep: float = option(
         SECONDS,
-        "seconds for which a reported total counts",
+        "seconds for which a received total is used",
         6.0,
     )
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Requests a second of one organisation.
+    """Demand of one organisation.
 
     Parameters
     ----------
     organisation : str
-        Its name.
+        Name of the organisation.
     rate : float
-        Requests a second, refused ones included.
+        Requests a second, including refused requests.
     """
 
     organisation: str
@@ -62,7 +62,7 @@
 
 
 class _Meter:
-    """What a router knows of one organisation's rate."""
+    """Token bucket and measured demand of one organisation."""
 
     __slots__ = (
         "demand",
@@ -82,18 +82,18 @@
         self.total_received_at = -1.0e9
 
     def demand_at(self, now: float) -> float:
-        """Return the demand, faded to the present."""
+        """Return the measured demand, decayed to the current time."""
         passed = max(0.0, now - self.last_request_at)
         return float(self.demand * 0.5 ** (passed / DEMAND_HALF_LIFE_SECONDS))
 
 
 class OrganisationLimiter:
-    """A router's part in holding organisations to their limits.
+    """A router's rate limiter for organisations.
 
     Parameters
     ----------
     settings : RateSettings
-        How limits are held.
+        Settings of the rate limiter.
     """
 
     def __init__(self, settings: RateSettings) -> None:
@@ -101,26 +101,26 @@
         self._meters: OrderedDict[str, _Meter] = OrderedDict()
 
     def __len__(self) -> int:
-        """Return how many organisations are metered."""
+        """Return the number of metered organisations."""
         return len(self._meters)
 
     def admit(self, organisation: str, limit: float, now: float) -> float:
-        """Count a request and say when it may run.
+        """Count a request and decide whether it is admitted.
 
         Parameters
         ----------
         organisation : str
-            Whose request it is.
+            Organisation that sent the request.
         limit : float
-            The organisation's requests a second; 0 for no limit.
+            Limit of the organisation in requests a second; 0 for no limit.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         float
-            0 when it may run now, else the seconds until asking again is
-            worth it.
+            0 when the request is admitted, otherwise the seconds after which a
+            retry may be admitted.
         """
         if limit <= 0:
             return 0.0
@@ -137,14 +137,14 @@
         return (1.0 - meter.tokens) / allowed
 
     def reports(self, routers: int, now: float) -> list[Demand]:
-        """Return the demands worth telling to the other routers.
+        """Return the demands to report, and drop meters of idle organisations.
 
         Parameters
         ----------
         routers : int
-            How many routers there are.
+            Number of routers.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
@@ -165,14 +165,14 @@
         return found
 
     def hear_total(self, total: Demand, now: float) -> None:
-        """Take in the demand that all routers see together.
+        """Record the total demand of an organisation over all routers.
 
         Parameters
         ----------
         total : Demand
-            The sum.
+            The total demand.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         meter = self._meters.get(total.organisation)
         if meter is not None:
@@ -191,7 +191,10 @@
         return meter
 
     def _allowed_rate(self, meter: _Meter, now: float) -> float:
-        """Return the rate at which this router may let requests through."""
+        """Return the rate at which this router admits requests.
+
+        Without a recent total the router admits up to the whole limit.
+        """
         if now - meter.total_received_at > self._settings.total_keep:
             return meter.limit
         own = meter.demand_at(now)
