--- a/src/primrosescale/request/retry_budget.py
+++ b/src/primrosescale/request/retry_budget.py
@@ -1,4 +1,4 @@
-"""A bound on retries, as a share of recent calls."""
+"""Retry budget: bounds retries to a share of recent first attempts."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryBudgetSettings:
-    """How many retries a router may add to its load."""
+    """Limits on the retries that a router adds to its load."""
 
     share: float = option(
         SECONDS,
-        "retries per first attempt, in the long run",
+        "retries per first attempt in the long run",
         0.1,
     )
     burst: float = option(
         SECONDS,
-        "retries that may be saved up",
+        "maximum number of accumulated retries",
         20.0,
     )
 
 
 class RetryBudget:
-    """Tokens earned by first attempts and spent by retries.
+    """Token bucket filled by first attempts and emptied by retries.
 
     Parameters
     ----------
     settings : RetryBudgetSettings
-        The bound.
+        Limits of the budget.
     """
 
     def __init__(self, settings: RetryBudgetSettings) -> None:
@@ -42,11 +42,11 @@
 
     @property
     def tokens(self) -> float:
-        """Return the retries that could be spent now."""
+        """Return the number of retries available."""
         return self._tokens
 
     def earn(self) -> None:
-        """Count a first attempt."""
+        """Add the share of a retry that a first attempt earns."""
         earned = self._tokens + self._settings.share
         self._tokens = min(self._settings.burst, earned)
 
@@ -56,7 +56,7 @@
         Returns
         -------
         bool
-            False when there is none left.
+            False when the budget is exhausted.
         """
         if self._tokens < 1.0:
             return False
@@ -65,12 +65,14 @@
 
 
 class RetryBudgets:
-    """A budget for each organisation, so that none spends another's.
+    """Retry budgets by organisation, so that none uses up another's.
+
+    The least recently used budgets are evicted.
 
     Parameters
     ----------
     settings : RetryBudgetSettings
-        The bound of each.
+        Limits of each budget.
     """
 
     def __init__(self, settings: RetryBudgetSettings) -> None:
@@ -78,21 +80,21 @@
         self._budgets: OrderedDict[str, RetryBudget] = OrderedDict()
 
     def __len__(self) -> int:
-        """Return how many budgets are kept."""
+        """Return the number of budgets."""
         return len(self._budgets)
 
     def of(self, organisation: str) -> RetryBudget:
-        """Return an organisation's budget.
+        """Return the budget of an organisation.
 
         Parameters
         ----------
         organisation : str
-            Its name.
+            Name of the organisation.
 
         Returns
         -------
         RetryBudget
-            A full one for an organisation not seen lately.
+            Its budget; a new, full one for an organisation without a budget.
         """
         budget = self._budgets.get(organisation)
         if budget is None:
