--- a/src/primrosescale/request/load_bound.py
+++ b/src/primrosescale/request/load_bound.py
@@ -1,4 +1,8 @@
-"""The bound on an agent's load: a multiple of its service's mean."""
+"""Bounds a target's load to a multiple of the mean load of its service.
+
+Follows consistent hashing with bounded loads: a target at its bound refuses work,
+which then goes to the next candidate.
+"""
 
 from __future__ import annotations
 
@@ -12,31 +16,31 @@
 
 @dataclass(frozen=True, slots=True)
 class BoundSettings:
-    """How far above the mean a target may be loaded."""
+    """How far a target's load may exceed the mean."""
 
     multiple: float = option(
         SECONDS,
-        "load allowed, as a multiple of the service's mean",
+        "maximum load, as a multiple of the service's mean",
         1.5,
     )
     margin: float = option(
         Number(0.1, 1.0),
-        "part of the multiple up to which work is taken, to make up for old news",
+        "fraction of the multiple that is used, to compensate for outdated means",
         0.92,
     )
     floor: int = option(
         COUNT,
-        "work units always allowed, so that an idle service can start",
+        "load that is always allowed, in work units, so that an idle service can start",
         1000,
     )
     stale_after: float = option(
         SECONDS,
-        "seconds without news of the mean until the cap starts to fall",
+        "seconds without an update of the mean until the cap starts to fall",
         5.0,
     )
     stale_half_life: float = option(
         SECONDS,
-        "seconds in which a stale cap falls by half, down to the floor",
+        "half-life in seconds of a stale cap, which falls down to the floor",
         60.0,
     )
     slow_start: float = option(
@@ -48,18 +52,18 @@
 
 @dataclass(frozen=True, slots=True)
 class MeanView:
-    """A service's load as an agent last heard it.
+    """Load of a service as last reported to an agent.
 
     Parameters
     ----------
     load : int
-        Work units outstanding on all targets, this one's included.
+        Outstanding work units on all targets, including this one.
     targets : int
-        How many targets the load is spread over.
+        Number of targets that the load is spread over.
     own_then : int
-        This target's part of that load.
+        This target's part of that load when it was summed.
     heard_at : float
-        When it was heard, in seconds.
+        Time to which the report applies, in seconds.
     """
 
     load: int
@@ -69,14 +73,14 @@
 
 
 class LoadBound:
-    """Says how much work a target may carry now.
+    """Decides how much load a target may have.
 
     Parameters
     ----------
     settings : BoundSettings
         The bound.
     started_at : float
-        When the target joined, in seconds.
+        Time at which the target joined, in seconds.
     """
 
     def __init__(self, settings: BoundSettings, started_at: float) -> None:
@@ -88,29 +92,29 @@
 
     @property
     def view(self) -> MeanView | None:
-        """Return the mean last heard."""
+        """Return the latest report of the service's load."""
         return self._view
 
     def configure(self, multiple: float, floor: int) -> None:
-        """Take the service's bound from a version of the configuration.
+        """Apply the service's bound from a version of the configuration.
 
         Parameters
         ----------
         multiple : float
-            Load allowed, as a multiple of the mean.
+            Maximum load, as a multiple of the mean.
         floor : int
-            Work units always allowed.
+            Load that is always allowed, in work units.
         """
         self._multiple = multiple
         self._floor = floor
 
     def hear(self, view: MeanView) -> None:
-        """Take in news of the mean; older news than known is ignored.
+        """Store a report of the service's load; older and empty ones are ignored.
 
         Parameters
         ----------
         view : MeanView
-            The news.
+            The report.
         """
         if view.targets < 1:
             return
@@ -118,21 +122,21 @@
             self._view = view
 
     def cap(self, own: int, work: int, now: float) -> float:
-        """Return the load this target may reach by taking some work.
+        """Return the load that this target may reach by admitting some work.
 
-        The work itself and this target's exact load count into the mean, as
-        in consistent hashing with bounded loads, so that a service whose
-        load grows is not held back by a report a second old. When the news
-        is stale they no longer do, and the cap only falls.
+        The offered work and this target's exact load are included in the mean,
+        as in consistent hashing with bounded loads, so that a service whose load
+        grows is not limited by a report that is a second old. Once the report is
+        stale they are not included, and the cap only falls.
 
         Parameters
         ----------
         own : int
-            Work units outstanding here.
+            Outstanding work units of this target.
         work : int
-            Work units offered.
+            Offered work units.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
@@ -155,21 +159,21 @@
         return max(floor, floor + (cap - floor) * self._slow_start_fraction(now))
 
     def admits(self, own: int, work: int, now: float) -> bool:
-        """Tell whether some work may be taken.
+        """Return whether some work may be admitted.
 
         Parameters
         ----------
         own : int
-            Work units outstanding here.
+            Outstanding work units of this target.
         work : int
-            Work units offered.
+            Offered work units.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
-            True when the load stays under the cap.
+            True when the load would not exceed the cap.
         """
         return own + work <= self.cap(own, work, now)
 
