--- a/src/primrosescale/request/directory.py
+++ b/src/primrosescale/request/directory.py
@@ -68,21 +68,21 @@
             return None
         return record
 
-    def served(self, chat: str, place: str, tokens: int, now: float) -> None:
+    def served(self, chat: str, target_name: str, tokens: int, now: float) -> None:
         """Remember where a chat was served.
 
         Parameters
         ----------
         chat : str
             The chat.
-        place : str
+        target_name : str
             The target.
         tokens : int
             Tokens in its cache; 0 when not this agent's target.
         now : float
             Present time in seconds.
         """
-        self._records[chat] = ChatRecord(place, tokens, now)
+        self._records[chat] = ChatRecord(target_name, tokens, now)
         self._records.move_to_end(chat)
         while len(self._records) > self._limit:
             self._records.popitem(last=False)
@@ -97,12 +97,12 @@
         """
         self._records.pop(chat, None)
 
-    def hottest(self, place: str, count: int) -> list[str]:
+    def hottest(self, target_name: str, count: int) -> list[str]:
         """Return the chats served last at a place.
 
         Parameters
         ----------
-        place : str
+        target_name : str
             The target.
         count : int
             How many at the most.
@@ -114,7 +114,7 @@
         """
         found: list[str] = []
         for chat in reversed(self._records):
-            if self._records[chat].place == place:
+            if self._records[chat].place == target_name:
                 found.append(chat)
             if len(found) >= count:
                 break
