--- a/src/primrosescale/request/candidates.py
+++ b/src/primrosescale/request/candidates.py
@@ -1,8 +1,8 @@
-"""Order in which a chat's targets are tried, the same on every router.
+"""Decides the order in which the targets of a service are tried for a chat.
 
-The order comes from a consistent-hash ring of a service's targets. Routers
-with the same list of targets agree without talking; routers whose lists
-differ by a few targets agree on all chats but those of these targets.
+The order comes from a consistent-hash ring of the service's targets. Routers with
+the same list of targets compute the same order without communicating; routers
+whose lists differ in a few targets differ only for the chats of those targets.
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """A back end as a router knows it.
+    """A back end, with the address of the agent in front of it.
 
     Parameters
     ----------
     name : str
         Unique name.
     endpoint : Endpoint
-        Where its agent listens.
+        Address on which its agent listens.
     service : str
-        The service it belongs to.
+        Name of its service.
     domain : str
         Its failure domain.
     region : str
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Locality:
-    """Where the process that chooses runs.
+    """Region and failure domain in which this process runs.
 
     Parameters
     ----------
@@ -72,7 +72,7 @@
     Parameters
     ----------
     points : int
-        Points a target has on the ring.
+        Number of points of each target on the ring.
     """
 
     def __init__(self, points: int = POINTS_PER_TARGET) -> None:
@@ -83,16 +83,16 @@
         self._index: dict[str, int] = {}
 
     def __len__(self) -> int:
-        """Return how many targets are on the ring."""
+        """Return the number of targets on the ring."""
         return len(self._index)
 
     def add(self, name: str) -> None:
-        """Put a target on the ring; twice is once.
+        """Add a target to the ring; a target already on it is left unchanged.
 
         Parameters
         ----------
         name : str
-            The target.
+            Name of the target.
         """
         if name in self._index:
             return
@@ -105,12 +105,12 @@
             self._owners.insert(position, number)
 
     def fill(self, names: Iterable[str]) -> None:
-        """Replace all targets at once, cheaper than adding each.
+        """Replace all targets, which costs less than adding them one by one.
 
         Parameters
         ----------
         names : Iterable[str]
-            The targets.
+            Names of the targets.
         """
         self._names = sorted(set(names))
         self._index = {name: number for number, name in enumerate(self._names)}
@@ -123,12 +123,12 @@
         self._owners = array("I", [pair[1] for pair in pairs])
 
     def remove(self, name: str) -> None:
-        """Take a target off the ring; an unknown one is no error.
+        """Remove a target from the ring; an unknown name is ignored.
 
         Parameters
         ----------
         name : str
-            The target.
+            Name of the target.
         """
         number = self._index.pop(name, None)
         if number is None:
@@ -144,21 +144,21 @@
     def walk(self, key: str, count: int) -> list[str]:
         """Return the first distinct targets for a key.
 
-        Each candidate comes from a hash of its own. The clockwise neighbours
-        of one point would be the same for all keys of an arc, so that an arc
-        that overflows would overflow its neighbours too.
+        Each candidate is found by a separate hash of the key. The clockwise
+        neighbours of a single point would be the same for all keys of an arc, so
+        that an overloaded target would overload its neighbours too.
 
         Parameters
         ----------
         key : str
-            What is placed.
+            Key to place, such as a chat.
         count : int
-            How many at the most.
+            Maximum number of targets.
 
         Returns
         -------
         list[str]
-            Names, the first candidate first.
+            Names of targets in the order in which they are tried.
         """
         wanted = min(count, len(self._index))
         found: list[int] = []
@@ -187,10 +187,10 @@
 
 
 def _point(data: bytes, number: int) -> int:
-    """Return one of the points of a name.
+    """Return one of the ring points of a name.
 
-    The number is part of what is hashed: with it as the seed, short names
-    that differ in a few bits share most of their points.
+    The number is part of the hashed data. If it were the seed instead, short names
+    that differ in a few bits would share most of their points.
     """
     return xxh3_64_intdigest(b"%d\0%s" % (number, data))
 
@@ -198,15 +198,16 @@
 class ServiceTargets:
     """The targets of one service and their order for a request.
 
-    The rule: targets of the router's own region come before those of other
-    regions, which have the last two places, so that a region at its bound can
-    spill over. Within a region a chat's order is that of the ring, whatever the
-    domain, so that every router of the region finds the same first candidate.
+    Targets of the router's own region come before those of other regions. The last
+    two candidates are kept for other regions, so that a region at its load bound
+    can spill over. Within a region the order for a chat is that of the ring,
+    whatever the failure domain, so that every router of the region finds the same
+    first candidate.
 
     Parameters
     ----------
     locality : Locality
-        Where the router runs.
+        Region and failure domain of the router.
     """
 
     def __init__(self, locality: Locality) -> None:
@@ -215,7 +216,7 @@
         self._rings: dict[str, TargetRing] = {}
 
     def __len__(self) -> int:
-        """Return how many targets there are."""
+        """Return the number of targets."""
         return len(self._targets)
 
     def get(self, name: str) -> Target | None:
@@ -224,12 +225,12 @@
         Parameters
         ----------
         name : str
-            Its name.
+            Name of the target.
 
         Returns
         -------
         Target | None
-            The target, if it is one of this service.
+            The target; None when the service has no target of this name.
         """
         return self._targets.get(name)
 
@@ -239,12 +240,12 @@
         Returns
         -------
         list[Target]
-            In order of arrival.
+            The targets in the order in which they were added.
         """
         return list(self._targets.values())
 
     def put(self, target: Target) -> None:
-        """Add a target or replace the one of its name.
+        """Add a target, or replace the target of the same name.
 
         Parameters
         ----------
@@ -258,7 +259,7 @@
         self._rings.setdefault(target.region, TargetRing()).add(target.name)
 
     def fill(self, targets: Iterable[Target]) -> None:
-        """Replace all targets at once.
+        """Replace all targets.
 
         Parameters
         ----------
@@ -274,12 +275,12 @@
             ring.fill(names[region])
 
     def remove(self, name: str) -> None:
-        """Remove a target; an unknown one is no error.
+        """Remove a target; an unknown name is ignored.
 
         Parameters
         ----------
         name : str
-            Its name.
+            Name of the target.
         """
         target = self._targets.pop(name, None)
         if target is None:
@@ -290,14 +291,14 @@
             del self._rings[target.region]
 
     def order(self, key: str, count: int) -> list[Target]:
-        """Return the candidates of a request, the first first.
+        """Return the candidates for a request in the order to try them.
 
         Parameters
         ----------
         key : str
-            The chat, or for a request without one a random key.
+            The chat, or a random key for a request without a chat.
         count : int
-            How many candidates at the most.
+            Maximum number of candidates.
 
         Returns
         -------
