--- a/src/primrosescale/request/directory.py
+++ b/src/primrosescale/request/directory.py
@@ -1,4 +1,4 @@
-"""Where the cache of returning chats lies."""
+"""Records which target's cache holds the prompt prefix of a chat."""
 
 from __future__ import annotations
 
@@ -8,16 +8,17 @@
 
 @dataclass(slots=True)
 class ChatRecord:
-    """What an agent knows of one chat.
+    """Where a chat was last served.
 
     Parameters
     ----------
     place : str
-        Target that served the chat last.
+        Name of the target that last served the chat.
     tokens : int
-        Tokens of its prompt and answer then; 0 when served elsewhere.
+        Number of tokens of its prompt and answer; 0 when another agent's target
+        served it.
     seen_at : float
-        When, in seconds.
+        Time at which it was served, in seconds.
     """
 
     place: str
@@ -26,14 +27,14 @@
 
 
 class ChatDirectory:
-    """Bounded memory of chats, the least recently seen forgotten first.
+    """Bounded map from chats to targets, evicting the least recently served chats.
 
     Parameters
     ----------
     limit : int
-        Chats at the most.
+        Maximum number of chats.
     keep : float
-        Seconds a record is kept without use.
+        Seconds after which a record expires.
     """
 
     def __init__(self, limit: int, keep: float) -> None:
@@ -42,23 +43,23 @@
         self._records: OrderedDict[str, ChatRecord] = OrderedDict()
 
     def __len__(self) -> int:
-        """Return how many chats are known."""
+        """Return the number of recorded chats."""
         return len(self._records)
 
     def find(self, chat: str, now: float) -> ChatRecord | None:
-        """Return what is known of a chat.
+        """Return the record of a chat.
 
         Parameters
         ----------
         chat : str
             The chat.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         ChatRecord | None
-            The record, unless unknown or too old.
+            The record; None when there is none or it has expired.
         """
         record = self._records.get(chat)
         if record is None:
@@ -69,18 +70,18 @@
         return record
 
     def served(self, chat: str, target_name: str, tokens: int, now: float) -> None:
-        """Remember where a chat was served.
+        """Record the target that served a chat.
 
         Parameters
         ----------
         chat : str
             The chat.
         target_name : str
-            The target.
+            Name of the target.
         tokens : int
-            Tokens in its cache; 0 when not this agent's target.
+            Number of tokens in its cache; 0 when it is another agent's target.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         self._records[chat] = ChatRecord(target_name, tokens, now)
         self._records.move_to_end(chat)
@@ -88,7 +89,7 @@
             self._records.popitem(last=False)
 
     def forget(self, chat: str) -> None:
-        """Forget a chat.
+        """Remove the record of a chat.
 
         Parameters
         ----------
@@ -98,19 +99,19 @@
         self._records.pop(chat, None)
 
     def hottest(self, target_name: str, count: int) -> list[str]:
-        """Return the chats served last at a place.
+        """Return the chats that a target served most recently.
 
         Parameters
         ----------
         target_name : str
-            The target.
+            Name of the target.
         count : int
-            How many at the most.
+            Maximum number of chats.
 
         Returns
         -------
         list[str]
-            The most recent first.
+            Chats, the most recent first.
         """
         found: list[str] = []
         for chat in reversed(self._records):
