--- a/src/primrosescale/request/backoff.py
+++ b/src/primrosescale/request/backoff.py
@@ -1,4 +1,4 @@
-"""Decorrelated jitter between attempts."""
+"""Random exponential back-off between attempts, with decorrelated jitter."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
 
 @dataclass(frozen=True, slots=True)
 class BackoffSettings:
-    """How long to wait between attempts."""
+    """Limits of the wait between attempts."""
 
     shortest: float = option(
         SECONDS,
-        "seconds, least",
+        "shortest wait in seconds",
         0.02,
     )
     longest: float = option(
         SECONDS,
-        "seconds, most",
+        "longest wait in seconds",
         1.0,
     )
 
 
 class Backoff:
-    """Waits that grow at random, independent between callers.
+    """Random waits that grow with each repeat and differ between callers.
 
     Parameters
     ----------
     settings : BackoffSettings
-        Limits.
+        Limits of the waits.
     rng : Random
-        Source of chance.
+        Random number generator.
     """
 
     def __init__(self, settings: BackoffSettings, rng: Random) -> None:
@@ -47,12 +47,12 @@
         self._last_wait = settings.shortest
 
     def next_wait(self) -> float:
-        """Return the next wait.
+        """Draw the next wait.
 
         Returns
         -------
         float
-            Seconds.
+            Wait in seconds.
         """
         drawn = self._rng.uniform(
             self._settings.shortest, self._last_wait * GROWTH_FACTOR
