--- a/src/primrosescale/request/target_port.py
+++ b/src/primrosescale/request/target_port.py
@@ -1,4 +1,4 @@
-"""How an agent reaches its target."""
+"""Interface through which an agent sends requests to its target."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
 
 class TargetReceiver(ABC):
-    """Receives a target's answer.
+    """Receives a target's answer to one request.
 
-    Exactly one of `target_done` and `target_failed` comes last.
+    The last call is either `target_done` or `target_failed`, exactly once.
     """
 
     @abstractmethod
     def target_head(self, status: int, headers: list[Header]) -> None:
-        """Take in status and headers.
+        """Receive the status and headers of the answer.
 
         Parameters
         ----------
         status : int
             HTTP status.
         headers : list[Header]
-            Headers.
+            Response headers.
         """
 
     @abstractmethod
     def target_data(self, data: bytes) -> None:
-        """Take in bytes of the answer.
+        """Receive bytes of the answer's body.
 
         Parameters
         ----------
@@ -44,49 +44,49 @@
 
     @abstractmethod
     def target_done(self, cached_tokens: int) -> None:
-        """Take in that the answer is whole.
+        """Receive the end of a complete answer.
 
         Parameters
         ----------
         cached_tokens : int
-            Prompt tokens that came from the target's cache.
+            Number of prompt tokens read from the target's cache.
         """
 
     @abstractmethod
     def target_failed(self, outcome: Outcome, detail: str) -> None:
-        """Take in that there is no whole answer.
+        """Receive a failure: there is no complete answer.
 
         Parameters
         ----------
         outcome : Outcome
             Whether the request may have run.
         detail : str
-            Why.
+            Human-readable cause.
         """
 
 
 class TargetRun(ABC):
-    """A request that a target is running."""
+    """A request in progress at a target."""
 
     @abstractmethod
     def cancel(self) -> None:
-        """Tell the target to stop; nothing more is received."""
+        """Stop the request; the receiver gets no further calls."""
 
     @abstractmethod
     def pause(self) -> None:
-        """Stop taking bytes of the answer for now."""
+        """Pause reading the answer."""
 
     @abstractmethod
     def resume(self) -> None:
-        """Take bytes of the answer again."""
+        """Resume reading the answer."""
 
 
 class TargetPort(ABC):
-    """A target as its agent sees it."""
+    """Client of an agent's target."""
 
     @abstractmethod
     def start(self, call: Call, receiver: TargetReceiver) -> TargetRun:
-        """Hand a request to the target.
+        """Send a request to the target.
 
         Parameters
         ----------
@@ -98,12 +98,12 @@
         Returns
         -------
         TargetRun
-            The running request.
+            The request in progress.
         """
 
     @abstractmethod
     def export_cache(self, chat: str) -> Deferred[bytes]:
-        """Read a chat's KV cache out of the target.
+        """Export the KV cache of a chat from the target.
 
         Parameters
         ----------
@@ -113,22 +113,22 @@
         Returns
         -------
         Deferred[bytes]
-            The cache; empty when the target has none.
+            The cache; empty when the target has none for the chat.
         """
 
     @abstractmethod
     def import_cache(self, chat: str, data: bytes) -> Deferred[bool]:
-        """Put a chat's KV cache into the target.
+        """Import the KV cache of a chat into the target.
 
         Parameters
         ----------
         chat : str
             The chat.
         data : bytes
-            What another target's `export_cache` gave.
+            The cache as returned by `export_cache` of another target.
 
         Returns
         -------
         Deferred[bool]
-            Whether the target took it.
+            Whether the target accepted the cache.
         """
