--- a/src/primrosescale/request/call_names.py
+++ b/src/primrosescale/request/call_names.py
@@ -1,8 +1,9 @@
-"""Names of calls an agent has seen, so that none is taken twice.
+"""Identifiers of calls that an agent has received, so that none runs twice.
 
-A call is named by its router's incarnation and its number there. The name is
-kept until no copy of the call can still arrive; a name may be barred before
-its call was ever seen, which makes "not run" true for good.
+A call is identified by the incarnation of its router and its number there. The
+identifier is kept until no copy of the call can still arrive. An identifier may
+be barred before its call arrives; the call then never runs, so that the report
+"not run" remains true.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallName:
-    """The name of a call.
+    """Identifier of a call.
 
     Parameters
     ----------
     router : int
-        Incarnation of the router that made it.
+        Incarnation of the router that sent the call.
     number : int
-        Its number there.
+        Number of the call, unique within that incarnation.
     """
 
     router: int
@@ -29,7 +30,7 @@
 
 
 class NameState(Enum):
-    """What is known of a name."""
+    """State of an identifier: not seen yet, call received, or call forbidden."""
 
     FRESH = "fresh"
     TAKEN = "taken"
@@ -38,21 +39,21 @@
 
 @dataclass(slots=True)
 class _NameRecord:
-    """A remembered name."""
+    """State of an identifier and the time in seconds at which it expires."""
 
     state: NameState
     expires_at: float
 
 
 class CallNames:
-    """Bounded memory of call names.
+    """Bounded record of call identifiers.
 
     Parameters
     ----------
     keep : float
-        Seconds a name is kept after its call's deadline.
+        Seconds for which an identifier is kept after the deadline of its call.
     limit : int
-        Names at the most; at the limit no new call may be taken.
+        Maximum number of identifiers; at the limit no new call may be accepted.
     """
 
     def __init__(self, keep: float, limit: int) -> None:
@@ -62,66 +63,66 @@
         self._names_by_expiry: dict[int, list[CallName]] = {}
 
     def __len__(self) -> int:
-        """Return how many names are kept."""
+        """Return the number of recorded identifiers."""
         return len(self._records)
 
     @property
     def is_full(self) -> bool:
-        """Tell whether no new name fits."""
+        """Return whether the limit has been reached."""
         return len(self._records) >= self._limit
 
     def state(self, name: CallName) -> NameState:
-        """Return what is known of a name.
+        """Return the state of an identifier.
 
         Parameters
         ----------
         name : CallName
-            The name.
+            The identifier.
 
         Returns
         -------
         NameState
-            `NameState.FRESH` for one never seen.
+            `NameState.FRESH` for an identifier that is not recorded.
         """
         record = self._records.get(name)
         return NameState.FRESH if record is None else record.state
 
     def take(self, name: CallName, deadline: float) -> None:
-        """Remember that a call has arrived.
+        """Record that a call has arrived.
 
         Parameters
         ----------
         name : CallName
-            Its name.
+            Identifier of the call.
         deadline : float
-            When its caller stops waiting, in seconds.
+            Time at which its caller stops waiting, in seconds.
         """
         self._put(name, NameState.TAKEN, deadline)
 
     def bar(self, name: CallName, deadline: float) -> None:
-        """Remember that a call must never run.
+        """Record that a call must never run.
 
         Parameters
         ----------
         name : CallName
-            Its name.
+            Identifier of the call.
         deadline : float
-            When its caller stops waiting, in seconds.
+            Time at which its caller stops waiting, in seconds.
         """
         self._put(name, NameState.BARRED, deadline)
 
     def forget_old(self, now: float) -> int:
-        """Forget names whose time is over.
+        """Remove expired identifiers.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         int
-            How many were forgotten.
+            Number of identifiers removed.
         """
         forgotten = 0
         for second in [expiry for expiry in self._names_by_expiry if expiry < now]:
