--- a/src/primrosescale/request/call_request.py
+++ b/src/primrosescale/request/call_request.py
@@ -1,4 +1,4 @@
-"""A caller's request as a router has understood it."""
+"""A caller's request after a router has parsed and authorised it."""
 
 from __future__ import annotations
 
@@ -11,46 +11,46 @@
 
 @dataclass(slots=True)
 class CallRequest:
-    """What is to be run, for whom and until when.
+    """A request to be sent to a target of a service.
 
     Parameters
     ----------
     service : str
-        The service.
+        Name of the service.
     organisation : str
-        Whose request it is.
+        Organisation that sent the request.
     chat : str
-        The chat it belongs to; empty for none.
+        Chat that the request belongs to; empty for none.
     method : str
         HTTP method.
     path : str
-        Path and query at the target.
+        Path and query sent to the target.
     headers : list[Header]
-        Headers for the target.
+        Headers sent to the target.
     body : bytes
-        Content.
+        Request body.
     deadline : float
-        When the caller stops waiting, in seconds.
+        Time at which the caller stops waiting, in seconds.
     prompt_tokens : int
-        Tokens of the prompt; 0 for a plain service.
+        Number of prompt tokens; 0 for a plain service.
     output_tokens : int
-        Tokens the caller allows for the answer; 0 for no limit.
+        Maximum number of answer tokens set by the caller; 0 for no limit.
     priority : int
-        Class of the organisation.
+        Priority class of the organisation; a lower number goes first.
     weight : int
-        Weight of the organisation.
+        Weight of the organisation in fair queueing.
     key : str
         Idempotency key; empty for none.
     is_idempotent : bool
-        Whether running it twice is harmless.
+        Whether the request may safely run twice.
     version : int
-        Version of the configuration it was accepted under.
+        Version of the configuration under which the request was accepted.
     traceparent : str
         W3C trace context for the next hop; empty for none.
     ledger : str
-        Endpoint of the router that writes the key's claim; empty for any.
+        Endpoint of the router that writes the claim on the key; empty for any.
     is_streamed : bool
-        Whether the caller reads the answer as it comes.
+        Whether the caller reads the answer as a stream.
     """
 
     service: str
