--- a/src/primrosescale/request/call_table.py
+++ b/src/primrosescale/request/call_table.py
@@ -1,4 +1,8 @@
-"""The calls a router has under way, by the number of their attempt."""
+"""Matches messages of agents to the calls that a router has in progress.
+
+Each attempt at a call is registered under a number, which the agent's messages
+carry.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +33,7 @@
 
 
 class CallObserver(ABC):
-    """Knows targets and is told how calls end."""
+    """Looks up targets and is notified of their load and of ended calls."""
 
     @abstractmethod
     def find_target(self, service: str, name: str) -> Target | None:
@@ -37,19 +41,19 @@
 
     @abstractmethod
     def suspect(self, target: Target) -> None:
-        """Take in that a target could not be reached."""
+        """Mark a target that could not be reached as suspect."""
 
     @abstractmethod
     def load_heard(self, target: Target, load: int) -> None:
-        """Take in a target's load."""
+        """Record a target's reported load."""
 
     @abstractmethod
     def call_ended(self, call: RoutedCall, report: CallReport) -> None:
-        """Take in that a call has ended."""
+        """Handle the end of a call."""
 
 
 class CallTable(CallContext):
-    """Matches answers to calls by name; what matches none is counted.
+    """Matches messages to attempts by number, and counts those that match none.
 
     Parameters
     ----------
@@ -58,7 +62,7 @@
     pool : LinkPool
         Connections to agents.
     observer : CallObserver
-        Knows targets and is told how calls end.
+        Looks up targets and is notified of ended calls.
     """
 
     def __init__(
@@ -75,7 +79,7 @@
         self._strays = 0
 
     def __len__(self) -> int:
-        """Return how many attempts are under way."""
+        """Return the number of attempts in progress."""
         return len(self._calls)
 
     @property
@@ -85,17 +89,17 @@
 
     @property
     def strays(self) -> int:
-        """Return how many messages belonged to no attempt under way."""
+        """Return the number of messages that matched no attempt in progress."""
         return self._strays
 
     def register(self, call: RoutedCall) -> int:
-        """Give an attempt a number; see `CallContext.register`."""
+        """Assign a number to an attempt; see `CallContext.register`."""
         self._next_number += 1
         self._calls[self._next_number] = call
         return self._next_number
 
     def unregister(self, number: int) -> None:
-        """Forget an attempt; see `CallContext.unregister`."""
+        """Remove an attempt; see `CallContext.unregister`."""
         self._calls.pop(number, None)
 
     def connect(self, target: Target) -> Deferred[Link]:
@@ -111,29 +115,29 @@
         return self._observer.find_target(service, name)
 
     def suspect(self, target: Target) -> None:
-        """Take in that a target could not be reached."""
+        """Mark a target that could not be reached as suspect."""
         self._observer.suspect(target)
 
     def load_heard(self, target: Target, load: int) -> None:
-        """Take in a target's load."""
+        """Record a target's reported load."""
         self._observer.load_heard(target, load)
 
     def call_ended(self, call: RoutedCall, report: CallReport) -> None:
-        """Take in that a call has ended."""
+        """Handle the end of a call."""
         self._observer.call_ended(call, report)
 
     def message(self, message: Message) -> bool:
-        """Hand an answer to its call.
+        """Pass a message to the call that it belongs to.
 
         Parameters
         ----------
         message : Message
-            What came from an agent.
+            Message from an agent.
 
         Returns
         -------
         bool
-            False when it is not part of an answer.
+            False when the message is neither part of an answer nor a failure.
         """
         if not isinstance(message, ANSWER_TYPES):
             return False
@@ -145,14 +149,14 @@
         return True
 
     def link_lost(self, link: Link, detail: str) -> None:
-        """Tell the calls that wait on a connection that it has ended.
+        """Notify the calls that use a connection that it was lost.
 
         Parameters
         ----------
         link : Link
             The connection.
         detail : str
-            Why it ended.
+            Why it was lost.
         """
         for call in list(self._calls.values()):
             call.link_lost(link, detail)
