--- a/src/primrosescale/request/answer_buffer.py
+++ b/src/primrosescale/request/answer_buffer.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Piece:
+class Chunk:
     """Bytes of an answer and where they belong.
 
     Parameters
@@ -107,7 +107,7 @@
         """Mark the answer as whole."""
         self._is_ended = True
 
-    def take(self, max_bytes: int) -> Piece | None:
+    def take(self, max_bytes: int) -> Chunk | None:
         """Return the next bytes that may be sent now.
 
         Parameters
@@ -117,7 +117,7 @@
 
         Returns
         -------
-        Piece | None
+        Chunk | None
             The piece, unless all is sent or credit has run out.
         """
         allowed = self._credited + self._window - self._sent
@@ -125,7 +125,7 @@
         if size <= 0:
             return None
         begin = self._sent - self._start
-        piece = Piece(self._sent, bytes(self._data[begin : begin + size]))
+        piece = Chunk(self._sent, bytes(self._data[begin : begin + size]))
         self._sent += size
         return piece
 
