--- a/src/primrosescale/request/answer_buffer.py
+++ b/src/primrosescale/request/answer_buffer.py
@@ -125,9 +125,9 @@
         if size <= 0:
             return None
         begin = self._sent - self._start
-        piece = Chunk(self._sent, bytes(self._data[begin : begin + size]))
+        chunk = Chunk(self._sent, bytes(self._data[begin : begin + size]))
         self._sent += size
-        return piece
+        return chunk
 
     def credit(self, offset: int) -> None:
         """Take in that the reader has the answer up to an offset.
