--- a/src/primrosescale/request/agent_call.py
+++ b/src/primrosescale/request/agent_call.py
@@ -432,12 +432,12 @@
             self._head_sent = True
             self._send(self._head)
         name = self._name
-        piece = self._buffer.take(self._settings.piece)
-        while piece is not None:
+        chunk = self._buffer.take(self._settings.piece)
+        while chunk is not None:
             self._send(
-                wire.AnswerChunk(name.router, name.number, piece.offset, piece.data),
+                wire.AnswerChunk(name.router, name.number, chunk.offset, chunk.data),
             )
-            piece = self._buffer.take(self._settings.piece)
+            chunk = self._buffer.take(self._settings.piece)
         if self._buffer.is_ended and self._buffer.is_sent:
             self._send_end()
 
