--- a/src/primrosescale/request/call_request.py
+++ b/src/primrosescale/request/call_request.py
@@ -1,4 +1,4 @@
-"""A caller's request after a router has parsed and authorised it."""
+"""A caller's request as parsed and accepted by a router."""
 
 from __future__ import annotations
 
