--- a/src/primrosescale/request/candidates.py
+++ b/src/primrosescale/request/candidates.py
@@ -198,11 +198,11 @@
 class ServiceTargets:
     """The targets of one service and their order for a request.
 
-    Targets of the router's own region come before those of other regions. The last
-    two candidates are kept for other regions, so that a region at its load bound
-    can spill over. Within a region the order for a chat is that of the ring,
-    whatever the failure domain, so that every router of the region finds the same
-    first candidate.
+    Targets of the router's own region come before those of other regions. Of more
+    than two candidates the last two are taken from other regions, so that a region
+    at its load bound can spill over. Within a region the order for a chat is that
+    of the ring, whatever the failure domain, so that every router of the region
+    finds the same first candidate.
 
     Parameters
     ----------
