--- a/src/primrosescale/request/answer_buffer.py
+++ b/src/primrosescale/request/answer_buffer.py
@@ -1,4 +1,8 @@
-"""An answer on its way out: numbered by offset, paced by credit."""
+"""Buffers an answer in the agent, with flow control by credit.
+
+Bytes are addressed by their offset in the answer, so that a router can resume
+after its connection was lost.
+"""
 
 from __future__ import annotations
 
@@ -11,12 +15,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Chunk:
-    """Bytes of an answer and where they belong.
+    """A contiguous part of an answer.
 
     Parameters
     ----------
     offset : int
-        Bytes of the answer before it.
+        Position of its first byte in the answer.
     data : bytes
         The bytes.
     """
@@ -26,14 +30,14 @@
 
 
 class AnswerBuffer:
-    """Keeps an answer's bytes until its reader has them.
+    """Holds the bytes of an answer until its reader has acknowledged them.
 
     Parameters
     ----------
     window : int
-        Bytes that may be sent beyond what the reader has taken.
+        Maximum number of bytes sent beyond what the reader has acknowledged.
     keep : int
-        Bytes of the answer kept so that a reader may resume.
+        Number of bytes retained so that a reader can resume.
     """
 
     def __init__(self, window: int, keep: int) -> None:
@@ -48,12 +52,12 @@
 
     @property
     def length(self) -> int:
-        """Return the bytes of the answer so far."""
+        """Return the number of bytes of the answer so far."""
         return self._start + len(self._data)
 
     @property
     def kept(self) -> int:
-        """Return the bytes held in memory."""
+        """Return the number of bytes held in memory."""
         return len(self._data)
 
     @property
@@ -63,36 +67,36 @@
 
     @property
     def is_ended(self) -> bool:
-        """Tell whether the answer is whole."""
+        """Return whether the answer is complete."""
         return self._is_ended
 
     @property
     def is_sent(self) -> bool:
-        """Tell whether all bytes so far have been sent."""
+        """Return whether all bytes so far have been sent."""
         return self._sent >= self.length
 
     @property
     def backlog(self) -> int:
-        """Return the bytes that the reader has not taken yet."""
+        """Return the number of bytes not yet acknowledged by the reader."""
         return self.length - self._credited
 
     @property
     def sent(self) -> int:
-        """Return the offset up to which bytes were sent."""
+        """Return the offset up to which bytes have been sent."""
         return self._sent
 
     def snapshot(self) -> bytes | None:
-        """Return the whole answer so far.
+        """Return the answer so far, from its first byte.
 
         Returns
         -------
         bytes | None
-            None when its beginning is no longer kept.
+            The bytes; None when the first bytes have been evicted.
         """
         return None if self._start else bytes(self._data)
 
     def append(self, data: bytes) -> None:
-        """Add bytes at the end.
+        """Append bytes to the answer.
 
         Parameters
         ----------
@@ -104,7 +108,7 @@
         self._trim()
 
     def end(self) -> None:
-        """Mark the answer as whole."""
+        """Mark the answer as complete."""
         self._is_ended = True
 
     def take(self, max_bytes: int) -> Chunk | None:
@@ -130,36 +134,39 @@
         return chunk
 
     def credit(self, offset: int) -> None:
-        """Take in that the reader has the answer up to an offset.
+        """Record that the reader has received the answer up to an offset.
 
         Parameters
         ----------
         offset : int
-            Bytes; beyond what was sent it counts as what was sent.
+            Offset in bytes, limited to the bytes sent.
         """
         self._credited = max(self._credited, min(offset, self._sent))
         self._trim()
 
     def resume(self, offset: int) -> None:
-        """Go back to an offset that a reader names.
+        """Continue sending from an offset requested by the reader.
 
         Parameters
         ----------
         offset : int
-            Bytes that the reader has.
+            Number of bytes that the reader has received.
 
         Raises
         ------
         AnswerCutError
-            When the bytes from there on are no longer kept.
+            When bytes from that offset on have been evicted, or the offset is
+            beyond the end of the answer.
         """
         if offset < self._start or offset > self.length:
-            raise AnswerCutError(f"bytes from {offset} on are not kept")
+            raise AnswerCutError(
+                f"bytes from offset {offset} on are no longer buffered"
+            )
         self._sent = offset
         self._credited = max(self._credited, offset)
 
     def _trim(self) -> None:
-        """Drop bytes the reader has, beyond what is kept for resuming."""
+        """Evict acknowledged bytes beyond those retained for resuming."""
         removable = min(len(self._data) - self._keep, self._credited - self._start)
         if removable > 0:
             del self._data[:removable]
