--- a/src/primrosescale/request/attempts.py
+++ b/src/primrosescale/request/attempts.py
@@ -1,4 +1,4 @@
-"""What a router does after an attempt at a call has failed."""
+"""Decides which target each attempt at a call goes to, and when to stop retrying."""
 
 from __future__ import annotations
 
@@ -29,20 +29,20 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptFailure:
-    """Why an attempt brought no answer.
+    """Why an attempt ended without an answer.
 
     Parameters
     ----------
     outcome : Outcome
         Whether the call may have run.
     reason : Reason
-        Why.
+        Cause of the failure.
     retry_after : float
-        Seconds after which asking again is worth it.
+        Seconds after which a retry may succeed.
     place : str
-        Target that holds the chat's cache; empty when not said.
+        Name of the target whose cache holds the chat; empty when not reported.
     detail : str
-        For people.
+        Human-readable description.
     """
 
     outcome: Outcome
@@ -53,7 +53,7 @@
 
 
 class StepKind(Enum):
-    """What comes next for a call."""
+    """Whether a call is attempted again or given up."""
 
     TRY = "try"
     GIVE_UP = "give up"
@@ -66,15 +66,15 @@
     Parameters
     ----------
     kind : StepKind
-        What to do.
+        Whether to make another attempt.
     target : Target | None
-        Whom to try.
+        Target of the attempt.
     wait : float
-        Seconds to wait before trying.
+        Seconds to wait before the attempt.
     is_directed : bool
-        Whether the target was named by the chat's directory.
+        Whether the attempt follows the directory lookup of the chat.
     failure : AttemptFailure | None
-        What to tell the caller, when giving up.
+        Failure to report to the caller when giving up.
     """
 
     kind: StepKind
@@ -85,24 +85,24 @@
 
 
 class AttemptPlan:
-    """The attempts of one call: whom, in which order, and when to stop.
+    """Plans the attempts of one call: their targets, their order and their end.
 
-    A call that did not run goes to the next candidate at once; there are few
+    A call that did not run goes to the next candidate at once: there are few
     candidates, a refusal costs an agent little, and attempts do not multiply
-    across hops because only the router makes them. Every repeat of a call
-    that may have run is paid for from the retry budget, and a call that is
-    not idempotent is never repeated then.
+    across hops because only the router retries. A call that may have run is
+    repeated only if it is idempotent, and each such repeat is charged to the retry
+    budget.
 
     Parameters
     ----------
     candidates : list[Target]
-        In order.
+        Targets in the order in which they are tried.
     is_idempotent : bool
-        Whether running the call twice is harmless.
+        Whether the call may safely run twice.
     deadline : float
-        When the caller stops waiting, in seconds.
+        Time at which the caller stops waiting, in seconds.
     budget : RetryBudget
-        The router's budget.
+        Retry budget that repeats are charged to.
     backoff : Backoff
         Waits between repeats.
     """
@@ -131,17 +131,17 @@
 
     @property
     def attempts(self) -> int:
-        """Return how many attempts were planned."""
+        """Return the number of attempts planned so far."""
         return self._attempts
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether some attempt may have run the call."""
+        """Return whether the call may have run in some attempt."""
         return self._may_have_run
 
     @property
     def home(self) -> Target | None:
-        """Return the first candidate, the chat's directory."""
+        """Return the first candidate, whose agent keeps the chat's directory entry."""
         return self._candidates[0] if self._candidates else None
 
     def first(self, now: float) -> Step:
@@ -150,12 +150,12 @@
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         Step
-            What to do.
+            The first attempt, or giving up when there is no candidate.
         """
         self._budget.earn()
         no_candidate = AttemptFailure(
@@ -177,16 +177,17 @@
         Parameters
         ----------
         failure : AttemptFailure
-            What went wrong.
+            The failure of the attempt.
         directed : Target | None
-            The target that the failure names as the chat's place, if known.
+            Target that the failure names as the one holding the chat's cache;
+            None when it names none that is usable.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         Step
-            What to do.
+            The next attempt, or giving up.
         """
         self._record_failure(failure)
         if failure.outcome is not Outcome.NOT_RUN:
@@ -194,7 +195,8 @@
         if failure.reason in NON_RETRYABLE_REASONS:
             return self._give_up(failure)
         if failure.reason == Reason.TARGET_FAILED and not self._is_idempotent:
-            # Its claim is being given back; another agent would find it held.
+            # The claim is still being released, so that another agent would find it
+            # held.
             return self._give_up(failure)
         if failure.reason == Reason.ELSEWHERE:
             return self._follow_directory(failure, directed, now)
@@ -248,14 +250,14 @@
         )
 
     def _skip_directed(self) -> None:
-        """Pass over the candidate that the directory has named already."""
+        """Skip the candidate that was already tried as directed."""
         if self._next_index >= len(self._candidates):
             return
         if self._candidates[self._next_index].name == self._directed_name:
             self._next_index += 1
 
     def _give_up(self, failure: AttemptFailure) -> Step:
-        """Stop at once, and never say "not run" after an unknown attempt."""
+        """Give up; "not run" is never reported once an attempt may have run."""
         outcome = Outcome.UNKNOWN if self._may_have_run else failure.outcome
         after = self._shortest_retry_after
         reason = failure.reason
