--- a/src/primrosescale/request/agent_call.py
+++ b/src/primrosescale/request/agent_call.py
@@ -1,4 +1,8 @@
-"""One call in an agent: waiting, claiming, running, answering."""
+"""State and answer of one call in an agent, from its arrival to its end.
+
+A call waits in the queue, claims its idempotency key if it has one, runs at the
+target, and its answer is sent to the router.
+"""
 
 from __future__ import annotations
 
@@ -35,37 +39,37 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamSettings:
-    """How answers are sent."""
+    """How agents send answers."""
 
     window: int = option(
         COUNT,
-        "bytes sent beyond what the router has taken",
+        "maximum bytes sent beyond what the router has acknowledged",
         256 * 1024,
     )
     keep: int = option(
         COUNT,
-        "bytes of an answer kept for a router that resumes",
+        "bytes of an answer retained for a router that resumes",
         256 * 1024,
     )
     piece: int = option(
         COUNT,
-        "bytes of one chunk at the most",
+        "maximum bytes of one chunk",
         64 * 1024,
     )
     whole_limit: int = option(
         COUNT,
-        "bytes up to which an unstreamed answer goes out in one message",
+        "maximum bytes of an unstreamed answer that is sent in one message",
         64 * 1024,
     )
     coalesce: float = option(
         SECONDS,
-        "seconds for which bytes are gathered into one chunk",
+        "seconds for which bytes are collected into one chunk",
         0.03,
     )
 
 
 class CallPhase(Enum):
-    """How far a call has come in its agent."""
+    """Phase of a call in its agent."""
 
     WAITING = "waiting"
     CLAIMING = "claiming"
@@ -74,26 +78,26 @@
 
 
 class AgentCall(TargetReceiver):
-    """A call that an agent has taken.
+    """A call that an agent has accepted.
 
     Parameters
     ----------
     name : CallName
-        Its name.
+        Identifier of the call.
     call : wire.Call
-        What to run.
+        The call as received from the router.
     link : Link
-        Connection to answer on.
+        Connection on which it is answered.
     deadline : float
-        When its caller stops waiting, in seconds.
+        Time at which its caller stops waiting, in seconds.
     settings : StreamSettings
         How the answer is sent.
     on_end : Callable[[AgentCall, bool], None]
-        Told once when the call has ended, with whether the target answered.
+        Called once when the call has ended, with whether the target answered.
     on_data : Callable[[AgentCall], None]
-        Told when there are bytes to send.
+        Called when there are bytes to send.
     load : Callable[[], int]
-        Returns the work units outstanding at the agent.
+        Returns the outstanding work units of the agent.
     """
 
     __slots__ = (
@@ -159,71 +163,71 @@
 
     @property
     def name(self) -> CallName:
-        """Return the call's name."""
+        """Return the identifier of the call."""
         return self._name
 
     @property
     def call(self) -> wire.Call:
-        """Return what is run."""
+        """Return the call as received from the router."""
         return self._call
 
     @property
     def link(self) -> Link | None:
-        """Return the connection it is answered on."""
+        """Return the connection on which the call is answered, if it is open."""
         return self._link
 
     @property
     def deadline(self) -> float:
-        """Return when its caller stops waiting, in seconds."""
+        """Return the time at which the caller stops waiting, in seconds."""
         return self._deadline
 
     @property
     def phase(self) -> CallPhase:
-        """Return how far it has come."""
+        """Return the phase of the call."""
         return self._phase
 
     @property
     def claim(self) -> Claim | None:
-        """Return its claim on an idempotency key."""
+        """Return the call's claim on its idempotency key, if it has one."""
         return self._claim
 
     @property
     def kept(self) -> int:
-        """Return the bytes of its answer in memory."""
+        """Return the number of bytes of the answer held in memory."""
         return self._buffer.kept
 
     @property
     def length(self) -> int:
-        """Return the bytes of its answer so far."""
+        """Return the number of bytes of the answer so far."""
         return self._buffer.length
 
     @property
     def cached_tokens(self) -> int:
-        """Return the prompt tokens served from the target's cache."""
+        """Return the number of prompt tokens read from the target's cache."""
         return self._cached_tokens
 
     @property
     def is_replay(self) -> bool:
-        """Tell whether its answer is that of an earlier run."""
+        """Return whether the answer is the recorded one of an earlier run."""
         return self._is_replay
 
     @property
     def failure(self) -> wire.CallFailed | None:
-        """Return why there is no answer."""
+        """Return the failure sent to the router, if the call has failed."""
         return self._failure
 
     @property
     def status(self) -> int:
-        """Return the answer's HTTP status; 0 before it has come."""
+        """Return the HTTP status of the answer; 0 before it has arrived."""
         return 0 if self._head is None else self._head.status
 
     @property
     def asked_rest(self) -> float | None:
-        """Return for how many seconds the target wants no more calls, if it says so."""
+        """Return the seconds for which the target asked for no calls, if it did."""
         return self._asked_rest
 
     def begin_claim(self, claim: Claim) -> None:
-        """Note that the call's key is being claimed.
+        """Record that the call's idempotency key is being claimed.
 
         Parameters
         ----------
@@ -234,32 +238,33 @@
         self._claim = claim
 
     def begin_run(self, run: TargetRun) -> None:
-        """Note that the target runs the call.
+        """Record the request at the target.
 
         Parameters
         ----------
         run : TargetRun
-            The running request.
+            The request in progress.
         """
         if self._phase is not CallPhase.ENDED:
             self._run = run
 
     def enter_running(self) -> None:
-        """Note that from now on the call may have run."""
+        """Record that the call may have run from now on."""
         self._phase = CallPhase.RUNNING
 
     def stored_answer(self, limit: int) -> wire.StoredAnswer:
-        """Return the answer for the ledger.
+        """Return the answer in the form stored in the ledger.
 
         Parameters
         ----------
         limit : int
-            Bytes of the body at the most.
+            Maximum size of the body in bytes.
 
         Returns
         -------
         wire.StoredAnswer
-            With an empty body when the answer is longer.
+            The answer; its body is empty when it exceeds the limit or is no longer
+            wholly in memory.
         """
         head = self._head
         body = self._buffer.snapshot()
@@ -272,7 +277,7 @@
         )
 
     def replay(self, answer: wire.StoredAnswer) -> None:
-        """Answer with what an earlier run of the key answered.
+        """Answer with the recorded answer of an earlier call with the same key.
 
         Parameters
         ----------
@@ -292,18 +297,18 @@
         detail: str = "",
         retry_after: float = 0.0,
     ) -> None:
-        """End the call without an answer and tell the router at once.
+        """End the call without an answer and report the failure to the router.
 
         Parameters
         ----------
         outcome : Outcome
-            Whether it may have run.
+            Whether the call may have run.
         reason : Reason
-            Why.
+            Cause of the failure.
         detail : str
-            For people.
+            Human-readable description.
         retry_after : float
-            Seconds after which asking again is worth it.
+            Seconds after which a retry may succeed.
         """
         if self._phase is CallPhase.ENDED:
             return
@@ -324,7 +329,7 @@
         self._send(self._failure)
 
     def target_head(self, status: int, headers: list[wire.Header]) -> None:
-        """Take in status and headers from the target."""
+        """Store the status and headers of the target's answer."""
         if self._phase is CallPhase.ENDED:
             return
         name = self._name
@@ -337,7 +342,7 @@
         self._asked_rest = asked_rest(status, values)
 
     def target_data(self, data: bytes) -> None:
-        """Take in bytes of the answer from the target."""
+        """Buffer bytes of the answer, and pause the target at two windows' backlog."""
         if self._phase is CallPhase.ENDED:
             return
         self._buffer.append(data)
@@ -347,7 +352,7 @@
         self._on_data(self)
 
     def target_done(self, cached_tokens: int) -> None:
-        """Take in that the target's answer is whole."""
+        """End the call with the target's complete answer."""
         if self._phase is CallPhase.ENDED:
             return
         self._run = None
@@ -360,17 +365,17 @@
         self.flush()
 
     def target_failed(self, outcome: Outcome, detail: str) -> None:
-        """Take in that the target gave no whole answer."""
+        """End the call because the target gave no complete answer."""
         self._run = None
         self.fail(outcome, Reason.TARGET_FAILED, detail)
 
     def credit(self, offset: int) -> None:
-        """Take in how far the router has taken the answer.
+        """Record how much of the answer the router has received.
 
         Parameters
         ----------
         offset : int
-            Bytes.
+            Number of bytes received.
         """
         self._buffer.credit(offset)
         if self._is_paused and self._buffer.backlog <= self._settings.window:
@@ -380,14 +385,14 @@
         self.flush()
 
     def resume(self, link: Link, offset: int) -> None:
-        """Go on answering on another connection.
+        """Continue answering on another connection.
 
         Parameters
         ----------
         link : Link
-            The connection.
+            The new connection.
         offset : int
-            Bytes that the router has.
+            Number of bytes that the router has received.
         """
         self._link = link
         if self._failure is not None:
@@ -414,18 +419,18 @@
         self.flush()
 
     def detach(self, link: Link) -> None:
-        """Take in that a connection has ended; the call goes on.
+        """Stop sending on a connection that was lost; the call itself continues.
 
         Parameters
         ----------
         link : Link
-            The connection.
+            The lost connection.
         """
         if self._link is link:
             self._link = None
 
     def flush(self) -> None:
-        """Send what may be sent now, and the end when all is sent."""
+        """Send all bytes that the window allows, and the end after the last byte."""
         if self._link is None or self._head is None:
             return
         if not self._head_sent:
