--- a/src/primrosescale/request/answer_buffer.py
+++ b/src/primrosescale/request/answer_buffer.py
@@ -112,17 +112,17 @@
         self._is_ended = True
 
     def take(self, max_bytes: int) -> Chunk | None:
-        """Return the next bytes that may be sent now.
+        """Return the next bytes that may be sent, and count them as sent.
 
         Parameters
         ----------
         max_bytes : int
-            Bytes of one piece at the most.
+            Maximum size of the chunk in bytes.
 
         Returns
         -------
         Chunk | None
-            The piece, unless all is sent or credit has run out.
+            The chunk; None when all bytes are sent or the window is full.
         """
         allowed = self._credited + self._window - self._sent
         size = min(max_bytes, allowed, self.length - self._sent)
