--- a/src/primrosescale/request/attempts.py
+++ b/src/primrosescale/request/attempts.py
@@ -141,7 +141,7 @@
 
     @property
     def home(self) -> Target | None:
-        """Return the first candidate, whose agent keeps the chat's directory entry."""
+        """Return the first candidate, whose agent keeps the chat's directory record."""
         return self._candidates[0] if self._candidates else None
 
     def first(self, now: float) -> Step:
