--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -1,4 +1,8 @@
-"""One call on its way through a router: attempts, answer, end."""
+"""Runs one call in a router: its attempts, its answer and its end.
+
+When a connection to an agent is lost, the router asks the same agent for the rest
+of the answer on a new connection before it counts the attempt as failed.
+"""
 
 from __future__ import annotations
 
@@ -40,46 +44,46 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutedCallSettings:
-    """Timing and limits of a call in a router."""
+    """Timeouts and limits of a call in a router."""
 
     grace: float = option(
         SECONDS,
-        "seconds after the deadline within which the agent's word is awaited",
+        "seconds after the deadline for which the agent's final message is awaited",
         0.25,
     )
     resume_attempts: int = option(
         COUNT,
-        "new connections tried for an answer whose connection was lost",
+        "maximum number of attempts to resume an answer whose connection was lost",
         2,
     )
     resume_pause: float = option(
         SECONDS,
-        "seconds between such tries",
+        "seconds between attempts to resume an answer",
         0.3,
     )
     credit_step: int = option(
         COUNT,
-        "bytes after which the agent is told how far the answer was taken",
+        "bytes of an answer after which its receipt is acknowledged to the agent",
         64 * 1024,
     )
 
 
 @dataclass(slots=True)
 class CallReport:
-    """What became of a call, for metrics, logs and the limits.
+    """Result of a call, for metrics, logs and limits.
 
     Parameters
     ----------
     outcome : Outcome
-        Whether it ran.
+        Whether the call ran.
     reason : Reason | None
-        Why there is no answer; None with a whole answer.
+        Why there is no complete answer; None when there is one.
     attempts : int
-        Attempts made.
+        Number of attempts planned.
     target : str
-        Target that answered; empty when none did.
+        Name of the target that answered; empty when none did.
     cached_tokens : int
-        Prompt tokens served from the target's cache.
+        Number of prompt tokens read from the target's cache.
     """
 
     outcome: Outcome
@@ -90,11 +94,11 @@
 
 
 class CallContext(ABC):
-    """What a routed call needs of the router it runs in."""
+    """Interface between a call and the router that it runs in."""
 
     @abstractmethod
     def register(self, call: RoutedCall) -> int:
-        """Give a new attempt a number that its answer will carry.
+        """Assign a number to a new attempt, which the agent's messages carry.
 
         Parameters
         ----------
@@ -104,17 +108,17 @@
         Returns
         -------
         int
-            A number never used before in this process.
+            A number not used before in this process.
         """
 
     @abstractmethod
     def unregister(self, number: int) -> None:
-        """Drop whatever still comes for an attempt.
+        """Ignore further messages for an attempt.
 
         Parameters
         ----------
         number : int
-            The attempt's number.
+            Number of the attempt.
         """
 
     @property
@@ -149,7 +153,7 @@
         Returns
         -------
         Link | None
-            None when it must be opened first, by `connect`.
+            The connection; None when it must first be opened with `connect`.
         """
 
     @abstractmethod
@@ -159,19 +163,19 @@
         Parameters
         ----------
         service : str
-            Its service.
+            Name of the service.
         name : str
-            Its name.
+            Name of the target.
 
         Returns
         -------
         Target | None
-            The target, unless it is unknown, down or leaving.
+            The target; None when it is unknown, down or leaving.
         """
 
     @abstractmethod
     def suspect(self, target: Target) -> None:
-        """Take in that a target could not be reached.
+        """Mark a target that could not be reached as suspect.
 
         Parameters
         ----------
@@ -181,46 +185,46 @@
 
     @abstractmethod
     def load_heard(self, target: Target, load: int) -> None:
-        """Take in a target's load, told with an answer or a refusal.
+        """Record a target's load, reported with an answer or a refusal.
 
         Parameters
         ----------
         target : Target
             The target.
         load : int
-            Work units outstanding there.
+            Outstanding work units of the target.
         """
 
     @abstractmethod
     def call_ended(self, call: RoutedCall, report: CallReport) -> None:
-        """Take in that a call has ended.
+        """Handle the end of a call.
 
         Parameters
         ----------
         call : RoutedCall
             The call.
         report : CallReport
-            What became of it.
+            Result of the call.
         """
 
 
 class RoutedCall:
-    """Runs the attempts of one call and hands its answer on.
+    """Runs the attempts of one call and forwards its answer to the caller.
 
     Parameters
     ----------
     request : CallRequest
-        What to run.
+        The request to run.
     plan : AttemptPlan
-        Decides about attempts.
+        Decides about the attempts.
     sink : AnswerSink
-        The caller.
+        Receives the answer for the caller.
     context : CallContext
         The router.
     clock : Clock
         Source of time and timers.
     settings : RoutedCallSettings
-        Timing and limits.
+        Timeouts and limits.
     """
 
     __slots__ = (
@@ -280,7 +284,7 @@
 
     @property
     def request(self) -> CallRequest:
-        """Return what is run."""
+        """Return the request that is run."""
         return self._request
 
     @property
@@ -290,7 +294,7 @@
 
     @property
     def is_done(self) -> bool:
-        """Tell whether the caller has its final answer."""
+        """Return whether the call has ended."""
         return self._is_done
 
     def start(self) -> None:
@@ -301,25 +305,25 @@
         self._execute(self._plan.first(now))
 
     def cancel(self) -> None:
-        """Stop because the caller has gone away."""
+        """Cancel the call because the caller has disconnected."""
         if self._is_done:
             return
         self._cancel_attempt()
         self._end(Outcome.UNKNOWN, Reason.CANCELLED)
 
     def caller_drained(self) -> None:
-        """Take in that the caller takes bytes again."""
+        """Resume acknowledging the answer because the caller accepts bytes again."""
         self._give_credit()
 
     def link_lost(self, link: Link, detail: str) -> None:
-        """Take in that a connection has ended.
+        """Try to resume the answer if the lost connection carries this call.
 
         Parameters
         ----------
         link : Link
-            The connection.
+            The lost connection.
         detail : str
-            Why it ended.
+            Why it was lost.
         """
         if self._is_done or link is not self._link:
             return
@@ -327,12 +331,12 @@
         self._schedule_resume(detail)
 
     def message(self, message: Message) -> None:
-        """Take in what the agent says of the present attempt.
+        """Handle a message of the agent about the current attempt.
 
         Parameters
         ----------
         message : Message
-            Part of an answer or a refusal.
+            Part of an answer, or a failure.
         """
         if self._is_done:
             return
@@ -362,7 +366,7 @@
 
     def _receive_whole(self, message: wire.Answer) -> None:
         if digest_of(message.body) != message.digest:
-            raise AnswerCutError("the digest differs")
+            raise AnswerCutError("the digest of the answer does not match its body")
         self._sink.head(message.status, message.headers)
         self._sink.data(message.body)
         self._finish(message.cached_tokens)
@@ -454,7 +458,10 @@
         )
 
     def _schedule_resume(self, detail: str) -> None:
-        """Ask for the answer by name on a new connection, soon."""
+        """Schedule resuming the answer on a new connection.
+
+        The first try is made at once, further ones after a pause.
+        """
         if self._resume_count >= self._settings.resume_attempts:
             self._lost(detail)
             return
@@ -480,7 +487,7 @@
         if self._is_done or attempt != self._attempt or link.peer is None:
             return
         if link.peer.incarnation != self._target_incarnation:
-            self._lost("the agent was replaced")
+            self._lost("the agent has restarted with another incarnation")
             return
         self._link = link
         link.expect()
@@ -506,7 +513,7 @@
         self._fail(AttemptFailure(Outcome.UNKNOWN, Reason.LINK_LOST, detail=detail))
 
     def _fail(self, failure: AttemptFailure) -> None:
-        """End the present attempt and take the next step."""
+        """End the current attempt and take the next step of the plan."""
         self._context.unregister(self._attempt_number)
         self._release_link()
         self._is_in_flight = False
@@ -528,7 +535,11 @@
         self._end(final.outcome, final.reason)
 
     def _deadline_passed(self) -> None:
-        """Stop waiting; an agent that has the call says what became of it."""
+        """End the call at its deadline.
+
+        An agent that has received the call is asked to cancel it, and may report
+        the outcome within the grace period.
+        """
         if self._is_done:
             return
         if self._link is not None and self._deadline_timer is not None:
@@ -538,7 +549,9 @@
             return
         may_run = self._is_in_flight or self._plan.may_have_run
         outcome = Outcome.UNKNOWN if may_run else Outcome.NOT_RUN
-        failure = AttemptFailure(outcome, Reason.DEADLINE, detail="deadline passed")
+        failure = AttemptFailure(
+            outcome, Reason.DEADLINE, detail="the deadline has passed"
+        )
         if self._sink.has_begun:
             self._sink.cut(failure)
         else:
