--- a/src/primrosescale/request/call_names.py
+++ b/src/primrosescale/request/call_names.py
@@ -124,14 +124,14 @@
         int
             Number of identifiers removed.
         """
-        forgotten = 0
+        removed = 0
         for second in [expiry for expiry in self._names_by_expiry if expiry < now]:
             for name in self._names_by_expiry.pop(second):
                 record = self._records.get(name)
                 if record is not None and record.expires_at <= now:
                     del self._records[name]
-                    forgotten += 1
-        return forgotten
+                    removed += 1
+        return removed
 
     def _put(self, name: CallName, state: NameState, deadline: float) -> None:
         expires_at = deadline + self._keep
