--- a/src/primrosescale/request/directory.py
+++ b/src/primrosescale/request/directory.py
@@ -17,13 +17,13 @@
     tokens : int
         Number of tokens of its prompt and answer; 0 when another agent's target
         served it.
-    seen_at : float
+    served_at : float
         Time at which it was served, in seconds.
     """
 
     place: str
     tokens: int
-    seen_at: float
+    served_at: float
 
 
 class ChatDirectory:
@@ -64,7 +64,7 @@
         record = self._records.get(chat)
         if record is None:
             return None
-        if now - record.seen_at > self._keep:
+        if now - record.served_at > self._keep:
             del self._records[chat]
             return None
         return record
