--- a/src/primrosescale/request/call_names.py
+++ b/src/primrosescale/request/call_names.py
@@ -42,7 +42,7 @@
     """State of an identifier and the time in seconds at which it expires."""
 
     state: NameState
-    expires_at: float
+    until: float
 
 
 class CallNames:
@@ -128,12 +128,12 @@
         for second in [expiry for expiry in self._names_by_expiry if expiry < now]:
             for name in self._names_by_expiry.pop(second):
                 record = self._records.get(name)
-                if record is not None and record.expires_at <= now:
+                if record is not None and record.until <= now:
                     del self._records[name]
                     removed += 1
         return removed
 
     def _put(self, name: CallName, state: NameState, deadline: float) -> None:
-        expires_at = deadline + self._keep
-        self._records[name] = _NameRecord(state, expires_at)
-        self._names_by_expiry.setdefault(math.ceil(expires_at), []).append(name)
+        until = deadline + self._keep
+        self._records[name] = _NameRecord(state, until)
+        self._names_by_expiry.setdefault(math.ceil(until), []).append(name)
