--- a/tests/request/test_admission.py
+++ b/tests/request/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: fair, bounded, and true when it refuses."""
+"""Tests of admission control, fair queueing and the health of a target."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
             found.append(queue.pop().organisation)
         return found
 
-    def test_a_newcomer_goes_before_a_backlog(self):
+    def test_a_new_organisation_goes_before_the_backlog_of_another(self):
         queue = FairQueue()
         for _ in range(5):
             queue.push(call("large"))
@@ -61,29 +61,29 @@
 
     def test_a_discarded_call_costs_its_organisation_nothing(self):
         queue = FairQueue()
-        given = call("a", work=1000)
-        queue.push(given)
+        discarded = call("a", work=1000)
+        queue.push(discarded)
         queue.push(call("a"))
         queue.push(call("b", work=50))
         queue.push(call("b"))
-        self.assertTrue(queue.discard(given))
-        self.assertFalse(queue.discard(given))
+        self.assertTrue(queue.discard(discarded))
+        self.assertFalse(queue.discard(discarded))
         self.assertEqual(["a", "b", "b"], self.drain(queue))
         self.assertEqual(0, queue.work)
 
-    def test_idle_organisations_leave_nothing_behind(self):
+    def test_state_of_idle_organisations_is_removed(self):
         queue = FairQueue()
         for number in range(1000):
             queue.push(call(f"o{number}"))
         self.drain(queue)
         self.assertEqual(0, queue.organisations)
-        found = next(iter(queue._classes.values()))
-        self.assertTrue(len(found.finish_tags) <= 1000)
+        priority_class = next(iter(queue._classes.values()))
+        self.assertTrue(len(priority_class.finish_tags) <= 1000)
         queue.push(call("x"))
         queue.pop()
-        self.assertTrue(len(found.finish_tags) <= 1)
+        self.assertTrue(len(priority_class.finish_tags) <= 1)
 
-    def test_expired_calls_come_out(self):
+    def test_expired_calls_are_removed(self):
         queue = FairQueue()
         queue.push(call("a", deadline=1.0))
         queue.push(call("a", deadline=9.0))
@@ -92,7 +92,7 @@
 
 
 class AdmissionTest(TestCase):
-    def test_a_call_over_the_bound_is_refused_with_advice(self):
+    def test_a_call_over_the_bound_is_refused_with_retry_after(self):
         admission = make(floor=15)
         self.assertTrue(admission.offer(call(), 0.0).is_admitted)
         verdict = admission.offer(call(), 0.0)
@@ -148,17 +148,17 @@
 
     def test_a_draining_target_takes_nothing_and_finishes(self):
         admission = make(slots=1)
-        kept = [call(), call()]
-        for item in kept:
+        admitted = [call(), call()]
+        for item in admitted:
             admission.offer(item, 0.0)
         admission.drain()
         self.assertEqual(Reason.DRAINING, admission.offer(call(), 0.0).reason)
-        for item in kept:
+        for item in admitted:
             self.assertEqual([item], admission.start_next(0.0))
             admission.finished(item, 1.0)
         self.assertTrue(admission.is_idle)
 
-    def test_an_end_told_twice_counts_once(self):
+    def test_an_end_reported_twice_counts_once(self):
         admission = make()
         item = call()
         admission.offer(item, 0.0)
@@ -199,11 +199,11 @@
         self.assertFalse(health.is_closed)
 
 
-class RestingTargetTest(TestCase):
-    """A target that turned a call away and asked its agent for a rest."""
+class RequestedPauseTest(TestCase):
+    """A target that refused a call and asked for no calls for a period."""
 
-    # Guards against calls to a target in the rest that it asked for.
-    def test_nothing_is_taken_or_started_until_it_is_over(self):
+    # Guards against calls to a target within the period that it requested.
+    def test_nothing_is_admitted_or_started_before_the_end(self):
         admission = make()
         admission.offer(call("early"), 0.0)
         admission.rest(3.0, 0.0)
@@ -214,7 +214,7 @@
         self.assertTrue(admission.offer(call(), 3.0).is_admitted)
         self.assertEqual(2, len(admission.start_next(3.0)))
 
-    # Guards against a rest that is shortened by a later, shorter one.
+    # Guards against a period that is shortened by a later, shorter request.
     def test_the_latest_end_counts(self):
         admission = make()
         admission.rest(3.0, 0.0)
