--- a/tests/request/test_attempts.py
+++ b/tests/request/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: whom, in which order, and when to stop."""
+"""Tests of the plan of attempts, the retry budget and the back-off."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         self.assertEqual("t1", step.target.name)
         self.assertEqual(0.0, step.wait)
 
-    def test_the_last_refusal_is_final_with_the_shortest_advice(self):
+    def test_the_last_refusal_is_final_with_the_shortest_retry_after(self):
         plan = make(2)
         plan.first(0.0)
         plan.after(AttemptFailure(NOT_RUN, Reason.OVER_BOUND, 0.5), None, 0.0)
@@ -69,7 +69,7 @@
         step = plan.after(AttemptFailure(UNKNOWN, Reason.LINK_LOST), None, 0.2)
         self.assertEqual(StepKind.GIVE_UP, step.kind)
 
-    def test_after_an_unknown_attempt_nothing_is_called_not_run(self):
+    def test_after_an_unknown_outcome_not_run_is_never_reported(self):
         plan = make(2)
         plan.first(0.0)
         plan.after(AttemptFailure(UNKNOWN, Reason.LINK_LOST), None, 0.1)
@@ -90,7 +90,7 @@
         step = plan.after(elsewhere, target("t1"), 0.0)
         self.assertEqual("t2", step.target.name)
 
-    def test_a_directory_that_names_a_lost_place_is_asked_again_directly(self):
+    def test_a_directory_that_names_an_unusable_target_gets_the_call_itself(self):
         plan = make()
         plan.first(0.0)
         elsewhere = AttemptFailure(NOT_RUN, Reason.ELSEWHERE, place="gone")
@@ -105,7 +105,7 @@
             step = plan.after(AttemptFailure(NOT_RUN, reason), None, 0.0)
             self.assertEqual(StepKind.GIVE_UP, step.kind, reason)
 
-    def test_a_confirmation_whose_target_is_gone_is_refused_as_not_run(self):
+    def test_a_non_idempotent_call_that_a_failed_target_did_not_run_is_refused(self):
         plan = make(idempotent=False)
         plan.first(0.0)
         step = plan.after(AttemptFailure(NOT_RUN, Reason.TARGET_FAILED), None, 0.0)
