--- a/tests/request/test_candidates.py
+++ b/tests/request/test_candidates.py
@@ -1,4 +1,4 @@
-"""Routers agree on the order of candidates without talking."""
+"""Tests of the order of candidates, which routers compute without communicating."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class TargetRingTest(TestCase):
-    def test_the_order_does_not_depend_on_the_order_of_arrival(self):
+    def test_the_order_does_not_depend_on_the_order_of_addition(self):
         one, other, filled = TargetRing(), TargetRing(), TargetRing()
         for number in range(20):
             one.add(f"t{number}")
@@ -113,7 +113,7 @@
         self.assertEqual(["b", "a"], names(loads.order(pair, "d2", 0.0)))
         self.assertEqual(["a", "b"], names(loads.order(pair, "d1", 0.0)))
 
-    def test_an_old_load_counts_for_nothing(self):
+    def test_an_outdated_load_is_ignored(self):
         loads = TargetLoads()
         loads.hear("a", 5000, 0.0)
         loads.hear("b", 100, 0.0)
