--- a/tests/request/test_load_bound.py
+++ b/tests/request/test_load_bound.py
@@ -1,4 +1,4 @@
-"""The bound follows the mean, and fails safe without news."""
+"""Tests that the bound follows the mean load and fails safe without reports."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class LoadBoundTest(TestCase):
-    def test_the_floor_is_allowed_without_news(self):
+    def test_the_floor_is_allowed_without_a_report(self):
         bound = make()
         self.assertTrue(bound.admits(0, 100, 50.0))
         self.assertFalse(bound.admits(1, 100, 50.0))
@@ -37,13 +37,13 @@
         bound.hear(MeanView(10_000, 10, 1000, 10.0))
         self.assertEqual(1000.0, bound.cap(1000, 0, 10.0))
 
-    def test_older_news_is_ignored(self):
+    def test_an_older_report_is_ignored(self):
         bound = make()
         bound.hear(MeanView(10_000, 10, 0, 10.0))
         bound.hear(MeanView(99_000, 10, 0, 9.0))
         self.assertEqual(10_000, bound.view.load)
 
-    def test_news_of_no_target_is_ignored(self):
+    def test_a_report_without_targets_is_ignored(self):
         bound = make()
         bound.hear(MeanView(10_000, 0, 0, 10.0))
         self.assertIsNone(bound.view)
