--- a/tests/request/test_rate_limit.py
+++ b/tests/request/test_rate_limit.py
@@ -1,4 +1,4 @@
-"""An organisation's limit holds across routers, at a cost for few."""
+"""Tests of rate limits across routers, the chat directory and work estimates."""
 
 from __future__ import annotations
 
@@ -13,38 +13,41 @@
 
 
 def drive(limiters, rate, limit, seconds):
-    """Offer requests in turn; tell the sums once a second; count the taken."""
-    taken = 0
+    """Send requests to the limiters in turn and return how many were admitted.
+
+    The total demand is reported to all limiters once a second.
+    """
+    admitted = 0
     refused = 0
     step = 1.0 / rate
     now = 0.0
-    told = 0.0
+    reported_at = 0.0
     turn = 0
     while now < seconds:
         limiter = limiters[turn % len(limiters)]
         turn += 1
-        is_taken = limiter.admit("o", limit, now) == 0.0
-        taken += is_taken
-        refused += not is_taken
-        if now - told >= 1.0:
-            told = now
+        is_admitted = limiter.admit("o", limit, now) == 0.0
+        admitted += is_admitted
+        refused += not is_admitted
+        if now - reported_at >= 1.0:
+            reported_at = now
             reports = [r for item in limiters for r in item.reports(len(limiters), now)]
             total = sum(report.rate for report in reports)
             for item in limiters:
                 item.hear_total(Demand("o", total), now)
         now += step
-    return taken, refused
+    return admitted, refused
 
 
 class OrganisationLimiterTest(TestCase):
-    def test_one_router_holds_the_limit(self):
-        taken, _ = drive([OrganisationLimiter(RateSettings())], 100.0, 10.0, 60.0)
-        self.assertTrue(550 <= taken <= 700, taken)
+    def test_one_router_enforces_the_limit(self):
+        admitted, _ = drive([OrganisationLimiter(RateSettings())], 100.0, 10.0, 60.0)
+        self.assertTrue(550 <= admitted <= 700, admitted)
 
-    def test_many_routers_hold_it_together(self):
+    def test_many_routers_enforce_the_limit_together(self):
         limiters = [OrganisationLimiter(RateSettings()) for _ in range(20)]
-        taken, _ = drive(limiters, 400.0, 50.0, 60.0)
-        self.assertTrue(2400 <= taken <= 4200, taken)
+        admitted, _ = drive(limiters, 400.0, 50.0, 60.0)
+        self.assertTrue(2400 <= admitted <= 4200, admitted)
 
     def test_an_organisation_under_its_limit_is_never_refused(self):
         limiters = [OrganisationLimiter(RateSettings()) for _ in range(5)]
@@ -67,7 +70,7 @@
         limiter.reports(10, 100.0)
         self.assertEqual(0, len(limiter))
 
-    def test_advice_is_when_a_token_will_be_there(self):
+    def test_the_wait_ends_when_a_token_is_available(self):
         limiter = OrganisationLimiter(RateSettings(burst=1.0))
         limiter.admit("o", 1.0, 0.0)
         wait = limiter.admit("o", 1.0, 0.0)
@@ -76,22 +79,22 @@
 
 
 class ChatDirectoryTest(TestCase):
-    def test_the_least_recent_chat_is_forgotten_first(self):
+    def test_the_least_recent_chat_is_evicted_first(self):
         directory = ChatDirectory(limit=2, keep=100.0)
         for number in range(3):
             directory.served(f"c{number}", "a", 10, float(number))
         self.assertIsNone(directory.find("c0", 3.0))
         self.assertEqual("a", directory.find("c2", 3.0).place)
 
-    def test_an_old_record_counts_for_nothing(self):
+    def test_an_expired_record_is_ignored(self):
         directory = ChatDirectory(limit=2, keep=10.0)
         directory.served("c", "a", 10, 0.0)
         self.assertIsNone(directory.find("c", 11.0))
 
-    def test_the_hottest_chats_of_a_place(self):
+    def test_the_most_recent_chats_of_a_target(self):
         directory = ChatDirectory(limit=9, keep=100.0)
-        for number, place in enumerate("abab"):
-            directory.served(f"c{number}", place, 10, float(number))
+        for number, name in enumerate("abab"):
+            directory.served(f"c{number}", name, 10, float(number))
         self.assertEqual(["c3", "c1"], directory.hottest("b", 5))
 
 
@@ -102,7 +105,7 @@
         self.assertEqual(50, estimator.estimate(1000, 1000, 0))
         self.assertEqual(20, estimator.estimate(1000, 5000, 20))
 
-    def test_the_length_of_answers_is_learnt(self):
+    def test_the_length_of_answers_is_learned(self):
         estimator = WorkEstimator(WorkSettings(output_default=50))
         for _ in range(200):
             estimator.learn(400)
