--- a/src/primrosescale/request/admission.py
+++ b/src/primrosescale/request/admission.py
@@ -202,7 +202,7 @@
             reason = Reason.OVER_BOUND
             if len(self._queue) >= self._settings.queue_limit:
                 reason = Reason.QUEUE_FULL
-            return self._refuse(reason, max(wait, self._drain_time(call.work)))
+            return self._refuse(reason, max(wait, self._processing_time(call.work)))
         self._queue.push(call)
         return Verdict(VerdictKind.ADMITTED, displaced=displaced)
 
@@ -373,7 +373,7 @@
         share = self._settings.slots * weight / weights
         return len(own) + 1 <= share
 
-    def _drain_time(self, work: int) -> float:
+    def _processing_time(self, work: int) -> float:
         return work / self._rate
 
     def _update_rate(self, work: int, now: float) -> None:
