--- a/src/primrosescale/request/rate_limit.py
+++ b/src/primrosescale/request/rate_limit.py
@@ -83,8 +83,8 @@
 
     def demand_at(self, now: float) -> float:
         """Return the measured demand, decayed to the current time."""
-        passed = max(0.0, now - self.last_request_at)
-        return float(self.demand * 0.5 ** (passed / DEMAND_HALF_LIFE_SECONDS))
+        elapsed = max(0.0, now - self.last_request_at)
+        return float(self.demand * 0.5 ** (elapsed / DEMAND_HALF_LIFE_SECONDS))
 
 
 class OrganisationLimiter:
@@ -125,10 +125,10 @@
         if limit <= 0:
             return 0.0
         meter = self._meter(organisation, limit, now)
-        passed = max(0.0, now - meter.last_request_at)
+        elapsed = max(0.0, now - meter.last_request_at)
         allowed = self._allowed_rate(meter, now)
         burst = max(1.0, allowed * self._settings.burst)
-        meter.tokens = min(burst, meter.tokens + passed * allowed)
+        meter.tokens = min(burst, meter.tokens + elapsed * allowed)
         meter.demand = meter.demand_at(now) + LN_2 / DEMAND_HALF_LIFE_SECONDS
         meter.last_request_at = now
         if meter.tokens >= 1.0:
