--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -567,11 +567,11 @@
     def _give_credit(self) -> None:
         if self._link is None or self._sink.is_blocked:
             return
-        taken = self._answer_check.offset
-        if taken - self._credited >= self._settings.credit_step:
-            self._credited = taken
+        received = self._answer_check.offset
+        if received - self._credited >= self._settings.credit_step:
+            self._credited = received
             self._link.send(
-                wire.Credit(self._context.incarnation, self._attempt_number, taken),
+                wire.Credit(self._context.incarnation, self._attempt_number, received),
             )
 
     def _release_link(self) -> None:
