--- a/src/primrosescale/request/fair_queue.py
+++ b/src/primrosescale/request/fair_queue.py
@@ -180,7 +180,7 @@
         if found is None:
             found = self._classes[call.priority] = _PriorityClass()
         found.push(call)
-        self._account(call, 1)
+        self._update_totals(call, 1)
 
     def head(self) -> QueuedCall[T] | None:
         """Return the next call without removing it.
@@ -228,7 +228,7 @@
             The call, as returned by `head` or `head_where`.
         """
         self._classes[call.priority].start(call)
-        self._account(call, -1)
+        self._update_totals(call, -1)
 
     def pop(self) -> QueuedCall[T] | None:
         """Remove and return the next call.
@@ -259,7 +259,7 @@
         found = self._classes.get(call.priority)
         if found is None or not found.discard(call):
             return False
-        self._account(call, -1)
+        self._update_totals(call, -1)
         return True
 
     def expired(self, now: float) -> list[QueuedCall[T]]:
@@ -320,7 +320,7 @@
             for call in flow
         ]
 
-    def _account(self, call: QueuedCall[T], sign: int) -> None:
+    def _update_totals(self, call: QueuedCall[T], sign: int) -> None:
         self._count += sign
         self._total_work += sign * call.work
         left = self._work_by_organisation.get(call.organisation, 0) + sign * call.work
