--- a/src/primrosescale/request/call_names.py
+++ b/src/primrosescale/request/call_names.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class _NameRecord:
+class _IdRecord:
     """State of an identifier and the time in seconds at which it expires."""
 
     state: NameState
@@ -59,7 +59,7 @@
     def __init__(self, keep: float, limit: int) -> None:
         self._keep = keep
         self._limit = limit
-        self._records: dict[CallName, _NameRecord] = {}
+        self._records: dict[CallName, _IdRecord] = {}
         self._names_by_expiry: dict[int, list[CallName]] = {}
 
     def __len__(self) -> int:
@@ -135,5 +135,5 @@
 
     def _put(self, name: CallName, state: NameState, deadline: float) -> None:
         until = deadline + self._keep
-        self._records[name] = _NameRecord(state, until)
+        self._records[name] = _IdRecord(state, until)
         self._names_by_expiry.setdefault(math.ceil(until), []).append(name)
