--- a/src/primrosescale/request/call_names.py
+++ b/src/primrosescale/request/call_names.py
@@ -60,7 +60,7 @@
         self._keep = keep
         self._limit = limit
         self._records: dict[CallName, _IdRecord] = {}
-        self._names_by_expiry: dict[int, list[CallName]] = {}
+        self._ids_by_expiry: dict[int, list[CallName]] = {}
 
     def __len__(self) -> int:
         """Return the number of recorded identifiers."""
@@ -125,8 +125,8 @@
             Number of identifiers removed.
         """
         removed = 0
-        for second in [expiry for expiry in self._names_by_expiry if expiry < now]:
-            for name in self._names_by_expiry.pop(second):
+        for second in [expiry for expiry in self._ids_by_expiry if expiry < now]:
+            for name in self._ids_by_expiry.pop(second):
                 record = self._records.get(name)
                 if record is not None and record.until <= now:
                     del self._records[name]
@@ -136,4 +136,4 @@
     def _put(self, name: CallName, state: NameState, deadline: float) -> None:
         until = deadline + self._keep
         self._records[name] = _IdRecord(state, until)
-        self._names_by_expiry.setdefault(math.ceil(until), []).append(name)
+        self._ids_by_expiry.setdefault(math.ceil(until), []).append(name)
