--- a/src/primrosescale/request/call_names.py
+++ b/src/primrosescale/request/call_names.py
@@ -71,12 +71,12 @@
         """Return whether the limit has been reached."""
         return len(self._records) >= self._limit
 
-    def state(self, name: CallName) -> NameState:
+    def state(self, call_id: CallName) -> NameState:
         """Return the state of an identifier.
 
         Parameters
         ----------
-        name : CallName
+        call_id : CallName
             The identifier.
 
         Returns
@@ -84,32 +84,32 @@
         NameState
             `NameState.FRESH` for an identifier that is not recorded.
         """
-        record = self._records.get(name)
+        record = self._records.get(call_id)
         return NameState.FRESH if record is None else record.state
 
-    def take(self, name: CallName, deadline: float) -> None:
+    def take(self, call_id: CallName, deadline: float) -> None:
         """Record that a call has arrived.
 
         Parameters
         ----------
-        name : CallName
+        call_id : CallName
             Identifier of the call.
         deadline : float
             Time at which its caller stops waiting, in seconds.
         """
-        self._put(name, NameState.TAKEN, deadline)
+        self._put(call_id, NameState.TAKEN, deadline)
 
-    def bar(self, name: CallName, deadline: float) -> None:
+    def bar(self, call_id: CallName, deadline: float) -> None:
         """Record that a call must never run.
 
         Parameters
         ----------
-        name : CallName
+        call_id : CallName
             Identifier of the call.
         deadline : float
             Time at which its caller stops waiting, in seconds.
         """
-        self._put(name, NameState.BARRED, deadline)
+        self._put(call_id, NameState.BARRED, deadline)
 
     def forget_old(self, now: float) -> int:
         """Remove expired identifiers.
@@ -126,14 +126,14 @@
         """
         removed = 0
         for second in [expiry for expiry in self._ids_by_expiry if expiry < now]:
-            for name in self._ids_by_expiry.pop(second):
-                record = self._records.get(name)
+            for call_id in self._ids_by_expiry.pop(second):
+                record = self._records.get(call_id)
                 if record is not None and record.until <= now:
-                    del self._records[name]
+                    del self._records[call_id]
                     removed += 1
         return removed
 
-    def _put(self, name: CallName, state: NameState, deadline: float) -> None:
+    def _put(self, call_id: CallName, state: NameState, deadline: float) -> None:
         until = deadline + self._keep
-        self._records[name] = _IdRecord(state, until)
-        self._ids_by_expiry.setdefault(math.ceil(until), []).append(name)
+        self._records[call_id] = _IdRecord(state, until)
+        self._ids_by_expiry.setdefault(math.ceil(until), []).append(call_id)
