--- a/src/primrosescale/request/call_names.py
+++ b/src/primrosescale/request/call_names.py
@@ -125,8 +125,8 @@
             Number of identifiers removed.
         """
         removed = 0
-        for second in [expiry for expiry in self._ids_by_expiry if expiry < now]:
-            for call_id in self._ids_by_expiry.pop(second):
+        for expiry_second in [expiry for expiry in self._ids_by_expiry if expiry < now]:
+            for call_id in self._ids_by_expiry.pop(expiry_second):
                 record = self._records.get(call_id)
                 if record is not None and record.until <= now:
                     del self._records[call_id]
