--- a/src/primrosescale/request/call_table.py
+++ b/src/primrosescale/request/call_table.py
@@ -73,7 +73,7 @@
     ) -> None:
         self._incarnation = incarnation
         self._pool = pool
-        self._observer = observer
+        self._listener = observer
         self._next_number = 0
         self._calls: dict[int, RoutedCall] = {}
         self._strays = 0
@@ -112,19 +112,19 @@
 
     def find_target(self, service: str, name: str) -> Target | None:
         """Return a usable target by name."""
-        return self._observer.find_target(service, name)
+        return self._listener.find_target(service, name)
 
     def suspect(self, target: Target) -> None:
         """Mark a target that could not be reached as suspect."""
-        self._observer.suspect(target)
+        self._listener.suspect(target)
 
     def load_heard(self, target: Target, load: int) -> None:
         """Record a target's reported load."""
-        self._observer.load_heard(target, load)
+        self._listener.load_heard(target, load)
 
     def call_ended(self, call: RoutedCall, report: CallReport) -> None:
         """Handle the end of a call."""
-        self._observer.call_ended(call, report)
+        self._listener.call_ended(call, report)
 
     def message(self, message: Message) -> bool:
         """Pass a message to the call that it belongs to.
