--- a/src/primrosescale/request/call_table.py
+++ b/src/primrosescale/request/call_table.py
@@ -61,7 +61,7 @@
         This router's incarnation.
     pool : LinkPool
         Connections to agents.
-    observer : CallObserver
+    listener : CallObserver
         Looks up targets and is notified of ended calls.
     """
 
@@ -69,11 +69,11 @@
         self,
         incarnation: int,
         pool: LinkPool,
-        observer: CallObserver,
+        listener: CallObserver,
     ) -> None:
         self._incarnation = incarnation
         self._pool = pool
-        self._listener = observer
+        self._listener = listener
         self._next_number = 0
         self._calls: dict[int, RoutedCall] = {}
         self._strays = 0
