--- a/src/primrosescale/request/agent_call.py
+++ b/src/primrosescale/request/agent_call.py
@@ -101,7 +101,6 @@
     """
 
     __slots__ = (
-        "_asked_rest",
         "_buffer",
         "_cached_tokens",
         "_call",
@@ -118,6 +117,7 @@
         "_on_data",
         "_on_end",
         "_phase",
+        "_requested_pause",
         "_run",
         "_settings",
         "deadline_timer",
@@ -148,7 +148,7 @@
         self._phase = CallPhase.WAITING
         self._buffer = AnswerBuffer(settings.window, settings.keep)
         self._head: wire.AnswerHead | None = None
-        self._asked_rest: float | None = None
+        self._requested_pause: float | None = None
         self._head_sent = False
         self._cached_tokens = 0
         self._failure: wire.CallFailed | None = None
@@ -224,7 +224,7 @@
     @property
     def asked_rest(self) -> float | None:
         """Return the seconds for which the target asked for no calls, if it did."""
-        return self._asked_rest
+        return self._requested_pause
 
     def begin_claim(self, claim: Claim) -> None:
         """Record that the call's idempotency key is being claimed.
@@ -339,7 +339,7 @@
             for header in headers
             if header.name.lower() == RETRY_AFTER_HEADER
         ]
-        self._asked_rest = asked_rest(status, values)
+        self._requested_pause = asked_rest(status, values)
 
     def target_data(self, data: bytes) -> None:
         """Buffer bytes of the answer, and pause the target at two windows' backlog."""
