--- a/src/primrosescale/request/agent_call.py
+++ b/src/primrosescale/request/agent_call.py
@@ -268,12 +268,12 @@
         """
         head = self._head
         body = self._buffer.snapshot()
-        is_whole = body is not None and len(body) <= limit
+        is_complete = body is not None and len(body) <= limit
         return wire.StoredAnswer(
             status=0 if head is None else head.status,
             headers=[] if head is None else head.headers,
-            body=body if body is not None and is_whole else b"",
-            whole=is_whole,
+            body=body if body is not None and is_complete else b"",
+            whole=is_complete,
         )
 
     def replay(self, answer: wire.StoredAnswer) -> None:
