--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -355,7 +355,7 @@
             self._sink.data(self._answer_check.accept(message.offset, message.data))
             self._give_credit()
         elif isinstance(message, wire.Answer):
-            self._receive_whole(message)
+            self._receive_complete(message)
         elif isinstance(message, wire.AnswerHead):
             self._sink.head(message.status, message.headers)
         elif isinstance(message, wire.AnswerEnd):
@@ -364,7 +364,7 @@
         elif isinstance(message, wire.CallFailed):
             self._fail(_failure_from(message))
 
-    def _receive_whole(self, message: wire.Answer) -> None:
+    def _receive_complete(self, message: wire.Answer) -> None:
         if digest_of(message.body) != message.digest:
             raise AnswerCutError("the digest of the answer does not match its body")
         self._sink.head(message.status, message.headers)
