--- a/src/primrosescale/request/claim.py
+++ b/src/primrosescale/request/claim.py
@@ -1,7 +1,7 @@
 """Claims on idempotency keys, and the agent's interface to their ledger.
 
 A non-idempotent request runs only after its idempotency key has been claimed in
-the ledger, so that a repeat of the key is answered instead of run again.
+the ledger, so that a retry with the same key is not run again.
 """
 
 from __future__ import annotations
@@ -113,7 +113,7 @@
 
     @abstractmethod
     def record(self, claim: Claim, answer: StoredAnswer) -> None:
-        """Store the answer of a claimed request for repeats of its key.
+        """Store the answer of a claimed request for retries with the same key.
 
         Parameters
         ----------
