--- a/src/primrosescale/request/fair_queue.py
+++ b/src/primrosescale/request/fair_queue.py
@@ -53,7 +53,7 @@
 class _PriorityClass(Generic[T]):
     """Queues of the organisations within one priority, and their virtual time.
 
-    The heap may hold outdated entries; `head` drops those whose start tag is no
+    The heap may hold stale entries; `head` drops those whose start tag is no
     longer that of the first call of its organisation.
     """
 
