--- a/src/primrosescale/request/load_bound.py
+++ b/src/primrosescale/request/load_bound.py
@@ -1,4 +1,4 @@
-"""Bounds a target's load to a multiple of the mean load of its service.
+"""Load bound: limits a target's load to a multiple of its service's mean load.
 
 Follows consistent hashing with bounded loads: a target at its bound refuses work,
 which then goes to the next candidate.
@@ -16,16 +16,16 @@
 
 @dataclass(frozen=True, slots=True)
 class BoundSettings:
-    """How far a target's load may exceed the mean."""
+    """How far a target's load may exceed the mean load."""
 
     multiple: float = option(
         SECONDS,
-        "maximum load, as a multiple of the service's mean",
+        "maximum load, as a multiple of the service's mean load",
         1.5,
     )
     margin: float = option(
         Number(0.1, 1.0),
-        "fraction of the multiple that is used, to compensate for outdated means",
+        "fraction of the multiple that is used, to compensate for stale mean loads",
         0.92,
     )
     floor: int = option(
@@ -35,7 +35,7 @@
     )
     stale_after: float = option(
         SECONDS,
-        "seconds without an update of the mean until the cap starts to fall",
+        "seconds without an update of the mean load until the cap starts to fall",
         5.0,
     )
     stale_half_life: float = option(
@@ -101,7 +101,7 @@
         Parameters
         ----------
         multiple : float
-            Maximum load, as a multiple of the mean.
+            Maximum load, as a multiple of the mean load.
         floor : int
             Load that is always allowed, in work units.
         """
