--- a/src/primrosescale/request/backoff.py
+++ b/src/primrosescale/request/backoff.py
@@ -31,7 +31,7 @@
 
 
 class Backoff:
-    """Random waits that grow with each repeat and differ between callers.
+    """Random waits that grow with each retry and differ between callers.
 
     Parameters
     ----------
