--- a/src/primrosescale/request/attempts.py
+++ b/src/primrosescale/request/attempts.py
@@ -90,7 +90,7 @@
     A call that did not run goes to the next candidate at once: there are few
     candidates, a refusal costs an agent little, and attempts do not multiply
     across hops because only the router retries. A call that may have run is
-    repeated only if it is idempotent, and each such repeat is charged to the retry
+    retried only if it is idempotent, and each such retry is charged to the retry
     budget.
 
     Parameters
@@ -102,9 +102,9 @@
     deadline : float
         Time at which the caller stops waiting, in seconds.
     budget : RetryBudget
-        Retry budget that repeats are charged to.
+        Retry budget that these retries are charged to.
     backoff : Backoff
-        Waits between repeats.
+        Waits before these retries.
     """
 
     def __init__(
