--- a/src/primrosescale/request/agent_call.py
+++ b/src/primrosescale/request/agent_call.py
@@ -223,7 +223,7 @@
 
     @property
     def asked_rest(self) -> float | None:
-        """Return the seconds for which the target asked for no calls, if it did."""
+        """Return the pause in seconds that the target requested, if it did."""
         return self._requested_pause
 
     def begin_claim(self, claim: Claim) -> None:
@@ -264,7 +264,7 @@
         -------
         wire.StoredAnswer
             The answer; its body is empty when it exceeds the limit or is no longer
-            wholly in memory.
+            completely in memory.
         """
         head = self._head
         body = self._buffer.snapshot()
