--- a/src/primrosescale/request/admission.py
+++ b/src/primrosescale/request/admission.py
@@ -160,12 +160,12 @@
         self._is_draining = True
 
     def rest(self, seconds: float, now: float) -> None:
-        """Neither admit nor start calls for a period that the target requested.
+        """Neither admit nor start calls during a pause that the target requested.
 
         Parameters
         ----------
         seconds : float
-            Length of the period. It never shortens a period requested earlier.
+            Length of the pause. It never shortens a pause requested earlier.
         now : float
             Current time in seconds.
         """
