--- a/tests/request/test_admission.py
+++ b/tests/request/test_admission.py
@@ -200,9 +200,9 @@
 
 
 class RequestedPauseTest(TestCase):
-    """A target that refused a call and asked for no calls for a period."""
+    """A target that refused a call and requested a pause."""
 
-    # Guards against calls to a target within the period that it requested.
+    # Guards against calls to a target during the pause that it requested.
     def test_nothing_is_admitted_or_started_before_the_end(self):
         admission = make()
         admission.offer(call("early"), 0.0)
@@ -214,7 +214,7 @@
         self.assertTrue(admission.offer(call(), 3.0).is_admitted)
         self.assertEqual(2, len(admission.start_next(3.0)))
 
-    # Guards against a period that is shortened by a later, shorter request.
+    # Guards against a requested pause that a later, shorter one cuts short.
     def test_the_latest_end_counts(self):
         admission = make()
         admission.rest(3.0, 0.0)
