--- a/tests/request/test_attempts.py
+++ b/tests/request/test_attempts.py
@@ -54,14 +54,14 @@
         self.assertEqual(0.5, step.failure.retry_after)
         self.assertEqual(NOT_RUN, step.failure.outcome)
 
-    def test_a_non_idempotent_call_is_not_repeated_when_it_may_have_run(self):
+    def test_a_non_idempotent_call_is_not_retried_when_it_may_have_run(self):
         plan = make(idempotent=False)
         plan.first(0.0)
         step = plan.after(AttemptFailure(UNKNOWN, Reason.LINK_LOST), None, 0.1)
         self.assertEqual(StepKind.GIVE_UP, step.kind)
         self.assertEqual(UNKNOWN, step.failure.outcome)
 
-    def test_an_idempotent_repeat_waits_and_costs_budget(self):
+    def test_an_idempotent_retry_waits_and_costs_budget(self):
         plan = make(burst=1.0)
         plan.first(0.0)
         step = plan.after(AttemptFailure(UNKNOWN, Reason.LINK_LOST), None, 0.1)
@@ -124,13 +124,13 @@
 
 
 class RetryBudgetTest(TestCase):
-    def test_repeats_stay_a_share_of_first_attempts(self):
+    def test_retries_stay_a_share_of_first_attempts(self):
         budget = RetryBudget(RetryBudgetSettings(share=0.1, burst=5.0))
-        repeats = 0
+        retries = 0
         for _ in range(1000):
             budget.earn()
-            repeats += budget.spend()
-        self.assertTrue(repeats <= 105, repeats)
+            retries += budget.spend()
+        self.assertTrue(retries <= 105, retries)
 
     def test_one_organisation_does_not_spend_the_budget_of_another(self):
         budgets = RetryBudgets(RetryBudgetSettings(burst=1.0))
