--- a/tests/request/test_candidates.py
+++ b/tests/request/test_candidates.py
@@ -113,7 +113,7 @@
         self.assertEqual(["b", "a"], names(loads.order(pair, "d2", 0.0)))
         self.assertEqual(["a", "b"], names(loads.order(pair, "d1", 0.0)))
 
-    def test_an_outdated_load_is_ignored(self):
+    def test_a_stale_load_is_ignored(self):
         loads = TargetLoads()
         loads.hear("a", 5000, 0.0)
         loads.hear("b", 100, 0.0)
