--- a/src/primrosescale/request/attempts.py
+++ b/src/primrosescale/request/attempts.py
@@ -1,4 +1,4 @@
-"""What a router does after an attempt at a call has failed."""
+"""Decides which target each attempt at a call goes to, and when to stop retrying."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     from primrosescale.request.candidates import Target
     from primrosescale.request.retry_budget import RetryBudget
 
-FINAL_REASONS = frozenset(
+NON_RETRYABLE_REASONS = frozenset(
     {
         Reason.DEADLINE,
         Reason.KEY_HELD,
@@ -29,20 +29,20 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptFailure:
-    """Why an attempt brought no answer.
+    """Why an attempt ended without an answer.
 
     Parameters
     ----------
     outcome : Outcome
         Whether the call may have run.
     reason : Reason
-        Why.
+        Cause of the failure.
     retry_after : float
-        Seconds after which asking again is worth it.
+        Seconds after which a retry may succeed.
     place : str
-        Target that holds the chat's cache; empty when not said.
+        Name of the target whose cache holds the chat; empty when not reported.
     detail : str
-        For people.
+        Human-readable description.
     """
 
     outcome: Outcome
@@ -53,7 +53,7 @@
 
 
 class StepKind(Enum):
-    """What comes next for a call."""
+    """Whether a call is attempted again or given up."""
 
     TRY = "try"
     GIVE_UP = "give up"
@@ -66,15 +66,15 @@
     Parameters
     ----------
     kind : StepKind
-        What to do.
+        Whether to make another attempt.
     target : Target | None
-        Whom to try.
+        Target of the attempt.
     wait : float
-        Seconds to wait before trying.
+        Seconds to wait before the attempt.
     is_directed : bool
-        Whether the target was named by the chat's directory.
+        Whether the attempt follows the directory lookup of the chat.
     failure : AttemptFailure | None
-        What to tell the caller, when giving up.
+        Failure to report to the caller when giving up.
     """
 
     kind: StepKind
@@ -85,26 +85,26 @@
 
 
 class AttemptPlan:
-    """The attempts of one call: whom, in which order, and when to stop.
+    """Plans the attempts of one call: their targets, their order and their end.
 
-    A call that did not run goes to the next candidate at once; there are few
+    A call that did not run goes to the next candidate at once: there are few
     candidates, a refusal costs an agent little, and attempts do not multiply
-    across hops because only the router makes them. Every repeat of a call
-    that may have run is paid for from the retry budget, and a call that is
-    not idempotent is never repeated then.
+    across hops because only the router retries. A call that may have run is
+    retried only if it is idempotent, and each such retry is charged to the retry
+    budget.
 
     Parameters
     ----------
     candidates : list[Target]
-        In order.
+        Targets in the order in which they are tried.
     is_idempotent : bool
-        Whether running the call twice is harmless.
+        Whether the call may safely run twice.
     deadline : float
-        When the caller stops waiting, in seconds.
+        Time at which the caller stops waiting, in seconds.
     budget : RetryBudget
-        The router's budget.
+        Retry budget that these retries are charged to.
     backoff : Backoff
-        Waits between repeats.
+        Waits before these retries.
     """
 
     def __init__(
@@ -121,27 +121,27 @@
         self._deadline = deadline
         self._budget = budget
         self._backoff = backoff
-        self._next = 0
+        self._next_index = 0
         self._was_directed = False
-        self._skip = ""
+        self._directed_name = ""
         self._was_over_bound = False
         self._may_have_run = False
         self._attempts = 0
-        self._shortest_retry: float | None = None
+        self._shortest_retry_after: float | None = None
 
     @property
     def attempts(self) -> int:
-        """Return how many attempts were planned."""
+        """Return the number of attempts planned so far."""
         return self._attempts
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether some attempt may have run the call."""
+        """Return whether the call may have run in some attempt."""
         return self._may_have_run
 
     @property
     def home(self) -> Target | None:
-        """Return the first candidate, the chat's directory."""
+        """Return the first candidate, whose agent keeps the chat's directory record."""
         return self._candidates[0] if self._candidates else None
 
     def first(self, now: float) -> Step:
@@ -150,21 +150,21 @@
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         Step
-            What to do.
+            The first attempt, or giving up when there is no candidate.
         """
         self._budget.earn()
-        nobody = AttemptFailure(
+        no_candidate = AttemptFailure(
             Outcome.NOT_RUN,
             Reason.NO_CANDIDATE,
             retry_after=1.0,
             detail="no target of the service is known",
         )
-        return self._try_next(now, nobody, 0.0)
+        return self._try_next(now, no_candidate, 0.0)
 
     def after(
         self,
@@ -177,45 +177,47 @@
         Parameters
         ----------
         failure : AttemptFailure
-            What went wrong.
+            The failure of the attempt.
         directed : Target | None
-            The target that the failure names as the chat's place, if known.
+            Target that the failure names as the one holding the chat's cache;
+            None when it names none that is usable.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         Step
-            What to do.
+            The next attempt, or giving up.
         """
-        self._note(failure)
+        self._record_failure(failure)
         if failure.outcome is not Outcome.NOT_RUN:
             return self._after_unknown(failure, now)
-        if failure.reason in FINAL_REASONS:
+        if failure.reason in NON_RETRYABLE_REASONS:
             return self._give_up(failure)
         if failure.reason == Reason.TARGET_FAILED and not self._is_idempotent:
-            # Its claim is being given back; another agent would find it held.
+            # The claim is still being released, so that another agent would find it
+            # held.
             return self._give_up(failure)
         if failure.reason == Reason.ELSEWHERE:
-            return self._follow(failure, directed, now)
+            return self._follow_directory(failure, directed, now)
         return self._try_next(now, failure, 0.0)
 
-    def _note(self, failure: AttemptFailure) -> None:
+    def _record_failure(self, failure: AttemptFailure) -> None:
         if failure.outcome is not Outcome.NOT_RUN:
             self._may_have_run = True
         if failure.reason == Reason.OVER_BOUND:
             self._was_over_bound = True
         if failure.retry_after > 0:
-            known = self._shortest_retry
+            known = self._shortest_retry_after
             after = failure.retry_after
-            self._shortest_retry = after if known is None else min(known, after)
+            self._shortest_retry_after = after if known is None else min(known, after)
 
     def _after_unknown(self, failure: AttemptFailure, now: float) -> Step:
         if not self._is_idempotent or not self._budget.spend():
             return self._give_up(failure)
         return self._try_next(now, failure, self._backoff.next_wait())
 
-    def _follow(
+    def _follow_directory(
         self,
         failure: AttemptFailure,
         directed: Target | None,
@@ -224,21 +226,21 @@
         if self._was_directed:
             return self._try_next(now, failure, 0.0)
         self._was_directed = True
-        self._next = 0
+        self._next_index = 0
         if directed is None:
             return self._try_next(now, failure, 0.0)
-        self._skip = directed.name
+        self._directed_name = directed.name
         self._attempts += 1
         return Step(StepKind.TRY, target=directed, is_directed=True)
 
     def _try_next(self, now: float, failure: AttemptFailure, wait: float) -> Step:
         self._skip_directed()
-        if self._next >= len(self._candidates):
+        if self._next_index >= len(self._candidates):
             return self._give_up(failure)
         if now + wait >= self._deadline:
             return self._give_up(failure)
-        target = self._candidates[self._next]
-        self._next += 1
+        target = self._candidates[self._next_index]
+        self._next_index += 1
         self._attempts += 1
         return Step(
             StepKind.TRY,
@@ -248,24 +250,24 @@
         )
 
     def _skip_directed(self) -> None:
-        """Pass over the candidate that the directory has named already."""
-        if self._next >= len(self._candidates):
+        """Skip the candidate that was already tried as directed."""
+        if self._next_index >= len(self._candidates):
             return
-        if self._candidates[self._next].name == self._skip:
-            self._next += 1
+        if self._candidates[self._next_index].name == self._directed_name:
+            self._next_index += 1
 
     def _give_up(self, failure: AttemptFailure) -> Step:
-        """Stop at once, and never say "not run" after an unknown attempt."""
+        """Give up; "not run" is never reported once an attempt may have run."""
         outcome = Outcome.UNKNOWN if self._may_have_run else failure.outcome
-        after = self._shortest_retry
+        after = self._shortest_retry_after
         reason = failure.reason
         if self._was_over_bound and reason == Reason.DRAINING:
             reason = Reason.OVER_BOUND
-        told = AttemptFailure(
+        final = AttemptFailure(
             outcome,
             reason,
             retry_after=failure.retry_after if after is None else after,
             place=failure.place,
             detail=failure.detail,
         )
-        return Step(StepKind.GIVE_UP, failure=told)
+        return Step(StepKind.GIVE_UP, failure=final)
--- a/src/primrosescale/request/backoff.py
+++ b/src/primrosescale/request/backoff.py
@@ -1,4 +1,4 @@
-"""Decorrelated jitter between attempts."""
+"""Random exponential back-off between attempts, with decorrelated jitter."""
 
 from __future__ import annotations
 
@@ -11,49 +11,51 @@
 if TYPE_CHECKING:
     from random import Random
 
-GROWTH = 3.0
+GROWTH_FACTOR = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class BackoffSettings:
-    """How long to wait between attempts."""
+    """Limits of the wait between attempts."""
 
     shortest: float = option(
         SECONDS,
-        "seconds, least",
+        "shortest wait in seconds",
         0.02,
     )
     longest: float = option(
         SECONDS,
-        "seconds, most",
+        "longest wait in seconds",
         1.0,
     )
 
 
 class Backoff:
-    """Waits that grow at random, independent between callers.
+    """Random waits that grow with each retry and differ between callers.
 
     Parameters
     ----------
     settings : BackoffSettings
-        Limits.
+        Limits of the waits.
     rng : Random
-        Source of chance.
+        Random number generator.
     """
 
     def __init__(self, settings: BackoffSettings, rng: Random) -> None:
         self._settings = settings
         self._rng = rng
-        self._last = settings.shortest
+        self._last_wait = settings.shortest
 
     def next_wait(self) -> float:
-        """Return the next wait.
+        """Draw the next wait.
 
         Returns
         -------
         float
-            Seconds.
+            Wait in seconds.
         """
-        drawn = self._rng.uniform(self._settings.shortest, self._last * GROWTH)
-        self._last = min(self._settings.longest, drawn)
-        return self._last
+        drawn = self._rng.uniform(
+            self._settings.shortest, self._last_wait * GROWTH_FACTOR
+        )
+        self._last_wait = min(self._settings.longest, drawn)
+        return self._last_wait
--- a/src/primrosescale/request/call_names.py
+++ b/src/primrosescale/request/call_names.py
@@ -1,8 +1,9 @@
-"""Names of calls an agent has seen, so that none is taken twice.
+"""Identifiers of calls that an agent has received, so that none runs twice.
 
-A call is named by its router's incarnation and its number there. The name is
-kept until no copy of the call can still arrive; a name may be barred before
-its call was ever seen, which makes "not run" true for good.
+A call is identified by the incarnation of its router and its number there. The
+identifier is kept until no copy of the call can still arrive. An identifier may
+be barred before its call arrives; the call then never runs, so that the report
+"not run" remains true.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallName:
-    """The name of a call.
+    """Identifier of a call.
 
     Parameters
     ----------
     router : int
-        Incarnation of the router that made it.
+        Incarnation of the router that sent the call.
     number : int
-        Its number there.
+        Number of the call, unique within that incarnation.
     """
 
     router: int
@@ -29,7 +30,7 @@
 
 
 class NameState(Enum):
-    """What is known of a name."""
+    """State of an identifier: not seen yet, call received, or call forbidden."""
 
     FRESH = "fresh"
     TAKEN = "taken"
@@ -37,102 +38,102 @@
 
 
 @dataclass(slots=True)
-class _Entry:
-    """A remembered name."""
+class _IdRecord:
+    """State of an identifier and the time in seconds at which it expires."""
 
     state: NameState
     until: float
 
 
 class CallNames:
-    """Bounded memory of call names.
+    """Bounded record of call identifiers.
 
     Parameters
     ----------
     keep : float
-        Seconds a name is kept after its call's deadline.
+        Seconds for which an identifier is kept after the deadline of its call.
     limit : int
-        Names at the most; at the limit no new call may be taken.
+        Maximum number of identifiers; at the limit no new call may be accepted.
     """
 
     def __init__(self, keep: float, limit: int) -> None:
         self._keep = keep
         self._limit = limit
-        self._entries: dict[CallName, _Entry] = {}
-        self._due: dict[int, list[CallName]] = {}
+        self._records: dict[CallName, _IdRecord] = {}
+        self._ids_by_expiry: dict[int, list[CallName]] = {}
 
     def __len__(self) -> int:
-        """Return how many names are kept."""
-        return len(self._entries)
+        """Return the number of recorded identifiers."""
+        return len(self._records)
 
     @property
     def is_full(self) -> bool:
-        """Tell whether no new name fits."""
-        return len(self._entries) >= self._limit
+        """Return whether the limit has been reached."""
+        return len(self._records) >= self._limit
 
-    def state(self, name: CallName) -> NameState:
-        """Return what is known of a name.
+    def state(self, call_id: CallName) -> NameState:
+        """Return the state of an identifier.
 
         Parameters
         ----------
-        name : CallName
-            The name.
+        call_id : CallName
+            The identifier.
 
         Returns
         -------
         NameState
-            `NameState.FRESH` for one never seen.
+            `NameState.FRESH` for an identifier that is not recorded.
         """
-        entry = self._entries.get(name)
-        return NameState.FRESH if entry is None else entry.state
+        record = self._records.get(call_id)
+        return NameState.FRESH if record is None else record.state
 
-    def take(self, name: CallName, deadline: float) -> None:
-        """Remember that a call has arrived.
+    def take(self, call_id: CallName, deadline: float) -> None:
+        """Record that a call has arrived.
 
         Parameters
         ----------
-        name : CallName
-            Its name.
+        call_id : CallName
+            Identifier of the call.
         deadline : float
-            When its caller stops waiting, in seconds.
+            Time at which its caller stops waiting, in seconds.
         """
-        self._put(name, NameState.TAKEN, deadline)
+        self._put(call_id, NameState.TAKEN, deadline)
 
-    def bar(self, name: CallName, deadline: float) -> None:
-        """Remember that a call must never run.
+    def bar(self, call_id: CallName, deadline: float) -> None:
+        """Record that a call must never run.
 
         Parameters
         ----------
-        name : CallName
-            Its name.
+        call_id : CallName
+            Identifier of the call.
         deadline : float
-            When its caller stops waiting, in seconds.
+            Time at which its caller stops waiting, in seconds.
         """
-        self._put(name, NameState.BARRED, deadline)
+        self._put(call_id, NameState.BARRED, deadline)
 
     def forget_old(self, now: float) -> int:
-        """Forget names whose time is over.
+        """Remove expired identifiers.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         int
-            How many were forgotten.
+            Number of identifiers removed.
         """
-        forgotten = 0
-        for second in [due for due in self._due if due < now]:
-            for name in self._due.pop(second):
-                entry = self._entries.get(name)
-                if entry is not None and entry.until <= now:
-                    del self._entries[name]
-                    forgotten += 1
-        return forgotten
-
-    def _put(self, name: CallName, state: NameState, deadline: float) -> None:
+        removed = 0
+        for expiry_second in [expiry for expiry in self._ids_by_expiry if expiry < now]:
+            for call_id in self._ids_by_expiry.pop(expiry_second):
+                record = self._records.get(call_id)
+                if record is not None and record.until <= now:
+                    del self._records[call_id]
+                    removed += 1
+        return removed
+
+    def _put(self, call_id: CallName, state: NameState, deadline: float) -> None:
         until = deadline + self._keep
-        self._entries[name] = _Entry(state, until)
-        self._due.setdefault(math.ceil(until), []).append(name)
+        self._records[call_id] = _IdRecord(state, until)
+        self._ids_by_expiry.setdefault(math.ceil(until), []).append(call_id)
--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -1,4 +1,8 @@
-"""One call on its way through a router: attempts, answer, end."""
+"""Runs one call in a router: its attempts, its answer and its end.
+
+When a connection to an agent is lost, the router asks the same agent for the rest
+of the answer on a new connection before it counts the attempt as failed.
+"""
 
 from __future__ import annotations
 
@@ -35,51 +39,51 @@
     from primrosescale.request.candidates import Target
 
 MILLISECONDS = 1000
-ENDS = (wire.Answer, wire.AnswerEnd, wire.CallFailed)
+FINAL_MESSAGES = (wire.Answer, wire.AnswerEnd, wire.CallFailed)
 
 
 @dataclass(frozen=True, slots=True)
 class RoutedCallSettings:
-    """Timing and limits of a call in a router."""
+    """Timeouts and limits of a call in a router."""
 
     grace: float = option(
         SECONDS,
-        "seconds after the deadline within which the agent's word is awaited",
+        "seconds after the deadline for which the agent's final message is awaited",
         0.25,
     )
     resume_attempts: int = option(
         COUNT,
-        "new connections tried for an answer whose connection was lost",
+        "maximum number of attempts to resume an answer whose connection was lost",
         2,
     )
     resume_pause: float = option(
         SECONDS,
-        "seconds between such tries",
+        "seconds between attempts to resume an answer",
         0.3,
     )
     credit_step: int = option(
         COUNT,
-        "bytes after which the agent is told how far the answer was taken",
+        "bytes of an answer after which its receipt is acknowledged to the agent",
         64 * 1024,
     )
 
 
 @dataclass(slots=True)
 class CallReport:
-    """What became of a call, for metrics, logs and the limits.
+    """Result of a call, for metrics, logs and limits.
 
     Parameters
     ----------
     outcome : Outcome
-        Whether it ran.
+        Whether the call ran.
     reason : Reason | None
-        Why there is no answer; None with a whole answer.
+        Why there is no complete answer; None when there is one.
     attempts : int
-        Attempts made.
+        Number of attempts planned.
     target : str
-        Target that answered; empty when none did.
+        Name of the target that answered; empty when none did.
     cached_tokens : int
-        Prompt tokens served from the target's cache.
+        Number of prompt tokens read from the target's cache.
     """
 
     outcome: Outcome
@@ -89,12 +93,12 @@
     cached_tokens: int
 
 
-class CallHost(ABC):
-    """What a routed call needs of the router it runs in."""
+class CallContext(ABC):
+    """Interface between a call and the router that it runs in."""
 
     @abstractmethod
     def register(self, call: RoutedCall) -> int:
-        """Give a new attempt a number that its answer will carry.
+        """Assign a number to a new attempt, which the agent's messages carry.
 
         Parameters
         ----------
@@ -104,17 +108,17 @@
         Returns
         -------
         int
-            A number never used before in this process.
+            A number not used before in this process.
         """
 
     @abstractmethod
     def unregister(self, number: int) -> None:
-        """Drop whatever still comes for an attempt.
+        """Ignore further messages for an attempt.
 
         Parameters
         ----------
         number : int
-            The attempt's number.
+            Number of the attempt.
         """
 
     @property
@@ -149,7 +153,7 @@
         Returns
         -------
         Link | None
-            None when it must be opened first, by `connect`.
+            The connection; None when it must first be opened with `connect`.
         """
 
     @abstractmethod
@@ -159,19 +163,19 @@
         Parameters
         ----------
         service : str
-            Its service.
+            Name of the service.
         name : str
-            Its name.
+            Name of the target.
 
         Returns
         -------
         Target | None
-            The target, unless it is unknown, down or leaving.
+            The target; None when it is unknown, down or leaving.
         """
 
     @abstractmethod
     def suspect(self, target: Target) -> None:
-        """Take in that a target could not be reached.
+        """Mark a target that could not be reached as suspect.
 
         Parameters
         ----------
@@ -181,69 +185,69 @@
 
     @abstractmethod
     def load_heard(self, target: Target, load: int) -> None:
-        """Take in a target's load, told with an answer or a refusal.
+        """Record a target's load, reported with an answer or a refusal.
 
         Parameters
         ----------
         target : Target
             The target.
         load : int
-            Work units outstanding there.
+            Outstanding work units of the target.
         """
 
     @abstractmethod
     def call_ended(self, call: RoutedCall, report: CallReport) -> None:
-        """Take in that a call has ended.
+        """Handle the end of a call.
 
         Parameters
         ----------
         call : RoutedCall
             The call.
         report : CallReport
-            What became of it.
+            Result of the call.
         """
 
 
 class RoutedCall:
-    """Runs the attempts of one call and hands its answer on.
+    """Runs the attempts of one call and forwards its answer to the caller.
 
     Parameters
     ----------
     request : CallRequest
-        What to run.
+        The request to run.
     plan : AttemptPlan
-        Decides about attempts.
+        Decides about the attempts.
     sink : AnswerSink
-        The caller.
-    host : CallHost
+        Receives the answer for the caller.
+    context : CallContext
         The router.
     clock : Clock
         Source of time and timers.
     settings : RoutedCallSettings
-        Timing and limits.
+        Timeouts and limits.
     """
 
     __slots__ = (
+        "_answer_check",
         "_attempt",
-        "_cached",
-        "_check",
+        "_attempt_number",
+        "_cached_tokens",
         "_clock",
+        "_context",
         "_credited",
-        "_host",
+        "_deadline_timer",
         "_is_directed",
         "_is_done",
         "_is_in_flight",
         "_link",
-        "_number",
         "_plan",
         "_request",
-        "_resumes",
+        "_resume_count",
         "_sent_at",
         "_settings",
         "_sink",
         "_target",
         "_target_incarnation",
-        "_timer",
         "_wait_timer",
     )
 
@@ -252,35 +256,35 @@
         request: CallRequest,
         plan: AttemptPlan,
         sink: AnswerSink,
-        host: CallHost,
+        context: CallContext,
         clock: Clock,
         settings: RoutedCallSettings,
     ) -> None:
         self._request = request
         self._plan = plan
         self._sink = sink
-        self._host = host
+        self._context = context
         self._clock = clock
         self._settings = settings
-        self._check = AnswerCheck()
+        self._answer_check = AnswerCheck()
         self._link: Link | None = None
         self._target: Target | None = None
         self._target_incarnation = 0
-        self._number = 0
+        self._attempt_number = 0
         self._attempt = 0
-        self._resumes = 0
+        self._resume_count = 0
         self._credited = 0
-        self._cached = 0
+        self._cached_tokens = 0
         self._sent_at = 0.0
         self._is_done = False
         self._is_directed = False
         self._is_in_flight = False
         self._wait_timer: Timer | None = None
-        self._timer: Timer | None = None
+        self._deadline_timer: Timer | None = None
 
     @property
     def request(self) -> CallRequest:
-        """Return what is run."""
+        """Return the request that is run."""
         return self._request
 
     @property
@@ -290,54 +294,54 @@
 
     @property
     def is_done(self) -> bool:
-        """Tell whether the caller has its final answer."""
+        """Return whether the call has ended."""
         return self._is_done
 
     def start(self) -> None:
         """Make the first attempt."""
         now = self._clock.seconds()
-        left = max(0.0, self._request.deadline - now)
-        self._timer = self._clock.callLater(left, self._deadline_passed)
-        self._take(self._plan.first(now))
+        remaining = max(0.0, self._request.deadline - now)
+        self._deadline_timer = self._clock.callLater(remaining, self._deadline_passed)
+        self._execute(self._plan.first(now))
 
     def cancel(self) -> None:
-        """Stop because the caller has gone away."""
+        """Cancel the call because the caller has disconnected."""
         if self._is_done:
             return
         self._cancel_attempt()
         self._end(Outcome.UNKNOWN, Reason.CANCELLED)
 
     def caller_drained(self) -> None:
-        """Take in that the caller takes bytes again."""
+        """Resume acknowledging the answer because the caller accepts bytes again."""
         self._give_credit()
 
     def link_lost(self, link: Link, detail: str) -> None:
-        """Take in that a connection has ended.
+        """Try to resume the answer if the lost connection carries this call.
 
         Parameters
         ----------
         link : Link
-            The connection.
+            The lost connection.
         detail : str
-            Why it ended.
+            Why it was lost.
         """
         if self._is_done or link is not self._link:
             return
         self._link = None
-        self._resume_later(detail)
+        self._schedule_resume(detail)
 
     def message(self, message: Message) -> None:
-        """Take in what the agent says of the present attempt.
+        """Handle a message of the agent about the current attempt.
 
         Parameters
         ----------
         message : Message
-            Part of an answer or a refusal.
+            Part of an answer, or a failure.
         """
         if self._is_done:
             return
-        if isinstance(message, ENDS) and self._target is not None:
-            self._host.load_heard(self._target, message.load)
+        if isinstance(message, FINAL_MESSAGES) and self._target is not None:
+            self._context.load_heard(self._target, message.load)
         try:
             self._dispatch(message)
         except AnswerCutError as error:
@@ -348,32 +352,32 @@
 
     def _dispatch(self, message: Message) -> None:
         if isinstance(message, wire.AnswerChunk):
-            self._sink.data(self._check.accept(message.offset, message.data))
+            self._sink.data(self._answer_check.accept(message.offset, message.data))
             self._give_credit()
         elif isinstance(message, wire.Answer):
-            self._whole(message)
+            self._receive_complete(message)
         elif isinstance(message, wire.AnswerHead):
             self._sink.head(message.status, message.headers)
         elif isinstance(message, wire.AnswerEnd):
-            self._check.finish(message.length, message.digest)
+            self._answer_check.finish(message.length, message.digest)
             self._finish(message.cached_tokens)
         elif isinstance(message, wire.CallFailed):
-            self._fail(_failure_of(message))
+            self._fail(_failure_from(message))
 
-    def _whole(self, message: wire.Answer) -> None:
+    def _receive_complete(self, message: wire.Answer) -> None:
         if digest_of(message.body) != message.digest:
-            raise AnswerCutError("the digest differs")
+            raise AnswerCutError("the digest of the answer does not match its body")
         self._sink.head(message.status, message.headers)
         self._sink.data(message.body)
         self._finish(message.cached_tokens)
 
     def _finish(self, cached_tokens: int) -> None:
-        self._cached = cached_tokens
-        self._settle()
+        self._cached_tokens = cached_tokens
+        self._release_link()
         self._sink.finish()
         self._end(Outcome.RAN, None)
 
-    def _take(self, step: Step) -> None:
+    def _execute(self, step: Step) -> None:
         if step.kind is StepKind.GIVE_UP or step.target is None:
             self._give_up(step.failure)
             return
@@ -391,11 +395,11 @@
             return
         self._attempt += 1
         attempt = self._attempt
-        link = self._host.open_link(target)
+        link = self._context.open_link(target)
         if link is not None:
             self._connected(link, attempt)
             return
-        connecting = self._host.connect(target)
+        connecting = self._context.connect(target)
         connecting.addCallbacks(
             self._connected,
             self._dial_failed,
@@ -406,10 +410,10 @@
     def _connected(self, link: Link, attempt: int) -> None:
         if self._is_done or attempt != self._attempt or link.peer is None:
             return
-        self._number = self._host.register(self)
-        self._check = AnswerCheck()
+        self._attempt_number = self._context.register(self)
+        self._answer_check = AnswerCheck()
         self._credited = 0
-        self._resumes = 0
+        self._resume_count = 0
         self._sent_at = self._clock.seconds()
         self._target_incarnation = link.peer.incarnation
         self._link = link
@@ -420,16 +424,16 @@
     def _dial_failed(self, failure: Failure, attempt: int, target: Target) -> None:
         if self._is_done or attempt != self._attempt:
             return
-        self._host.suspect(target)
+        self._context.suspect(target)
         detail = failure.getErrorMessage()
         self._fail(AttemptFailure(Outcome.NOT_RUN, Reason.LINK_LOST, detail=detail))
 
     def _wire_call(self, target_incarnation: int) -> wire.Call:
         request = self._request
-        left = max(0.0, request.deadline - self._sent_at)
+        remaining = max(0.0, request.deadline - self._sent_at)
         return wire.Call(
-            router=self._host.incarnation,
-            number=self._number,
+            router=self._context.incarnation,
+            number=self._attempt_number,
             target_incarnation=target_incarnation,
             service_name=request.service,
             organisation=request.organisation,
@@ -438,7 +442,7 @@
             path=request.path,
             headers=request.headers,
             body=request.body,
-            deadline_ms=int(left * MILLISECONDS),
+            deadline_ms=int(remaining * MILLISECONDS),
             prompt_tokens=request.prompt_tokens,
             output_tokens=request.output_tokens,
             priority=request.priority,
@@ -453,13 +457,16 @@
             streamed=request.is_streamed,
         )
 
-    def _resume_later(self, detail: str) -> None:
-        """Ask for the answer by name on a new connection, soon."""
-        if self._resumes >= self._settings.resume_attempts:
+    def _schedule_resume(self, detail: str) -> None:
+        """Schedule resuming the answer on a new connection.
+
+        The first try is made at once, further ones after a pause.
+        """
+        if self._resume_count >= self._settings.resume_attempts:
             self._lost(detail)
             return
-        pause = self._settings.resume_pause if self._resumes else 0.0
-        self._resumes += 1
+        pause = self._settings.resume_pause if self._resume_count else 0.0
+        self._resume_count += 1
         attempt = self._attempt
         self._wait_timer = self._clock.callLater(pause, self._resume, attempt)
 
@@ -468,7 +475,7 @@
         target = self._target
         if self._is_done or attempt != self._attempt or target is None:
             return
-        connecting = self._host.connect(target)
+        connecting = self._context.connect(target)
         connecting.addCallbacks(
             self._resumed,
             self._resume_failed,
@@ -480,16 +487,16 @@
         if self._is_done or attempt != self._attempt or link.peer is None:
             return
         if link.peer.incarnation != self._target_incarnation:
-            self._lost("the agent was replaced")
+            self._lost("the agent has restarted with another incarnation")
             return
         self._link = link
         link.expect()
         age = self._clock.seconds() - self._sent_at
         link.send(
             wire.Resume(
-                router=self._host.incarnation,
-                number=self._number,
-                offset=self._check.offset,
+                router=self._context.incarnation,
+                number=self._attempt_number,
+                offset=self._answer_check.offset,
                 target_incarnation=self._target_incarnation,
                 age_ms=int(age * MILLISECONDS),
             ),
@@ -498,17 +505,17 @@
     def _resume_failed(self, failure: Failure, attempt: int) -> None:
         if self._is_done or attempt != self._attempt:
             return
-        self._resume_later(failure.getErrorMessage())
+        self._schedule_resume(failure.getErrorMessage())
 
     def _lost(self, detail: str) -> None:
         if self._target is not None:
-            self._host.suspect(self._target)
+            self._context.suspect(self._target)
         self._fail(AttemptFailure(Outcome.UNKNOWN, Reason.LINK_LOST, detail=detail))
 
     def _fail(self, failure: AttemptFailure) -> None:
-        """End the present attempt and take the next step."""
-        self._host.unregister(self._number)
-        self._settle()
+        """End the current attempt and take the next step of the plan."""
+        self._context.unregister(self._attempt_number)
+        self._release_link()
         self._is_in_flight = False
         self._attempt += 1
         if self._sink.has_begun:
@@ -518,27 +525,33 @@
         self._sink.reset()
         directed = None
         if failure.place:
-            directed = self._host.find_target(self._request.service, failure.place)
+            directed = self._context.find_target(self._request.service, failure.place)
         now = self._clock.seconds()
-        self._take(self._plan.after(failure, directed, now))
+        self._execute(self._plan.after(failure, directed, now))
 
     def _give_up(self, failure: AttemptFailure | None) -> None:
-        told = failure or AttemptFailure(Outcome.UNKNOWN, Reason.NO_CANDIDATE)
-        self._sink.refuse(told)
-        self._end(told.outcome, told.reason)
+        final = failure or AttemptFailure(Outcome.UNKNOWN, Reason.NO_CANDIDATE)
+        self._sink.refuse(final)
+        self._end(final.outcome, final.reason)
 
     def _deadline_passed(self) -> None:
-        """Stop waiting; an agent that has the call says what became of it."""
+        """End the call at its deadline.
+
+        An agent that has received the call is asked to cancel it, and may report
+        the outcome within the grace period.
+        """
         if self._is_done:
             return
-        if self._link is not None and self._timer is not None:
-            self._timer = None
+        if self._link is not None and self._deadline_timer is not None:
+            self._deadline_timer = None
             self._cancel_attempt()
             self._clock.callLater(self._settings.grace, self._deadline_passed)
             return
         may_run = self._is_in_flight or self._plan.may_have_run
         outcome = Outcome.UNKNOWN if may_run else Outcome.NOT_RUN
-        failure = AttemptFailure(outcome, Reason.DEADLINE, detail="deadline passed")
+        failure = AttemptFailure(
+            outcome, Reason.DEADLINE, detail="the deadline has passed"
+        )
         if self._sink.has_begun:
             self._sink.cut(failure)
         else:
@@ -547,19 +560,21 @@
 
     def _cancel_attempt(self) -> None:
         if self._link is not None:
-            self._link.send(wire.Cancel(self._host.incarnation, self._number))
+            self._link.send(
+                wire.Cancel(self._context.incarnation, self._attempt_number)
+            )
 
     def _give_credit(self) -> None:
         if self._link is None or self._sink.is_blocked:
             return
-        taken = self._check.offset
-        if taken - self._credited >= self._settings.credit_step:
-            self._credited = taken
+        received = self._answer_check.offset
+        if received - self._credited >= self._settings.credit_step:
+            self._credited = received
             self._link.send(
-                wire.Credit(self._host.incarnation, self._number, taken),
+                wire.Credit(self._context.incarnation, self._attempt_number, received),
             )
 
-    def _settle(self) -> None:
+    def _release_link(self) -> None:
         if self._link is not None:
             self._link.settle()
             self._link = None
@@ -568,16 +583,18 @@
         if self._is_done:
             return
         self._is_done = True
-        self._settle()
-        self._host.unregister(self._number)
-        for timer in (self._timer, self._wait_timer):
+        self._release_link()
+        self._context.unregister(self._attempt_number)
+        for timer in (self._deadline_timer, self._wait_timer):
             cancel_timer(timer)
         name = self._target.name if self._target and outcome is Outcome.RAN else ""
-        report = CallReport(outcome, reason, self._plan.attempts, name, self._cached)
-        self._host.call_ended(self, report)
+        report = CallReport(
+            outcome, reason, self._plan.attempts, name, self._cached_tokens
+        )
+        self._context.call_ended(self, report)
 
 
-def _failure_of(message: wire.CallFailed) -> AttemptFailure:
+def _failure_from(message: wire.CallFailed) -> AttemptFailure:
     return AttemptFailure(
         Outcome(message.outcome),
         Reason(message.reason),
--- a/tests/request/test_attempts.py
+++ b/tests/request/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: whom, in which order, and when to stop."""
+"""Tests of the plan of attempts, the retry budget and the back-off."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         self.assertEqual("t1", step.target.name)
         self.assertEqual(0.0, step.wait)
 
-    def test_the_last_refusal_is_final_with_the_shortest_advice(self):
+    def test_the_last_refusal_is_final_with_the_shortest_retry_after(self):
         plan = make(2)
         plan.first(0.0)
         plan.after(AttemptFailure(NOT_RUN, Reason.OVER_BOUND, 0.5), None, 0.0)
@@ -54,14 +54,14 @@
         self.assertEqual(0.5, step.failure.retry_after)
         self.assertEqual(NOT_RUN, step.failure.outcome)
 
-    def test_a_non_idempotent_call_is_not_repeated_when_it_may_have_run(self):
+    def test_a_non_idempotent_call_is_not_retried_when_it_may_have_run(self):
         plan = make(idempotent=False)
         plan.first(0.0)
         step = plan.after(AttemptFailure(UNKNOWN, Reason.LINK_LOST), None, 0.1)
         self.assertEqual(StepKind.GIVE_UP, step.kind)
         self.assertEqual(UNKNOWN, step.failure.outcome)
 
-    def test_an_idempotent_repeat_waits_and_costs_budget(self):
+    def test_an_idempotent_retry_waits_and_costs_budget(self):
         plan = make(burst=1.0)
         plan.first(0.0)
         step = plan.after(AttemptFailure(UNKNOWN, Reason.LINK_LOST), None, 0.1)
@@ -69,7 +69,7 @@
         step = plan.after(AttemptFailure(UNKNOWN, Reason.LINK_LOST), None, 0.2)
         self.assertEqual(StepKind.GIVE_UP, step.kind)
 
-    def test_after_an_unknown_attempt_nothing_is_called_not_run(self):
+    def test_after_an_unknown_outcome_not_run_is_never_reported(self):
         plan = make(2)
         plan.first(0.0)
         plan.after(AttemptFailure(UNKNOWN, Reason.LINK_LOST), None, 0.1)
@@ -90,7 +90,7 @@
         step = plan.after(elsewhere, target("t1"), 0.0)
         self.assertEqual("t2", step.target.name)
 
-    def test_a_directory_that_names_a_lost_place_is_asked_again_directly(self):
+    def test_a_directory_that_names_an_unusable_target_gets_the_call_itself(self):
         plan = make()
         plan.first(0.0)
         elsewhere = AttemptFailure(NOT_RUN, Reason.ELSEWHERE, place="gone")
@@ -105,7 +105,7 @@
             step = plan.after(AttemptFailure(NOT_RUN, reason), None, 0.0)
             self.assertEqual(StepKind.GIVE_UP, step.kind, reason)
 
-    def test_a_confirmation_whose_target_is_gone_is_refused_as_not_run(self):
+    def test_a_non_idempotent_call_that_a_failed_target_did_not_run_is_refused(self):
         plan = make(idempotent=False)
         plan.first(0.0)
         step = plan.after(AttemptFailure(NOT_RUN, Reason.TARGET_FAILED), None, 0.0)
@@ -124,13 +124,13 @@
 
 
 class RetryBudgetTest(TestCase):
-    def test_repeats_stay_a_share_of_first_attempts(self):
+    def test_retries_stay_a_share_of_first_attempts(self):
         budget = RetryBudget(RetryBudgetSettings(share=0.1, burst=5.0))
-        repeats = 0
+        retries = 0
         for _ in range(1000):
             budget.earn()
-            repeats += budget.spend()
-        self.assertTrue(repeats <= 105, repeats)
+            retries += budget.spend()
+        self.assertTrue(retries <= 105, retries)
 
     def test_one_organisation_does_not_spend_the_budget_of_another(self):
         budgets = RetryBudgets(RetryBudgetSettings(burst=1.0))
