--- a/src/primrosescale/request/target_choice.py
+++ b/src/primrosescale/request/target_choice.py
@@ -42,15 +42,15 @@
 # hardly counts.
 PLAIN_FAILURE_WEIGHT = 32.0
 # Requests; smaller than the difference that one request makes.
-TIE_BREAK = 0.01
+TIE_BREAK_REQUESTS = 0.01
 # Age in seconds of the news of other routers beyond which the best target by it
 # would be the best for all of them at once.
 OLD_NEWS = 0.7
 # Targets drawn by lot then; of more, the best would again be the same for many.
-DRAWN_TARGETS = 2
+SAMPLED_TARGETS = 2
 # The load below which a target that holds the prompt is taken is drawn from
 # this part of the mean up to the bound.
-LEAST_DRAWN_LOAD = 0.5
+MIN_LOAD_LIMIT_SHARE = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -174,7 +174,7 @@
         return self._total / len(self.serving)
 
     @property
-    def is_old(self) -> bool:
+    def is_stale(self) -> bool:
         """Tell whether others' requests are known too late to choose the best by."""
         return self.age > OLD_NEWS
 
@@ -382,7 +382,7 @@
         bounded = [state for state in usable if loads.of(state) + 1 <= bound]
         if bounded:
             return bounded
-        few = self._draw(usable) if loads.is_old else usable
+        few = self._sample(usable) if loads.is_stale else usable
         return [min(few, key=loads.of)]
 
     def _choose_plain(
@@ -391,8 +391,8 @@
         """Choose for a request without a prompt."""
         # Such requests end before a large fleet hears of them: the best by the
         # last news would be the best for all routers.
-        if loads.is_old or self._relies_on_homes():
-            bounded = self._draw(bounded)
+        if loads.is_stale or self._relies_on_homes():
+            bounded = self._sample(bounded)
         best = min(bounded, key=lambda state: self._plain_cost(state, loads, now))
         return Choice(
             best,
@@ -418,33 +418,33 @@
             for state in states
         }
         grace = self._settings.copy_evacuated
-        reached = [s for s in states if s.may_be_copied_from(now, grace)] or bounded
+        sources = [s for s in states if s.may_be_copied_from(now, grace)] or bounded
         held = known
         if self._relies_on_homes():
-            held = _with_home(prompt, states, known, now)
-        if loads.is_old:
-            low = LEAST_DRAWN_LOAD * loads.mean
+            held = _with_home_as_holder(prompt, states, known, now)
+        if loads.is_stale:
+            low = MIN_LOAD_LIMIT_SHARE * loads.mean
             limit = low + (self._bound(loads) - low) * self._rng.random()
-            bounded = self._drawn_candidates(bounded, prompt, held, loads, limit)
+            bounded = self._sampled_candidates(bounded, prompt, held, loads, limit)
         elif self._relies_on_homes():
             limit = self._bound(loads)
-            bounded = self._drawn_candidates(bounded, prompt, held, loads, limit)
-        usual = _usual_failures(states, now)
-        best = self._cheapest(bounded, reached, prompt, held, loads, usual, now)
+            bounded = self._sampled_candidates(bounded, prompt, held, loads, limit)
+        usual_failures = _median_failure_share(states, now)
+        best = self._cheapest(bounded, sources, prompt, held, loads, usual_failures, now)
         return Choice(
             best,
             held=held[best.target.name],
-            fetch_from=self._source(best, reached, prompt, known, now),
+            fetch_from=self._copy_source(best, sources, prompt, known, now),
             is_home=best is home_of(prompt, loads.serving),
             load=loads.of(best),
             load_age=loads.age,
             mean=loads.mean,
         )
 
-    def _draw(self, states: Sequence[TargetState]) -> list[TargetState]:
-        return self._rng.sample(states, min(DRAWN_TARGETS, len(states)))
+    def _sample(self, states: Sequence[TargetState]) -> list[TargetState]:
+        return self._rng.sample(states, min(SAMPLED_TARGETS, len(states)))
 
-    def _drawn_candidates(
+    def _sampled_candidates(
         self,
         bounded: Sequence[TargetState],
         prompt: Prompt,
@@ -454,12 +454,12 @@
     ) -> list[TargetState]:
         """Return some by lot, and some that hold the prompt below a load."""
         most = max(held[state.target.name] for state in bounded)
-        if _is_held(prompt, most):
+        if _holds_all_shared(prompt, most):
             warm = [state for state in bounded if held[state.target.name] == most]
         else:
             warm = [home_of(prompt, bounded)]
         warm = [state for state in warm if loads.of(state) + 1 <= limit]
-        return self._draw(bounded) + self._draw(warm)
+        return self._sample(bounded) + self._sample(warm)
 
     def _plain_cost(
         self,
@@ -469,22 +469,22 @@
     ) -> float:
         waiting = (loads.of(state) + 1.0) / state.slots
         failing = 1.0 + PLAIN_FAILURE_WEIGHT * state.failure_share(now) ** 2
-        return waiting * failing + TIE_BREAK * self._rng.random()
+        return waiting * failing + TIE_BREAK_REQUESTS * self._rng.random()
 
     def _cheapest(
         self,
         bounded: Sequence[TargetState],
-        reached: Sequence[TargetState],
+        sources: Sequence[TargetState],
         prompt: Prompt,
         held: dict[str, int],
         loads: _Loads,
-        usual: float,
+        usual_failures: float,
         now: float,
     ) -> TargetState:
-        """Return the target that costs least; `usual` is the share of failures."""
-        most = max(held[state.target.name] for state in reached)
+        """Return the target that costs least; `usual_failures` is the share of failures."""
+        most = max(held[state.target.name] for state in sources)
         home = home_of(prompt, bounded)
-        is_known = _is_held(prompt, most)
+        is_known = _holds_all_shared(prompt, most)
         settings = self._settings
 
         def cost(state: TargetState) -> float:
@@ -493,7 +493,7 @@
             read = prompt.prompt_tokens - max(most, held[name])
             total = read + fetched * settings.fetch_weight
             total += loads.of(state) * settings.tokens_per_request
-            failing = max(0.0, state.failure_share(now) - usual)
+            failing = max(0.0, state.failure_share(now) - usual_failures)
             total += failing**2 * settings.failure_weight
             if state is home and not is_known:
                 total -= settings.home_bonus
@@ -501,23 +501,23 @@
 
         return min(bounded, key=cost)
 
-    def _source(
+    def _copy_source(
         self,
         best: TargetState,
-        reached: Sequence[TargetState],
+        sources: Sequence[TargetState],
         prompt: Prompt,
         known: dict[str, int],
         now: float,
     ) -> TargetState | None:
         """Return where the chosen target may copy the prompt from."""
-        richest = max(reached, key=lambda state: known[state.target.name])
-        most = known[richest.target.name]
-        if self._relies_on_homes() and not _is_held(prompt, most):
-            return expected_source(prompt, reached, best, now)
-        return richest if most > known[best.target.name] else None
+        holder = max(sources, key=lambda state: known[state.target.name])
+        most = known[holder.target.name]
+        if self._relies_on_homes() and not _holds_all_shared(prompt, most):
+            return expected_source(prompt, sources, best, now)
+        return holder if most > known[best.target.name] else None
 
 
-def _is_held(prompt: Prompt, most: int) -> bool:
+def _holds_all_shared(prompt: Prompt, most: int) -> bool:
     """Tell whether tokens that a target holds make others go there.
 
     That takes all that is shared. The beginnings of prompts are held by most
@@ -527,7 +527,7 @@
     return most >= max(1, shared_tokens(prompt))
 
 
-def _usual_failures(states: Sequence[TargetState], now: float) -> float:
+def _median_failure_share(states: Sequence[TargetState], now: float) -> float:
     """Return the median share of failures, which is no reason to leave a target.
 
     When answers of most targets are lost, one that has just been listed would
@@ -537,7 +537,7 @@
     return shares[(len(shares) - 1) // 2]
 
 
-def _with_home(
+def _with_home_as_holder(
     prompt: Prompt,
     states: Sequence[TargetState],
     known: dict[str, int],
