--- a/src/primrosescale/request/target_choice.py
+++ b/src/primrosescale/request/target_choice.py
@@ -349,7 +349,7 @@
         if len(serving) < len(states):
             departing = [state for state in states if state.is_departing(now)]
         for state in self._unlisted_of(states[0].target.service):
-            if state.seems_sound(now) and not any(state is item for item in serving):
+            if state.seems_alive(now) and not any(state is item for item in serving):
                 departing.append(state)
         return departing
 
--- a/src/primrosescale/request/target_state.py
+++ b/src/primrosescale/request/target_state.py
@@ -25,16 +25,16 @@
 # Seconds. A report of load tells of the moment at which the answer began: most
 # plain requests that it counted have ended since, and streams are counted again
 # by the next answers.
-REPORT_HALF_LIFE = 0.5
+LOAD_REPORT_HALF_LIFE_SECONDS = 0.5
 # Seconds in which outcomes lose half of their influence. All routers tell theirs, so
 # that it covers a dozen or more at each target; a longer time would send callers
 # to a target that has begun to fail.
-OUTCOME_HALF_LIFE = 2.0
+OUTCOME_HALF_LIFE_SECONDS = 2.0
 # Seconds for which a target that could not be reached is left out at first, and
 # twice as long after each further failure, up to the most: a restart takes some
 # seconds.
-FIRST_PAUSE = 0.5
-LONGEST_PAUSE = 4.0
+FIRST_PAUSE_SECONDS = 0.5
+MAX_PAUSE_SECONDS = 4.0
 # Seconds. A target that works sends something to each stream many times as often;
 # reading a long prompt keeps one silent for about as long, so that silence is a
 # reason to ask others, no proof that a target is lost.
@@ -44,11 +44,11 @@
 RUNS_ON_SECONDS = 3.0
 # Share of failures from which on a target whose entry is gone is taken to have
 # crashed: what it had was lost.
-CRASHED_SHARE = 0.25
+CRASHED_FAILURE_SHARE = 0.25
 # A late answer is worth half of one in time.
 LATE_WEIGHT = 0.5
 # Pseudo-outcomes that hold a target to be good before it was tried.
-PRIOR_GOOD = 2.0
+PRIOR_GOOD_OUTCOMES = 2.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,24 +89,24 @@
     __slots__ = (
         "_cold_until",
         "_evacuated_at",
-        "_failures",
-        "_heard_at",
-        "_held_up",
+        "_failed_connections",
+        "_last_received_at",
+        "_paused_reads",
         "_incarnation",
         "_outcomes",
-        "_own",
+        "_own_requests",
         "_own_at_report",
         "_paused_until",
         "_report",
-        "_report_at",
-        "_returned_at",
-        "_since",
+        "_reported_at",
+        "_assumed_cold_from",
+        "_listed_at",
         "_statements",
         "_target",
-        "_told",
-        "_told_bad",
-        "_told_good",
-        "_waited_for_since",
+        "_router_requests",
+        "_router_bad",
+        "_router_good",
+        "_awaiting_since",
     )
 
     def __init__(
@@ -118,24 +118,24 @@
         self._target = target
         self._statements = statements or TargetStatements()
         self._incarnation = target.incarnation
-        self._since = now
-        self._own = 0
-        self._held_up = 0
+        self._listed_at = now
+        self._own_requests = 0
+        self._paused_reads = 0
         self._report = LoadReport(0, 0, target.slots)
-        self._report_at = now - 60.0
+        self._reported_at = now - 60.0
         self._own_at_report = 0
-        self._told = ToldCounts()
-        self._told_good = ToldCounts()
-        self._told_bad = ToldCounts()
-        self._outcomes = DecayingOutcomes(OUTCOME_HALF_LIFE, now)
-        self._failures = 0
+        self._router_requests = ToldCounts()
+        self._router_good = ToldCounts()
+        self._router_bad = ToldCounts()
+        self._outcomes = DecayingOutcomes(OUTCOME_HALF_LIFE_SECONDS, now)
+        self._failed_connections = 0
         self._paused_until = 0.0
-        self._heard_at = now
-        self._waited_for_since = now
+        self._last_received_at = now
+        self._awaiting_since = now
         self._evacuated_at: float | None = None
         self._cold_until = now + target.warming_for
         # Since when it may have been unseen no longer; it is taken to be cold then.
-        self._returned_at = -math.inf
+        self._assumed_cold_from = -math.inf
 
     @property
     def target(self) -> ServingTarget:
@@ -150,17 +150,17 @@
     @property
     def own_running(self) -> int:
         """Return how many requests of this router are there."""
-        return self._own
+        return self._own_requests
 
     @property
     def heard_at(self) -> float:
         """Return when bytes last came from it, in seconds."""
-        return self._heard_at
+        return self._last_received_at
 
     @property
     def since(self) -> float:
         """Return when it was first listed here, in seconds."""
-        return self._since
+        return self._listed_at
 
     @property
     def takes_work(self) -> bool:
@@ -191,7 +191,7 @@
             return True
         return now - self._statements.leaving_since < RUNS_ON_SECONDS
 
-    def seems_sound(self, now: float) -> bool:
+    def seems_alive(self, now: float) -> bool:
         """Tell whether nothing known of it speaks for its having crashed.
 
         Parameters
@@ -204,7 +204,7 @@
         bool
             False for one that is avoided, or of which answers were lost lately.
         """
-        return not self.is_avoided(now) and self.failure_share(now) < CRASHED_SHARE
+        return not self.is_avoided(now) and self.failure_share(now) < CRASHED_FAILURE_SHARE
 
     @property
     def statements(self) -> TargetStatements:
@@ -260,7 +260,7 @@
         now : float
             When it may be seen again, in seconds.
         """
-        self._returned_at = max(self._returned_at, now)
+        self._assumed_cold_from = max(self._assumed_cold_from, now)
 
     def told_cold(self, cold_for: float, now: float) -> None:
         """Take in how long its entry says that it stays cold.
@@ -290,7 +290,7 @@
         return max(
             self._cold_until,
             self._statements.cold_until,
-            self._returned_at + cold_seconds,
+            self._assumed_cold_from + cold_seconds,
         )
 
     def may_be_copied_from(self, now: float, grace: float) -> bool:
@@ -320,20 +320,20 @@
         now : float
             Present time in seconds.
         """
-        self._wait_from(now)
-        self._own += 1
+        self._await_from(now)
+        self._own_requests += 1
         self._statements.sent(now)
 
     def ended(self) -> None:
         """Count a request that is no longer there."""
-        self._own = max(0, self._own - 1)
+        self._own_requests = max(0, self._own_requests - 1)
 
     def held_up(self) -> None:
         """Take in that no bytes of a request there are read: its caller is slow.
 
         A target whose bytes nobody reads must not be taken for a silent one.
         """
-        self._held_up += 1
+        self._paused_reads += 1
 
     def read_again(self, now: float) -> None:
         """Take in that bytes of a request that was held up are read again.
@@ -343,13 +343,13 @@
         now : float
             Present time in seconds.
         """
-        self._wait_from(now)
-        self._held_up = max(0, self._held_up - 1)
+        self._await_from(now)
+        self._paused_reads = max(0, self._paused_reads - 1)
 
-    def _wait_from(self, now: float) -> None:
+    def _await_from(self, now: float) -> None:
         """Count silence from now on, unless it counts already."""
-        if self._own <= self._held_up:
-            self._waited_for_since = now
+        if self._own_requests <= self._paused_reads:
+            self._awaiting_since = now
 
     def answered(self, head: AnswerHead, now: float) -> bool:
         """Take in what the head of an answer of its own says of it.
@@ -379,7 +379,7 @@
         now : float
             Present time in seconds.
         """
-        self._heard_at = now
+        self._last_received_at = now
 
     def reported(self, report: LoadReport, now: float) -> None:
         """Take in a report of its load.
@@ -392,8 +392,8 @@
             Present time in seconds.
         """
         self._report = report
-        self._report_at = now
-        self._own_at_report = self._own
+        self._reported_at = now
+        self._own_at_report = self._own_requests
 
     def hear_router(self, router: str, running: int, fresh_until: float) -> None:
         """Take in how many requests another router has there.
@@ -407,7 +407,7 @@
         fresh_until : float
             When this stops to count, in seconds.
         """
-        self._told.put(router, running, fresh_until)
+        self._router_requests.put(router, running, fresh_until)
 
     def hear_outcomes(
         self, router: str, good: float, bad: float, fresh_until: float
@@ -425,8 +425,8 @@
         fresh_until : float
             When this stops to count, in seconds.
         """
-        self._told_good.put(router, good, fresh_until)
-        self._told_bad.put(router, bad, fresh_until)
+        self._router_good.put(router, good, fresh_until)
+        self._router_bad.put(router, bad, fresh_until)
 
     def load(self, now: float) -> float:
         """Return how many requests are there by the best knowledge.
@@ -446,8 +446,8 @@
         """
         total = self._report.running + self._report.waiting
         others = max(0, total - self._own_at_report)
-        faded = others * 0.5 ** ((now - self._report_at) / REPORT_HALF_LIFE)
-        return float(self._own + max(self._told.total(now), faded))
+        faded = others * 0.5 ** ((now - self._reported_at) / LOAD_REPORT_HALF_LIFE_SECONDS)
+        return float(self._own_requests + max(self._router_requests.total(now), faded))
 
     def failure_share(self, now: float) -> float:
         """Return the share of failures among recent outcomes.
@@ -463,9 +463,9 @@
             0 to 1.
         """
         own_good, own_bad = self.outcomes(now)
-        good = own_good + self._told_good.total(now)
-        bad = own_bad + self._told_bad.total(now)
-        return bad / (good + bad + PRIOR_GOOD)
+        good = own_good + self._router_good.total(now)
+        bad = own_bad + self._router_bad.total(now)
+        return bad / (good + bad + PRIOR_GOOD_OUTCOMES)
 
     def outcomes(self, now: float) -> tuple[float, float]:
         """Return this router's own recent outcomes.
@@ -491,9 +491,9 @@
             Present time in seconds.
         """
         self._outcomes.add_good(now)
-        self._failures = 0
+        self._failed_connections = 0
         self._paused_until = 0.0
-        self._heard_at = now
+        self._last_received_at = now
 
     def failed(self, now: float) -> None:
         """Take in an outcome that is the target's fault.
@@ -518,8 +518,8 @@
         """
         if now < self._paused_until:
             return
-        pause = min(LONGEST_PAUSE, FIRST_PAUSE * 2.0**self._failures)
-        self._failures += 1
+        pause = min(MAX_PAUSE_SECONDS, FIRST_PAUSE_SECONDS * 2.0**self._failed_connections)
+        self._failed_connections += 1
         self._paused_until = now + pause
         # A target that was lost may have started again under its name.
         self.returned(self._paused_until)
@@ -547,9 +547,9 @@
         float
             Seconds; 0 while there are no such requests of this router.
         """
-        if self._own <= self._held_up:
+        if self._own_requests <= self._paused_reads:
             return 0.0
-        return max(0.0, now - max(self._heard_at, self._waited_for_since))
+        return max(0.0, now - max(self._last_received_at, self._awaiting_since))
 
     def is_avoided(self, now: float) -> bool:
         """Tell whether it is left out: unreachable lately, or silent now.
