--- a/src/primrosescale/request/target_loads.py
+++ b/src/primrosescale/request/target_loads.py
@@ -9,26 +9,26 @@
 if TYPE_CHECKING:
     from primrosescale.request.candidates import Target
 
-PAIR = 2
-LOADS_KEPT = 2048
-FRESH_FOR = 2.0
-CLOSE_LOADS = 200
+COMPARED_CANDIDATES = 2
+MAX_KNOWN_LOADS = 2048
+FRESH_SECONDS = 2.0
+CLOSE_LOAD_UNITS = 200
 
 
 @dataclass(slots=True)
-class KnownLoad:
+class LoadSample:
     """A target's load and when it was heard.
 
     Parameters
     ----------
     load : int
         Work units outstanding.
-    heard_at : float
+    received_at : float
         When, in seconds.
     """
 
     load: int
-    heard_at: float
+    received_at: float
 
 
 class TargetLoads:
@@ -40,7 +40,7 @@
     """
 
     def __init__(self) -> None:
-        self._known: OrderedDict[str, KnownLoad] = OrderedDict()
+        self._known: OrderedDict[str, LoadSample] = OrderedDict()
 
     def __len__(self) -> int:
         """Return how many targets' loads are kept."""
@@ -58,9 +58,9 @@
         now : float
             Present time in seconds.
         """
-        self._known[target] = KnownLoad(load, now)
+        self._known[target] = LoadSample(load, now)
         self._known.move_to_end(target)
-        if len(self._known) > LOADS_KEPT:
+        if len(self._known) > MAX_KNOWN_LOADS:
             self._known.popitem(last=False)
 
     def order(self, candidates: list[Target], domain: str, now: float) -> list[Target]:
@@ -80,7 +80,7 @@
         list[Target]
             The same targets.
         """
-        if len(candidates) < PAIR:
+        if len(candidates) < COMPARED_CANDIDATES:
             return candidates
         first, second, *rest = candidates
         if self._goes_before(second, first, domain, now):
@@ -91,12 +91,12 @@
         load = self._load(one, now)
         other_load = self._load(other, now)
         if load is not None and other_load is not None:
-            if abs(load - other_load) > CLOSE_LOADS:
+            if abs(load - other_load) > CLOSE_LOAD_UNITS:
                 return load < other_load
         return one.domain == domain != other.domain
 
     def _load(self, target: Target, now: float) -> int | None:
         known = self._known.get(target.name)
-        if known is None or now - known.heard_at > FRESH_FOR:
+        if known is None or now - known.received_at > FRESH_SECONDS:
             return None
         return known.load
--- a/src/primrosescale/request/target_room.py
+++ b/src/primrosescale/request/target_room.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OpenTargets:
+class AvailableTargets:
     """Targets that may be sent a request now, and how many others wait.
 
     Parameters
@@ -88,7 +88,7 @@
             return Standing.COLD
         return Standing.SUSPECT if state.is_avoided(now) else Standing.READY
 
-    def open(self, states: Sequence[TargetState], now: float) -> OpenTargets:
+    def open(self, states: Sequence[TargetState], now: float) -> AvailableTargets:
         """Return those of some targets that may be sent a request now.
 
         Parameters
@@ -100,12 +100,12 @@
 
         Returns
         -------
-        OpenTargets
+        AvailableTargets
             Those that need not be waited for.
         """
         rested = [state for state in states if not state.statements.wait(now)]
         warm = rested if self._cold is None else self._cold.open(rested, now)
-        return OpenTargets(warm, len(rested) - len(warm), len(states) - len(rested))
+        return AvailableTargets(warm, len(rested) - len(warm), len(states) - len(rested))
 
     def wait(self, state: TargetState, now: float) -> float:
         """Return after how long a target that takes work may be sent a request.
