--- a/src/primrosescale/request/told_counts.py
+++ b/src/primrosescale/request/reported_counts.py
@@ -9,20 +9,20 @@
 import math
 
 
-class ToldCounts:
+class ReportedCounts:
     """Counts of one kind by router, and their sum.
 
     Routers tell their counts anew every some tenths of a second; what is not told
     again counts until it is no longer fresh.
     """
 
-    __slots__ = ("_by_router", "_total", "_whole_until")
+    __slots__ = ("_by_router", "_total", "_valid_until")
 
     def __init__(self) -> None:
         self._by_router: dict[str, tuple[float, float]] = {}
         self._total = 0.0
         # Until then the sum holds as it is.
-        self._whole_until = math.inf
+        self._valid_until = math.inf
 
     def put(self, router: str, count: float, fresh_until: float) -> None:
         """Take in what a router tells, in place of what it told before.
@@ -39,7 +39,7 @@
         known, _ = self._by_router.get(router, (0.0, 0.0))
         self._by_router[router] = (count, fresh_until)
         self._total += count - known
-        self._whole_until = min(self._whole_until, fresh_until)
+        self._valid_until = min(self._valid_until, fresh_until)
 
     def total(self, now: float) -> float:
         """Return the sum over all routers.
@@ -54,14 +54,14 @@
         float
             Of what is fresh.
         """
-        if now > self._whole_until:
-            self._forget_old(now)
+        if now > self._valid_until:
+            self._drop_expired(now)
         return self._total
 
-    def _forget_old(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         self._by_router = {
-            router: told for router, told in self._by_router.items() if now <= told[1]
+            router: reported for router, reported in self._by_router.items() if now <= reported[1]
         }
-        told = self._by_router.values()
-        self._total = sum(count for count, _ in told)
-        self._whole_until = min((until for _, until in told), default=math.inf)
+        reported = self._by_router.values()
+        self._total = sum(count for count, _ in reported)
+        self._valid_until = min((until for _, until in reported), default=math.inf)
--- a/src/primrosescale/request/target_state.py
+++ b/src/primrosescale/request/target_state.py
@@ -14,8 +14,8 @@
 from typing import TYPE_CHECKING
 
 from primrosescale.request.decaying_outcomes import DecayingOutcomes
+from primrosescale.request.reported_counts import ReportedCounts
 from primrosescale.request.target_statements import TargetStatements
-from primrosescale.request.told_counts import ToldCounts
 
 if TYPE_CHECKING:
     from primrosescale.request.direct_port import AnswerHead
@@ -124,9 +124,9 @@
         self._report = LoadReport(0, 0, target.slots)
         self._reported_at = now - 60.0
         self._own_at_report = 0
-        self._router_requests = ToldCounts()
-        self._router_good = ToldCounts()
-        self._router_bad = ToldCounts()
+        self._router_requests = ReportedCounts()
+        self._router_good = ReportedCounts()
+        self._router_bad = ReportedCounts()
         self._outcomes = DecayingOutcomes(OUTCOME_HALF_LIFE_SECONDS, now)
         self._failed_connections = 0
         self._paused_until = 0.0
--- a/tests/entry/test_told_counts.py
+++ b/tests/entry/test_told_counts.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from testtools import TestCase
 
-from primrosescale.request.told_counts import ToldCounts
+from primrosescale.request.reported_counts import ReportedCounts
 from support.drawn import drawn
 
 TOLD = st.lists(
@@ -22,14 +22,14 @@
 
 class ToldCountsTest(TestCase):
     def test_what_a_router_tells_replaces_what_it_told_before(self):
-        counts = ToldCounts()
+        counts = ReportedCounts()
         counts.put("a", 3, 10.0)
         counts.put("b", 4, 10.0)
         counts.put("a", 1, 11.0)
         self.assertEqual(5, counts.total(9.0))
 
     def test_what_is_not_told_again_stops_to_count(self):
-        counts = ToldCounts()
+        counts = ReportedCounts()
         counts.put("a", 3, 10.0)
         counts.put("b", 4, 12.0)
         self.assertEqual(7, counts.total(10.0))
@@ -39,7 +39,7 @@
     @drawn(60)
     @given(TOLD)
     def test_the_sum_is_that_of_the_last_fresh_word_of_each(self, told):
-        counts, words, now = ToldCounts(), {}, 0.0
+        counts, words, now = ReportedCounts(), {}, 0.0
         for router, count, pause, fresh_for in told:
             now += pause
             counts.put(router, count, now + fresh_for)
