--- a/src/primrosescale/request/decaying_outcomes.py
+++ b/src/primrosescale/request/decaying_outcomes.py
@@ -14,13 +14,13 @@
         Present time in seconds.
     """
 
-    __slots__ = ("_bad", "_good", "_half_life", "_seen_at")
+    __slots__ = ("_bad", "_good", "_half_life", "_updated_at")
 
     def __init__(self, half_life: float, now: float) -> None:
         self._half_life = half_life
         self._good = 0.0
         self._bad = 0.0
-        self._seen_at = now
+        self._updated_at = now
 
     @property
     def total(self) -> float:
@@ -40,7 +40,7 @@
         now : float
             Present time in seconds.
         """
-        self._fade(now)
+        self._decay(now)
         self._good += 1.0
 
     def add_bad(self, now: float, weight: float = 1.0) -> None:
@@ -53,7 +53,7 @@
         weight : float
             How much it counts; 1 for a plain failure.
         """
-        self._fade(now)
+        self._decay(now)
         self._bad += weight
 
     def counts(self, now: float) -> tuple[float, float]:
@@ -69,15 +69,15 @@
         tuple[float, float]
             Good and bad outcomes.
         """
-        self._fade(now)
+        self._decay(now)
         return self._good, self._bad
 
-    def forgive(self) -> None:
+    def clear_bad(self) -> None:
         """Forget the bad ones."""
         self._bad = 0.0
 
-    def _fade(self, now: float) -> None:
-        kept = 0.5 ** (max(0.0, now - self._seen_at) / self._half_life)
+    def _decay(self, now: float) -> None:
+        kept = 0.5 ** (max(0.0, now - self._updated_at) / self._half_life)
         self._good *= kept
         self._bad *= kept
-        self._seen_at = now
+        self._updated_at = now
--- a/src/primrosescale/request/target_health.py
+++ b/src/primrosescale/request/target_health.py
@@ -117,7 +117,7 @@
         self._outcomes.add_good(now)
         if self._closed_until is not None:
             self._closed_until = None
-            self._outcomes.forgive()
+            self._outcomes.clear_bad()
             self._pause = self._settings.first_pause
 
     def failed(self, now: float) -> None:
--- a/src/primrosescale/request/target_statements.py
+++ b/src/primrosescale/request/target_statements.py
@@ -15,15 +15,15 @@
     from primrosescale.request.target_incarnation import TargetIncarnation
 
 # Targets that are no longer listed whose statements are kept; those kept first go.
-MOST_KEPT = 1000
+MAX_RETAINED = 1000
 # Seconds after which a rested target is asked again that has not answered the
 # requests sent to it since its rest.
-ASK_AGAIN_SECONDS = 1.0
+PROBE_AGAIN_SECONDS = 1.0
 # Seconds until it is worth looking again at a target that has got, for now, all the
 # requests it may have.
-LOOK_AGAIN_SECONDS = 0.05
+RECHECK_SECONDS = 0.05
 # Requests that each answer after a rest makes room for.
-ROOM_PER_ANSWER = 2
+PERMITS_PER_ANSWER = 2
 
 
 class TargetStatements:
@@ -33,14 +33,14 @@
     that is as many as it runs at once.
     """
 
-    __slots__ = ("_cold_until", "_leaving_since", "_rests_until", "_room", "_sent_at")
+    __slots__ = ("_cold_until", "_leaving_since", "_rest_until", "_permits", "_sent_at")
 
     def __init__(self) -> None:
         self._cold_until = -math.inf
         self._leaving_since = -math.inf
-        self._rests_until = 0.0
+        self._rest_until = 0.0
         # Requests it may get since its last rest; None for any number.
-        self._room: int | None = None
+        self._permits: int | None = None
         self._sent_at = 0.0
 
     @property
@@ -61,7 +61,7 @@
     @property
     def is_limited(self) -> bool:
         """Tell whether it rests, or rested lately, so that it may get few requests."""
-        return self._room is not None
+        return self._permits is not None
 
     def hear_leaving(self, now: float) -> bool:
         """Take in that it said that it leaves, here or to another router.
@@ -109,7 +109,7 @@
         bool
             True until the end of its rest.
         """
-        return now < self._rests_until
+        return now < self._rest_until
 
     def wait(self, now: float) -> float:
         """Return after how long a request may be sent there.
@@ -124,13 +124,13 @@
         float
             Seconds; 0 for now.
         """
-        if self._room is None:
+        if self._permits is None:
             return 0.0
-        if now < self._rests_until:
-            return self._rests_until - now
-        if self._room > 0 or now - self._sent_at >= ASK_AGAIN_SECONDS:
+        if now < self._rest_until:
+            return self._rest_until - now
+        if self._permits > 0 or now - self._sent_at >= PROBE_AGAIN_SECONDS:
             return 0.0
-        return LOOK_AGAIN_SECONDS
+        return RECHECK_SECONDS
 
     def sent(self, now: float) -> None:
         """Take in that a request is sent there.
@@ -140,8 +140,8 @@
         now : float
             Present time in seconds.
         """
-        if self._room is not None:
-            self._room = max(0, self._room - 1)
+        if self._permits is not None:
+            self._permits = max(0, self._permits - 1)
             self._sent_at = now
 
     def take(self, head: AnswerHead, slots: int, now: float) -> bool:
@@ -165,20 +165,20 @@
             self._cold_until = now + head.cold_for
         is_news = head.is_leaving and self.hear_leaving(now)
         if head.rest is not None:
-            is_news = is_news or now >= self._rests_until
-            self._rests_until = max(self._rests_until, now + head.rest)
-            self._room = 1
+            is_news = is_news or now >= self._rest_until
+            self._rest_until = max(self._rest_until, now + head.rest)
+            self._permits = 1
         elif not head.is_not_run:
-            self._make_room(slots, now)
+            self._add_permits(slots, now)
         return is_news
 
-    def _make_room(self, slots: int, now: float) -> None:
+    def _add_permits(self, slots: int, now: float) -> None:
         """Take in an answer that may be one to a request since the rest."""
-        if self._room is None or now < self._rests_until:
+        if self._permits is None or now < self._rest_until:
             return
-        self._room += ROOM_PER_ANSWER
-        if self._room > slots:
-            self._room = None
+        self._permits += PERMITS_PER_ANSWER
+        if self._permits > slots:
+            self._permits = None
 
 
 class KeptStatements:
@@ -213,7 +213,7 @@
         if not statements.is_in_force(now):
             return
         self._kept[incarnation] = statements
-        if len(self._kept) > MOST_KEPT:
+        if len(self._kept) > MAX_RETAINED:
             del self._kept[next(iter(self._kept))]
 
     def take_back(self, incarnation: TargetIncarnation) -> TargetStatements:
--- a/tests/request/test_target_statements.py
+++ b/tests/request/test_target_statements.py
@@ -13,8 +13,8 @@
 
 from entry.fakes import head
 from entry.fakes import life
-from primrosescale.request.target_statements import ASK_AGAIN_SECONDS
-from primrosescale.request.target_statements import MOST_KEPT
+from primrosescale.request.target_statements import PROBE_AGAIN_SECONDS
+from primrosescale.request.target_statements import MAX_RETAINED
 from primrosescale.request.target_statements import KeptStatements
 from primrosescale.request.target_statements import TargetStatements
 
@@ -114,7 +114,7 @@
         self.assertEqual(0.0, self.statements.wait(START + 1))
         self.statements.sent(START + 1)
         self.assertTrue(self.statements.wait(START + 1.5) > 0)
-        self.assertEqual(0.0, self.statements.wait(START + 1 + ASK_AGAIN_SECONDS))
+        self.assertEqual(0.0, self.statements.wait(START + 1 + PROBE_AGAIN_SECONDS))
 
     # Guards against a request that was declined without a word on when to return.
     def test_what_is_declined_makes_no_room(self):
@@ -156,8 +156,8 @@
     # Guards against a memory that grows with each target that ever left.
     def test_those_kept_first_make_room(self):
         kept = KeptStatements()
-        for number in range(MOST_KEPT + 10):
+        for number in range(MAX_RETAINED + 10):
             kept.keep(life(f"m{number}"), self.leaving(), START)
-        self.assertEqual(MOST_KEPT, len(kept))
+        self.assertEqual(MAX_RETAINED, len(kept))
         self.assertFalse(kept.take_back(life("m0")).is_leaving)
-        self.assertTrue(kept.take_back(life(f"m{MOST_KEPT + 9}")).is_leaving)
+        self.assertTrue(kept.take_back(life(f"m{MAX_RETAINED + 9}")).is_leaving)
