--- a/src/primrosescale/request/cold_targets.py
+++ b/src/primrosescale/request/cold_targets.py
@@ -120,7 +120,7 @@
         bool
             Whether what it is sent is counted.
         """
-        service = self._bounded(state)
+        service = self._limited_service(state)
         return service is not None and now < state.cold_until(service.cold_seconds)
 
     def open(self, states: Sequence[TargetState], now: float) -> list[TargetState]:
@@ -138,7 +138,7 @@
         list[TargetState]
             Those that are not cold, and cold ones that bear another request.
         """
-        service = self._bounded(states[0]) if states else None
+        service = self._limited_service(states[0]) if states else None
         if service is None:
             return list(states)
         return [state for state in states if not self._wait(state, service, now)]
@@ -158,7 +158,7 @@
         float
             Seconds; at the most until the target is warm.
         """
-        service = self._bounded(state)
+        service = self._limited_service(state)
         return 0.0 if service is None else self._wait(state, service, now)
 
     def _wait(self, state: TargetState, service: Service, now: float) -> float:
@@ -167,7 +167,7 @@
             return 0.0
         tokens = self._settings.tokens(service)
         own = self._shares.own_tokens(state.target.name, tokens, now)
-        sent = self._lately(state.target.name, now)
+        sent = self._recently_sent(state.target.name, now)
         if len(sent) < own:
             return 0.0
         if not own:
@@ -184,9 +184,9 @@
         now : float
             Present time in seconds.
         """
-        if self._bounded(state) is not None:
+        if self._limited_service(state) is not None:
             # What was sent before it became known to be cold counts too.
-            self._lately(state.target.name, now).append(now)
+            self._recently_sent(state.target.name, now).append(now)
 
     def forget(self, name: str) -> None:
         """Forget a target that is gone.
@@ -198,11 +198,11 @@
         """
         self._sent.pop(name, None)
 
-    def _bounded(self, state: TargetState) -> Service | None:
+    def _limited_service(self, state: TargetState) -> Service | None:
         service = self._service_of(state.target.service)
         return service if service is not None and service.cold_rate > 0 else None
 
-    def _lately(self, name: str, now: float) -> deque[float]:
+    def _recently_sent(self, name: str, now: float) -> deque[float]:
         sent = self._sent.get(name)
         if sent is None:
             sent = self._sent[name] = deque()
--- a/src/primrosescale/request/prompt_homes.py
+++ b/src/primrosescale/request/prompt_homes.py
@@ -23,7 +23,7 @@
 # they may be of any age.
 LISTED_TOGETHER_SECONDS = 2.0
 # A target listed for so long has been sent prompts that it is the home of.
-KNOWN_SECONDS = 3.0
+ESTABLISHED_SECONDS = 3.0
 # One listed for so long has been sent most of them, so that it need not ask the
 # former homes any more; returning chats come within seconds to a minute.
 SETTLED_SECONDS = 30.0
@@ -65,7 +65,7 @@
     return max(states, key=lambda state: _rank(group, state.target.name))
 
 
-def known_home(
+def established_home(
     prompt: Prompt, states: Sequence[TargetState], now: float
 ) -> TargetState:
     """Return the home among the targets that have been there for some time.
@@ -84,11 +84,11 @@
     TargetState
         The target that holds the prompt if one holds it that was not told of.
     """
-    began = _began(states)
+    first_listed_at = _first_listed_at(states)
     known = [
         state
         for state in states
-        if _is_of_start(state, began) or now - state.since > KNOWN_SECONDS
+        if _was_listed_at_start(state, first_listed_at) or now - state.since > ESTABLISHED_SECONDS
     ]
     return home_of(prompt, known)
 
@@ -115,10 +115,10 @@
         The home; for a home that is new, the one that was it before; None for
         a home that is settled.
     """
-    holder = known_home(prompt, states, now)
+    holder = established_home(prompt, states, now)
     if holder is not chosen:
         return holder
-    if _is_of_start(chosen, _began(states)) or now - chosen.since > SETTLED_SECONDS:
+    if _was_listed_at_start(chosen, _first_listed_at(states)) or now - chosen.since > SETTLED_SECONDS:
         return None
     older = [
         state
@@ -128,12 +128,12 @@
     return home_of(prompt, older) if older else None
 
 
-def _began(states: Sequence[TargetState]) -> float:
+def _first_listed_at(states: Sequence[TargetState]) -> float:
     return min(state.since for state in states)
 
 
-def _is_of_start(state: TargetState, began: float) -> bool:
-    return state.since - began < LISTED_TOGETHER_SECONDS
+def _was_listed_at_start(state: TargetState, first_listed_at: float) -> bool:
+    return state.since - first_listed_at < LISTED_TOGETHER_SECONDS
 
 
 def _rank(group: str, target: str) -> int:
--- a/src/primrosescale/request/router_shares.py
+++ b/src/primrosescale/request/router_shares.py
@@ -31,15 +31,15 @@
         This router.
     """
 
-    __slots__ = ("_counted", "_former", "_name", "_names", "_ring")
+    __slots__ = ("_own_counts", "_previous_rings", "_name", "_names", "_ring")
 
     def __init__(self, name: str) -> None:
         self._name = name
         self._names: frozenset[str] = frozenset()
         self._ring: TargetRing | None = None
         # Rings that others may still go by, each with the time until which.
-        self._former: list[tuple[float, TargetRing | None]] = []
-        self._counted: dict[tuple[str, int], int] = {}
+        self._previous_rings: list[tuple[float, TargetRing | None]] = []
+        self._own_counts: dict[tuple[str, int], int] = {}
 
     def list_routers(
         self, names: frozenset[str], now: float, *, was_listed: bool = False
@@ -59,10 +59,10 @@
         if names == self._names:
             return
         if self._ring is not None or not was_listed:
-            self._former.append((now + SETTLING_SECONDS, self._ring))
+            self._previous_rings.append((now + SETTLING_SECONDS, self._ring))
         self._names = names
         self._ring = _ring_of(names)
-        self._counted.clear()
+        self._own_counts.clear()
 
     def own_tokens(self, key: str, tokens: int, now: float) -> int:
         """Return how many of the tokens of a key are this router's.
@@ -83,17 +83,17 @@
         """
         if self._ring is None:
             return 0
-        if self._former and self._former[0][0] <= now:
-            self._former = [item for item in self._former if now < item[0]]
-            self._counted.clear()
-        known = self._counted.get((key, tokens))
+        if self._previous_rings and self._previous_rings[0][0] <= now:
+            self._previous_rings = [item for item in self._previous_rings if now < item[0]]
+            self._own_counts.clear()
+        known = self._own_counts.get((key, tokens))
         if known is None:
             known = sum(self._owns(f"{key} {token}") for token in range(tokens))
-            self._counted[key, tokens] = known
+            self._own_counts[key, tokens] = known
         return known
 
     def _owns(self, token: str) -> bool:
-        rings = [self._ring, *(ring for _, ring in self._former)]
+        rings = [self._ring, *(ring for _, ring in self._previous_rings)]
         return all(
             ring is not None and ring.walk(token, 1) == [self._name] for ring in rings
         )
--- a/src/primrosescale/request/target_choice.py
+++ b/src/primrosescale/request/target_choice.py
@@ -22,7 +22,7 @@
 from primrosescale.ini.options import option
 from primrosescale.request.prompt_homes import expected_source
 from primrosescale.request.prompt_homes import home_of
-from primrosescale.request.prompt_homes import known_home
+from primrosescale.request.prompt_homes import established_home
 from primrosescale.request.prompt_homes import shared_tokens
 from primrosescale.request.target_room import TargetRoom
 
@@ -550,4 +550,4 @@
     most = max(known.values())
     if most < shared_tokens(prompt):
         return known
-    return {**known, known_home(prompt, states, now).target.name: most}
+    return {**known, established_home(prompt, states, now).target.name: most}
--- a/tests/entry/test_prompt_homes.py
+++ b/tests/entry/test_prompt_homes.py
@@ -11,11 +11,11 @@
 from entry.fakes import target
 from primrosescale.request.part_directory import PartDirectory
 from primrosescale.request.part_directory import PartUse
-from primrosescale.request.prompt_homes import KNOWN_SECONDS
+from primrosescale.request.prompt_homes import ESTABLISHED_SECONDS
 from primrosescale.request.prompt_homes import SETTLED_SECONDS
 from primrosescale.request.prompt_homes import expected_source
 from primrosescale.request.prompt_homes import home_of
-from primrosescale.request.prompt_homes import known_home
+from primrosescale.request.prompt_homes import established_home
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
 from primrosescale.request.target_state import TargetState
@@ -41,7 +41,7 @@
         return next(s for s in states if home_of(WANTED, [*self.states, s]) is s)
 
     def test_who_has_just_started_takes_all_targets_for_settled(self):
-        self.assertIs(self.home, known_home(WANTED, self.states, START + 1))
+        self.assertIs(self.home, established_home(WANTED, self.states, START + 1))
         self.assertIsNone(expected_source(WANTED, self.states, self.home, START + 1))
 
     def test_what_goes_elsewhere_is_copied_from_home(self):
@@ -51,7 +51,7 @@
     def test_a_new_home_copies_from_the_one_before_until_it_is_settled(self):
         new = self.newcomer(START + 100)
         states = [*self.states, new]
-        soon = START + 100 + KNOWN_SECONDS + 1
+        soon = START + 100 + ESTABLISHED_SECONDS + 1
         late = START + 100 + SETTLED_SECONDS + 1
         self.assertIs(self.home, expected_source(WANTED, states, new, soon))
         self.assertIsNone(expected_source(WANTED, states, new, late))
@@ -59,7 +59,7 @@
     def test_a_home_that_is_a_second_old_holds_nothing_yet(self):
         new = self.newcomer(START + 100)
         states = [*self.states, new]
-        self.assertIs(self.home, known_home(WANTED, states, START + 101))
+        self.assertIs(self.home, established_home(WANTED, states, START + 101))
         found = expected_source(WANTED, states, self.others[0], START + 101)
         self.assertIs(self.home, found)
 
