--- a/src/primrosescale/request/part_directory.py
+++ b/src/primrosescale/request/part_directory.py
@@ -23,18 +23,18 @@
 
 # Seconds. What was used longer ago is not relied on, whatever the memory: other
 # routers' use of it may have gone unheard.
-HELD_SECONDS = 60.0
+MAX_USE_AGE_SECONDS = 60.0
 # Of a target's memory. Shared parts of running requests are held once for all,
 # and what a router does not hear of (other routers' chats) is left out here.
 CACHE_SHARE = 1.0
 # Parts remembered for one target whose memory is not known.
-MOST_PARTS = 4096
+MAX_PARTS_PER_TARGET = 4096
 # Others are told again that a part is still used once their knowledge of it has
 # lost half of its time: early enough for one lost datagram, and not with each use.
-TELL_AGAIN_SECONDS = HELD_SECONDS / 2
+REPORT_AGAIN_SECONDS = MAX_USE_AGE_SECONDS / 2
 # Shorter shared parts are read about as soon as they are moved; where they went is
 # not worth telling a large fleet.
-LEAST_TOLD_TOKENS = 1000
+MIN_REPORTED_TOKENS = 1000
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
 class _HeldPart:
     """A part that a target is taken to hold."""
 
-    __slots__ = ("is_shared", "tokens", "told_at", "used_at")
+    __slots__ = ("is_shared", "tokens", "reported_at", "used_at")
 
     def __init__(self, tokens: int, used_at: float) -> None:
         self.tokens = tokens
@@ -74,10 +74,10 @@
         # Whether requests of other routers may have it.
         self.is_shared = True
         # When other routers last heard of its use, from here or elsewhere.
-        self.told_at = used_at
+        self.reported_at = used_at
 
 
-class _Holder:
+class _HeldParts:
     """What one incarnation of a target is taken to hold, least recently used first."""
 
     __slots__ = ("parts", "tokens")
@@ -99,7 +99,7 @@
             self.parts.move_to_end(use.part)
         self.tokens += held.tokens
         while len(self.parts) > 1 and (
-            len(self.parts) > MOST_PARTS or (capacity and self.tokens > capacity)
+            len(self.parts) > MAX_PARTS_PER_TARGET or (capacity and self.tokens > capacity)
         ):
             _, dropped = self.parts.popitem(last=False)
             self.tokens -= dropped.tokens
@@ -109,15 +109,15 @@
 class PartDirectory:
     """Remembers which target has read which part, and when."""
 
-    __slots__ = ("_again", "_capacity", "_holders", "_news", "_unexpected")
+    __slots__ = ("_previous_updates", "_capacity", "_holders", "_updates", "_away_from_home")
 
     def __init__(self) -> None:
-        self._again: dict[tuple[str, TargetIncarnation], PartUse] = {}
-        self._holders: dict[TargetIncarnation, _Holder] = {}
+        self._previous_updates: dict[tuple[str, TargetIncarnation], PartUse] = {}
+        self._holders: dict[TargetIncarnation, _HeldParts] = {}
         self._capacity: dict[TargetIncarnation, int] = {}
-        self._news: dict[tuple[str, TargetIncarnation], PartUse] = {}
+        self._updates: dict[tuple[str, TargetIncarnation], PartUse] = {}
         # Prompts that are elsewhere than others expect them, by their deepest part.
-        self._unexpected: dict[tuple[str, TargetIncarnation], PartUse] = {}
+        self._away_from_home: dict[tuple[str, TargetIncarnation], PartUse] = {}
 
     def __len__(self) -> int:
         """Return how many parts are known, counted for each target."""
@@ -152,19 +152,19 @@
             # Their tokens count where they are told or sent by themselves.
             self._note(PartUse(name, use.target, 0, use.used_at))
         held, is_new = self._note(use)
-        held.told_at = max(held.told_at, use.used_at)
+        held.reported_at = max(held.reported_at, use.used_at)
         return is_new
 
     def _note(self, use: PartUse) -> tuple[_HeldPart, bool]:
         holder = self._holders.get(use.target)
         if holder is None:
-            holder = self._holders[use.target] = _Holder()
+            holder = self._holders[use.target] = _HeldParts()
         return holder.note(use, self._capacity.get(use.target, 0))
 
     @property
     def has_unexpected(self) -> bool:
         """Tell whether a prompt went elsewhere than others expect."""
-        return bool(self._unexpected)
+        return bool(self._away_from_home)
 
     def note_own(
         self,
@@ -206,20 +206,20 @@
                 continue
             held.is_shared = True
             is_news = is_news or was_unknown
-            is_old = now - held.told_at >= TELL_AGAIN_SECONDS
+            is_old = now - held.reported_at >= REPORT_AGAIN_SECONDS
             if was_unknown or (is_old and place == deepest):
-                held.told_at = now
-                self._news[(part.name, target)] = use
+                held.reported_at = now
+                self._updates[(part.name, target)] = use
                 if place == deepest and not is_expected:
-                    self._note_unexpected(use, parts)
+                    self._note_away_from_home(use, parts)
         return is_news
 
-    def _note_unexpected(self, use: PartUse, parts: Sequence[PromptPart]) -> None:
+    def _note_away_from_home(self, use: PartUse, parts: Sequence[PromptPart]) -> None:
         shared = parts[:-1]
-        if sum(part.tokens for part in shared) >= LEAST_TOLD_TOKENS:
+        if sum(part.tokens for part in shared) >= MIN_REPORTED_TOKENS:
             before = tuple(part.name for part in shared[:-1])
             found = replace(use, before=before)
-            self._unexpected[(use.part, use.target)] = found
+            self._away_from_home[(use.part, use.target)] = found
 
     def take_news(self) -> list[PartUse]:
         """Return what this router noted since the call before the last.
@@ -232,9 +232,9 @@
         list[PartUse]
             Uses of shared parts.
         """
-        news, self._news = self._news, {}
-        again, self._again = self._again, news
-        self._unexpected.clear()
+        news, self._updates = self._updates, {}
+        again, self._previous_updates = self._previous_updates, news
+        self._away_from_home.clear()
         return list({**again, **news}.values())
 
     def take_unexpected(self) -> list[PartUse]:
@@ -248,9 +248,9 @@
         list[PartUse]
             Uses of the deepest shared parts.
         """
-        news, self._unexpected = self._unexpected, {}
-        self._news.clear()
-        self._again.clear()
+        news, self._away_from_home = self._away_from_home, {}
+        self._updates.clear()
+        self._previous_updates.clear()
         return list(news.values())
 
     def forget_target(self, target: TargetIncarnation) -> None:
@@ -263,7 +263,7 @@
         """
         self._holders.pop(target, None)
         self._capacity.pop(target, None)
-        for told in (self._news, self._unexpected, self._again):
+        for told in (self._updates, self._away_from_home, self._previous_updates):
             for key in [key for key in told if key[1] == target]:
                 del told[key]
 
@@ -288,7 +288,7 @@
         return [
             PartUse(name, target, part.tokens, part.used_at)
             for name, part in holder.parts.items()
-            if part.is_shared and now - part.used_at <= HELD_SECONDS
+            if part.is_shared and now - part.used_at <= MAX_USE_AGE_SECONDS
         ]
 
     def held(
@@ -320,6 +320,6 @@
                 break
             tokens += part.tokens
             # A part that was used lately was used with all before it.
-            if now - found.used_at <= HELD_SECONDS:
+            if now - found.used_at <= MAX_USE_AGE_SECONDS:
                 usable = tokens
         return usable
--- a/tests/entry/test_target_choice.py
+++ b/tests/entry/test_target_choice.py
@@ -10,7 +10,7 @@
 from entry.fakes import life
 from entry.fakes import prompt
 from entry.fakes import target
-from primrosescale.request.part_directory import HELD_SECONDS
+from primrosescale.request.part_directory import MAX_USE_AGE_SECONDS
 from primrosescale.request.part_directory import PartDirectory
 from primrosescale.request.part_directory import PartUse
 from primrosescale.request.target_choice import ChoiceSettings
@@ -52,7 +52,7 @@
     def test_what_was_read_long_ago_is_not_relied_on(self):
         self.parts.note(PartUse("tariffs", life("m4"), 10000, START))
         wanted = prompt(("tariffs", 10000), ("chat", 900))
-        later = START + HELD_SECONDS + 1
+        later = START + MAX_USE_AGE_SECONDS + 1
         self.assertEqual(0, self.parts.held(life("m4"), wanted.parts, later))
 
     def test_a_hot_part_spreads_with_copies_once_its_target_is_over_the_bound(self):
