--- a/src/primrosescale/request/content_fingerprint.py
+++ b/src/primrosescale/request/content_fingerprint.py
@@ -6,7 +6,7 @@
 
 FINGERPRINT_BYTES = 8
 SEPARATOR = b"\0"
-BITS = 8 * FINGERPRINT_BYTES
+FINGERPRINT_BITS = 8 * FINGERPRINT_BYTES
 
 
 def content_fingerprint(organisation: str, path: bytes, body: bytes) -> int:
@@ -46,4 +46,4 @@
     str
         Hexadecimal digits.
     """
-    return f"{fingerprint % 2**BITS:0{2 * FINGERPRINT_BYTES}x}"
+    return f"{fingerprint % 2**FINGERPRINT_BITS:0{2 * FINGERPRINT_BYTES}x}"
--- a/src/primrosescale/request/freshness.py
+++ b/src/primrosescale/request/freshness.py
@@ -10,7 +10,7 @@
 
 # Part of the bound that is left unused, in seconds: timers fire late, and a
 # request takes a moment from the check to the target.
-MARGIN = 0.3
+MARGIN_SECONDS = 0.3
 
 
 class Freshness:
@@ -31,7 +31,7 @@
     @property
     def bound(self) -> float:
         """Return the seconds for which an answer may be relied on."""
-        return self._bound - MARGIN
+        return self._bound - MARGIN_SECONDS
 
     def configure(self, bound: float) -> None:
         """Take in a changed bound.
--- a/src/primrosescale/request/harmful_requests.py
+++ b/src/primrosescale/request/harmful_requests.py
@@ -27,29 +27,29 @@
     from primrosescale.request.harm_settings import HarmSettings
 
 # Ends that it takes besides where other requests or chance may explain the others.
-MORE_WHERE_EXPLAINED = 1
+EXTRA_ENDS_IF_EXPLAINED = 1
 # Part of requests that are on board of a target's end, above which chance explains
 # three ends under one of ten thousand requests.
-CHANCE_SHARE = 0.046
+MAX_CHANCE_SHARE = 0.046
 # Seconds in which outcomes lose half of their weight in that part, and answers that
 # stand for the time before the first outcomes.
-CHANCE_HALF_LIFE = 10.0
-USUAL_ANSWERS = 100.0
+CHANCE_HALF_LIFE_SECONDS = 10.0
+PRIOR_ANSWERS = 100.0
 # Seconds in which a try shows whether its target ends.
 TRY_SECONDS = 2.0
 # How many times as many ends it takes for a request that was answered whole.
-VOUCHED_MULTIPLE = 2
+ANSWERED_MULTIPLE = 2
 # How many more where targets answered it whole and ended just after.
-MORE_AFTER_ANSWERS = 2
+EXTRA_ENDS_AFTER_ANSWER = 2
 # Each further end makes the hold so many times as long: three tries in a day.
-HOLD_GROWTH = 12.0
+HOLD_GROWTH_FACTOR = 12.0
 # Seconds for which an end counts.
 MEMORY_SECONDS = 172_800.0
 # Ends of one request that are remembered.
-MOST_ENDS = 16
+MAX_ENDS = 16
 # The oldest of the remembered requests, of which the one with the fewest ends makes
 # room for another: many single ends must not push out what is nearly proved.
-LEAVING = 16
+EVICTION_CANDIDATES = 16
 
 
 class _Evidence:
@@ -92,8 +92,8 @@
 
     __slots__ = (
         "_answered",
-        "_at_target",
-        "_enough",
+        "_running_at",
+        "_with_enough_ends",
         "_evidence",
         "_outcomes",
         "_settings",
@@ -106,10 +106,10 @@
         # When requests were answered whole here, the oldest first.
         self._answered: OrderedDict[int, float] = OrderedDict()
         # Which requests were on board, by target.
-        self._at_target: dict[int, set[int]] = {}
-        self._outcomes = DecayingOutcomes(CHANCE_HALF_LIFE, 0.0)
+        self._running_at: dict[int, set[int]] = {}
+        self._outcomes = DecayingOutcomes(CHANCE_HALF_LIFE_SECONDS, 0.0)
         # Requests with as many ends as it takes, explained or not.
-        self._enough: set[int] = set()
+        self._with_enough_ends: set[int] = set()
 
     def __len__(self) -> int:
         """Return how many requests are remembered."""
@@ -118,7 +118,7 @@
     @property
     def may_hold(self) -> bool:
         """Tell whether any request could be held back."""
-        return bool(self._enough)
+        return bool(self._with_enough_ends)
 
     def configure(self, settings: HarmSettings) -> None:
         """Take in changed settings.
@@ -129,7 +129,7 @@
             When a request is held back.
         """
         self._settings = settings
-        self._enough = {
+        self._with_enough_ends = {
             fingerprint
             for fingerprint, evidence in self._evidence.items()
             if len(evidence.ends) >= settings.ends
@@ -150,16 +150,16 @@
         """
         evidence = self._evidence.get(end.fingerprint)
         if evidence is None:
-            evidence = self._begin(end.fingerprint)
+            evidence = self._add(end.fingerprint)
         if end.at <= evidence.answered_at or end.target in evidence.ends:
             return False
         self._forget_old_ends(end.fingerprint, evidence, end.at)
         evidence.ends[end.target] = end.at
         evidence.ended_after_answer |= end.was_answered
-        self._at_target.setdefault(end.target, set()).add(end.fingerprint)
+        self._running_at.setdefault(end.target, set()).add(end.fingerprint)
         self._evidence.move_to_end(end.fingerprint)
         if len(evidence.ends) >= self._settings.ends:
-            self._enough.add(end.fingerprint)
+            self._with_enough_ends.add(end.fingerprint)
         return True
 
     def take_answer(self, answer: WholeAnswer) -> bool:
@@ -272,7 +272,7 @@
         target : int
             Short name of its incarnation.
         """
-        for fingerprint in list(self._at_target.get(target, ())):
+        for fingerprint in list(self._running_at.get(target, ())):
             self._drop_end(fingerprint, self._evidence[fingerprint], target)
 
     def held_for(self, fingerprint: int, now: float) -> float:
@@ -294,9 +294,9 @@
         if evidence is None or len(evidence.ends) < self._needed(evidence):
             return 0.0
         until = evidence.tried_at + TRY_SECONDS
-        if self._is_explained_by_storm(evidence, now):
+        if self._is_explained_by_widespread_ends(evidence, now):
             return 0.0
-        if self._is_enough(fingerprint, evidence, now):
+        if self._is_sufficient(fingerprint, evidence, now):
             until = max(until, evidence.last_end + self._hold(evidence))
         return max(0.0, until - now)
 
@@ -329,7 +329,7 @@
         list[int]
             Their fingerprints.
         """
-        return [each for each in self._enough if self.held_for(each, now) > 0]
+        return [each for each in self._with_enough_ends if self.held_for(each, now) > 0]
 
     def proof(self, fingerprint: int) -> list[TargetEnd]:
         """Return the ends that suffice to hold a request back, the last ones.
@@ -348,7 +348,7 @@
         if evidence is None:
             return []
         newest = sorted(evidence.ends.items(), key=lambda item: -item[1])
-        most = self._needed(evidence) + MORE_WHERE_EXPLAINED
+        most = self._needed(evidence) + EXTRA_ENDS_IF_EXPLAINED
         was_answered = evidence.ended_after_answer
         return [
             TargetEnd(fingerprint, target, at, was_answered)
@@ -361,37 +361,37 @@
             # Its ends may be those of a time in which all targets ended.
             return settings.hold
         tries = len(evidence.ends) - settings.ends
-        return min(settings.longest_hold, settings.hold * HOLD_GROWTH**tries)
+        return min(settings.longest_hold, settings.hold * HOLD_GROWTH_FACTOR**tries)
 
-    def _is_enough(self, fingerprint: int, evidence: _Evidence, now: float) -> bool:
+    def _is_sufficient(self, fingerprint: int, evidence: _Evidence, now: float) -> bool:
         more = len(evidence.ends) - self._needed(evidence)
-        if more >= MORE_WHERE_EXPLAINED:
+        if more >= EXTRA_ENDS_IF_EXPLAINED:
             return True
-        is_chance_enough = self._is_chance_enough(now)
+        is_chance_enough = self._may_be_chance(now)
         return not is_chance_enough and not self._is_explained(fingerprint, evidence)
 
-    def _is_explained_by_storm(self, evidence: _Evidence, now: float) -> bool:
+    def _is_explained_by_widespread_ends(self, evidence: _Evidence, now: float) -> bool:
         """Tell whether it was answered before and all targets end often now.
 
         What many callers ask for is on board of every target that ends, and would
         be held back for minutes after the targets have recovered. One whole answer
         does not let it end targets without limit.
         """
-        if not evidence.answered_at or len(evidence.ends) >= MOST_ENDS:
+        if not evidence.answered_at or len(evidence.ends) >= MAX_ENDS:
             return False
-        return self._is_chance_enough(now)
+        return self._may_be_chance(now)
 
-    def _is_chance_enough(self, now: float) -> bool:
+    def _may_be_chance(self, now: float) -> bool:
         """Tell whether targets end so often that many requests see three ends."""
         good, bad = self._outcomes.counts(now)
-        return bad > CHANCE_SHARE * (good + bad + USUAL_ANSWERS)
+        return bad > MAX_CHANCE_SHARE * (good + bad + PRIOR_ANSWERS)
 
     def _is_explained(self, fingerprint: int, evidence: _Evidence) -> bool:
         """Tell whether at each end another request was that has seen more ends."""
         return all(
             any(
                 len(self._evidence[other].ends) > len(evidence.ends)
-                for other in self._at_target[target]
+                for other in self._running_at[target]
                 if other != fingerprint
             )
             for target in evidence.ends
@@ -399,13 +399,13 @@
 
     def _needed(self, evidence: _Evidence) -> int:
         if evidence.answered_at:
-            return VOUCHED_MULTIPLE * self._settings.ends
-        more = MORE_AFTER_ANSWERS if evidence.ended_after_answer else 0
+            return ANSWERED_MULTIPLE * self._settings.ends
+        more = EXTRA_ENDS_AFTER_ANSWER if evidence.ended_after_answer else 0
         return self._settings.ends + more
 
-    def _begin(self, fingerprint: int) -> _Evidence:
+    def _add(self, fingerprint: int) -> _Evidence:
         if len(self._evidence) >= self._settings.remembered:
-            oldest = list(islice(self._evidence, LEAVING))
+            oldest = list(islice(self._evidence, EVICTION_CANDIDATES))
             self._forget(min(oldest, key=lambda each: len(self._evidence[each].ends)))
         evidence = _Evidence(self._answered.get(fingerprint, 0.0))
         self._evidence[fingerprint] = evidence
@@ -422,7 +422,7 @@
     ) -> None:
         oldest = now - MEMORY_SECONDS
         old = [target for target, at in evidence.ends.items() if at < oldest]
-        if len(evidence.ends) - len(old) >= MOST_ENDS:
+        if len(evidence.ends) - len(old) >= MAX_ENDS:
             old.append(min(evidence.ends, key=evidence.ends.__getitem__))
         for target in old:
             self._drop_end(fingerprint, evidence, target)
@@ -430,9 +430,9 @@
     def _drop_end(self, fingerprint: int, evidence: _Evidence, target: int) -> None:
         if evidence.ends.pop(target, None) is None:
             return
-        on_board = self._at_target[target]
+        on_board = self._running_at[target]
         on_board.discard(fingerprint)
         if not on_board:
-            del self._at_target[target]
+            del self._running_at[target]
         if len(evidence.ends) < self._settings.ends:
-            self._enough.discard(fingerprint)
+            self._with_enough_ends.discard(fingerprint)
--- a/tests/request/test_harmful_requests.py
+++ b/tests/request/test_harmful_requests.py
@@ -9,8 +9,8 @@
 from primrosescale.request.harm_reports import TargetEnd
 from primrosescale.request.harm_reports import WholeAnswer
 from primrosescale.request.harm_settings import HarmSettings
-from primrosescale.request.harmful_requests import HOLD_GROWTH
-from primrosescale.request.harmful_requests import MOST_ENDS
+from primrosescale.request.harmful_requests import HOLD_GROWTH_FACTOR
+from primrosescale.request.harmful_requests import MAX_ENDS
 from primrosescale.request.harmful_requests import HarmfulRequests
 from support.drawn import drawn
 
@@ -54,7 +54,7 @@
         later = NOW + 101
         self.assertEqual(0.0, self.held_for(now=later))
         self.end(4, HARMFUL, at=later)
-        self.assertEqual(100.0 * HOLD_GROWTH, self.held_for(now=later))
+        self.assertEqual(100.0 * HOLD_GROWTH_FACTOR, self.held_for(now=later))
         self.end(5, HARMFUL, at=later)
         self.assertEqual(5000.0, self.held_for(now=later))
 
@@ -94,7 +94,7 @@
 
     def test_one_whole_answer_does_not_let_a_request_end_targets_without_limit(self):
         self.answer(HARMFUL, at=NOW - 50)
-        for target in range(MOST_ENDS):
+        for target in range(MAX_ENDS):
             self.assertEqual(0.0, self.held_for())
             self.end(target, HARMFUL)
             for _ in range(20):
@@ -144,10 +144,10 @@
         self.assertEqual(2, self.requests.ends_under(HARMFUL))
 
     def test_ends_of_one_request_are_bounded(self):
-        for target in range(10 * MOST_ENDS):
+        for target in range(10 * MAX_ENDS):
             self.end(target, HARMFUL, at=NOW + target)
-        self.assertEqual(MOST_ENDS, self.requests.ends_under(HARMFUL))
-        self.assertGreater(self.held_for(now=NOW + 10 * MOST_ENDS), 0)
+        self.assertEqual(MAX_ENDS, self.requests.ends_under(HARMFUL))
+        self.assertGreater(self.held_for(now=NOW + 10 * MAX_ENDS), 0)
 
     def test_changed_settings_hold_for_what_is_known(self):
         for target in (1, 2):
