--- a/src/primrosescale/request/harmful_requests.py
+++ b/src/primrosescale/request/harmful_requests.py
@@ -92,11 +92,11 @@
 
     __slots__ = (
         "_answered",
-        "_running_at",
-        "_with_enough_ends",
         "_evidence",
         "_outcomes",
+        "_running_at",
         "_settings",
+        "_with_enough_ends",
     )
 
     def __init__(self, settings: HarmSettings) -> None:
--- a/src/primrosescale/request/part_directory.py
+++ b/src/primrosescale/request/part_directory.py
@@ -66,7 +66,7 @@
 class _HeldPart:
     """A part that a target is taken to hold."""
 
-    __slots__ = ("is_shared", "tokens", "reported_at", "used_at")
+    __slots__ = ("is_shared", "reported_at", "tokens", "used_at")
 
     def __init__(self, tokens: int, used_at: float) -> None:
         self.tokens = tokens
@@ -99,7 +99,8 @@
             self.parts.move_to_end(use.part)
         self.tokens += held.tokens
         while len(self.parts) > 1 and (
-            len(self.parts) > MAX_PARTS_PER_TARGET or (capacity and self.tokens > capacity)
+            len(self.parts) > MAX_PARTS_PER_TARGET
+            or (capacity and self.tokens > capacity)
         ):
             _, dropped = self.parts.popitem(last=False)
             self.tokens -= dropped.tokens
@@ -109,7 +110,13 @@
 class PartDirectory:
     """Remembers which target has read which part, and when."""
 
-    __slots__ = ("_previous_updates", "_capacity", "_holders", "_updates", "_away_from_home")
+    __slots__ = (
+        "_away_from_home",
+        "_capacity",
+        "_holders",
+        "_previous_updates",
+        "_updates",
+    )
 
     def __init__(self) -> None:
         self._previous_updates: dict[tuple[str, TargetIncarnation], PartUse] = {}
--- a/src/primrosescale/request/prompt_homes.py
+++ b/src/primrosescale/request/prompt_homes.py
@@ -88,7 +88,8 @@
     known = [
         state
         for state in states
-        if _was_listed_at_start(state, first_listed_at) or now - state.since > ESTABLISHED_SECONDS
+        if _was_listed_at_start(state, first_listed_at)
+        or now - state.since > ESTABLISHED_SECONDS
     ]
     return home_of(prompt, known)
 
@@ -118,7 +119,10 @@
     holder = established_home(prompt, states, now)
     if holder is not chosen:
         return holder
-    if _was_listed_at_start(chosen, _first_listed_at(states)) or now - chosen.since > SETTLED_SECONDS:
+    if (
+        _was_listed_at_start(chosen, _first_listed_at(states))
+        or now - chosen.since > SETTLED_SECONDS
+    ):
         return None
     older = [
         state
--- a/src/primrosescale/request/reported_counts.py
+++ b/src/primrosescale/request/reported_counts.py
@@ -60,7 +60,9 @@
 
     def _drop_expired(self, now: float) -> None:
         self._by_router = {
-            router: reported for router, reported in self._by_router.items() if now <= reported[1]
+            router: reported
+            for router, reported in self._by_router.items()
+            if now <= reported[1]
         }
         reported = self._by_router.values()
         self._total = sum(count for count, _ in reported)
--- a/src/primrosescale/request/router_shares.py
+++ b/src/primrosescale/request/router_shares.py
@@ -31,7 +31,7 @@
         This router.
     """
 
-    __slots__ = ("_own_counts", "_previous_rings", "_name", "_names", "_ring")
+    __slots__ = ("_name", "_names", "_own_counts", "_previous_rings", "_ring")
 
     def __init__(self, name: str) -> None:
         self._name = name
@@ -84,7 +84,9 @@
         if self._ring is None:
             return 0
         if self._previous_rings and self._previous_rings[0][0] <= now:
-            self._previous_rings = [item for item in self._previous_rings if now < item[0]]
+            self._previous_rings = [
+                item for item in self._previous_rings if now < item[0]
+            ]
             self._own_counts.clear()
         known = self._own_counts.get((key, tokens))
         if known is None:
--- a/src/primrosescale/request/target_choice.py
+++ b/src/primrosescale/request/target_choice.py
@@ -20,9 +20,9 @@
 
 from primrosescale.ini.options import SECONDS
 from primrosescale.ini.options import option
+from primrosescale.request.prompt_homes import established_home
 from primrosescale.request.prompt_homes import expected_source
 from primrosescale.request.prompt_homes import home_of
-from primrosescale.request.prompt_homes import established_home
 from primrosescale.request.prompt_homes import shared_tokens
 from primrosescale.request.target_room import TargetRoom
 
@@ -430,7 +430,9 @@
             limit = self._bound(loads)
             bounded = self._sampled_candidates(bounded, prompt, held, loads, limit)
         usual_failures = _median_failure_share(states, now)
-        best = self._cheapest(bounded, sources, prompt, held, loads, usual_failures, now)
+        best = self._cheapest(
+            bounded, sources, prompt, held, loads, usual_failures, now
+        )
         return Choice(
             best,
             held=held[best.target.name],
--- a/src/primrosescale/request/target_room.py
+++ b/src/primrosescale/request/target_room.py
@@ -105,7 +105,9 @@
         """
         rested = [state for state in states if not state.statements.wait(now)]
         warm = rested if self._cold is None else self._cold.open(rested, now)
-        return AvailableTargets(warm, len(rested) - len(warm), len(states) - len(rested))
+        return AvailableTargets(
+            warm, len(rested) - len(warm), len(states) - len(rested)
+        )
 
     def wait(self, state: TargetState, now: float) -> float:
         """Return after how long a target that takes work may be sent a request.
--- a/src/primrosescale/request/target_state.py
+++ b/src/primrosescale/request/target_state.py
@@ -87,26 +87,26 @@
     """
 
     __slots__ = (
+        "_assumed_cold_from",
+        "_awaiting_since",
         "_cold_until",
         "_evacuated_at",
         "_failed_connections",
-        "_last_received_at",
-        "_paused_reads",
         "_incarnation",
+        "_last_received_at",
+        "_listed_at",
         "_outcomes",
-        "_own_requests",
         "_own_at_report",
+        "_own_requests",
+        "_paused_reads",
         "_paused_until",
         "_report",
         "_reported_at",
-        "_assumed_cold_from",
-        "_listed_at",
-        "_statements",
-        "_target",
-        "_router_requests",
         "_router_bad",
         "_router_good",
-        "_awaiting_since",
+        "_router_requests",
+        "_statements",
+        "_target",
     )
 
     def __init__(
@@ -204,7 +204,9 @@
         bool
             False for one that is avoided, or of which answers were lost lately.
         """
-        return not self.is_avoided(now) and self.failure_share(now) < CRASHED_FAILURE_SHARE
+        return (
+            not self.is_avoided(now) and self.failure_share(now) < CRASHED_FAILURE_SHARE
+        )
 
     @property
     def statements(self) -> TargetStatements:
@@ -446,7 +448,9 @@
         """
         total = self._report.running + self._report.waiting
         others = max(0, total - self._own_at_report)
-        faded = others * 0.5 ** ((now - self._reported_at) / LOAD_REPORT_HALF_LIFE_SECONDS)
+        faded = others * 0.5 ** (
+            (now - self._reported_at) / LOAD_REPORT_HALF_LIFE_SECONDS
+        )
         return float(self._own_requests + max(self._router_requests.total(now), faded))
 
     def failure_share(self, now: float) -> float:
@@ -518,7 +522,9 @@
         """
         if now < self._paused_until:
             return
-        pause = min(MAX_PAUSE_SECONDS, FIRST_PAUSE_SECONDS * 2.0**self._failed_connections)
+        pause = min(
+            MAX_PAUSE_SECONDS, FIRST_PAUSE_SECONDS * 2.0**self._failed_connections
+        )
         self._failed_connections += 1
         self._paused_until = now + pause
         # A target that was lost may have started again under its name.
--- a/src/primrosescale/request/target_statements.py
+++ b/src/primrosescale/request/target_statements.py
@@ -33,7 +33,7 @@
     that is as many as it runs at once.
     """
 
-    __slots__ = ("_cold_until", "_leaving_since", "_rest_until", "_permits", "_sent_at")
+    __slots__ = ("_cold_until", "_leaving_since", "_permits", "_rest_until", "_sent_at")
 
     def __init__(self) -> None:
         self._cold_until = -math.inf
--- a/tests/entry/test_prompt_homes.py
+++ b/tests/entry/test_prompt_homes.py
@@ -13,9 +13,9 @@
 from primrosescale.request.part_directory import PartUse
 from primrosescale.request.prompt_homes import ESTABLISHED_SECONDS
 from primrosescale.request.prompt_homes import SETTLED_SECONDS
+from primrosescale.request.prompt_homes import established_home
 from primrosescale.request.prompt_homes import expected_source
 from primrosescale.request.prompt_homes import home_of
-from primrosescale.request.prompt_homes import established_home
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
 from primrosescale.request.target_state import TargetState
--- a/tests/request/test_target_statements.py
+++ b/tests/request/test_target_statements.py
@@ -13,8 +13,8 @@
 
 from entry.fakes import head
 from entry.fakes import life
-from primrosescale.request.target_statements import PROBE_AGAIN_SECONDS
 from primrosescale.request.target_statements import MAX_RETAINED
+from primrosescale.request.target_statements import PROBE_AGAIN_SECONDS
 from primrosescale.request.target_statements import KeptStatements
 from primrosescale.request.target_statements import TargetStatements
 
