--- a/src/primrosescale/request/target_choice.py
+++ b/src/primrosescale/request/target_choice.py
@@ -1,15 +1,17 @@
-"""Choosing the target of a request.
-
-The patterns it answers: returning chats, whose prompt a target may have read
-already; surges, in which one target must not be loaded over a multiple of the
-mean; and targets that fail or are new. The decision weighs, in tokens to read,
-what the cache does not save against the requests that are there already.
-
-Many routers hear of each other's requests late. All would then choose the same
-target until the news comes, and none of them after it. So a large fleet chooses
-among the home of a prompt, those that are known to hold it and two by lot. Where
-the news is older still, the home and the holders are left out above a load that
-is drawn each time.
+"""Chooses the target of a request by cached prompt tokens, load and failures.
+
+The choice has to handle returning chats, whose prompt a target may hold in its
+prefix cache; surges, in which no target may be loaded beyond a multiple of the
+mean; and targets that fail or are new. For a prompt, all costs are expressed in
+tokens to prefill: the tokens that no cache saves are weighed against the requests
+that the target already has.
+
+With many routers, each learns of the others' requests late. All would then choose
+the same target until the next load reports arrive, and none of them afterwards. A
+large fleet therefore chooses among the home of a prompt (the first target by
+rendezvous hashing), the targets that are known to hold it, and two sampled at
+random. Where the load reports are older still, the home and the holders are left
+out above a load limit that is drawn anew for each choice.
 """
 
 from __future__ import annotations
@@ -37,29 +39,31 @@
     from primrosescale.request.target_incarnation import TargetIncarnation
     from primrosescale.request.target_state import TargetState
 
-# A target that fails two requests in five must look busier than one with all
-# slots taken, while the one in seven that some plain services fail anyway
-# hardly counts.
+# At this weight a target that fails two requests in five costs more than one with
+# all slots taken, while a failure share of one in seven, which is normal for some
+# plain services, adds little.
 PLAIN_FAILURE_WEIGHT = 32.0
-# Requests; smaller than the difference that one request makes.
+# Upper bound of the random tie break; smaller than the difference that one request
+# makes.
 TIE_BREAK_REQUESTS = 0.01
-# Age in seconds of the news of other routers beyond which the best target by it
-# would be the best for all of them at once.
+# Age of the other routers' load reports, in seconds, beyond which the target that is
+# best by them would be chosen by all routers at once.
 OLD_NEWS = 0.7
-# Targets drawn by lot then; of more, the best would again be the same for many.
+# Targets sampled at random in that case; with more, the best of them would again be
+# the same for many routers.
 SAMPLED_TARGETS = 2
-# The load below which a target that holds the prompt is taken is drawn from
-# this part of the mean up to the bound.
+# The load limit for targets that hold the prompt is drawn between this share of the
+# mean load and the load bound.
 MIN_LOAD_LIMIT_SHARE = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class ChoiceSettings:
-    """Weights of the choice."""
+    """Weights and bounds of the choice of a target."""
 
     load_multiple: float = option(
         SECONDS,
-        "load allowed, as a multiple of the service's mean",
+        "load allowed at a target, as a multiple of the mean of its service",
         1.5,
     )
     load_margin: float = option(
@@ -69,60 +73,60 @@
     )
     tokens_per_request: float = option(
         SECONDS,
-        "tokens to read that weigh as much as one request at the target; below "
-        "the bound the targets of today keep their objectives in any case, so "
-        "the cost of reading or moving tokens goes first",
+        "prompt tokens to prefill that weigh as much as one request at the target; "
+        "low, since targets within the load bound meet their objectives anyway, so "
+        "that the cost of prefilling or copying tokens takes precedence",
         40.0,
     )
     fetch_weight: float = option(
         SECONDS,
-        "cost of a token fetched from another target's cache, against one that "
-        "is read; the transfer takes a twentieth of the time",
+        "cost of a token copied from another target's cache, relative to one that "
+        "is prefilled; the copy takes a twentieth of the time",
         0.15,
     )
     home_bonus: float = option(
         SECONDS,
         "tokens by which the first target in hash order is preferred, so that "
-        "routers that know nothing yet choose alike",
+        "routers without knowledge of a prompt choose the same target",
         2500.0,
     )
     failure_weight: float = option(
         SECONDS,
-        "tokens that a certain failure weighs; more than any prompt",
+        "cost in tokens of a target that always fails; more than any prompt",
         60000.0,
     )
     copy_evacuated: float = option(
         SECONDS,
-        "seconds after the evacuation of a failure domain for which other targets "
-        "may still copy prompts from those there",
+        "seconds after the evacuation of a failure domain during which other "
+        "targets may still copy prompts from the targets in it",
         2.5,
     )
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """A chosen target.
+    """A chosen target, and what the choice was based on.
 
     Parameters
     ----------
     state : TargetState
         The target.
     held : int
-        Leading tokens of the prompt that it is taken to have.
+        Leading tokens of the prompt that it is assumed to hold.
     fetch_from : TargetState | None
         Target whose cache holds more of the prompt.
     is_home : bool
-        Whether other routers expect the prompt there without being told.
+        Whether other routers expect the prompt there without a report.
     load : float
-        Requests there by the best knowledge.
+        Estimated number of requests at the target.
     load_age : float
-        How old the knowledge of others' requests was, in seconds.
+        Age of the other routers' load reports, in seconds.
     mean : float
-        Mean of the service.
+        Mean load of the service's targets.
     passed_cold : int
-        Targets that may be sent nothing now, since they are cold.
+        Targets passed over since they are cold and have no permit left.
     passed_resting : int
-        Targets that may be sent nothing now, since they asked for a rest.
+        Targets passed over since they asked to receive no requests for some time.
     """
 
     state: TargetState
@@ -137,18 +141,18 @@
 
 
 class _Loads:
-    """Loads of the targets of a service, at the moment of one choice.
+    """Loads of the targets of a service at the time of one choice.
 
     Parameters
     ----------
     serving : Sequence[TargetState]
-        Targets that take work.
+        Targets that take new requests.
     departing : Sequence[TargetState]
-        Targets that get nothing new any more and end what they have.
+        Targets that get no new requests and complete those that they have.
     age : float
-        How old the knowledge of others' requests is, in seconds.
+        Age of the other routers' load reports, in seconds.
     now : float
-        Present time in seconds.
+        Current time in seconds.
     """
 
     __slots__ = ("_by_name", "_total", "age", "mean", "serving", "targets")
@@ -170,16 +174,16 @@
 
     @property
     def mean_without_departing(self) -> float:
-        """Return the mean that targets have once those that depart are gone."""
+        """Return the mean load once the departing targets are gone."""
         return self._total / len(self.serving)
 
     @property
     def is_stale(self) -> bool:
-        """Tell whether others' requests are known too late to choose the best by."""
+        """Return whether load reports are too old to choose the best target by."""
         return self.age > OLD_NEWS
 
     def of(self, state: TargetState) -> float:
-        """Return the requests at a target."""
+        """Return the load of a target, in requests."""
         return self._by_name[state.target.name]
 
 
@@ -193,20 +197,21 @@
     parts : PartDirectory
         Where parts of prompts are cached.
     rng : Random
-        Source of chance for ties and lots.
+        Random source for ties and samples.
     news_age : Callable[[], float] | None
-        Returns how old the news of other routers' requests may be, in seconds;
-        None for a router without others.
+        Returns how old other routers' load reports may be, in seconds; None for
+        a router without others.
     relies_on_homes : Callable[[], bool]
-        Returns whether routers are so many that they tell each other only of
-        prompts that are elsewhere than at their homes.
+        Returns whether there are so many routers that they report to each other
+        only prompts that are elsewhere than at their homes.
     room : TargetRoom | None
-        Says which targets may be sent a request now; None where none ever waits.
+        Decides which targets may be sent a request now; None where requests never
+        have to wait for a target.
     unlisted_of : Callable[[str], Sequence[TargetState]]
         Returns targets of a service whose entries are gone and that may still run.
     own_share : Callable[[str, int, float], int]
-        Returns how many of the requests that all routers together may have at a
-        target are this router's, by the target's name and their number.
+        Returns this router's share of the requests that all routers together may
+        have at a target, by the target's name, their number and the current time.
     """
 
     def __init__(
@@ -230,7 +235,7 @@
         self._own_share = own_share
 
     def configure(self, settings: ChoiceSettings) -> None:
-        """Take in changed weights.
+        """Replace the settings.
 
         Parameters
         ----------
@@ -245,21 +250,21 @@
         tried: Collection[TargetIncarnation],
         now: float,
     ) -> int:
-        """Return how many targets could take a request without a doubt.
+        """Return how many targets could take a request immediately.
 
         Parameters
         ----------
         states : Sequence[TargetState]
             Targets of the service.
         tried : Collection[TargetIncarnation]
-            Incarnations of targets that this request was sent to.
+            Incarnations of targets to which this request was already sent.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         int
-            Targets that take work and are not avoided.
+            Untried targets that take requests, are not avoided and need no wait.
         """
         return sum(
             state.takes_work
@@ -283,16 +288,16 @@
         states : Sequence[TargetState]
             Targets of the service.
         tried : Collection[TargetIncarnation]
-            Incarnations of targets that this request was sent to.
+            Incarnations of targets to which this request was already sent.
         prompt : Prompt | None
             The prompt, for model engines.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         Choice | None
-            The target; None when there is none left.
+            The target; None when no target is left.
         """
         serving = [state for state in states if state.takes_work]
         if not serving:
@@ -318,19 +323,19 @@
         return replace(choice, passed_cold=allowed.cold, passed_resting=allowed.resting)
 
     def is_crowded(self, states: Sequence[TargetState], now: float) -> bool:
-        """Tell whether those that take work cannot hold what departing ones had.
+        """Return whether serving targets cannot absorb the load of departing ones.
 
         Parameters
         ----------
         states : Sequence[TargetState]
             Targets of the service.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
-            Whether what each router may send them is limited to its share.
+            Whether each router is limited to its share of what they may have.
         """
         serving = [state for state in states if state.takes_work]
         return bool(serving) and self._is_crowded_by(self._loads(states, serving, now))
@@ -344,7 +349,7 @@
     def _departing(
         self, states: Sequence[TargetState], serving: Sequence[TargetState], now: float
     ) -> list[TargetState]:
-        """Return targets that get nothing new and are known to run still."""
+        """Return targets that get no new requests and are known to still run."""
         departing = []
         if len(serving) < len(states):
             departing = [state for state in states if state.is_departing(now)]
@@ -359,9 +364,10 @@
         return loads.mean_without_departing > self._bound(loads)
 
     def _has_room(self, state: TargetState, loads: _Loads, now: float) -> bool:
-        """Tell whether this router may send to one of the few that stay.
+        """Return whether this router may send to one of the few serving targets.
 
-        All routers would find room there at once, so each keeps to its own share.
+        All routers would see the free capacity there at once, so each keeps to its
+        own share of it.
         """
         bound = self._bound(loads)
         if loads.of(state) + 1 > bound:
@@ -370,14 +376,14 @@
         return state.own_running < own
 
     def _bound(self, loads: _Loads) -> float:
-        """Return the load that is allowed; the request itself counts into the mean."""
+        """Return the load allowed at a target; the mean includes this request."""
         mean = loads.mean + 1 / loads.targets
         return self._settings.load_multiple * mean + self._settings.load_margin
 
     def _within_bound(
         self, usable: Sequence[TargetState], loads: _Loads
     ) -> list[TargetState]:
-        """Return the targets within the load bound; one at least."""
+        """Return the targets within the load bound, or else the least loaded one."""
         bound = self._bound(loads)
         bounded = [state for state in usable if loads.of(state) + 1 <= bound]
         if bounded:
@@ -388,9 +394,9 @@
     def _choose_plain(
         self, bounded: list[TargetState], loads: _Loads, now: float
     ) -> Choice:
-        """Choose for a request without a prompt."""
-        # Such requests end before a large fleet hears of them: the best by the
-        # last news would be the best for all routers.
+        """Choose a target for a request without a prompt."""
+        # Such requests end before the routers of a large fleet learn of them, so
+        # that the best target by the last load reports is the same for all routers.
         if loads.is_stale or self._relies_on_homes():
             bounded = self._sample(bounded)
         best = min(bounded, key=lambda state: self._plain_cost(state, loads, now))
@@ -412,7 +418,7 @@
         loads: _Loads,
         now: float,
     ) -> Choice:
-        """Choose for a request with a prompt, which targets may have read."""
+        """Choose a target for a request whose prompt targets may hold in cache."""
         known = {
             state.target.name: self._parts.held(state.incarnation, prompt.parts, now)
             for state in states
@@ -454,7 +460,7 @@
         loads: _Loads,
         limit: float,
     ) -> list[TargetState]:
-        """Return some by lot, and some that hold the prompt below a load."""
+        """Return a random sample, and a sample of holders with load below a limit."""
         most = max(held[state.target.name] for state in bounded)
         if _holds_all_shared(prompt, most):
             warm = [state for state in bounded if held[state.target.name] == most]
@@ -483,7 +489,10 @@
         usual_failures: float,
         now: float,
     ) -> TargetState:
-        """Return the target that costs least; `usual_failures` is the share of failures."""
+        """Return the target that costs least.
+
+        Failures count only as far as their share exceeds `usual_failures`.
+        """
         most = max(held[state.target.name] for state in sources)
         home = home_of(prompt, bounded)
         is_known = _holds_all_shared(prompt, most)
@@ -511,7 +520,7 @@
         known: dict[str, int],
         now: float,
     ) -> TargetState | None:
-        """Return where the chosen target may copy the prompt from."""
+        """Return the target from whose cache the chosen one may copy the prompt."""
         holder = max(sources, key=lambda state: known[state.target.name])
         most = known[holder.target.name]
         if self._relies_on_homes() and not _holds_all_shared(prompt, most):
@@ -520,19 +529,19 @@
 
 
 def _holds_all_shared(prompt: Prompt, most: int) -> bool:
-    """Tell whether tokens that a target holds make others go there.
+    """Return whether a target holds all shared tokens of a prompt.
 
-    That takes all that is shared. The beginnings of prompts are held by most
-    targets; if they counted, routers that meet a new rest at once would each have
-    it read at another target.
+    Only then is the prompt preferably sent to its holders. Most targets hold the
+    first tokens of most prompts; if those were enough, routers that receive the
+    same new shared text at once would each have it prefilled at another target.
     """
     return most >= max(1, shared_tokens(prompt))
 
 
 def _median_failure_share(states: Sequence[TargetState], now: float) -> float:
-    """Return the median share of failures, which is no reason to leave a target.
+    """Return the median share of failures, which does not count against a target.
 
-    When answers of most targets are lost, one that has just been listed would
+    When answers of most targets are lost, a target that has just been listed would
     otherwise look so much better that all routers send to it at once.
     """
     shares = sorted(state.failure_share(now) for state in states)
@@ -545,9 +554,10 @@
     known: dict[str, int],
     now: float,
 ) -> dict[str, int]:
-    """Return what targets are taken to hold, the home not less than others.
+    """Return the tokens that each target is assumed to hold, the home at least as many.
 
-    A prompt goes elsewhere when its home has enough to do, with a copy from it.
+    A prompt goes elsewhere only when its home is loaded, and is then copied from the
+    home, which therefore holds it too.
     """
     most = max(known.values())
     if most < shared_tokens(prompt):
