--- a/src/primrosescale/request/target_state.py
+++ b/src/primrosescale/request/target_state.py
@@ -1,9 +1,9 @@
-"""What a router knows of one target: its load, its health, when it was heard.
+"""Tracks what a router knows of one target: load, failures, last response.
 
-It answers three patterns of load and failure: a surge, in which reports of
-load are old when they are read; a target that is lost without a word; and one
-that fails part of its requests while its health probe is good. Grounds for the
-figures stand beside them.
+It covers three patterns of load and failure: a surge, in which load reports are
+out of date when they are used; a target that is lost without notice; and one that
+fails part of its requests while its health probe succeeds. The reasons for the
+constants stand beside them.
 """
 
 from __future__ import annotations
@@ -22,45 +22,43 @@
     from primrosescale.request.serving_target import ServingTarget
     from primrosescale.request.target_incarnation import TargetIncarnation
 
-# Seconds. A report of load tells of the moment at which the answer began: most
-# plain requests that it counted have ended since, and streams are counted again
-# by the next answers.
+# A load report describes the moment at which the answer began: most plain requests
+# that it counted have ended since, and streams are counted again by the next answers.
 LOAD_REPORT_HALF_LIFE_SECONDS = 0.5
-# Seconds in which outcomes lose half of their influence. All routers tell theirs, so
-# that it covers a dozen or more at each target; a longer time would send callers
-# to a target that has begun to fail.
+# Time in which outcomes lose half of their influence. All routers report theirs, so
+# that it covers a dozen or more outcomes per target; a longer half-life would keep
+# sending callers to a target that has begun to fail.
 OUTCOME_HALF_LIFE_SECONDS = 2.0
-# Seconds for which a target that could not be reached is left out at first, and
-# twice as long after each further failure, up to the most: a restart takes some
-# seconds.
+# A target that could not be reached is left out for the first pause, which doubles
+# with each further failure up to the maximum: a restart takes some seconds.
 FIRST_PAUSE_SECONDS = 0.5
 MAX_PAUSE_SECONDS = 4.0
-# Seconds. A target that works sends something to each stream many times as often;
-# reading a long prompt keeps one silent for about as long, so that silence is a
-# reason to ask others, no proof that a target is lost.
+# A working target sends to each stream many times within this time. Prefilling a long
+# prompt keeps a target silent for about as long, so that silence is a reason to try
+# other targets but no proof that this one is lost.
 SILENT_SECONDS = 0.45
-# Seconds for which a target is taken to end what it has, after it said in an answer
-# that it leaves, or after its entry went without notice.
+# A target is assumed to run for this long, completing its requests, after it reported
+# in an answer that it is leaving, or after its entry vanished without notice.
 RUNS_ON_SECONDS = 3.0
-# Share of failures from which on a target whose entry is gone is taken to have
-# crashed: what it had was lost.
+# A target whose entry is gone is assumed to have crashed, and to have lost its
+# requests, when its share of failures is at least this.
 CRASHED_FAILURE_SHARE = 0.25
-# A late answer is worth half of one in time.
+# An answer that began after its objective counts as half a failure.
 LATE_WEIGHT = 0.5
-# Pseudo-outcomes that hold a target to be good before it was tried.
+# Good outcomes assumed for a target that has not been tried yet.
 PRIOR_GOOD_OUTCOMES = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Load as a target tells it with an answer.
+    """Load that a target reports with an answer.
 
     Parameters
     ----------
     running : int
         Requests it runs.
     waiting : int
-        Requests that wait there.
+        Requests that wait at it.
     slots : int
         Requests it can run at once.
     """
@@ -73,17 +71,17 @@
 class TargetState:
     """What this router knows of one incarnation of a target.
 
-    It is replaced whole when the target has started again, so that nothing
-    that was true of the former incarnation is left.
+    It is replaced as a whole when the target has restarted, so that nothing that
+    was true of the previous incarnation remains.
 
     Parameters
     ----------
     target : ServingTarget
         The target.
     now : float
-        Present time in seconds.
+        Current time in seconds.
     statements : TargetStatements | None
-        What this incarnation of it said of itself while it was listed before.
+        What this incarnation reported of itself while it was listed earlier.
     """
 
     __slots__ = (
@@ -134,7 +132,7 @@
         self._awaiting_since = now
         self._evacuated_at: float | None = None
         self._cold_until = now + target.warming_for
-        # Since when it may have been unseen no longer; it is taken to be cold then.
+        # When it may have become reachable again; it is assumed to be cold from then.
         self._assumed_cold_from = -math.inf
 
     @property
@@ -144,65 +142,66 @@
 
     @property
     def incarnation(self) -> TargetIncarnation:
-        """Return which incarnation of the target this is about."""
+        """Return the incarnation of the target that this describes."""
         return self._incarnation
 
     @property
     def own_running(self) -> int:
-        """Return how many requests of this router are there."""
+        """Return how many requests of this router the target has."""
         return self._own_requests
 
     @property
     def heard_at(self) -> float:
-        """Return when bytes last came from it, in seconds."""
+        """Return when bytes were last received from it, in seconds."""
         return self._last_received_at
 
     @property
     def since(self) -> float:
-        """Return when it was first listed here, in seconds."""
+        """Return when this router first listed it, in seconds."""
         return self._listed_at
 
     @property
     def takes_work(self) -> bool:
-        """Tell whether it gets new requests: it neither leaves nor is evacuated."""
+        """Return whether it gets new requests: neither leaving nor evacuated."""
         if self._evacuated_at is not None or self._target.is_draining:
             return False
         return not self._statements.is_leaving
 
     @property
     def is_leaving(self) -> bool:
-        """Tell whether it leaves, by its entry or by an answer of its own."""
+        """Return whether it is leaving, by its entry or by one of its answers."""
         return self._target.is_draining or self._statements.is_leaving
 
     def is_departing(self, now: float) -> bool:
-        """Tell whether it leaves and is known to run still.
+        """Return whether it is leaving and is assumed to still run.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
-            True while its entry says so, and for a while after an answer did.
+            True while its entry says that it is leaving, and for some seconds after
+            an answer did.
         """
         if self._target.is_draining:
             return True
         return now - self._statements.leaving_since < RUNS_ON_SECONDS
 
     def seems_alive(self, now: float) -> bool:
-        """Tell whether nothing known of it speaks for its having crashed.
+        """Return whether nothing suggests that it has crashed.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
-            False for one that is avoided, or of which answers were lost lately.
+            False if it is avoided, or if answers of it were lost lately.
         """
         return (
             not self.is_avoided(now) and self.failure_share(now) < CRASHED_FAILURE_SHARE
@@ -210,79 +209,79 @@
 
     @property
     def statements(self) -> TargetStatements:
-        """Return what it said of itself."""
+        """Return what it reported of itself in its answers."""
         return self._statements
 
     @property
     def slots(self) -> int:
-        """Return how many requests it runs at once; at least 1."""
+        """Return how many requests it can run at once; at least 1."""
         return max(1, self._report.slots or self._target.slots)
 
     def relist(self, target: ServingTarget) -> None:
-        """Take in a changed entry of the list.
+        """Replace the entry of the target by a changed one.
 
         Parameters
         ----------
         target : ServingTarget
-            The same incarnation of the target as listed now; its start stays known
-            where the entry does not tell it.
+            The same incarnation of the target as listed now; a start that is known
+            already is kept where the entry has none.
         """
         if target.started_at is None:
             target = replace(target, started_at=self._incarnation.started_at)
         self._target = target
 
     def evacuate(self, now: float) -> None:
-        """Take in that its failure domain gets no new requests.
+        """Record that its failure domain gets no new requests.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         if self._evacuated_at is None:
             self._evacuated_at = now
 
     def take_back(self, now: float) -> None:
-        """Take in that its failure domain gets requests again.
+        """Record that its failure domain gets requests again.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         if self._evacuated_at is not None:
             self._evacuated_at = None
             self.returned(now)
 
     def returned(self, now: float) -> None:
-        """Take in that it may have lost its caches while it was not seen.
+        """Record that it may have lost its caches while it got no requests.
 
         Parameters
         ----------
         now : float
-            When it may be seen again, in seconds.
+            When it may get requests again, in seconds.
         """
         self._assumed_cold_from = max(self._assumed_cold_from, now)
 
     def told_cold(self, cold_for: float, now: float) -> None:
-        """Take in how long its entry says that it stays cold.
+        """Set how long it stays cold according to its entry.
 
         Parameters
         ----------
         cold_for : float
-            Seconds.
+            Seconds from now.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         self._cold_until = now + cold_for
 
     def cold_until(self, cold_seconds: float) -> float:
-        """Return until when it is taken to be cold.
+        """Return until when it is assumed to be cold.
 
         Parameters
         ----------
         cold_seconds : float
-            Seconds for which a target of its service is cold after a start.
+            Seconds for which targets of its service are cold after a start.
 
         Returns
         -------
@@ -296,77 +295,77 @@
         )
 
     def may_be_copied_from(self, now: float, grace: float) -> bool:
-        """Tell whether other targets may copy what it has read.
+        """Return whether other targets may copy prompts from its cache.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         grace : float
-            Seconds for which they may after its domain was evacuated.
+            Seconds for which they may after its failure domain was evacuated.
 
         Returns
         -------
         bool
-            True unless it is avoided, or evacuated for longer.
+            True unless it is avoided, or was evacuated longer ago.
         """
         if self.is_avoided(now):
             return False
         return self._evacuated_at is None or now - self._evacuated_at <= grace
 
     def sent(self, now: float) -> None:
-        """Count a request that is sent there.
+        """Count a request that is sent to it.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         self._await_from(now)
         self._own_requests += 1
         self._statements.sent(now)
 
     def ended(self) -> None:
-        """Count a request that is no longer there."""
+        """Count a request of this router as ended."""
         self._own_requests = max(0, self._own_requests - 1)
 
     def held_up(self) -> None:
-        """Take in that no bytes of a request there are read: its caller is slow.
+        """Record that reading one of its answers is paused, since the caller is slow.
 
-        A target whose bytes nobody reads must not be taken for a silent one.
+        A target whose bytes are not read must not be taken for a silent one.
         """
         self._paused_reads += 1
 
     def read_again(self, now: float) -> None:
-        """Take in that bytes of a request that was held up are read again.
+        """Record that reading one of its paused answers has resumed.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         self._await_from(now)
         self._paused_reads = max(0, self._paused_reads - 1)
 
     def _await_from(self, now: float) -> None:
-        """Count silence from now on, unless it counts already."""
+        """Measure silence from now on, unless bytes are awaited already."""
         if self._own_requests <= self._paused_reads:
             self._awaiting_since = now
 
     def answered(self, head: AnswerHead, now: float) -> bool:
-        """Take in what the head of an answer of its own says of it.
+        """Record what the head of one of its answers reports of it.
 
         Parameters
         ----------
         head : AnswerHead
             The head.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
-            Whether it says something new that bears on what it may be given.
+            Whether it reports something new that affects what it may be sent.
         """
         self.heard(now)
         if head.load is not None:
@@ -374,72 +373,73 @@
         return self._statements.take(head, self.slots, now)
 
     def heard(self, now: float) -> None:
-        """Take in that bytes came from it.
+        """Record that bytes were received from it.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         self._last_received_at = now
 
     def reported(self, report: LoadReport, now: float) -> None:
-        """Take in a report of its load.
+        """Replace its last load report.
 
         Parameters
         ----------
         report : LoadReport
             The report.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         self._report = report
         self._reported_at = now
         self._own_at_report = self._own_requests
 
     def hear_router(self, router: str, running: int, fresh_until: float) -> None:
-        """Take in how many requests another router has there.
+        """Set how many requests another router has at it.
 
         Parameters
         ----------
         router : str
             The other router.
         running : int
-            Its requests.
+            That router's requests.
         fresh_until : float
-            When this stops to count, in seconds.
+            When this expires, in seconds.
         """
         self._router_requests.put(router, running, fresh_until)
 
     def hear_outcomes(
         self, router: str, good: float, bad: float, fresh_until: float
     ) -> None:
-        """Take in what outcomes another router has seen lately.
+        """Set the recent outcomes that another router reports.
 
         Parameters
         ----------
         router : str
             The other router.
         good : float
-            Its good outcomes, fading as this router's own.
+            Its good outcomes, decayed like this router's own.
         bad : float
-            Its bad ones.
+            Its bad outcomes.
         fresh_until : float
-            When this stops to count, in seconds.
+            When this expires, in seconds.
         """
         self._router_good.put(router, good, fresh_until)
         self._router_bad.put(router, bad, fresh_until)
 
     def load(self, now: float) -> float:
-        """Return how many requests are there by the best knowledge.
+        """Return an estimate of the requests at it.
 
-        The larger of two estimates counts: what routers tell of themselves,
-        and the last report less what this router then had, fading.
+        This router's own requests are known. For those of others the larger of two
+        estimates is taken: the sum of what the other routers report, and the target's
+        last load report less this router's requests at that time, decaying.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
@@ -459,7 +459,7 @@
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
@@ -477,22 +477,22 @@
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         tuple[float, float]
-            Good and bad ones, fading.
+            Good and bad outcomes, decayed.
         """
         return self._outcomes.counts(now)
 
     def succeeded(self, now: float) -> None:
-        """Take in a good outcome.
+        """Record a good outcome.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         self._outcomes.add_good(now)
         self._failed_connections = 0
@@ -500,25 +500,25 @@
         self._last_received_at = now
 
     def failed(self, now: float) -> None:
-        """Take in an outcome that is the target's fault.
+        """Record a failure that is the target's fault.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         self._outcomes.add_bad(now)
 
     def unreachable(self, now: float) -> None:
-        """Take in that no connection could be opened, or that it went silent.
+        """Record that no connection could be opened, or that it went silent.
 
-        It is no outcome that others are told: the way there may be cut from
-        here alone.
+        This is not counted among the outcomes that other routers receive: the target
+        may be unreachable from this router alone.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         if now < self._paused_until:
             return
@@ -527,58 +527,58 @@
         )
         self._failed_connections += 1
         self._paused_until = now + pause
-        # A target that was lost may have started again under its name.
+        # A target that was lost may have restarted under the same name.
         self.returned(self._paused_until)
 
     def late(self, now: float) -> None:
-        """Take in an answer that began after its objective.
+        """Record an answer that began after its objective.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         self._outcomes.add_bad(now, LATE_WEIGHT)
 
     def silence(self, now: float) -> float:
-        """Return how long nothing has come though bytes of requests are waited for.
+        """Return for how long awaited bytes have not arrived.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         float
-            Seconds; 0 while there are no such requests of this router.
+            Seconds; 0 while this router awaits no bytes from it.
         """
         if self._own_requests <= self._paused_reads:
             return 0.0
         return max(0.0, now - max(self._last_received_at, self._awaiting_since))
 
     def is_avoided(self, now: float) -> bool:
-        """Tell whether it is left out: unreachable lately, or silent now.
+        """Return whether it is avoided: unreachable lately, or silent now.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
-            True while others should get its requests.
+            True while other targets should be preferred.
         """
         return self.is_paused(now) or self.silence(now) > SILENT_SECONDS
 
     def is_paused(self, now: float) -> bool:
-        """Tell whether it is left out after it could not be reached.
+        """Return whether it is paused after it could not be reached.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
