--- a/src/primrosescale/request/target_loads.py
+++ b/src/primrosescale/request/target_loads.py
@@ -1,4 +1,4 @@
-"""Loads of targets as a router last heard them in answers and refusals."""
+"""Orders candidate targets by the loads last received in answers and refusals."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 @dataclass(slots=True)
 class LoadSample:
-    """A target's load and when it was heard.
+    """A target's load and when it was received.
 
     Parameters
     ----------
     load : int
         Work units outstanding.
     received_at : float
-        When, in seconds.
+        When it was received, in seconds.
     """
 
     load: int
@@ -32,31 +32,31 @@
 
 
 class TargetLoads:
-    """Orders candidates of requests that have no cache to find.
+    """Orders the candidates of requests for which no prompt cache matters.
 
-    Of the first two candidates the less loaded goes first; where the loads
-    are close or not known lately, the one in the router's own failure domain
-    does. No message is sent for this: the loads ride on answers.
+    Of the first two candidates the less loaded goes first; where the loads are
+    close or not known recently, the one in the router's own failure domain does.
+    This takes no extra messages: loads are piggybacked on answers.
     """
 
     def __init__(self) -> None:
         self._known: OrderedDict[str, LoadSample] = OrderedDict()
 
     def __len__(self) -> int:
-        """Return how many targets' loads are kept."""
+        """Return for how many targets a load is kept."""
         return len(self._known)
 
     def hear(self, target: str, load: int, now: float) -> None:
-        """Take in a target's load.
+        """Record a target's load.
 
         Parameters
         ----------
         target : str
-            Its name.
+            Name of the target.
         load : int
             Work units outstanding.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         self._known[target] = LoadSample(load, now)
         self._known.move_to_end(target)
@@ -64,21 +64,21 @@
             self._known.popitem(last=False)
 
     def order(self, candidates: list[Target], domain: str, now: float) -> list[Target]:
-        """Return candidates with the better of the first two in front.
+        """Return the candidates with the better of the first two in front.
 
         Parameters
         ----------
         candidates : list[Target]
-            In the order of the ring.
+            In the order of the hash ring.
         domain : str
             The router's own failure domain.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         list[Target]
-            The same targets.
+            The same targets in the new order.
         """
         if len(candidates) < COMPARED_CANDIDATES:
             return candidates
