--- a/src/primrosescale/request/target_room.py
+++ b/src/primrosescale/request/target_room.py
@@ -1,7 +1,7 @@
-"""What each target may be given now, by all that is known of it.
+"""Decides whether each target may be sent a request now.
 
-Entries, answers of the target's own, evacuations, cold starts and silence each have
-their say; this is the one place that puts them together.
+Its entry, its own answers, evacuations, cold starts and silence all bear on that;
+this is the only place that combines them.
 """
 
 from __future__ import annotations
@@ -19,29 +19,30 @@
 
 
 class Standing(Enum):
-    """What a target may be given; the first that holds counts."""
+    """Whether a target may be sent requests; the first member that applies counts."""
 
     LEAVING = "leaving"
     EVACUATED = "evacuated"
     RESTING = "resting"
     COLD = "cold"
-    # It may be given work where no other can take it.
+    # It is sent requests only where no other target can take them.
     SUSPECT = "suspect"
     READY = "ready"
 
 
 @dataclass(frozen=True, slots=True)
 class AvailableTargets:
-    """Targets that may be sent a request now, and how many others wait.
+    """Targets that may be sent a request now, and how many others may not yet.
 
     Parameters
     ----------
     states : list[TargetState]
         The targets.
     cold : int
-        Targets that have got all they bear for now.
+        Cold targets that have already received all they may for now.
     resting : int
-        Targets that asked for a rest, or have rested a moment ago.
+        Targets that asked to receive no requests for some time, or whose such rest
+        has just ended.
     """
 
     states: list[TargetState]
@@ -50,12 +51,12 @@
 
 
 class TargetRoom:
-    """Says what each target may be given.
+    """Decides whether targets may be sent requests, and if not, when.
 
     Parameters
     ----------
     cold : ColdTargets | None
-        Counts what cold targets are sent; None where no target is ever cold.
+        Limits the requests to cold targets; None where no target is ever cold.
     """
 
     __slots__ = ("_cold",)
@@ -64,19 +65,19 @@
         self._cold = cold
 
     def standing(self, state: TargetState, now: float) -> Standing:
-        """Return the standing of a target.
+        """Return the status of a target.
 
         Parameters
         ----------
         state : TargetState
             The target.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         Standing
-            Its standing.
+            Its status.
         """
         if state.is_leaving:
             return Standing.LEAVING
@@ -89,19 +90,19 @@
         return Standing.SUSPECT if state.is_avoided(now) else Standing.READY
 
     def open(self, states: Sequence[TargetState], now: float) -> AvailableTargets:
-        """Return those of some targets that may be sent a request now.
+        """Return which of some targets may be sent a request now.
 
         Parameters
         ----------
         states : Sequence[TargetState]
-            Targets of one service that take work.
+            Targets of one service that take requests.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         AvailableTargets
-            Those that need not be waited for.
+            Those for which a request need not wait.
         """
         rested = [state for state in states if not state.statements.wait(now)]
         warm = rested if self._cold is None else self._cold.open(rested, now)
@@ -110,14 +111,14 @@
         )
 
     def wait(self, state: TargetState, now: float) -> float:
-        """Return after how long a target that takes work may be sent a request.
+        """Return after how long a target that takes requests may be sent one.
 
         Parameters
         ----------
         state : TargetState
             The target.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
@@ -135,25 +136,25 @@
         states : Iterable[TargetState]
             The targets.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         float | None
-            Seconds; None where none takes work.
+            Seconds; None where no target takes requests.
         """
         waits = [self.wait(state, now) for state in states if state.takes_work]
         return min(waits, default=None)
 
     def sent(self, state: TargetState, now: float) -> None:
-        """Take in that a request goes out to a target.
+        """Count a request that is sent to a target.
 
         Parameters
         ----------
         state : TargetState
             The target.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         if self._cold is not None:
             self._cold.sent(state, now)
