--- a/src/primrosescale/request/target_health.py
+++ b/src/primrosescale/request/target_health.py
@@ -1,7 +1,7 @@
-"""Whether a target answers well enough to be given work.
+"""Decides whether a target is healthy enough to be given calls.
 
-A target that answers fast with errors looks idle. Its agent therefore stops
-taking work when too many answers fail and lets single calls probe it.
+A target that answers quickly with errors looks idle. Its agent therefore stops
+accepting calls when too many answers fail, and lets single calls probe the target.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthSettings:
-    """When a target counts as unhealthy."""
+    """Thresholds and pauses of the circuit breaker."""
 
     failure_share: float = option(
         SECONDS,
@@ -25,17 +25,17 @@
     )
     minimum_samples: int = option(
         COUNT,
-        "answers that must have been seen in the memory",
+        "answers that must count, after decay, before the target may be closed",
         5,
     )
     memory: float = option(
         SECONDS,
-        "seconds in which an answer's influence falls to a half",
+        "half-life in seconds of an answer's influence",
         10.0,
     )
     first_pause: float = option(
         SECONDS,
-        "seconds a closed target gets no work before a probe",
+        "seconds for which a closed target gets no calls before a probe",
         1.0,
     )
     longest_pause: float = option(
@@ -51,7 +51,7 @@
     Parameters
     ----------
     settings : HealthSettings
-        Thresholds.
+        Thresholds and pauses.
     """
 
     def __init__(self, settings: HealthSettings) -> None:
@@ -63,7 +63,7 @@
 
     @property
     def is_closed(self) -> bool:
-        """Tell whether the target gets at most probes."""
+        """Return whether the target gets no calls but probes."""
         return self._closed_until is not None
 
     @property
@@ -72,17 +72,17 @@
         return self._outcomes.failure_share
 
     def admits(self, now: float) -> bool:
-        """Tell whether a call may be taken; a probe is counted as taken.
+        """Return whether a call may be accepted; a probe is counted as accepted.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
-            False while the target is closed.
+            False while the target is closed and no probe is due.
         """
         if self._closed_until is None:
             return True
@@ -97,7 +97,7 @@
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
@@ -107,12 +107,12 @@
         return max(0.0, (self._closed_until or now) - now)
 
     def succeeded(self, now: float) -> None:
-        """Take in a good answer; it opens a closed target.
+        """Record a good answer; it opens a closed target.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         self._outcomes.add_good(now)
         if self._closed_until is not None:
@@ -121,17 +121,17 @@
             self._pause = self._settings.first_pause
 
     def failed(self, now: float) -> None:
-        """Take in a failed answer; enough of them close the target.
+        """Record a failed answer; enough of them close the target.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         self._outcomes.add_bad(now)
         if self._closed_until is not None:
             if not self._probe_until:
-                # A call from before the target was closed, not the probe.
+                # This call was sent before the target was closed; it is no probe.
                 return
             self._pause = min(self._settings.longest_pause, self._pause * 2)
             self._close(now)
