--- a/src/primrosescale/request/target_incarnation.py
+++ b/src/primrosescale/request/target_incarnation.py
@@ -1,4 +1,4 @@
-"""Which incarnation of a target something is about."""
+"""Identifies one incarnation of a target."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 class TargetIncarnation(NamedTuple):
     """One incarnation of a target, from a start to its end.
 
-    A target may start again under its name; it then holds and knows nothing of
-    before. The start that it tells of itself is compared with others that it
-    told, never with a clock of this host. A named tuple, since each decision
-    looks one up for each target of a service.
+    A target may restart under the same name and has then lost all its state. The
+    start that it reports of itself is compared only with other starts that it
+    reported, never with a clock of this host. This is a named tuple for speed, since
+    each choice looks one up for each target of a service.
 
     Parameters
     ----------
     name : str
         Name of the target.
     started_at : int | None
-        Its start, in Unix milliseconds of the target's own clock; None where
-        nothing tells it.
+        Its start, in Unix milliseconds of the target's own clock; None where it
+        is not reported.
     """
 
     name: str
@@ -27,11 +27,11 @@
 
     @property
     def is_named_by_id(self) -> bool:
-        """Tell whether no other start can have its name: starts are not told."""
+        """Return whether the name alone identifies it, as no start is reported."""
         return self.started_at is None
 
     def is_followed_by(self, other: TargetIncarnation) -> bool:
-        """Tell whether another incarnation of the target came after this one.
+        """Return whether another incarnation of the target came after this one.
 
         Parameters
         ----------
@@ -41,8 +41,8 @@
         Returns
         -------
         bool
-            True for a later start, and for the first start that is told.
-            False where nothing tells the other's start.
+            True for a later start, and for the first start that is reported.
+            False where the other's start is not reported.
         """
         if other.started_at is None:
             return False
