--- a/src/primrosescale/request/target_statements.py
+++ b/src/primrosescale/request/target_statements.py
@@ -1,8 +1,10 @@
-"""What a target says of itself in its answers, which no entry of a list revokes.
+"""Keeps what a target reports of itself in its answers: leaving, cold, or resting.
 
-The patterns it answers: the store is away, or its entry comes late, and a target's own
-answers are the only word of what it may be given; and a target that is overloaded
-asks for some seconds without requests, while all that it turned away waits to return.
+No entry in the list of targets revokes such a report. While the store is unavailable,
+or a target's entry is late, its own answers are the only information on what it may
+be sent. An overloaded target may ask for a rest, some seconds without requests; the
+requests that it refused would all return at the end of the rest, so that the rate is
+raised step by step.
 """
 
 from __future__ import annotations
@@ -14,23 +16,23 @@
     from primrosescale.request.direct_port import AnswerHead
     from primrosescale.request.target_incarnation import TargetIncarnation
 
-# Targets that are no longer listed whose statements are kept; those kept first go.
+# Unlisted targets whose self-reports are retained; the oldest are dropped first.
 MAX_RETAINED = 1000
-# Seconds after which a rested target is asked again that has not answered the
-# requests sent to it since its rest.
+# A target that has not answered the requests sent to it since its rest gets another
+# one after this time.
 PROBE_AGAIN_SECONDS = 1.0
-# Seconds until it is worth looking again at a target that has got, for now, all the
-# requests it may have.
+# Wait before checking again a target that has received all requests it may have for
+# now.
 RECHECK_SECONDS = 0.05
-# Requests that each answer after a rest makes room for.
+# Requests that each answer after a rest permits.
 PERMITS_PER_ANSWER = 2
 
 
 class TargetStatements:
-    """What one incarnation of a target has said of itself.
+    """What one incarnation of a target has reported of itself.
 
     After a rest it gets one request, and two more for each that it answers, until
-    that is as many as it runs at once.
+    more are permitted than it can run at once; then the limit ends.
     """
 
     __slots__ = ("_cold_until", "_leaving_since", "_permits", "_rest_until", "_sent_at")
@@ -39,42 +41,42 @@
         self._cold_until = -math.inf
         self._leaving_since = -math.inf
         self._rest_until = 0.0
-        # Requests it may get since its last rest; None for any number.
+        # Requests that it may still get after its last rest; None for no limit.
         self._permits: int | None = None
         self._sent_at = 0.0
 
     @property
     def is_leaving(self) -> bool:
-        """Tell whether it has said that it leaves; it cannot take that back."""
+        """Return whether it has reported that it is leaving; this is final."""
         return self._leaving_since > -math.inf
 
     @property
     def leaving_since(self) -> float:
-        """Return when it first said that it leaves, in seconds; long ago for never."""
+        """Return when it first reported leaving, in seconds; -inf for never."""
         return self._leaving_since
 
     @property
     def cold_until(self) -> float:
-        """Return until when it is cold, in seconds; long ago where it did not say."""
+        """Return until when it is cold, in seconds; -inf if it did not report it."""
         return self._cold_until
 
     @property
     def is_limited(self) -> bool:
-        """Tell whether it rests, or rested lately, so that it may get few requests."""
+        """Return whether its requests are limited by a present or recent rest."""
         return self._permits is not None
 
     def hear_leaving(self, now: float) -> bool:
-        """Take in that it said that it leaves, here or to another router.
+        """Record that it reported leaving, to this or to another router.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
-            Whether that is news.
+            Whether this was not known yet.
         """
         if self.is_leaving:
             return False
@@ -82,27 +84,27 @@
         return True
 
     def is_in_force(self, now: float) -> bool:
-        """Tell whether anything it said still bears on what it may be given.
+        """Return whether anything it reported still affects what it may be sent.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
-            False where nothing is lost by forgetting it.
+            False if all of it may be dropped.
         """
         return self.is_leaving or self.is_limited or now < self._cold_until
 
     def is_resting(self, now: float) -> bool:
-        """Tell whether it wants no requests now.
+        """Return whether it has asked for no requests at present.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
@@ -112,12 +114,12 @@
         return now < self._rest_until
 
     def wait(self, now: float) -> float:
-        """Return after how long a request may be sent there.
+        """Return after how long it may be sent a request.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
@@ -133,33 +135,33 @@
         return RECHECK_SECONDS
 
     def sent(self, now: float) -> None:
-        """Take in that a request is sent there.
+        """Count a request that is sent to it.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         if self._permits is not None:
             self._permits = max(0, self._permits - 1)
             self._sent_at = now
 
     def take(self, head: AnswerHead, slots: int, now: float) -> bool:
-        """Take in the head of an answer.
+        """Record what the head of an answer reports.
 
         Parameters
         ----------
         head : AnswerHead
-            The head, of an answer of this incarnation.
+            The head of an answer of this incarnation.
         slots : int
-            Requests that it runs at once.
+            Requests that it can run at once.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
-            Whether it says something new that bears on what it may be given.
+            Whether it reports something new that affects what it may be sent.
         """
         if head.cold_for is not None:
             self._cold_until = now + head.cold_for
@@ -173,7 +175,7 @@
         return is_news
 
     def _add_permits(self, slots: int, now: float) -> None:
-        """Take in an answer that may be one to a request since the rest."""
+        """Permit more requests, for an answer that came after the rest."""
         if self._permits is None or now < self._rest_until:
             return
         self._permits += PERMITS_PER_ANSWER
@@ -182,9 +184,9 @@
 
 
 class KeptStatements:
-    """Statements of targets that are not listed at the moment, by incarnation.
+    """Self-reports of targets that are not listed at present, by incarnation.
 
-    An entry may lapse and be written again while its target lives.
+    An entry may expire and be written again while its target keeps running.
     """
 
     __slots__ = ("_kept",)
@@ -193,22 +195,22 @@
         self._kept: dict[TargetIncarnation, TargetStatements] = {}
 
     def __len__(self) -> int:
-        """Return of how many targets there are any."""
+        """Return for how many targets they are kept."""
         return len(self._kept)
 
     def keep(
         self, incarnation: TargetIncarnation, statements: TargetStatements, now: float
     ) -> None:
-        """Keep what a target said whose entry is gone.
+        """Keep what a target reported whose entry is gone.
 
         Parameters
         ----------
         incarnation : TargetIncarnation
-            The target.
+            The target's incarnation.
         statements : TargetStatements
-            What it said.
+            What it reported.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         if not statements.is_in_force(now):
             return
@@ -217,16 +219,16 @@
             del self._kept[next(iter(self._kept))]
 
     def take_back(self, incarnation: TargetIncarnation) -> TargetStatements:
-        """Return what a target said that is listed now; empty for a new one.
+        """Remove and return what a target reported that is listed again.
 
         Parameters
         ----------
         incarnation : TargetIncarnation
-            The target.
+            The target's incarnation.
 
         Returns
         -------
         TargetStatements
-            Its statements, kept here no longer.
+            Its self-reports; empty for one of which none are kept.
         """
         return self._kept.pop(incarnation, None) or TargetStatements()
