--- a/src/primrosescale/request/reported_counts.py
+++ b/src/primrosescale/request/reported_counts.py
@@ -1,7 +1,7 @@
-"""What other routers told of a target, summed while it is fresh.
+"""Sums the counts that other routers report for a target, until they expire.
 
-A choice looks at each target's sum several times; adding up what each router told
-would take longer than the rest of the choice.
+Each choice reads the sum of each target several times; adding up the routers' counts
+each time would take longer than the rest of the choice.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 class ReportedCounts:
     """Counts of one kind by router, and their sum.
 
-    Routers tell their counts anew every some tenths of a second; what is not told
-    again counts until it is no longer fresh.
+    Routers report their counts every few tenths of a second; a count that is not
+    reported again is included until it expires.
     """
 
     __slots__ = ("_by_router", "_total", "_valid_until")
@@ -21,20 +21,20 @@
     def __init__(self) -> None:
         self._by_router: dict[str, tuple[float, float]] = {}
         self._total = 0.0
-        # Until then the sum holds as it is.
+        # No count expires before this time, so that the sum is valid until then.
         self._valid_until = math.inf
 
     def put(self, router: str, count: float, fresh_until: float) -> None:
-        """Take in what a router tells, in place of what it told before.
+        """Set the count of a router, in place of its previous one.
 
         Parameters
         ----------
         router : str
             The other router.
         count : float
-            Its count.
+            That router's count.
         fresh_until : float
-            When this stops to count, in seconds.
+            When the count expires, in seconds.
         """
         known, _ = self._by_router.get(router, (0.0, 0.0))
         self._by_router[router] = (count, fresh_until)
@@ -47,12 +47,12 @@
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         float
-            Of what is fresh.
+            Sum of the counts that have not expired.
         """
         if now > self._valid_until:
             self._drop_expired(now)
