--- a/src/primrosescale/request/cold_targets.py
+++ b/src/primrosescale/request/cold_targets.py
@@ -1,13 +1,13 @@
-"""How much is sent to targets that have just started or come back.
+"""Limits the rate of requests to cold targets, which have just started or returned.
 
-The pattern it answers: a target without caches and with nothing to do looks better
-than all others, so that every router sends to it at once, and it ends under what it
-is sent. While it is cold, all routers together send it no more in a second than it
-bears, whether they reach the store and each other or not: each sends on the tokens
-that are its own by the list of routers, and counts them over any second.
+A target with empty caches and no load looks better than all others, so that every
+router sends to it at once, and it crashes under the load. While it is cold, all
+routers together send it no more requests in a second than it can handle, whether or
+not they reach the store and each other: each router uses only the permits that are
+its own by the list of routers, and counts them over any one second.
 
-Half of what a target bears is divided, so that the bound holds too while two lists
-of routers are in force that have nothing in common.
+Only half of what a target can handle is divided into permits, so that the bound also
+holds while two lists of routers are in force that have nothing in common.
 """
 
 from __future__ import annotations
@@ -27,31 +27,31 @@
     from primrosescale.request.target_state import TargetState
     from primrosescale.version.routing_table import Service
 
-# The time over which requests to a cold target are counted, in seconds; longer than
-# the second that is promised by what timers and links may shift.
+# Time over which requests to a cold target are counted; longer than the one second
+# that the bound is defined for, by as much as timers and links may shift requests.
 WINDOW_SECONDS = 1.05
-# Part of the bound that is divided among routers.
+# Share of the bound that is divided among routers.
 DIVIDED_SHARE = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class ColdSettings:
-    """How far a cold target may be loaded over the rate that its service names."""
+    """How far requests to a cold target may exceed the cold rate of its service."""
 
     over: float = option(
         SECONDS,
-        "requests a second that a cold target may get, as a multiple of its "
-        "service's rate",
+        "requests a second that a cold target may get, as a multiple of the cold "
+        "rate of its service",
         1.0,
     )
     slack: float = option(
         SECONDS,
-        "requests a second that it may get besides",
+        "requests a second that it may get in addition to that",
         0.0,
     )
 
     def tokens(self, service: Service) -> int:
-        """Return how many requests a second all routers send to a cold target.
+        """Return how many requests a second all routers may send to a cold target.
 
         Parameters
         ----------
@@ -61,7 +61,8 @@
         Returns
         -------
         int
-            Requests; 1 at least where the bound allows one.
+            Permits a second, to be divided among the routers; at least 1 where the
+            bound allows one request.
         """
         bound = service.cold_rate * self.over + self.slack
         divided = int(min(service.cold_rate, bound * DIVIDED_SHARE))
@@ -69,16 +70,16 @@
 
 
 class ColdTargets:
-    """Counts what this router sends to targets that may be cold.
+    """Limits and counts the requests of this router to targets that may be cold.
 
     Parameters
     ----------
     settings : ColdSettings
         The bound.
     shares : RouterShares
-        Which tokens are this router's.
+        Determines which permits are this router's.
     service_of : Callable[[str], Service | None]
-        Returns a service by name, if the version in force has it.
+        Returns a service by name, if the configuration version in force has it.
     """
 
     __slots__ = ("_sent", "_service_of", "_settings", "_shares")
@@ -92,11 +93,11 @@
         self._settings = settings
         self._shares = shares
         self._service_of = service_of
-        # When requests were sent lately, by the name of the target.
+        # When requests were sent recently, by name of the target.
         self._sent: dict[str, deque[float]] = {}
 
     def configure(self, settings: ColdSettings) -> None:
-        """Take in a changed bound.
+        """Replace the bound.
 
         Parameters
         ----------
@@ -106,37 +107,37 @@
         self._settings = settings
 
     def is_cold(self, state: TargetState, now: float) -> bool:
-        """Tell whether a target may be cold, and its service bounds such ones.
+        """Return whether a target may be cold and its service limits cold targets.
 
         Parameters
         ----------
         state : TargetState
             The target.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
-            Whether what it is sent is counted.
+            Whether requests to it are limited now.
         """
         service = self._limited_service(state)
         return service is not None and now < state.cold_until(service.cold_seconds)
 
     def open(self, states: Sequence[TargetState], now: float) -> list[TargetState]:
-        """Return those of some targets that may be sent a request now.
+        """Return which of some targets may be sent a request now.
 
         Parameters
         ----------
         states : Sequence[TargetState]
             Targets of one service.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         list[TargetState]
-            Those that are not cold, and cold ones that bear another request.
+            Those that are not cold, and cold ones for which a permit is left.
         """
         service = self._limited_service(states[0]) if states else None
         if service is None:
@@ -151,12 +152,12 @@
         state : TargetState
             The target.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         float
-            Seconds; at the most until the target is warm.
+            Seconds; at most until the target is no longer cold.
         """
         service = self._limited_service(state)
         return 0.0 if service is None else self._wait(state, service, now)
@@ -175,26 +176,26 @@
         return min(warm_in, sent[-own] + WINDOW_SECONDS - now)
 
     def sent(self, state: TargetState, now: float) -> None:
-        """Count a request that goes out.
+        """Count a request that is sent.
 
         Parameters
         ----------
         state : TargetState
-            Where it goes.
+            The target it is sent to.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         if self._limited_service(state) is not None:
-            # What was sent before it became known to be cold counts too.
+            # Requests sent before the target was known to be cold count too.
             self._recently_sent(state.target.name, now).append(now)
 
     def forget(self, name: str) -> None:
-        """Forget a target that is gone.
+        """Drop the counts of a target that is gone.
 
         Parameters
         ----------
         name : str
-            The target.
+            Name of the target.
         """
         self._sent.pop(name, None)
 
