--- a/src/primrosescale/request/router_shares.py
+++ b/src/primrosescale/request/router_shares.py
@@ -1,14 +1,14 @@
-"""How a rate that all routers share is divided among them without asking.
+"""Divides a rate limit among all routers without communication between them.
 
-The pattern it answers: a bound on what all routers together send to one target,
-smaller than the number of routers. A rate of a few requests a second is a few
-tokens; each token belongs to one router by a consistent-hash ring of their names,
-so that routers with the same list agree without talking, and routers whose lists
-differ by a few disagree on few tokens.
+It is made for a bound on what all routers together send to one target that may be
+smaller than the number of routers. A rate of a few requests a second is divided into
+as many permits; each permit belongs to one router by a consistent-hash ring of router
+names, so that routers with the same list agree without messages, and routers whose
+lists differ by a few disagree on few permits.
 
-A token that falls to a router by a change of the list is used only once the others
-have had the time to hear of the change; one that falls to another router is given
-up at once. So a change never adds to what is sent.
+A permit that a change of the list assigns to a router is used only once the other
+routers have had time to learn of the change; one that it assigns to another router is
+given up at once. A change therefore never raises the total rate.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 from primrosescale.request.candidates import TargetRing
 
-# Seconds in which all routers that reach the store have heard of a change of their
-# list: it is read again two seconds after the last one.
+# Time within which all routers that reach the store have learned of a change of their
+# list, which each reads again two seconds after the last time.
 SETTLING_SECONDS = 3.0
 
 
 class RouterShares:
-    """Divides tokens among the routers that are listed.
+    """Divides permits among the routers that are listed.
 
     Parameters
     ----------
     name : str
-        This router.
+        Name of this router.
     """
 
     __slots__ = ("_name", "_names", "_own_counts", "_previous_rings", "_ring")
@@ -37,24 +37,24 @@
         self._name = name
         self._names: frozenset[str] = frozenset()
         self._ring: TargetRing | None = None
-        # Rings that others may still go by, each with the time until which.
+        # Rings that other routers may still use, each with the time until which.
         self._previous_rings: list[tuple[float, TargetRing | None]] = []
         self._own_counts: dict[tuple[str, int], int] = {}
 
     def list_routers(
         self, names: frozenset[str], now: float, *, was_listed: bool = False
     ) -> None:
-        """Take in which routers are listed.
+        """Replace the list of routers.
 
         Parameters
         ----------
         names : frozenset[str]
-            All routers, this one too.
+            Names of all routers, including this one.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         was_listed : bool
-            Whether this router was listed before it started: then the others go
-            by its first list already.
+            Whether this router was listed before it started, so that the others
+            already use this first list.
         """
         if names == self._names:
             return
@@ -65,21 +65,22 @@
         self._own_counts.clear()
 
     def own_tokens(self, key: str, tokens: int, now: float) -> int:
-        """Return how many of the tokens of a key are this router's.
+        """Return how many of the permits of a key are this router's.
 
         Parameters
         ----------
         key : str
-            What the tokens are for.
+            What the permits are for, such as the name of a target.
         tokens : int
-            How many there are for all routers.
+            Number of permits for all routers together.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         int
-            Those that all lists in force lately give to this router.
+            Number of permits that every list recently in force assigns to this
+            router.
         """
         if self._ring is None:
             return 0
@@ -103,9 +104,9 @@
 
 @lru_cache(maxsize=8)
 def _ring_of(names: frozenset[str]) -> TargetRing:
-    """Return the ring of some routers, which nobody changes.
+    """Return the hash ring of some routers, which must not be changed.
 
-    A list that goes back and forth is not worth a new ring each time.
+    It is cached, so that a list that alternates needs no new ring each time.
     """
     ring = TargetRing()
     ring.fill(names)
