--- a/src/primrosescale/request/prompt_homes.py
+++ b/src/primrosescale/request/prompt_homes.py
@@ -1,10 +1,10 @@
-"""Where a prompt is expected to be cached that nobody was told of.
+"""Determines at which target a prompt is expected to be cached without any report.
 
-The pattern it answers: a fleet so large that news of where each prompt went costs
-more than reading some of them twice. All routers agree on an order of targets for
-each prompt; the first is its home, which gets it while its load allows. So what
-is at home is no news, and who must send a prompt elsewhere knows where from it
-can be copied.
+In a large fleet, reporting where each prompt went costs more than prefilling some
+prompts twice. All routers therefore rank the targets of each prompt alike, by
+rendezvous hashing; the first is the prompt's home, which gets it while its load
+allows. A prompt at its home needs no report, and a router that must send a prompt
+elsewhere knows from which target it can be copied.
 """
 
 from __future__ import annotations
@@ -19,18 +19,19 @@
     from primrosescale.request.incoming import Prompt
     from primrosescale.request.target_state import TargetState
 
-# Targets that were listed within this time were there when this router started;
-# they may be of any age.
+# Targets that this router listed within this time of the first one were there when it
+# started; they may have any age.
 LISTED_TOGETHER_SECONDS = 2.0
-# A target listed for so long has been sent prompts that it is the home of.
+# A target that has been listed for this long has received prompts as their home.
 ESTABLISHED_SECONDS = 3.0
-# One listed for so long has been sent most of them, so that it need not ask the
-# former homes any more; returning chats come within seconds to a minute.
+# A target that has been listed for this long has received most prompts of which it is
+# the home and need not copy from the former homes any more; returning chats come
+# within seconds to a minute.
 SETTLED_SECONDS = 30.0
 
 
 def shared_tokens(prompt: Prompt) -> int:
-    """Return the tokens of a prompt that other requests may share.
+    """Return how many tokens of a prompt other requests may share.
 
     Parameters
     ----------
@@ -46,19 +47,19 @@
 
 
 def home_of(prompt: Prompt, states: Sequence[TargetState]) -> TargetState:
-    """Return the first target in the hash order of a prompt.
+    """Return the first target of a prompt by rendezvous hashing.
 
     Parameters
     ----------
     prompt : Prompt
         The prompt.
     states : Sequence[TargetState]
-        Targets, one at least.
+        Targets, at least one.
 
     Returns
     -------
     TargetState
-        The same on all routers that know the same targets.
+        The home; the same on all routers that know the same targets.
     """
     shared = prompt.shared or prompt.parts
     group = ",".join(part.name for part in shared)
@@ -68,21 +69,21 @@
 def established_home(
     prompt: Prompt, states: Sequence[TargetState], now: float
 ) -> TargetState:
-    """Return the home among the targets that have been there for some time.
+    """Return the home among the targets that have been listed for some time.
 
     Parameters
     ----------
     prompt : Prompt
         The prompt.
     states : Sequence[TargetState]
-        All targets of the service, also those that are leaving.
+        All targets of the service, including those that are leaving.
     now : float
-        Present time in seconds.
+        Current time in seconds.
 
     Returns
     -------
     TargetState
-        The target that holds the prompt if one holds it that was not told of.
+        The target that holds the prompt if any holds it without a report.
     """
     first_listed_at = _first_listed_at(states)
     known = [
@@ -97,24 +98,24 @@
 def expected_source(
     prompt: Prompt, states: Sequence[TargetState], chosen: TargetState, now: float
 ) -> TargetState | None:
-    """Return where a chosen target may copy a prompt from.
+    """Return the target from which a chosen target may copy a prompt.
 
     Parameters
     ----------
     prompt : Prompt
         The prompt.
     states : Sequence[TargetState]
-        All targets of the service, also those that are leaving.
+        All targets of the service, including those that are leaving.
     chosen : TargetState
-        The target that gets the prompt.
+        The target that the prompt is sent to.
     now : float
-        Present time in seconds.
+        Current time in seconds.
 
     Returns
     -------
     TargetState | None
-        The home; for a home that is new, the one that was it before; None for
-        a home that is settled.
+        The home; if the chosen target is itself the home and new, the previous
+        home; None if it has been the home for long enough.
     """
     holder = established_home(prompt, states, now)
     if holder is not chosen:
