--- a/src/primrosescale/request/evacuations.py
+++ b/src/primrosescale/request/evacuations.py
@@ -1,4 +1,4 @@
-"""Failure domains whose targets get no new requests until they are taken back."""
+"""Keeps which failure domains are evacuated: their targets get no new requests."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EvacuationList:
-    """Which failure domains were evacuated at a revision of the store.
+    """The failure domains that were evacuated at a revision of the store.
 
     Parameters
     ----------
     domains : frozenset[str]
-        The domains.
+        The evacuated domains.
     revision : int
         The store's revision.
     told_by : str
-        The router that told of it, or "store".
+        The router that reported it, or "store".
     """
 
     domains: frozenset[str]
@@ -29,15 +29,16 @@
 
 
 class Evacuations:
-    """The evacuated failure domains by the newest word of anybody.
+    """The evacuated failure domains by the newest list from any source.
 
-    The store's revision orders what is heard: a router that is cut off from the
-    store goes by what others tell, and an answer that comes late changes nothing.
+    Lists are ordered by the store's revision: a router that is cut off from the store
+    uses the lists that other routers report, and an older list that arrives late
+    changes nothing.
 
     Parameters
     ----------
     on_change : Callable[[EvacuationList, float], None]
-        Told of the list whenever its domains change, and of the present time.
+        Called with the list and the current time whenever the domains change.
     """
 
     __slots__ = ("_has_had_any", "_known", "_on_change")
@@ -49,28 +50,28 @@
 
     @property
     def domains(self) -> frozenset[str]:
-        """Return the domains that are evacuated."""
+        """Return the failure domains that are evacuated."""
         return self._known.domains
 
     @property
     def revision(self) -> int:
-        """Return the store's revision at which that was so; 0 for never told."""
+        """Return the store's revision of the newest list; 0 before the first one."""
         return self._known.revision
 
     @property
     def is_news(self) -> bool:
-        """Tell whether other routers should hear of it: some domain ever was."""
+        """Return whether the list is worth reporting: some domain was ever in it."""
         return self._has_had_any
 
     def take(self, told: EvacuationList, now: float) -> bool:
-        """Take in which domains were evacuated.
+        """Take over a list of evacuated domains, unless it is older.
 
         Parameters
         ----------
         told : EvacuationList
-            The list as it was told.
+            The list as received.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
