--- a/src/primrosescale/request/freshness.py
+++ b/src/primrosescale/request/freshness.py
@@ -1,20 +1,20 @@
-"""How old the knowledge of the configuration is, and what it still allows.
+"""Decides by the age of the known configuration whether API keys are still accepted.
 
-The pattern it answers: a router that is cut off from the store, or whose
-store has gone silent, while a key is withdrawn. What counts is when the last
-answered question was *sent*: a change made after that may not be in the
-answer. The clock must go on while the host is suspended.
+A router may be cut off from the store, or its store may not answer, while a key is
+withdrawn. The age is counted from when the last answered read was *sent*: a change
+made after that may not be in the answer. The clock must continue while the host is
+suspended.
 """
 
 from __future__ import annotations
 
-# Part of the bound that is left unused, in seconds: timers fire late, and a
-# request takes a moment from the check to the target.
+# Part of the bound that is left unused: timers fire late, and a request takes some time
+# from the check to the target.
 MARGIN_SECONDS = 0.3
 
 
 class Freshness:
-    """Age of the newest linearizable answer about the configuration.
+    """Age of the newest linearizable read of the configuration.
 
     Parameters
     ----------
@@ -30,11 +30,11 @@
 
     @property
     def bound(self) -> float:
-        """Return the seconds for which an answer may be relied on."""
+        """Return for how many seconds a read may be relied on."""
         return self._bound - MARGIN_SECONDS
 
     def configure(self, bound: float) -> None:
-        """Take in a changed bound.
+        """Replace the bound.
 
         Parameters
         ----------
@@ -44,7 +44,7 @@
         self._bound = bound
 
     def answered(self, asked_at: float) -> None:
-        """Take in that a question was answered.
+        """Record that a read was answered.
 
         Parameters
         ----------
@@ -55,31 +55,31 @@
             self._asked_at = asked_at
 
     def age(self, now: float) -> float | None:
-        """Return how old the knowledge is.
+        """Return how old the known configuration is.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         float | None
-            Seconds; None before the first answer.
+            Seconds; None before the first answered read.
         """
         return None if self._asked_at is None else now - self._asked_at
 
     def allows_keys(self, now: float) -> bool:
-        """Tell whether a key that was good may still be accepted.
+        """Return whether a key that was valid may still be accepted.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
-            False once a withdrawal could have gone unnoticed too long.
+            False once a withdrawal could have gone unnoticed for the bound.
         """
         return self._asked_at is not None and now - self._asked_at < self.bound
