--- a/src/primrosescale/request/serving_target.py
+++ b/src/primrosescale/request/serving_target.py
@@ -1,4 +1,4 @@
-"""A target as the list of targets describes it."""
+"""Describes a target as it stands in the list of targets."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
     Parameters
     ----------
     name : str
-        Names the target; it may start again under the same name.
+        Name of the target, which it keeps when it restarts.
     endpoint : Endpoint
-        Where it listens; another target may have the address later.
+        Where it listens; another target may get this address later.
     service : str
         The service it belongs to.
     domain : str
         Its failure domain.
     slots : int
-        Requests it runs at once; 0 when not told.
+        Requests it can run at once; 0 when not given.
     is_draining : bool
-        Whether it is leaving and must get no new work.
+        Whether it is leaving and must get no new requests.
     warming_for : float
         Seconds for which it is still slow after its start.
     started_at : int | None
-        Its start, in Unix milliseconds of its own clock; None when not told.
+        Its start, in Unix milliseconds of its own clock; None when not given.
     """
 
     name: str
@@ -46,5 +46,5 @@
 
     @property
     def incarnation(self) -> TargetIncarnation:
-        """Return which incarnation of the target this is."""
+        """Return the incarnation of the target that this describes."""
         return TargetIncarnation(self.name, self.started_at)
