--- a/src/primrosescale/request/decaying_outcomes.py
+++ b/src/primrosescale/request/decaying_outcomes.py
@@ -1,17 +1,17 @@
-"""Good and bad outcomes whose influence fades with time."""
+"""Counts good and bad outcomes with exponential decay."""
 
 from __future__ import annotations
 
 
 class DecayingOutcomes:
-    """Counts of good and bad outcomes that halve in a fixed time.
+    """Counts of good and bad outcomes that decay with a fixed half-life.
 
     Parameters
     ----------
     half_life : float
         Seconds in which an outcome loses half of its influence.
     now : float
-        Present time in seconds.
+        Current time in seconds.
     """
 
     __slots__ = ("_bad", "_good", "_half_life", "_updated_at")
@@ -24,12 +24,12 @@
 
     @property
     def total(self) -> float:
-        """Return how many outcomes counted when the last one was added."""
+        """Return the decayed number of outcomes, as of the last update."""
         return self._good + self._bad
 
     @property
     def failure_share(self) -> float:
-        """Return the share of bad ones, 0 to 1; 0 when there are none."""
+        """Return the share of bad outcomes, 0 to 1; 0 when there are none."""
         return self._bad / self.total if self.total else 0.0
 
     def add_good(self, now: float) -> None:
@@ -38,7 +38,7 @@
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         self._decay(now)
         self._good += 1.0
@@ -49,20 +49,20 @@
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         weight : float
-            How much it counts; 1 for a plain failure.
+            How much it counts; 1 for a full failure.
         """
         self._decay(now)
         self._bad += weight
 
     def counts(self, now: float) -> tuple[float, float]:
-        """Return what counts now.
+        """Return the decayed counts.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
@@ -73,7 +73,7 @@
         return self._good, self._bad
 
     def clear_bad(self) -> None:
-        """Forget the bad ones."""
+        """Reset the count of bad outcomes."""
         self._bad = 0.0
 
     def _decay(self, now: float) -> None:
