--- a/src/primrosescale/request/content_fingerprint.py
+++ b/src/primrosescale/request/content_fingerprint.py
@@ -1,4 +1,4 @@
-"""What tells that two requests of callers ask for the same."""
+"""Computes fingerprints by which requests with the same content are recognised."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 def content_fingerprint(organisation: str, path: bytes, body: bytes) -> int:
-    """Return the digest of what a request asks for, whatever its id.
+    """Return the digest of a request's content, which excludes its id.
 
     Parameters
     ----------
     organisation : str
-        Whom it is made for; empty on open routes.
+        The organisation it is made for; empty on open routes.
     path : bytes
         Path and query.
     body : bytes
-        Whole body.
+        Complete body.
 
     Returns
     -------
     int
-        64 bits, signed. Made to resist collisions, so that no caller can
-        prepare a request that is taken for one of another organisation.
+        64 bits, signed. The hash resists collisions, so that no caller can prepare
+        a request that is taken for one of another organisation.
     """
     head = SEPARATOR.join((organisation.encode(), path, b""))
     digest = blake2b(head, digest_size=FINGERPRINT_BYTES)
@@ -34,7 +34,7 @@
 
 
 def fingerprint_text(fingerprint: int) -> str:
-    """Return a fingerprint as the log has it.
+    """Return a fingerprint in the form that the log uses.
 
     Parameters
     ----------
