--- a/src/primrosescale/request/part_directory.py
+++ b/src/primrosescale/request/part_directory.py
@@ -1,10 +1,10 @@
-"""Which target holds which part of a prompt in its cache, as far as known.
+"""Estimates which target holds which parts of prompts in its prefix cache.
 
-The pattern it answers: chats that return. A part that a target has read is
-not read again there, so the directory remembers where parts went, from this
-router's own requests and from what other routers tell. Targets forget the
-least recently used parts when their memory is full, and so does the directory.
-What is known is about one incarnation of a target: one that starts again holds nothing.
+A target does not prefill a part again that it holds, which matters for returning
+chats. The directory therefore records where parts went, from this router's own
+requests and from the reports of other routers. Targets evict the least recently used
+parts when their cache is full, and so does the directory. Each record belongs to one
+incarnation of a target: a target that restarts holds nothing.
 """
 
 from __future__ import annotations
@@ -21,39 +21,41 @@
     from primrosescale.request.incoming import PromptPart
     from primrosescale.request.target_incarnation import TargetIncarnation
 
-# Seconds. What was used longer ago is not relied on, whatever the memory: other
-# routers' use of it may have gone unheard.
+# Parts last used longer ago are not relied on, whatever the cache size: other routers
+# may have caused evictions that were not reported here.
 MAX_USE_AGE_SECONDS = 60.0
-# Of a target's memory. Shared parts of running requests are held once for all,
-# and what a router does not hear of (other routers' chats) is left out here.
+# Share of a target's cache that is assumed to be usable. Running requests share one
+# copy of their common parts; what is not reported to a router (the chats of other
+# routers) is not counted here.
 CACHE_SHARE = 1.0
-# Parts remembered for one target whose memory is not known.
+# Parts recorded for one target, also where the size of its cache is not known.
 MAX_PARTS_PER_TARGET = 4096
-# Others are told again that a part is still used once their knowledge of it has
-# lost half of its time: early enough for one lost datagram, and not with each use.
+# The use of a part is reported to other routers again once half of the time for which
+# they rely on it has passed: early enough to tolerate one lost datagram, and less often
+# than with each use.
 REPORT_AGAIN_SECONDS = MAX_USE_AGE_SECONDS / 2
-# Shorter shared parts are read about as soon as they are moved; where they went is
-# not worth telling a large fleet.
+# Prefilling a shorter shared prefix takes about as long as copying it, so that its
+# place is not worth reporting in a large fleet.
 MIN_REPORTED_TOKENS = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class PartUse:
-    """That a target was given a part.
+    """Records that a target was sent a part of a prompt.
 
     Parameters
     ----------
     part : str
-        The part.
+        Name of the part.
     target : TargetIncarnation
         The incarnation of the target.
     tokens : int
-        Its length.
+        Length of the part.
     used_at : float
         When, in seconds.
     before : tuple[str, ...]
-        Parts before it, which were used with it, where they are not told
-        themselves.
+        Names of the parts before it, which were used with it, where they are not
+        reported themselves.
     """
 
     part: str
@@ -64,21 +66,21 @@
 
 
 class _HeldPart:
-    """A part that a target is taken to hold."""
+    """A part that a target is assumed to hold."""
 
     __slots__ = ("is_shared", "reported_at", "tokens", "used_at")
 
     def __init__(self, tokens: int, used_at: float) -> None:
         self.tokens = tokens
         self.used_at = used_at
-        # Whether requests of other routers may have it.
+        # Whether requests of other routers may contain it.
         self.is_shared = True
-        # When other routers last heard of its use, from here or elsewhere.
+        # When its use was last reported to other routers, by this router or another.
         self.reported_at = used_at
 
 
 class _HeldParts:
-    """What one incarnation of a target is taken to hold, least recently used first."""
+    """Parts that one incarnation of a target is assumed to hold, in LRU order."""
 
     __slots__ = ("parts", "tokens")
 
@@ -87,7 +89,7 @@
         self.tokens = 0
 
     def note(self, use: PartUse, capacity: int) -> tuple[_HeldPart, bool]:
-        """Take in the use of a part; return it and whether it was not held."""
+        """Record a use; return the part, and whether it was not held before."""
         known = self.parts.get(use.part)
         if known is None:
             held = self.parts[use.part] = _HeldPart(use.tokens, use.used_at)
@@ -108,7 +110,7 @@
 
 
 class PartDirectory:
-    """Remembers which target has read which part, and when."""
+    """Records which incarnation of a target holds which parts, and their last use."""
 
     __slots__ = (
         "_away_from_home",
@@ -123,40 +125,40 @@
         self._holders: dict[TargetIncarnation, _HeldParts] = {}
         self._capacity: dict[TargetIncarnation, int] = {}
         self._updates: dict[tuple[str, TargetIncarnation], PartUse] = {}
-        # Prompts that are elsewhere than others expect them, by their deepest part.
+        # Prompts elsewhere than at their homes, by their last shared part.
         self._away_from_home: dict[tuple[str, TargetIncarnation], PartUse] = {}
 
     def __len__(self) -> int:
-        """Return how many parts are known, counted for each target."""
+        """Return how many parts are recorded, summed over targets."""
         return sum(len(holder.parts) for holder in self._holders.values())
 
     def limit(self, target: TargetIncarnation, tokens: int) -> None:
-        """Take in the size of a target's memory.
+        """Set the size of a target's cache.
 
         Parameters
         ----------
-        target : str
-            The target.
+        target : TargetIncarnation
+            The incarnation of the target.
         tokens : int
-            Tokens it holds; 0 when not told.
+            Tokens that it can hold; 0 when not reported.
         """
         self._capacity[target] = int(tokens * CACHE_SHARE)
 
     def note(self, use: PartUse) -> bool:
-        """Take in that a target has a part.
+        """Record a use that another router or the target itself reported.
 
         Parameters
         ----------
         use : PartUse
-            The part and the target.
+            The use.
 
         Returns
         -------
         bool
-            Whether this was not known.
+            Whether the part was not known to be there.
         """
         for name in use.before:
-            # Their tokens count where they are told or sent by themselves.
+            # Their tokens are counted where they are reported or sent themselves.
             self._note(PartUse(name, use.target, 0, use.used_at))
         held, is_new = self._note(use)
         held.reported_at = max(held.reported_at, use.used_at)
@@ -170,7 +172,7 @@
 
     @property
     def has_unexpected(self) -> bool:
-        """Tell whether a prompt went elsewhere than others expect."""
+        """Return whether a prompt to be reported went elsewhere than to its home."""
         return bool(self._away_from_home)
 
     def note_own(
@@ -181,27 +183,28 @@
         *,
         is_expected: bool = False,
     ) -> bool:
-        """Take in that a request of this router went to a target.
+        """Record that a request of this router went to a target.
 
-        The last part belongs to the request or its chat alone and is no news
-        for others. Of the shared ones those that were not known to be there
-        are, and now and then the deepest, whose use tells of those before it.
+        The last part belongs to the request or its chat alone and is not reported to
+        other routers. Of the shared parts, those that were not known to be there are
+        reported, and from time to time the last one, whose use implies the use of
+        those before it.
 
         Parameters
         ----------
-        target : str
-            The target.
+        target : TargetIncarnation
+            The incarnation of the target.
         parts : Sequence[PromptPart]
-            The request's parts.
+            The parts of the request's prompt.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         is_expected : bool
-            Whether other routers may expect the parts there untold.
+            Whether other routers expect the parts there without a report.
 
         Returns
         -------
         bool
-            Whether some shared part was not known to be there.
+            Whether any shared part was not known to be there.
         """
         is_news = False
         deepest = len(parts) - 2
@@ -229,10 +232,10 @@
             self._away_from_home[(use.part, use.target)] = found
 
     def take_news(self) -> list[PartUse]:
-        """Return what this router noted since the call before the last.
+        """Return the uses recorded since the last call but one.
 
-        All is told twice, since datagrams are lost now and then and a lost one
-        costs a prompt that is read again.
+        Each use is reported twice, since datagrams are sometimes lost and a lost one
+        causes a prompt to be prefilled again.
 
         Returns
         -------
@@ -245,15 +248,15 @@
         return list({**again, **news}.values())
 
     def take_unexpected(self) -> list[PartUse]:
-        """Return which prompts went elsewhere than others expect.
+        """Return the prompts that went elsewhere than to their homes.
 
-        Each is told once, since it goes to others by two ways, and by its
-        deepest part with the names of those before it.
+        Each is reported once, since the report reaches other routers by two paths,
+        by its last shared part with the names of the parts before it.
 
         Returns
         -------
         list[PartUse]
-            Uses of the deepest shared parts.
+            Uses of the last shared parts.
         """
         news, self._away_from_home = self._away_from_home, {}
         self._updates.clear()
@@ -261,12 +264,12 @@
         return list(news.values())
 
     def forget_target(self, target: TargetIncarnation) -> None:
-        """Take in that an incarnation of a target has ended with all it held.
+        """Drop all records of an incarnation of a target, since it has ended.
 
         Parameters
         ----------
-        target : str
-            The target.
+        target : TargetIncarnation
+            The incarnation of the target.
         """
         self._holders.pop(target, None)
         self._capacity.pop(target, None)
@@ -275,19 +278,19 @@
                 del told[key]
 
     def shared(self, target: TargetIncarnation, now: float) -> list[PartUse]:
-        """Return the parts that a target has and that any request may share.
+        """Return the parts that a target holds and that any request may share.
 
         Parameters
         ----------
         target : TargetIncarnation
             The incarnation of the target.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         list[PartUse]
-            Their last uses that are known, the least recent first.
+            Their last known uses, the least recent first.
         """
         holder = self._holders.get(target)
         if holder is None:
@@ -301,21 +304,22 @@
     def held(
         self, target: TargetIncarnation, parts: Iterable[PromptPart], now: float
     ) -> int:
-        """Return how many leading tokens a target need not read.
+        """Return how many leading tokens of a prompt a target need not prefill.
 
         Parameters
         ----------
-        target : str
-            The target.
+        target : TargetIncarnation
+            The incarnation of the target.
         parts : Iterable[PromptPart]
-            Parts in order.
+            The parts of the prompt in order.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         int
-            Tokens of the parts up to the first that it does not have.
+            Tokens of the parts before the first that it does not hold, up to the last
+            one that was used recently.
         """
         holder = self._holders.get(target)
         if holder is None:
@@ -326,7 +330,7 @@
             if found is None:
                 break
             tokens += part.tokens
-            # A part that was used lately was used with all before it.
+            # A part that was used recently was used with all parts before it.
             if now - found.used_at <= MAX_USE_AGE_SECONDS:
                 usable = tokens
         return usable
