--- a/src/primrosescale/request/harm_settings.py
+++ b/src/primrosescale/request/harm_settings.py
@@ -1,4 +1,4 @@
-"""Settings of what holds harmful requests back."""
+"""Defines the settings for holding back harmful requests."""
 
 from __future__ import annotations
 
@@ -11,34 +11,35 @@
 
 @dataclass(frozen=True, slots=True)
 class HarmSettings:
-    """When a request is held back, and for how long."""
+    """When a request is held back as harmful, and for how long."""
 
     ends: int = option(
         COUNT,
-        "targets that end under a request before it is held back; fewer would hold "
-        "back requests that were beside a harmful one twice",
+        "targets that end while they run a request before it is held back; with fewer, "
+        "requests that ran beside a harmful one twice would be held back too",
         3,
     )
     hold: float = option(
         SECONDS,
-        "seconds for which it is held back at first; then one try is let through, "
+        "seconds for which it is held back at first; then one trial is let through, "
         "since targets may have been repaired by then",
         300.0,
     )
     longest_hold: float = option(
         SECONDS,
-        "seconds for which it is held back at the most after tries that ended "
+        "maximum of seconds for which it is held back after trials that ended "
         "targets again",
         43_200.0,
     )
     remembered: int = option(
         COUNT,
-        "requests whose ends are remembered, at 1.4 kB each with three ends",
+        "requests for which ended targets are remembered, at 1.4 kB each with three "
+        "ends",
         4096,
     )
     answered: int = option(
         COUNT,
-        "requests whose whole answers are remembered, at 0.1 kB each; those asked "
-        "for again and again stay among them",
+        "requests whose complete answers are remembered, at 0.1 kB each; the least "
+        "recently answered are dropped first",
         4096,
     )
