--- a/src/primrosescale/request/harm_reports.py
+++ b/src/primrosescale/request/harm_reports.py
@@ -1,4 +1,4 @@
-"""What a router sees of requests and the ends of targets, and tells others."""
+"""Defines what routers report to each other about requests that may be harmful."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetEnd:
-    """That a target ended with a request on board.
+    """Reports that a target ended while it ran a request.
 
     Parameters
     ----------
     fingerprint : int
-        What the request asked for.
+        Fingerprint of the request's content.
     target : int
-        Short name of the target's incarnation.
+        Key of the target's incarnation.
     at : float
-        When it was seen, in seconds.
+        When it was detected, in seconds.
     was_answered : bool
-        Whether the target had answered the request whole just before.
+        Whether the target had completely answered the request just before.
     """
 
     fingerprint: int
@@ -29,12 +29,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WholeAnswer:
-    """That a request was answered whole.
+    """Reports that a request was answered completely.
 
     Parameters
     ----------
     fingerprint : int
-        What the request asked for.
+        Fingerprint of the request's content.
     at : float
         When, in seconds.
     """
@@ -45,12 +45,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LoneTry:
-    """That a suspect request was sent to a target.
+    """Reports that a suspect request was sent to a target as a trial.
 
     Parameters
     ----------
     fingerprint : int
-        What the request asked for.
+        Fingerprint of the request's content.
     at : float
         When, in seconds.
     """
