--- a/src/primrosescale/request/harm_watch.py
+++ b/src/primrosescale/request/harm_watch.py
@@ -1,4 +1,8 @@
-"""What a forwarded call tells of targets that end under requests, and is told."""
+"""Defines the interface between forwarded calls and the detection of harmful requests.
+
+A call reports what became of its request and its target, and asks whether the request
+may be sent.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
 
 
 class HarmWatch(ABC):
-    """Learns which requests end targets from what becomes of all of them."""
+    """Detects which requests end targets, from the outcomes of all requests."""
 
     @abstractmethod
     def held_for(self, request: IncomingRequest, now: float) -> float:
@@ -23,24 +27,24 @@
         request : IncomingRequest
             The request.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         float
-            Seconds; 0 for one that may be sent.
+            Seconds; 0 if it may be sent.
         """
 
     @abstractmethod
     def sent(self, request: IncomingRequest, now: float) -> None:
-        """Handle that a request goes out to a target.
+        """Handle that a request is sent to a target.
 
         Parameters
         ----------
         request : IncomingRequest
             The request.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
 
     @abstractmethod
@@ -54,16 +58,16 @@
         request : IncomingRequest
             The request.
         state : TargetState
-            What is known of the target where it was.
+            What is known of the target that ran it.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
 
     @abstractmethod
     def answered(
         self, request: IncomingRequest, state: TargetState, now: float
     ) -> None:
-        """Handle that a request was answered whole.
+        """Handle that a request was answered completely.
 
         Parameters
         ----------
@@ -72,33 +76,33 @@
         state : TargetState
             What is known of the target that answered.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
 
     @abstractmethod
     def heard(self, state: TargetState, sent_at: float, now: float) -> None:
-        """Handle that an answer began to come from a target.
+        """Handle that an answer began to arrive from a target.
 
         Parameters
         ----------
         state : TargetState
             What is known of the target.
         sent_at : float
-            When its request was sent there at the earliest, in seconds.
+            Earliest time at which its request may have been sent, in seconds.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
 
     @abstractmethod
     def replaced(self, state: TargetState, now: float) -> None:
-        """Handle that another target answered at the address of one.
+        """Handle that another target answered at the address of the expected one.
 
         Parameters
         ----------
         state : TargetState
-            What is known of the one that was expected.
+            What is known of the expected target.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
 
     @abstractmethod
@@ -110,12 +114,12 @@
         state : TargetState
             What is known of the target.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
 
 
 class Unwatched(HarmWatch):
-    """Holds nothing back."""
+    """Holds no requests back."""
 
     def held_for(self, request: IncomingRequest, now: float) -> float:
         """Return 0; see `HarmWatch.held_for`."""
