--- a/src/primrosescale/request/harmful_requests.py
+++ b/src/primrosescale/request/harmful_requests.py
@@ -1,15 +1,16 @@
-"""Which requests end the targets that run them, and for how long they are held back.
-
-The pattern it answers: one request that ends each target that begins to run it is
-sent again and again, under new ids and at any entry host. Each end takes the
-requests of many other callers with it, which are on board of one target after the
-other as well where a service has few. So it counts under which content targets
-ended, by the reports of all routers, and waits for one end more where other requests
-explain them all better, or while targets end so often that chance may explain them.
-A whole answer whose target lived on clears a request of all that was reported before,
-and vouches for it; one whose target ended just after counts as an end. A request that
-may or may not be harmful is tried alone: no other router sends it while one waits for
-what becomes of it.
+"""Decides which requests are harmful, as targets end running them, and holds them back.
+
+A harmful request ends each target that begins to run it, and is sent again and again,
+under new ids and at any entry host. Each end also loses the requests of many other
+callers, which run on one target after the other too where a service has few targets.
+Ends are therefore counted by the content of the requests that were running, from the
+reports of all routers. One end more is required where other requests explain all the
+ends better, or while targets end so often that chance may explain them.
+
+A complete answer whose target kept running clears a request of all earlier ends, and
+from then on more ends are required; a complete answer whose target ended just after
+counts as an end. A suspect request, which may or may not be harmful, is tried alone:
+no other router sends it while one waits for the outcome of its trial.
 """
 
 from __future__ import annotations
@@ -26,29 +27,30 @@
 if TYPE_CHECKING:
     from primrosescale.request.harm_settings import HarmSettings
 
-# Ends that it takes besides where other requests or chance may explain the others.
+# Additional ends required where other requests or chance may explain the ends.
 EXTRA_ENDS_IF_EXPLAINED = 1
-# Part of requests that are on board of a target's end, above which chance explains
-# three ends under one of ten thousand requests.
+# Share of requests that run on a target as it ends, above which chance explains three
+# ends of one request in ten thousand.
 MAX_CHANCE_SHARE = 0.046
-# Seconds in which outcomes lose half of their weight in that part, and answers that
-# stand for the time before the first outcomes.
+# Half-life of the outcomes in that share, and the number of good answers assumed before
+# the first outcomes.
 CHANCE_HALF_LIFE_SECONDS = 10.0
 PRIOR_ANSWERS = 100.0
-# Seconds in which a try shows whether its target ends.
+# Time within which a trial shows whether its target ends.
 TRY_SECONDS = 2.0
-# How many times as many ends it takes for a request that was answered whole.
+# Factor by which more ends are required for a request that was answered completely.
 ANSWERED_MULTIPLE = 2
-# How many more where targets answered it whole and ended just after.
+# Additional ends required where targets ended just after answering it completely.
 EXTRA_ENDS_AFTER_ANSWER = 2
-# Each further end makes the hold so many times as long: three tries in a day.
+# Factor by which each further end lengthens the hold; allows three trials in a day.
 HOLD_GROWTH_FACTOR = 12.0
-# Seconds for which an end counts.
+# Time for which an end counts.
 MEMORY_SECONDS = 172_800.0
-# Ends of one request that are remembered.
+# Maximum of ends that are remembered for one request.
 MAX_ENDS = 16
-# The oldest of the remembered requests, of which the one with the fewest ends makes
-# room for another: many single ends must not push out what is nearly proved.
+# When the limit is reached, the request with the fewest ends among this many of the
+# oldest is evicted: many requests with a single end must not displace one that is
+# nearly proved harmful.
 EVICTION_CANDIDATES = 16
 
 
@@ -58,13 +60,13 @@
     Attributes
     ----------
     ends : dict[int, float]
-        When targets ended under it, by target.
+        When targets ended while they ran it, by target.
     answered_at : float
-        When it was last answered whole; 0 for never. No end before counts.
+        When it was last answered completely; 0 for never. Earlier ends don't count.
     tried_at : float
-        When it was last sent as a suspect; 0 for never.
+        When it was last sent as a trial; 0 for never.
     ended_after_answer : bool
-        Whether some of the targets had answered it just before they ended.
+        Whether any of the targets had answered it just before they ended.
     """
 
     __slots__ = ("answered_at", "ended_after_answer", "ends", "tried_at")
@@ -82,7 +84,7 @@
 
 
 class HarmfulRequests:
-    """Ends of targets by the requests that were on board.
+    """Counts ends of targets by the requests that they ran, and decides on holds.
 
     Parameters
     ----------
@@ -101,27 +103,27 @@
 
     def __init__(self, settings: HarmSettings) -> None:
         self._settings = settings
-        # The one with the oldest news first.
+        # The one that was updated longest ago first.
         self._evidence: OrderedDict[int, _Evidence] = OrderedDict()
-        # When requests were answered whole here, the oldest first.
+        # When requests were last answered completely, the oldest first.
         self._answered: OrderedDict[int, float] = OrderedDict()
-        # Which requests were on board, by target.
+        # Which requests each ended target ran.
         self._running_at: dict[int, set[int]] = {}
         self._outcomes = DecayingOutcomes(CHANCE_HALF_LIFE_SECONDS, 0.0)
-        # Requests with as many ends as it takes, explained or not.
+        # Requests with the required number of ends, explained or not.
         self._with_enough_ends: set[int] = set()
 
     def __len__(self) -> int:
-        """Return how many requests are remembered."""
+        """Return for how many requests ends are remembered."""
         return len(self._evidence)
 
     @property
     def may_hold(self) -> bool:
-        """Tell whether any request could be held back."""
+        """Return whether any request may have to be held back."""
         return bool(self._with_enough_ends)
 
     def configure(self, settings: HarmSettings) -> None:
-        """Take in changed settings.
+        """Replace the settings.
 
         Parameters
         ----------
@@ -136,7 +138,7 @@
         }
 
     def take_end(self, end: TargetEnd) -> bool:
-        """Take in that a target ended with a request on board.
+        """Record that a target ended while it ran a request.
 
         Parameters
         ----------
@@ -146,7 +148,7 @@
         Returns
         -------
         bool
-            Whether it was news.
+            Whether it was new.
         """
         evidence = self._evidence.get(end.fingerprint)
         if evidence is None:
@@ -163,7 +165,7 @@
         return True
 
     def take_answer(self, answer: WholeAnswer) -> bool:
-        """Clear a request of the ends before a whole answer.
+        """Clear a request of the ends before a complete answer.
 
         Parameters
         ----------
@@ -173,7 +175,7 @@
         Returns
         -------
         bool
-            Whether it was news of a request that something spoke against.
+            Whether it was new, and about a request for which ends were reported.
         """
         self._remember_answer(answer)
         evidence = self._evidence.get(answer.fingerprint)
@@ -187,17 +189,17 @@
         return is_first or bool(cleared)
 
     def take_try(self, tried: LoneTry) -> bool:
-        """Take in that a suspect request was sent to a target.
+        """Record that a suspect request was sent to a target as a trial.
 
         Parameters
         ----------
         tried : LoneTry
-            The try.
+            The trial.
 
         Returns
         -------
         bool
-            Whether it was news of a request that is to be tried alone.
+            Whether it was new, and about a request that is to be tried alone.
         """
         if not self.is_suspect(tried.fingerprint):
             return False
@@ -207,33 +209,33 @@
         return is_news
 
     def is_suspect(self, fingerprint: int) -> bool:
-        """Tell whether a request is to be tried alone, unless it is held back.
+        """Return whether a request is to be tried alone, unless it is held back.
 
         Parameters
         ----------
         fingerprint : int
-            What it asks for.
+            Fingerprint of the request's content.
 
         Returns
         -------
         bool
-            True for one with as many ends as it takes, whatever explains them.
+            True if it has the required number of ends, whatever explains them.
         """
         evidence = self._evidence.get(fingerprint)
         return evidence is not None and len(evidence.ends) >= self._needed(evidence)
 
     def last_answer(self, fingerprint: int) -> WholeAnswer | None:
-        """Return the last whole answer to a request that is remembered.
+        """Return the last remembered complete answer to a request.
 
         Parameters
         ----------
         fingerprint : int
-            What it asks for.
+            Fingerprint of the request's content.
 
         Returns
         -------
         WholeAnswer | None
-            None where none is.
+            The answer; None if none is remembered.
         """
         at = self._answered.get(fingerprint)
         return None if at is None else WholeAnswer(fingerprint, at)
@@ -245,50 +247,50 @@
             self._answered.popitem(last=False)
 
     def count_answer(self, now: float) -> None:
-        """Count a request that was answered whole here.
+        """Count a request that this router forwarded and that was fully answered.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         self._outcomes.add_good(now)
 
     def count_end(self, now: float) -> None:
-        """Count a request of this router that was on board when a target ended.
+        """Count a request of this router that a target ran when it ended.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         self._outcomes.add_bad(now)
 
     def target_lives(self, target: int) -> None:
-        """Take in that a target that was said to have ended has not.
+        """Retract the ends of a target that was reported as ended but still runs.
 
         Parameters
         ----------
         target : int
-            Short name of its incarnation.
+            Key of its incarnation.
         """
         for fingerprint in list(self._running_at.get(target, ())):
             self._drop_end(fingerprint, self._evidence[fingerprint], target)
 
     def held_for(self, fingerprint: int, now: float) -> float:
-        """Return how long a request is held back from now on.
+        """Return for how long a request is still held back.
 
         Parameters
         ----------
         fingerprint : int
-            What it asks for.
+            Fingerprint of the request's content.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         float
-            Seconds; 0 for one that may be sent.
+            Seconds; 0 if it may be sent.
         """
         evidence = self._evidence.get(fingerprint)
         if evidence is None or len(evidence.ends) < self._needed(evidence):
@@ -301,12 +303,12 @@
         return max(0.0, until - now)
 
     def ends_under(self, fingerprint: int) -> int:
-        """Return how many targets are known to have ended under a request.
+        """Return how many targets are known to have ended while running a request.
 
         Parameters
         ----------
         fingerprint : int
-            What it asks for.
+            Fingerprint of the request's content.
 
         Returns
         -------
@@ -322,7 +324,7 @@
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
@@ -332,17 +334,17 @@
         return [each for each in self._with_enough_ends if self.held_for(each, now) > 0]
 
     def proof(self, fingerprint: int) -> list[TargetEnd]:
-        """Return the ends that suffice to hold a request back, the last ones.
+        """Return the most recent ends that suffice to hold a request back.
 
         Parameters
         ----------
         fingerprint : int
-            What it asks for.
+            Fingerprint of the request's content.
 
         Returns
         -------
         list[TargetEnd]
-            As many ends as any other router needs to hold it back too.
+            As many ends as any other router requires to hold it back too.
         """
         evidence = self._evidence.get(fingerprint)
         if evidence is None:
@@ -358,7 +360,7 @@
     def _hold(self, evidence: _Evidence) -> float:
         settings = self._settings
         if evidence.answered_at:
-            # Its ends may be those of a time in which all targets ended.
+            # Its ends may date from a time in which many targets ended.
             return settings.hold
         tries = len(evidence.ends) - settings.ends
         return min(settings.longest_hold, settings.hold * HOLD_GROWTH_FACTOR**tries)
@@ -371,23 +373,24 @@
         return not is_chance_enough and not self._is_explained(fingerprint, evidence)
 
     def _is_explained_by_widespread_ends(self, evidence: _Evidence, now: float) -> bool:
-        """Tell whether it was answered before and all targets end often now.
+        """Return whether it was answered before and targets now end often.
 
-        What many callers ask for is on board of every target that ends, and would
-        be held back for minutes after the targets have recovered. One whole answer
-        does not let it end targets without limit.
+        A request that many callers send runs on every target that ends, and would
+        be held back for minutes after the targets have recovered. The number of ends
+        is limited, so that one complete answer does not let a request end targets
+        forever.
         """
         if not evidence.answered_at or len(evidence.ends) >= MAX_ENDS:
             return False
         return self._may_be_chance(now)
 
     def _may_be_chance(self, now: float) -> bool:
-        """Tell whether targets end so often that many requests see three ends."""
+        """Return whether targets end so often that chance gives requests three ends."""
         good, bad = self._outcomes.counts(now)
         return bad > MAX_CHANCE_SHARE * (good + bad + PRIOR_ANSWERS)
 
     def _is_explained(self, fingerprint: int, evidence: _Evidence) -> bool:
-        """Tell whether at each end another request was that has seen more ends."""
+        """Return whether at each end another request ran that has more ends."""
         return all(
             any(
                 len(self._evidence[other].ends) > len(evidence.ends)
