--- a/src/primrosescale/request/evacuations.py
+++ b/src/primrosescale/request/evacuations.py
@@ -63,12 +63,12 @@
         """Return whether the list is worth reporting: some domain was ever in it."""
         return self._has_had_any
 
-    def take(self, told: EvacuationList, now: float) -> bool:
+    def take(self, received: EvacuationList, now: float) -> bool:
         """Take over a list of evacuated domains, unless it is older.
 
         Parameters
         ----------
-        told : EvacuationList
+        received : EvacuationList
             The list as received.
         now : float
             Current time in seconds.
@@ -79,11 +79,11 @@
             Whether the evacuated domains changed.
         """
         known = self._known
-        if told.revision < known.revision:
+        if received.revision < known.revision:
             return False
-        self._known = told
-        if told.domains == known.domains:
+        self._known = received
+        if received.domains == known.domains:
             return False
         self._has_had_any = True
-        self._on_change(told, now)
+        self._on_change(received, now)
         return True
--- a/src/primrosescale/request/harmful_requests.py
+++ b/src/primrosescale/request/harmful_requests.py
@@ -204,9 +204,9 @@
         if not self.is_suspect(tried.fingerprint):
             return False
         evidence = self._evidence[tried.fingerprint]
-        is_news = tried.at > evidence.tried_at
+        is_new = tried.at > evidence.tried_at
         evidence.tried_at = max(evidence.tried_at, tried.at)
-        return is_news
+        return is_new
 
     def is_suspect(self, fingerprint: int) -> bool:
         """Return whether a request is to be tried alone, unless it is held back.
--- a/src/primrosescale/request/part_directory.py
+++ b/src/primrosescale/request/part_directory.py
@@ -206,7 +206,7 @@
         bool
             Whether any shared part was not known to be there.
         """
-        is_news = False
+        any_is_new = False
         deepest = len(parts) - 2
         for place, part in enumerate(parts):
             use = PartUse(part.name, target, part.tokens, now)
@@ -215,14 +215,14 @@
                 held.is_shared = held.is_shared and not was_unknown
                 continue
             held.is_shared = True
-            is_news = is_news or was_unknown
+            any_is_new = any_is_new or was_unknown
             is_old = now - held.reported_at >= REPORT_AGAIN_SECONDS
             if was_unknown or (is_old and place == deepest):
                 held.reported_at = now
                 self._updates[(part.name, target)] = use
                 if place == deepest and not is_expected:
                     self._note_away_from_home(use, parts)
-        return is_news
+        return any_is_new
 
     def _note_away_from_home(self, use: PartUse, parts: Sequence[PromptPart]) -> None:
         shared = parts[:-1]
@@ -242,10 +242,10 @@
         list[PartUse]
             Uses of shared parts.
         """
-        news, self._updates = self._updates, {}
-        again, self._previous_updates = self._previous_updates, news
+        current, self._updates = self._updates, {}
+        previous, self._previous_updates = self._previous_updates, current
         self._away_from_home.clear()
-        return list({**again, **news}.values())
+        return list({**previous, **current}.values())
 
     def take_unexpected(self) -> list[PartUse]:
         """Return the prompts that went elsewhere than to their homes.
@@ -258,10 +258,10 @@
         list[PartUse]
             Uses of the last shared parts.
         """
-        news, self._away_from_home = self._away_from_home, {}
+        current, self._away_from_home = self._away_from_home, {}
         self._updates.clear()
         self._previous_updates.clear()
-        return list(news.values())
+        return list(current.values())
 
     def forget_target(self, target: TargetIncarnation) -> None:
         """Drop all records of an incarnation of a target, since it has ended.
@@ -273,9 +273,9 @@
         """
         self._holders.pop(target, None)
         self._capacity.pop(target, None)
-        for told in (self._updates, self._away_from_home, self._previous_updates):
-            for key in [key for key in told if key[1] == target]:
-                del told[key]
+        for pending in (self._updates, self._away_from_home, self._previous_updates):
+            for key in [key for key in pending if key[1] == target]:
+                del pending[key]
 
     def shared(self, target: TargetIncarnation, now: float) -> list[PartUse]:
         """Return the parts that a target holds and that any request may share.
--- a/src/primrosescale/request/target_statements.py
+++ b/src/primrosescale/request/target_statements.py
@@ -165,14 +165,14 @@
         """
         if head.cold_for is not None:
             self._cold_until = now + head.cold_for
-        is_news = head.is_leaving and self.hear_leaving(now)
+        is_new = head.is_leaving and self.hear_leaving(now)
         if head.rest is not None:
-            is_news = is_news or now >= self._rest_until
+            is_new = is_new or now >= self._rest_until
             self._rest_until = max(self._rest_until, now + head.rest)
             self._permits = 1
         elif not head.is_not_run:
             self._add_permits(slots, now)
-        return is_news
+        return is_new
 
     def _add_permits(self, slots: int, now: float) -> None:
         """Permit more requests, for an answer that came after the rest."""
