--- a/tests/request/test_harmful_requests.py
+++ b/tests/request/test_harmful_requests.py
@@ -1,4 +1,4 @@
-"""Which requests are held back for the ends of targets, and for how long."""
+"""Tests which requests are held back as harmful, and for how long."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
         self.assertEqual(100.0, self.held_for())
         self.assertEqual([HARMFUL], self.requests.held(NOW))
 
-    def test_one_end_that_many_routers_tell_of_counts_once(self):
+    def test_one_end_that_many_routers_report_counts_once(self):
         for _ in range(5):
             self.end(1, HARMFUL)
         self.assertEqual(1, self.requests.ends_under(HARMFUL))
@@ -58,7 +58,7 @@
         self.end(5, HARMFUL, at=later)
         self.assertEqual(5000.0, self.held_for(now=later))
 
-    def test_a_whole_answer_clears_what_was_before_it(self):
+    def test_a_complete_answer_clears_earlier_ends(self):
         for target in (1, 2, 3):
             self.end(target, HARMLESS)
         self.assertTrue(self.answer(HARMLESS))
@@ -67,7 +67,7 @@
         self.end(4, HARMLESS, at=NOW - 1)
         self.assertEqual(0, self.requests.ends_under(HARMLESS))
 
-    def test_what_was_answered_whole_takes_twice_as_many_ends(self):
+    def test_a_request_answered_completely_takes_twice_as_many_ends(self):
         self.answer(HARMLESS, at=NOW - 50)
         for target in range(5):
             self.end(target, HARMLESS)
@@ -92,7 +92,7 @@
         self.answer(HARMLESS, at=NOW + 5)
         self.assertEqual(0.0, self.held_for(HARMLESS, now=NOW + 60))
 
-    def test_one_whole_answer_does_not_let_a_request_end_targets_without_limit(self):
+    def test_one_complete_answer_does_not_let_a_request_end_targets_without_limit(self):
         self.answer(HARMFUL, at=NOW - 50)
         for target in range(MAX_ENDS):
             self.assertEqual(0.0, self.held_for())
@@ -101,7 +101,7 @@
                 self.requests.count_end(NOW)
         self.assertEqual(100.0, self.held_for())
 
-    def test_a_target_that_has_not_ended_speaks_against_nobody(self):
+    def test_a_target_that_has_not_ended_counts_against_no_request(self):
         for target in (1, 2, 3):
             self.end(target, HARMFUL, HARMLESS)
         self.requests.target_lives(2)
@@ -109,7 +109,7 @@
         self.assertEqual(0.0, self.held_for())
         self.assertEqual(2, self.requests.ends_under(HARMLESS))
 
-    def test_who_was_beside_a_harmful_one_each_time_is_not_held_back(self):
+    def test_a_request_that_ran_beside_a_harmful_one_each_time_is_not_held_back(self):
         self.end(1, HARMFUL)
         for target in (2, 3, 4):
             self.end(target, HARMFUL, HARMLESS)
@@ -126,7 +126,7 @@
         self.end(5, THIRD)
         self.assertGreater(self.held_for(THIRD), 0)
 
-    def test_what_is_told_as_proof_suffices_elsewhere(self):
+    def test_reported_proof_suffices_at_another_router(self):
         for target in range(7):
             self.end(target, HARMFUL, at=NOW + target)
         other = HarmfulRequests(SETTINGS)
@@ -135,7 +135,7 @@
         self.assertGreater(other.held_for(HARMFUL, NOW + 7), 0)
         self.assertEqual([], self.requests.proof(THIRD))
 
-    def test_many_single_ends_push_no_nearly_proved_one_out(self):
+    def test_many_single_ends_do_not_evict_a_nearly_proved_request(self):
         for target in (1, 2):
             self.end(target, HARMFUL)
         for number in range(10 * SETTINGS.remembered):
@@ -149,7 +149,7 @@
         self.assertEqual(MAX_ENDS, self.requests.ends_under(HARMFUL))
         self.assertGreater(self.held_for(now=NOW + 10 * MAX_ENDS), 0)
 
-    def test_changed_settings_hold_for_what_is_known(self):
+    def test_changed_settings_apply_to_known_ends(self):
         for target in (1, 2):
             self.end(target, HARMFUL)
         self.requests.configure(HarmSettings(ends=2, hold=50.0))
@@ -169,7 +169,7 @@
             max_size=200,
         )
     )
-    def test_drawn_reports_leave_no_trace_of_what_was_forgotten(self, reports):
+    def test_random_reports_leave_nothing_of_dropped_requests(self, reports):
         self.requests = HarmfulRequests(SETTINGS)
         answered = set()
         for kind, target, fingerprint, age in reports:
@@ -187,4 +187,4 @@
         for target in range(6):
             self.requests.target_lives(target)
         self.assertFalse(self.requests.may_hold)
-        self.assertEqual({}, self.requests._at_target)
+        self.assertEqual({}, self.requests._running_at)
