--- a/tests/request/test_cold_targets.py
+++ b/tests/request/test_cold_targets.py
@@ -1,9 +1,8 @@
-"""Cold targets: what all routers together send them in any second.
+"""Tests the bound on what all routers together send to a cold target in any second.
 
-The pattern it plays: targets that start, or come back after an evacuation, have no
-caches and nothing to do, so that every router prefers them. The bound holds for all
-routers together, without a word between them, while routers start, leave, restart,
-and go by lists that differ.
+Targets that start, or return after an evacuation, have empty caches and no load, so
+that every router prefers them. The bound holds for all routers together, without
+messages between them, while routers start, leave, restart, and use lists that differ.
 """
 
 from __future__ import annotations
@@ -36,7 +35,7 @@
 
 RATE = 10.0
 BOUND = ColdSettings(over=1.5, slack=5.0)
-MOST_A_SECOND = 20
+MAX_PER_SECOND = 20
 COLD_SECONDS = 3.0
 MODEL = Service(
     name="model",
@@ -55,7 +54,7 @@
 
 
 class Router:
-    """What one router counts."""
+    """The cold-target limits of one router."""
 
     def __init__(self, name, listed, now, *, was_listed=True):
         self.name = name
@@ -65,7 +64,7 @@
 
 
 class ColdFleet:
-    """Routers that send to cold targets whatever they are allowed to."""
+    """Routers that send to cold targets as much as they are allowed to."""
 
     def __init__(self, count, seed=1):
         targets = 3 if count <= 30 else 1
@@ -82,8 +81,8 @@
         ]
         self.arrivals = defaultdict(list)
 
-    def push(self, seconds):
-        """Have all routers try all targets, in an order of chance, all the time."""
+    def send_all_allowed(self, seconds):
+        """Have all routers send to all targets continuously, in random order."""
         until = self.now + seconds
         while self.now < until:
             routers = list(self.routers.values())
@@ -98,20 +97,20 @@
     def restart(self, name, *, was_listed=True):
         self.routers[name] = Router(name, self.listed, self.now, was_listed=was_listed)
 
-    def tell(self, listed, *hearers):
-        for name in hearers:
+    def set_routers(self, listed, *receivers):
+        for name in receivers:
             self.routers[name].shares.list_routers(listed, self.now)
 
-    def most(self):
-        """Return the most that one target got in any second."""
-        most = 0
+    def max_per_second(self):
+        """Return the maximum number of requests that one target got in any second."""
+        max_per_second = 0
         for times in self.arrivals.values():
             first = 0
             for last, at in enumerate(times):
                 while times[first] <= at - 1.0:
                     first += 1
-                most = max(most, last - first + 1)
-        return most
+                max_per_second = max(max_per_second, last - first + 1)
+        return max_per_second
 
     def rate(self):
         total = sum(len(times) for times in self.arrivals.values())
@@ -122,67 +121,84 @@
     def test_all_routers_together_keep_the_rate(self):
         for count in FLEETS:
             fleet = ColdFleet(count)
-            fleet.push(4.0)
-            self.assertTrue(fleet.most() <= MOST_A_SECOND, (count, fleet.most()))
-            # A cold target gets its rate, not nothing.
+            fleet.send_all_allowed(4.0)
+            self.assertTrue(
+                fleet.max_per_second() <= MAX_PER_SECOND,
+                (count, fleet.max_per_second()),
+            )
+            # The bound leaves a cold target most of its rate.
             self.assertTrue(fleet.rate() >= 0.85 * RATE, (count, fleet.rate()))
 
-    def test_two_halves_that_have_nothing_in_common(self):
+    def test_two_halves_with_disjoint_lists_keep_the_rate(self):
         for count in FLEETS[1:]:
             fleet = ColdFleet(count)
             halves = names(count // 2), names(count - count // 2, count // 2)
             fleet.now += 60.0
             for half in halves:
-                fleet.tell(half, *half)
+                fleet.set_routers(half, *half)
             fleet.now += SETTLING_SECONDS
-            fleet.push(3.0)
-            self.assertTrue(fleet.most() <= MOST_A_SECOND, (count, fleet.most()))
+            fleet.send_all_allowed(3.0)
+            self.assertTrue(
+                fleet.max_per_second() <= MAX_PER_SECOND,
+                (count, fleet.max_per_second()),
+            )
 
-    def test_routers_that_hear_late_of_others_that_start(self):
+    def test_routers_that_learn_late_of_others_that_start(self):
         for count in FLEETS[1:]:
             fleet = ColdFleet(count)
-            joined = fleet.listed | names(count // 2, 1000)
-            fleet.listed = joined
-            for name in sorted(joined - set(fleet.routers)):
+            all_names = fleet.listed | names(count // 2, 1000)
+            fleet.listed = all_names
+            for name in sorted(all_names - set(fleet.routers)):
                 fleet.restart(name, was_listed=False)
-            hearers = sorted(fleet.routers)
+            receivers = sorted(fleet.routers)
             for part in range(8):
-                fleet.push(0.3)
-                fleet.tell(joined, *hearers[part::8])
-            fleet.push(SETTLING_SECONDS + 1.0)
-            self.assertTrue(fleet.most() <= MOST_A_SECOND, (count, fleet.most()))
-
-    def test_routers_that_hear_late_of_others_that_leave(self):
+                fleet.send_all_allowed(0.3)
+                fleet.set_routers(all_names, *receivers[part::8])
+            fleet.send_all_allowed(SETTLING_SECONDS + 1.0)
+            self.assertTrue(
+                fleet.max_per_second() <= MAX_PER_SECOND,
+                (count, fleet.max_per_second()),
+            )
+
+    def test_routers_that_learn_late_of_others_that_leave(self):
         for count in FLEETS[1:]:
             fleet = ColdFleet(count)
             left = names(count - count // 4)
             for name in sorted(left):
                 if fleet.rng.random() < 0.5:
-                    fleet.tell(left, name)
-            fleet.push(SETTLING_SECONDS - 0.5)
-            fleet.tell(left, *left)
+                    fleet.set_routers(left, name)
+            fleet.send_all_allowed(SETTLING_SECONDS - 0.5)
+            fleet.set_routers(left, *left)
             for name in set(fleet.routers) - left:
                 del fleet.routers[name]
-            fleet.push(SETTLING_SECONDS + 2.0)
-            self.assertTrue(fleet.most() <= MOST_A_SECOND, (count, fleet.most()))
+            fleet.send_all_allowed(SETTLING_SECONDS + 2.0)
+            self.assertTrue(
+                fleet.max_per_second() <= MAX_PER_SECOND,
+                (count, fleet.max_per_second()),
+            )
 
     def test_a_quarter_of_the_routers_restarts_once_a_second(self):
         for count in FLEETS[1:]:
             fleet = ColdFleet(count)
             for _ in range(4):
-                fleet.push(1.0)
+                fleet.send_all_allowed(1.0)
                 for name in fleet.rng.sample(sorted(fleet.routers), count // 4):
                     fleet.restart(name)
-            self.assertTrue(fleet.most() <= MOST_A_SECOND, (count, fleet.most()))
+            self.assertTrue(
+                fleet.max_per_second() <= MAX_PER_SECOND,
+                (count, fleet.max_per_second()),
+            )
 
     def test_all_routers_restart_at_once(self):
         fleet = ColdFleet(30)
-        fleet.push(1.0)
+        fleet.send_all_allowed(1.0)
         for name in sorted(fleet.routers):
             fleet.restart(name)
         fleet.now += 1.0
-        fleet.push(2.0)
-        self.assertTrue(fleet.most() <= MOST_A_SECOND, fleet.most())
+        fleet.send_all_allowed(2.0)
+        self.assertTrue(
+            fleet.max_per_second() <= MAX_PER_SECOND, fleet.max_per_second()
+        )
         self.assertTrue(fleet.rate() >= 0.6 * RATE, fleet.rate())
 
 
@@ -197,7 +213,7 @@
                 owned = [share.own_tokens(key, 10, START) for share in shares]
                 self.assertEqual(10, sum(owned))
 
-    def test_what_falls_to_a_router_is_used_only_once_others_know(self):
+    def test_a_gained_token_is_used_only_once_others_know(self):
         share = RouterShares("r0")
         share.list_routers(names(2), START, was_listed=True)
         before = share.own_tokens("m1", 10, START)
@@ -206,7 +222,7 @@
         settled = START + 9 + SETTLING_SECONDS
         self.assertEqual(10, share.own_tokens("m1", 10, settled))
 
-    def test_what_falls_to_another_is_given_up_at_once(self):
+    def test_a_lost_token_is_given_up_at_once(self):
         share = RouterShares("r0")
         share.list_routers(names(1), START, was_listed=True)
         share.list_routers(names(8), START + 9)
@@ -260,25 +276,25 @@
     def is_cold(self, state, now):
         return self.router.cold.is_cold(state, now)
 
-    def test_as_long_as_its_entry_said(self):
+    def test_cold_for_as_long_as_its_entry_says(self):
         state = TargetState(target("m1", warming_for=2.0), START)
         self.assertTrue(self.is_cold(state, START + 1.9))
         self.assertFalse(self.is_cold(state, START + 2.0))
 
-    def test_again_at_any_moment(self):
+    def test_cold_again_at_any_time(self):
         state = TargetState(target("m1"), START)
         self.assertFalse(self.is_cold(state, START))
         state.told_cold(1.5, START + 50)
         self.assertTrue(self.is_cold(state, START + 51))
 
-    def test_after_its_domain_was_evacuated_before_any_entry_says_so(self):
+    def test_cold_after_its_domain_was_evacuated_before_any_entry_says_so(self):
         state = TargetState(target("m1"), START)
         state.evacuate(START + 1)
         state.take_back(START + 9)
         self.assertTrue(self.is_cold(state, START + 9 + COLD_SECONDS - 0.1))
         self.assertFalse(self.is_cold(state, START + 9 + COLD_SECONDS))
 
-    def test_after_it_could_not_be_reached(self):
+    def test_cold_after_it_could_not_be_reached(self):
         state = TargetState(target("m1"), START)
         state.unreachable(START)
         state.heard(START + 0.6)
@@ -292,8 +308,8 @@
         state.told_cold(0.0, START + 9.5)
         self.assertTrue(self.is_cold(state, START + 10))
 
-    # Guards against more than a cold target bears, sent once its entry is rewritten
-    # for another reason, or comes late.
+    # Guards against overloading a cold target once its entry is rewritten for another
+    # reason, or arrives late.
     def test_an_entry_that_is_written_again_does_not_revoke_an_answer(self):
         targets = listed(target("m1"))
         targets.state("m1").answered(head(cold_for=5.0), START)
@@ -301,7 +317,7 @@
         self.assertTrue(self.is_cold(targets.state("m1"), START + 4.9))
         self.assertFalse(self.is_cold(targets.state("m1"), START + 5.0))
 
-    # Guards against the same while the store is away and comes back.
+    # Guards against the same while the store is unavailable and returns.
     def test_an_entry_that_lapses_and_returns_does_not_revoke_an_answer(self):
         targets = listed(target("m1"))
         targets.state("m1").answered(head(cold_for=9.0), START)
@@ -318,7 +334,7 @@
         state.answered(head(cold_for=0.0), START + 1)
         self.assertFalse(self.is_cold(state, START + 1))
 
-    def test_targets_of_a_service_without_a_rate_never_are(self):
+    def test_targets_of_a_service_without_a_cold_rate_are_never_cold(self):
         state = TargetState(target("p1", "portal", warming_for=9.0), START)
         self.assertFalse(self.is_cold(state, START))
         self.assertEqual(0, self.router.cold.wait(state, START))
@@ -336,7 +352,7 @@
 
 
 class ColdCallTest(TestCase):
-    """Requests of each kind before targets of which some or all are cold."""
+    """Requests of each kind while some or all of their targets are cold."""
 
     def setUp(self):
         super().setUp()
@@ -352,37 +368,37 @@
             ChoiceSettings(), self.desk.parts, tools.rng, room=tools.room
         )
 
-    def chill(self, *targets, seconds=COLD_SECONDS):
+    def make_cold(self, *targets, seconds=COLD_SECONDS):
         for name in targets:
             self.desk.state(name).told_cold(seconds, self.desk.clock.seconds())
 
-    def sent_to(self, name):
+    def count_sent_to(self, name):
         return sum(run.name == name for run in self.desk.caller.runs)
 
     def test_work_over_its_rate_goes_to_a_warm_one(self):
-        self.chill("m1")
+        self.make_cold("m1")
         for _ in range(60):
             self.desk.call(request(STREAM))
-        self.assertLessEqual(self.sent_to("m1"), RATE)
-        self.assertGreaterEqual(self.sent_to("m2"), 50)
+        self.assertLessEqual(self.count_sent_to("m1"), RATE)
+        self.assertGreaterEqual(self.count_sent_to("m2"), 50)
 
     def test_repeats_and_resumed_streams_count(self):
-        self.chill("m1", "m2")
+        self.make_cold("m1", "m2")
         for _ in range(40):
             self.desk.call(request(STREAM))
             self.desk.caller.last.observer.run_cut("reset")
         for name in ("m1", "m2"):
-            self.assertLessEqual(self.sent_to(name), RATE)
+            self.assertLessEqual(self.count_sent_to(name), RATE)
 
     def test_a_silent_target_is_helped_by_no_cold_one_over_its_rate(self):
-        self.chill("m2", seconds=30)
+        self.make_cold("m2", seconds=30)
         for _ in range(30):
             self.desk.call(request(STREAM))
         self.desk.pass_time(1.0)
-        self.assertLessEqual(self.sent_to("m2"), 2 * RATE)
+        self.assertLessEqual(self.count_sent_to("m2"), 2 * RATE)
 
-    def test_what_can_wait_waits_for_room(self):
-        self.chill("m1", "m2", seconds=30)
+    def test_a_request_that_can_wait_waits_for_a_permit(self):
+        self.make_cold("m1", "m2", seconds=30)
         sinks = [self.desk.call(request(STREAM))[1] for _ in range(20)]
         self.desk.pass_time(0.9)
         _, late = self.desk.call(request(STREAM, now=self.desk.clock.seconds()))
@@ -392,7 +408,7 @@
         self.assertTrue(all(sink.refusal is None for sink in sinks))
 
     def test_what_cannot_be_served_in_time_is_refused_at_once_with_the_time(self):
-        self.chill("m1", "m2", seconds=30)
+        self.make_cold("m1", "m2", seconds=30)
         for _ in range(20):
             self.desk.call(request(STREAM))
         self.desk.pass_time(0.2)
@@ -403,13 +419,13 @@
 
     def test_a_router_without_a_token_says_when_they_are_warm(self):
         self.count_for("stranger", 3)
-        self.chill("m1", "m2", seconds=2.0)
+        self.make_cold("m1", "m2", seconds=2.0)
         _, sink = self.desk.call(request(STREAM))
         self.assertIs(Refusal.TARGETS_COLD, sink.refusal)
         self.assertAlmostEqual(2.0, sink.retry_after, places=2)
 
     def test_a_caller_that_leaves_while_it_waits_is_forgotten(self):
-        self.chill("m1", "m2", seconds=0.2)
+        self.make_cold("m1", "m2", seconds=0.2)
         self.count_for("stranger", 3)
         call, _ = self.desk.call(request(STREAM))
         call.caller_gone()
@@ -417,7 +433,7 @@
         self.assertEqual([], self.desk.caller.runs)
         self.assertEqual(["caller_gone"], self.desk.ended)
 
-    def test_a_target_says_so_itself(self):
+    def test_a_target_reports_itself_as_cold(self):
         self.desk.call(request(STREAM))
         run = self.desk.caller.last
         run.observer.run_head(head(cold_for=2.0))
@@ -427,13 +443,13 @@
     def test_without_patience_it_is_refused_where_it_could_have_waited(self):
         self.desk.tools.settings = ForwardSettings(cold_patience=0.0)
         self.count_for("stranger", 3)
-        self.chill("m1", "m2", seconds=0.1)
+        self.make_cold("m1", "m2", seconds=0.1)
         _, sink = self.desk.call(request(STREAM))
         self.assertIs(Refusal.TARGETS_COLD, sink.refusal)
 
     def test_plain_services_are_not_touched(self):
         self.desk.states = [TargetState(target("p1", "portal"), START)]
-        self.chill("p1")
+        self.make_cold("p1")
         for _ in range(50):
             _, sink = self.desk.call(request(LOOKUP))
             self.assertIsNone(sink.refusal)
