--- a/tests/request/test_target_statements.py
+++ b/tests/request/test_target_statements.py
@@ -1,7 +1,7 @@
-"""What targets say of themselves, and how routers return to one that has rested.
+"""Tests what targets report of themselves, and how requests return after a rest.
 
-The pattern: an overloaded target has turned requests of all routers away and asked each
-for 3 s of rest. Callers come at all routers all the while, more than the target takes.
+An overloaded target has refused requests of all routers and asked each for a rest of
+3 s. Meanwhile callers arrive at all routers, more than the target can take.
 """
 
 from __future__ import annotations
@@ -20,29 +20,29 @@
 
 START = 1000.0
 SLOTS = 64
-REST = 3.0
-# Seconds until a target that works begins to answer a request.
-ANSWERS_IN = 0.1
-# Seconds between two callers at a router.
-CALLERS_EVERY = 0.005
+REST_SECONDS = 3.0
+# Time until a working target begins to answer a request.
+ANSWER_SECONDS = 0.1
+# Time between two callers at a router.
+CALLER_INTERVAL_SECONDS = 0.005
 
 
 class ReturningFleet:
-    """Routers that were all told to rest at the same moment, the worst case."""
+    """Routers that were all asked for a rest at the same time, the worst case."""
 
     def __init__(self, routers):
         self.routers = [TargetStatements() for _ in range(routers)]
         for statements in self.routers:
-            statements.take(head(503, is_not_run=True, rest=REST), SLOTS, START)
+            statements.take(head(503, is_not_run=True, rest=REST_SECONDS), SLOTS, START)
         # Times at which requests were sent.
         self.sent = []
         self._order = itertools.count()
 
     def run(self, seconds):
-        """Have callers come at all routers, and the target answer all it gets."""
+        """Have callers arrive at all routers, and the target answer all it gets."""
         due = []
         for number, statements in enumerate(self.routers):
-            at = START + CALLERS_EVERY * number / len(self.routers)
+            at = START + CALLER_INTERVAL_SECONDS * number / len(self.routers)
             heapq.heappush(due, (at, next(self._order), "caller", statements))
         while due:
             now, _, what, statements = heapq.heappop(due)
@@ -54,9 +54,14 @@
             if not statements.wait(now):
                 statements.sent(now)
                 self.sent.append(now)
-                answer = (now + ANSWERS_IN, next(self._order), "answer", statements)
+                answer = (now + ANSWER_SECONDS, next(self._order), "answer", statements)
                 heapq.heappush(due, answer)
-            caller = (now + CALLERS_EVERY, next(self._order), "caller", statements)
+            caller = (
+                now + CALLER_INTERVAL_SECONDS,
+                next(self._order),
+                "caller",
+                statements,
+            )
             heapq.heappush(due, caller)
 
     def sent_between(self, first, last):
@@ -64,24 +69,28 @@
 
 
 class ReturnAfterRestTest(TestCase):
-    # Guards against all that was refused coming at the moment at which a rest ends.
-    def test_the_return_rises_with_what_is_answered(self):
+    # Guards against all refused requests arriving at the end of the rest.
+    def test_the_rate_rises_with_the_answers(self):
         for routers in (4, 30, 68, 300):
             fleet = ReturningFleet(routers)
-            fleet.run(REST + 1.0)
-            self.assertEqual(0, fleet.sent_between(0.0, REST))
-            # One each before the first answer, then two for each answer.
-            self.assertEqual(routers, fleet.sent_between(REST, REST + ANSWERS_IN))
-            second = fleet.sent_between(REST + ANSWERS_IN, REST + 2 * ANSWERS_IN)
+            fleet.run(REST_SECONDS + 1.0)
+            self.assertEqual(0, fleet.sent_between(0.0, REST_SECONDS))
+            # Each router sends one before the first answer, then two per answer.
+            self.assertEqual(
+                routers, fleet.sent_between(REST_SECONDS, REST_SECONDS + ANSWER_SECONDS)
+            )
+            second = fleet.sent_between(
+                REST_SECONDS + ANSWER_SECONDS, REST_SECONDS + 2 * ANSWER_SECONDS
+            )
             self.assertTrue(second <= 3 * routers, f"{second} of {routers}")
 
-    # Guards against a limit that outlasts what the target can take.
-    def test_half_a_second_later_nobody_waits(self):
+    # Guards against a limit that stays below what the target can take.
+    def test_no_caller_waits_half_a_second_later(self):
         for routers in (4, 30, 68, 300):
             fleet = ReturningFleet(routers)
-            fleet.run(REST + 1.5)
-            wanted = routers * 0.5 / CALLERS_EVERY
-            came = fleet.sent_between(REST + 1.0, REST + 1.5)
+            fleet.run(REST_SECONDS + 1.5)
+            wanted = routers * 0.5 / CALLER_INTERVAL_SECONDS
+            came = fleet.sent_between(REST_SECONDS + 1.0, REST_SECONDS + 1.5)
             self.assertTrue(came >= 0.95 * wanted, f"{came} of {wanted}")
 
 
@@ -95,20 +104,20 @@
             head(503, is_not_run=True, rest=seconds), SLOTS, now
         )
 
-    def test_only_the_first_word_of_a_rest_is_news(self):
+    def test_only_the_first_report_of_a_rest_is_new(self):
         self.assertTrue(self.rest(3.0))
         self.assertFalse(self.rest(3.0, START + 1))
         self.assertEqual(2.0, self.statements.wait(START + 2))
         self.assertTrue(self.rest(1.0, START + 5))
 
-    def test_leaving_is_news_once_and_is_never_taken_back(self):
+    def test_leaving_is_new_once_and_is_final(self):
         self.assertTrue(self.statements.take(head(is_leaving=True), SLOTS, START))
         self.assertFalse(self.statements.take(head(is_leaving=True), SLOTS, START + 1))
         self.statements.take(head(), SLOTS, START + 2)
         self.assertTrue(self.statements.is_leaving)
         self.assertEqual(START, self.statements.leaving_since)
 
-    # Guards against a target that is left for ever since its first answer was lost.
+    # Guards against never using a target again whose first answer was lost.
     def test_one_that_does_not_answer_is_asked_again(self):
         self.rest(1.0)
         self.assertEqual(0.0, self.statements.wait(START + 1))
@@ -116,15 +125,15 @@
         self.assertTrue(self.statements.wait(START + 1.5) > 0)
         self.assertEqual(0.0, self.statements.wait(START + 1 + PROBE_AGAIN_SECONDS))
 
-    # Guards against a request that was declined without a word on when to return.
-    def test_what_is_declined_makes_no_room(self):
+    # Guards against permits for a request that was declined without a rest time.
+    def test_a_declined_request_adds_no_permits(self):
         self.rest(1.0)
         self.statements.sent(START + 1)
         self.statements.take(head(503, is_not_run=True), SLOTS, START + 1.1)
         self.assertTrue(self.statements.wait(START + 1.2) > 0)
 
-    # Guards against room for answers to what was sent before the rest.
-    def test_an_answer_in_a_rest_makes_no_room(self):
+    # Guards against permits for answers to requests sent before the rest.
+    def test_an_answer_during_a_rest_adds_no_permits(self):
         self.rest(1.0)
         for number in range(90):
             self.statements.take(head(), SLOTS, START + number / 100)
@@ -134,7 +143,7 @@
 
 
 class KeptStatementsTest(TestCase):
-    """What targets said whose entries have lapsed."""
+    """Self-reports of targets whose entries have expired."""
 
     def leaving(self):
         statements = TargetStatements()
@@ -153,8 +162,8 @@
         kept.keep(life("m1"), TargetStatements(), START)
         self.assertEqual(0, len(kept))
 
-    # Guards against a memory that grows with each target that ever left.
-    def test_those_kept_first_make_room(self):
+    # Guards against memory that grows with each target that ever left.
+    def test_the_oldest_are_dropped_first(self):
         kept = KeptStatements()
         for number in range(MAX_RETAINED + 10):
             kept.keep(life(f"m{number}"), self.leaving(), START)
