--- a/tests/entry/test_prompt_homes.py
+++ b/tests/entry/test_prompt_homes.py
@@ -1,4 +1,4 @@
-"""Where a prompt is expected that nobody was told of, while targets come and go."""
+"""Tests where unreported prompts are expected while targets come and go."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         states = (TargetState(target(name), since) for name in names)
         return next(s for s in states if home_of(WANTED, [*self.states, s]) is s)
 
-    def test_who_has_just_started_takes_all_targets_for_settled(self):
+    def test_a_router_that_has_just_started_takes_all_targets_for_settled(self):
         self.assertIs(self.home, established_home(WANTED, self.states, START + 1))
         self.assertIsNone(expected_source(WANTED, self.states, self.home, START + 1))
 
@@ -70,7 +70,7 @@
             self.home, expected_source(WANTED, self.states, chosen, START + 9)
         )
 
-    def test_another_target_s_coming_moves_no_other_prompt(self):
+    def test_a_new_target_moves_no_prompts_between_others(self):
         new = self.newcomer(START + 100)
         wanted = [prompt((f"file{n}", 900), ("own", 9)) for n in range(300)]
         before = [home_of(item, self.states) for item in wanted]
@@ -98,8 +98,8 @@
     def choose(self, seed=1):
         return self.chooser(seed).choose(self.states, (), WANTED, START + 1)
 
-    def test_what_nobody_is_known_to_hold_goes_home(self):
-        # Most targets hold the beginning that many prompts share.
+    def test_a_prompt_without_known_holder_goes_home(self):
+        # Most targets hold the first part, which many prompts share.
         for state in self.states[::2]:
             self.parts.note(PartUse("terms", state.incarnation, 500, START))
         for seed in range(20):
@@ -126,7 +126,7 @@
             other.sent(START + 0.9)
         choice = self.choose()
         self.assertIs(self.home, choice.state)
-        # It may have lost it meanwhile; copying what is there costs nothing.
+        # The home may have evicted it; a copy of what it still holds costs nothing.
         self.assertIs(other, choice.fetch_from)
 
     def test_an_unreachable_home_is_no_source(self):
@@ -139,11 +139,11 @@
         self.assertIs(home_of(wanted, self.states), choice.state)
 
 
-class BeginningsTest(TestCase):
-    """Prompts of one kind: the same beginning, then one of many long parts.
+class SharedPrefixesTest(TestCase):
+    """Prompts with the same first part, followed by one of many long parts.
 
-    All targets hold the beginning, and routers that differ in what they know of
-    loads meet a new long part at the same moment.
+    All targets hold the first part, and routers that know different loads receive a
+    new long part at the same time.
     """
 
     ROUTERS = 20
@@ -157,8 +157,8 @@
         for state in self.states:
             self.parts.note(PartUse("terms", state.incarnation, 500, START))
 
-    def chosen(self, wanted):
-        """Return the targets that routers with other loads each choose."""
+    def chosen_names(self, wanted):
+        """Return the targets that routers choose that know different loads."""
         names = set()
         for number in range(self.ROUTERS):
             chooser = TargetChooser(ChoiceSettings(), self.parts, random.Random(number))
@@ -168,12 +168,12 @@
             busy.hear_router("other", 0, START + 1)
         return names
 
-    def test_a_new_rest_is_read_at_one_target_for_all_routers(self):
+    def test_all_routers_send_a_new_remainder_to_one_target(self):
         home = home_of(WANTED, self.states)
-        self.assertEqual({home.target.name}, self.chosen(WANTED))
+        self.assertEqual({home.target.name}, self.chosen_names(WANTED))
 
-    def test_a_prompt_that_is_held_whole_goes_where_it_is(self):
+    def test_a_prompt_that_is_held_completely_goes_to_its_holder(self):
         home = home_of(WANTED, self.states)
         holder = next(state for state in self.states if state is not home)
         self.parts.note(PartUse("tariffs", holder.incarnation, 10_000, START))
-        self.assertEqual({holder.target.name}, self.chosen(WANTED))
+        self.assertEqual({holder.target.name}, self.chosen_names(WANTED))
