--- a/tests/request/test_cold_targets.py
+++ b/tests/request/test_cold_targets.py
@@ -203,7 +203,7 @@
 
 
 class RouterSharesTest(TestCase):
-    def test_each_token_has_one_owner(self):
+    def test_each_permit_has_one_owner(self):
         for count in FLEETS:
             listed = names(count)
             shares = [RouterShares(name) for name in sorted(listed)]
@@ -213,7 +213,7 @@
                 owned = [share.own_tokens(key, 10, START) for share in shares]
                 self.assertEqual(10, sum(owned))
 
-    def test_a_gained_token_is_used_only_once_others_know(self):
+    def test_a_gained_permit_is_used_only_once_others_know(self):
         share = RouterShares("r0")
         share.list_routers(names(2), START, was_listed=True)
         before = share.own_tokens("m1", 10, START)
@@ -222,7 +222,7 @@
         settled = START + 9 + SETTLING_SECONDS
         self.assertEqual(10, share.own_tokens("m1", 10, settled))
 
-    def test_a_lost_token_is_given_up_at_once(self):
+    def test_a_lost_permit_is_given_up_at_once(self):
         share = RouterShares("r0")
         share.list_routers(names(1), START, was_listed=True)
         share.list_routers(names(8), START + 9)
@@ -417,7 +417,7 @@
         self.assertAlmostEqual(WINDOW_SECONDS - 0.2, sink.retry_after, places=2)
         self.assertEqual(20, len(self.desk.caller.runs))
 
-    def test_a_router_without_a_token_says_when_they_are_warm(self):
+    def test_a_router_without_a_permit_says_when_targets_are_warm(self):
         self.count_for("stranger", 3)
         self.make_cold("m1", "m2", seconds=2.0)
         _, sink = self.desk.call(request(STREAM))
