--- a/tests/entry/test_old_news.py
+++ b/tests/entry/test_stale_loads.py
@@ -1,4 +1,4 @@
-"""Many routers that hear of each other's requests late, on a virtual clock."""
+"""Tests the load bound where routers learn late of each other's requests."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 ROUTERS = 60
 TARGETS = 60
-NEWS_INTERVAL = 1.5
-FRESH_INTERVALS = 4
+REPORT_INTERVAL_SECONDS = 1.5
+VALID_INTERVALS = 4
 REQUESTS_PER_SECOND = 200.0
 REQUEST_SECONDS = 1.0
-ANSWER_AFTER = 0.05
-SETTLED_AFTER = 2.0
-ENDS_AFTER = 6.0
-MOST_OVER = 0.03
+ANSWER_SECONDS = 0.05
+COUNTED_FROM_SECONDS = 2.0
+RUN_SECONDS = 6.0
+MAX_OVER_SHARE = 0.03
 
 
 class Router:
-    """What one router knows and decides."""
+    """The knowledge and the choices of one router."""
 
     def __init__(self, number):
         self.name = str(number)
@@ -39,13 +39,13 @@
             ChoiceSettings(),
             self.parts,
             random.Random(number),
-            lambda: NEWS_INTERVAL,
+            lambda: REPORT_INTERVAL_SECONDS,
         )
         self.states = [TargetState(target(f"m{n}"), START) for n in range(TARGETS)]
 
 
-class Play:
-    """Requests that come, are answered and end, and news between routers."""
+class Simulation:
+    """Simulates requests and the load reports between routers on a virtual clock."""
 
     def __init__(self, draw_prompt):
         self.rng = random.Random(8)
@@ -62,23 +62,25 @@
 
     def run(self):
         for router in self.routers:
-            self.at(START + self.rng.random() * NEWS_INTERVAL, self.tell, router)
-        self.at(START, self.ask)
-        while self._events[0][0] < START + ENDS_AFTER:
+            self.at(
+                START + self.rng.random() * REPORT_INTERVAL_SECONDS, self.report, router
+            )
+        self.at(START, self.send_request)
+        while self._events[0][0] < START + RUN_SECONDS:
             now, _, act, arguments = heapq.heappop(self._events)
             act(now, *arguments)
         return self.over / self.sent
 
-    def tell(self, now, router):
-        fresh_until = now + FRESH_INTERVALS * NEWS_INTERVAL
+    def report(self, now, router):
+        fresh_until = now + VALID_INTERVALS * REPORT_INTERVAL_SECONDS
         for other in self.routers:
             if other is not router:
                 for mine, theirs in zip(router.states, other.states, strict=True):
                     theirs.hear_router(router.name, mine.own_running, fresh_until)
-        self.at(now + NEWS_INTERVAL, self.tell, router)
+        self.at(now + REPORT_INTERVAL_SECONDS, self.report, router)
 
-    def ask(self, now):
-        self.at(now + self.rng.expovariate(REQUESTS_PER_SECOND), self.ask)
+    def send_request(self, now):
+        self.at(now + self.rng.expovariate(REQUESTS_PER_SECOND), self.send_request)
         router = self.rng.choice(self.routers)
         wanted = self.draw_prompt(self.rng)
         state = router.chooser.choose(router.states, (), wanted, now).state
@@ -87,10 +89,10 @@
         self.total[name] += 1
         if wanted is not None:
             router.parts.note_own(state.incarnation, wanted.parts, now)
-        self.at(now + ANSWER_AFTER, self.answer, state)
+        self.at(now + ANSWER_SECONDS, self.answer, state)
         lasts = self.rng.expovariate(1 / REQUEST_SECONDS)
         self.at(now + lasts, self.end, state)
-        if now > START + SETTLED_AFTER:
+        if now > START + COUNTED_FROM_SECONDS:
             mean = sum(self.total.values()) / TARGETS
             self.sent += 1
             self.over += self.total[name] > 2 * mean + 3
@@ -103,8 +105,8 @@
         self.total[state.target.name] -= 1
 
 
-class OldNewsTest(TestCase):
-    """The bound on the load where news of others is 1.5 s old."""
+class StaleLoadReportsTest(TestCase):
+    """The load bound holds where other routers' load reports are 1.5 s old."""
 
     def test_prompts_with_few_shared_parts_stay_within_the_bound(self):
         def draw(rng):
@@ -112,7 +114,7 @@
             chat = f"chat{rng.getrandbits(32)}"
             return prompt((f"shared{shared}", 3000), (chat, 300))
 
-        self.assertLess(Play(draw).run(), MOST_OVER)
+        self.assertLess(Simulation(draw).run(), MAX_OVER_SHARE)
 
     def test_plain_requests_stay_within_the_bound(self):
-        self.assertLess(Play(lambda _: None).run(), MOST_OVER)
+        self.assertLess(Simulation(lambda _: None).run(), MAX_OVER_SHARE)
