--- a/tests/entry/test_told_counts.py
+++ b/tests/entry/test_reported_counts.py
@@ -1,4 +1,4 @@
-"""Counts that other routers told, summed while they are fresh."""
+"""Tests the sum of counts that other routers report, until they expire."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from primrosescale.request.reported_counts import ReportedCounts
 from support.drawn import drawn
 
-TOLD = st.lists(
+REPORTS = st.lists(
     st.tuples(
         st.sampled_from("abcd"),
         st.integers(0, 50),
@@ -20,15 +20,15 @@
 )
 
 
-class ToldCountsTest(TestCase):
-    def test_what_a_router_tells_replaces_what_it_told_before(self):
+class ReportedCountsTest(TestCase):
+    def test_a_report_replaces_the_previous_one_of_its_router(self):
         counts = ReportedCounts()
         counts.put("a", 3, 10.0)
         counts.put("b", 4, 10.0)
         counts.put("a", 1, 11.0)
         self.assertEqual(5, counts.total(9.0))
 
-    def test_what_is_not_told_again_stops_to_count(self):
+    def test_a_report_that_is_not_repeated_expires(self):
         counts = ReportedCounts()
         counts.put("a", 3, 10.0)
         counts.put("b", 4, 12.0)
@@ -37,12 +37,12 @@
         self.assertEqual(0, counts.total(12.1))
 
     @drawn(60)
-    @given(TOLD)
-    def test_the_sum_is_that_of_the_last_fresh_word_of_each(self, told):
-        counts, words, now = ReportedCounts(), {}, 0.0
-        for router, count, pause, fresh_for in told:
+    @given(REPORTS)
+    def test_the_sum_is_that_of_the_latest_valid_reports(self, reports):
+        counts, latest, now = ReportedCounts(), {}, 0.0
+        for router, count, pause, fresh_for in reports:
             now += pause
             counts.put(router, count, now + fresh_for)
-            words[router] = (count, now + fresh_for)
-            wanted = sum(count for count, until in words.values() if now <= until)
+            latest[router] = (count, now + fresh_for)
+            wanted = sum(count for count, until in latest.values() if now <= until)
             self.assertEqual(wanted, counts.total(now))
