--- a/tests/entry/test_allowed_regions.py
+++ b/tests/entry/test_allowed_regions.py
@@ -1,4 +1,4 @@
-"""Routes and organisations whose requests may go to some regions only."""
+"""Tests routes and organisations whose requests may go to some regions only."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
         judged = Gate(freshness, 3.0, random.Random(1)).judge(caller, b"", table, START)
         return judged.allowed_regions
 
-    def test_either_binds_and_both_do_where_both_are_told(self):
+    def test_regions_of_route_and_organisation_both_apply(self):
         none = frozenset()
         self.assertIsNone(self.allowed(none, none))
         self.assertEqual(NORTH, self.allowed(NORTH, none))
@@ -79,21 +79,21 @@
         stored = StoredObject("config/main", 1, json.dumps(fields).encode())
         return decode_routing_table(stored, regions)
 
-    def test_they_are_read(self):
+    def test_allowed_regions_are_read(self):
         table = self.decode(["north"], ["south", "north"])
         found = table.route("desk.example", "/plain/x").allowed_regions
         self.assertEqual(NORTH, found)
         self.assertEqual(NORTH | SOUTH, table.organisation("k1").allowed_regions)
 
-    def test_an_unknown_one_is_an_error_and_the_version_is_not_taken(self):
+    def test_an_unknown_region_is_an_error_and_the_version_is_not_taken(self):
         for wrong in ({"route": ["east"]}, {"organisation": ["north", "east"]}):
             error = self.assertRaises(RecordError, self.decode, **wrong)
             self.assertIn("east", str(error))
             self.assertIn("allowed_regions", str(error))
 
-    def test_odd_ones_are_errors(self):
-        for odd in ("north", [7], [""], {"north": 1}):
-            self.assertRaises(RecordError, self.decode, odd)
+    def test_malformed_regions_are_errors(self):
+        for malformed in ("north", [7], [""], {"north": 1}):
+            self.assertRaises(RecordError, self.decode, malformed)
 
     def test_where_regions_are_not_known_none_is_unknown(self):
         table = self.decode(["east"], regions=())
@@ -117,13 +117,13 @@
             self.desk.call(request(LOOKUP, allowed_regions=SOUTH))
             self.assertEqual("p3", self.desk.caller.last.name)
 
-    def test_nor_do_repeats_go_elsewhere(self):
+    def test_repeats_go_to_allowed_targets_only(self):
         _, sink = self.desk.call(request(LOOKUP, allowed_regions=SOUTH))
         self.desk.caller.last.observer.run_cut("reset")
         self.assertEqual(1, len(self.desk.caller.runs))
         self.assertIs(Refusal.CUT, sink.refusal)
 
-    def test_nor_does_the_rest_of_a_stream(self):
+    def test_a_resumed_stream_goes_to_allowed_targets_only(self):
         self.desk.call(request(STREAM, allowed_regions=NORTH))
         first = self.desk.caller.last
         first.observer.run_head(head())
@@ -132,7 +132,7 @@
         names = {run.name for run in self.desk.caller.runs}
         self.assertEqual({"m1", "m2"}, names)
 
-    def test_nor_is_a_prompt_copied_from_elsewhere(self):
+    def test_a_prompt_is_copied_from_allowed_targets_only(self):
         wanted = prompt(("tariffs", 10000), ("chat", 900))
         self.desk.parts.note(PartUse("tariffs", life("m3"), 10000, START))
         self.desk.call(request(STREAM, allowed_regions=NORTH, prompt=wanted))
