--- a/tests/entry/test_target_choice.py
+++ b/tests/entry/test_target_choice.py
@@ -1,4 +1,4 @@
-"""Loads for the choice of targets: returning chats, surges, bad targets."""
+"""Tests the choice of targets with returning chats, surges and failing targets."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         self.assertEqual("m4", self.choose(wanted).state.target.name)
         self.assertEqual(10000, self.choose(wanted).held)
 
-    def test_routers_that_know_nothing_choose_alike(self):
+    def test_routers_without_knowledge_choose_the_same_target(self):
         wanted = prompt(("tariffs", 10000), ("chat", 900))
         other = TargetChooser(ChoiceSettings(), PartDirectory(), random.Random(99))
         alike = other.choose(self.states, (), wanted, START).state.target.name
@@ -49,7 +49,7 @@
         self.parts.note(PartUse("tariffs", life("m4"), 10000, START))
         self.assertEqual(0, self.parts.held(life("m4"), wanted.parts, START))
 
-    def test_what_was_read_long_ago_is_not_relied_on(self):
+    def test_a_part_used_long_ago_is_not_relied_on(self):
         self.parts.note(PartUse("tariffs", life("m4"), 10000, START))
         wanted = prompt(("tariffs", 10000), ("chat", 900))
         later = START + MAX_USE_AGE_SECONDS + 1
@@ -74,7 +74,7 @@
             mean = sum(loads) / len(loads)
             self.assertTrue(max(loads) <= 2 * mean + 3, loads)
 
-    def test_many_routers_with_old_news_keep_a_hot_part_within_twice_the_mean(self):
+    def test_many_routers_with_stale_loads_keep_a_hot_part_within_twice_the_mean(self):
         names = [f"m{n}" for n in range(1, 28)]
         wanted = prompt(("tariffs", 10000), ("chat", 900))
         routers = []
@@ -85,14 +85,14 @@
             states = [TargetState(target(name), START) for name in names]
             routers.append((chooser, states))
         for state in (s for _, states in routers for s in states):
-            # Six requests are at every target, as news of one more router.
+            # Six requests are at every target, as reported by one more router.
             state.hear_router("others", 6, START + 99)
         total = dict.fromkeys(names, 6)
         over = 0
         for step in range(300):
             now = START + step / 45
             if step % 15 == 0:
-                self.spread_news(routers, now)
+                self.exchange_loads(routers, now)
             chooser, states = routers[step % 23]
             choice = chooser.choose(states, (), wanted, now)
             choice.state.sent(now)
@@ -101,12 +101,12 @@
             over += total[choice.state.target.name] > 2 * mean + 3
         self.assertTrue(over <= 0.03 * 300, over)
 
-    def spread_news(self, routers, now):
+    def exchange_loads(self, routers, now):
         for number, (_, states) in enumerate(routers):
             for other, (_, theirs) in enumerate(routers):
                 if other != number:
-                    for mine, told in zip(states, theirs, strict=True):
-                        mine.hear_router(str(other), told.own_running, now + 99)
+                    for mine, their in zip(states, theirs, strict=True):
+                        mine.hear_router(str(other), their.own_running, now + 99)
 
     def test_a_leaving_target_gets_nothing_but_its_cache_is_copied(self):
         self.parts.note(PartUse("tariffs", life("m4"), 10000, START))
@@ -126,7 +126,7 @@
         later = self.choose(wanted, now=START + 10)
         self.assertEqual("m4", later.state.target.name)
 
-    def test_one_that_fails_two_in_five_is_avoided(self):
+    def test_a_target_that_fails_two_in_five_is_avoided(self):
         self.parts.note(PartUse("tariffs", life("m4"), 10000, START))
         for turn in range(10):
             if turn % 5 < 2:
@@ -136,7 +136,7 @@
         choice = self.choose(prompt(("tariffs", 2000), ("chat", 90)))
         self.assertNotEqual("m4", choice.state.target.name)
 
-    def test_a_new_target_does_not_draw_all_while_most_lose_some_answers(self):
+    def test_a_new_target_does_not_get_all_requests_while_most_lose_some_answers(self):
         wanted = prompt(("tariffs", 3000), ("chat", 900))
         self.parts.note(PartUse("tariffs", life("m4"), 3000, START))
         for state in self.states:
@@ -165,7 +165,7 @@
 
 
 class PartDirectoryTest(TestCase):
-    def test_the_least_recently_used_part_is_forgotten_when_memory_is_full(self):
+    def test_the_least_recently_used_part_is_dropped_when_the_cache_is_full(self):
         parts = PartDirectory()
         parts.limit(life("m1"), 6000)
         for turn, name in enumerate(("a", "b", "a", "c")):
@@ -183,13 +183,13 @@
         parts.forget_target(life("m1"))
         self.assertEqual(0, parts.held(life("m1"), prompt(("a", 100)).parts, START))
 
-    def test_what_only_one_chat_has_is_no_news(self):
+    def test_a_part_of_one_chat_alone_is_not_reported(self):
         parts = PartDirectory()
         self.assertTrue(
             parts.note_own(life("m1"), prompt(("a", 9), ("own", 1)).parts, START)
         )
-        for told in (["a"], ["a"], []):
-            self.assertEqual(told, [use.part for use in parts.take_news()])
+        for expected in (["a"], ["a"], []):
+            self.assertEqual(expected, [use.part for use in parts.take_news()])
         self.assertFalse(
             parts.note_own(life("m1"), prompt(("a", 9), ("x", 1)).parts, START)
         )
@@ -200,20 +200,20 @@
         super().setUp()
         self.state = TargetState(target("m1"), START)
 
-    def test_the_report_counts_others_and_fades(self):
+    def test_the_load_report_counts_others_and_decays(self):
         self.state.sent(START)
         self.state.reported(LoadReport(5, 2, 8), START)
         self.assertEqual(7.0, self.state.load(START))
         self.assertEqual(1 + 3.0, self.state.load(START + 0.5))
 
-    def test_news_of_routers_counts_until_it_is_old(self):
+    def test_counts_of_routers_apply_until_they_expire(self):
         self.state.hear_router("r2", 4, START + 1)
         self.state.hear_router("r3", 2, START + 1)
         self.state.hear_router("r2", 3, START + 1)
         self.assertEqual(5.0, self.state.load(START))
         self.assertEqual(0.0, self.state.load(START + 1.1))
 
-    def test_of_two_routers_news_the_older_ends_first(self):
+    def test_of_two_routers_counts_the_older_expires_first(self):
         self.state.hear_router("r2", 4, START + 1)
         self.state.hear_router("r3", 2, START + 5)
         self.assertEqual(2.0, self.state.load(START + 1.1))
@@ -231,7 +231,7 @@
         self.state.succeeded(START + 1.9)
         self.assertFalse(self.state.is_paused(START + 1.9))
 
-    def test_outcomes_told_by_others_count(self):
+    def test_outcomes_reported_by_others_count(self):
         self.state.hear_outcomes("r2", 1.0, 7.0, START + 1)
         self.assertTrue(self.state.failure_share(START) > 0.5)
         self.assertEqual(0.0, self.state.failure_share(START + 2))
