--- a/tests/entry/test_evacuations.py
+++ b/tests/entry/test_evacuations.py
@@ -1,10 +1,8 @@
-"""A failure domain that is evacuated while callers are served, and taken back.
+"""Tests evacuating a failure domain, and ending the evacuation, under load.
 
-What was seen: the operator asked that nothing more be sent to the targets of a
-failure domain, and routers went on as before: a thousand requests in ten seconds.
-
-Cause: routers followed the configuration, the targets and each other, and nobody
-read the list of evacuations.
+Guards against routers that go on sending requests to the targets of an evacuated
+failure domain, a thousand in ten seconds, because they follow the configuration, the
+targets and each other but do not read the list of evacuations.
 """
 
 from __future__ import annotations
@@ -48,8 +46,8 @@
 from support.entry_site import router_watches
 from support.router_site import RouterSiteTest
 
-# Seconds within which routers that reach the store must have acted.
-KNOWN_WITHIN = 1.0
+# Time within which routers that reach the store must apply an evacuation.
+APPLIED_WITHIN_SECONDS = 1.0
 
 
 def listed(*domains, revision, told_by="store"):
@@ -57,14 +55,14 @@
 
 
 class EvacuationOrderTest(TestCase):
-    """The newest word counts, whoever tells it and however late."""
+    """The newest list applies, whatever its source and order of arrival."""
 
     def setUp(self):
         super().setUp()
         self.changes = []
-        self.known = Evacuations(lambda told, _: self.changes.append(told))
+        self.known = Evacuations(lambda received, _: self.changes.append(received))
 
-    def test_what_is_older_changes_nothing(self):
+    def test_an_older_list_changes_nothing(self):
         self.known.take(listed("a", revision=9), START)
         self.known.take(listed("b", revision=8), START)
         self.assertEqual({"a"}, self.known.domains)
@@ -84,7 +82,7 @@
             self.assertEqual(set(domains), self.known.domains)
         self.assertEqual(4, len(self.changes))
 
-    def test_nothing_is_told_where_nothing_was_ever_evacuated(self):
+    def test_nothing_is_reported_where_nothing_was_ever_evacuated(self):
         self.known.take(listed(revision=5), START)
         self.assertFalse(self.known.is_news)
         self.known.take(listed("a", revision=6), START)
@@ -124,7 +122,7 @@
         self.targets.put(target("m1", domain="b"), START + 1)
         self.assertEqual({"m1", "m3"}, self.taking())
 
-    def test_one_whose_entry_could_not_be_read_meanwhile_takes_none(self):
+    def test_a_target_whose_entry_could_not_be_read_meanwhile_takes_none(self):
         self.targets.drop("m1", START)
         self.targets.evacuate(frozenset("a"), START)
         self.targets.put(target("m1", domain="a"), START + 1)
@@ -238,7 +236,7 @@
 
 
 class Side:
-    """One router's news and evacuations."""
+    """The updates and the evacuations of one router."""
 
     def __init__(self, name, others, settings=None, domain="x"):
         self.name = name
@@ -259,25 +257,25 @@
 
 
 class EvacuationNewsTest(TestCase):
-    """A router that does not reach the store hears of it from the others."""
+    """A router that cannot reach the store learns of evacuations from the others."""
 
     def sides(self, count, settings=None):
         names = [f"r{n}" for n in range(count)]
         return {name: Side(name, names, settings) for name in names}
 
     def rounds(self, sides, count, now=START):
-        """Have all tell all that they tell, some rounds of 0.2 s."""
+        """Exchange all updates between all routers, in rounds of 0.2 s."""
         for number in range(count):
             at = now + 0.2 * number
-            told = [
+            sent = [
                 (router.name, message)
                 for side in sides.values()
                 for router, message in side.news.compose(1, at)
             ]
-            for name, message in told:
+            for name, message in sent:
                 sides[name].news.take(decode(encode(message)), 1, at)
 
-    def test_it_is_told_on_and_so_is_the_return(self):
+    def test_an_evacuation_and_its_end_are_passed_on(self):
         sides = self.sides(4)
         sides["r0"].evacuations.take(listed("a", revision=5), START)
         self.rounds(sides, 1)
@@ -294,14 +292,14 @@
             known = [sorted(s.evacuations.domains) for s in sides.values()]
             self.assertEqual([["a", "b"]] * count, known)
 
-    def test_a_router_that_follows_none_neither_tells_nor_takes(self):
+    def test_a_router_that_follows_none_neither_reports_nor_applies_any(self):
         sides = self.sides(2)
         sides["r0"].evacuations.take(listed("a", revision=5), START)
-        deaf = RouterNews("r1", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
-        deaf.put(OtherRouter("r0", Endpoint(LOOPBACK, 1), "x"), START)
+        unaware = RouterNews("r1", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
+        unaware.put(OtherRouter("r0", Endpoint(LOOPBACK, 1), "x"), START)
         [(_, message)] = sides["r0"].news.compose(1, START)
-        self.assertTrue(deaf.take(decode(encode(message)), 1, START))
-        [(_, message)] = deaf.compose(1, START)
+        self.assertTrue(unaware.take(decode(encode(message)), 1, START))
+        [(_, message)] = unaware.compose(1, START)
         self.assertIsNone(message.evacuated_revision)
 
 
@@ -313,7 +311,10 @@
         self.arrivals = []
         for domain in ("a", "b"):
             self.start_target_of(domain)
-        self.routers = [self.start_follower("r0"), self.start_follower("r1")]
+        self.routers = [
+            self.start_following_router("r0"),
+            self.start_following_router("r1"),
+        ]
 
     def start_target_of(self, domain):
         script = EngineScript(
@@ -322,7 +323,7 @@
         )
         self.start_target(script, zone=domain)
 
-    def start_follower(self, name):
+    def start_following_router(self, name):
         """Start a router that follows the evacuations."""
         evacuations = WatchedPrefix(records.EVACUATIONS, 5.0)
         return self.start_router(
@@ -344,25 +345,27 @@
         return {domain for at, domain in self.arrivals if at > moment}
 
     @inlineCallbacks
-    def test_nothing_is_sent_there_until_it_is_taken_back(self):
+    def test_nothing_is_sent_to_the_domain_until_its_evacuation_ends(self):
         yield self.until(lambda: all(router.is_ready for router in self.routers))
         yield self.ask_for(0.5)
         self.assertEqual({"a", "b"}, self.reached_after(0))
         self.store.write("evacuations", "a", {})
         acknowledged = reactor.seconds()
-        yield self.ask_for(KNOWN_WITHIN + 1.0)
-        self.assertEqual({"b"}, self.reached_after(acknowledged + KNOWN_WITHIN))
+        yield self.ask_for(APPLIED_WITHIN_SECONDS + 1.0)
+        self.assertEqual(
+            {"b"}, self.reached_after(acknowledged + APPLIED_WITHIN_SECONDS)
+        )
         self.store.remove("evacuations", "a")
         taken_back = reactor.seconds()
-        yield self.ask_for(KNOWN_WITHIN + 1.0)
+        yield self.ask_for(APPLIED_WITHIN_SECONDS + 1.0)
         self.assertEqual({"a", "b"}, self.reached_after(taken_back))
-        told = [said for name, said in self.events if name == "DOMAINS_EVACUATED"]
-        self.assertEqual({("a",), ()}, {tuple(said["domains"]) for said in told})
+        changes = [said for name, said in self.events if name == "DOMAINS_EVACUATED"]
+        self.assertEqual({("a",), ()}, {tuple(said["domains"]) for said in changes})
 
     @inlineCallbacks
-    def test_a_router_that_starts_meanwhile_sends_nothing_there(self):
+    def test_a_router_that_starts_meanwhile_sends_nothing_to_the_domain(self):
         self.store.write("evacuations", "a", {})
-        late = self.start_follower("r2")
+        late = self.start_following_router("r2")
         self.routers = [late]
         yield self.until(lambda: late.is_ready)
         yield self.ask_for(0.5)
