--- a/tests/support/drawn.py
+++ b/tests/support/drawn.py
@@ -1,7 +1,8 @@
-"""How drawn tests are run: the same draws every time, on machines of any speed.
+"""Defines the hypothesis settings of property-based tests.
 
-With ``DRAWN_TIMES=N`` in the environment each test draws N times as many
-examples, others in each run, as is done by hand after a change.
+Runs are deterministic and have no deadlines, so that they do not depend on the speed
+of the machine. With ``DRAWN_TIMES=N`` in the environment each test draws N times as
+many examples, different ones in each run; this is meant for manual runs after changes.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 def drawn(examples):
-    """Return the settings of a test that draws some examples."""
+    """Return the settings of a test with a number of examples."""
     return settings(
         max_examples=examples * max(1, TIMES),
         derandomize=not TIMES,
