--- a/tests/support/shrinking_fleet.py
+++ b/tests/support/shrinking_fleet.py
@@ -1,7 +1,8 @@
-"""A fleet of routers whose targets leave while callers keep coming.
+"""Simulates a fleet of routers whose targets leave under load.
 
-The pattern it plays: a service is scaled in at once. Targets that leave end what they
-have and stay for a while; some say so, of others only the entry is gone.
+A service is scaled in at once. Targets that leave complete their requests and keep
+running for some seconds; some report that they are leaving, of others only the entry
+vanishes.
 """
 
 from __future__ import annotations
@@ -11,15 +12,15 @@
 from support.router_fleet import START
 from support.router_fleet import Fleet
 
-# Seconds for which a target that leaves goes on with what it has.
-STAYS_SECONDS = 3.0
-# How targets' load may differ: the multiple of the mean and the requests above it.
+# Time for which a leaving target continues with the requests that it has.
+LEAVING_SECONDS = 3.0
+# Bound on a target's load: a multiple of the mean load, and requests on top of it.
 BOUND_MULTIPLE = 2.0
 BOUND_MARGIN = 3.0
 
 
 class ShrinkingFleet(Fleet):
-    """A fleet that counts what targets are sent over the bound, by second."""
+    """A fleet that counts requests to targets over the bound, by second."""
 
     def __init__(self, *arguments, **settings):
         super().__init__(*arguments, **settings)
@@ -33,7 +34,7 @@
         row[place] += 1
 
     def over_in(self, seconds):
-        """Return the worst share over the bound in so many seconds on end."""
+        """Return the highest share over the bound in any such number of seconds."""
         worst = 0.0
         for first in self.counts:
             rows = [self.counts.get(first + n, (0, 0, 0)) for n in range(seconds)]
@@ -43,22 +44,24 @@
         return worst
 
     def refused_share(self, first, last):
-        """Return the share of callers that were refused between two seconds."""
+        """Return the share of requests that were refused between two seconds."""
         rows = [row for second, row in self.counts.items() if first <= second < last]
         sent, refused = sum(row[0] for row in rows), sum(row[1] for row in rows)
         return refused / max(1, sent + refused)
 
-    def leave(self, names, *, is_told):
-        """Have targets leave, which each router hears of at a time of its own."""
+    def leave(self, names, *, is_reported):
+        """Have targets leave; each router learns of it after a random delay."""
         for name in names:
             for router in self.routers:
                 delay = 0.03 * self.rng.random()
-                self.clock.callLater(delay, self._hear_leave, router, name, is_told)
-            self.clock.callLater(STAYS_SECONDS, self._finish_leaving, name)
+                self.clock.callLater(
+                    delay, self._take_leaving, router, name, is_reported
+                )
+            self.clock.callLater(LEAVING_SECONDS, self._finish_leaving, name)
 
-    def _hear_leave(self, router, name, is_told):
+    def _take_leaving(self, router, name, is_reported):
         now = self.clock.seconds()
-        if is_told:
+        if is_reported:
             entry = router.targets.state(name).target
             router.targets.put(replace(entry, is_draining=True), now)
         else:
@@ -69,12 +72,12 @@
         for router in self.routers:
             router.targets.remove(name, self.clock.seconds())
 
-    def keep_house(self):
-        """Forget targets that are gone, as routers do four times a second."""
+    def drop_gone_targets(self):
+        """Drop targets that are gone, as routers do four times a second."""
         for router in self.routers:
             for incarnation in router.targets.forget_gone(self.clock.seconds()):
                 router.parts.forget_target(incarnation)
-        self.clock.callLater(0.25, self.keep_house)
+        self.clock.callLater(0.25, self.drop_gone_targets)
 
     def _arrive(self, router, state, kind, wanted, source):
         engine = self.engines.get(state.target.name)
