--- a/src/primrosescale/request/target_state.py
+++ b/src/primrosescale/request/target_state.py
@@ -31,8 +31,8 @@
 OUTCOME_HALF_LIFE_SECONDS = 2.0
 # A target that could not be reached is left out for the first pause, which doubles
 # with each further failure up to the maximum: a restart takes some seconds.
-FIRST_PAUSE_SECONDS = 0.5
-MAX_PAUSE_SECONDS = 4.0
+FIRST_UNREACHABLE_PAUSE_SECONDS = 0.5
+MAX_UNREACHABLE_PAUSE_SECONDS = 4.0
 # A working target sends to each stream many times within this time. Prefilling a long
 # prompt keeps a target silent for about as long, so that silence is a reason to try
 # other targets but no proof that this one is lost.
@@ -98,11 +98,11 @@
         "_own_requests",
         "_paused_reads",
         "_paused_until",
+        "_peer_bad",
+        "_peer_good",
+        "_peer_requests",
         "_report",
         "_reported_at",
-        "_router_bad",
-        "_router_good",
-        "_router_requests",
         "_statements",
         "_target",
     )
@@ -122,9 +122,9 @@
         self._report = LoadReport(0, 0, target.slots)
         self._reported_at = now - 60.0
         self._own_at_report = 0
-        self._router_requests = ReportedCounts()
-        self._router_good = ReportedCounts()
-        self._router_bad = ReportedCounts()
+        self._peer_requests = ReportedCounts()
+        self._peer_good = ReportedCounts()
+        self._peer_bad = ReportedCounts()
         self._outcomes = DecayingOutcomes(OUTCOME_HALF_LIFE_SECONDS, now)
         self._failed_connections = 0
         self._paused_until = 0.0
@@ -397,28 +397,28 @@
         self._own_at_report = self._own_requests
 
     def hear_router(self, router: str, running: int, fresh_until: float) -> None:
-        """Set how many requests another router has at it.
+        """Set how many requests a peer router has at it.
 
         Parameters
         ----------
         router : str
-            The other router.
+            The peer router.
         running : int
             That router's requests.
         fresh_until : float
             When this expires, in seconds.
         """
-        self._router_requests.put(router, running, fresh_until)
+        self._peer_requests.put(router, running, fresh_until)
 
     def hear_outcomes(
         self, router: str, good: float, bad: float, fresh_until: float
     ) -> None:
-        """Set the recent outcomes that another router reports.
+        """Set the recent outcomes that a peer router reports.
 
         Parameters
         ----------
         router : str
-            The other router.
+            The peer router.
         good : float
             Its good outcomes, decayed like this router's own.
         bad : float
@@ -426,14 +426,14 @@
         fresh_until : float
             When this expires, in seconds.
         """
-        self._router_good.put(router, good, fresh_until)
-        self._router_bad.put(router, bad, fresh_until)
+        self._peer_good.put(router, good, fresh_until)
+        self._peer_bad.put(router, bad, fresh_until)
 
     def load(self, now: float) -> float:
         """Return an estimate of the requests at it.
 
-        This router's own requests are known. For those of others the larger of two
-        estimates is taken: the sum of what the other routers report, and the target's
+        This router's own requests are known. For those of peers the larger of two
+        estimates is taken: the sum of what the peer routers report, and the target's
         last load report less this router's requests at that time, decaying.
 
         Parameters
@@ -451,7 +451,7 @@
         faded = others * 0.5 ** (
             (now - self._reported_at) / LOAD_REPORT_HALF_LIFE_SECONDS
         )
-        return float(self._own_requests + max(self._router_requests.total(now), faded))
+        return float(self._own_requests + max(self._peer_requests.total(now), faded))
 
     def failure_share(self, now: float) -> float:
         """Return the share of failures among recent outcomes.
@@ -467,8 +467,8 @@
             0 to 1.
         """
         own_good, own_bad = self.outcomes(now)
-        good = own_good + self._router_good.total(now)
-        bad = own_bad + self._router_bad.total(now)
+        good = own_good + self._peer_good.total(now)
+        bad = own_bad + self._peer_bad.total(now)
         return bad / (good + bad + PRIOR_GOOD_OUTCOMES)
 
     def outcomes(self, now: float) -> tuple[float, float]:
@@ -512,7 +512,7 @@
     def unreachable(self, now: float) -> None:
         """Record that no connection could be opened, or that it went silent.
 
-        This is not counted among the outcomes that other routers receive: the target
+        This is not counted among the outcomes that peer routers receive: the target
         may be unreachable from this router alone.
 
         Parameters
@@ -523,7 +523,8 @@
         if now < self._paused_until:
             return
         pause = min(
-            MAX_PAUSE_SECONDS, FIRST_PAUSE_SECONDS * 2.0**self._failed_connections
+            MAX_UNREACHABLE_PAUSE_SECONDS,
+            FIRST_UNREACHABLE_PAUSE_SECONDS * 2.0**self._failed_connections,
         )
         self._failed_connections += 1
         self._paused_until = now + pause
