--- a/src/primrosescale/request/target_room.py
+++ b/src/primrosescale/request/target_room.py
@@ -41,8 +41,7 @@
     cold : int
         Cold targets that have already received all they may for now.
     resting : int
-        Targets that asked to receive no requests for some time, or whose such rest
-        has just ended.
+        Targets in a requested pause, or whose requests are still limited after one.
     """
 
     states: list[TargetState]
@@ -65,7 +64,7 @@
         self._cold = cold
 
     def standing(self, state: TargetState, now: float) -> Standing:
-        """Return the status of a target.
+        """Return the condition of a target.
 
         Parameters
         ----------
@@ -77,7 +76,7 @@
         Returns
         -------
         Standing
-            Its status.
+            Its condition.
         """
         if state.is_leaving:
             return Standing.LEAVING
@@ -104,10 +103,10 @@
         AvailableTargets
             Those for which a request need not wait.
         """
-        rested = [state for state in states if not state.statements.wait(now)]
-        warm = rested if self._cold is None else self._cold.open(rested, now)
+        unpaused = [state for state in states if not state.statements.wait(now)]
+        warm = unpaused if self._cold is None else self._cold.open(unpaused, now)
         return AvailableTargets(
-            warm, len(rested) - len(warm), len(states) - len(rested)
+            warm, len(unpaused) - len(warm), len(states) - len(unpaused)
         )
 
     def wait(self, state: TargetState, now: float) -> float:
@@ -125,8 +124,8 @@
         float
             Seconds; 0 for now.
         """
-        rest = state.statements.wait(now)
-        return rest if self._cold is None else max(rest, self._cold.wait(state, now))
+        pause = state.statements.wait(now)
+        return pause if self._cold is None else max(pause, self._cold.wait(state, now))
 
     def shortest_wait(self, states: Iterable[TargetState], now: float) -> float | None:
         """Return after how long one of some targets may be sent a request.
--- a/src/primrosescale/request/target_statements.py
+++ b/src/primrosescale/request/target_statements.py
@@ -1,10 +1,10 @@
-"""Keeps what a target reports of itself in its answers: leaving, cold, or resting.
+"""Keeps the self-reports of targets in answers: leaving, cold, or a requested pause.
 
-No entry in the list of targets revokes such a report. While the store is unavailable,
+No entry in the list of targets revokes a self-report. While the store is unavailable,
 or a target's entry is late, its own answers are the only information on what it may
-be sent. An overloaded target may ask for a rest, some seconds without requests; the
-requests that it refused would all return at the end of the rest, so that the rate is
-raised step by step.
+be sent. An overloaded target may request a pause, some seconds without requests; the
+requests that it refused would all return at the end of the pause, so that the rate is
+raised step by step afterwards.
 """
 
 from __future__ import annotations
@@ -18,31 +18,37 @@
 
 # Unlisted targets whose self-reports are retained; the oldest are dropped first.
 MAX_RETAINED = 1000
-# A target that has not answered the requests sent to it since its rest gets another
-# one after this time.
+# A target that has not answered the requests sent to it since its requested pause gets
+# another one after this time.
 PROBE_AGAIN_SECONDS = 1.0
 # Wait before checking again a target that has received all requests it may have for
 # now.
 RECHECK_SECONDS = 0.05
-# Requests that each answer after a rest permits.
-PERMITS_PER_ANSWER = 2
+# Further requests that each answer after a requested pause allows.
+ALLOWED_PER_ANSWER = 2
 
 
 class TargetStatements:
     """What one incarnation of a target has reported of itself.
 
-    After a rest it gets one request, and two more for each that it answers, until
-    more are permitted than it can run at once; then the limit ends.
+    After a requested pause it gets one request, and two more for each that it answers,
+    until more are allowed than it can run at once; then the limit ends.
     """
 
-    __slots__ = ("_cold_until", "_leaving_since", "_permits", "_rest_until", "_sent_at")
+    __slots__ = (
+        "_allowance",
+        "_cold_until",
+        "_leaving_since",
+        "_pause_until",
+        "_sent_at",
+    )
 
     def __init__(self) -> None:
         self._cold_until = -math.inf
         self._leaving_since = -math.inf
-        self._rest_until = 0.0
-        # Requests that it may still get after its last rest; None for no limit.
-        self._permits: int | None = None
+        self._pause_until = 0.0
+        # Requests that it may still get after its last pause; None for no limit.
+        self._allowance: int | None = None
         self._sent_at = 0.0
 
     @property
@@ -62,11 +68,11 @@
 
     @property
     def is_limited(self) -> bool:
-        """Return whether its requests are limited by a present or recent rest."""
-        return self._permits is not None
+        """Return whether its requests are limited by a present or recent pause."""
+        return self._allowance is not None
 
     def hear_leaving(self, now: float) -> bool:
-        """Record that it reported leaving, to this or to another router.
+        """Record that it reported leaving, to this or to a peer router.
 
         Parameters
         ----------
@@ -109,9 +115,9 @@
         Returns
         -------
         bool
-            True until the end of its rest.
+            True until the end of its requested pause.
         """
-        return now < self._rest_until
+        return now < self._pause_until
 
     def wait(self, now: float) -> float:
         """Return after how long it may be sent a request.
@@ -126,11 +132,11 @@
         float
             Seconds; 0 for now.
         """
-        if self._permits is None:
+        if self._allowance is None:
             return 0.0
-        if now < self._rest_until:
-            return self._rest_until - now
-        if self._permits > 0 or now - self._sent_at >= PROBE_AGAIN_SECONDS:
+        if now < self._pause_until:
+            return self._pause_until - now
+        if self._allowance > 0 or now - self._sent_at >= PROBE_AGAIN_SECONDS:
             return 0.0
         return RECHECK_SECONDS
 
@@ -142,8 +148,8 @@
         now : float
             Current time in seconds.
         """
-        if self._permits is not None:
-            self._permits = max(0, self._permits - 1)
+        if self._allowance is not None:
+            self._allowance = max(0, self._allowance - 1)
             self._sent_at = now
 
     def take(self, head: AnswerHead, slots: int, now: float) -> bool:
@@ -167,20 +173,20 @@
             self._cold_until = now + head.cold_for
         is_new = head.is_leaving and self.hear_leaving(now)
         if head.rest is not None:
-            is_new = is_new or now >= self._rest_until
-            self._rest_until = max(self._rest_until, now + head.rest)
-            self._permits = 1
+            is_new = is_new or now >= self._pause_until
+            self._pause_until = max(self._pause_until, now + head.rest)
+            self._allowance = 1
         elif not head.is_not_run:
-            self._add_permits(slots, now)
+            self._raise_allowance(slots, now)
         return is_new
 
-    def _add_permits(self, slots: int, now: float) -> None:
-        """Permit more requests, for an answer that came after the rest."""
-        if self._permits is None or now < self._rest_until:
+    def _raise_allowance(self, slots: int, now: float) -> None:
+        """Allow more requests, for an answer that came after the pause."""
+        if self._allowance is None or now < self._pause_until:
             return
-        self._permits += PERMITS_PER_ANSWER
-        if self._permits > slots:
-            self._permits = None
+        self._allowance += ALLOWED_PER_ANSWER
+        if self._allowance > slots:
+            self._allowance = None
 
 
 class KeptStatements:
--- a/tests/request/test_target_statements.py
+++ b/tests/request/test_target_statements.py
@@ -1,6 +1,6 @@
-"""Tests what targets report of themselves, and how requests return after a rest.
+"""Tests self-reports of targets, and how requests return after a requested pause.
 
-An overloaded target has refused requests of all routers and asked each for a rest of
+An overloaded target has refused requests of all routers and asked each for a pause of
 3 s. Meanwhile callers arrive at all routers, more than the target can take.
 """
 
@@ -20,7 +20,7 @@
 
 START = 1000.0
 SLOTS = 64
-REST_SECONDS = 3.0
+PAUSE_SECONDS = 3.0
 # Time until a working target begins to answer a request.
 ANSWER_SECONDS = 0.1
 # Time between two callers at a router.
@@ -28,12 +28,14 @@
 
 
 class ReturningFleet:
-    """Routers that were all asked for a rest at the same time, the worst case."""
+    """Routers that were all asked for a pause at the same time, the worst case."""
 
     def __init__(self, routers):
         self.routers = [TargetStatements() for _ in range(routers)]
         for statements in self.routers:
-            statements.take(head(503, is_not_run=True, rest=REST_SECONDS), SLOTS, START)
+            statements.take(
+                head(503, is_not_run=True, rest=PAUSE_SECONDS), SLOTS, START
+            )
         # Times at which requests were sent.
         self.sent = []
         self._order = itertools.count()
@@ -68,19 +70,20 @@
         return sum(START + first <= at < START + last for at in self.sent)
 
 
-class ReturnAfterRestTest(TestCase):
-    # Guards against all refused requests arriving at the end of the rest.
+class ReturnAfterPauseTest(TestCase):
+    # Guards against all refused requests arriving at the end of the pause.
     def test_the_rate_rises_with_the_answers(self):
         for routers in (4, 30, 68, 300):
             fleet = ReturningFleet(routers)
-            fleet.run(REST_SECONDS + 1.0)
-            self.assertEqual(0, fleet.sent_between(0.0, REST_SECONDS))
+            fleet.run(PAUSE_SECONDS + 1.0)
+            self.assertEqual(0, fleet.sent_between(0.0, PAUSE_SECONDS))
             # Each router sends one before the first answer, then two per answer.
             self.assertEqual(
-                routers, fleet.sent_between(REST_SECONDS, REST_SECONDS + ANSWER_SECONDS)
+                routers,
+                fleet.sent_between(PAUSE_SECONDS, PAUSE_SECONDS + ANSWER_SECONDS),
             )
             second = fleet.sent_between(
-                REST_SECONDS + ANSWER_SECONDS, REST_SECONDS + 2 * ANSWER_SECONDS
+                PAUSE_SECONDS + ANSWER_SECONDS, PAUSE_SECONDS + 2 * ANSWER_SECONDS
             )
             self.assertTrue(second <= 3 * routers, f"{second} of {routers}")
 
@@ -88,9 +91,9 @@
     def test_no_caller_waits_half_a_second_later(self):
         for routers in (4, 30, 68, 300):
             fleet = ReturningFleet(routers)
-            fleet.run(REST_SECONDS + 1.5)
+            fleet.run(PAUSE_SECONDS + 1.5)
             wanted = routers * 0.5 / CALLER_INTERVAL_SECONDS
-            came = fleet.sent_between(REST_SECONDS + 1.0, REST_SECONDS + 1.5)
+            came = fleet.sent_between(PAUSE_SECONDS + 1.0, PAUSE_SECONDS + 1.5)
             self.assertTrue(came >= 0.95 * wanted, f"{came} of {wanted}")
 
 
@@ -99,16 +102,16 @@
         super().setUp()
         self.statements = TargetStatements()
 
-    def rest(self, seconds, now=START):
+    def request_pause(self, seconds, now=START):
         return self.statements.take(
             head(503, is_not_run=True, rest=seconds), SLOTS, now
         )
 
-    def test_only_the_first_report_of_a_rest_is_new(self):
-        self.assertTrue(self.rest(3.0))
-        self.assertFalse(self.rest(3.0, START + 1))
+    def test_only_the_first_report_of_a_pause_is_new(self):
+        self.assertTrue(self.request_pause(3.0))
+        self.assertFalse(self.request_pause(3.0, START + 1))
         self.assertEqual(2.0, self.statements.wait(START + 2))
-        self.assertTrue(self.rest(1.0, START + 5))
+        self.assertTrue(self.request_pause(1.0, START + 5))
 
     def test_leaving_is_new_once_and_is_final(self):
         self.assertTrue(self.statements.take(head(is_leaving=True), SLOTS, START))
@@ -119,22 +122,22 @@
 
     # Guards against never using a target again whose first answer was lost.
     def test_one_that_does_not_answer_is_asked_again(self):
-        self.rest(1.0)
+        self.request_pause(1.0)
         self.assertEqual(0.0, self.statements.wait(START + 1))
         self.statements.sent(START + 1)
         self.assertTrue(self.statements.wait(START + 1.5) > 0)
         self.assertEqual(0.0, self.statements.wait(START + 1 + PROBE_AGAIN_SECONDS))
 
-    # Guards against permits for a request that was declined without a rest time.
-    def test_a_declined_request_adds_no_permits(self):
-        self.rest(1.0)
+    # Guards against raising the limit for a request declined without a pause time.
+    def test_a_declined_request_does_not_raise_the_limit(self):
+        self.request_pause(1.0)
         self.statements.sent(START + 1)
         self.statements.take(head(503, is_not_run=True), SLOTS, START + 1.1)
         self.assertTrue(self.statements.wait(START + 1.2) > 0)
 
-    # Guards against permits for answers to requests sent before the rest.
-    def test_an_answer_during_a_rest_adds_no_permits(self):
-        self.rest(1.0)
+    # Guards against raising the limit for answers to requests sent before the pause.
+    def test_an_answer_during_a_pause_does_not_raise_the_limit(self):
+        self.request_pause(1.0)
         for number in range(90):
             self.statements.take(head(), SLOTS, START + number / 100)
         self.assertTrue(self.statements.is_limited)
