--- a/src/primrosescale/request/harmful_requests.py
+++ b/src/primrosescale/request/harmful_requests.py
@@ -63,18 +63,18 @@
         When targets ended while they ran it, by target.
     answered_at : float
         When it was last answered completely; 0 for never. Earlier ends don't count.
-    tried_at : float
+    trial_at : float
         When it was last sent as a trial; 0 for never.
     ended_after_answer : bool
         Whether any of the targets had answered it just before they ended.
     """
 
-    __slots__ = ("answered_at", "ended_after_answer", "ends", "tried_at")
+    __slots__ = ("answered_at", "ended_after_answer", "ends", "trial_at")
 
     def __init__(self, answered_at: float) -> None:
         self.ends: dict[int, float] = {}
         self.answered_at = answered_at
-        self.tried_at = 0.0
+        self.trial_at = 0.0
         self.ended_after_answer = False
 
     @property
@@ -204,8 +204,8 @@
         if not self.is_suspect(tried.fingerprint):
             return False
         evidence = self._evidence[tried.fingerprint]
-        is_new = tried.at > evidence.tried_at
-        evidence.tried_at = max(evidence.tried_at, tried.at)
+        is_new = tried.at > evidence.trial_at
+        evidence.trial_at = max(evidence.trial_at, tried.at)
         return is_new
 
     def is_suspect(self, fingerprint: int) -> bool:
@@ -295,7 +295,7 @@
         evidence = self._evidence.get(fingerprint)
         if evidence is None or len(evidence.ends) < self._needed(evidence):
             return 0.0
-        until = evidence.tried_at + TRY_SECONDS
+        until = evidence.trial_at + TRY_SECONDS
         if self._is_explained_by_widespread_ends(evidence, now):
             return 0.0
         if self._is_sufficient(fingerprint, evidence, now):
@@ -362,8 +362,8 @@
         if evidence.answered_at:
             # Its ends may date from a time in which many targets ended.
             return settings.hold
-        tries = len(evidence.ends) - settings.ends
-        return min(settings.longest_hold, settings.hold * HOLD_GROWTH_FACTOR**tries)
+        trials = len(evidence.ends) - settings.ends
+        return min(settings.longest_hold, settings.hold * HOLD_GROWTH_FACTOR**trials)
 
     def _is_sufficient(self, fingerprint: int, evidence: _Evidence, now: float) -> bool:
         more = len(evidence.ends) - self._needed(evidence)
