--- a/src/primrosescale/request/evacuations.py
+++ b/src/primrosescale/request/evacuations.py
@@ -32,7 +32,7 @@
     """The evacuated failure domains by the newest list from any source.
 
     Lists are ordered by the store's revision: a router that is cut off from the store
-    uses the lists that other routers report, and an older list that arrives late
+    uses the lists that peer routers report, and an older list that arrives late
     changes nothing.
 
     Parameters
--- a/src/primrosescale/request/part_directory.py
+++ b/src/primrosescale/request/part_directory.py
@@ -2,7 +2,7 @@
 
 A target does not prefill a part again that it holds, which matters for returning
 chats. The directory therefore records where parts went, from this router's own
-requests and from the reports of other routers. Targets evict the least recently used
+requests and from the reports of peer routers. Targets evict the least recently used
 parts when their cache is full, and so does the directory. Each record belongs to one
 incarnation of a target: a target that restarts holds nothing.
 """
@@ -21,7 +21,7 @@
     from primrosescale.request.incoming import PromptPart
     from primrosescale.request.target_incarnation import TargetIncarnation
 
-# Parts last used longer ago are not relied on, whatever the cache size: other routers
+# Parts last used longer ago are not relied on, whatever the cache size: peer routers
 # may have caused evictions that were not reported here.
 MAX_USE_AGE_SECONDS = 60.0
 # Share of a target's cache that is assumed to be usable. Running requests share one
@@ -30,7 +30,7 @@
 CACHE_SHARE = 1.0
 # Parts recorded for one target, also where the size of its cache is not known.
 MAX_PARTS_PER_TARGET = 4096
-# The use of a part is reported to other routers again once half of the time for which
+# The use of a part is reported to peer routers again once half of the time for which
 # they rely on it has passed: early enough to tolerate one lost datagram, and less often
 # than with each use.
 REPORT_AGAIN_SECONDS = MAX_USE_AGE_SECONDS / 2
@@ -73,9 +73,9 @@
     def __init__(self, tokens: int, used_at: float) -> None:
         self.tokens = tokens
         self.used_at = used_at
-        # Whether requests of other routers may contain it.
+        # Whether requests of peer routers may contain it.
         self.is_shared = True
-        # When its use was last reported to other routers, by this router or another.
+        # When its use was last reported to peer routers, by this router or another.
         self.reported_at = used_at
 
 
@@ -145,7 +145,7 @@
         self._capacity[target] = int(tokens * CACHE_SHARE)
 
     def note(self, use: PartUse) -> bool:
-        """Record a use that another router or the target itself reported.
+        """Record a use that a peer router or the target itself reported.
 
         Parameters
         ----------
@@ -186,7 +186,7 @@
         """Record that a request of this router went to a target.
 
         The last part belongs to the request or its chat alone and is not reported to
-        other routers. Of the shared parts, those that were not known to be there are
+        peer routers. Of the shared parts, those that were not known to be there are
         reported, and from time to time the last one, whose use implies the use of
         those before it.
 
@@ -199,7 +199,7 @@
         now : float
             Current time in seconds.
         is_expected : bool
-            Whether other routers expect the parts there without a report.
+            Whether peer routers expect the parts there without a report.
 
         Returns
         -------
@@ -250,7 +250,7 @@
     def take_unexpected(self) -> list[PartUse]:
         """Return the prompts that went elsewhere than to their homes.
 
-        Each is reported once, since the report reaches other routers by two paths,
+        Each is reported once, since the report reaches peer routers by two paths,
         by its last shared part with the names of the parts before it.
 
         Returns
--- a/src/primrosescale/request/reported_counts.py
+++ b/src/primrosescale/request/reported_counts.py
@@ -1,4 +1,4 @@
-"""Sums the counts that other routers report for a target, until they expire.
+"""Sums the counts that peer routers report for a target, until they expire.
 
 Each choice reads the sum of each target several times; adding up the routers' counts
 each time would take longer than the rest of the choice.
@@ -30,7 +30,7 @@
         Parameters
         ----------
         router : str
-            The other router.
+            The peer router.
         count : float
             That router's count.
         fresh_until : float
--- a/src/primrosescale/request/router_shares.py
+++ b/src/primrosescale/request/router_shares.py
@@ -6,9 +6,9 @@
 names, so that routers with the same list agree without messages, and routers whose
 lists differ by a few disagree on few permits.
 
-A permit that a change of the list assigns to a router is used only once the other
-routers have had time to learn of the change; one that it assigns to another router is
-given up at once. A change therefore never raises the total rate.
+A permit that a change of the list assigns to a router is used only once its peers have
+had time to learn of the change; one that it assigns to a peer router is given up at
+once. A change therefore never raises the total rate.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
         self._name = name
         self._names: frozenset[str] = frozenset()
         self._ring: TargetRing | None = None
-        # Rings that other routers may still use, each with the time until which.
+        # Rings that peer routers may still use, each with the time until which.
         self._previous_rings: list[tuple[float, TargetRing | None]] = []
         self._own_counts: dict[tuple[str, int], int] = {}
 
--- a/src/primrosescale/request/target_choice.py
+++ b/src/primrosescale/request/target_choice.py
@@ -6,11 +6,11 @@
 tokens to prefill: the tokens that no cache saves are weighed against the requests
 that the target already has.
 
-With many routers, each learns of the others' requests late. All would then choose
-the same target until the next load reports arrive, and none of them afterwards. A
+With many routers, each learns of its peers' requests late. All would then choose
+the same target until the next state updates arrive, and none of them afterwards. A
 large fleet therefore chooses among the home of a prompt (the first target by
 rendezvous hashing), the targets that are known to hold it, and two sampled at
-random. Where the load reports are older still, the home and the holders are left
+random. Where the state updates are older still, the home and the holders are left
 out above a load limit that is drawn anew for each choice.
 """
 
@@ -46,7 +46,7 @@
 # Upper bound of the random tie break; smaller than the difference that one request
 # makes.
 TIE_BREAK_REQUESTS = 0.01
-# Age of the other routers' load reports, in seconds, beyond which the target that is
+# Age of peer routers' state updates, in seconds, beyond which the target that is
 # best by them would be chosen by all routers at once.
 OLD_NEWS = 0.7
 # Targets sampled at random in that case; with more, the best of them would again be
@@ -116,17 +116,17 @@
     fetch_from : TargetState | None
         Target whose cache holds more of the prompt.
     is_home : bool
-        Whether other routers expect the prompt there without a report.
+        Whether peer routers expect the prompt there without a report.
     load : float
         Estimated number of requests at the target.
     load_age : float
-        Age of the other routers' load reports, in seconds.
+        Age of peer routers' state updates, in seconds.
     mean : float
         Mean load of the service's targets.
     passed_cold : int
         Targets passed over since they are cold and have no permit left.
     passed_resting : int
-        Targets passed over since they asked to receive no requests for some time.
+        Targets passed over since their requested pause has not ended, or has just.
     """
 
     state: TargetState
@@ -150,7 +150,7 @@
     departing : Sequence[TargetState]
         Targets that get no new requests and complete those that they have.
     age : float
-        Age of the other routers' load reports, in seconds.
+        Age of peer routers' state updates, in seconds.
     now : float
         Current time in seconds.
     """
@@ -179,7 +179,7 @@
 
     @property
     def is_stale(self) -> bool:
-        """Return whether load reports are too old to choose the best target by."""
+        """Return whether state updates are too old to choose the best target by."""
         return self.age > OLD_NEWS
 
     def of(self, state: TargetState) -> float:
@@ -199,8 +199,8 @@
     rng : Random
         Random source for ties and samples.
     news_age : Callable[[], float] | None
-        Returns how old other routers' load reports may be, in seconds; None for
-        a router without others.
+        Returns how old peer routers' state updates may be, in seconds; None for
+        a router without peers.
     relies_on_homes : Callable[[], bool]
         Returns whether there are so many routers that they report to each other
         only prompts that are elsewhere than at their homes.
@@ -396,7 +396,7 @@
     ) -> Choice:
         """Choose a target for a request without a prompt."""
         # Such requests end before the routers of a large fleet learn of them, so
-        # that the best target by the last load reports is the same for all routers.
+        # that the best target by the last state updates is the same for all routers.
         if loads.is_stale or self._relies_on_homes():
             bounded = self._sample(bounded)
         best = min(bounded, key=lambda state: self._plain_cost(state, loads, now))
--- a/tests/entry/test_reported_counts.py
+++ b/tests/entry/test_reported_counts.py
@@ -1,4 +1,4 @@
-"""Tests the sum of counts that other routers report, until they expire."""
+"""Tests the sum of counts that peer routers report, until they expire."""
 
 from __future__ import annotations
 
--- a/tests/entry/test_shrinking_fleet.py
+++ b/tests/entry/test_shrinking_fleet.py
@@ -91,14 +91,14 @@
 class ShrinkingFleetTest(TestCase):
     """Fleets of three sizes; some targets leave only by losing their entry."""
 
-    def shrink(self, routers, targets, staying, *, reported_share=0.6, domains=4):
+    def shrink(self, routers, targets, staying, *, told=0.6, domains=4):
         rate = RATE_PER_TARGET * targets
         fleet = ShrinkingFleet(routers, targets, domains, rate, SEED)
         fleet.begin()
         fleet.drop_gone_targets()
         fleet.run(WARM_SECONDS)
         names = [f"target-{number}" for number in range(staying, targets)]
-        reported = round(reported_share * len(names))
+        reported = round(told * len(names))
         fleet.leave(names[:reported], is_reported=True)
         fleet.leave(names[reported:], is_reported=False)
         fleet.run(LEAVING_SECONDS + 1.0)
@@ -122,7 +122,7 @@
 
     # Guards against counting targets without an entry as gone while they still run.
     def test_targets_that_leave_without_notice(self):
-        self.check_bound(self.shrink(29, 27, 1, reported_share=0.0))
+        self.check_bound(self.shrink(29, 27, 1, told=0.0))
 
     # Guards against refusing requests while the targets that stay have capacity.
     def test_nobody_is_refused_where_enough_targets_stay(self):
--- a/tests/entry/test_stale_loads.py
+++ b/tests/entry/test_stale_loads.py
@@ -106,7 +106,7 @@
 
 
 class StaleLoadReportsTest(TestCase):
-    """The load bound holds where other routers' load reports are 1.5 s old."""
+    """The load bound holds where peer routers' load reports are 1.5 s old."""
 
     def test_prompts_with_few_shared_parts_stay_within_the_bound(self):
         def draw(rng):
