--- a/src/primrosescale/request/reported_counts.py
+++ b/src/primrosescale/request/reported_counts.py
@@ -32,7 +32,7 @@
         router : str
             The peer router.
         count : float
-            That router's count.
+            Its count.
         fresh_until : float
             When the count expires, in seconds.
         """
