--- a/src/primrosescale/request/part_directory.py
+++ b/src/primrosescale/request/part_directory.py
@@ -207,20 +207,20 @@
             Whether any shared part was not known to be there.
         """
         any_is_new = False
-        deepest = len(parts) - 2
+        last_shared = len(parts) - 2
         for place, part in enumerate(parts):
             use = PartUse(part.name, target, part.tokens, now)
             held, was_unknown = self._note(use)
-            if place > deepest:
+            if place > last_shared:
                 held.is_shared = held.is_shared and not was_unknown
                 continue
             held.is_shared = True
             any_is_new = any_is_new or was_unknown
             is_old = now - held.reported_at >= REPORT_AGAIN_SECONDS
-            if was_unknown or (is_old and place == deepest):
+            if was_unknown or (is_old and place == last_shared):
                 held.reported_at = now
                 self._updates[(part.name, target)] = use
-                if place == deepest and not is_expected:
+                if place == last_shared and not is_expected:
                     self._note_away_from_home(use, parts)
         return any_is_new
 
@@ -228,8 +228,8 @@
         shared = parts[:-1]
         if sum(part.tokens for part in shared) >= MIN_REPORTED_TOKENS:
             before = tuple(part.name for part in shared[:-1])
-            found = replace(use, before=before)
-            self._away_from_home[(use.part, use.target)] = found
+            use_with_prefix = replace(use, before=before)
+            self._away_from_home[(use.part, use.target)] = use_with_prefix
 
     def take_news(self) -> list[PartUse]:
         """Return the uses recorded since the last call but one.
