--- a/src/primrosescale/request/target_choice.py
+++ b/src/primrosescale/request/target_choice.py
@@ -310,14 +310,16 @@
             return None
         loads = self._loads(states, serving, now)
         if self._is_crowded_by(loads):
-            usable = [state for state in usable if self._has_room(state, loads, now)]
+            usable = [
+                state for state in usable if self._has_own_capacity(state, loads, now)
+            ]
             if not usable:
                 return None
         bounded = self._within_bound(usable, loads)
         if prompt is None:
             choice = self._choose_plain(bounded, loads, now)
         else:
-            choice = self._choose_for(prompt, states, bounded, loads, now)
+            choice = self._choose_for_prompt(prompt, states, bounded, loads, now)
         if not allowed.cold and not allowed.resting:
             return choice
         return replace(choice, passed_cold=allowed.cold, passed_resting=allowed.resting)
@@ -349,7 +351,7 @@
     def _departing(
         self, states: Sequence[TargetState], serving: Sequence[TargetState], now: float
     ) -> list[TargetState]:
-        """Return targets that get no new requests and are known to still run."""
+        """Return targets that get no new requests and are assumed to still run."""
         departing = []
         if len(serving) < len(states):
             departing = [state for state in states if state.is_departing(now)]
@@ -363,7 +365,7 @@
             return False
         return loads.mean_without_departing > self._bound(loads)
 
-    def _has_room(self, state: TargetState, loads: _Loads, now: float) -> bool:
+    def _has_own_capacity(self, state: TargetState, loads: _Loads, now: float) -> bool:
         """Return whether this router may send to one of the few serving targets.
 
         All routers would see the free capacity there at once, so each keeps to its
@@ -388,8 +390,8 @@
         bounded = [state for state in usable if loads.of(state) + 1 <= bound]
         if bounded:
             return bounded
-        few = self._sample(usable) if loads.is_stale else usable
-        return [min(few, key=loads.of)]
+        candidates = self._sample(usable) if loads.is_stale else usable
+        return [min(candidates, key=loads.of)]
 
     def _choose_plain(
         self, bounded: list[TargetState], loads: _Loads, now: float
@@ -410,7 +412,7 @@
             mean=loads.mean,
         )
 
-    def _choose_for(
+    def _choose_for_prompt(
         self,
         prompt: Prompt,
         states: Sequence[TargetState],
@@ -461,13 +463,15 @@
         limit: float,
     ) -> list[TargetState]:
         """Return a random sample, and a sample of holders with load below a limit."""
-        most = max(held[state.target.name] for state in bounded)
-        if _holds_all_shared(prompt, most):
-            warm = [state for state in bounded if held[state.target.name] == most]
+        max_held = max(held[state.target.name] for state in bounded)
+        if _holds_all_shared(prompt, max_held):
+            holders = [
+                state for state in bounded if held[state.target.name] == max_held
+            ]
         else:
-            warm = [home_of(prompt, bounded)]
-        warm = [state for state in warm if loads.of(state) + 1 <= limit]
-        return self._sample(bounded) + self._sample(warm)
+            holders = [home_of(prompt, bounded)]
+        holders = [state for state in holders if loads.of(state) + 1 <= limit]
+        return self._sample(bounded) + self._sample(holders)
 
     def _plain_cost(
         self,
@@ -493,15 +497,15 @@
 
         Failures count only as far as their share exceeds `usual_failures`.
         """
-        most = max(held[state.target.name] for state in sources)
+        max_held = max(held[state.target.name] for state in sources)
         home = home_of(prompt, bounded)
-        is_known = _holds_all_shared(prompt, most)
+        is_known = _holds_all_shared(prompt, max_held)
         settings = self._settings
 
         def cost(state: TargetState) -> float:
             name = state.target.name
-            fetched = max(0, most - held[name])
-            read = prompt.prompt_tokens - max(most, held[name])
+            fetched = max(0, max_held - held[name])
+            read = prompt.prompt_tokens - max(max_held, held[name])
             total = read + fetched * settings.fetch_weight
             total += loads.of(state) * settings.tokens_per_request
             failing = max(0.0, state.failure_share(now) - usual_failures)
@@ -522,20 +526,20 @@
     ) -> TargetState | None:
         """Return the target from whose cache the chosen one may copy the prompt."""
         holder = max(sources, key=lambda state: known[state.target.name])
-        most = known[holder.target.name]
-        if self._relies_on_homes() and not _holds_all_shared(prompt, most):
+        max_held = known[holder.target.name]
+        if self._relies_on_homes() and not _holds_all_shared(prompt, max_held):
             return expected_source(prompt, sources, best, now)
-        return holder if most > known[best.target.name] else None
+        return holder if max_held > known[best.target.name] else None
 
 
-def _holds_all_shared(prompt: Prompt, most: int) -> bool:
+def _holds_all_shared(prompt: Prompt, max_held: int) -> bool:
     """Return whether a target holds all shared tokens of a prompt.
 
     Only then is the prompt preferably sent to its holders. Most targets hold the
     first tokens of most prompts; if those were enough, routers that receive the
     same new shared text at once would each have it prefilled at another target.
     """
-    return most >= max(1, shared_tokens(prompt))
+    return max_held >= max(1, shared_tokens(prompt))
 
 
 def _median_failure_share(states: Sequence[TargetState], now: float) -> float:
@@ -559,7 +563,7 @@
     A prompt goes elsewhere only when its home is loaded, and is then copied from the
     home, which therefore holds it too.
     """
-    most = max(known.values())
-    if most < shared_tokens(prompt):
+    max_held = max(known.values())
+    if max_held < shared_tokens(prompt):
         return known
-    return {**known, established_home(prompt, states, now).target.name: most}
+    return {**known, established_home(prompt, states, now).target.name: max_held}
--- a/src/primrosescale/request/target_room.py
+++ b/src/primrosescale/request/target_room.py
@@ -104,9 +104,9 @@
             Those for which a request need not wait.
         """
         unpaused = [state for state in states if not state.statements.wait(now)]
-        warm = unpaused if self._cold is None else self._cold.open(unpaused, now)
+        available = unpaused if self._cold is None else self._cold.open(unpaused, now)
         return AvailableTargets(
-            warm, len(unpaused) - len(warm), len(states) - len(unpaused)
+            available, len(unpaused) - len(available), len(states) - len(unpaused)
         )
 
     def wait(self, state: TargetState, now: float) -> float:
