--- a/tests/request/test_cold_targets.py
+++ b/tests/request/test_cold_targets.py
@@ -97,7 +97,7 @@
     def restart(self, name, *, was_listed=True):
         self.routers[name] = Router(name, self.listed, self.now, was_listed=was_listed)
 
-    def set_routers(self, listed, *receivers):
+    def update_router_lists(self, listed, *receivers):
         for name in receivers:
             self.routers[name].shares.list_routers(listed, self.now)
 
@@ -135,7 +135,7 @@
             halves = names(count // 2), names(count - count // 2, count // 2)
             fleet.now += 60.0
             for half in halves:
-                fleet.set_routers(half, *half)
+                fleet.update_router_lists(half, *half)
             fleet.now += SETTLING_SECONDS
             fleet.send_all_allowed(3.0)
             self.assertTrue(
@@ -153,7 +153,7 @@
             receivers = sorted(fleet.routers)
             for part in range(8):
                 fleet.send_all_allowed(0.3)
-                fleet.set_routers(all_names, *receivers[part::8])
+                fleet.update_router_lists(all_names, *receivers[part::8])
             fleet.send_all_allowed(SETTLING_SECONDS + 1.0)
             self.assertTrue(
                 fleet.max_per_second() <= MAX_PER_SECOND,
@@ -166,9 +166,9 @@
             left = names(count - count // 4)
             for name in sorted(left):
                 if fleet.rng.random() < 0.5:
-                    fleet.set_routers(left, name)
+                    fleet.update_router_lists(left, name)
             fleet.send_all_allowed(SETTLING_SECONDS - 0.5)
-            fleet.set_routers(left, *left)
+            fleet.update_router_lists(left, *left)
             for name in set(fleet.routers) - left:
                 del fleet.routers[name]
             fleet.send_all_allowed(SETTLING_SECONDS + 2.0)
