--- a/src/primrosescale/request/part_directory.py
+++ b/src/primrosescale/request/part_directory.py
@@ -1,10 +1,10 @@
-"""Which target holds which part of a prompt in its cache, as far as known.
+"""Estimates which target holds which parts of prompts in its prefix cache.
 
-The pattern it answers: chats that return. A part that a target has read is
-not read again there, so the directory remembers where parts went, from this
-router's own requests and from what other routers tell. Targets forget the
-least recently used parts when their memory is full, and so does the directory.
-What is known is about one incarnation of a target: one that starts again holds nothing.
+A target does not prefill a part again that it holds, which matters for returning
+chats. The directory therefore records where parts went, from this router's own
+requests and from the reports of peer routers. Targets evict the least recently used
+parts when their cache is full, and so does the directory. Each record belongs to one
+incarnation of a target: a target that restarts holds nothing.
 """
 
 from __future__ import annotations
@@ -21,39 +21,41 @@
     from primrosescale.request.incoming import PromptPart
     from primrosescale.request.target_incarnation import TargetIncarnation
 
-# Seconds. What was used longer ago is not relied on, whatever the memory: other
-# routers' use of it may have gone unheard.
-HELD_SECONDS = 60.0
-# Of a target's memory. Shared parts of running requests are held once for all,
-# and what a router does not hear of (other routers' chats) is left out here.
+# Parts last used longer ago are not relied on, whatever the cache size: peer routers
+# may have caused evictions that were not reported here.
+MAX_USE_AGE_SECONDS = 60.0
+# Share of a target's cache that is assumed to be usable. Running requests share one
+# copy of their common parts; what is not reported to a router (the chats of other
+# routers) is not counted here.
 CACHE_SHARE = 1.0
-# Parts remembered for one target whose memory is not known.
-MOST_PARTS = 4096
-# Others are told again that a part is still used once their knowledge of it has
-# lost half of its time: early enough for one lost datagram, and not with each use.
-TELL_AGAIN_SECONDS = HELD_SECONDS / 2
-# Shorter shared parts are read about as soon as they are moved; where they went is
-# not worth telling a large fleet.
-LEAST_TOLD_TOKENS = 1000
+# Parts recorded for one target, also where the size of its cache is not known.
+MAX_PARTS_PER_TARGET = 4096
+# The use of a part is reported to peer routers again once half of the time for which
+# they rely on it has passed: early enough to tolerate one lost datagram, and less often
+# than with each use.
+REPORT_AGAIN_SECONDS = MAX_USE_AGE_SECONDS / 2
+# Prefilling a shorter shared prefix takes about as long as copying it, so that its
+# place is not worth reporting in a large fleet.
+MIN_REPORTED_TOKENS = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class PartUse:
-    """That a target was given a part.
+    """Records that a target was sent a part of a prompt.
 
     Parameters
     ----------
     part : str
-        The part.
+        Name of the part.
     target : TargetIncarnation
         The incarnation of the target.
     tokens : int
-        Its length.
+        Length of the part.
     used_at : float
         When, in seconds.
     before : tuple[str, ...]
-        Parts before it, which were used with it, where they are not told
-        themselves.
+        Names of the parts before it, which were used with it, where they are not
+        reported themselves.
     """
 
     part: str
@@ -64,21 +66,21 @@
 
 
 class _HeldPart:
-    """A part that a target is taken to hold."""
+    """A part that a target is assumed to hold."""
 
-    __slots__ = ("is_shared", "tokens", "told_at", "used_at")
+    __slots__ = ("is_shared", "reported_at", "tokens", "used_at")
 
     def __init__(self, tokens: int, used_at: float) -> None:
         self.tokens = tokens
         self.used_at = used_at
-        # Whether requests of other routers may have it.
+        # Whether requests of peer routers may contain it.
         self.is_shared = True
-        # When other routers last heard of its use, from here or elsewhere.
-        self.told_at = used_at
+        # When its use was last reported to peer routers, by this router or another.
+        self.reported_at = used_at
 
 
-class _Holder:
-    """What one incarnation of a target is taken to hold, least recently used first."""
+class _HeldParts:
+    """Parts that one incarnation of a target is assumed to hold, in LRU order."""
 
     __slots__ = ("parts", "tokens")
 
@@ -87,7 +89,7 @@
         self.tokens = 0
 
     def note(self, use: PartUse, capacity: int) -> tuple[_HeldPart, bool]:
-        """Take in the use of a part; return it and whether it was not held."""
+        """Record a use; return the part, and whether it was not held before."""
         known = self.parts.get(use.part)
         if known is None:
             held = self.parts[use.part] = _HeldPart(use.tokens, use.used_at)
@@ -99,7 +101,8 @@
             self.parts.move_to_end(use.part)
         self.tokens += held.tokens
         while len(self.parts) > 1 and (
-            len(self.parts) > MOST_PARTS or (capacity and self.tokens > capacity)
+            len(self.parts) > MAX_PARTS_PER_TARGET
+            or (capacity and self.tokens > capacity)
         ):
             _, dropped = self.parts.popitem(last=False)
             self.tokens -= dropped.tokens
@@ -107,64 +110,70 @@
 
 
 class PartDirectory:
-    """Remembers which target has read which part, and when."""
+    """Records which incarnation of a target holds which parts, and their last use."""
 
-    __slots__ = ("_again", "_capacity", "_holders", "_news", "_unexpected")
+    __slots__ = (
+        "_away_from_home",
+        "_capacity",
+        "_holders",
+        "_previous_updates",
+        "_updates",
+    )
 
     def __init__(self) -> None:
-        self._again: dict[tuple[str, TargetIncarnation], PartUse] = {}
-        self._holders: dict[TargetIncarnation, _Holder] = {}
+        self._previous_updates: dict[tuple[str, TargetIncarnation], PartUse] = {}
+        self._holders: dict[TargetIncarnation, _HeldParts] = {}
         self._capacity: dict[TargetIncarnation, int] = {}
-        self._news: dict[tuple[str, TargetIncarnation], PartUse] = {}
-        # Prompts that are elsewhere than others expect them, by their deepest part.
-        self._unexpected: dict[tuple[str, TargetIncarnation], PartUse] = {}
+        self._updates: dict[tuple[str, TargetIncarnation], PartUse] = {}
+        # Prompts elsewhere than at their homes, by their last shared part.
+        self._away_from_home: dict[tuple[str, TargetIncarnation], PartUse] = {}
 
     def __len__(self) -> int:
-        """Return how many parts are known, counted for each target."""
+        """Return how many parts are recorded, summed over targets."""
         return sum(len(holder.parts) for holder in self._holders.values())
 
     def limit(self, target: TargetIncarnation, tokens: int) -> None:
-        """Take in the size of a target's memory.
+        """Set the size of a target's cache.
 
         Parameters
         ----------
-        target : str
-            The target.
+        target : TargetIncarnation
+            The incarnation of the target.
         tokens : int
-            Tokens it holds; 0 when not told.
+            Tokens that it can hold; 0 when not reported.
         """
         self._capacity[target] = int(tokens * CACHE_SHARE)
 
     def note(self, use: PartUse) -> bool:
-        """Take in that a target has a part.
+        """Record a use that a peer router or the target itself reported.
 
         Parameters
         ----------
         use : PartUse
-            The part and the target.
+            The use.
 
         Returns
         -------
         bool
-            Whether this was not known.
+            Whether the part was not known to be there.
         """
         for name in use.before:
-            # Their tokens count where they are told or sent by themselves.
+            # Their tokens are counted where they are reported or sent themselves.
             self._note(PartUse(name, use.target, 0, use.used_at))
         held, is_new = self._note(use)
-        held.told_at = max(held.told_at, use.used_at)
+        held.reported_at = max(held.reported_at, use.used_at)
         return is_new
 
     def _note(self, use: PartUse) -> tuple[_HeldPart, bool]:
         holder = self._holders.get(use.target)
         if holder is None:
-            holder = self._holders[use.target] = _Holder()
+            holder = self._holders[use.target] = _HeldParts()
         return holder.note(use, self._capacity.get(use.target, 0))
 
     @property
     def has_unexpected(self) -> bool:
-        """Tell whether a prompt went elsewhere than others expect."""
-        return bool(self._unexpected)
+        """Return whether a prompt to be reported went elsewhere than to its home."""
+        return bool(self._away_from_home)
 
     def note_own(
         self,
@@ -174,113 +183,114 @@
         *,
         is_expected: bool = False,
     ) -> bool:
-        """Take in that a request of this router went to a target.
+        """Record that a request of this router went to a target.
 
-        The last part belongs to the request or its chat alone and is no news
-        for others. Of the shared ones those that were not known to be there
-        are, and now and then the deepest, whose use tells of those before it.
+        The last part belongs to the request or its chat alone and is not reported to
+        peer routers. Of the shared parts, those that were not known to be there are
+        reported, and from time to time the last one, whose use implies the use of
+        those before it.
 
         Parameters
         ----------
-        target : str
-            The target.
+        target : TargetIncarnation
+            The incarnation of the target.
         parts : Sequence[PromptPart]
-            The request's parts.
+            The parts of the request's prompt.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         is_expected : bool
-            Whether other routers may expect the parts there untold.
+            Whether peer routers expect the parts there without a report.
 
         Returns
         -------
         bool
-            Whether some shared part was not known to be there.
+            Whether any shared part was not known to be there.
         """
-        is_news = False
-        deepest = len(parts) - 2
+        any_is_new = False
+        last_shared = len(parts) - 2
         for place, part in enumerate(parts):
             use = PartUse(part.name, target, part.tokens, now)
             held, was_unknown = self._note(use)
-            if place > deepest:
+            if place > last_shared:
                 held.is_shared = held.is_shared and not was_unknown
                 continue
             held.is_shared = True
-            is_news = is_news or was_unknown
-            is_old = now - held.told_at >= TELL_AGAIN_SECONDS
-            if was_unknown or (is_old and place == deepest):
-                held.told_at = now
-                self._news[(part.name, target)] = use
-                if place == deepest and not is_expected:
-                    self._note_unexpected(use, parts)
-        return is_news
-
-    def _note_unexpected(self, use: PartUse, parts: Sequence[PromptPart]) -> None:
+            any_is_new = any_is_new or was_unknown
+            is_old = now - held.reported_at >= REPORT_AGAIN_SECONDS
+            if was_unknown or (is_old and place == last_shared):
+                held.reported_at = now
+                self._updates[(part.name, target)] = use
+                if place == last_shared and not is_expected:
+                    self._note_away_from_home(use, parts)
+        return any_is_new
+
+    def _note_away_from_home(self, use: PartUse, parts: Sequence[PromptPart]) -> None:
         shared = parts[:-1]
-        if sum(part.tokens for part in shared) >= LEAST_TOLD_TOKENS:
+        if sum(part.tokens for part in shared) >= MIN_REPORTED_TOKENS:
             before = tuple(part.name for part in shared[:-1])
-            found = replace(use, before=before)
-            self._unexpected[(use.part, use.target)] = found
+            use_with_prefix = replace(use, before=before)
+            self._away_from_home[(use.part, use.target)] = use_with_prefix
 
     def take_news(self) -> list[PartUse]:
-        """Return what this router noted since the call before the last.
+        """Return the uses recorded since the last call but one.
 
-        All is told twice, since datagrams are lost now and then and a lost one
-        costs a prompt that is read again.
+        Each use is reported twice, since datagrams are sometimes lost and a lost one
+        causes a prompt to be prefilled again.
 
         Returns
         -------
         list[PartUse]
             Uses of shared parts.
         """
-        news, self._news = self._news, {}
-        again, self._again = self._again, news
-        self._unexpected.clear()
-        return list({**again, **news}.values())
+        current, self._updates = self._updates, {}
+        previous, self._previous_updates = self._previous_updates, current
+        self._away_from_home.clear()
+        return list({**previous, **current}.values())
 
     def take_unexpected(self) -> list[PartUse]:
-        """Return which prompts went elsewhere than others expect.
+        """Return the prompts that went elsewhere than to their homes.
 
-        Each is told once, since it goes to others by two ways, and by its
-        deepest part with the names of those before it.
+        Each is reported once, since the report reaches peer routers by two paths,
+        by its last shared part with the names of the parts before it.
 
         Returns
         -------
         list[PartUse]
-            Uses of the deepest shared parts.
+            Uses of the last shared parts.
         """
-        news, self._unexpected = self._unexpected, {}
-        self._news.clear()
-        self._again.clear()
-        return list(news.values())
+        current, self._away_from_home = self._away_from_home, {}
+        self._updates.clear()
+        self._previous_updates.clear()
+        return list(current.values())
 
     def forget_target(self, target: TargetIncarnation) -> None:
-        """Take in that an incarnation of a target has ended with all it held.
+        """Drop all records of an incarnation of a target, since it has ended.
 
         Parameters
         ----------
-        target : str
-            The target.
+        target : TargetIncarnation
+            The incarnation of the target.
         """
         self._holders.pop(target, None)
         self._capacity.pop(target, None)
-        for told in (self._news, self._unexpected, self._again):
-            for key in [key for key in told if key[1] == target]:
-                del told[key]
+        for pending in (self._updates, self._away_from_home, self._previous_updates):
+            for key in [key for key in pending if key[1] == target]:
+                del pending[key]
 
     def shared(self, target: TargetIncarnation, now: float) -> list[PartUse]:
-        """Return the parts that a target has and that any request may share.
+        """Return the parts that a target holds and that any request may share.
 
         Parameters
         ----------
         target : TargetIncarnation
             The incarnation of the target.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         list[PartUse]
-            Their last uses that are known, the least recent first.
+            Their last known uses, the least recent first.
         """
         holder = self._holders.get(target)
         if holder is None:
@@ -288,27 +298,28 @@
         return [
             PartUse(name, target, part.tokens, part.used_at)
             for name, part in holder.parts.items()
-            if part.is_shared and now - part.used_at <= HELD_SECONDS
+            if part.is_shared and now - part.used_at <= MAX_USE_AGE_SECONDS
         ]
 
     def held(
         self, target: TargetIncarnation, parts: Iterable[PromptPart], now: float
     ) -> int:
-        """Return how many leading tokens a target need not read.
+        """Return how many leading tokens of a prompt a target need not prefill.
 
         Parameters
         ----------
-        target : str
-            The target.
+        target : TargetIncarnation
+            The incarnation of the target.
         parts : Iterable[PromptPart]
-            Parts in order.
+            The parts of the prompt in order.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         int
-            Tokens of the parts up to the first that it does not have.
+            Tokens of the parts before the first that it does not hold, up to the last
+            one that was used recently.
         """
         holder = self._holders.get(target)
         if holder is None:
@@ -319,7 +330,7 @@
             if found is None:
                 break
             tokens += part.tokens
-            # A part that was used lately was used with all before it.
-            if now - found.used_at <= HELD_SECONDS:
+            # A part that was used recently was used with all parts before it.
+            if now - found.used_at <= MAX_USE_AGE_SECONDS:
                 usable = tokens
         return usable
--- a/src/primrosescale/request/target_loads.py
+++ b/src/primrosescale/request/target_loads.py
@@ -1,4 +1,4 @@
-"""Loads of targets as a router last heard them in answers and refusals."""
+"""Orders candidate targets by the loads last received in answers and refusals."""
 
 from __future__ import annotations
 
@@ -9,78 +9,78 @@
 if TYPE_CHECKING:
     from primrosescale.request.candidates import Target
 
-PAIR = 2
-LOADS_KEPT = 2048
-FRESH_FOR = 2.0
-CLOSE_LOADS = 200
+COMPARED_CANDIDATES = 2
+MAX_KNOWN_LOADS = 2048
+FRESH_SECONDS = 2.0
+CLOSE_LOAD_UNITS = 200
 
 
 @dataclass(slots=True)
-class KnownLoad:
-    """A target's load and when it was heard.
+class LoadSample:
+    """A target's load and when it was received.
 
     Parameters
     ----------
     load : int
         Work units outstanding.
-    heard_at : float
-        When, in seconds.
+    received_at : float
+        When it was received, in seconds.
     """
 
     load: int
-    heard_at: float
+    received_at: float
 
 
 class TargetLoads:
-    """Orders candidates of requests that have no cache to find.
+    """Orders the candidates of requests for which no prompt cache matters.
 
-    Of the first two candidates the less loaded goes first; where the loads
-    are close or not known lately, the one in the router's own failure domain
-    does. No message is sent for this: the loads ride on answers.
+    Of the first two candidates the less loaded goes first; where the loads are
+    close or not known recently, the one in the router's own failure domain does.
+    This takes no extra messages: loads are piggybacked on answers.
     """
 
     def __init__(self) -> None:
-        self._known: OrderedDict[str, KnownLoad] = OrderedDict()
+        self._known: OrderedDict[str, LoadSample] = OrderedDict()
 
     def __len__(self) -> int:
-        """Return how many targets' loads are kept."""
+        """Return for how many targets a load is kept."""
         return len(self._known)
 
     def hear(self, target: str, load: int, now: float) -> None:
-        """Take in a target's load.
+        """Record a target's load.
 
         Parameters
         ----------
         target : str
-            Its name.
+            Name of the target.
         load : int
             Work units outstanding.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
-        self._known[target] = KnownLoad(load, now)
+        self._known[target] = LoadSample(load, now)
         self._known.move_to_end(target)
-        if len(self._known) > LOADS_KEPT:
+        if len(self._known) > MAX_KNOWN_LOADS:
             self._known.popitem(last=False)
 
     def order(self, candidates: list[Target], domain: str, now: float) -> list[Target]:
-        """Return candidates with the better of the first two in front.
+        """Return the candidates with the better of the first two in front.
 
         Parameters
         ----------
         candidates : list[Target]
-            In the order of the ring.
+            In the order of the hash ring.
         domain : str
             The router's own failure domain.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         list[Target]
-            The same targets.
+            The same targets in the new order.
         """
-        if len(candidates) < PAIR:
+        if len(candidates) < COMPARED_CANDIDATES:
             return candidates
         first, second, *rest = candidates
         if self._goes_before(second, first, domain, now):
@@ -91,12 +91,12 @@
         load = self._load(one, now)
         other_load = self._load(other, now)
         if load is not None and other_load is not None:
-            if abs(load - other_load) > CLOSE_LOADS:
+            if abs(load - other_load) > CLOSE_LOAD_UNITS:
                 return load < other_load
         return one.domain == domain != other.domain
 
     def _load(self, target: Target, now: float) -> int | None:
         known = self._known.get(target.name)
-        if known is None or now - known.heard_at > FRESH_FOR:
+        if known is None or now - known.received_at > FRESH_SECONDS:
             return None
         return known.load
