--- a/src/primrosescale/process/configuration/section_sources.py
+++ b/src/primrosescale/process/configuration/section_sources.py
@@ -50,7 +50,7 @@
     def fetch(self, digest: str) -> Deferred[bytes | None]:
         """Ask for a section; see `SectionSource.fetch`."""
         found: Deferred[Any] = self._platform.get(section_key(digest))
-        return found.addCallbacks(_value_of, _nothing)
+        return found.addCallbacks(_value_of, _none_if_unreachable)
 
 
 class LinkSource(SectionSource):
@@ -144,6 +144,6 @@
     return None if found is None else found.value
 
 
-def _nothing(failure: Any) -> bytes | None:
+def _none_if_unreachable(failure: Any) -> bytes | None:
     failure.trap(PlatformError)
     return None
