--- a/src/primrosescale/process/configuration/version_keeper.py
+++ b/src/primrosescale/process/configuration/version_keeper.py
@@ -38,7 +38,7 @@
     from primrosescale.version.records import Record
     from primrosescale.version.section import Branch
 
-PARALLEL_PULLS = 8
+MAX_PARALLEL_PULLS = 8
 DROPPED_KEPT = 512
 
 
@@ -301,7 +301,7 @@
         """Return some sections; those not held are pulled a few at a time."""
         missing = [digest for digest in digests if self.section(digest) is None]
         if missing:
-            limit = DeferredSemaphore(PARALLEL_PULLS)
+            limit = DeferredSemaphore(MAX_PARALLEL_PULLS)
             pulls = [limit.run(self._section, d, source, gathered) for d in missing]
             yield gatherResults(pulls, consumeErrors=True).addErrback(_first_error)
         found: list[Section] = []
