--- a/src/primrosescale/process/configuration/version_keeper.py
+++ b/src/primrosescale/process/configuration/version_keeper.py
@@ -39,7 +39,7 @@
     from primrosescale.version.section import Branch
 
 MAX_PARALLEL_PULLS = 8
-DROPPED_KEPT = 512
+MAX_RECENT_SECTIONS = 512
 
 
 class SectionSource(ABC):
@@ -285,7 +285,7 @@
         self._retired = [old for old in self._retired if old.pins]
         for digest in self._sections.keys() - sections.keys():
             self._dropped[digest] = self._sections[digest]
-        while len(self._dropped) > DROPPED_KEPT:
+        while len(self._dropped) > MAX_RECENT_SECTIONS:
             self._dropped.popitem(last=False)
         self._view = view
         self._sections = sections
