--- a/src/primrosescale/process/configuration/version_keeper.py
+++ b/src/primrosescale/process/configuration/version_keeper.py
@@ -133,7 +133,7 @@
         self._view: VersionView | None = None
         self._retired: list[VersionView] = []
         self._sections: dict[str, Section] = {}
-        self._dropped: OrderedDict[str, Section] = OrderedDict()
+        self._recent_sections: OrderedDict[str, Section] = OrderedDict()
         self._is_pulling = False
         self._wanted: VersionHead = NO_HEAD
         self._pulled_bytes = 0
@@ -178,7 +178,7 @@
         Section | None
             The section, if a recent version has it.
         """
-        return self._sections.get(digest) or self._dropped.get(digest)
+        return self._sections.get(digest) or self._recent_sections.get(digest)
 
     def hear(self, head: VersionHead, source: SectionSource) -> Deferred[None]:
         """Take in an announcement and pull what it names, if it is newer.
@@ -284,9 +284,9 @@
             self._retired.append(self._view)
         self._retired = [old for old in self._retired if old.pins]
         for digest in self._sections.keys() - sections.keys():
-            self._dropped[digest] = self._sections[digest]
-        while len(self._dropped) > MAX_RECENT_SECTIONS:
-            self._dropped.popitem(last=False)
+            self._recent_sections[digest] = self._sections[digest]
+        while len(self._recent_sections) > MAX_RECENT_SECTIONS:
+            self._recent_sections.popitem(last=False)
         self._view = view
         self._sections = sections
         self._observer.adopted(view)
