--- a/src/primrosescale/process/configuration/version_keeper.py
+++ b/src/primrosescale/process/configuration/version_keeper.py
@@ -229,7 +229,7 @@
     ) -> Generator[Any, Any, None]:
         """Pull the sections not held yet, check all of them, then switch."""
         gathered: dict[str, Section] = {}
-        top = yield self._section(head.digest, source, gathered)
+        top = yield self._pull_section(head.digest, source, gathered)
         root = Root.decode(top)
         if root.version != head.version:
             raise HeadError(head.version, f"its root is of version {root.version}")
@@ -239,7 +239,7 @@
                 group = yield self._group(branch, source, gathered)
                 groups.append(group)
             elif self._needs_organisations:
-                index = yield self._section(branch.digest, source, gathered)
+                index = yield self._pull_section(branch.digest, source, gathered)
                 for part in decode_group(index):
                     group = yield self._group(part, source, gathered, is_deep=True)
                     groups.append(group)
@@ -262,7 +262,7 @@
             for digest in (old.digest, *old.indexes, *old.leaves):
                 gathered[digest] = self._sections[digest]
             return old
-        section = yield self._section(branch.digest, source, gathered)
+        section = yield self._pull_section(branch.digest, source, gathered)
         digests = [part.digest for part in decode_group(section)]
         indexes: list[str] = []
         if is_deep:
@@ -302,7 +302,9 @@
         missing = [digest for digest in digests if self.section(digest) is None]
         if missing:
             limit = DeferredSemaphore(MAX_PARALLEL_PULLS)
-            pulls = [limit.run(self._section, d, source, gathered) for d in missing]
+            pulls = [
+                limit.run(self._pull_section, d, source, gathered) for d in missing
+            ]
             yield gatherResults(pulls, consumeErrors=True).addErrback(_first_error)
         found: list[Section] = []
         for digest in digests:
@@ -314,7 +316,7 @@
         return found
 
     @inlineCallbacks
-    def _section(
+    def _pull_section(
         self,
         digest: str,
         source: SectionSource,
