--- a/src/primrosescale/process/configuration/version_keeper.py
+++ b/src/primrosescale/process/configuration/version_keeper.py
@@ -236,17 +236,17 @@
         groups: list[GroupView] = []
         for branch in root.groups:
             if branch.label != SCATTERED_KIND:
-                group = yield self._group(branch, source, gathered)
+                group = yield self._pull_group(branch, source, gathered)
                 groups.append(group)
             elif self._needs_organisations:
                 index = yield self._pull_section(branch.digest, source, gathered)
                 for part in decode_group(index):
-                    group = yield self._group(part, source, gathered, is_deep=True)
+                    group = yield self._pull_group(part, source, gathered, is_deep=True)
                     groups.append(group)
         self._switch(VersionView(head, groups), gathered)
 
     @inlineCallbacks
-    def _group(
+    def _pull_group(
         self,
         branch: Branch,
         source: SectionSource,
