--- a/src/primrosescale/process/configuration/version_keeper.py
+++ b/src/primrosescale/process/configuration/version_keeper.py
@@ -267,9 +267,9 @@
         indexes: list[str] = []
         if is_deep:
             indexes = digests
-            subgroups = yield self._gather(indexes, source, gathered)
+            subgroups = yield self._pull_sections(indexes, source, gathered)
             digests = [leaf.digest for sub in subgroups for leaf in decode_group(sub)]
-        sections = yield self._gather(digests, source, gathered)
+        sections = yield self._pull_sections(digests, source, gathered)
         known = {} if old is None else old.leaves
         leaves = {
             leaf.digest: known.get(leaf.digest) or _parse_leaf(leaf)
@@ -292,7 +292,7 @@
         self._observer.adopted(view)
 
     @inlineCallbacks
-    def _gather(
+    def _pull_sections(
         self,
         digests: list[str],
         source: SectionSource,
