--- a/src/primrosescale/process/configuration/version_keeper.py
+++ b/src/primrosescale/process/configuration/version_keeper.py
@@ -135,7 +135,7 @@
         self._sections: dict[str, Section] = {}
         self._recent_sections: OrderedDict[str, Section] = OrderedDict()
         self._is_pulling = False
-        self._wanted: VersionHead = NO_HEAD
+        self._newest_announced: VersionHead = NO_HEAD
         self._pulled_bytes = 0
         self._verified: VersionHead = NO_HEAD
 
@@ -204,8 +204,8 @@
                 self._observer.head_refused(error)
                 return succeed(None)
             self._verified = head
-        if self._check.is_newer(head, self._wanted):
-            self._wanted = head
+        if self._check.is_newer(head, self._newest_announced):
+            self._newest_announced = head
         if self._is_pulling:
             return succeed(None)
         self._is_pulling = True
