--- a/src/primrosescale/process/configuration/version_keeper.py
+++ b/src/primrosescale/process/configuration/version_keeper.py
@@ -305,7 +305,9 @@
             pulls = [
                 limit.run(self._pull_section, d, source, gathered) for d in missing
             ]
-            yield gatherResults(pulls, consumeErrors=True).addErrback(_first_error)
+            yield gatherResults(pulls, consumeErrors=True).addErrback(
+                _unwrap_first_error
+            )
         found: list[Section] = []
         for digest in digests:
             section = gathered.get(digest) or self.section(digest)
@@ -334,7 +336,7 @@
         return known
 
 
-def _first_error(failure: Failure) -> Any:
+def _unwrap_first_error(failure: Failure) -> Any:
     """Unwrap what `gatherResults` puts around the first error."""
     return getattr(failure.value, "subFailure", failure)
 
