--- a/src/primrosescale/process/configuration/version_keeper.py
+++ b/src/primrosescale/process/configuration/version_keeper.py
@@ -137,7 +137,7 @@
         self._is_pulling = False
         self._newest_announced: VersionHead = NO_HEAD
         self._pulled_bytes = 0
-        self._verified: VersionHead = NO_HEAD
+        self._verified_head: VersionHead = NO_HEAD
 
     @property
     def view(self) -> VersionView | None:
@@ -197,13 +197,13 @@
         """
         if not self._check.is_newer(head, self.head):
             return succeed(None)
-        if head != self._verified:
+        if head != self._verified_head:
             try:
                 self._check.verify(head)
             except HeadError as error:
                 self._observer.head_refused(error)
                 return succeed(None)
-            self._verified = head
+            self._verified_head = head
         if self._check.is_newer(head, self._newest_announced):
             self._newest_announced = head
         if self._is_pulling:
