--- a/src/primrosescale/process/configuration/version_keeper.py
+++ b/src/primrosescale/process/configuration/version_keeper.py
@@ -243,7 +243,7 @@
                 for part in decode_group(index):
                     group = yield self._pull_group(part, source, gathered, is_deep=True)
                     groups.append(group)
-        self._switch(VersionView(head, groups), gathered)
+        self._activate(VersionView(head, groups), gathered)
 
     @inlineCallbacks
     def _pull_group(
@@ -277,7 +277,7 @@
         }
         return GroupView(branch.label, branch.digest, leaves, indexes)
 
-    def _switch(self, view: VersionView, sections: dict[str, Section]) -> None:
+    def _activate(self, view: VersionView, sections: dict[str, Section]) -> None:
         if not self._check.is_newer(view.head, self.head):
             return
         if self._view is not None and self._view.pins:
