--- a/src/primrosescale/process/configuration/version_keeper.py
+++ b/src/primrosescale/process/configuration/version_keeper.py
@@ -228,29 +228,31 @@
         source: SectionSource,
     ) -> Generator[Any, Any, None]:
         """Pull the sections not held yet, check all of them, then switch."""
-        gathered: dict[str, Section] = {}
-        top = yield self._pull_section(head.digest, source, gathered)
+        collected: dict[str, Section] = {}
+        top = yield self._pull_section(head.digest, source, collected)
         root = Root.decode(top)
         if root.version != head.version:
             raise HeadError(head.version, f"its root is of version {root.version}")
         groups: list[GroupView] = []
         for branch in root.groups:
             if branch.label != SCATTERED_KIND:
-                group = yield self._pull_group(branch, source, gathered)
+                group = yield self._pull_group(branch, source, collected)
                 groups.append(group)
             elif self._needs_organisations:
-                index = yield self._pull_section(branch.digest, source, gathered)
+                index = yield self._pull_section(branch.digest, source, collected)
                 for part in decode_group(index):
-                    group = yield self._pull_group(part, source, gathered, is_deep=True)
+                    group = yield self._pull_group(
+                        part, source, collected, is_deep=True
+                    )
                     groups.append(group)
-        self._activate(VersionView(head, groups), gathered)
+        self._activate(VersionView(head, groups), collected)
 
     @inlineCallbacks
     def _pull_group(
         self,
         branch: Branch,
         source: SectionSource,
-        gathered: dict[str, Section],
+        collected: dict[str, Section],
         *,
         is_deep: bool = False,
     ) -> Generator[Any, Any, GroupView]:
@@ -260,16 +262,16 @@
             old = self._view.groups.get(branch.label)
         if old is not None and old.digest == branch.digest:
             for digest in (old.digest, *old.indexes, *old.leaves):
-                gathered[digest] = self._sections[digest]
+                collected[digest] = self._sections[digest]
             return old
-        section = yield self._pull_section(branch.digest, source, gathered)
+        section = yield self._pull_section(branch.digest, source, collected)
         digests = [part.digest for part in decode_group(section)]
         indexes: list[str] = []
         if is_deep:
             indexes = digests
-            subgroups = yield self._pull_sections(indexes, source, gathered)
+            subgroups = yield self._pull_sections(indexes, source, collected)
             digests = [leaf.digest for sub in subgroups for leaf in decode_group(sub)]
-        sections = yield self._pull_sections(digests, source, gathered)
+        sections = yield self._pull_sections(digests, source, collected)
         known = {} if old is None else old.leaves
         leaves = {
             leaf.digest: known.get(leaf.digest) or _parse_leaf(leaf)
@@ -296,24 +298,24 @@
         self,
         digests: list[str],
         source: SectionSource,
-        gathered: dict[str, Section],
+        collected: dict[str, Section],
     ) -> Generator[Any, Any, list[Section]]:
         """Return some sections; those not held are pulled a few at a time."""
         missing = [digest for digest in digests if self.section(digest) is None]
         if missing:
             limit = DeferredSemaphore(MAX_PARALLEL_PULLS)
             pulls = [
-                limit.run(self._pull_section, d, source, gathered) for d in missing
+                limit.run(self._pull_section, d, source, collected) for d in missing
             ]
             yield gatherResults(pulls, consumeErrors=True).addErrback(
                 _unwrap_first_error
             )
         found: list[Section] = []
         for digest in digests:
-            section = gathered.get(digest) or self.section(digest)
+            section = collected.get(digest) or self.section(digest)
             if section is None:
                 raise SourceError(digest)
-            gathered[digest] = section
+            collected[digest] = section
             found.append(section)
         return found
 
@@ -322,9 +324,9 @@
         self,
         digest: str,
         source: SectionSource,
-        gathered: dict[str, Section],
+        collected: dict[str, Section],
     ) -> Generator[Any, Any, Section]:
-        known = gathered.get(digest) or self.section(digest)
+        known = collected.get(digest) or self.section(digest)
         if known is None:
             data = yield source.fetch(digest)
             if data is None:
@@ -332,7 +334,7 @@
             known = Section(digest, data)
             known.check()
             self._pulled_bytes += len(data)
-        gathered[digest] = known
+        collected[digest] = known
         return known
 
 
