--- a/src/primrosescale/process/configuration/version_keeper.py
+++ b/src/primrosescale/process/configuration/version_keeper.py
@@ -229,8 +229,8 @@
     ) -> Generator[Any, Any, None]:
         """Pull the sections not held yet, check all of them, then switch."""
         collected: dict[str, Section] = {}
-        top = yield self._pull_section(head.digest, source, collected)
-        root = Root.decode(top)
+        root_section = yield self._pull_section(head.digest, source, collected)
+        root = Root.decode(root_section)
         if root.version != head.version:
             raise HeadError(head.version, f"its root is of version {root.version}")
         groups: list[GroupView] = []
