--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -44,7 +44,7 @@
     from primrosescale.process.ledger.ledger_bucket import LedgerSettings
     from primrosescale.process.transport.platform import Platform
 
-RETRY_PAUSE = 0.1
+RETRY_DELAY_SECONDS = 0.1
 
 
 @dataclass(slots=True, eq=False)
@@ -197,7 +197,7 @@
             return
         except PlatformError:
             bucket.is_known = False
-            bucket.written_at = self._clock.seconds() + RETRY_PAUSE
+            bucket.written_at = self._clock.seconds() + RETRY_DELAY_SECONDS
             bucket.written_at -= self._settings.write_interval
             return
         for item, decision in zip(batch, decisions, strict=True):
