--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Pending:
+class _PendingRequest:
     """A request that waits for its bucket's next update."""
 
     request: wire.ClaimRequest
@@ -60,7 +60,7 @@
     """One bucket as this writer knows it."""
 
     def __init__(self) -> None:
-        self.pending: list[_Pending] = []
+        self.pending: list[_PendingRequest] = []
         self.entries: dict[bytes, wire.LedgerEntry] = {}
         self.sealed: list[SealedIndex] = []
         self.version = MUST_NOT_EXIST
@@ -135,7 +135,7 @@
         number = bucket_of(request.key, self._settings.buckets)
         bucket = self._buckets.setdefault(number, _Bucket())
         until = self._clock.seconds() + self._settings.claim_timeout
-        pending = _Pending(request, until, Deferred())
+        pending = _PendingRequest(request, until, Deferred())
         bucket.pending.append(pending)
         if not bucket.is_busy:
             bucket.is_busy = True
@@ -176,7 +176,7 @@
             self._answer_unavailable(item)
         failure.trap(LedgerFormatError)
 
-    def _answer_unavailable(self, item: _Pending) -> None:
+    def _answer_unavailable(self, item: _PendingRequest) -> None:
         number = item.request.number
         item.result.callback(wire.ClaimReply(number, ClaimState.UNAVAILABLE))
 
@@ -256,7 +256,7 @@
     def _decide_all(
         self,
         bucket: _Bucket,
-        batch: list[_Pending],
+        batch: list[_PendingRequest],
     ) -> Generator[Any, Any, list[Decision]]:
         """Decide a batch in order, each seeing those before it."""
         now_ms = int(self._wall_clock() * MILLISECONDS)
