--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -139,10 +139,10 @@
         bucket.pending.append(pending)
         if not bucket.is_busy:
             bucket.is_busy = True
-            self._wake(number, bucket)
+            self._schedule_update(number, bucket)
         return pending.result
 
-    def _wake(self, number: int, bucket: _Bucket) -> None:
+    def _schedule_update(self, number: int, bucket: _Bucket) -> None:
         due = bucket.written_at + self._settings.write_interval
         wait = max(0.0, due - self._clock.seconds())
         self._clock.callLater(wait, self._work, number, bucket)
@@ -155,7 +155,7 @@
     def _next_round(self, result: Any, number: int, bucket: _Bucket) -> Any:
         self._drop_late(bucket)
         if bucket.pending:
-            self._wake(number, bucket)
+            self._schedule_update(number, bucket)
         else:
             bucket.is_busy = False
         return result
