--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -145,9 +145,9 @@
     def _schedule_update(self, number: int, bucket: _Bucket) -> None:
         due = bucket.written_at + self._settings.write_interval
         wait = max(0.0, due - self._clock.seconds())
-        self._clock.callLater(wait, self._work, number, bucket)
+        self._clock.callLater(wait, self._start_update, number, bucket)
 
-    def _work(self, number: int, bucket: _Bucket) -> None:
+    def _start_update(self, number: int, bucket: _Bucket) -> None:
         done = self._round(number, bucket)
         done.addErrback(self._give_up, bucket)
         done.addBoth(self._next_round, number, bucket)
