--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -148,7 +148,7 @@
         self._clock.callLater(wait, self._start_update, number, bucket)
 
     def _start_update(self, number: int, bucket: _Bucket) -> None:
-        done = self._round(number, bucket)
+        done = self._update_bucket(number, bucket)
         done.addErrback(self._give_up, bucket)
         done.addBoth(self._next_round, number, bucket)
 
@@ -181,7 +181,7 @@
         item.result.callback(wire.ClaimReply(number, ClaimState.UNAVAILABLE))
 
     @inlineCallbacks
-    def _round(self, number: int, bucket: _Bucket) -> Generator[Any, Any, None]:
+    def _update_bucket(self, number: int, bucket: _Bucket) -> Generator[Any, Any, None]:
         """Store one batch, or learn what stands in its way."""
         batch = list(bucket.pending)
         try:
