--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -150,9 +150,9 @@
     def _start_update(self, number: int, bucket: _Bucket) -> None:
         done = self._update_bucket(number, bucket)
         done.addErrback(self._give_up, bucket)
-        done.addBoth(self._next_round, number, bucket)
+        done.addBoth(self._update_ended, number, bucket)
 
-    def _next_round(self, result: Any, number: int, bucket: _Bucket) -> Any:
+    def _update_ended(self, result: Any, number: int, bucket: _Bucket) -> Any:
         self._drop_late(bucket)
         if bucket.pending:
             self._schedule_update(number, bucket)
