--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -153,14 +153,14 @@
         done.addBoth(self._update_ended, number, bucket)
 
     def _update_ended(self, result: Any, number: int, bucket: _Bucket) -> Any:
-        self._drop_late(bucket)
+        self._refuse_expired(bucket)
         if bucket.pending:
             self._schedule_update(number, bucket)
         else:
             bucket.is_busy = False
         return result
 
-    def _drop_late(self, bucket: _Bucket) -> None:
+    def _refuse_expired(self, bucket: _Bucket) -> None:
         now = self._clock.seconds()
         late = [item for item in bucket.pending if item.until <= now]
         for item in late:
