--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -149,7 +149,7 @@
 
     def _start_update(self, number: int, bucket: _Bucket) -> None:
         done = self._update_bucket(number, bucket)
-        done.addErrback(self._give_up, bucket)
+        done.addErrback(self._refuse_pending, bucket)
         done.addBoth(self._update_ended, number, bucket)
 
     def _update_ended(self, result: Any, number: int, bucket: _Bucket) -> Any:
@@ -167,7 +167,7 @@
             bucket.pending.remove(item)
             self._answer_unavailable(item)
 
-    def _give_up(self, failure: Any, bucket: _Bucket) -> None:
+    def _refuse_pending(self, failure: Any, bucket: _Bucket) -> None:
         """Refuse what waits when the bucket cannot be read; read it anew then."""
         bucket.is_known = False
         bucket.sealed = []
