--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -188,7 +188,7 @@
             if not self._has_layout:
                 yield self._check_layout()
             if not bucket.is_known:
-                yield self._load(number, bucket)
+                yield self._load_tail(number, bucket)
             decisions = yield self._decide_all(bucket, batch)
             yield self._store(number, bucket, decisions)
         except (PlatformConflictError, PlatformAnswerLostError):
@@ -223,7 +223,7 @@
         self._has_layout = True
 
     @inlineCallbacks
-    def _load(self, number: int, bucket: _Bucket) -> Generator[Any, Any, None]:
+    def _load_tail(self, number: int, bucket: _Bucket) -> Generator[Any, Any, None]:
         """Read the tail, and sealed segments not known yet."""
         name = tail_name(number, self._settings.buckets)
         found = yield self._platform.get(name)
