--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -190,7 +190,7 @@
             if not bucket.is_known:
                 yield self._load_tail(number, bucket)
             decisions = yield self._decide_all(bucket, batch)
-            yield self._store(number, bucket, decisions)
+            yield self._write_decisions(number, bucket, decisions)
         except (PlatformConflictError, PlatformAnswerLostError):
             bucket.is_known = False
             bucket.written_at = self._clock.seconds() - self._settings.write_interval
@@ -292,7 +292,7 @@
         return None
 
     @inlineCallbacks
-    def _store(
+    def _write_decisions(
         self,
         number: int,
         bucket: _Bucket,
