--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -64,7 +64,7 @@
         self.entries: dict[bytes, wire.LedgerEntry] = {}
         self.sealed: list[SealedIndex] = []
         self.version = MUST_NOT_EXIST
-        self.is_known = False
+        self.is_loaded = False
         self.is_busy = False
         self.written_at = -1.0e9
 
@@ -169,7 +169,7 @@
 
     def _refuse_pending(self, failure: Any, bucket: _Bucket) -> None:
         """Refuse what waits when the bucket cannot be read; read it anew then."""
-        bucket.is_known = False
+        bucket.is_loaded = False
         bucket.sealed = []
         waiting, bucket.pending = bucket.pending, []
         for item in waiting:
@@ -187,16 +187,16 @@
         try:
             if not self._has_layout:
                 yield self._check_layout()
-            if not bucket.is_known:
+            if not bucket.is_loaded:
                 yield self._load_tail(number, bucket)
             decisions = yield self._decide_all(bucket, batch)
             yield self._write_decisions(number, bucket, decisions)
         except (PlatformConflictError, PlatformAnswerLostError):
-            bucket.is_known = False
+            bucket.is_loaded = False
             bucket.written_at = self._clock.seconds() - self._settings.write_interval
             return
         except PlatformError:
-            bucket.is_known = False
+            bucket.is_loaded = False
             bucket.written_at = self._clock.seconds() + RETRY_DELAY_SECONDS
             bucket.written_at -= self._settings.write_interval
             return
@@ -230,7 +230,7 @@
         if found is None:
             bucket.entries, bucket.sealed = {}, []
             bucket.version = MUST_NOT_EXIST
-            bucket.is_known = True
+            bucket.is_loaded = True
             return
         segment = decode_segment(name, found.value)
         known = {index.name: index for index in bucket.sealed}
@@ -243,7 +243,7 @@
         bucket.entries = {entry.key: entry for entry in segment.entries}
         bucket.sealed = sealed
         bucket.version = found.version
-        bucket.is_known = True
+        bucket.is_loaded = True
 
     @inlineCallbacks
     def _load_sealed(self, name: str) -> Generator[Any, Any, SealedIndex]:
