--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -65,7 +65,7 @@
         self.sealed: list[SealedIndex] = []
         self.version = MUST_NOT_EXIST
         self.is_loaded = False
-        self.is_busy = False
+        self.is_updating = False
         self.written_at = -1.0e9
 
 
@@ -137,8 +137,8 @@
         until = self._clock.seconds() + self._settings.claim_timeout
         pending = _PendingRequest(request, until, Deferred())
         bucket.pending.append(pending)
-        if not bucket.is_busy:
-            bucket.is_busy = True
+        if not bucket.is_updating:
+            bucket.is_updating = True
             self._schedule_update(number, bucket)
         return pending.result
 
@@ -157,7 +157,7 @@
         if bucket.pending:
             self._schedule_update(number, bucket)
         else:
-            bucket.is_busy = False
+            bucket.is_updating = False
         return result
 
     def _refuse_expired(self, bucket: _Bucket) -> None:
