--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -162,8 +162,8 @@
 
     def _refuse_expired(self, bucket: _Bucket) -> None:
         now = self._clock.seconds()
-        late = [item for item in bucket.pending if item.until <= now]
-        for item in late:
+        expired = [item for item in bucket.pending if item.until <= now]
+        for item in expired:
             bucket.pending.remove(item)
             self._answer_unavailable(item)
 
