--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -301,14 +301,14 @@
         staged = [d.entry for d in decisions if d.entry is not None]
         if not staged:
             return
-        dropped: list[SealedIndex] = []
+        unreferenced: list[SealedIndex] = []
         entries = dict(bucket.entries)
         entries.update({entry.key: entry for entry in staged})
         sealed = list(bucket.sealed)
         if self._is_full(bucket):
             index = yield self._seal(number, bucket)
             sealed = self._retained([*sealed, index])
-            dropped = [old for old in bucket.sealed if old not in sealed]
+            unreferenced = [old for old in bucket.sealed if old not in sealed]
             entries = {entry.key: entry for entry in staged}
         names = [index.name for index in sealed]
         segment = wire.LedgerSegment(FORMAT, list(entries.values()), names)
@@ -324,7 +324,7 @@
         bucket.entries = entries
         bucket.sealed = sealed
         # Only now does no tail name them any more.
-        for index in dropped:
+        for index in unreferenced:
             self._platform.delete(index.name).addErrback(_ignore_outage)
 
     def _is_full(self, bucket: _Bucket) -> bool:
