--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -213,11 +213,11 @@
         Two that do not would look for one key in two places and grant it
         twice, so the first writer of a ledger writes the number down.
         """
-        wanted = str(self._settings.buckets).encode()
+        expected = str(self._settings.buckets).encode()
         found = yield self._platform.get(LAYOUT_NAME)
         if found is None:
-            yield self._platform.put(LAYOUT_NAME, wanted, MUST_NOT_EXIST)
-        elif found.value != wanted:
+            yield self._platform.put(LAYOUT_NAME, expected, MUST_NOT_EXIST)
+        elif found.value != expected:
             detail = f"it has {found.value.decode()} buckets, [ledger] buckets differs"
             raise LedgerFormatError(LAYOUT_NAME, detail)
         self._has_layout = True
