--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -349,8 +349,8 @@
 
 
 def _size_of(entry: wire.LedgerEntry) -> int:
-    fixed = 64
-    return fixed + (len(entry.answer.body) + fixed if entry.answer else 0)
+    overhead = 64
+    return overhead + (len(entry.answer.body) + overhead if entry.answer else 0)
 
 
 def _ignore_outage(failure: Failure) -> None:
