--- a/src/primrosescale/process/ledger/ledger_bucket.py
+++ b/src/primrosescale/process/ledger/ledger_bucket.py
@@ -218,10 +218,10 @@
         bool
             True when its entry is in the object.
         """
-        place = bisect_left(range(len(self)), key, key=self._at)
-        return place < len(self) and self._at(place) == key
+        place = bisect_left(range(len(self)), key, key=self._key_at)
+        return place < len(self) and self._key_at(place) == key
 
-    def _at(self, place: int) -> bytes:
+    def _key_at(self, place: int) -> bytes:
         return self._keys[place * KEY_SIZE : (place + 1) * KEY_SIZE]
 
 
