--- a/src/primrosescale/process/ledger/ledger_bucket.py
+++ b/src/primrosescale/process/ledger/ledger_bucket.py
@@ -218,11 +218,11 @@
         bool
             True when its entry is in the object.
         """
-        place = bisect_left(range(len(self)), key, key=self._key_at)
-        return place < len(self) and self._key_at(place) == key
+        position = bisect_left(range(len(self)), key, key=self._key_at)
+        return position < len(self) and self._key_at(position) == key
 
-    def _key_at(self, place: int) -> bytes:
-        return self._keys[place * KEY_SIZE : (place + 1) * KEY_SIZE]
+    def _key_at(self, position: int) -> bytes:
+        return self._keys[position * KEY_SIZE : (position + 1) * KEY_SIZE]
 
 
 @dataclass(frozen=True, slots=True)
