--- a/src/primrosescale/process/ledger/remote_ledger.py
+++ b/src/primrosescale/process/ledger/remote_ledger.py
@@ -22,7 +22,7 @@
     from primrosescale.connection.pool import LinkPool
     from primrosescale.request.claim import Claim
 
-FIRST_PAUSE = 1.0
+INITIAL_RETRY_DELAY_SECONDS = 1.0
 LONGEST_PAUSE = 60.0
 MAX_UNSETTLED = 10_000
 
@@ -134,7 +134,7 @@
         if self._unsettled >= MAX_UNSETTLED:
             return
         self._unsettled += 1
-        self._settle_try(verb, claim, answer, FIRST_PAUSE)
+        self._settle_try(verb, claim, answer, INITIAL_RETRY_DELAY_SECONDS)
 
     def _settle_try(
         self,
@@ -143,7 +143,7 @@
         answer: wire.StoredAnswer | None,
         pause: float,
     ) -> None:
-        is_first = pause == FIRST_PAUSE
+        is_first = pause == INITIAL_RETRY_DELAY_SECONDS
         endpoint = _endpoint_of(claim) if is_first else self._alternate()
         asked = self._ask(verb, claim, answer, endpoint)
 
