--- a/src/primrosescale/process/ledger/remote_ledger.py
+++ b/src/primrosescale/process/ledger/remote_ledger.py
@@ -23,7 +23,7 @@
     from primrosescale.request.claim import Claim
 
 INITIAL_RETRY_DELAY_SECONDS = 1.0
-LONGEST_PAUSE = 60.0
+MAX_RETRY_DELAY_SECONDS = 60.0
 MAX_UNSETTLED = 10_000
 
 
@@ -151,7 +151,7 @@
             if reply.state != ClaimState.UNAVAILABLE:
                 self._unsettled -= 1
                 return
-            longer = min(LONGEST_PAUSE, pause * 2)
+            longer = min(MAX_RETRY_DELAY_SECONDS, pause * 2)
             self._clock.callLater(pause, self._settle_try, verb, claim, answer, longer)
 
         asked.addCallback(check)
