--- a/src/primrosescale/process/ledger/remote_ledger.py
+++ b/src/primrosescale/process/ledger/remote_ledger.py
@@ -27,7 +27,7 @@
 MAX_UNSETTLED = 10_000
 
 
-class _Asking:
+class _OutstandingRequest:
     """One request about a claim and whom it was put to."""
 
     __slots__ = ("link", "request", "result", "timer")
@@ -69,7 +69,7 @@
         self._clock = clock
         self._timeout = timeout
         self._next_number = 0
-        self._asking: dict[int, _Asking] = {}
+        self._asking: dict[int, _OutstandingRequest] = {}
         self._unsettled = 0
 
     @property
@@ -193,7 +193,7 @@
         verb: ClaimVerb,
         claim: Claim,
         answer: wire.StoredAnswer | None,
-    ) -> _Asking:
+    ) -> _OutstandingRequest:
         self._next_number += 1
         request = wire.ClaimRequest(
             self._next_number,
@@ -203,25 +203,25 @@
             claim.fingerprint,
             answer,
         )
-        asking = _Asking(request)
+        asking = _OutstandingRequest(request)
         self._asking[self._next_number] = asking
         asking.timer = self._clock.callLater(self._timeout, self._timed_out, asking)
         return asking
 
-    def _send(self, asking: _Asking, link: Link) -> None:
+    def _send(self, asking: _OutstandingRequest, link: Link) -> None:
         if asking.request.number in self._asking:
             asking.link = link
             link.send(asking.request)
 
-    def _timed_out(self, asking: _Asking) -> None:
+    def _timed_out(self, asking: _OutstandingRequest) -> None:
         asking.timer = None
         self._unavailable(asking)
 
-    def _unavailable(self, asking: _Asking) -> None:
+    def _unavailable(self, asking: _OutstandingRequest) -> None:
         number = asking.request.number
         self._answer(asking, wire.ClaimReply(number, ClaimState.UNAVAILABLE))
 
-    def _answer(self, asking: _Asking, reply: wire.ClaimReply) -> None:
+    def _answer(self, asking: _OutstandingRequest, reply: wire.ClaimReply) -> None:
         if self._asking.pop(asking.request.number, None) is None:
             return
         cancel_timer(asking.timer)
