--- a/src/primrosescale/process/ledger/remote_ledger.py
+++ b/src/primrosescale/process/ledger/remote_ledger.py
@@ -69,7 +69,7 @@
         self._clock = clock
         self._timeout = timeout
         self._next_number = 0
-        self._asking: dict[int, _OutstandingRequest] = {}
+        self._outstanding: dict[int, _OutstandingRequest] = {}
         self._unsettled = 0
 
     @property
@@ -109,7 +109,7 @@
         message : wire.ClaimReply
             The decision; one that nobody waits for is dropped.
         """
-        asking = self._asking.get(message.number)
+        asking = self._outstanding.get(message.number)
         if asking is not None:
             self._answer(asking, message)
 
@@ -121,7 +121,7 @@
         link : Link
             The connection.
         """
-        for asking in list(self._asking.values()):
+        for asking in list(self._outstanding.values()):
             if asking.link is link:
                 self._unavailable(asking)
 
@@ -204,12 +204,12 @@
             answer,
         )
         asking = _OutstandingRequest(request)
-        self._asking[self._next_number] = asking
+        self._outstanding[self._next_number] = asking
         asking.timer = self._clock.callLater(self._timeout, self._timed_out, asking)
         return asking
 
     def _send(self, asking: _OutstandingRequest, link: Link) -> None:
-        if asking.request.number in self._asking:
+        if asking.request.number in self._outstanding:
             asking.link = link
             link.send(asking.request)
 
@@ -222,7 +222,7 @@
         self._answer(asking, wire.ClaimReply(number, ClaimState.UNAVAILABLE))
 
     def _answer(self, asking: _OutstandingRequest, reply: wire.ClaimReply) -> None:
-        if self._asking.pop(asking.request.number, None) is None:
+        if self._outstanding.pop(asking.request.number, None) is None:
             return
         cancel_timer(asking.timer)
         asking.result.callback(reply)
