--- a/src/primrosescale/process/ledger/remote_ledger.py
+++ b/src/primrosescale/process/ledger/remote_ledger.py
@@ -109,9 +109,9 @@
         message : wire.ClaimReply
             The decision; one that nobody waits for is dropped.
         """
-        asking = self._outstanding.get(message.number)
-        if asking is not None:
-            self._answer(asking, message)
+        outstanding = self._outstanding.get(message.number)
+        if outstanding is not None:
+            self._answer(outstanding, message)
 
     def link_lost(self, link: Link) -> None:
         """Take in that a connection has ended.
@@ -121,9 +121,9 @@
         link : Link
             The connection.
         """
-        for asking in list(self._outstanding.values()):
-            if asking.link is link:
-                self._unavailable(asking)
+        for outstanding in list(self._outstanding.values()):
+            if outstanding.link is link:
+                self._unavailable(outstanding)
 
     def _settle(
         self,
@@ -163,16 +163,16 @@
         answer: wire.StoredAnswer | None,
         endpoint: Endpoint | None,
     ) -> Deferred[wire.ClaimReply]:
-        asking = self._new(verb, claim, answer)
+        outstanding = self._new(verb, claim, answer)
         if endpoint is None:
-            self._unavailable(asking)
-            return asking.result
+            self._unavailable(outstanding)
+            return outstanding.result
         connecting = self._pool.get(endpoint)
         connecting.addCallbacks(
-            lambda link: self._send(asking, link),
-            lambda _: self._unavailable(asking),
+            lambda link: self._send(outstanding, link),
+            lambda _: self._unavailable(outstanding),
         )
-        return asking.result
+        return outstanding.result
 
     def _ask_on(
         self,
@@ -181,12 +181,12 @@
         answer: wire.StoredAnswer | None,
         link: Link | None,
     ) -> Deferred[wire.ClaimReply]:
-        asking = self._new(verb, claim, answer)
+        outstanding = self._new(verb, claim, answer)
         if link is None or link.is_lost:
-            self._unavailable(asking)
+            self._unavailable(outstanding)
         else:
-            self._send(asking, link)
-        return asking.result
+            self._send(outstanding, link)
+        return outstanding.result
 
     def _new(
         self,
@@ -203,29 +203,31 @@
             claim.fingerprint,
             answer,
         )
-        asking = _OutstandingRequest(request)
-        self._outstanding[self._next_number] = asking
-        asking.timer = self._clock.callLater(self._timeout, self._timed_out, asking)
-        return asking
-
-    def _send(self, asking: _OutstandingRequest, link: Link) -> None:
-        if asking.request.number in self._outstanding:
-            asking.link = link
-            link.send(asking.request)
-
-    def _timed_out(self, asking: _OutstandingRequest) -> None:
-        asking.timer = None
-        self._unavailable(asking)
-
-    def _unavailable(self, asking: _OutstandingRequest) -> None:
-        number = asking.request.number
-        self._answer(asking, wire.ClaimReply(number, ClaimState.UNAVAILABLE))
-
-    def _answer(self, asking: _OutstandingRequest, reply: wire.ClaimReply) -> None:
-        if self._outstanding.pop(asking.request.number, None) is None:
+        outstanding = _OutstandingRequest(request)
+        self._outstanding[self._next_number] = outstanding
+        outstanding.timer = self._clock.callLater(
+            self._timeout, self._timed_out, outstanding
+        )
+        return outstanding
+
+    def _send(self, outstanding: _OutstandingRequest, link: Link) -> None:
+        if outstanding.request.number in self._outstanding:
+            outstanding.link = link
+            link.send(outstanding.request)
+
+    def _timed_out(self, outstanding: _OutstandingRequest) -> None:
+        outstanding.timer = None
+        self._unavailable(outstanding)
+
+    def _unavailable(self, outstanding: _OutstandingRequest) -> None:
+        number = outstanding.request.number
+        self._answer(outstanding, wire.ClaimReply(number, ClaimState.UNAVAILABLE))
+
+    def _answer(self, outstanding: _OutstandingRequest, reply: wire.ClaimReply) -> None:
+        if self._outstanding.pop(outstanding.request.number, None) is None:
             return
-        cancel_timer(asking.timer)
-        asking.result.callback(reply)
+        cancel_timer(outstanding.timer)
+        outstanding.result.callback(reply)
 
 
 def _endpoint_of(claim: Claim) -> Endpoint | None:
