--- a/src/primrosescale/process/ledger/remote_ledger.py
+++ b/src/primrosescale/process/ledger/remote_ledger.py
@@ -145,7 +145,7 @@
     ) -> None:
         is_first = pause == INITIAL_RETRY_DELAY_SECONDS
         endpoint = _endpoint_of(claim) if is_first else self._alternate()
-        asked = self._ask(verb, claim, answer, endpoint)
+        replied = self._ask(verb, claim, answer, endpoint)
 
         def check(reply: wire.ClaimReply) -> None:
             if reply.state != ClaimState.UNAVAILABLE:
@@ -154,7 +154,7 @@
             longer = min(MAX_RETRY_DELAY_SECONDS, pause * 2)
             self._clock.callLater(pause, self._settle_try, verb, claim, answer, longer)
 
-        asked.addCallback(check)
+        replied.addCallback(check)
 
     def _ask(
         self,
