--- a/src/primrosescale/process/ledger/remote_ledger.py
+++ b/src/primrosescale/process/ledger/remote_ledger.py
@@ -95,11 +95,11 @@
 
     def record(self, claim: Claim, answer: wire.StoredAnswer) -> None:
         """Keep an answer; see `Ledger.record`."""
-        self._settle(ClaimVerb.RECORD, claim, answer)
+        self._deliver(ClaimVerb.RECORD, claim, answer)
 
     def abandon(self, claim: Claim) -> None:
         """Give a claim back; see `Ledger.abandon`."""
-        self._settle(ClaimVerb.ABANDON, claim, None)
+        self._deliver(ClaimVerb.ABANDON, claim, None)
 
     def link_message(self, message: wire.ClaimReply) -> None:
         """Take in what a router decided.
@@ -125,7 +125,7 @@
             if outstanding.link is link:
                 self._unavailable(outstanding)
 
-    def _settle(
+    def _deliver(
         self,
         verb: ClaimVerb,
         claim: Claim,
