--- a/src/primrosescale/process/ledger/remote_ledger.py
+++ b/src/primrosescale/process/ledger/remote_ledger.py
@@ -134,9 +134,9 @@
         if self._unsettled >= MAX_UNSETTLED:
             return
         self._unsettled += 1
-        self._settle_try(verb, claim, answer, INITIAL_RETRY_DELAY_SECONDS)
+        self._try_delivery(verb, claim, answer, INITIAL_RETRY_DELAY_SECONDS)
 
-    def _settle_try(
+    def _try_delivery(
         self,
         verb: ClaimVerb,
         claim: Claim,
@@ -152,7 +152,9 @@
                 self._unsettled -= 1
                 return
             longer = min(MAX_RETRY_DELAY_SECONDS, pause * 2)
-            self._clock.callLater(pause, self._settle_try, verb, claim, answer, longer)
+            self._clock.callLater(
+                pause, self._try_delivery, verb, claim, answer, longer
+            )
 
         replied.addCallback(check)
 
