--- a/src/primrosescale/process/ledger/remote_ledger.py
+++ b/src/primrosescale/process/ledger/remote_ledger.py
@@ -80,7 +80,7 @@
     def claim(self, claim: Claim, link: Link | None) -> Deferred[wire.ClaimReply]:
         """Claim a key; see `Ledger.claim`."""
         result: Deferred[wire.ClaimReply] = Deferred()
-        first = self._ask(ClaimVerb.CLAIM, claim, None, _endpoint_of(claim))
+        first = self._request_from(ClaimVerb.CLAIM, claim, None, _endpoint_of(claim))
 
         def decide(reply: wire.ClaimReply) -> None:
             usable = link is not None and not link.is_lost
@@ -145,7 +145,7 @@
     ) -> None:
         is_first = pause == INITIAL_RETRY_DELAY_SECONDS
         endpoint = _endpoint_of(claim) if is_first else self._alternate()
-        replied = self._ask(verb, claim, answer, endpoint)
+        replied = self._request_from(verb, claim, answer, endpoint)
 
         def check(reply: wire.ClaimReply) -> None:
             if reply.state != ClaimState.UNAVAILABLE:
@@ -158,7 +158,7 @@
 
         replied.addCallback(check)
 
-    def _ask(
+    def _request_from(
         self,
         verb: ClaimVerb,
         claim: Claim,
