--- a/src/primrosescale/process/ledger/remote_ledger.py
+++ b/src/primrosescale/process/ledger/remote_ledger.py
@@ -87,7 +87,7 @@
             if reply.state != ClaimState.UNAVAILABLE or not usable:
                 result.callback(reply)
                 return
-            second = self._ask_on(ClaimVerb.CLAIM, claim, None, link)
+            second = self._request_over(ClaimVerb.CLAIM, claim, None, link)
             second.addCallback(result.callback)
 
         first.addCallback(decide)
@@ -176,7 +176,7 @@
         )
         return outstanding.result
 
-    def _ask_on(
+    def _request_over(
         self,
         verb: ClaimVerb,
         claim: Claim,
