--- a/src/primrosescale/process/ledger/remote_ledger.py
+++ b/src/primrosescale/process/ledger/remote_ledger.py
@@ -165,7 +165,7 @@
         answer: wire.StoredAnswer | None,
         endpoint: Endpoint | None,
     ) -> Deferred[wire.ClaimReply]:
-        outstanding = self._new(verb, claim, answer)
+        outstanding = self._new_request(verb, claim, answer)
         if endpoint is None:
             self._unavailable(outstanding)
             return outstanding.result
@@ -183,14 +183,14 @@
         answer: wire.StoredAnswer | None,
         link: Link | None,
     ) -> Deferred[wire.ClaimReply]:
-        outstanding = self._new(verb, claim, answer)
+        outstanding = self._new_request(verb, claim, answer)
         if link is None or link.is_lost:
             self._unavailable(outstanding)
         else:
             self._send(outstanding, link)
         return outstanding.result
 
-    def _new(
+    def _new_request(
         self,
         verb: ClaimVerb,
         claim: Claim,
