--- a/src/primrosescale/process/ledger/remote_ledger.py
+++ b/src/primrosescale/process/ledger/remote_ledger.py
@@ -111,7 +111,7 @@
         """
         outstanding = self._outstanding.get(message.number)
         if outstanding is not None:
-            self._answer(outstanding, message)
+            self._complete(outstanding, message)
 
     def link_lost(self, link: Link) -> None:
         """Take in that a connection has ended.
@@ -223,9 +223,11 @@
 
     def _unavailable(self, outstanding: _OutstandingRequest) -> None:
         number = outstanding.request.number
-        self._answer(outstanding, wire.ClaimReply(number, ClaimState.UNAVAILABLE))
+        self._complete(outstanding, wire.ClaimReply(number, ClaimState.UNAVAILABLE))
 
-    def _answer(self, outstanding: _OutstandingRequest, reply: wire.ClaimReply) -> None:
+    def _complete(
+        self, outstanding: _OutstandingRequest, reply: wire.ClaimReply
+    ) -> None:
         if self._outstanding.pop(outstanding.request.number, None) is None:
             return
         cancel_timer(outstanding.timer)
