--- a/src/primrosescale/process/ledger/remote_ledger.py
+++ b/src/primrosescale/process/ledger/remote_ledger.py
@@ -123,7 +123,7 @@
         """
         for outstanding in list(self._outstanding.values()):
             if outstanding.link is link:
-                self._unavailable(outstanding)
+                self._complete_unavailable(outstanding)
 
     def _deliver(
         self,
@@ -167,12 +167,12 @@
     ) -> Deferred[wire.ClaimReply]:
         outstanding = self._new_request(verb, claim, answer)
         if endpoint is None:
-            self._unavailable(outstanding)
+            self._complete_unavailable(outstanding)
             return outstanding.result
         connecting = self._pool.get(endpoint)
         connecting.addCallbacks(
             lambda link: self._send(outstanding, link),
-            lambda _: self._unavailable(outstanding),
+            lambda _: self._complete_unavailable(outstanding),
         )
         return outstanding.result
 
@@ -185,7 +185,7 @@
     ) -> Deferred[wire.ClaimReply]:
         outstanding = self._new_request(verb, claim, answer)
         if link is None or link.is_lost:
-            self._unavailable(outstanding)
+            self._complete_unavailable(outstanding)
         else:
             self._send(outstanding, link)
         return outstanding.result
@@ -219,9 +219,9 @@
 
     def _timed_out(self, outstanding: _OutstandingRequest) -> None:
         outstanding.timer = None
-        self._unavailable(outstanding)
+        self._complete_unavailable(outstanding)
 
-    def _unavailable(self, outstanding: _OutstandingRequest) -> None:
+    def _complete_unavailable(self, outstanding: _OutstandingRequest) -> None:
         number = outstanding.request.number
         self._complete(outstanding, wire.ClaimReply(number, ClaimState.UNAVAILABLE))
 
