--- a/src/primrosescale/process/ledger/remote_ledger.py
+++ b/src/primrosescale/process/ledger/remote_ledger.py
@@ -141,9 +141,9 @@
         verb: ClaimVerb,
         claim: Claim,
         answer: wire.StoredAnswer | None,
-        pause: float,
+        delay: float,
     ) -> None:
-        is_first = pause == INITIAL_RETRY_DELAY_SECONDS
+        is_first = delay == INITIAL_RETRY_DELAY_SECONDS
         endpoint = _endpoint_of(claim) if is_first else self._alternate()
         replied = self._request_from(verb, claim, answer, endpoint)
 
@@ -151,9 +151,9 @@
             if reply.state != ClaimState.UNAVAILABLE:
                 self._unsettled -= 1
                 return
-            longer = min(MAX_RETRY_DELAY_SECONDS, pause * 2)
+            longer = min(MAX_RETRY_DELAY_SECONDS, delay * 2)
             self._clock.callLater(
-                pause, self._try_delivery, verb, claim, answer, longer
+                delay, self._try_delivery, verb, claim, answer, longer
             )
 
         replied.addCallback(check)
