--- a/src/primrosescale/process/ledger/remote_ledger.py
+++ b/src/primrosescale/process/ledger/remote_ledger.py
@@ -151,9 +151,9 @@
             if reply.state != ClaimState.UNAVAILABLE:
                 self._unsettled -= 1
                 return
-            longer = min(MAX_RETRY_DELAY_SECONDS, delay * 2)
+            next_delay = min(MAX_RETRY_DELAY_SECONDS, delay * 2)
             self._clock.callLater(
-                delay, self._try_delivery, verb, claim, answer, longer
+                delay, self._try_delivery, verb, claim, answer, next_delay
             )
 
         replied.addCallback(check)
