--- a/src/primrosescale/process/ledger/remote_ledger.py
+++ b/src/primrosescale/process/ledger/remote_ledger.py
@@ -82,7 +82,7 @@
         result: Deferred[wire.ClaimReply] = Deferred()
         first = self._request_from(ClaimVerb.CLAIM, claim, None, _endpoint_of(claim))
 
-        def decide(reply: wire.ClaimReply) -> None:
+        def answer_or_retry(reply: wire.ClaimReply) -> None:
             usable = link is not None and not link.is_lost
             if reply.state != ClaimState.UNAVAILABLE or not usable:
                 result.callback(reply)
@@ -90,7 +90,7 @@
             second = self._request_over(ClaimVerb.CLAIM, claim, None, link)
             second.addCallback(result.callback)
 
-        first.addCallback(decide)
+        first.addCallback(answer_or_retry)
         return result
 
     def record(self, claim: Claim, answer: wire.StoredAnswer) -> None:
