--- a/src/primrosescale/process/ledger/remote_ledger.py
+++ b/src/primrosescale/process/ledger/remote_ledger.py
@@ -147,7 +147,7 @@
         endpoint = _endpoint_of(claim) if is_first else self._alternate()
         replied = self._request_from(verb, claim, answer, endpoint)
 
-        def check(reply: wire.ClaimReply) -> None:
+        def retry_if_unavailable(reply: wire.ClaimReply) -> None:
             if reply.state != ClaimState.UNAVAILABLE:
                 self._unsettled -= 1
                 return
@@ -156,7 +156,7 @@
                 delay, self._try_delivery, verb, claim, answer, next_delay
             )
 
-        replied.addCallback(check)
+        replied.addCallback(retry_if_unavailable)
 
     def _request_from(
         self,
