--- a/src/primrosescale/process/ledger/remote_ledger.py
+++ b/src/primrosescale/process/ledger/remote_ledger.py
@@ -83,8 +83,8 @@
         first = self._request_from(ClaimVerb.CLAIM, claim, None, _endpoint_of(claim))
 
         def answer_or_retry(reply: wire.ClaimReply) -> None:
-            usable = link is not None and not link.is_lost
-            if reply.state != ClaimState.UNAVAILABLE or not usable:
+            is_usable = link is not None and not link.is_lost
+            if reply.state != ClaimState.UNAVAILABLE or not is_usable:
                 result.callback(reply)
                 return
             second = self._request_over(ClaimVerb.CLAIM, claim, None, link)
