--- a/src/primrosescale/version/bundle.py
+++ b/src/primrosescale/version/bundle.py
@@ -25,7 +25,7 @@
 
     from primrosescale.version.records import Record
 
-HASH_LENGTH = 64
+HASH_HEX_LENGTH = 64
 HEX_DIGITS = frozenset("0123456789abcdef")
 
 
@@ -216,7 +216,7 @@
 
 
 def _hash_faults(section: str, key: str, value: str) -> list[Fault]:
-    if len(value) == HASH_LENGTH and set(value) <= HEX_DIGITS:
+    if len(value) == HASH_HEX_LENGTH and set(value) <= HEX_DIGITS:
         return []
     remedy = "write the key's SHA-256 as 64 lower-case hex digits"
     return [Fault(section, key, value, "not a hash", remedy)]
