--- a/src/primrosescale/version/bundle.py
+++ b/src/primrosescale/version/bundle.py
@@ -108,7 +108,7 @@
         faults: list[Fault] = []
         parsed = [parse_record(text, faults) for text in self.records.values()]
         records = [record for record in parsed if record is not None]
-        faults.extend(_cross_faults(records))
+        faults.extend(_cross_record_faults(records))
         return faults
 
 
@@ -150,7 +150,7 @@
     return RecordName(kind, name)
 
 
-def _cross_faults(records: Iterable[Record]) -> list[Fault]:
+def _cross_record_faults(records: Iterable[Record]) -> list[Fault]:
     """Check what no record can tell alone."""
     faults: list[Fault] = []
     items = list(records)
