--- a/src/primrosescale/version/bundle.py
+++ b/src/primrosescale/version/bundle.py
@@ -161,7 +161,9 @@
         if isinstance(record, ServiceRecord):
             faults.extend(_service_faults(record, models))
         elif isinstance(record, TargetRecord) and record.service not in services:
-            faults.append(_dangling(f"target {record.name}", "service", record.service))
+            faults.append(
+                _dangling_reference(f"target {record.name}", "service", record.service)
+            )
         elif isinstance(record, OrganisationRecord):
             faults.extend(_organisation_faults(record, services, holders))
         elif isinstance(record, OperatorRecord):
@@ -174,7 +176,7 @@
 def _service_faults(record: ServiceRecord, models: set[str]) -> list[Fault]:
     section = f"service {record.name}"
     faults = [
-        _dangling(section, "models", model)
+        _dangling_reference(section, "models", model)
         for model in record.models
         if model not in models
     ]
@@ -201,7 +203,7 @@
 ) -> list[Fault]:
     section = f"organisation {record.name}"
     faults = [
-        _dangling(section, "services", name)
+        _dangling_reference(section, "services", name)
         for name in record.services
         if name not in services
     ]
@@ -222,7 +224,7 @@
     return [Fault(section, key, value, "not a hash", remedy)]
 
 
-def _dangling(section: str, key: str, value: str) -> Fault:
+def _dangling_reference(section: str, key: str, value: str) -> Fault:
     return Fault(
         section, key, value, "names nothing", "add the record or mend the name"
     )
