--- a/src/primrosescale/version/bundle.py
+++ b/src/primrosescale/version/bundle.py
@@ -156,7 +156,7 @@
     items = list(records)
     models = {r.name for r in items if isinstance(r, ModelRecord)}
     services = {r.name for r in items if isinstance(r, ServiceRecord)}
-    holders: dict[str, str] = {}
+    organisation_by_hash: dict[str, str] = {}
     for record in items:
         if isinstance(record, ServiceRecord):
             faults.extend(_service_faults(record, models))
@@ -165,7 +165,7 @@
                 _dangling_reference(f"target {record.name}", "service", record.service)
             )
         elif isinstance(record, OrganisationRecord):
-            faults.extend(_organisation_faults(record, services, holders))
+            faults.extend(_organisation_faults(record, services, organisation_by_hash))
         elif isinstance(record, OperatorRecord):
             faults.extend(
                 _hash_faults(f"operator {record.name}", "key_hash", record.key_hash),
@@ -199,7 +199,7 @@
 def _organisation_faults(
     record: OrganisationRecord,
     services: set[str],
-    holders: dict[str, str],
+    organisation_by_hash: dict[str, str],
 ) -> list[Fault]:
     section = f"organisation {record.name}"
     faults = [
@@ -209,7 +209,7 @@
     ]
     for item in record.key_hashes:
         faults.extend(_hash_faults(section, "key_hashes", item))
-        other = holders.setdefault(item, record.name)
+        other = organisation_by_hash.setdefault(item, record.name)
         if other != record.name:
             problem = f"key also belongs to organisation {other}"
             remedy = "give each organisation keys of its own"
