--- a/src/primrosescale/version/records.py
+++ b/src/primrosescale/version/records.py
@@ -16,7 +16,7 @@
 from primrosescale.ini.options import Words
 from primrosescale.ini.options import option
 
-LONGEST_DEADLINE = 3600.0
+MAX_DEADLINE_SECONDS = 3600.0
 OPERATOR_ROLES = ("author", "approver", "operator", "reader")
 NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
 ANY_TEAM = "*"
@@ -31,12 +31,12 @@
     models: tuple[str, ...] = option(Words(), "models its engines run", ())
     team: str = option(Text(), "team that owns it", "")
     deadline: float = option(
-        Number(0.1, LONGEST_DEADLINE),
+        Number(0.1, MAX_DEADLINE_SECONDS),
         "seconds a request may take when its caller names none",
         60.0,
     )
     deadline_cap: float = option(
-        Number(0.1, LONGEST_DEADLINE),
+        Number(0.1, MAX_DEADLINE_SECONDS),
         "seconds a caller may ask for at the most",
         300.0,
     )
