--- a/src/primrosescale/version/records.py
+++ b/src/primrosescale/version/records.py
@@ -81,12 +81,12 @@
             wanted_method, _, wanted_path = rule.partition(" ")
             if wanted_method not in {"*", method}:
                 continue
-            if _matches(wanted_path.strip(), path):
+            if _path_matches(wanted_path.strip(), path):
                 return False
         return True
 
 
-def _matches(wanted: str, path: str) -> bool:
+def _path_matches(wanted: str, path: str) -> bool:
     if wanted.endswith("*"):
         return path.startswith(wanted[:-1])
     return path.rstrip("/") == wanted.rstrip("/")
