--- a/src/primrosescale/version/section.py
+++ b/src/primrosescale/version/section.py
@@ -30,7 +30,7 @@
     from primrosescale.version.bundle import Bundle
 
 FORMAT = 1
-DIGEST_SIZE = 20
+DIGEST_BYTES = 20
 FAN_OUT = 16
 MAX_SECTION = 1_000_000
 DECODE_ERRORS = (ValueError, KeyError, TypeError, AttributeError)
@@ -49,7 +49,7 @@
     str
         40 hex digits.
     """
-    return blake2b(data, digest_size=DIGEST_SIZE).hexdigest()
+    return blake2b(data, digest_size=DIGEST_BYTES).hexdigest()
 
 
 @dataclass(frozen=True, slots=True)
