--- a/src/primrosescale/version/section.py
+++ b/src/primrosescale/version/section.py
@@ -32,7 +32,7 @@
 FORMAT = 1
 DIGEST_BYTES = 20
 FAN_OUT = 16
-MAX_SECTION = 1_000_000
+MAX_SECTION_BYTES = 1_000_000
 DECODE_ERRORS = (ValueError, KeyError, TypeError, AttributeError)
 
 
@@ -91,7 +91,7 @@
         SectionError
             When they are not, or are too many.
         """
-        if len(self.data) > MAX_SECTION:
+        if len(self.data) > MAX_SECTION_BYTES:
             raise SectionError(self.digest, "over 1 MB")
         if digest_of(self.data) != self.digest:
             raise SectionError(self.digest, "its bytes were altered")
