--- a/src/primrosescale/version/section.py
+++ b/src/primrosescale/version/section.py
@@ -240,7 +240,7 @@
     plain: dict[str, dict[str, list[RecordText]]] = {}
     scattered: dict[str, dict[str, dict[str, list[RecordText]]]] = {}
     for text in bundle.records.values():
-        place = place_of(text.name)
+        place = locate_record(text.name)
         if place.subgroup:
             group = scattered.setdefault(place.group, {})
             leaves = group.setdefault(place.subgroup, {})
@@ -305,7 +305,7 @@
     leaf: str
 
 
-def place_of(name: RecordName) -> RecordPlace:
+def locate_record(name: RecordName) -> RecordPlace:
     """Return where a record lies.
 
     Parameters
--- a/src/primrosescale/version/view.py
+++ b/src/primrosescale/version/view.py
@@ -15,7 +15,7 @@
 from primrosescale.version.records import RecordName
 from primrosescale.version.records import ServiceRecord
 from primrosescale.version.records import TargetRecord
-from primrosescale.version.section import place_of
+from primrosescale.version.section import locate_record
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -210,7 +210,7 @@
         OrganisationRecord | None
             The organisation, if there is one.
         """
-        place = place_of(RecordName(SCATTERED_KIND, name))
+        place = locate_record(RecordName(SCATTERED_KIND, name))
         group = self._groups.get(place.group)
         return None if group is None else group.organisations.get(name)
 
