--- a/src/primrosescale/version/section.py
+++ b/src/primrosescale/version/section.py
@@ -287,7 +287,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RecordPlace:
+class RecordLocation:
     """Where a record lies in the tree.
 
     Parameters
@@ -305,7 +305,7 @@
     leaf: str
 
 
-def locate_record(name: RecordName) -> RecordPlace:
+def locate_record(name: RecordName) -> RecordLocation:
     """Return where a record lies.
 
     Parameters
@@ -315,16 +315,16 @@
 
     Returns
     -------
-    RecordPlace
+    RecordLocation
         Labels of the parts that hold it.
     """
     spread = xxh3_64_intdigest(name.name.encode())
     leaf = f"{spread % FAN_OUT:x}"
     if name.kind != SCATTERED_KIND:
-        return RecordPlace(name.kind, "", leaf)
+        return RecordLocation(name.kind, "", leaf)
     subgroup = f"{spread // FAN_OUT % FAN_OUT:x}"
     group = spread // FAN_OUT**2 % FAN_OUT
-    return RecordPlace(f"{name.kind}-{group:x}", subgroup, leaf)
+    return RecordLocation(f"{name.kind}-{group:x}", subgroup, leaf)
 
 
 def decode_group(section: Section) -> tuple[Branch, ...]:
