--- a/src/primrosescale/version/section.py
+++ b/src/primrosescale/version/section.py
@@ -240,13 +240,13 @@
     plain: dict[str, dict[str, list[RecordText]]] = {}
     scattered: dict[str, dict[str, dict[str, list[RecordText]]]] = {}
     for text in bundle.records.values():
-        place = locate_record(text.name)
-        if place.subgroup:
-            group = scattered.setdefault(place.group, {})
-            leaves = group.setdefault(place.subgroup, {})
+        location = locate_record(text.name)
+        if location.subgroup:
+            group = scattered.setdefault(location.group, {})
+            leaves = group.setdefault(location.subgroup, {})
         else:
-            leaves = plain.setdefault(place.group, {})
-        leaves.setdefault(place.leaf, []).append(text)
+            leaves = plain.setdefault(location.group, {})
+        leaves.setdefault(location.leaf, []).append(text)
     branches = [
         Branch(label, _add_leaves(leaves, sections)) for label, leaves in plain.items()
     ]
--- a/src/primrosescale/version/view.py
+++ b/src/primrosescale/version/view.py
@@ -210,8 +210,8 @@
         OrganisationRecord | None
             The organisation, if there is one.
         """
-        place = locate_record(RecordName(SCATTERED_KIND, name))
-        group = self._groups.get(place.group)
+        location = locate_record(RecordName(SCATTERED_KIND, name))
+        group = self._groups.get(location.group)
         return None if group is None else group.organisations.get(name)
 
     def operator_of(self, key: str) -> OperatorRecord | None:
