--- a/src/primrosescale/version/section.py
+++ b/src/primrosescale/version/section.py
@@ -318,12 +318,12 @@
     RecordLocation
         Labels of the parts that hold it.
     """
-    spread = xxh3_64_intdigest(name.name.encode())
-    leaf = f"{spread % FAN_OUT:x}"
+    name_hash = xxh3_64_intdigest(name.name.encode())
+    leaf = f"{name_hash % FAN_OUT:x}"
     if name.kind != SCATTERED_KIND:
         return RecordLocation(name.kind, "", leaf)
-    subgroup = f"{spread // FAN_OUT % FAN_OUT:x}"
-    group = spread // FAN_OUT**2 % FAN_OUT
+    subgroup = f"{name_hash // FAN_OUT % FAN_OUT:x}"
+    group = name_hash // FAN_OUT**2 % FAN_OUT
     return RecordLocation(f"{name.kind}-{group:x}", subgroup, leaf)
 
 
