--- a/src/primrosescale/version/section.py
+++ b/src/primrosescale/version/section.py
@@ -238,11 +238,11 @@
     """
     sections: dict[str, Section] = {}
     plain: dict[str, dict[str, list[RecordText]]] = {}
-    scattered: dict[str, dict[str, dict[str, list[RecordText]]]] = {}
+    sharded: dict[str, dict[str, dict[str, list[RecordText]]]] = {}
     for text in bundle.records.values():
         location = locate_record(text.name)
         if location.subgroup:
-            group = scattered.setdefault(location.group, {})
+            group = sharded.setdefault(location.group, {})
             leaves = group.setdefault(location.subgroup, {})
         else:
             leaves = plain.setdefault(location.group, {})
@@ -250,13 +250,13 @@
     branches = [
         Branch(label, _add_leaves(leaves, sections)) for label, leaves in plain.items()
     ]
-    if scattered:
+    if sharded:
         groups = {
             label: _add_index(
                 {sub: _add_leaves(leaves, sections) for sub, leaves in subs.items()},
                 sections,
             )
-            for label, subs in scattered.items()
+            for label, subs in sharded.items()
         }
         branches.append(Branch(SCATTERED_KIND, _add_index(groups, sections)))
     branches.sort(key=lambda branch: branch.label)
