--- a/src/primrosescale/version/section.py
+++ b/src/primrosescale/version/section.py
@@ -237,7 +237,7 @@
         Root and sections; the same records give the same leaves.
     """
     sections: dict[str, Section] = {}
-    plain: dict[str, dict[str, list[RecordText]]] = {}
+    unsharded: dict[str, dict[str, list[RecordText]]] = {}
     sharded: dict[str, dict[str, dict[str, list[RecordText]]]] = {}
     for text in bundle.records.values():
         location = locate_record(text.name)
@@ -245,10 +245,11 @@
             group = sharded.setdefault(location.group, {})
             leaves = group.setdefault(location.subgroup, {})
         else:
-            leaves = plain.setdefault(location.group, {})
+            leaves = unsharded.setdefault(location.group, {})
         leaves.setdefault(location.leaf, []).append(text)
     branches = [
-        Branch(label, _add_leaves(leaves, sections)) for label, leaves in plain.items()
+        Branch(label, _add_leaves(leaves, sections))
+        for label, leaves in unsharded.items()
     ]
     if sharded:
         groups = {
