--- a/src/primrosescale/version/section.py
+++ b/src/primrosescale/version/section.py
@@ -145,7 +145,7 @@
         bytes
             Canonical JSON.
         """
-        return _canonical(
+        return _canonical_json(
             {
                 "format": FORMAT,
                 "version": self.version,
@@ -282,7 +282,7 @@
 
 
 def _add_index(digests: dict[str, str], sections: dict[str, Section]) -> str:
-    section = Section.of(_canonical(digests))
+    section = Section.of(_canonical_json(digests))
     sections[section.digest] = section
     return section.digest
 
@@ -366,7 +366,7 @@
         Canonical JSON.
     """
     ordered = sorted(records, key=lambda record: record.name)
-    return _canonical(
+    return _canonical_json(
         [
             {
                 "kind": record.name.kind,
@@ -419,6 +419,6 @@
     )
 
 
-def _canonical(value: Any) -> bytes:
+def _canonical_json(value: Any) -> bytes:
     text = json.dumps(value, sort_keys=True, separators=(",", ":"))
     return text.encode()
