--- a/src/primrosescale/version/section.py
+++ b/src/primrosescale/version/section.py
@@ -397,12 +397,12 @@
         When it is not a leaf.
     """
     try:
-        return [_record(fields) for fields in json.loads(section.data)]
+        return [_decode_record(fields) for fields in json.loads(section.data)]
     except DECODE_ERRORS as error:
         raise SectionError(section.digest, "not a leaf") from error
 
 
-def _record(fields: Any) -> RecordText:
+def _decode_record(fields: Any) -> RecordText:
     kind = str(fields["kind"])
     if kind not in CLASS_BY_KIND:
         raise ValueError(kind)
