--- a/src/primrosescale/version/section.py
+++ b/src/primrosescale/version/section.py
@@ -184,7 +184,7 @@
                 str(fields["base"]),
                 str(fields["author"]),
                 int(fields["created_ms"]),
-                _branches(fields["groups"]),
+                _decode_branches(fields["groups"]),
             )
         except DECODE_ERRORS as error:
             raise SectionError(section.digest, "not a root") from error
@@ -347,7 +347,7 @@
         When it is not an index.
     """
     try:
-        return _branches(json.loads(section.data))
+        return _decode_branches(json.loads(section.data))
     except DECODE_ERRORS as error:
         raise SectionError(section.digest, "not an index") from error
 
@@ -413,7 +413,7 @@
     return RecordText(RecordName(kind, str(fields["name"])), options)
 
 
-def _branches(fields: Any) -> tuple[Branch, ...]:
+def _decode_branches(fields: Any) -> tuple[Branch, ...]:
     return tuple(
         Branch(str(label), str(digest)) for label, digest in sorted(fields.items())
     )
