--- a/src/primrosescale/version/section.py
+++ b/src/primrosescale/version/section.py
@@ -262,9 +262,9 @@
         branches.append(Branch(SCATTERED_KIND, _add_index(groups, sections)))
     branches.sort(key=lambda branch: branch.label)
     root = Root(version, base, author, created_ms, tuple(branches))
-    top = Section.of(root.encode())
-    sections[top.digest] = top
-    return SectionTree(root, top.digest, sections)
+    root_section = Section.of(root.encode())
+    sections[root_section.digest] = root_section
+    return SectionTree(root, root_section.digest, sections)
 
 
 def _add_leaves(
