--- a/src/primrosescale/version/section.py
+++ b/src/primrosescale/version/section.py
@@ -254,10 +254,13 @@
     if sharded:
         groups = {
             label: _add_index(
-                {sub: _add_leaves(leaves, sections) for sub, leaves in subs.items()},
+                {
+                    sub: _add_leaves(leaves, sections)
+                    for sub, leaves in subgroups.items()
+                },
                 sections,
             )
-            for label, subs in sharded.items()
+            for label, subgroups in sharded.items()
         }
         branches.append(Branch(SCATTERED_KIND, _add_index(groups, sections)))
     branches.sort(key=lambda branch: branch.label)
