--- a/src/primrosescale/version/view.py
+++ b/src/primrosescale/version/view.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Pins:
+class PinCounter:
     """Requests that still use a version.
 
     Parameters
@@ -107,7 +107,7 @@
 
     def __init__(self, head: VersionHead, groups: Iterable[GroupView]) -> None:
         self._head = head
-        self._pins = Pins()
+        self._pins = PinCounter()
         self._groups = {group.label: group for group in groups}
         items = [
             record
