--- a/src/primrosescale/version/view.py
+++ b/src/primrosescale/version/view.py
@@ -194,7 +194,7 @@
         for group in self._groups.values():
             name = group.keys.get(sent)
             if name is not None:
-                return _verified(group.organisations[name], sent)
+                return _match_key_hash(group.organisations[name], sent)
         return None
 
     def organisation(self, name: str) -> OrganisationRecord | None:
@@ -256,7 +256,9 @@
         return None
 
 
-def _verified(record: OrganisationRecord, sent: bytes) -> OrganisationRecord | None:
+def _match_key_hash(
+    record: OrganisationRecord, sent: bytes
+) -> OrganisationRecord | None:
     """Compare a key's hash in constant time with those of its record."""
     for item in record.key_hashes:
         if hmac.compare_digest(bytes.fromhex(item), sent):
