--- a/src/primrosescale/version/view.py
+++ b/src/primrosescale/version/view.py
@@ -190,11 +190,11 @@
         OrganisationRecord | None
             The organisation, unless the key is unknown.
         """
-        sent = hashlib.sha256(key.encode()).digest()
+        sent_hash = hashlib.sha256(key.encode()).digest()
         for group in self._groups.values():
-            name = group.keys.get(sent)
+            name = group.keys.get(sent_hash)
             if name is not None:
-                return _match_key_hash(group.organisations[name], sent)
+                return _match_key_hash(group.organisations[name], sent_hash)
         return None
 
     def organisation(self, name: str) -> OrganisationRecord | None:
@@ -227,10 +227,10 @@
         OperatorRecord | None
             The operator, unless the key is unknown.
         """
-        sent = hashlib.sha256(key.encode()).hexdigest()
+        sent_hash = hashlib.sha256(key.encode()).hexdigest()
         found: OperatorRecord | None = None
         for record in self._operators.values():
-            if hmac.compare_digest(record.key_hash, sent):
+            if hmac.compare_digest(record.key_hash, sent_hash):
                 found = record
         return found
 
@@ -257,11 +257,11 @@
 
 
 def _match_key_hash(
-    record: OrganisationRecord, sent: bytes
+    record: OrganisationRecord, sent_hash: bytes
 ) -> OrganisationRecord | None:
     """Compare a key's hash in constant time with those of its record."""
     for item in record.key_hashes:
-        if hmac.compare_digest(bytes.fromhex(item), sent):
+        if hmac.compare_digest(bytes.fromhex(item), sent_hash):
             return record
     return None
 
