--- a/src/primrosescale/version/head.py
+++ b/src/primrosescale/version/head.py
@@ -93,7 +93,7 @@
 NO_HEAD = VersionHead(0, "", "", b"")
 
 
-def signed_bytes(digest: str) -> bytes:
+def signed_message(digest: str) -> bytes:
     """Return what an approver signs.
 
     Parameters
@@ -125,7 +125,7 @@
         The signature, 64 bytes.
     """
     key = Ed25519PrivateKey.from_private_bytes(private_key)
-    return key.sign(signed_bytes(digest))
+    return key.sign(signed_message(digest))
 
 
 class HeadCheck:
@@ -160,7 +160,7 @@
         if key is None:
             raise HeadError(head.version, f"{head.approver!r} is no trusted approver")
         try:
-            key.verify(head.signature, signed_bytes(head.digest))
+            key.verify(head.signature, signed_message(head.digest))
         except InvalidSignature as error:
             raise HeadError(head.version, "its signature is wrong") from error
 
