--- a/src/primrosescale/version/routing_table.py
+++ b/src/primrosescale/version/routing_table.py
@@ -253,9 +253,9 @@
             The route; None when there is none.
         """
         name = host.rsplit(":", 1)[0].lower()
-        bare = path.split("?", 1)[0]
+        path_only = path.split("?", 1)[0]
         for route in self._routes.get(name, ()):
-            if bare.startswith(route.path_prefix):
+            if path_only.startswith(route.path_prefix):
                 return route
         return None
 
