--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -21,7 +21,7 @@
 from primrosescale.process.exceptions import PlatformConflictError
 from primrosescale.process.exceptions import PlatformError
 from primrosescale.process.ledger.ledger_bucket import FORMAT
-from primrosescale.process.ledger.ledger_bucket import LAYOUT_NAME
+from primrosescale.process.ledger.ledger_bucket import LAYOUT_KEY
 from primrosescale.process.ledger.ledger_bucket import MILLISECONDS
 from primrosescale.process.ledger.ledger_bucket import Decision
 from primrosescale.process.ledger.ledger_bucket import LedgerFormatError
@@ -214,12 +214,12 @@
         twice, so the first writer of a ledger writes the number down.
         """
         expected = str(self._settings.buckets).encode()
-        found = yield self._platform.get(LAYOUT_NAME)
+        found = yield self._platform.get(LAYOUT_KEY)
         if found is None:
-            yield self._platform.put(LAYOUT_NAME, expected, MUST_NOT_EXIST)
+            yield self._platform.put(LAYOUT_KEY, expected, MUST_NOT_EXIST)
         elif found.value != expected:
             detail = f"it has {found.value.decode()} buckets, [ledger] buckets differs"
-            raise LedgerFormatError(LAYOUT_NAME, detail)
+            raise LedgerFormatError(LAYOUT_KEY, detail)
         self._has_layout = True
 
     @inlineCallbacks
--- a/src/primrosescale/process/ledger/ledger_bucket.py
+++ b/src/primrosescale/process/ledger/ledger_bucket.py
@@ -18,7 +18,7 @@
 
 FORMAT = 1
 KEY_SIZE = 16
-LAYOUT_NAME = f"ledger/v{FORMAT}/layout"
+LAYOUT_KEY = f"ledger/v{FORMAT}/layout"
 MILLISECONDS = 1000
 
 
