--- a/src/primrosescale/process/configuration/__init__.py
+++ b/src/primrosescale/process/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Getting a version and keeping it in force."""
+"""Fetches versions of the configuration and keeps the newest one in force."""
--- a/src/primrosescale/process/configuration/section_sources.py
+++ b/src/primrosescale/process/configuration/section_sources.py
@@ -1,4 +1,4 @@
-"""Where a process pulls sections from: another process, or the platform."""
+"""Sources of configuration sections: a peer process or the platform's store."""
 
 from __future__ import annotations
 
@@ -20,35 +20,35 @@
 
 
 def section_key(digest: str) -> str:
-    """Return the platform's name for a section.
+    """Return the key under which the platform stores a section.
 
     Parameters
     ----------
     digest : str
-        The section's own name.
+        The section's digest.
 
     Returns
     -------
     str
-        Key of an object.
+        Object key.
     """
     return SECTION_PREFIX + digest
 
 
 class PlatformSource(SectionSource):
-    """Pulls sections from the platform.
+    """Pulls sections from the platform's object store.
 
     Parameters
     ----------
     platform : Platform
-        The platform's service.
+        Client of the platform.
     """
 
     def __init__(self, platform: Platform) -> None:
         self._platform = platform
 
     def fetch(self, digest: str) -> Deferred[bytes | None]:
-        """Ask for a section; see `SectionSource.fetch`."""
+        """Request a section; see `SectionSource.fetch`."""
         found: Deferred[Any] = self._platform.get(section_key(digest))
         return found.addCallbacks(_value_of, _none_if_unreachable)
 
@@ -56,6 +56,8 @@
 class LinkSource(SectionSource):
     """Pulls sections from the process at the other end of a connection.
 
+    Concurrent requests for the same section share one message.
+
     Parameters
     ----------
     link : Link
@@ -67,7 +69,7 @@
         self._waiting: dict[str, list[Deferred[bytes | None]]] = {}
 
     def fetch(self, digest: str) -> Deferred[bytes | None]:
-        """Ask for a section; see `SectionSource.fetch`."""
+        """Request a section; see `SectionSource.fetch`."""
         result: Deferred[bytes | None] = Deferred()
         if self._link.is_lost:
             result.callback(None)
@@ -80,12 +82,12 @@
         return result
 
     def reply(self, message: wire.SectionReply) -> None:
-        """Take in an answer.
+        """Complete the requests for the section that a reply carries.
 
         Parameters
         ----------
         message : wire.SectionReply
-            The answer; one that was not asked for is dropped.
+            The reply; one that was not requested is dropped.
         """
         waiting = self._waiting.pop(message.digest, [])
         if waiting:
@@ -94,7 +96,7 @@
             result.callback(message.data if message.found else None)
 
     def lost(self) -> None:
-        """Take in that the connection has ended."""
+        """Complete all pending requests with None: the connection was lost."""
         waiting, self._waiting = self._waiting, {}
         for results in waiting.values():
             for result in results:
@@ -102,13 +104,13 @@
 
 
 class LinkSources:
-    """The sources of all connections of a process."""
+    """Section sources of a process, one for each open connection."""
 
     def __init__(self) -> None:
         self._sources: dict[Link, LinkSource] = {}
 
     def of(self, link: Link) -> LinkSource:
-        """Return the source of a connection, always the same one.
+        """Return the source of a connection, created on first use.
 
         Parameters
         ----------
@@ -118,7 +120,7 @@
         Returns
         -------
         LinkSource
-            Its source.
+            The same source for as long as the connection is open.
         """
         found = self._sources.get(link)
         if found is None:
@@ -128,7 +130,7 @@
         return found
 
     def lost(self, link: Link) -> None:
-        """Take in that a connection has ended.
+        """Remove the source of a lost connection and end its requests.
 
         Parameters
         ----------
--- a/src/primrosescale/process/configuration/version_keeper.py
+++ b/src/primrosescale/process/configuration/version_keeper.py
@@ -1,4 +1,8 @@
-"""Keeps the version in force, pulls newer ones, and never goes back."""
+"""Holds the version in force and replaces it by newer versions only.
+
+An announced version is pulled section by section, verified and put in force as
+a whole. A lower version number never replaces a higher one.
+"""
 
 from __future__ import annotations
 
@@ -43,81 +47,84 @@
 
 
 class SectionSource(ABC):
-    """Somewhere sections can be pulled from."""
+    """Source from which sections can be pulled."""
 
     @abstractmethod
     def fetch(self, digest: str) -> Deferred[bytes | None]:
-        """Ask for a section.
+        """Request a section.
 
         Parameters
         ----------
         digest : str
-            Its name.
+            The section's digest.
 
         Returns
         -------
         Deferred[bytes | None]
-            Its bytes, not checked; None when it is not there.
+            Its bytes, not verified; None when the source does not have it.
         """
 
 
 class SourceError(ProcessError):
-    """No source had a section."""
+    """The source did not return a section."""
 
     def __init__(self, digest: str) -> None:
         super().__init__(
-            f"section {digest[:12]} is nowhere to be had",
-            "it is asked for again with the next announcement",
+            f"section {digest[:12]} was not returned by its source",
+            "it is requested again at the next announcement",
         )
 
 
 class VersionObserver(ABC):
-    """Is told what becomes of versions."""
+    """Receives the outcomes of version announcements."""
 
     @abstractmethod
     def adopted(self, view: VersionView) -> None:
-        """Take in that a version is in force here.
+        """Handle a version that was put in force in this process.
 
         Parameters
         ----------
         view : VersionView
-            The version.
+            The version now in force.
         """
 
     @abstractmethod
     def head_refused(self, error: HeadError) -> None:
-        """Take in that a head was not taken.
+        """Handle an announced head that failed verification.
 
         Parameters
         ----------
         error : HeadError
-            Why.
+            The reason.
         """
 
     @abstractmethod
     def pull_failed(self, version: int, detail: str) -> None:
-        """Take in that a version could not be pulled yet.
+        """Handle a version that could not be pulled yet.
 
         Parameters
         ----------
         version : int
-            Its number.
+            The version's number.
         detail : str
-            Why.
+            The reason.
         """
 
 
 class VersionKeeper:
-    """The versions of the configuration in one process.
+    """Pulls versions of the configuration and keeps one in force in a process.
+
+    Sections of replaced versions are retained up to a limit, so that other
+    processes can still pull them from here.
 
     Parameters
     ----------
     check : HeadCheck
-        Decides which heads are taken.
+        Verifies announced heads and decides which are newer.
     observer : VersionObserver
-        Told what becomes of versions.
+        Notified of adopted, refused and failed versions.
     needs_organisations : bool
-        Whether this process pulls organisations too.
+        Whether this process pulls the records of organisations too.
     """
 
     def __init__(
@@ -141,12 +148,12 @@
 
     @property
     def view(self) -> VersionView | None:
-        """Return the version in force."""
+        """Return the version in force; None before the first one."""
         return self._view
 
     @property
     def head(self) -> VersionHead:
-        """Return the head of the version in force."""
+        """Return the head of the version in force; `NO_HEAD` for none."""
         return NO_HEAD if self._view is None else self._view.head
 
     @property
@@ -156,44 +163,47 @@
 
     @property
     def retired(self) -> int:
-        """Return how many older versions requests still use."""
+        """Return how many replaced versions are still pinned by requests."""
         self._retired = [view for view in self._retired if view.pins]
         return len(self._retired)
 
     @property
     def pulled_bytes(self) -> int:
-        """Return the bytes of sections pulled so far."""
+        """Return the total bytes of sections pulled since the start."""
         return self._pulled_bytes
 
     def section(self, digest: str) -> Section | None:
-        """Return a section for another process.
+        """Return a section held here, such as one that another process requests.
 
         Parameters
         ----------
         digest : str
-            Its name.
+            The section's digest.
 
         Returns
         -------
         Section | None
-            The section, if a recent version has it.
+            The section, if the version in force or a recent one contains it.
         """
         return self._sections.get(digest) or self._recent_sections.get(digest)
 
     def hear(self, head: VersionHead, source: SectionSource) -> Deferred[None]:
-        """Take in an announcement and pull what it names, if it is newer.
+        """Pull an announced version if it is newer than the one in force.
+
+        The announcer need not be trusted, because the head's signature is
+        verified. While a pull runs, no second one is started.
 
         Parameters
         ----------
         head : VersionHead
-            The head announced, by whomever.
+            The announced head.
         source : SectionSource
-            Where its sections can be pulled from.
+            Source of the version's sections.
 
         Returns
         -------
         Deferred[None]
-            When this announcement has been dealt with; never fails.
+            Fires when the announcement has been processed; never fails.
         """
         if not self._check.is_newer(head, self.head):
             return succeed(None)
@@ -227,12 +237,14 @@
         head: VersionHead,
         source: SectionSource,
     ) -> Generator[Any, Any, None]:
-        """Pull the sections not held yet, check all of them, then switch."""
+        """Pull the missing sections, verify them and put the version in force."""
         collected: dict[str, Section] = {}
         root_section = yield self._pull_section(head.digest, source, collected)
         root = Root.decode(root_section)
         if root.version != head.version:
-            raise HeadError(head.version, f"its root is of version {root.version}")
+            raise HeadError(
+                head.version, f"its root section has version {root.version}"
+            )
         groups: list[GroupView] = []
         for branch in root.groups:
             if branch.label != SCATTERED_KIND:
@@ -256,7 +268,7 @@
         *,
         is_deep: bool = False,
     ) -> Generator[Any, Any, GroupView]:
-        """Return a group, as it is known if it has not changed."""
+        """Return a group; an unchanged one is reused from the version in force."""
         old = None
         if self._view is not None:
             old = self._view.groups.get(branch.label)
@@ -300,7 +312,7 @@
         source: SectionSource,
         collected: dict[str, Section],
     ) -> Generator[Any, Any, list[Section]]:
-        """Return some sections; those not held are pulled a few at a time."""
+        """Return sections in order; missing ones are pulled, a few at a time."""
         missing = [digest for digest in digests if self.section(digest) is None]
         if missing:
             limit = DeferredSemaphore(MAX_PARALLEL_PULLS)
@@ -339,7 +351,7 @@
 
 
 def _unwrap_first_error(failure: Failure) -> Any:
-    """Unwrap what `gatherResults` puts around the first error."""
+    """Return the first failure from the wrapper that `gatherResults` raises."""
     return getattr(failure.value, "subFailure", failure)
 
 
--- a/src/primrosescale/process/configuration/wire_head.py
+++ b/src/primrosescale/process/configuration/wire_head.py
@@ -1,4 +1,4 @@
-"""Heads as messages carry them."""
+"""Converts version heads to and from their wire representation."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def to_wire(head: VersionHead) -> wire.Head:
-    """Return a head for a message.
+    """Convert a head to its wire representation.
 
     Parameters
     ----------
@@ -17,22 +17,22 @@
     Returns
     -------
     wire.Head
-        The same.
+        The head as a field of a message.
     """
     return wire.Head(head.version, head.digest, head.approver, head.signature)
 
 
 def from_wire(head: wire.Head) -> VersionHead:
-    """Return the head that a message carries.
+    """Convert a head received in a message.
 
     Parameters
     ----------
     head : wire.Head
-        Part of a message.
+        The head as a field of a message.
 
     Returns
     -------
     VersionHead
-        The same, not checked.
+        The head; its signature is not verified here.
     """
     return VersionHead(head.version, head.digest, head.approver, head.signature)
