--- a/src/primrosescale/process/ledger/__init__.py
+++ b/src/primrosescale/process/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""Claims of requests that may run once, kept in the platform."""
+"""Ledger of claims on requests that may run at most once, stored in the platform."""
--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -1,8 +1,8 @@
-"""Writes the claims of the ledger's buckets, many in one update.
+"""Decides claims on requests and stores them in the ledger, batched by bucket.
 
-Any router may write any bucket; routers agree by order of candidates on who
-does, so that claims gather. If two write one bucket, conditional updates
-decide, and only speed is lost.
+Any router may write any bucket. Routers choose the same writer of a bucket by
+candidate order, so that claims are batched. If two routers write one bucket,
+conditional updates keep it consistent and only throughput is lost.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, eq=False)
 class _PendingRequest:
-    """A request that waits for its bucket's next update."""
+    """A request waiting for its bucket's next update."""
 
     request: wire.ClaimRequest
     until: float
@@ -57,7 +57,7 @@
 
 
 class _Bucket:
-    """One bucket as this writer knows it."""
+    """Copy of a bucket in this writer, with the requests pending for it."""
 
     def __init__(self) -> None:
         self.pending: list[_PendingRequest] = []
@@ -70,18 +70,18 @@
 
 
 class ClaimWriter:
-    """Decides and stores claims.
+    """Decides on claims and stores the decisions.
 
     Parameters
     ----------
     settings : LedgerSettings
-        Sizes and times.
+        Limits and intervals.
     platform : Platform
-        Where claims are kept.
+        Object store that holds the ledger.
     clock : Clock
         Source of time and timers.
     wall_clock : Callable[[], float]
-        Returns seconds since 1970, for retention.
+        Returns seconds since 1970; used for retention.
     """
 
     def __init__(
@@ -102,35 +102,35 @@
 
     @property
     def decided(self) -> int:
-        """Return how many requests were decided."""
+        """Return the number of requests decided so far."""
         return self._decided
 
     @property
     def writes(self) -> int:
-        """Return how many updates were made."""
+        """Return the number of bucket updates written so far."""
         return self._writes
 
     @property
     def keys(self) -> int:
-        """Return how many keys are known in memory."""
+        """Return the number of keys held in memory."""
         return sum(
             len(bucket.entries) + sum(len(index) for index in bucket.sealed)
             for bucket in self._buckets.values()
         )
 
     def submit(self, request: wire.ClaimRequest) -> Deferred[wire.ClaimReply]:
-        """Decide about a claim and store the decision.
+        """Decide on a claim and store the decision.
 
         Parameters
         ----------
         request : wire.ClaimRequest
-            What is asked.
+            The request to claim a key, or to record or abandon its claim.
 
         Returns
         -------
         Deferred[wire.ClaimReply]
-            Never fails; `ClaimState.UNAVAILABLE` when the platform could not
-            be asked in time.
+            Never fails; `ClaimState.UNAVAILABLE` when the platform did not
+            store the decision in time.
         """
         number = bucket_of(request.key, self._settings.buckets)
         bucket = self._buckets.setdefault(number, _Bucket())
@@ -168,7 +168,7 @@
             self._answer_unavailable(item)
 
     def _refuse_pending(self, failure: Any, bucket: _Bucket) -> None:
-        """Refuse what waits when the bucket cannot be read; read it anew then."""
+        """Refuse pending requests of an unreadable bucket; it is reloaded next."""
         bucket.is_loaded = False
         bucket.sealed = []
         waiting, bucket.pending = bucket.pending, []
@@ -182,7 +182,7 @@
 
     @inlineCallbacks
     def _update_bucket(self, number: int, bucket: _Bucket) -> Generator[Any, Any, None]:
-        """Store one batch, or learn what stands in its way."""
+        """Decide and store one batch; after an error, mark the bucket for reloading."""
         batch = list(bucket.pending)
         try:
             if not self._has_layout:
@@ -208,23 +208,24 @@
 
     @inlineCallbacks
     def _check_layout(self) -> Generator[Any, Any, None]:
-        """Check that all writers spread keys over the same buckets.
+        """Check that all writers use the same number of buckets.
 
-        Two that do not would look for one key in two places and grant it
-        twice, so the first writer of a ledger writes the number down.
+        Writers with different numbers would look up one key in different
+        buckets and grant it twice, so the first writer of a ledger stores its
+        number.
         """
         expected = str(self._settings.buckets).encode()
         found = yield self._platform.get(LAYOUT_KEY)
         if found is None:
             yield self._platform.put(LAYOUT_KEY, expected, MUST_NOT_EXIST)
         elif found.value != expected:
-            detail = f"it has {found.value.decode()} buckets, [ledger] buckets differs"
+            detail = f"it has {found.value.decode()} buckets, unlike [ledger] buckets"
             raise LedgerFormatError(LAYOUT_KEY, detail)
         self._has_layout = True
 
     @inlineCallbacks
     def _load_tail(self, number: int, bucket: _Bucket) -> Generator[Any, Any, None]:
-        """Read the tail, and sealed segments not known yet."""
+        """Read the tail and those sealed segments that are not loaded yet."""
         name = tail_name(number, self._settings.buckets)
         found = yield self._platform.get(name)
         if found is None:
@@ -258,7 +259,7 @@
         bucket: _Bucket,
         batch: list[_PendingRequest],
     ) -> Generator[Any, Any, list[Decision]]:
-        """Decide a batch in order, each seeing those before it."""
+        """Decide a batch in order; each decision sees the ones before it."""
         now_ms = int(self._wall_clock() * MILLISECONDS)
         staged: dict[bytes, wire.LedgerEntry] = {}
         decisions: list[Decision] = []
@@ -323,7 +324,7 @@
         bucket.version = version
         bucket.entries = entries
         bucket.sealed = sealed
-        # Only now does no tail name them any more.
+        # Deleted only now, as the tail just stored no longer refers to them.
         for index in unreferenced:
             self._platform.delete(index.name).addErrback(_ignore_outage)
 
@@ -335,10 +336,10 @@
 
     @inlineCallbacks
     def _seal(self, number: int, bucket: _Bucket) -> Generator[Any, Any, SealedIndex]:
-        """Write the tail as it stands under a name of its own."""
+        """Write the current tail as a sealed segment."""
         name = sealed_name(number, self._settings.buckets, bucket.version)
         segment = wire.LedgerSegment(FORMAT, list(bucket.entries.values()), [])
-        # On a conflict another writer sealed this version, with the same entries.
+        # A conflict means that another writer sealed this version: same entries.
         with contextlib.suppress(PlatformConflictError):
             yield self._platform.put(name, encode_segment(segment), MUST_NOT_EXIST)
         return SealedIndex(name, segment)
@@ -354,5 +355,5 @@
 
 
 def _ignore_outage(failure: Failure) -> None:
-    """Leave a segment past its retention where it is; nothing names it."""
+    """Leave an expired segment in the store; no tail refers to it any more."""
     failure.trap(PlatformError)
--- a/src/primrosescale/process/ledger/ledger_bucket.py
+++ b/src/primrosescale/process/ledger/ledger_bucket.py
@@ -1,4 +1,9 @@
-"""Claims of one bucket of the ledger: what is stored and what it decides."""
+"""Storage format of the ledger's buckets and the rules that decide claims.
+
+The claims on keys are spread over buckets. The current claims of a bucket stand
+in its tail, a segment that is rewritten with each update; a full tail is sealed,
+which means that it is stored as a segment that never changes.
+"""
 
 from __future__ import annotations
 
@@ -23,42 +28,42 @@
 
 
 class LedgerFormatError(ProcessError):
-    """A stored segment cannot be read."""
+    """A stored object of the ledger is missing, malformed or does not fit."""
 
     def __init__(self, name: str, detail: str) -> None:
         super().__init__(
-            f"ledger segment {name} refused: {detail}",
-            "run a release and settings that fit it; claims are refused until then",
+            f"ledger object {name} refused: {detail}",
+            "use a release and settings that match it; claims are refused until then",
         )
 
 
 @dataclass(frozen=True, slots=True)
 class LedgerSettings:
-    """Sizes and times of the ledger."""
+    """Limits and intervals of the ledger."""
 
     buckets: int = option(
         COUNT,
-        "buckets that keys are spread over; fixed for the life of a ledger",
+        "number of buckets; cannot be changed once the ledger is in use",
         64,
     )
     retention: float = option(
         SECONDS,
-        "seconds for which a key is known at least",
+        "minimum seconds for which a key is kept",
         24 * 3600.0,
     )
     seal_entries: int = option(
         COUNT,
-        "entries at which the tail is sealed",
+        "number of entries at which the tail is sealed",
         2000,
     )
     seal_bytes: int = option(
         COUNT,
-        "bytes at which the tail is sealed",
+        "size in bytes at which the tail is sealed",
         400_000,
     )
     write_interval: float = option(
         SECONDS,
-        "seconds between two writes of one bucket at the least",
+        "minimum seconds between two writes of one bucket",
         0.25,
     )
     claim_timeout: float = option(
@@ -69,65 +74,65 @@
 
 
 def bucket_of(key: bytes, buckets: int) -> int:
-    """Return the bucket that a key falls into.
+    """Return the bucket of a key.
 
     Parameters
     ----------
     key : bytes
         Digest of the key.
     buckets : int
-        How many buckets there are.
+        Number of buckets.
 
     Returns
     -------
     int
-        From 0.
+        Number of the bucket, from 0.
     """
     return int.from_bytes(key[:8], "big") % buckets
 
 
 def tail_name(bucket: int, buckets: int) -> str:
-    """Return the name of a bucket's open segment.
+    """Return the object key of a bucket's tail, its open segment.
 
     Parameters
     ----------
     bucket : int
         The bucket.
     buckets : int
-        How many buckets there are.
+        Number of buckets.
 
     Returns
     -------
     str
-        Key of an object.
+        Object key.
     """
     return f"ledger/v{FORMAT}/{buckets}/{bucket:04d}/tail"
 
 
 def sealed_name(bucket: int, buckets: int, version: int) -> str:
-    """Return the name of a sealed segment.
+    """Return the object key of a sealed segment.
 
-    Whoever seals the tail that is at one version writes the same bytes.
+    Writers that seal the same version of a tail write the same bytes.
 
     Parameters
     ----------
     bucket : int
         The bucket.
     buckets : int
-        How many buckets there are.
+        Number of buckets.
     version : int
-        Version of the tail that was sealed.
+        Version of the tail when it was sealed.
 
     Returns
     -------
     str
-        Key of an object.
+        Object key.
     """
     return f"ledger/v{FORMAT}/{buckets}/{bucket:04d}/sealed/{version:016d}"
 
 
 def encode_segment(segment: wire.LedgerSegment) -> bytes:
-    """Return a segment as the platform keeps it.
+    """Encode a segment for storage in the platform.
 
     Parameters
     ----------
@@ -137,20 +142,20 @@
     Returns
     -------
     bytes
-        Thrift's compact protocol.
+        The segment in Thrift's compact protocol.
     """
     return encode_struct(segment)
 
 
 def decode_segment(name: str, data: bytes) -> wire.LedgerSegment:
-    """Read a segment as the platform keeps it.
+    """Decode a segment read from the platform.
 
     Parameters
     ----------
     name : str
-        Key of its object.
+        Its object key, for errors.
     data : bytes
-        Its bytes.
+        Content of the object.
 
     Returns
     -------
@@ -160,7 +165,7 @@
     Raises
     ------
     LedgerFormatError
-        When it is malformed or of a format not known here.
+        When it is malformed or its format is not supported.
     """
     segment = wire.LedgerSegment(FORMAT, [], [])
     try:
@@ -173,12 +178,12 @@
 
 
 class SealedIndex:
-    """The keys of a sealed segment, 16 bytes each.
+    """Sorted index of the keys of a sealed segment, 16 bytes each.
 
     Parameters
     ----------
     name : str
-        Key of its object.
+        Object key of the segment.
     segment : wire.LedgerSegment
         The segment.
     """
@@ -193,16 +198,16 @@
 
     @property
     def name(self) -> str:
-        """Return the key of its object."""
+        """Return the object key of the segment."""
         return self._name
 
     @property
     def newest_ms(self) -> int:
-        """Return when its newest entry was written."""
+        """Return when the newest entry was written, in ms since 1970; 0 for none."""
         return self._newest_ms
 
     def __len__(self) -> int:
-        """Return how many keys it has."""
+        """Return the number of keys."""
         return len(self._keys) // KEY_SIZE
 
     def holds(self, key: bytes) -> bool:
@@ -216,7 +221,7 @@
         Returns
         -------
         bool
-            True when its entry is in the object.
+            True when the segment has an entry for the key.
         """
         position = bisect_left(range(len(self)), key, key=self._key_at)
         return position < len(self) and self._key_at(position) == key
@@ -227,14 +232,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """What becomes of a request about a claim.
+    """Decision on a request about a claim.
 
     Parameters
     ----------
     reply : wire.ClaimReply
-        The answer, once the entry below is stored.
+        The reply to send once the entry is stored.
     entry : wire.LedgerEntry | None
-        What must be stored first; None when nothing changes.
+        The entry to store first; None when the ledger does not change.
     """
 
     reply: wire.ClaimReply
@@ -246,24 +251,24 @@
     known: wire.LedgerEntry | None,
     now_ms: int,
 ) -> Decision:
-    """Decide about a claim, given what is stored of its key.
+    """Decide on a request about a claim, given the stored entry of its key.
 
-    A claim is never taken over: only its own claimant, known by its token,
-    can record or abandon it.
+    A claim is never taken over: only its own claimant, identified by its
+    token, can record an answer for it or abandon it.
 
     Parameters
     ----------
     request : wire.ClaimRequest
-        What is asked.
+        The request.
     known : wire.LedgerEntry | None
-        What is stored.
+        The stored entry; None when the key has none.
     now_ms : int
-        Present time in milliseconds since 1970.
+        Current time in milliseconds since 1970.
 
     Returns
     -------
     Decision
-        Reply and change.
+        The reply and the entry to store.
     """
     if request.verb == ClaimVerb.CLAIM:
         return _decide_claim(request, known, now_ms)
--- a/src/primrosescale/process/ledger/remote_ledger.py
+++ b/src/primrosescale/process/ledger/remote_ledger.py
@@ -1,4 +1,4 @@
-"""An agent's way to the ledger: routers that write it."""
+"""Client of the ledger in an agent: sends claims to the routers that write it."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class _OutstandingRequest:
-    """One request about a claim and whom it was put to."""
+    """A request sent to a router and not replied to yet."""
 
     __slots__ = ("link", "request", "result", "timer")
 
@@ -40,10 +40,10 @@
 
 
 class RemoteLedger(Ledger):
-    """Asks the writer of a key's bucket, then the router that called.
+    """Sends claims to the writer of a key's bucket, then to the calling router.
 
-    Answers of runs and claims given back are sent until someone has stored
-    them, so that a short outage of the platform loses neither.
+    Recorded answers and abandoned claims are sent again until a router has
+    stored them, so that a short outage of the platform loses neither.
 
     Parameters
     ----------
@@ -52,9 +52,9 @@
     clock : Clock
         Source of time and timers.
     timeout : float
-        Seconds one router may take to decide.
+        Seconds that one router has to reply.
     alternate : Callable[[], Endpoint | None]
-        Returns a live router to ask when the first one cannot tell.
+        Returns a live router for retries; None when there is none.
     """
 
     def __init__(
@@ -74,7 +74,7 @@
 
     @property
     def unsettled(self) -> int:
-        """Return how many answers and abandoned claims are not stored yet."""
+        """Return the number of answers and abandoned claims not stored yet."""
         return self._unsettled
 
     def claim(self, claim: Claim, link: Link | None) -> Deferred[wire.ClaimReply]:
@@ -94,27 +94,27 @@
         return result
 
     def record(self, claim: Claim, answer: wire.StoredAnswer) -> None:
-        """Keep an answer; see `Ledger.record`."""
+        """Store the answer of a claim; see `Ledger.record`."""
         self._deliver(ClaimVerb.RECORD, claim, answer)
 
     def abandon(self, claim: Claim) -> None:
-        """Give a claim back; see `Ledger.abandon`."""
+        """Abandon a claim; see `Ledger.abandon`."""
         self._deliver(ClaimVerb.ABANDON, claim, None)
 
     def link_message(self, message: wire.ClaimReply) -> None:
-        """Take in what a router decided.
+        """Complete the request that a router has replied to.
 
         Parameters
         ----------
         message : wire.ClaimReply
-            The decision; one that nobody waits for is dropped.
+            The reply; one to a request no longer outstanding is dropped.
         """
         outstanding = self._outstanding.get(message.number)
         if outstanding is not None:
             self._complete(outstanding, message)
 
     def link_lost(self, link: Link) -> None:
-        """Take in that a connection has ended.
+        """End the requests sent over a lost connection as unavailable.
 
         Parameters
         ----------
