--- a/src/primrosescale/version/__init__.py
+++ b/src/primrosescale/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as one version of the configuration."""
+"""Versions of the configuration: their records, their sections and their heads."""
--- a/src/primrosescale/version/bundle.py
+++ b/src/primrosescale/version/bundle.py
@@ -1,4 +1,4 @@
-"""A bundle: the records of one version, as written."""
+"""Bundles: the records of one version as written in INI, and their validation."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bundle:
-    """Records by name.
+    """The records of one version as written, by name.
 
     Parameters
     ----------
@@ -43,14 +43,14 @@
 
     @classmethod
     def from_ini(cls, text: str, source: str) -> Bundle:
-        """Read and check a bundle written as INI.
+        """Parse and validate a bundle written as INI.
 
         Parameters
         ----------
         text : str
-            The text.
+            The INI text.
         source : str
-            Its name, for errors.
+            Name of the text's source, for errors.
 
         Returns
         -------
@@ -60,9 +60,9 @@
         Raises
         ------
         IniError
-            When it is not INI.
+            When the text is not INI.
         FaultsError
-            With every fault of its records.
+            With all faults of its records.
         """
         parser = parse_text(text, source)
         faults: list[Fault] = []
@@ -86,7 +86,7 @@
         Returns
         -------
         str
-            Sections in the order of their names.
+            Sections sorted by record name.
         """
         blocks: list[str] = []
         for name in sorted(self.records):
@@ -98,7 +98,7 @@
         return "\n\n".join(blocks) + "\n"
 
     def faults(self) -> list[Fault]:
-        """Return everything wrong with the records.
+        """Return all faults of the records, alone and in their references.
 
         Returns
         -------
@@ -113,7 +113,7 @@
 
 
 def parse_record(text: RecordText, faults: list[Fault]) -> Record | None:
-    """Check one record.
+    """Parse and validate one record.
 
     Parameters
     ----------
@@ -125,7 +125,7 @@
     Returns
     -------
     Record | None
-        The record, unless there was a fault.
+        The record; None when it has a fault.
     """
     return read_section(
         CLASS_BY_KIND[text.name.kind],
@@ -141,17 +141,17 @@
     name = name.strip()
     if kind not in CLASS_BY_KIND:
         remedy = f"name it '[KIND NAME]' with KIND one of {', '.join(CLASS_BY_KIND)}"
-        faults.append(Fault(section, "", "", "unknown kind of record", remedy))
+        faults.append(Fault(section, "", "", "unknown record kind", remedy))
         return None
     if not NAME_PATTERN.fullmatch(name):
         remedy = "use 1 to 63 letters, digits, dots, dashes and underscores"
-        faults.append(Fault(section, "", "", "wrong name", remedy))
+        faults.append(Fault(section, "", "", "invalid name", remedy))
         return None
     return RecordName(kind, name)
 
 
 def _cross_record_faults(records: Iterable[Record]) -> list[Fault]:
-    """Check what no record can tell alone."""
+    """Check references between records and key hashes used twice."""
     faults: list[Fault] = []
     items = list(records)
     models = {r.name for r in items if isinstance(r, ModelRecord)}
@@ -186,12 +186,12 @@
     if record.deadline > record.deadline_cap:
         remedy = "write at most the value of deadline_cap"
         value = str(record.deadline)
-        faults.append(Fault(section, "deadline", value, "over its cap", remedy))
+        faults.append(Fault(section, "deadline", value, "exceeds deadline_cap", remedy))
     for rule in record.non_idempotent:
         method, _, path = rule.partition(" ")
         if (not method.isupper() and method != "*") or not path.startswith("/"):
             remedy = "write 'METHOD /path' such as 'POST /switches'"
-            problem = "wrong rule"
+            problem = "invalid rule"
             faults.append(Fault(section, "non_idempotent", rule, problem, remedy))
     return faults
 
@@ -212,7 +212,7 @@
         other = organisation_by_hash.setdefault(item, record.name)
         if other != record.name:
             problem = f"key also belongs to organisation {other}"
-            remedy = "give each organisation keys of its own"
+            remedy = "give each organisation its own keys"
             faults.append(Fault(section, "key_hashes", item, problem, remedy))
     return faults
 
@@ -221,10 +221,10 @@
     if len(value) == HASH_HEX_LENGTH and set(value) <= HEX_DIGITS:
         return []
     remedy = "write the key's SHA-256 as 64 lower-case hex digits"
-    return [Fault(section, key, value, "not a hash", remedy)]
+    return [Fault(section, key, value, "not a SHA-256 hash", remedy)]
 
 
 def _dangling_reference(section: str, key: str, value: str) -> Fault:
     return Fault(
-        section, key, value, "names nothing", "add the record or mend the name"
+        section, key, value, "refers to no record", "add the record or correct the name"
     )
--- a/src/primrosescale/version/diff.py
+++ b/src/primrosescale/version/diff.py
@@ -1,4 +1,4 @@
-"""What differs between two bundles, for people."""
+"""Lists the differences of two bundles, as record names or as readable text."""
 
 from __future__ import annotations
 
@@ -16,33 +16,33 @@
     Parameters
     ----------
     before : Bundle
-        The one bundle.
+        The earlier bundle.
     after : Bundle
-        The other.
+        The later bundle.
 
     Returns
     -------
     list[RecordName]
-        Sorted.
+        Names sorted by kind and name.
     """
     names = before.records.keys() | after.records.keys()
     return sorted(n for n in names if before.records.get(n) != after.records.get(n))
 
 
 def diff_text(before: Bundle, after: Bundle) -> str:
-    """Return what differs, a line for each option.
+    """Return the differences as text, one line for each option.
 
     Parameters
     ----------
     before : Bundle
-        The one bundle.
+        The earlier bundle.
     after : Bundle
-        The other.
+        The later bundle.
 
     Returns
     -------
     str
-        ``+`` marks what came, ``-`` what went, ``~`` what changed.
+        ``+`` marks additions, ``-`` removals and ``~`` changes; empty for none.
     """
     lines: list[str] = []
     for name in changed_records(before, after):
--- a/src/primrosescale/version/exceptions.py
+++ b/src/primrosescale/version/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of versions of the configuration."""
+"""Errors raised for invalid, refused or conflicting versions of configuration."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class SectionError(VersionError):
-    """A section is altered, missing or not what its digest names."""
+    """A section is malformed, too large or does not match its digest."""
 
     def __init__(self, digest: str, detail: str) -> None:
         super().__init__(
@@ -30,17 +30,17 @@
 
 
 class ConflictError(VersionError):
-    """Another operator's change came first."""
+    """Another operator changed the configuration in the meantime."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(
-            f"another change came first: {detail}",
-            "look at it with 'bundle diff', then create your bundle anew",
+            f"conflict with another change: {detail}",
+            "review it with 'bundle diff', then create your bundle again",
         )
 
 
 class NotAllowedError(VersionError):
-    """The operator may not do this."""
+    """The operator lacks the role or the team that a change requires."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(
@@ -50,7 +50,7 @@
 
 
 class NotFoundError(VersionError):
-    """The bundle named does not exist."""
+    """No bundle has the given name."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"no bundle {name}", "list them with 'bundle history'")
--- a/src/primrosescale/version/head.py
+++ b/src/primrosescale/version/head.py
@@ -1,4 +1,4 @@
-"""Heads: which version is accepted, and who signed it off."""
+"""Version heads: the signed reference to an accepted version, and its checks."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionHead:
-    """An accepted version.
+    """Signed reference to an accepted version.
 
-    The digest covers the version's number, because it is that of the root,
-    so that a signature cannot be moved to another number.
+    The digest is that of the root section, which contains the version's number,
+    so that a signature cannot be reused for another number.
 
     Parameters
     ----------
     version : int
-        Its number; 0 stands for none.
+        Number of the version; 0 for none.
     digest : str
-        Name of its root section.
+        Digest of its root section.
     approver : str
-        Who signed it off.
+        Name of the approver who signed it.
     signature : bytes
         The approver's Ed25519 signature of the digest.
     """
@@ -43,12 +43,12 @@
     signature: bytes
 
     def encode(self) -> bytes:
-        """Return the head as the platform keeps it.
+        """Encode the head for storage in the platform.
 
         Returns
         -------
         bytes
-            JSON.
+            The head as JSON.
         """
         return json.dumps(
             {
@@ -61,12 +61,12 @@
 
     @classmethod
     def decode(cls, data: bytes) -> VersionHead:
-        """Read a head as the platform keeps it.
+        """Decode a head read from the platform.
 
         Parameters
         ----------
         data : bytes
-            JSON.
+            The head as JSON.
 
         Returns
         -------
@@ -76,7 +76,7 @@
         Raises
         ------
         HeadError
-            When it is not a head.
+            When the data is malformed.
         """
         try:
             fields = json.loads(data)
@@ -94,42 +94,43 @@
 
 
 def signed_message(digest: str) -> bytes:
-    """Return what an approver signs.
+    """Return the bytes that an approver signs.
 
     Parameters
     ----------
     digest : str
-        Name of the version's root section.
+        Digest of the version's root section.
 
     Returns
     -------
     bytes
-        The digest with a prefix, so that no other signature fits.
+        The digest with a prefix, so that signatures made with the same key for
+        other purposes are not valid for a version.
     """
     return SIGNED_PREFIX + digest.encode()
 
 
 def sign(digest: str, private_key: bytes) -> bytes:
-    """Sign a version off.
+    """Sign a version as its approver.
 
     Parameters
     ----------
     digest : str
-        Name of its root section.
+        Digest of its root section.
     private_key : bytes
-        The approver's Ed25519 key, 32 bytes.
+        The approver's Ed25519 private key, 32 bytes.
 
     Returns
     -------
     bytes
-        The signature, 64 bytes.
+        Ed25519 signature, 64 bytes.
     """
     key = Ed25519PrivateKey.from_private_bytes(private_key)
     return key.sign(signed_message(digest))
 
 
 class HeadCheck:
-    """Decides which heads a process takes.
+    """Verifies heads and decides which of two is newer.
 
     Parameters
     ----------
@@ -154,23 +155,25 @@
         Raises
         ------
         HeadError
-            When none did.
+            When the approver is not trusted or the signature is invalid.
         """
         key = self._keys.get(head.approver)
         if key is None:
-            raise HeadError(head.version, f"{head.approver!r} is no trusted approver")
+            raise HeadError(
+                head.version, f"{head.approver!r} is not a trusted approver"
+            )
         try:
             key.verify(head.signature, signed_message(head.digest))
         except InvalidSignature as error:
-            raise HeadError(head.version, "its signature is wrong") from error
+            raise HeadError(head.version, "its signature is invalid") from error
 
     def is_newer(self, head: VersionHead, known: VersionHead) -> bool:
-        """Tell whether a head goes before the one known.
+        """Tell whether a head replaces the known one.
 
         Parameters
         ----------
         head : VersionHead
-            The head heard.
+            The announced head.
         known : VersionHead
             The head in force.
 
--- a/src/primrosescale/version/records.py
+++ b/src/primrosescale/version/records.py
@@ -1,4 +1,4 @@
-"""Records of the configuration: services, organisations, models and more."""
+"""Record types of the configuration and the options that each of them has."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServiceRecord:
-    """A service that callers use."""
+    """A service that callers send requests to."""
 
     name: str
     kind: str = option(Text(("model", "plain")), "model engines or a plain service")
@@ -32,22 +32,22 @@
     team: str = option(Text(), "team that owns it", "")
     deadline: float = option(
         Number(0.1, MAX_DEADLINE_SECONDS),
-        "seconds a request may take when its caller names none",
+        "deadline of requests whose caller sets none, in seconds",
         60.0,
     )
     deadline_cap: float = option(
         Number(0.1, MAX_DEADLINE_SECONDS),
-        "seconds a caller may ask for at the most",
+        "longest deadline that a caller may set, in seconds",
         300.0,
     )
     candidates: int = option(
         Number(1, 16, is_whole=True),
-        "targets tried for one request at the most",
+        "maximum number of targets tried for one request",
         8,
     )
     non_idempotent: tuple[str, ...] = option(
         Words(),
-        "calls that run at most once: 'METHOD /path', a trailing * for any rest",
+        "calls that run at most once: 'METHOD /path'; a trailing * matches any suffix",
         (),
     )
     key_required: bool = option(
@@ -57,10 +57,12 @@
     )
     multiple: float = option(
         Number(1.0, 100.0),
-        "load of a target at the most, as a multiple of the mean",
+        "load bound of a target, as a multiple of the mean load",
         1.5,
     )
-    floor: int = option(COUNT, "work units a target may always carry", 1000)
+    floor: int = option(
+        COUNT, "work units below which a target is never over its load bound", 1000
+    )
 
     def is_idempotent(self, method: str, path: str) -> bool:
         """Tell whether a call may run more than once.
@@ -75,7 +77,7 @@
         Returns
         -------
         bool
-            False for a call named by ``non_idempotent``.
+            False for a call that matches a rule of ``non_idempotent``.
         """
         for rule in self.non_idempotent:
             wanted_method, _, wanted_path = rule.partition(" ")
@@ -94,23 +96,25 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OrganisationRecord:
-    """An organisation whose chats are routed."""
+    """An organisation whose requests are routed."""
 
     name: str
     key_hashes: tuple[str, ...] = option(
         Words(),
         "SHA-256 of each bearer key, in hex; never the key itself",
     )
-    team: str = option(Text(), "team that looks after it", "")
-    weight: int = option(POSITIVE, "its share of a busy engine", 1)
+    team: str = option(Text(), "team that owns it", "")
+    weight: int = option(
+        POSITIVE, "its share of an engine at capacity, relative to other weights", 1
+    )
     priority: int = option(
         Number(0, 9, is_whole=True),
-        "class; a lower number goes first",
+        "priority class; lower numbers are served first",
         5,
     )
     requests_per_second: float = option(
         SECONDS,
-        "requests a second over all routers; 0 for no limit",
+        "requests per second over all routers; 0 for no limit",
         0.0,
     )
     services: tuple[str, ...] = option(
@@ -130,26 +134,26 @@
     team: str = option(Text(), "team that owns it", "")
     domains: tuple[str, ...] = option(
         Words(),
-        "failure domains in the order of its roll-out; empty for all at once",
+        "failure domains in roll-out order; empty for all at once",
         (),
     )
     error_limit: float = option(
         Number(0.0, 1.0),
-        "share of failed answers at which its roll-out stops",
+        "share of failed answers at which its roll-out is stopped",
         0.2,
     )
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetRecord:
-    """What differs for one target from its service."""
+    """Settings of one target that differ from those of its service."""
 
     name: str
     service: str = option(NAME, "service it belongs to")
     team: str = option(Text(), "team that owns it", "")
     role: str = option(
         Text(("mixed", "prefill", "decode")),
-        "role its engine is ordered to take",
+        "role assigned to its engine",
         "mixed",
     )
 
@@ -160,7 +164,9 @@
 
     name: str
     key_hash: str = option(NAME, "SHA-256 of the operator's bearer key, in hex")
-    roles: tuple[str, ...] = option(Words(OPERATOR_ROLES), "what they may do")
+    roles: tuple[str, ...] = option(
+        Words(OPERATOR_ROLES), "roles that the operator holds"
+    )
     teams: tuple[str, ...] = option(
         Words(),
         "teams whose records they may change; * for all",
@@ -191,27 +197,27 @@
     kind : str
         One of the kinds in `CLASS_BY_KIND`.
     name : str
-        Its name among those of its kind.
+        Name of the record, unique within its kind.
     """
 
     kind: str
     name: str
 
     def __str__(self) -> str:
-        """Return it as it stands in INI text."""
+        """Return the name as written in a section header of INI text."""
         return f"{self.kind} {self.name}"
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class OptionText:
-    """One option of a record as written.
+    """An option of a record as written.
 
     Parameters
     ----------
     key : str
-        Which option.
+        Name of the option.
     value : str
-        Its text.
+        Text of the value.
     """
 
     key: str
@@ -225,7 +231,7 @@
     Parameters
     ----------
     name : RecordName
-        Its name.
+        Name of the record.
     options : tuple[OptionText, ...]
         Its options, sorted by key.
     """
@@ -235,7 +241,7 @@
 
     @property
     def team(self) -> str:
-        """Return the team the record belongs to."""
+        """Return the team that owns the record; empty for none."""
         for item in self.options:
             if item.key == "team":
                 return item.value
