--- a/src/primrosescale/version/routing_table.py
+++ b/src/primrosescale/version/routing_table.py
@@ -1,7 +1,7 @@
-"""One version of the routing configuration, ready for lookups.
+"""Immutable routing table of one version: finds routes, services and key holders.
 
-A table is built once for a version and never changed, so a request keeps the
-table it was accepted under until it ends.
+A table is built once for a version and never changed, so that a request can use
+the table under which it was accepted until it ends.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """One of the services that a route leads to.
+    """A service to which a route sends a share of its requests.
 
     Parameters
     ----------
     service : str
         Its name.
     weight : float
-        Its share of the route's requests, against the other weights.
+        Its share of the route's requests, relative to the other weights.
     """
 
     service: str
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Route:
-    """Where requests of a host name and path go, and how they are treated.
+    """Services and handling of the requests of a host name and path prefix.
 
     Parameters
     ----------
@@ -50,29 +50,29 @@
     host : str
         Host name, in lower case.
     path_prefix : str
-        What the path begins with.
+        Prefix of the request's path.
     services : tuple[WeightedService, ...]
-        Where it leads.
+        Services that receive its requests.
     repeatability : Repeatability
-        Whether its requests may run twice.
+        Whether its requests may run more than once.
     is_resumable : bool
-        Whether a broken stream may go on at another target.
+        Whether an interrupted stream may be resumed at another target.
     has_prompt : bool
-        Whether requests describe a prompt whose cache is worth keeping.
+        Whether requests carry a prompt, so that prefix caches of targets matter.
     timeout : float
-        Longest time to keep a caller waiting, in seconds.
+        Maximum time for which a caller waits, in seconds.
     latency_objective : float
-        Time to the first byte that callers hope for, in seconds.
+        Intended time to the first byte, in seconds.
     gap_objective : float
-        Longest pause between events of a stream, in seconds; 0 for none.
+        Intended maximum pause between events of a stream, in seconds; 0 for none.
     max_targets : int
-        Targets that one request may be sent to.
+        Maximum number of targets that one request is sent to.
     priority : int
         Rank of its requests; 0 is the most urgent.
     is_open : bool
-        Whether no key is needed.
+        Whether callers need no key.
     allowed_regions : frozenset[str]
-        Regions whose targets may get its requests; empty for all.
+        Regions whose targets may receive its requests; empty for all.
     """
 
     name: str
@@ -92,14 +92,14 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Tell whether a request may be sent again after it may have run."""
+        """Tell whether a request that may have run may be retried."""
         if self.repeatability is Repeatability.STREAM:
             return self.is_resumable
         return self.repeatability is Repeatability.IDEMPOTENT
 
     @property
     def is_stream(self) -> bool:
-        """Tell whether its answers are series of events."""
+        """Tell whether its answers are event streams."""
         return self.repeatability is Repeatability.STREAM
 
 
@@ -112,12 +112,12 @@
     name : str
         Unique name.
     slots : int
-        Requests that one target runs at once; 0 when not told.
+        Requests that one target runs at once; 0 when not stated.
     cache_tokens : int
-        Tokens that one target's prompt cache holds; 0 for plain services.
+        Capacity of one target's prefix cache in tokens; 0 for plain services.
     cold_rate : float
-        Requests a second that a target bears while it is cold; 0 for one that
-        bears as many as ever.
+        Requests per second that a target can take while it is cold; 0 for no
+        lower limit than when it is warm.
     cold_seconds : float
         Seconds for which a target is cold after its start.
     """
@@ -131,16 +131,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Organisation:
-    """Whom a request is made for.
+    """The organisation on whose behalf a request is made.
 
     Parameters
     ----------
     name : str
         Unique name.
     priority : int | None
-        Rank of its requests, which goes before that of the route.
+        Rank of its requests, which overrides that of the route; None for none.
     allowed_regions : frozenset[str]
-        Regions whose targets may get its requests; empty for all.
+        Regions whose targets may receive its requests; empty for all.
     """
 
     name: str
@@ -150,18 +150,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerLimits:
-    """What callers may send and how long they may take.
+    """Limits on the size and duration of what callers send.
 
     Parameters
     ----------
     header_bytes : int
-        Size of a request's head.
+        Maximum size of a request's head.
     body_bytes : int
-        Size of a request's body.
+        Maximum size of a request's body.
     header_timeout : float
-        Seconds in which the head must have come.
+        Seconds within which the head must be received.
     idle_timeout : float
-        Seconds that a connection may be idle.
+        Seconds for which a connection may be idle.
     """
 
     header_bytes: int
@@ -171,7 +171,7 @@
 
 
 class RoutingTable:
-    """Routes, services and keys of one version.
+    """Routes, services and bearer keys of one version.
 
     Parameters
     ----------
@@ -182,7 +182,7 @@
     services : Iterable[Service]
         All services.
     keys : Mapping[str, Organisation]
-        Organisation that holds each key.
+        Organisation by bearer key.
     limits : CallerLimits
         Limits on callers.
     """
@@ -219,26 +219,26 @@
 
     @property
     def has_keys(self) -> bool:
-        """Tell whether callers need keys at all."""
+        """Tell whether the version has any keys; without any, callers need none."""
         return bool(self._keys)
 
     def service(self, name: str) -> Service | None:
-        """Return a service, if the version has it.
+        """Return a service by name.
 
         Parameters
         ----------
         name : str
-            Its name.
+            Name of the service.
 
         Returns
         -------
         Service | None
-            The service.
+            The service; None when the version has none of this name.
         """
         return self._services.get(name)
 
     def route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that fits.
+        """Return the route with the longest prefix that matches a path.
 
         Parameters
         ----------
@@ -250,7 +250,7 @@
         Returns
         -------
         Route | None
-            The route; None when there is none.
+            The route; None when none matches.
         """
         name = host.rsplit(":", 1)[0].lower()
         path_only = path.split("?", 1)[0]
@@ -260,7 +260,7 @@
         return None
 
     def organisation(self, key: str) -> Organisation | None:
-        """Return who holds a key.
+        """Return the organisation that a key belongs to.
 
         Parameters
         ----------
--- a/src/primrosescale/version/section.py
+++ b/src/primrosescale/version/section.py
@@ -1,11 +1,11 @@
-"""Sections: the records of a version as a tree of immutable, named parts.
-
-A section is named by the digest of its bytes. The root names a part for each
-kind of record; services, models, targets and operators are a group of leaves
-each. Organisations are many: their index names groups, each group subgroups,
-each subgroup leaves of a few records, sixteen a level, so that a change of
-one organisation moves a few hundred bytes a level. Agents pull the root and
-what is not of organisations.
+"""Sections: the records of a version as a Merkle tree of immutable parts.
+
+A section is identified by the digest of its bytes. The root refers to one section
+for each kind of record. Services, models, targets and operators have one group of
+leaves each. As there are many organisations, their index refers to groups, each
+group to subgroups and each subgroup to leaves of a few records, with sixteen
+sections a level, so that a change of one organisation transfers only a few hundred
+bytes a level. Agents pull the root and all sections except those of organisations.
 """
 
 from __future__ import annotations
@@ -37,17 +37,17 @@
 
 
 def digest_of(data: bytes) -> str:
-    """Return the name of a section.
+    """Return the digest that identifies a section.
 
     Parameters
     ----------
     data : bytes
-        Its bytes.
+        The section's bytes.
 
     Returns
     -------
     str
-        40 hex digits.
+        BLAKE2b digest of 20 bytes as 40 hex digits.
     """
     return blake2b(data, digest_size=DIGEST_BYTES).hexdigest()
 
@@ -59,9 +59,9 @@
     Parameters
     ----------
     digest : str
-        Its name.
+        Digest that identifies it.
     data : bytes
-        Its bytes.
+        Its bytes, not verified until `check` is called.
     """
 
     digest: str
@@ -69,7 +69,7 @@
 
     @classmethod
     def of(cls, data: bytes) -> Section:
-        """Return the section with some bytes.
+        """Create the section of some bytes.
 
         Parameters
         ----------
@@ -79,34 +79,34 @@
         Returns
         -------
         Section
-            Named by their digest.
+            The section with the digest of these bytes.
         """
         return cls(digest_of(data), data)
 
     def check(self) -> None:
-        """Check that the bytes are those named.
+        """Check that the bytes match the digest.
 
         Raises
         ------
         SectionError
-            When they are not, or are too many.
+            When they do not, or exceed `MAX_SECTION_BYTES`.
         """
         if len(self.data) > MAX_SECTION_BYTES:
-            raise SectionError(self.digest, "over 1 MB")
+            raise SectionError(self.digest, "larger than 1 MB")
         if digest_of(self.data) != self.digest:
-            raise SectionError(self.digest, "its bytes were altered")
+            raise SectionError(self.digest, "its bytes do not match its digest")
 
 
 @dataclass(frozen=True, slots=True)
 class Branch:
-    """One name of a part in its parent.
+    """Reference from a section to one of its parts.
 
     Parameters
     ----------
     label : str
-        Which part.
+        Label of the part, unique within its parent.
     digest : str
-        The section that holds it.
+        Digest of the part's section.
     """
 
     label: str
@@ -115,20 +115,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Root:
-    """The top of a version's tree.
+    """The root of a version's tree.
 
     Parameters
     ----------
     version : int
-        Number of the version; only ever goes up.
+        Number of the version; each new version has a higher one.
     base : str
-        Digest of the version it was made from; empty for the first.
+        Digest of the version it was derived from; empty for the first.
     author : str
-        Operator who made it.
+        Operator who created it.
     created_ms : int
-        When, in milliseconds since 1970.
+        Time of creation in milliseconds since 1970.
     groups : tuple[Branch, ...]
-        A part for each kind of record, sorted by label.
+        One part for each kind of record, sorted by label.
     """
 
     version: int
@@ -138,7 +138,7 @@
     groups: tuple[Branch, ...] = field(default=())
 
     def encode(self) -> bytes:
-        """Return the bytes of the root's section.
+        """Encode the root as the bytes of a section.
 
         Returns
         -------
@@ -158,12 +158,12 @@
 
     @classmethod
     def decode(cls, section: Section) -> Root:
-        """Read a root from its section.
+        """Decode the root from its section.
 
         Parameters
         ----------
         section : Section
-            A checked section.
+            A verified section.
 
         Returns
         -------
@@ -173,12 +173,12 @@
         Raises
         ------
         SectionError
-            When it is not a root of a known format.
+            When it is not a root or its format is not supported.
         """
         try:
             fields = json.loads(section.data)
             if fields["format"] != FORMAT:
-                raise SectionError(section.digest, "its format is unknown")
+                raise SectionError(section.digest, "its format is not supported")
             return cls(
                 int(fields["version"]),
                 str(fields["base"]),
@@ -197,11 +197,11 @@
     Parameters
     ----------
     root : Root
-        The top.
+        The decoded root.
     digest : str
-        Name of the root's section, and so of the whole version.
+        Digest of the root's section, which identifies the whole version.
     sections : dict[str, Section]
-        All sections by name.
+        All sections by digest.
     """
 
     root: Root
@@ -216,7 +216,7 @@
     author: str,
     created_ms: int,
 ) -> SectionTree:
-    """Cut a bundle into sections.
+    """Split a bundle into sections.
 
     Parameters
     ----------
@@ -225,16 +225,16 @@
     version : int
         The version's number.
     base : str
-        Digest of the version it was made from.
+        Digest of the version it was derived from.
     author : str
-        Who made it.
+        Operator who created it.
     created_ms : int
-        When, in milliseconds since 1970.
+        Time of creation in milliseconds since 1970.
 
     Returns
     -------
     SectionTree
-        Root and sections; the same records give the same leaves.
+        The root and all sections; equal records produce equal leaves.
     """
     sections: dict[str, Section] = {}
     unsharded: dict[str, dict[str, list[RecordText]]] = {}
@@ -274,7 +274,7 @@
     leaves: dict[str, list[RecordText]],
     sections: dict[str, Section],
 ) -> str:
-    """Add leaves and the index over them; return the index's digest."""
+    """Add leaves and the index of them; return the digest of the index."""
     digests: dict[str, str] = {}
     for label, records in leaves.items():
         part = Section.of(encode_leaf(records))
@@ -292,14 +292,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordLocation:
-    """Where a record lies in the tree.
+    """Location of a record in the tree.
 
     Parameters
     ----------
     group : str
         Label of its group.
     subgroup : str
-        Label of its subgroup; empty for kinds that have none.
+        Label of its subgroup; empty for kinds without subgroups.
     leaf : str
         Label of its leaf.
     """
@@ -310,17 +310,17 @@
 
 
 def locate_record(name: RecordName) -> RecordLocation:
-    """Return where a record lies.
+    """Return the location of a record, which follows from a hash of its name.
 
     Parameters
     ----------
     name : RecordName
-        The record's name.
+        Name of the record.
 
     Returns
     -------
     RecordLocation
-        Labels of the parts that hold it.
+        Labels of the parts that contain it.
     """
     name_hash = xxh3_64_intdigest(name.name.encode())
     leaf = f"{name_hash % FAN_OUT:x}"
@@ -332,12 +332,12 @@
 
 
 def decode_group(section: Section) -> tuple[Branch, ...]:
-    """Return the parts that an index names.
+    """Decode the references of an index.
 
     Parameters
     ----------
     section : Section
-        A checked section.
+        A verified section.
 
     Returns
     -------
@@ -356,12 +356,12 @@
 
 
 def encode_leaf(records: list[RecordText]) -> bytes:
-    """Return the bytes of a leaf.
+    """Encode records as the bytes of a leaf.
 
     Parameters
     ----------
     records : list[RecordText]
-        Its records.
+        The records, in any order.
 
     Returns
     -------
@@ -382,17 +382,17 @@
 
 
 def decode_leaf(section: Section) -> list[RecordText]:
-    """Return the records of a leaf.
+    """Decode the records of a leaf.
 
     Parameters
     ----------
     section : Section
-        A checked section.
+        A verified section.
 
     Returns
     -------
     list[RecordText]
-        Its records as written.
+        The records as written.
 
     Raises
     ------
--- a/src/primrosescale/version/view.py
+++ b/src/primrosescale/version/view.py
@@ -1,4 +1,4 @@
-"""A version in force: its records, ready for use."""
+"""View of one version: looks up its records by kind, name and bearer key."""
 
 from __future__ import annotations
 
@@ -28,30 +28,30 @@
 
 @dataclass(slots=True)
 class PinCounter:
-    """Requests that still use a version.
+    """Number of requests that still use a version.
 
     Parameters
     ----------
     count : int
-        How many.
+        Number of requests.
     """
 
     count: int = 0
 
 
 class GroupView:
-    """The records of one group of sections; shared between versions.
+    """The parsed records of one group; versions share unchanged groups.
 
     Parameters
     ----------
     label : str
         Label of the group.
     digest : str
-        Name of its section.
+        Digest of its section.
     leaves : dict[str, list[Record]]
-        Its records by the name of the leaf that holds them.
+        Its records by the digest of the leaf that contains them.
     indexes : list[str]
-        Names of the sections between the group and its leaves.
+        Digests of the sections between the group and its leaves.
     """
 
     __slots__ = (
@@ -90,9 +90,9 @@
     Parameters
     ----------
     head : VersionHead
-        Which version it is.
+        Head of the version.
     groups : Iterable[GroupView]
-        Its records.
+        Groups of its records.
     """
 
     __slots__ = (
@@ -122,7 +122,7 @@
 
     @property
     def head(self) -> VersionHead:
-        """Return which version this is."""
+        """Return the head of the version."""
         return self._head
 
     @property
@@ -132,7 +132,7 @@
 
     @property
     def pins(self) -> int:
-        """Return how many requests use this version."""
+        """Return the number of requests that use this version."""
         return self._pins.count
 
     @property
@@ -152,7 +152,7 @@
 
     @property
     def targets(self) -> dict[str, TargetRecord]:
-        """Return the targets that differ from their service, by name."""
+        """Return the targets with settings of their own, by name."""
         return self._targets
 
     @property
@@ -161,7 +161,7 @@
         return self._operators
 
     def pin(self) -> VersionView:
-        """Keep this version in use for one more request.
+        """Register one more request that uses this version.
 
         Returns
         -------
@@ -172,23 +172,23 @@
         return self
 
     def unpin(self) -> None:
-        """End one request's use."""
+        """Unregister one request that used this version."""
         self._pins.count -= 1
 
     def organisation_of(self, key: str) -> OrganisationRecord | None:
-        """Return whose bearer key this is.
+        """Return the organisation that a bearer key belongs to.
 
-        The key's hash is looked up, and then compared in constant time.
+        The key's hash is looked up and then compared in constant time.
 
         Parameters
         ----------
         key : str
-            The key as sent.
+            The key as received.
 
         Returns
         -------
         OrganisationRecord | None
-            The organisation, unless the key is unknown.
+            The organisation; None for an unknown key.
         """
         sent_hash = hashlib.sha256(key.encode()).digest()
         for group in self._groups.values():
@@ -203,29 +203,29 @@
         Parameters
         ----------
         name : str
-            Its name.
+            Name of the organisation.
 
         Returns
         -------
         OrganisationRecord | None
-            The organisation, if there is one.
+            The organisation; None when there is none of this name.
         """
         location = locate_record(RecordName(SCATTERED_KIND, name))
         group = self._groups.get(location.group)
         return None if group is None else group.organisations.get(name)
 
     def operator_of(self, key: str) -> OperatorRecord | None:
-        """Return whose operator key this is.
+        """Return the operator that a key belongs to.
 
         Parameters
         ----------
         key : str
-            The key as sent.
+            The key as received.
 
         Returns
         -------
         OperatorRecord | None
-            The operator, unless the key is unknown.
+            The operator; None for an unknown key.
         """
         sent_hash = hashlib.sha256(key.encode()).hexdigest()
         found: OperatorRecord | None = None
@@ -245,7 +245,7 @@
         Returns
         -------
         ServiceRecord | None
-            The service, if one runs it.
+            The service; None when no service runs it.
         """
         named = self._services.get(model)
         if named is not None and named.kind == "model":
@@ -259,7 +259,7 @@
 def _match_key_hash(
     record: OrganisationRecord, sent_hash: bytes
 ) -> OrganisationRecord | None:
-    """Compare a key's hash in constant time with those of its record."""
+    """Return the record if one of its hashes equals a key's, in constant time."""
     for item in record.key_hashes:
         if hmac.compare_digest(bytes.fromhex(item), sent_hash):
             return record
