--- a/src/primrosescale/version/section.py
+++ b/src/primrosescale/version/section.py
@@ -237,7 +237,7 @@
         The root and all sections; equal records produce equal leaves.
     """
     sections: dict[str, Section] = {}
-    unsharded: dict[str, dict[str, list[RecordText]]] = {}
+    plain: dict[str, dict[str, list[RecordText]]] = {}
     sharded: dict[str, dict[str, dict[str, list[RecordText]]]] = {}
     for text in bundle.records.values():
         location = locate_record(text.name)
@@ -245,11 +245,10 @@
             group = sharded.setdefault(location.group, {})
             leaves = group.setdefault(location.subgroup, {})
         else:
-            leaves = unsharded.setdefault(location.group, {})
+            leaves = plain.setdefault(location.group, {})
         leaves.setdefault(location.leaf, []).append(text)
     branches = [
-        Branch(label, _add_leaves(leaves, sections))
-        for label, leaves in unsharded.items()
+        Branch(label, _add_leaves(leaves, sections)) for label, leaves in plain.items()
     ]
     if sharded:
         groups = {
