--- a/tests/process/test_version_keeper.py
+++ b/tests/process/test_version_keeper.py
@@ -19,7 +19,7 @@
 from support.world import bundle_text
 
 
-class Observer(VersionObserver):
+class RecordingObserver(VersionObserver):
     def __init__(self):
         self.versions = []
         self.refused = []
@@ -67,7 +67,7 @@
 class VersionKeeperTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.observer = Observer()
+        self.observer = RecordingObserver()
         public = SIGNING.public_key().public_bytes_raw()
         self.assertTrue(PUBLIC)
         check = HeadCheck({"approver": public})
