--- a/tests/process/test_version_keeper.py
+++ b/tests/process/test_version_keeper.py
@@ -38,12 +38,12 @@
 class FakeSource(SectionSource):
     def __init__(self, tree=None):
         self.tree = tree
-        self.asked = []
+        self.requested = []
         self.altered = set()
         self.held = None
 
     def fetch(self, digest):
-        self.asked.append(digest)
+        self.requested.append(digest)
         if self.held is not None:
             waiting = Deferred()
             self.held.append((waiting, digest))
@@ -93,7 +93,7 @@
         tree, head = make_version(2, "[organisation x]\nkey_hashes =\n")
         source = FakeSource(tree)
         self.keeper.hear(head, source)
-        self.assertEqual(5, len(source.asked))
+        self.assertEqual(5, len(source.requested))
         self.assertEqual([1, 2], self.observer.versions)
 
     def test_an_altered_section_keeps_the_old_version_in_force(self):
@@ -171,4 +171,4 @@
         keeper.hear(head, source)
         self.assertIn("chat", keeper.view.services)
         self.assertIsNone(keeper.view.organisation("small"))
-        self.assertTrue(len(source.asked) < len(tree.sections))
+        self.assertTrue(len(source.requested) < len(tree.sections))
