--- a/tests/process/test_version_keeper.py
+++ b/tests/process/test_version_keeper.py
@@ -40,13 +40,13 @@
         self.tree = tree
         self.requested = []
         self.altered = set()
-        self.held = None
+        self.delayed = None
 
     def fetch(self, digest):
         self.requested.append(digest)
-        if self.held is not None:
+        if self.delayed is not None:
             waiting = Deferred()
-            self.held.append((waiting, digest))
+            self.delayed.append((waiting, digest))
             return waiting
         return succeed(self.data(digest))
 
@@ -133,12 +133,12 @@
     def test_an_older_pull_that_ends_late_changes_nothing(self):
         tree, head = make_version(1)
         slow = FakeSource(tree)
-        slow.held = []
+        slow.delayed = []
         self.keeper.hear(head, slow)
         newer_tree, newer = make_version(2)
         self.keeper.hear(newer, FakeSource(newer_tree))
-        held, slow.held = slow.held, None
-        for waiting, digest in held:
+        delayed, slow.delayed = slow.delayed, None
+        for waiting, digest in delayed:
             waiting.callback(slow.data(digest))
         self.keeper.hear(newer, FakeSource(newer_tree))
         self.assertEqual([1, 2], self.observer.versions)
