--- a/tests/process/test_version_keeper.py
+++ b/tests/process/test_version_keeper.py
@@ -125,8 +125,8 @@
 
     def test_a_signature_cannot_be_moved_to_another_number(self):
         tree, head = make_version(3)
-        moved = VersionHead(99, head.digest, "approver", head.signature)
-        self.keeper.hear(moved, FakeSource(tree))
+        reused = VersionHead(99, head.digest, "approver", head.signature)
+        self.keeper.hear(reused, FakeSource(tree))
         self.assertEqual([], self.observer.versions)
         self.assertEqual(1, len(self.observer.failed))
 
