--- a/tests/process/test_ledger.py
+++ b/tests/process/test_ledger.py
@@ -24,15 +24,17 @@
 from primrosescale.standin.object_store import StoreSettings
 
 KEY = b"k" * 16
-PRINT = b"f" * 16
+FINGERPRINT = b"f" * 16
 
 
-def ask(verb=ClaimVerb.CLAIM, token=b"A", key=KEY, fingerprint=PRINT, answer=None):
+def ask(
+    verb=ClaimVerb.CLAIM, token=b"A", key=KEY, fingerprint=FINGERPRINT, answer=None
+):
     return wire.ClaimRequest(1, verb, key, token, fingerprint, answer)
 
 
 def stored(state, token=b"A", answer=None):
-    return wire.LedgerEntry(KEY, token, PRINT, state, 0, answer)
+    return wire.LedgerEntry(KEY, token, FINGERPRINT, state, 0, answer)
 
 
 ANSWER = wire.StoredAnswer(200, [], b"done", True)
@@ -89,7 +91,7 @@
 
     def test_an_index_finds_what_its_segment_holds(self):
         entries = [
-            wire.LedgerEntry(bytes([n]) * 16, b"t", PRINT, ClaimState.GRANTED, n)
+            wire.LedgerEntry(bytes([n]) * 16, b"t", FINGERPRINT, ClaimState.GRANTED, n)
             for n in range(0, 200, 2)
         ]
         index = SealedIndex("s", wire.LedgerSegment(FORMAT, entries, []))
