--- a/tests/process/test_ledger.py
+++ b/tests/process/test_ledger.py
@@ -27,7 +27,7 @@
 FINGERPRINT = b"f" * 16
 
 
-def ask(
+def make_request(
     verb=ClaimVerb.CLAIM, token=b"A", key=KEY, fingerprint=FINGERPRINT, answer=None
 ):
     return wire.ClaimRequest(1, verb, key, token, fingerprint, answer)
@@ -41,27 +41,62 @@
 
 # What is known, what is asked, the reply, and whether something is stored.
 DECISIONS = [
-    (None, ask(), ClaimState.GRANTED, True),
-    (stored(ClaimState.GRANTED), ask(), ClaimState.GRANTED, False),
-    (stored(ClaimState.GRANTED, b"B"), ask(), ClaimState.HELD, False),
-    (stored(ClaimState.RECORDED, b"B"), ask(), ClaimState.RECORDED, False),
-    (stored(ClaimState.ABANDONED, b"B"), ask(), ClaimState.GRANTED, True),
-    (stored(ClaimState.ABANDONED), ask(), ClaimState.ABANDONED, False),
+    (None, make_request(), ClaimState.GRANTED, True),
+    (stored(ClaimState.GRANTED), make_request(), ClaimState.GRANTED, False),
+    (stored(ClaimState.GRANTED, b"B"), make_request(), ClaimState.HELD, False),
+    (stored(ClaimState.RECORDED, b"B"), make_request(), ClaimState.RECORDED, False),
+    (stored(ClaimState.ABANDONED, b"B"), make_request(), ClaimState.GRANTED, True),
+    (stored(ClaimState.ABANDONED), make_request(), ClaimState.ABANDONED, False),
     (
         stored(ClaimState.GRANTED, b"B"),
-        ask(fingerprint=b"g" * 16),
+        make_request(fingerprint=b"g" * 16),
         ClaimState.REUSED,
         False,
     ),
-    (stored(ClaimState.GRANTED), ask(ClaimVerb.RECORD), ClaimState.RECORDED, True),
-    (stored(ClaimState.GRANTED, b"B"), ask(ClaimVerb.RECORD), ClaimState.HELD, False),
-    (stored(ClaimState.ABANDONED), ask(ClaimVerb.RECORD), ClaimState.HELD, False),
-    (stored(ClaimState.RECORDED), ask(ClaimVerb.RECORD), ClaimState.RECORDED, False),
-    (None, ask(ClaimVerb.RECORD), ClaimState.HELD, False),
-    (stored(ClaimState.GRANTED), ask(ClaimVerb.ABANDON), ClaimState.ABANDONED, True),
-    (stored(ClaimState.GRANTED, b"B"), ask(ClaimVerb.ABANDON), ClaimState.HELD, False),
-    (stored(ClaimState.RECORDED), ask(ClaimVerb.ABANDON), ClaimState.RECORDED, False),
-    (None, ask(ClaimVerb.ABANDON), ClaimState.ABANDONED, True),
+    (
+        stored(ClaimState.GRANTED),
+        make_request(ClaimVerb.RECORD),
+        ClaimState.RECORDED,
+        True,
+    ),
+    (
+        stored(ClaimState.GRANTED, b"B"),
+        make_request(ClaimVerb.RECORD),
+        ClaimState.HELD,
+        False,
+    ),
+    (
+        stored(ClaimState.ABANDONED),
+        make_request(ClaimVerb.RECORD),
+        ClaimState.HELD,
+        False,
+    ),
+    (
+        stored(ClaimState.RECORDED),
+        make_request(ClaimVerb.RECORD),
+        ClaimState.RECORDED,
+        False,
+    ),
+    (None, make_request(ClaimVerb.RECORD), ClaimState.HELD, False),
+    (
+        stored(ClaimState.GRANTED),
+        make_request(ClaimVerb.ABANDON),
+        ClaimState.ABANDONED,
+        True,
+    ),
+    (
+        stored(ClaimState.GRANTED, b"B"),
+        make_request(ClaimVerb.ABANDON),
+        ClaimState.HELD,
+        False,
+    ),
+    (
+        stored(ClaimState.RECORDED),
+        make_request(ClaimVerb.ABANDON),
+        ClaimState.RECORDED,
+        False,
+    ),
+    (None, make_request(ClaimVerb.ABANDON), ClaimState.ABANDONED, True),
 ]
 
 
@@ -122,7 +157,7 @@
         replies = []
         for number in range(100):
             key = bytes([number]) * 16
-            self.submit(writer, ask(key=key, token=key), replies)
+            self.submit(writer, make_request(key=key, token=key), replies)
         self.run_for(1.0)
         self.assertEqual([ClaimState.GRANTED] * 100, replies)
         self.assertTrue(writer.writes <= 2)
@@ -130,16 +165,16 @@
     def test_two_claimants_in_one_batch_get_one_grant(self):
         writer = self.writer()
         replies = []
-        self.submit(writer, ask(token=b"A"), replies)
-        self.submit(writer, ask(token=b"B"), replies)
+        self.submit(writer, make_request(token=b"A"), replies)
+        self.submit(writer, make_request(token=b"B"), replies)
         self.run_for(1.0)
         self.assertEqual([ClaimState.GRANTED, ClaimState.HELD], replies)
 
     def test_two_writers_of_a_bucket_grant_once(self):
         one, other = self.writer(), self.writer()
         replies = []
-        self.submit(one, ask(token=b"A"), replies)
-        self.submit(other, ask(token=b"B"), replies)
+        self.submit(one, make_request(token=b"A"), replies)
+        self.submit(other, make_request(token=b"B"), replies)
         self.run_for(2.0)
         self.assertEqual([ClaimState.HELD, ClaimState.GRANTED], sorted(replies)[::-1])
 
@@ -147,7 +182,7 @@
         self.store.settings.lost_answers = 1
         writer = self.writer()
         replies = []
-        self.submit(writer, ask(), replies)
+        self.submit(writer, make_request(), replies)
         self.run_for(1.0)
         self.assertEqual([ClaimState.GRANTED], replies)
         self.assertEqual(1, writer.writes)
@@ -156,18 +191,18 @@
         self.store.settings.is_down = True
         writer = self.writer(claim_timeout=1.0)
         replies = []
-        self.submit(writer, ask(), replies)
+        self.submit(writer, make_request(), replies)
         self.run_for(1.5)
         self.assertEqual([ClaimState.UNAVAILABLE], replies)
 
     def test_an_answer_is_returned_to_a_repeat_through_another_writer(self):
         one, other = self.writer(), self.writer()
         found = []
-        one.submit(ask())
+        one.submit(make_request())
         self.run_for(1.0)
-        one.submit(ask(ClaimVerb.RECORD, answer=ANSWER))
+        one.submit(make_request(ClaimVerb.RECORD, answer=ANSWER))
         self.run_for(1.0)
-        other.submit(ask(token=b"B")).addCallback(found.append)
+        other.submit(make_request(token=b"B")).addCallback(found.append)
         self.run_for(1.0)
         self.assertEqual(b"done", found[0].answer.body)
 
@@ -176,14 +211,14 @@
         replies = []
         for number in range(30):
             key = bytes([number]) * 16
-            self.submit(writer, ask(key=key, token=key), replies)
+            self.submit(writer, make_request(key=key, token=key), replies)
             self.run_for(0.1)
         self.assertEqual([ClaimState.GRANTED] * 30, replies)
         again = []
         fresh = self.writer()
         for number in range(30):
             key = bytes([number]) * 16
-            self.submit(fresh, ask(key=key, token=b"other"), again)
+            self.submit(fresh, make_request(key=key, token=b"other"), again)
         self.run_for(3.0)
         self.assertEqual([ClaimState.HELD] * 30, again)
 
@@ -192,7 +227,7 @@
         replies = []
         for number in range(60):
             key = bytes([number]) * 16
-            self.submit(writer, ask(key=key, token=key), replies)
+            self.submit(writer, make_request(key=key, token=key), replies)
             self.run_for(0.1)
         self.assertTrue(writer.keys < 40, writer.keys)
         names = [
@@ -203,11 +238,11 @@
     def test_a_paused_writer_does_not_overwrite_its_successor(self):
         one, other = self.writer(), self.writer()
         replies = []
-        self.submit(one, ask(key=b"a" * 16), replies)
+        self.submit(one, make_request(key=b"a" * 16), replies)
         self.run_for(1.0)
-        self.submit(other, ask(key=b"b" * 16), replies)
+        self.submit(other, make_request(key=b"b" * 16), replies)
         self.run_for(1.0)
-        self.submit(one, ask(key=b"b" * 16, token=b"late"), replies)
+        self.submit(one, make_request(key=b"b" * 16, token=b"late"), replies)
         self.run_for(1.0)
         self.assertEqual(
             [ClaimState.GRANTED, ClaimState.GRANTED, ClaimState.HELD],
@@ -219,7 +254,7 @@
         self.store.put(tail_name(0, 1), data, 0, 0.0)
         writer = self.writer()
         replies = []
-        self.submit(writer, ask(), replies)
+        self.submit(writer, make_request(), replies)
         self.run_for(1.0)
         self.assertEqual([ClaimState.UNAVAILABLE], replies)
         self.assertEqual(data, self.store.get(tail_name(0, 1), 5.0).value)
@@ -229,9 +264,9 @@
         settings = LedgerSettings(buckets=2)
         other = ClaimWriter(settings, self.platform, self.clock, self.clock.seconds)
         replies = []
-        self.submit(one, ask(token=b"A"), replies)
+        self.submit(one, make_request(token=b"A"), replies)
         self.run_for(1.0)
-        self.submit(other, ask(token=b"B"), replies)
+        self.submit(other, make_request(token=b"B"), replies)
         self.run_for(1.0)
         self.assertEqual([ClaimState.GRANTED, ClaimState.UNAVAILABLE], replies)
 
@@ -248,7 +283,7 @@
         self.store.delete = checked
         for number in range(60):
             key = bytes([number]) * 16
-            self.submit(writer, ask(key=key, token=key), [])
+            self.submit(writer, make_request(key=key, token=key), [])
             if number % 7 == 0:
                 self.store.settings.lost_answers += 1
             self.run_for(0.1)
@@ -260,16 +295,16 @@
         replies = []
         for number in range(20):
             key = bytes([number]) * 16
-            self.submit(old, ask(key=key, token=key), replies)
+            self.submit(old, make_request(key=key, token=key), replies)
             self.run_for(0.05)
         self.run_for(5.0)
         new = self.writer(seal_entries=5, write_interval=0.05, retention=2.0)
         for number in range(100, 130):
             key = bytes([number]) * 16
-            self.submit(new, ask(key=key, token=key), [])
+            self.submit(new, make_request(key=key, token=key), [])
             self.run_for(0.1)
         late = []
         for _ in range(3):
-            self.submit(old, ask(key=bytes(16), token=b"late"), late)
+            self.submit(old, make_request(key=bytes(16), token=b"late"), late)
             self.run_for(1.0)
         self.assertEqual(ClaimState.GRANTED, late[-1])
