--- a/tests/process/test_ledger.py
+++ b/tests/process/test_ledger.py
@@ -33,7 +33,7 @@
     return wire.ClaimRequest(1, verb, key, token, fingerprint, answer)
 
 
-def stored(state, token=b"A", answer=None):
+def make_entry(state, token=b"A", answer=None):
     return wire.LedgerEntry(KEY, token, FINGERPRINT, state, 0, answer)
 
 
@@ -42,56 +42,56 @@
 # What is known, what is asked, the reply, and whether something is stored.
 DECISIONS = [
     (None, make_request(), ClaimState.GRANTED, True),
-    (stored(ClaimState.GRANTED), make_request(), ClaimState.GRANTED, False),
-    (stored(ClaimState.GRANTED, b"B"), make_request(), ClaimState.HELD, False),
-    (stored(ClaimState.RECORDED, b"B"), make_request(), ClaimState.RECORDED, False),
-    (stored(ClaimState.ABANDONED, b"B"), make_request(), ClaimState.GRANTED, True),
-    (stored(ClaimState.ABANDONED), make_request(), ClaimState.ABANDONED, False),
+    (make_entry(ClaimState.GRANTED), make_request(), ClaimState.GRANTED, False),
+    (make_entry(ClaimState.GRANTED, b"B"), make_request(), ClaimState.HELD, False),
+    (make_entry(ClaimState.RECORDED, b"B"), make_request(), ClaimState.RECORDED, False),
+    (make_entry(ClaimState.ABANDONED, b"B"), make_request(), ClaimState.GRANTED, True),
+    (make_entry(ClaimState.ABANDONED), make_request(), ClaimState.ABANDONED, False),
     (
-        stored(ClaimState.GRANTED, b"B"),
+        make_entry(ClaimState.GRANTED, b"B"),
         make_request(fingerprint=b"g" * 16),
         ClaimState.REUSED,
         False,
     ),
     (
-        stored(ClaimState.GRANTED),
+        make_entry(ClaimState.GRANTED),
         make_request(ClaimVerb.RECORD),
         ClaimState.RECORDED,
         True,
     ),
     (
-        stored(ClaimState.GRANTED, b"B"),
+        make_entry(ClaimState.GRANTED, b"B"),
         make_request(ClaimVerb.RECORD),
         ClaimState.HELD,
         False,
     ),
     (
-        stored(ClaimState.ABANDONED),
+        make_entry(ClaimState.ABANDONED),
         make_request(ClaimVerb.RECORD),
         ClaimState.HELD,
         False,
     ),
     (
-        stored(ClaimState.RECORDED),
+        make_entry(ClaimState.RECORDED),
         make_request(ClaimVerb.RECORD),
         ClaimState.RECORDED,
         False,
     ),
     (None, make_request(ClaimVerb.RECORD), ClaimState.HELD, False),
     (
-        stored(ClaimState.GRANTED),
+        make_entry(ClaimState.GRANTED),
         make_request(ClaimVerb.ABANDON),
         ClaimState.ABANDONED,
         True,
     ),
     (
-        stored(ClaimState.GRANTED, b"B"),
+        make_entry(ClaimState.GRANTED, b"B"),
         make_request(ClaimVerb.ABANDON),
         ClaimState.HELD,
         False,
     ),
     (
-        stored(ClaimState.RECORDED),
+        make_entry(ClaimState.RECORDED),
         make_request(ClaimVerb.ABANDON),
         ClaimState.RECORDED,
         False,
