--- a/tests/version/test_version.py
+++ b/tests/version/test_version.py
@@ -22,7 +22,7 @@
 from primrosescale.version.section import decode_leaf
 
 HASH = "a" * 64
-GOOD = f"""
+VALID_BUNDLE = f"""
 [model m]
 version = 1
 [service chat]
@@ -34,7 +34,7 @@
 
 
 def bundle(extra=""):
-    return Bundle.from_ini(GOOD + extra, "test")
+    return Bundle.from_ini(VALID_BUNDLE + extra, "test")
 
 
 def tree(text="", version=1, base=""):
@@ -78,7 +78,7 @@
 
     def test_a_diff_names_what_came_went_and_changed(self):
         after = Bundle.from_ini(
-            GOOD.replace("version = 1", "version = 2").replace(
+            VALID_BUNDLE.replace("version = 1", "version = 2").replace(
                 "[organisation one]", "[organisation two]"
             ),
             "after",
