--- a/tests/version/test_version.py
+++ b/tests/version/test_version.py
@@ -21,7 +21,7 @@
 from primrosescale.version.section import decode_group
 from primrosescale.version.section import decode_leaf
 
-HASH = "a" * 64
+KEY_HASH = "a" * 64
 VALID_BUNDLE = f"""
 [model m]
 version = 1
@@ -29,7 +29,7 @@
 kind = model
 models = m
 [organisation one]
-key_hashes = {HASH}
+key_hashes = {KEY_HASH}
 """
 
 
@@ -68,7 +68,7 @@
         self.assertRaises(IniError, Bundle.from_ini, "not ini", "test")
 
     def test_a_key_of_two_organisations_is_a_fault(self):
-        text = f"[organisation two]\nkey_hashes = {HASH}\n"
+        text = f"[organisation two]\nkey_hashes = {KEY_HASH}\n"
         error = self.assertRaises(FaultsError, bundle, text)
         self.assertIn("belongs to organisation", str(error.exceptions[0]))
 
