--- a/tests/version/test_version.py
+++ b/tests/version/test_version.py
@@ -7,7 +7,7 @@
 
 from primrosescale.ini.exceptions import FaultsError
 from primrosescale.ini.exceptions import IniError
-from primrosescale.version.bundle import Bundle
+from primrosescale.version.make_bundle import Bundle
 from primrosescale.version.diff import diff_text
 from primrosescale.version.exceptions import HeadError
 from primrosescale.version.exceptions import SectionError
@@ -33,12 +33,12 @@
 """
 
 
-def bundle(extra=""):
+def make_bundle(extra=""):
     return Bundle.from_ini(VALID_BUNDLE + extra, "test")
 
 
 def tree(text="", version=1, base=""):
-    return build_tree(bundle(text), version, base, "author", 0)
+    return build_tree(make_bundle(text), version, base, "author", 0)
 
 
 class BundleTest(TestCase):
@@ -69,12 +69,12 @@
 
     def test_a_key_of_two_organisations_is_a_fault(self):
         text = f"[organisation two]\nkey_hashes = {KEY_HASH}\n"
-        error = self.assertRaises(FaultsError, bundle, text)
+        error = self.assertRaises(FaultsError, make_bundle, text)
         self.assertIn("belongs to organisation", str(error.exceptions[0]))
 
     def test_ini_and_back_is_the_same_bundle(self):
-        again = Bundle.from_ini(bundle().to_ini(), "again")
-        self.assertEqual(bundle(), again)
+        again = Bundle.from_ini(make_bundle().to_ini(), "again")
+        self.assertEqual(make_bundle(), again)
 
     def test_a_diff_names_what_came_went_and_changed(self):
         after = Bundle.from_ini(
@@ -83,7 +83,7 @@
             ),
             "after",
         )
-        text = diff_text(bundle(), after)
+        text = diff_text(make_bundle(), after)
         self.assertIn("~ version = 1 -> 2", text)
         self.assertIn("- [organisation one]", text)
         self.assertIn("+ [organisation two]", text)
@@ -122,7 +122,7 @@
                 digests = [branch.digest for part in parts for branch in part]
             for digest in digests:
                 names |= {r.name for r in decode_leaf(found.sections[digest])}
-        self.assertEqual(set(bundle().records), names)
+        self.assertEqual(set(make_bundle().records), names)
 
     def test_an_altered_section_is_refused(self):
         found = next(iter(tree().sections.values()))
