--- a/tests/version/test_version.py
+++ b/tests/version/test_version.py
@@ -37,7 +37,7 @@
     return Bundle.from_ini(VALID_BUNDLE + extra, "test")
 
 
-def tree(text="", version=1, base=""):
+def make_tree(text="", version=1, base=""):
     return build_tree(make_bundle(text), version, base, "author", 0)
 
 
@@ -106,13 +106,13 @@
             f"[organisation o{n}]\nkey_hashes = {n:064x}\n" for n in range(2000)
         )
         changed = many.replace("[organisation o7]", "[organisation o7]\nweight = 3")
-        before, after = tree(many), tree(changed, 2)
+        before, after = make_tree(many), make_tree(changed, 2)
         new = [s for d, s in after.sections.items() if d not in before.sections]
         self.assertEqual(5, len(new))
         self.assertTrue(sum(len(s.data) for s in new) < 4000)
 
     def test_all_records_come_back_from_the_sections(self):
-        found = tree()
+        found = make_tree()
         root = Root.decode(found.sections[found.digest])
         names = set()
         for group in root.groups:
@@ -125,7 +125,7 @@
         self.assertEqual(set(make_bundle().records), names)
 
     def test_an_altered_section_is_refused(self):
-        found = next(iter(tree().sections.values()))
+        found = next(iter(make_tree().sections.values()))
         altered = Section(found.digest, found.data + b" ")
         self.assertRaises(SectionError, altered.check)
 
