--- a/tests/version/test_version.py
+++ b/tests/version/test_version.py
@@ -7,7 +7,7 @@
 
 from primrosescale.ini.exceptions import FaultsError
 from primrosescale.ini.exceptions import IniError
-from primrosescale.version.make_bundle import Bundle
+from primrosescale.version.bundle import Bundle
 from primrosescale.version.diff import diff_text
 from primrosescale.version.exceptions import HeadError
 from primrosescale.version.exceptions import SectionError
