--- a/tests/process/test_ledger.py
+++ b/tests/process/test_ledger.py
@@ -1,4 +1,4 @@
-"""Claims: granted once, never taken over, read back when answers are lost."""
+"""Claims are granted once and never taken over, also when writes conflict or fail."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 ANSWER = wire.StoredAnswer(200, [], b"done", True)
 
-# What is known, what is asked, the reply, and whether something is stored.
+# Stored entry, request, state of the reply, and whether an entry is stored.
 DECISIONS = [
     (None, make_request(), ClaimState.GRANTED, True),
     (make_entry(ClaimState.GRANTED), make_request(), ClaimState.GRANTED, False),
@@ -112,7 +112,7 @@
         self.assertNotEqual(claim_key("s", "a", "k"), claim_key("s", "b", "k"))
         self.assertNotEqual(claim_key("s", "ab", "c"), claim_key("s", "a", "bc"))
 
-    def test_fingerprints_tell_requests_apart(self):
+    def test_fingerprints_of_different_requests_differ(self):
         one = request_fingerprint("POST", "/a", b"x")
         self.assertNotEqual(one, request_fingerprint("POST", "/a", b"y"))
         self.assertNotEqual(one, request_fingerprint("PUT", "/a", b"x"))
@@ -124,7 +124,7 @@
         self.assertRaises(LedgerFormatError, decode_segment, "x", data)
         self.assertRaises(LedgerFormatError, decode_segment, "x", b"junk")
 
-    def test_an_index_finds_what_its_segment_holds(self):
+    def test_an_index_finds_exactly_the_keys_of_its_segment(self):
         entries = [
             wire.LedgerEntry(bytes([n]) * 16, b"t", FINGERPRINT, ClaimState.GRANTED, n)
             for n in range(0, 200, 2)
@@ -152,7 +152,7 @@
     def submit(self, writer, request, replies):
         writer.submit(request).addCallback(lambda reply: replies.append(reply.state))
 
-    def test_claims_that_wait_share_one_write(self):
+    def test_pending_claims_are_stored_in_one_write(self):
         writer = self.writer()
         replies = []
         for number in range(100):
@@ -187,7 +187,7 @@
         self.assertEqual([ClaimState.GRANTED], replies)
         self.assertEqual(1, writer.writes)
 
-    def test_an_outage_is_told_within_the_time_limit(self):
+    def test_an_outage_is_reported_within_the_time_limit(self):
         self.store.settings.is_down = True
         writer = self.writer(claim_timeout=1.0)
         replies = []
@@ -195,7 +195,7 @@
         self.run_for(1.5)
         self.assertEqual([ClaimState.UNAVAILABLE], replies)
 
-    def test_an_answer_is_returned_to_a_repeat_through_another_writer(self):
+    def test_a_retry_at_another_writer_receives_the_recorded_answer(self):
         one, other = self.writer(), self.writer()
         found = []
         one.submit(make_request())
@@ -206,7 +206,7 @@
         self.run_for(1.0)
         self.assertEqual(b"done", found[0].answer.body)
 
-    def test_sealed_keys_are_still_known_to_a_fresh_writer(self):
+    def test_a_new_writer_finds_sealed_keys(self):
         writer = self.writer(seal_entries=5, write_interval=0.05)
         replies = []
         for number in range(30):
@@ -222,7 +222,7 @@
         self.run_for(3.0)
         self.assertEqual([ClaimState.HELD] * 30, again)
 
-    def test_segments_past_their_retention_are_dropped(self):
+    def test_segments_past_their_retention_are_deleted(self):
         writer = self.writer(seal_entries=5, write_interval=0.05, retention=2.0)
         replies = []
         for number in range(60):
@@ -249,7 +249,7 @@
             replies,
         )
 
-    def test_a_tail_of_an_unknown_format_refuses_claims_and_stays(self):
+    def test_a_tail_of_an_unknown_format_refuses_claims_and_is_not_overwritten(self):
         data = encode_segment(wire.LedgerSegment(FORMAT + 1, [], []))
         self.store.put(tail_name(0, 1), data, 0, 0.0)
         writer = self.writer()
@@ -259,7 +259,7 @@
         self.assertEqual([ClaimState.UNAVAILABLE], replies)
         self.assertEqual(data, self.store.get(tail_name(0, 1), 5.0).value)
 
-    def test_writers_that_count_buckets_differently_do_not_grant_a_key_twice(self):
+    def test_writers_with_different_bucket_numbers_do_not_grant_a_key_twice(self):
         one = self.writer()
         settings = LedgerSettings(buckets=2)
         other = ClaimWriter(settings, self.platform, self.clock, self.clock.seconds)
@@ -270,7 +270,7 @@
         self.run_for(1.0)
         self.assertEqual([ClaimState.GRANTED, ClaimState.UNAVAILABLE], replies)
 
-    def test_a_segment_is_deleted_only_when_no_tail_names_it(self):
+    def test_a_segment_is_deleted_only_when_no_tail_refers_to_it(self):
         writer = self.writer(seal_entries=5, write_interval=0.05, retention=2.0)
         named = []
         delete = self.store.delete
@@ -290,7 +290,7 @@
         self.assertTrue(named)
         self.assertEqual({False}, set(named))
 
-    def test_a_writer_with_an_old_view_reads_again_when_a_segment_is_gone(self):
+    def test_a_writer_with_a_stale_tail_reloads_it_when_a_segment_is_missing(self):
         old = self.writer(seal_entries=5, write_interval=0.05, retention=2.0)
         replies = []
         for number in range(20):
--- a/tests/process/test_version_keeper.py
+++ b/tests/process/test_version_keeper.py
@@ -1,4 +1,4 @@
-"""A version comes into force whole, once, and never goes back."""
+"""A version is put in force only when complete and never replaced by a lower one."""
 
 from __future__ import annotations
 
@@ -80,7 +80,7 @@
         self.assertEqual("small", self.keeper.view.organisation_of("small").name)
         self.assertIsNone(self.keeper.view.organisation_of("nobody"))
 
-    def test_a_lower_version_is_never_taken(self):
+    def test_a_lower_version_is_never_put_in_force(self):
         old_tree, old = make_version(1)
         tree, head = make_version(2)
         self.keeper.hear(head, FakeSource(tree))
@@ -108,7 +108,7 @@
         self.keeper.hear(head, FakeSource(tree))
         self.assertEqual([1, 2], self.observer.versions)
 
-    def test_a_source_without_the_sections_is_no_harm(self):
+    def test_a_version_missing_at_one_source_is_pulled_from_another(self):
         tree, head = make_version(1)
         empty, _ = make_version(9, "[organisation y]\nkey_hashes =\n")
         self.keeper.hear(head, FakeSource(empty))
@@ -116,14 +116,14 @@
         self.keeper.hear(head, FakeSource(tree))
         self.assertEqual([1], self.observer.versions)
 
-    def test_an_unsigned_head_is_refused_whoever_sends_it(self):
+    def test_a_head_with_a_forged_signature_is_refused(self):
         tree, head = make_version(5)
         forged = VersionHead(5, head.digest, "approver", b"x" * 64)
         self.keeper.hear(forged, FakeSource(tree))
         self.assertEqual([], self.observer.versions)
         self.assertEqual(1, len(self.observer.refused))
 
-    def test_a_signature_cannot_be_moved_to_another_number(self):
+    def test_a_signature_is_not_valid_for_another_number(self):
         tree, head = make_version(3)
         reused = VersionHead(99, head.digest, "approver", head.signature)
         self.keeper.hear(reused, FakeSource(tree))
@@ -143,7 +143,7 @@
         self.keeper.hear(newer, FakeSource(newer_tree))
         self.assertEqual([1, 2], self.observer.versions)
 
-    def test_a_request_keeps_its_version_and_the_last_one_drops_it(self):
+    def test_a_version_is_retired_until_its_last_request_unpins_it(self):
         tree, head = make_version(1)
         self.keeper.hear(head, FakeSource(tree))
         pinned = self.keeper.view.pin()
@@ -154,7 +154,7 @@
         pinned.unpin()
         self.assertEqual(0, self.keeper.retired)
 
-    def test_sections_of_the_version_before_are_still_served(self):
+    def test_sections_of_the_previous_version_are_still_served(self):
         tree, head = make_version(1)
         self.keeper.hear(head, FakeSource(tree))
         newer, newer_head = make_version(2, "[organisation x]\nkey_hashes =\n")
--- a/tests/version/test_version.py
+++ b/tests/version/test_version.py
@@ -1,4 +1,4 @@
-"""Bundles, sections, heads: checked, named by digest, never taken altered."""
+"""Bundles, sections and heads are validated; altered ones are refused."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class BundleTest(TestCase):
-    def test_every_fault_is_named_with_its_remedy(self):
+    def test_every_fault_is_reported_with_a_remedy(self):
         text = """
         [service chat]
         kind = modle
@@ -72,11 +72,11 @@
         error = self.assertRaises(FaultsError, make_bundle, text)
         self.assertIn("belongs to organisation", str(error.exceptions[0]))
 
-    def test_ini_and_back_is_the_same_bundle(self):
+    def test_a_bundle_is_unchanged_by_writing_and_reading_ini(self):
         again = Bundle.from_ini(make_bundle().to_ini(), "again")
         self.assertEqual(make_bundle(), again)
 
-    def test_a_diff_names_what_came_went_and_changed(self):
+    def test_a_diff_lists_additions_removals_and_changes(self):
         after = Bundle.from_ini(
             VALID_BUNDLE.replace("version = 1", "version = 2").replace(
                 "[organisation one]", "[organisation two]"
@@ -88,7 +88,7 @@
         self.assertIn("- [organisation one]", text)
         self.assertIn("+ [organisation two]", text)
 
-    def test_rules_say_which_calls_may_not_be_repeated(self):
+    def test_rules_list_the_calls_that_are_not_idempotent(self):
         record = ServiceRecord(
             name="s",
             kind="plain",
@@ -101,7 +101,7 @@
 
 
 class SectionTest(TestCase):
-    def test_a_change_of_one_organisation_moves_one_leaf(self):
+    def test_a_change_of_one_organisation_replaces_one_leaf_and_its_parents(self):
         many = "".join(
             f"[organisation o{n}]\nkey_hashes = {n:064x}\n" for n in range(2000)
         )
@@ -111,7 +111,7 @@
         self.assertEqual(5, len(new))
         self.assertTrue(sum(len(s.data) for s in new) < 4000)
 
-    def test_all_records_come_back_from_the_sections(self):
+    def test_all_records_are_decoded_from_the_sections(self):
         found = make_tree()
         root = Root.decode(found.sections[found.digest])
         names = set()
@@ -129,7 +129,7 @@
         altered = Section(found.digest, found.data + b" ")
         self.assertRaises(SectionError, altered.check)
 
-    def test_junk_is_no_root_group_or_leaf(self):
+    def test_malformed_data_is_not_decoded(self):
         for data in (b"", b"{}", b"[]", b"[1]", b'{"format": 9}', b"\xff", b"null"):
             section = Section.of(data)
             self.assertRaises(SectionError, Root.decode, section)
@@ -150,10 +150,10 @@
         signature = sign(digest, self.key.private_bytes_raw())
         return VersionHead(version, digest, approver, signature)
 
-    def test_a_signed_head_is_taken(self):
+    def test_a_signed_head_is_accepted(self):
         self.check.verify(self.head())
 
-    def test_a_head_of_a_stranger_or_of_another_digest_is_refused(self):
+    def test_an_untrusted_approver_or_a_wrong_signature_is_refused(self):
         signed = self.head()
         for head in (
             self.head(approver="eve"),
@@ -167,7 +167,7 @@
         self.assertFalse(self.check.is_newer(self.head("x"), self.head()))
         self.assertFalse(self.check.is_newer(self.head(version=2), self.head()))
 
-    def test_a_stored_head_comes_back(self):
+    def test_a_stored_head_is_decoded_and_malformed_ones_are_refused(self):
         head = self.head()
         self.assertEqual(head, VersionHead.decode(head.encode()))
         for data in (b"", b"{}", b"[]", b'{"version": "x"}'):
