--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -168,7 +168,7 @@
             self._answer_unavailable(item)
 
     def _refuse_pending(self, failure: Any, bucket: _Bucket) -> None:
-        """Refuse pending requests of an unreadable bucket; it is reloaded next."""
+        """Refuse the requests of an unreadable bucket and mark it for reloading."""
         bucket.is_loaded = False
         bucket.sealed = []
         waiting, bucket.pending = bucket.pending, []
