--- a/src/primrosescale/process/configuration/version_keeper.py
+++ b/src/primrosescale/process/configuration/version_keeper.py
@@ -1,4 +1,8 @@
-"""Keeps the version in force, pulls newer ones, and never goes back."""
+"""Holds the version in force and replaces it by newer versions only.
+
+An announced version is pulled section by section, verified and put in force as
+a whole. A lower version number never replaces a higher one.
+"""
 
 from __future__ import annotations
 
@@ -38,86 +42,89 @@
     from primrosescale.version.records import Record
     from primrosescale.version.section import Branch
 
-PARALLEL_PULLS = 8
-DROPPED_KEPT = 512
+MAX_PARALLEL_PULLS = 8
+MAX_RECENT_SECTIONS = 512
 
 
 class SectionSource(ABC):
-    """Somewhere sections can be pulled from."""
+    """Source from which sections can be pulled."""
 
     @abstractmethod
     def fetch(self, digest: str) -> Deferred[bytes | None]:
-        """Ask for a section.
+        """Request a section.
 
         Parameters
         ----------
         digest : str
-            Its name.
+            The section's digest.
 
         Returns
         -------
         Deferred[bytes | None]
-            Its bytes, not checked; None when it is not there.
+            Its bytes, not verified; None when the source does not have it.
         """
 
 
 class SourceError(ProcessError):
-    """No source had a section."""
+    """The source did not return a section."""
 
     def __init__(self, digest: str) -> None:
         super().__init__(
-            f"section {digest[:12]} is nowhere to be had",
-            "it is asked for again with the next announcement",
+            f"section {digest[:12]} was not returned by its source",
+            "it is requested again at the next announcement",
         )
 
 
 class VersionObserver(ABC):
-    """Is told what becomes of versions."""
+    """Receives the outcomes of version announcements."""
 
     @abstractmethod
     def adopted(self, view: VersionView) -> None:
-        """Take in that a version is in force here.
+        """Handle a version that was put in force in this process.
 
         Parameters
         ----------
         view : VersionView
-            The version.
+            The version now in force.
         """
 
     @abstractmethod
     def head_refused(self, error: HeadError) -> None:
-        """Take in that a head was not taken.
+        """Handle an announced head that failed verification.
 
         Parameters
         ----------
         error : HeadError
-            Why.
+            The reason.
         """
 
     @abstractmethod
     def pull_failed(self, version: int, detail: str) -> None:
-        """Take in that a version could not be pulled yet.
+        """Handle a version that could not be pulled yet.
 
         Parameters
         ----------
         version : int
-            Its number.
+            The version's number.
         detail : str
-            Why.
+            The reason.
         """
 
 
 class VersionKeeper:
-    """The versions of the configuration in one process.
+    """Pulls versions of the configuration and keeps one in force in a process.
+
+    Sections of replaced versions are retained up to a limit, so that other
+    processes can still pull them from here.
 
     Parameters
     ----------
     check : HeadCheck
-        Decides which heads are taken.
+        Verifies announced heads and decides which are newer.
     observer : VersionObserver
-        Told what becomes of versions.
+        Notified of adopted, refused and failed versions.
     needs_organisations : bool
-        Whether this process pulls organisations too.
+        Whether this process pulls the records of organisations too.
     """
 
     def __init__(
@@ -133,20 +140,20 @@
         self._view: VersionView | None = None
         self._retired: list[VersionView] = []
         self._sections: dict[str, Section] = {}
-        self._dropped: OrderedDict[str, Section] = OrderedDict()
+        self._recent_sections: OrderedDict[str, Section] = OrderedDict()
         self._is_pulling = False
-        self._wanted: VersionHead = NO_HEAD
+        self._newest_announced: VersionHead = NO_HEAD
         self._pulled_bytes = 0
-        self._verified: VersionHead = NO_HEAD
+        self._verified_head: VersionHead = NO_HEAD
 
     @property
     def view(self) -> VersionView | None:
-        """Return the version in force."""
+        """Return the version in force; None before the first one."""
         return self._view
 
     @property
     def head(self) -> VersionHead:
-        """Return the head of the version in force."""
+        """Return the head of the version in force; `NO_HEAD` for none."""
         return NO_HEAD if self._view is None else self._view.head
 
     @property
@@ -156,56 +163,59 @@
 
     @property
     def retired(self) -> int:
-        """Return how many older versions requests still use."""
+        """Return how many replaced versions are still pinned by requests."""
         self._retired = [view for view in self._retired if view.pins]
         return len(self._retired)
 
     @property
     def pulled_bytes(self) -> int:
-        """Return the bytes of sections pulled so far."""
+        """Return the total bytes of sections pulled since the start."""
         return self._pulled_bytes
 
     def section(self, digest: str) -> Section | None:
-        """Return a section for another process.
+        """Return a section held here, such as one that another process requests.
 
         Parameters
         ----------
         digest : str
-            Its name.
+            The section's digest.
 
         Returns
         -------
         Section | None
-            The section, if a recent version has it.
+            The section, if the version in force or a recent one contains it.
         """
-        return self._sections.get(digest) or self._dropped.get(digest)
+        return self._sections.get(digest) or self._recent_sections.get(digest)
 
     def hear(self, head: VersionHead, source: SectionSource) -> Deferred[None]:
-        """Take in an announcement and pull what it names, if it is newer.
+        """Pull an announced version if it is newer than the one in force.
+
+        The announcer need not be trusted, because the head's signature is
+        verified. While a pull runs, no second one is started.
 
         Parameters
         ----------
         head : VersionHead
-            The head announced, by whomever.
+            The announced head.
         source : SectionSource
-            Where its sections can be pulled from.
+            Source of the version's sections.
 
         Returns
         -------
         Deferred[None]
-            When this announcement has been dealt with; never fails.
+            Fires when the announcement has been processed; never fails.
         """
         if not self._check.is_newer(head, self.head):
             return succeed(None)
-        if head != self._verified:
+        if head != self._verified_head:
             try:
                 self._check.verify(head)
             except HeadError as error:
                 self._observer.head_refused(error)
                 return succeed(None)
-            self._verified = head
-        if self._check.is_newer(head, self._wanted):
-            self._wanted = head
+            self._verified_head = head
+        if self._check.is_newer(head, self._newest_announced):
+            self._newest_announced = head
         if self._is_pulling:
             return succeed(None)
         self._is_pulling = True
@@ -227,49 +237,53 @@
         head: VersionHead,
         source: SectionSource,
     ) -> Generator[Any, Any, None]:
-        """Pull the sections not held yet, check all of them, then switch."""
-        gathered: dict[str, Section] = {}
-        top = yield self._section(head.digest, source, gathered)
-        root = Root.decode(top)
+        """Pull the missing sections, verify them and put the version in force."""
+        collected: dict[str, Section] = {}
+        root_section = yield self._pull_section(head.digest, source, collected)
+        root = Root.decode(root_section)
         if root.version != head.version:
-            raise HeadError(head.version, f"its root is of version {root.version}")
+            raise HeadError(
+                head.version, f"its root section has version {root.version}"
+            )
         groups: list[GroupView] = []
         for branch in root.groups:
             if branch.label != SCATTERED_KIND:
-                group = yield self._group(branch, source, gathered)
+                group = yield self._pull_group(branch, source, collected)
                 groups.append(group)
             elif self._needs_organisations:
-                index = yield self._section(branch.digest, source, gathered)
+                index = yield self._pull_section(branch.digest, source, collected)
                 for part in decode_group(index):
-                    group = yield self._group(part, source, gathered, is_deep=True)
+                    group = yield self._pull_group(
+                        part, source, collected, is_deep=True
+                    )
                     groups.append(group)
-        self._switch(VersionView(head, groups), gathered)
+        self._activate(VersionView(head, groups), collected)
 
     @inlineCallbacks
-    def _group(
+    def _pull_group(
         self,
         branch: Branch,
         source: SectionSource,
-        gathered: dict[str, Section],
+        collected: dict[str, Section],
         *,
         is_deep: bool = False,
     ) -> Generator[Any, Any, GroupView]:
-        """Return a group, as it is known if it has not changed."""
+        """Return a group; an unchanged one is reused from the version in force."""
         old = None
         if self._view is not None:
             old = self._view.groups.get(branch.label)
         if old is not None and old.digest == branch.digest:
             for digest in (old.digest, *old.indexes, *old.leaves):
-                gathered[digest] = self._sections[digest]
+                collected[digest] = self._sections[digest]
             return old
-        section = yield self._section(branch.digest, source, gathered)
+        section = yield self._pull_section(branch.digest, source, collected)
         digests = [part.digest for part in decode_group(section)]
         indexes: list[str] = []
         if is_deep:
             indexes = digests
-            subgroups = yield self._gather(indexes, source, gathered)
+            subgroups = yield self._pull_sections(indexes, source, collected)
             digests = [leaf.digest for sub in subgroups for leaf in decode_group(sub)]
-        sections = yield self._gather(digests, source, gathered)
+        sections = yield self._pull_sections(digests, source, collected)
         known = {} if old is None else old.leaves
         leaves = {
             leaf.digest: known.get(leaf.digest) or _parse_leaf(leaf)
@@ -277,50 +291,54 @@
         }
         return GroupView(branch.label, branch.digest, leaves, indexes)
 
-    def _switch(self, view: VersionView, sections: dict[str, Section]) -> None:
+    def _activate(self, view: VersionView, sections: dict[str, Section]) -> None:
         if not self._check.is_newer(view.head, self.head):
             return
         if self._view is not None and self._view.pins:
             self._retired.append(self._view)
         self._retired = [old for old in self._retired if old.pins]
         for digest in self._sections.keys() - sections.keys():
-            self._dropped[digest] = self._sections[digest]
-        while len(self._dropped) > DROPPED_KEPT:
-            self._dropped.popitem(last=False)
+            self._recent_sections[digest] = self._sections[digest]
+        while len(self._recent_sections) > MAX_RECENT_SECTIONS:
+            self._recent_sections.popitem(last=False)
         self._view = view
         self._sections = sections
         self._observer.adopted(view)
 
     @inlineCallbacks
-    def _gather(
+    def _pull_sections(
         self,
         digests: list[str],
         source: SectionSource,
-        gathered: dict[str, Section],
+        collected: dict[str, Section],
     ) -> Generator[Any, Any, list[Section]]:
-        """Return some sections; those not held are pulled a few at a time."""
+        """Return sections in order; missing ones are pulled, a few at a time."""
         missing = [digest for digest in digests if self.section(digest) is None]
         if missing:
-            limit = DeferredSemaphore(PARALLEL_PULLS)
-            pulls = [limit.run(self._section, d, source, gathered) for d in missing]
-            yield gatherResults(pulls, consumeErrors=True).addErrback(_first_error)
+            limit = DeferredSemaphore(MAX_PARALLEL_PULLS)
+            pulls = [
+                limit.run(self._pull_section, d, source, collected) for d in missing
+            ]
+            yield gatherResults(pulls, consumeErrors=True).addErrback(
+                _unwrap_first_error
+            )
         found: list[Section] = []
         for digest in digests:
-            section = gathered.get(digest) or self.section(digest)
+            section = collected.get(digest) or self.section(digest)
             if section is None:
                 raise SourceError(digest)
-            gathered[digest] = section
+            collected[digest] = section
             found.append(section)
         return found
 
     @inlineCallbacks
-    def _section(
+    def _pull_section(
         self,
         digest: str,
         source: SectionSource,
-        gathered: dict[str, Section],
+        collected: dict[str, Section],
     ) -> Generator[Any, Any, Section]:
-        known = gathered.get(digest) or self.section(digest)
+        known = collected.get(digest) or self.section(digest)
         if known is None:
             data = yield source.fetch(digest)
             if data is None:
@@ -328,12 +346,12 @@
             known = Section(digest, data)
             known.check()
             self._pulled_bytes += len(data)
-        gathered[digest] = known
+        collected[digest] = known
         return known
 
 
-def _first_error(failure: Failure) -> Any:
-    """Unwrap what `gatherResults` puts around the first error."""
+def _unwrap_first_error(failure: Failure) -> Any:
+    """Return the first failure from the wrapper that `gatherResults` raises."""
     return getattr(failure.value, "subFailure", failure)
 
 
--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -1,8 +1,8 @@
-"""Writes the claims of the ledger's buckets, many in one update.
+"""Decides claims on requests and stores them in the ledger, batched by bucket.
 
-Any router may write any bucket; routers agree by order of candidates on who
-does, so that claims gather. If two write one bucket, conditional updates
-decide, and only speed is lost.
+Any router may write any bucket. Routers choose the same writer of a bucket by
+candidate order, so that claims are batched. If two routers write one bucket,
+conditional updates keep it consistent and only throughput is lost.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from primrosescale.process.exceptions import PlatformConflictError
 from primrosescale.process.exceptions import PlatformError
 from primrosescale.process.ledger.ledger_bucket import FORMAT
-from primrosescale.process.ledger.ledger_bucket import LAYOUT_NAME
+from primrosescale.process.ledger.ledger_bucket import LAYOUT_KEY
 from primrosescale.process.ledger.ledger_bucket import MILLISECONDS
 from primrosescale.process.ledger.ledger_bucket import Decision
 from primrosescale.process.ledger.ledger_bucket import LedgerFormatError
@@ -44,12 +44,12 @@
     from primrosescale.process.ledger.ledger_bucket import LedgerSettings
     from primrosescale.process.transport.platform import Platform
 
-RETRY_PAUSE = 0.1
+RETRY_DELAY_SECONDS = 0.1
 
 
 @dataclass(slots=True, eq=False)
-class _Pending:
-    """A request that waits for its bucket's next update."""
+class _PendingRequest:
+    """A request waiting for its bucket's next update."""
 
     request: wire.ClaimRequest
     until: float
@@ -57,31 +57,31 @@
 
 
 class _Bucket:
-    """One bucket as this writer knows it."""
+    """Copy of a bucket in this writer, with the requests pending for it."""
 
     def __init__(self) -> None:
-        self.pending: list[_Pending] = []
+        self.pending: list[_PendingRequest] = []
         self.entries: dict[bytes, wire.LedgerEntry] = {}
         self.sealed: list[SealedIndex] = []
         self.version = MUST_NOT_EXIST
-        self.is_known = False
-        self.is_busy = False
+        self.is_loaded = False
+        self.is_updating = False
         self.written_at = -1.0e9
 
 
 class ClaimWriter:
-    """Decides and stores claims.
+    """Decides on claims and stores the decisions.
 
     Parameters
     ----------
     settings : LedgerSettings
-        Sizes and times.
+        Limits and intervals.
     platform : Platform
-        Where claims are kept.
+        Object store that holds the ledger.
     clock : Clock
         Source of time and timers.
     wall_clock : Callable[[], float]
-        Returns seconds since 1970, for retention.
+        Returns seconds since 1970; used for retention.
     """
 
     def __init__(
@@ -102,102 +102,102 @@
 
     @property
     def decided(self) -> int:
-        """Return how many requests were decided."""
+        """Return the number of requests decided so far."""
         return self._decided
 
     @property
     def writes(self) -> int:
-        """Return how many updates were made."""
+        """Return the number of bucket updates written so far."""
         return self._writes
 
     @property
     def keys(self) -> int:
-        """Return how many keys are known in memory."""
+        """Return the number of keys held in memory."""
         return sum(
             len(bucket.entries) + sum(len(index) for index in bucket.sealed)
             for bucket in self._buckets.values()
         )
 
     def submit(self, request: wire.ClaimRequest) -> Deferred[wire.ClaimReply]:
-        """Decide about a claim and store the decision.
+        """Decide on a claim and store the decision.
 
         Parameters
         ----------
         request : wire.ClaimRequest
-            What is asked.
+            The request to claim a key, or to record or abandon its claim.
 
         Returns
         -------
         Deferred[wire.ClaimReply]
-            Never fails; `ClaimState.UNAVAILABLE` when the platform could not
-            be asked in time.
+            Never fails; `ClaimState.UNAVAILABLE` when the platform did not
+            store the decision in time.
         """
         number = bucket_of(request.key, self._settings.buckets)
         bucket = self._buckets.setdefault(number, _Bucket())
         until = self._clock.seconds() + self._settings.claim_timeout
-        pending = _Pending(request, until, Deferred())
+        pending = _PendingRequest(request, until, Deferred())
         bucket.pending.append(pending)
-        if not bucket.is_busy:
-            bucket.is_busy = True
-            self._wake(number, bucket)
+        if not bucket.is_updating:
+            bucket.is_updating = True
+            self._schedule_update(number, bucket)
         return pending.result
 
-    def _wake(self, number: int, bucket: _Bucket) -> None:
+    def _schedule_update(self, number: int, bucket: _Bucket) -> None:
         due = bucket.written_at + self._settings.write_interval
         wait = max(0.0, due - self._clock.seconds())
-        self._clock.callLater(wait, self._work, number, bucket)
+        self._clock.callLater(wait, self._start_update, number, bucket)
 
-    def _work(self, number: int, bucket: _Bucket) -> None:
-        done = self._round(number, bucket)
-        done.addErrback(self._give_up, bucket)
-        done.addBoth(self._next_round, number, bucket)
+    def _start_update(self, number: int, bucket: _Bucket) -> None:
+        done = self._update_bucket(number, bucket)
+        done.addErrback(self._refuse_pending, bucket)
+        done.addBoth(self._update_ended, number, bucket)
 
-    def _next_round(self, result: Any, number: int, bucket: _Bucket) -> Any:
-        self._drop_late(bucket)
+    def _update_ended(self, result: Any, number: int, bucket: _Bucket) -> Any:
+        self._refuse_expired(bucket)
         if bucket.pending:
-            self._wake(number, bucket)
+            self._schedule_update(number, bucket)
         else:
-            bucket.is_busy = False
+            bucket.is_updating = False
         return result
 
-    def _drop_late(self, bucket: _Bucket) -> None:
+    def _refuse_expired(self, bucket: _Bucket) -> None:
         now = self._clock.seconds()
-        late = [item for item in bucket.pending if item.until <= now]
-        for item in late:
+        expired = [item for item in bucket.pending if item.until <= now]
+        for item in expired:
             bucket.pending.remove(item)
             self._answer_unavailable(item)
 
-    def _give_up(self, failure: Any, bucket: _Bucket) -> None:
-        """Refuse what waits when the bucket cannot be read; read it anew then."""
-        bucket.is_known = False
+    def _refuse_pending(self, failure: Any, bucket: _Bucket) -> None:
+        """Refuse the requests of an unreadable bucket and mark it for reloading."""
+        bucket.is_loaded = False
         bucket.sealed = []
         waiting, bucket.pending = bucket.pending, []
         for item in waiting:
             self._answer_unavailable(item)
         failure.trap(LedgerFormatError)
 
-    def _answer_unavailable(self, item: _Pending) -> None:
+    def _answer_unavailable(self, item: _PendingRequest) -> None:
         number = item.request.number
         item.result.callback(wire.ClaimReply(number, ClaimState.UNAVAILABLE))
 
     @inlineCallbacks
-    def _round(self, number: int, bucket: _Bucket) -> Generator[Any, Any, None]:
-        """Store one batch, or learn what stands in its way."""
+    def _update_bucket(self, number: int, bucket: _Bucket) -> Generator[Any, Any, None]:
+        """Decide and store one batch; after an error, mark the bucket for reloading."""
         batch = list(bucket.pending)
         try:
             if not self._has_layout:
                 yield self._check_layout()
-            if not bucket.is_known:
-                yield self._load(number, bucket)
+            if not bucket.is_loaded:
+                yield self._load_tail(number, bucket)
             decisions = yield self._decide_all(bucket, batch)
-            yield self._store(number, bucket, decisions)
+            yield self._write_decisions(number, bucket, decisions)
         except (PlatformConflictError, PlatformAnswerLostError):
-            bucket.is_known = False
+            bucket.is_loaded = False
             bucket.written_at = self._clock.seconds() - self._settings.write_interval
             return
         except PlatformError:
-            bucket.is_known = False
-            bucket.written_at = self._clock.seconds() + RETRY_PAUSE
+            bucket.is_loaded = False
+            bucket.written_at = self._clock.seconds() + RETRY_DELAY_SECONDS
             bucket.written_at -= self._settings.write_interval
             return
         for item, decision in zip(batch, decisions, strict=True):
@@ -208,29 +208,30 @@
 
     @inlineCallbacks
     def _check_layout(self) -> Generator[Any, Any, None]:
-        """Check that all writers spread keys over the same buckets.
+        """Check that all writers use the same number of buckets.
 
-        Two that do not would look for one key in two places and grant it
-        twice, so the first writer of a ledger writes the number down.
+        Writers with different numbers would look up one key in different
+        buckets and grant it twice, so the first writer of a ledger stores its
+        number.
         """
-        wanted = str(self._settings.buckets).encode()
-        found = yield self._platform.get(LAYOUT_NAME)
+        expected = str(self._settings.buckets).encode()
+        found = yield self._platform.get(LAYOUT_KEY)
         if found is None:
-            yield self._platform.put(LAYOUT_NAME, wanted, MUST_NOT_EXIST)
-        elif found.value != wanted:
-            detail = f"it has {found.value.decode()} buckets, [ledger] buckets differs"
-            raise LedgerFormatError(LAYOUT_NAME, detail)
+            yield self._platform.put(LAYOUT_KEY, expected, MUST_NOT_EXIST)
+        elif found.value != expected:
+            detail = f"it has {found.value.decode()} buckets, unlike [ledger] buckets"
+            raise LedgerFormatError(LAYOUT_KEY, detail)
         self._has_layout = True
 
     @inlineCallbacks
-    def _load(self, number: int, bucket: _Bucket) -> Generator[Any, Any, None]:
-        """Read the tail, and sealed segments not known yet."""
+    def _load_tail(self, number: int, bucket: _Bucket) -> Generator[Any, Any, None]:
+        """Read the tail and those sealed segments that are not loaded yet."""
         name = tail_name(number, self._settings.buckets)
         found = yield self._platform.get(name)
         if found is None:
             bucket.entries, bucket.sealed = {}, []
             bucket.version = MUST_NOT_EXIST
-            bucket.is_known = True
+            bucket.is_loaded = True
             return
         segment = decode_segment(name, found.value)
         known = {index.name: index for index in bucket.sealed}
@@ -243,7 +244,7 @@
         bucket.entries = {entry.key: entry for entry in segment.entries}
         bucket.sealed = sealed
         bucket.version = found.version
-        bucket.is_known = True
+        bucket.is_loaded = True
 
     @inlineCallbacks
     def _load_sealed(self, name: str) -> Generator[Any, Any, SealedIndex]:
@@ -256,9 +257,9 @@
     def _decide_all(
         self,
         bucket: _Bucket,
-        batch: list[_Pending],
+        batch: list[_PendingRequest],
     ) -> Generator[Any, Any, list[Decision]]:
-        """Decide a batch in order, each seeing those before it."""
+        """Decide a batch in order; each decision sees the ones before it."""
         now_ms = int(self._wall_clock() * MILLISECONDS)
         staged: dict[bytes, wire.LedgerEntry] = {}
         decisions: list[Decision] = []
@@ -292,7 +293,7 @@
         return None
 
     @inlineCallbacks
-    def _store(
+    def _write_decisions(
         self,
         number: int,
         bucket: _Bucket,
@@ -301,14 +302,14 @@
         staged = [d.entry for d in decisions if d.entry is not None]
         if not staged:
             return
-        dropped: list[SealedIndex] = []
+        unreferenced: list[SealedIndex] = []
         entries = dict(bucket.entries)
         entries.update({entry.key: entry for entry in staged})
         sealed = list(bucket.sealed)
         if self._is_full(bucket):
             index = yield self._seal(number, bucket)
             sealed = self._retained([*sealed, index])
-            dropped = [old for old in bucket.sealed if old not in sealed]
+            unreferenced = [old for old in bucket.sealed if old not in sealed]
             entries = {entry.key: entry for entry in staged}
         names = [index.name for index in sealed]
         segment = wire.LedgerSegment(FORMAT, list(entries.values()), names)
@@ -323,8 +324,8 @@
         bucket.version = version
         bucket.entries = entries
         bucket.sealed = sealed
-        # Only now does no tail name them any more.
-        for index in dropped:
+        # Deleted only now, as the tail just stored no longer refers to them.
+        for index in unreferenced:
             self._platform.delete(index.name).addErrback(_ignore_outage)
 
     def _is_full(self, bucket: _Bucket) -> bool:
@@ -335,10 +336,10 @@
 
     @inlineCallbacks
     def _seal(self, number: int, bucket: _Bucket) -> Generator[Any, Any, SealedIndex]:
-        """Write the tail as it stands under a name of its own."""
+        """Write the current tail as a sealed segment."""
         name = sealed_name(number, self._settings.buckets, bucket.version)
         segment = wire.LedgerSegment(FORMAT, list(bucket.entries.values()), [])
-        # On a conflict another writer sealed this version, with the same entries.
+        # A conflict means that another writer sealed this version: same entries.
         with contextlib.suppress(PlatformConflictError):
             yield self._platform.put(name, encode_segment(segment), MUST_NOT_EXIST)
         return SealedIndex(name, segment)
@@ -349,10 +350,10 @@
 
 
 def _size_of(entry: wire.LedgerEntry) -> int:
-    fixed = 64
-    return fixed + (len(entry.answer.body) + fixed if entry.answer else 0)
+    overhead = 64
+    return overhead + (len(entry.answer.body) + overhead if entry.answer else 0)
 
 
 def _ignore_outage(failure: Failure) -> None:
-    """Leave a segment past its retention where it is; nothing names it."""
+    """Leave an expired segment in the store; no tail refers to it any more."""
     failure.trap(PlatformError)
--- a/src/primrosescale/process/ledger/remote_ledger.py
+++ b/src/primrosescale/process/ledger/remote_ledger.py
@@ -1,4 +1,4 @@
-"""An agent's way to the ledger: routers that write it."""
+"""Client of the ledger in an agent: sends claims to the routers that write it."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
     from primrosescale.connection.pool import LinkPool
     from primrosescale.request.claim import Claim
 
-FIRST_PAUSE = 1.0
-LONGEST_PAUSE = 60.0
+INITIAL_RETRY_DELAY_SECONDS = 1.0
+MAX_RETRY_DELAY_SECONDS = 60.0
 MAX_UNSETTLED = 10_000
 
 
-class _Asking:
-    """One request about a claim and whom it was put to."""
+class _OutstandingRequest:
+    """A request sent to a router and not replied to yet."""
 
     __slots__ = ("link", "request", "result", "timer")
 
@@ -40,10 +40,10 @@
 
 
 class RemoteLedger(Ledger):
-    """Asks the writer of a key's bucket, then the router that called.
+    """Sends claims to the writer of a key's bucket, then to the calling router.
 
-    Answers of runs and claims given back are sent until someone has stored
-    them, so that a short outage of the platform loses neither.
+    Recorded answers and abandoned claims are sent again until a router has
+    stored them, so that a short outage of the platform loses neither.
 
     Parameters
     ----------
@@ -52,9 +52,9 @@
     clock : Clock
         Source of time and timers.
     timeout : float
-        Seconds one router may take to decide.
+        Seconds that one router has to reply.
     alternate : Callable[[], Endpoint | None]
-        Returns a live router to ask when the first one cannot tell.
+        Returns a live router for retries; None when there is none.
     """
 
     def __init__(
@@ -69,63 +69,63 @@
         self._clock = clock
         self._timeout = timeout
         self._next_number = 0
-        self._asking: dict[int, _Asking] = {}
+        self._outstanding: dict[int, _OutstandingRequest] = {}
         self._unsettled = 0
 
     @property
     def unsettled(self) -> int:
-        """Return how many answers and abandoned claims are not stored yet."""
+        """Return the number of answers and abandoned claims not stored yet."""
         return self._unsettled
 
     def claim(self, claim: Claim, link: Link | None) -> Deferred[wire.ClaimReply]:
         """Claim a key; see `Ledger.claim`."""
         result: Deferred[wire.ClaimReply] = Deferred()
-        first = self._ask(ClaimVerb.CLAIM, claim, None, _endpoint_of(claim))
+        first = self._request_from(ClaimVerb.CLAIM, claim, None, _endpoint_of(claim))
 
-        def decide(reply: wire.ClaimReply) -> None:
-            usable = link is not None and not link.is_lost
-            if reply.state != ClaimState.UNAVAILABLE or not usable:
+        def answer_or_retry(reply: wire.ClaimReply) -> None:
+            is_usable = link is not None and not link.is_lost
+            if reply.state != ClaimState.UNAVAILABLE or not is_usable:
                 result.callback(reply)
                 return
-            second = self._ask_on(ClaimVerb.CLAIM, claim, None, link)
+            second = self._request_over(ClaimVerb.CLAIM, claim, None, link)
             second.addCallback(result.callback)
 
-        first.addCallback(decide)
+        first.addCallback(answer_or_retry)
         return result
 
     def record(self, claim: Claim, answer: wire.StoredAnswer) -> None:
-        """Keep an answer; see `Ledger.record`."""
-        self._settle(ClaimVerb.RECORD, claim, answer)
+        """Store the answer of a claim; see `Ledger.record`."""
+        self._deliver(ClaimVerb.RECORD, claim, answer)
 
     def abandon(self, claim: Claim) -> None:
-        """Give a claim back; see `Ledger.abandon`."""
-        self._settle(ClaimVerb.ABANDON, claim, None)
+        """Abandon a claim; see `Ledger.abandon`."""
+        self._deliver(ClaimVerb.ABANDON, claim, None)
 
     def link_message(self, message: wire.ClaimReply) -> None:
-        """Take in what a router decided.
+        """Complete the request that a router has replied to.
 
         Parameters
         ----------
         message : wire.ClaimReply
-            The decision; one that nobody waits for is dropped.
+            The reply; one to a request no longer outstanding is dropped.
         """
-        asking = self._asking.get(message.number)
-        if asking is not None:
-            self._answer(asking, message)
+        outstanding = self._outstanding.get(message.number)
+        if outstanding is not None:
+            self._complete(outstanding, message)
 
     def link_lost(self, link: Link) -> None:
-        """Take in that a connection has ended.
+        """End the requests sent over a lost connection as unavailable.
 
         Parameters
         ----------
         link : Link
             The connection.
         """
-        for asking in list(self._asking.values()):
-            if asking.link is link:
-                self._unavailable(asking)
+        for outstanding in list(self._outstanding.values()):
+            if outstanding.link is link:
+                self._complete_unavailable(outstanding)
 
-    def _settle(
+    def _deliver(
         self,
         verb: ClaimVerb,
         claim: Claim,
@@ -134,66 +134,68 @@
         if self._unsettled >= MAX_UNSETTLED:
             return
         self._unsettled += 1
-        self._settle_try(verb, claim, answer, FIRST_PAUSE)
+        self._try_delivery(verb, claim, answer, INITIAL_RETRY_DELAY_SECONDS)
 
-    def _settle_try(
+    def _try_delivery(
         self,
         verb: ClaimVerb,
         claim: Claim,
         answer: wire.StoredAnswer | None,
-        pause: float,
+        delay: float,
     ) -> None:
-        is_first = pause == FIRST_PAUSE
+        is_first = delay == INITIAL_RETRY_DELAY_SECONDS
         endpoint = _endpoint_of(claim) if is_first else self._alternate()
-        asked = self._ask(verb, claim, answer, endpoint)
+        replied = self._request_from(verb, claim, answer, endpoint)
 
-        def check(reply: wire.ClaimReply) -> None:
+        def retry_if_unavailable(reply: wire.ClaimReply) -> None:
             if reply.state != ClaimState.UNAVAILABLE:
                 self._unsettled -= 1
                 return
-            longer = min(LONGEST_PAUSE, pause * 2)
-            self._clock.callLater(pause, self._settle_try, verb, claim, answer, longer)
+            next_delay = min(MAX_RETRY_DELAY_SECONDS, delay * 2)
+            self._clock.callLater(
+                delay, self._try_delivery, verb, claim, answer, next_delay
+            )
 
-        asked.addCallback(check)
+        replied.addCallback(retry_if_unavailable)
 
-    def _ask(
+    def _request_from(
         self,
         verb: ClaimVerb,
         claim: Claim,
         answer: wire.StoredAnswer | None,
         endpoint: Endpoint | None,
     ) -> Deferred[wire.ClaimReply]:
-        asking = self._new(verb, claim, answer)
+        outstanding = self._new_request(verb, claim, answer)
         if endpoint is None:
-            self._unavailable(asking)
-            return asking.result
+            self._complete_unavailable(outstanding)
+            return outstanding.result
         connecting = self._pool.get(endpoint)
         connecting.addCallbacks(
-            lambda link: self._send(asking, link),
-            lambda _: self._unavailable(asking),
+            lambda link: self._send(outstanding, link),
+            lambda _: self._complete_unavailable(outstanding),
         )
-        return asking.result
+        return outstanding.result
 
-    def _ask_on(
+    def _request_over(
         self,
         verb: ClaimVerb,
         claim: Claim,
         answer: wire.StoredAnswer | None,
         link: Link | None,
     ) -> Deferred[wire.ClaimReply]:
-        asking = self._new(verb, claim, answer)
+        outstanding = self._new_request(verb, claim, answer)
         if link is None or link.is_lost:
-            self._unavailable(asking)
+            self._complete_unavailable(outstanding)
         else:
-            self._send(asking, link)
-        return asking.result
+            self._send(outstanding, link)
+        return outstanding.result
 
-    def _new(
+    def _new_request(
         self,
         verb: ClaimVerb,
         claim: Claim,
         answer: wire.StoredAnswer | None,
-    ) -> _Asking:
+    ) -> _OutstandingRequest:
         self._next_number += 1
         request = wire.ClaimRequest(
             self._next_number,
@@ -203,29 +205,33 @@
             claim.fingerprint,
             answer,
         )
-        asking = _Asking(request)
-        self._asking[self._next_number] = asking
-        asking.timer = self._clock.callLater(self._timeout, self._timed_out, asking)
-        return asking
-
-    def _send(self, asking: _Asking, link: Link) -> None:
-        if asking.request.number in self._asking:
-            asking.link = link
-            link.send(asking.request)
-
-    def _timed_out(self, asking: _Asking) -> None:
-        asking.timer = None
-        self._unavailable(asking)
-
-    def _unavailable(self, asking: _Asking) -> None:
-        number = asking.request.number
-        self._answer(asking, wire.ClaimReply(number, ClaimState.UNAVAILABLE))
-
-    def _answer(self, asking: _Asking, reply: wire.ClaimReply) -> None:
-        if self._asking.pop(asking.request.number, None) is None:
+        outstanding = _OutstandingRequest(request)
+        self._outstanding[self._next_number] = outstanding
+        outstanding.timer = self._clock.callLater(
+            self._timeout, self._timed_out, outstanding
+        )
+        return outstanding
+
+    def _send(self, outstanding: _OutstandingRequest, link: Link) -> None:
+        if outstanding.request.number in self._outstanding:
+            outstanding.link = link
+            link.send(outstanding.request)
+
+    def _timed_out(self, outstanding: _OutstandingRequest) -> None:
+        outstanding.timer = None
+        self._complete_unavailable(outstanding)
+
+    def _complete_unavailable(self, outstanding: _OutstandingRequest) -> None:
+        number = outstanding.request.number
+        self._complete(outstanding, wire.ClaimReply(number, ClaimState.UNAVAILABLE))
+
+    def _complete(
+        self, outstanding: _OutstandingRequest, reply: wire.ClaimReply
+    ) -> None:
+        if self._outstanding.pop(outstanding.request.number, None) is None:
             return
-        cancel_timer(asking.timer)
-        asking.result.callback(reply)
+        cancel_timer(outstanding.timer)
+        outstanding.result.callback(reply)
 
 
 def _endpoint_of(claim: Claim) -> Endpoint | None:
--- a/src/primrosescale/version/section.py
+++ b/src/primrosescale/version/section.py
@@ -1,11 +1,11 @@
-"""Sections: the records of a version as a tree of immutable, named parts.
-
-A section is named by the digest of its bytes. The root names a part for each
-kind of record; services, models, targets and operators are a group of leaves
-each. Organisations are many: their index names groups, each group subgroups,
-each subgroup leaves of a few records, sixteen a level, so that a change of
-one organisation moves a few hundred bytes a level. Agents pull the root and
-what is not of organisations.
+"""Sections: the records of a version as a Merkle tree of immutable parts.
+
+A section is identified by the digest of its bytes. The root refers to one section
+for each kind of record. Services, models, targets and operators have one group of
+leaves each. As there are many organisations, their index refers to groups, each
+group to subgroups and each subgroup to leaves of a few records, with sixteen
+sections a level, so that a change of one organisation transfers only a few hundred
+bytes a level. Agents pull the root and all sections except those of organisations.
 """
 
 from __future__ import annotations
@@ -30,26 +30,26 @@
     from primrosescale.version.bundle import Bundle
 
 FORMAT = 1
-DIGEST_SIZE = 20
+DIGEST_BYTES = 20
 FAN_OUT = 16
-MAX_SECTION = 1_000_000
+MAX_SECTION_BYTES = 1_000_000
 DECODE_ERRORS = (ValueError, KeyError, TypeError, AttributeError)
 
 
 def digest_of(data: bytes) -> str:
-    """Return the name of a section.
+    """Return the digest that identifies a section.
 
     Parameters
     ----------
     data : bytes
-        Its bytes.
+        The section's bytes.
 
     Returns
     -------
     str
-        40 hex digits.
+        BLAKE2b digest of 20 bytes as 40 hex digits.
     """
-    return blake2b(data, digest_size=DIGEST_SIZE).hexdigest()
+    return blake2b(data, digest_size=DIGEST_BYTES).hexdigest()
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,9 +59,9 @@
     Parameters
     ----------
     digest : str
-        Its name.
+        Digest that identifies it.
     data : bytes
-        Its bytes.
+        Its bytes, not verified until `check` is called.
     """
 
     digest: str
@@ -69,7 +69,7 @@
 
     @classmethod
     def of(cls, data: bytes) -> Section:
-        """Return the section with some bytes.
+        """Create the section of some bytes.
 
         Parameters
         ----------
@@ -79,34 +79,34 @@
         Returns
         -------
         Section
-            Named by their digest.
+            The section with the digest of these bytes.
         """
         return cls(digest_of(data), data)
 
     def check(self) -> None:
-        """Check that the bytes are those named.
+        """Check that the bytes match the digest.
 
         Raises
         ------
         SectionError
-            When they are not, or are too many.
+            When they do not, or exceed `MAX_SECTION_BYTES`.
         """
-        if len(self.data) > MAX_SECTION:
-            raise SectionError(self.digest, "over 1 MB")
+        if len(self.data) > MAX_SECTION_BYTES:
+            raise SectionError(self.digest, "larger than 1 MB")
         if digest_of(self.data) != self.digest:
-            raise SectionError(self.digest, "its bytes were altered")
+            raise SectionError(self.digest, "its bytes do not match its digest")
 
 
 @dataclass(frozen=True, slots=True)
 class Branch:
-    """One name of a part in its parent.
+    """Reference from a section to one of its parts.
 
     Parameters
     ----------
     label : str
-        Which part.
+        Label of the part, unique within its parent.
     digest : str
-        The section that holds it.
+        Digest of the part's section.
     """
 
     label: str
@@ -115,20 +115,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Root:
-    """The top of a version's tree.
+    """The root of a version's tree.
 
     Parameters
     ----------
     version : int
-        Number of the version; only ever goes up.
+        Number of the version; each new version has a higher one.
     base : str
-        Digest of the version it was made from; empty for the first.
+        Digest of the version it was derived from; empty for the first.
     author : str
-        Operator who made it.
+        Operator who created it.
     created_ms : int
-        When, in milliseconds since 1970.
+        Time of creation in milliseconds since 1970.
     groups : tuple[Branch, ...]
-        A part for each kind of record, sorted by label.
+        One part for each kind of record, sorted by label.
     """
 
     version: int
@@ -138,14 +138,14 @@
     groups: tuple[Branch, ...] = field(default=())
 
     def encode(self) -> bytes:
-        """Return the bytes of the root's section.
+        """Encode the root as the bytes of a section.
 
         Returns
         -------
         bytes
             Canonical JSON.
         """
-        return _canonical(
+        return _canonical_json(
             {
                 "format": FORMAT,
                 "version": self.version,
@@ -158,12 +158,12 @@
 
     @classmethod
     def decode(cls, section: Section) -> Root:
-        """Read a root from its section.
+        """Decode the root from its section.
 
         Parameters
         ----------
         section : Section
-            A checked section.
+            A verified section.
 
         Returns
         -------
@@ -173,18 +173,18 @@
         Raises
         ------
         SectionError
-            When it is not a root of a known format.
+            When it is not a root or its format is not supported.
         """
         try:
             fields = json.loads(section.data)
             if fields["format"] != FORMAT:
-                raise SectionError(section.digest, "its format is unknown")
+                raise SectionError(section.digest, "its format is not supported")
             return cls(
                 int(fields["version"]),
                 str(fields["base"]),
                 str(fields["author"]),
                 int(fields["created_ms"]),
-                _branches(fields["groups"]),
+                _decode_branches(fields["groups"]),
             )
         except DECODE_ERRORS as error:
             raise SectionError(section.digest, "not a root") from error
@@ -197,11 +197,11 @@
     Parameters
     ----------
     root : Root
-        The top.
+        The decoded root.
     digest : str
-        Name of the root's section, and so of the whole version.
+        Digest of the root's section, which identifies the whole version.
     sections : dict[str, Section]
-        All sections by name.
+        All sections by digest.
     """
 
     root: Root
@@ -216,7 +216,7 @@
     author: str,
     created_ms: int,
 ) -> SectionTree:
-    """Cut a bundle into sections.
+    """Split a bundle into sections.
 
     Parameters
     ----------
@@ -225,52 +225,55 @@
     version : int
         The version's number.
     base : str
-        Digest of the version it was made from.
+        Digest of the version it was derived from.
     author : str
-        Who made it.
+        Operator who created it.
     created_ms : int
-        When, in milliseconds since 1970.
+        Time of creation in milliseconds since 1970.
 
     Returns
     -------
     SectionTree
-        Root and sections; the same records give the same leaves.
+        The root and all sections; equal records produce equal leaves.
     """
     sections: dict[str, Section] = {}
     plain: dict[str, dict[str, list[RecordText]]] = {}
-    scattered: dict[str, dict[str, dict[str, list[RecordText]]]] = {}
+    sharded: dict[str, dict[str, dict[str, list[RecordText]]]] = {}
     for text in bundle.records.values():
-        place = place_of(text.name)
-        if place.subgroup:
-            group = scattered.setdefault(place.group, {})
-            leaves = group.setdefault(place.subgroup, {})
+        location = locate_record(text.name)
+        if location.subgroup:
+            group = sharded.setdefault(location.group, {})
+            leaves = group.setdefault(location.subgroup, {})
         else:
-            leaves = plain.setdefault(place.group, {})
-        leaves.setdefault(place.leaf, []).append(text)
+            leaves = plain.setdefault(location.group, {})
+        leaves.setdefault(location.leaf, []).append(text)
     branches = [
         Branch(label, _add_leaves(leaves, sections)) for label, leaves in plain.items()
     ]
-    if scattered:
+    if sharded:
         groups = {
             label: _add_index(
-                {sub: _add_leaves(leaves, sections) for sub, leaves in subs.items()},
+                {
+                    sub: _add_leaves(leaves, sections)
+                    for sub, leaves in subgroups.items()
+                },
                 sections,
             )
-            for label, subs in scattered.items()
+            for label, subgroups in sharded.items()
         }
         branches.append(Branch(SCATTERED_KIND, _add_index(groups, sections)))
     branches.sort(key=lambda branch: branch.label)
     root = Root(version, base, author, created_ms, tuple(branches))
-    top = Section.of(root.encode())
-    sections[top.digest] = top
-    return SectionTree(root, top.digest, sections)
+    root_section = Section.of(root.encode())
+    sections[root_section.digest] = root_section
+    return SectionTree(root, root_section.digest, sections)
 
 
 def _add_leaves(
     leaves: dict[str, list[RecordText]],
     sections: dict[str, Section],
 ) -> str:
-    """Add leaves and the index over them; return the index's digest."""
+    """Add leaves and the index of them; return the digest of the index."""
     digests: dict[str, str] = {}
     for label, records in leaves.items():
         part = Section.of(encode_leaf(records))
@@ -281,21 +284,21 @@
 
 
 def _add_index(digests: dict[str, str], sections: dict[str, Section]) -> str:
-    section = Section.of(_canonical(digests))
+    section = Section.of(_canonical_json(digests))
     sections[section.digest] = section
     return section.digest
 
 
 @dataclass(frozen=True, slots=True)
-class RecordPlace:
-    """Where a record lies in the tree.
+class RecordLocation:
+    """Location of a record in the tree.
 
     Parameters
     ----------
     group : str
         Label of its group.
     subgroup : str
-        Label of its subgroup; empty for kinds that have none.
+        Label of its subgroup; empty for kinds without subgroups.
     leaf : str
         Label of its leaf.
     """
@@ -305,35 +308,35 @@
     leaf: str
 
 
-def place_of(name: RecordName) -> RecordPlace:
-    """Return where a record lies.
+def locate_record(name: RecordName) -> RecordLocation:
+    """Return the location of a record, which follows from a hash of its name.
 
     Parameters
     ----------
     name : RecordName
-        The record's name.
+        Name of the record.
 
     Returns
     -------
-    RecordPlace
-        Labels of the parts that hold it.
+    RecordLocation
+        Labels of the parts that contain it.
     """
-    spread = xxh3_64_intdigest(name.name.encode())
-    leaf = f"{spread % FAN_OUT:x}"
+    name_hash = xxh3_64_intdigest(name.name.encode())
+    leaf = f"{name_hash % FAN_OUT:x}"
     if name.kind != SCATTERED_KIND:
-        return RecordPlace(name.kind, "", leaf)
-    subgroup = f"{spread // FAN_OUT % FAN_OUT:x}"
-    group = spread // FAN_OUT**2 % FAN_OUT
-    return RecordPlace(f"{name.kind}-{group:x}", subgroup, leaf)
+        return RecordLocation(name.kind, "", leaf)
+    subgroup = f"{name_hash // FAN_OUT % FAN_OUT:x}"
+    group = name_hash // FAN_OUT**2 % FAN_OUT
+    return RecordLocation(f"{name.kind}-{group:x}", subgroup, leaf)
 
 
 def decode_group(section: Section) -> tuple[Branch, ...]:
-    """Return the parts that an index names.
+    """Decode the references of an index.
 
     Parameters
     ----------
     section : Section
-        A checked section.
+        A verified section.
 
     Returns
     -------
@@ -346,18 +349,18 @@
         When it is not an index.
     """
     try:
-        return _branches(json.loads(section.data))
+        return _decode_branches(json.loads(section.data))
     except DECODE_ERRORS as error:
         raise SectionError(section.digest, "not an index") from error
 
 
 def encode_leaf(records: list[RecordText]) -> bytes:
-    """Return the bytes of a leaf.
+    """Encode records as the bytes of a leaf.
 
     Parameters
     ----------
     records : list[RecordText]
-        Its records.
+        The records, in any order.
 
     Returns
     -------
@@ -365,7 +368,7 @@
         Canonical JSON.
     """
     ordered = sorted(records, key=lambda record: record.name)
-    return _canonical(
+    return _canonical_json(
         [
             {
                 "kind": record.name.kind,
@@ -378,17 +381,17 @@
 
 
 def decode_leaf(section: Section) -> list[RecordText]:
-    """Return the records of a leaf.
+    """Decode the records of a leaf.
 
     Parameters
     ----------
     section : Section
-        A checked section.
+        A verified section.
 
     Returns
     -------
     list[RecordText]
-        Its records as written.
+        The records as written.
 
     Raises
     ------
@@ -396,12 +399,12 @@
         When it is not a leaf.
     """
     try:
-        return [_record(fields) for fields in json.loads(section.data)]
+        return [_decode_record(fields) for fields in json.loads(section.data)]
     except DECODE_ERRORS as error:
         raise SectionError(section.digest, "not a leaf") from error
 
 
-def _record(fields: Any) -> RecordText:
+def _decode_record(fields: Any) -> RecordText:
     kind = str(fields["kind"])
     if kind not in CLASS_BY_KIND:
         raise ValueError(kind)
@@ -412,12 +415,12 @@
     return RecordText(RecordName(kind, str(fields["name"])), options)
 
 
-def _branches(fields: Any) -> tuple[Branch, ...]:
+def _decode_branches(fields: Any) -> tuple[Branch, ...]:
     return tuple(
         Branch(str(label), str(digest)) for label, digest in sorted(fields.items())
     )
 
 
-def _canonical(value: Any) -> bytes:
+def _canonical_json(value: Any) -> bytes:
     text = json.dumps(value, sort_keys=True, separators=(",", ":"))
     return text.encode()
--- a/tests/process/test_ledger.py
+++ b/tests/process/test_ledger.py
@@ -1,4 +1,4 @@
-"""Claims: granted once, never taken over, read back when answers are lost."""
+"""Claims are granted once and never taken over, also when writes conflict or fail."""
 
 from __future__ import annotations
 
@@ -24,42 +24,79 @@
 from primrosescale.standin.object_store import StoreSettings
 
 KEY = b"k" * 16
-PRINT = b"f" * 16
+FINGERPRINT = b"f" * 16
 
 
-def ask(verb=ClaimVerb.CLAIM, token=b"A", key=KEY, fingerprint=PRINT, answer=None):
+def make_request(
+    verb=ClaimVerb.CLAIM, token=b"A", key=KEY, fingerprint=FINGERPRINT, answer=None
+):
     return wire.ClaimRequest(1, verb, key, token, fingerprint, answer)
 
 
-def stored(state, token=b"A", answer=None):
-    return wire.LedgerEntry(KEY, token, PRINT, state, 0, answer)
+def make_entry(state, token=b"A", answer=None):
+    return wire.LedgerEntry(KEY, token, FINGERPRINT, state, 0, answer)
 
 
 ANSWER = wire.StoredAnswer(200, [], b"done", True)
 
-# What is known, what is asked, the reply, and whether something is stored.
+# Stored entry, request, state of the reply, and whether an entry is stored.
 DECISIONS = [
-    (None, ask(), ClaimState.GRANTED, True),
-    (stored(ClaimState.GRANTED), ask(), ClaimState.GRANTED, False),
-    (stored(ClaimState.GRANTED, b"B"), ask(), ClaimState.HELD, False),
-    (stored(ClaimState.RECORDED, b"B"), ask(), ClaimState.RECORDED, False),
-    (stored(ClaimState.ABANDONED, b"B"), ask(), ClaimState.GRANTED, True),
-    (stored(ClaimState.ABANDONED), ask(), ClaimState.ABANDONED, False),
+    (None, make_request(), ClaimState.GRANTED, True),
+    (make_entry(ClaimState.GRANTED), make_request(), ClaimState.GRANTED, False),
+    (make_entry(ClaimState.GRANTED, b"B"), make_request(), ClaimState.HELD, False),
+    (make_entry(ClaimState.RECORDED, b"B"), make_request(), ClaimState.RECORDED, False),
+    (make_entry(ClaimState.ABANDONED, b"B"), make_request(), ClaimState.GRANTED, True),
+    (make_entry(ClaimState.ABANDONED), make_request(), ClaimState.ABANDONED, False),
     (
-        stored(ClaimState.GRANTED, b"B"),
-        ask(fingerprint=b"g" * 16),
+        make_entry(ClaimState.GRANTED, b"B"),
+        make_request(fingerprint=b"g" * 16),
         ClaimState.REUSED,
         False,
     ),
-    (stored(ClaimState.GRANTED), ask(ClaimVerb.RECORD), ClaimState.RECORDED, True),
-    (stored(ClaimState.GRANTED, b"B"), ask(ClaimVerb.RECORD), ClaimState.HELD, False),
-    (stored(ClaimState.ABANDONED), ask(ClaimVerb.RECORD), ClaimState.HELD, False),
-    (stored(ClaimState.RECORDED), ask(ClaimVerb.RECORD), ClaimState.RECORDED, False),
-    (None, ask(ClaimVerb.RECORD), ClaimState.HELD, False),
-    (stored(ClaimState.GRANTED), ask(ClaimVerb.ABANDON), ClaimState.ABANDONED, True),
-    (stored(ClaimState.GRANTED, b"B"), ask(ClaimVerb.ABANDON), ClaimState.HELD, False),
-    (stored(ClaimState.RECORDED), ask(ClaimVerb.ABANDON), ClaimState.RECORDED, False),
-    (None, ask(ClaimVerb.ABANDON), ClaimState.ABANDONED, True),
+    (
+        make_entry(ClaimState.GRANTED),
+        make_request(ClaimVerb.RECORD),
+        ClaimState.RECORDED,
+        True,
+    ),
+    (
+        make_entry(ClaimState.GRANTED, b"B"),
+        make_request(ClaimVerb.RECORD),
+        ClaimState.HELD,
+        False,
+    ),
+    (
+        make_entry(ClaimState.ABANDONED),
+        make_request(ClaimVerb.RECORD),
+        ClaimState.HELD,
+        False,
+    ),
+    (
+        make_entry(ClaimState.RECORDED),
+        make_request(ClaimVerb.RECORD),
+        ClaimState.RECORDED,
+        False,
+    ),
+    (None, make_request(ClaimVerb.RECORD), ClaimState.HELD, False),
+    (
+        make_entry(ClaimState.GRANTED),
+        make_request(ClaimVerb.ABANDON),
+        ClaimState.ABANDONED,
+        True,
+    ),
+    (
+        make_entry(ClaimState.GRANTED, b"B"),
+        make_request(ClaimVerb.ABANDON),
+        ClaimState.HELD,
+        False,
+    ),
+    (
+        make_entry(ClaimState.RECORDED),
+        make_request(ClaimVerb.ABANDON),
+        ClaimState.RECORDED,
+        False,
+    ),
+    (None, make_request(ClaimVerb.ABANDON), ClaimState.ABANDONED, True),
 ]
 
 
@@ -75,7 +112,7 @@
         self.assertNotEqual(claim_key("s", "a", "k"), claim_key("s", "b", "k"))
         self.assertNotEqual(claim_key("s", "ab", "c"), claim_key("s", "a", "bc"))
 
-    def test_fingerprints_tell_requests_apart(self):
+    def test_fingerprints_of_different_requests_differ(self):
         one = request_fingerprint("POST", "/a", b"x")
         self.assertNotEqual(one, request_fingerprint("POST", "/a", b"y"))
         self.assertNotEqual(one, request_fingerprint("PUT", "/a", b"x"))
@@ -87,9 +124,9 @@
         self.assertRaises(LedgerFormatError, decode_segment, "x", data)
         self.assertRaises(LedgerFormatError, decode_segment, "x", b"junk")
 
-    def test_an_index_finds_what_its_segment_holds(self):
+    def test_an_index_finds_exactly_the_keys_of_its_segment(self):
         entries = [
-            wire.LedgerEntry(bytes([n]) * 16, b"t", PRINT, ClaimState.GRANTED, n)
+            wire.LedgerEntry(bytes([n]) * 16, b"t", FINGERPRINT, ClaimState.GRANTED, n)
             for n in range(0, 200, 2)
         ]
         index = SealedIndex("s", wire.LedgerSegment(FORMAT, entries, []))
@@ -115,12 +152,12 @@
     def submit(self, writer, request, replies):
         writer.submit(request).addCallback(lambda reply: replies.append(reply.state))
 
-    def test_claims_that_wait_share_one_write(self):
+    def test_pending_claims_are_stored_in_one_write(self):
         writer = self.writer()
         replies = []
         for number in range(100):
             key = bytes([number]) * 16
-            self.submit(writer, ask(key=key, token=key), replies)
+            self.submit(writer, make_request(key=key, token=key), replies)
         self.run_for(1.0)
         self.assertEqual([ClaimState.GRANTED] * 100, replies)
         self.assertTrue(writer.writes <= 2)
@@ -128,16 +165,16 @@
     def test_two_claimants_in_one_batch_get_one_grant(self):
         writer = self.writer()
         replies = []
-        self.submit(writer, ask(token=b"A"), replies)
-        self.submit(writer, ask(token=b"B"), replies)
+        self.submit(writer, make_request(token=b"A"), replies)
+        self.submit(writer, make_request(token=b"B"), replies)
         self.run_for(1.0)
         self.assertEqual([ClaimState.GRANTED, ClaimState.HELD], replies)
 
     def test_two_writers_of_a_bucket_grant_once(self):
         one, other = self.writer(), self.writer()
         replies = []
-        self.submit(one, ask(token=b"A"), replies)
-        self.submit(other, ask(token=b"B"), replies)
+        self.submit(one, make_request(token=b"A"), replies)
+        self.submit(other, make_request(token=b"B"), replies)
         self.run_for(2.0)
         self.assertEqual([ClaimState.HELD, ClaimState.GRANTED], sorted(replies)[::-1])
 
@@ -145,52 +182,52 @@
         self.store.settings.lost_answers = 1
         writer = self.writer()
         replies = []
-        self.submit(writer, ask(), replies)
+        self.submit(writer, make_request(), replies)
         self.run_for(1.0)
         self.assertEqual([ClaimState.GRANTED], replies)
         self.assertEqual(1, writer.writes)
 
-    def test_an_outage_is_told_within_the_time_limit(self):
+    def test_an_outage_is_reported_within_the_time_limit(self):
         self.store.settings.is_down = True
         writer = self.writer(claim_timeout=1.0)
         replies = []
-        self.submit(writer, ask(), replies)
+        self.submit(writer, make_request(), replies)
         self.run_for(1.5)
         self.assertEqual([ClaimState.UNAVAILABLE], replies)
 
-    def test_an_answer_is_returned_to_a_repeat_through_another_writer(self):
+    def test_a_retry_at_another_writer_receives_the_recorded_answer(self):
         one, other = self.writer(), self.writer()
         found = []
-        one.submit(ask())
+        one.submit(make_request())
         self.run_for(1.0)
-        one.submit(ask(ClaimVerb.RECORD, answer=ANSWER))
+        one.submit(make_request(ClaimVerb.RECORD, answer=ANSWER))
         self.run_for(1.0)
-        other.submit(ask(token=b"B")).addCallback(found.append)
+        other.submit(make_request(token=b"B")).addCallback(found.append)
         self.run_for(1.0)
         self.assertEqual(b"done", found[0].answer.body)
 
-    def test_sealed_keys_are_still_known_to_a_fresh_writer(self):
+    def test_a_new_writer_finds_sealed_keys(self):
         writer = self.writer(seal_entries=5, write_interval=0.05)
         replies = []
         for number in range(30):
             key = bytes([number]) * 16
-            self.submit(writer, ask(key=key, token=key), replies)
+            self.submit(writer, make_request(key=key, token=key), replies)
             self.run_for(0.1)
         self.assertEqual([ClaimState.GRANTED] * 30, replies)
         again = []
         fresh = self.writer()
         for number in range(30):
             key = bytes([number]) * 16
-            self.submit(fresh, ask(key=key, token=b"other"), again)
+            self.submit(fresh, make_request(key=key, token=b"other"), again)
         self.run_for(3.0)
         self.assertEqual([ClaimState.HELD] * 30, again)
 
-    def test_segments_past_their_retention_are_dropped(self):
+    def test_segments_past_their_retention_are_deleted(self):
         writer = self.writer(seal_entries=5, write_interval=0.05, retention=2.0)
         replies = []
         for number in range(60):
             key = bytes([number]) * 16
-            self.submit(writer, ask(key=key, token=key), replies)
+            self.submit(writer, make_request(key=key, token=key), replies)
             self.run_for(0.1)
         self.assertTrue(writer.keys < 40, writer.keys)
         names = [
@@ -201,39 +238,39 @@
     def test_a_paused_writer_does_not_overwrite_its_successor(self):
         one, other = self.writer(), self.writer()
         replies = []
-        self.submit(one, ask(key=b"a" * 16), replies)
+        self.submit(one, make_request(key=b"a" * 16), replies)
         self.run_for(1.0)
-        self.submit(other, ask(key=b"b" * 16), replies)
+        self.submit(other, make_request(key=b"b" * 16), replies)
         self.run_for(1.0)
-        self.submit(one, ask(key=b"b" * 16, token=b"late"), replies)
+        self.submit(one, make_request(key=b"b" * 16, token=b"late"), replies)
         self.run_for(1.0)
         self.assertEqual(
             [ClaimState.GRANTED, ClaimState.GRANTED, ClaimState.HELD],
             replies,
         )
 
-    def test_a_tail_of_an_unknown_format_refuses_claims_and_stays(self):
+    def test_a_tail_of_an_unknown_format_refuses_claims_and_is_not_overwritten(self):
         data = encode_segment(wire.LedgerSegment(FORMAT + 1, [], []))
         self.store.put(tail_name(0, 1), data, 0, 0.0)
         writer = self.writer()
         replies = []
-        self.submit(writer, ask(), replies)
+        self.submit(writer, make_request(), replies)
         self.run_for(1.0)
         self.assertEqual([ClaimState.UNAVAILABLE], replies)
         self.assertEqual(data, self.store.get(tail_name(0, 1), 5.0).value)
 
-    def test_writers_that_count_buckets_differently_do_not_grant_a_key_twice(self):
+    def test_writers_with_different_bucket_numbers_do_not_grant_a_key_twice(self):
         one = self.writer()
         settings = LedgerSettings(buckets=2)
         other = ClaimWriter(settings, self.platform, self.clock, self.clock.seconds)
         replies = []
-        self.submit(one, ask(token=b"A"), replies)
+        self.submit(one, make_request(token=b"A"), replies)
         self.run_for(1.0)
-        self.submit(other, ask(token=b"B"), replies)
+        self.submit(other, make_request(token=b"B"), replies)
         self.run_for(1.0)
         self.assertEqual([ClaimState.GRANTED, ClaimState.UNAVAILABLE], replies)
 
-    def test_a_segment_is_deleted_only_when_no_tail_names_it(self):
+    def test_a_segment_is_deleted_only_when_no_tail_refers_to_it(self):
         writer = self.writer(seal_entries=5, write_interval=0.05, retention=2.0)
         named = []
         delete = self.store.delete
@@ -246,28 +283,28 @@
         self.store.delete = checked
         for number in range(60):
             key = bytes([number]) * 16
-            self.submit(writer, ask(key=key, token=key), [])
+            self.submit(writer, make_request(key=key, token=key), [])
             if number % 7 == 0:
                 self.store.settings.lost_answers += 1
             self.run_for(0.1)
         self.assertTrue(named)
         self.assertEqual({False}, set(named))
 
-    def test_a_writer_with_an_old_view_reads_again_when_a_segment_is_gone(self):
+    def test_a_writer_with_a_stale_tail_reloads_it_when_a_segment_is_missing(self):
         old = self.writer(seal_entries=5, write_interval=0.05, retention=2.0)
         replies = []
         for number in range(20):
             key = bytes([number]) * 16
-            self.submit(old, ask(key=key, token=key), replies)
+            self.submit(old, make_request(key=key, token=key), replies)
             self.run_for(0.05)
         self.run_for(5.0)
         new = self.writer(seal_entries=5, write_interval=0.05, retention=2.0)
         for number in range(100, 130):
             key = bytes([number]) * 16
-            self.submit(new, ask(key=key, token=key), [])
+            self.submit(new, make_request(key=key, token=key), [])
             self.run_for(0.1)
         late = []
         for _ in range(3):
-            self.submit(old, ask(key=bytes(16), token=b"late"), late)
+            self.submit(old, make_request(key=bytes(16), token=b"late"), late)
             self.run_for(1.0)
         self.assertEqual(ClaimState.GRANTED, late[-1])
--- a/tests/process/test_version_keeper.py
+++ b/tests/process/test_version_keeper.py
@@ -1,4 +1,4 @@
-"""A version comes into force whole, once, and never goes back."""
+"""A version is put in force only when complete and never replaced by a lower one."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from support.world import bundle_text
 
 
-class Observer(VersionObserver):
+class RecordingObserver(VersionObserver):
     def __init__(self):
         self.versions = []
         self.refused = []
@@ -35,18 +35,18 @@
         self.failed.append(detail)
 
 
-class Source(SectionSource):
+class FakeSource(SectionSource):
     def __init__(self, tree=None):
         self.tree = tree
-        self.asked = []
+        self.requested = []
         self.altered = set()
-        self.held = None
+        self.delayed = None
 
     def fetch(self, digest):
-        self.asked.append(digest)
-        if self.held is not None:
+        self.requested.append(digest)
+        if self.delayed is not None:
             waiting = Deferred()
-            self.held.append((waiting, digest))
+            self.delayed.append((waiting, digest))
             return waiting
         return succeed(self.data(digest))
 
@@ -67,7 +67,7 @@
 class VersionKeeperTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.observer = Observer()
+        self.observer = RecordingObserver()
         public = SIGNING.public_key().public_bytes_raw()
         self.assertTrue(PUBLIC)
         check = HeadCheck({"approver": public})
@@ -75,90 +75,90 @@
 
     def test_a_version_is_pulled_and_put_in_force(self):
         tree, head = make_version(1)
-        self.keeper.hear(head, Source(tree))
+        self.keeper.hear(head, FakeSource(tree))
         self.assertEqual([1], self.observer.versions)
         self.assertEqual("small", self.keeper.view.organisation_of("small").name)
         self.assertIsNone(self.keeper.view.organisation_of("nobody"))
 
-    def test_a_lower_version_is_never_taken(self):
+    def test_a_lower_version_is_never_put_in_force(self):
         old_tree, old = make_version(1)
         tree, head = make_version(2)
-        self.keeper.hear(head, Source(tree))
-        self.keeper.hear(old, Source(old_tree))
+        self.keeper.hear(head, FakeSource(tree))
+        self.keeper.hear(old, FakeSource(old_tree))
         self.assertEqual([2], self.observer.versions)
 
     def test_only_what_changed_is_pulled(self):
         tree, head = make_version(1)
-        self.keeper.hear(head, Source(tree))
+        self.keeper.hear(head, FakeSource(tree))
         tree, head = make_version(2, "[organisation x]\nkey_hashes =\n")
-        source = Source(tree)
+        source = FakeSource(tree)
         self.keeper.hear(head, source)
-        self.assertEqual(5, len(source.asked))
+        self.assertEqual(5, len(source.requested))
         self.assertEqual([1, 2], self.observer.versions)
 
     def test_an_altered_section_keeps_the_old_version_in_force(self):
         tree, head = make_version(1)
-        self.keeper.hear(head, Source(tree))
+        self.keeper.hear(head, FakeSource(tree))
         tree, head = make_version(2, "[organisation x]\nkey_hashes =\n")
-        source = Source(tree)
+        source = FakeSource(tree)
         source.altered = set(tree.sections)
         self.keeper.hear(head, source)
         self.assertEqual([1], self.observer.versions)
         self.assertEqual(1, len(self.observer.failed))
-        self.keeper.hear(head, Source(tree))
+        self.keeper.hear(head, FakeSource(tree))
         self.assertEqual([1, 2], self.observer.versions)
 
-    def test_a_source_without_the_sections_is_no_harm(self):
+    def test_a_version_missing_at_one_source_is_pulled_from_another(self):
         tree, head = make_version(1)
         empty, _ = make_version(9, "[organisation y]\nkey_hashes =\n")
-        self.keeper.hear(head, Source(empty))
+        self.keeper.hear(head, FakeSource(empty))
         self.assertEqual(1, len(self.observer.failed))
-        self.keeper.hear(head, Source(tree))
+        self.keeper.hear(head, FakeSource(tree))
         self.assertEqual([1], self.observer.versions)
 
-    def test_an_unsigned_head_is_refused_whoever_sends_it(self):
+    def test_a_head_with_a_forged_signature_is_refused(self):
         tree, head = make_version(5)
         forged = VersionHead(5, head.digest, "approver", b"x" * 64)
-        self.keeper.hear(forged, Source(tree))
+        self.keeper.hear(forged, FakeSource(tree))
         self.assertEqual([], self.observer.versions)
         self.assertEqual(1, len(self.observer.refused))
 
-    def test_a_signature_cannot_be_moved_to_another_number(self):
+    def test_a_signature_is_not_valid_for_another_number(self):
         tree, head = make_version(3)
-        moved = VersionHead(99, head.digest, "approver", head.signature)
-        self.keeper.hear(moved, Source(tree))
+        reused = VersionHead(99, head.digest, "approver", head.signature)
+        self.keeper.hear(reused, FakeSource(tree))
         self.assertEqual([], self.observer.versions)
         self.assertEqual(1, len(self.observer.failed))
 
     def test_an_older_pull_that_ends_late_changes_nothing(self):
         tree, head = make_version(1)
-        slow = Source(tree)
-        slow.held = []
+        slow = FakeSource(tree)
+        slow.delayed = []
         self.keeper.hear(head, slow)
         newer_tree, newer = make_version(2)
-        self.keeper.hear(newer, Source(newer_tree))
-        held, slow.held = slow.held, None
-        for waiting, digest in held:
+        self.keeper.hear(newer, FakeSource(newer_tree))
+        delayed, slow.delayed = slow.delayed, None
+        for waiting, digest in delayed:
             waiting.callback(slow.data(digest))
-        self.keeper.hear(newer, Source(newer_tree))
+        self.keeper.hear(newer, FakeSource(newer_tree))
         self.assertEqual([1, 2], self.observer.versions)
 
-    def test_a_request_keeps_its_version_and_the_last_one_drops_it(self):
+    def test_a_version_is_retired_until_its_last_request_unpins_it(self):
         tree, head = make_version(1)
-        self.keeper.hear(head, Source(tree))
+        self.keeper.hear(head, FakeSource(tree))
         pinned = self.keeper.view.pin()
         tree, head = make_version(2)
-        self.keeper.hear(head, Source(tree))
+        self.keeper.hear(head, FakeSource(tree))
         self.assertEqual(1, self.keeper.retired)
         self.assertEqual(1, pinned.version)
         pinned.unpin()
         self.assertEqual(0, self.keeper.retired)
 
-    def test_sections_of_the_version_before_are_still_served(self):
+    def test_sections_of_the_previous_version_are_still_served(self):
         tree, head = make_version(1)
-        self.keeper.hear(head, Source(tree))
+        self.keeper.hear(head, FakeSource(tree))
         newer, newer_head = make_version(2, "[organisation x]\nkey_hashes =\n")
-        self.keeper.hear(newer_head, Source(newer))
+        self.keeper.hear(newer_head, FakeSource(newer))
         for digest in [*tree.sections, *newer.sections]:
             self.assertIsNotNone(self.keeper.section(digest))
 
@@ -167,8 +167,8 @@
         public = SIGNING.public_key().public_bytes_raw()
         check = HeadCheck({"approver": public})
         keeper = VersionKeeper(check, self.observer, needs_organisations=False)
-        source = Source(tree)
+        source = FakeSource(tree)
         keeper.hear(head, source)
         self.assertIn("chat", keeper.view.services)
         self.assertIsNone(keeper.view.organisation("small"))
-        self.assertTrue(len(source.asked) < len(tree.sections))
+        self.assertTrue(len(source.requested) < len(tree.sections))
