--- a/src/primrosescale/__init__.py
+++ b/src/primrosescale/__init__.py
@@ -1,4 +1,4 @@
-"""Router fleet for very many returning chats of many organisations."""
+"""Routers that spread requests of many organisations over model engines."""
 
 from __future__ import annotations
 
--- a/src/primrosescale/__main__.py
+++ b/src/primrosescale/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m primrosescale``."""
+"""Entry point of ``python -m primrosescale``."""
 
 from __future__ import annotations
 
--- a/src/primrosescale/clock.py
+++ b/src/primrosescale/clock.py
@@ -1,4 +1,4 @@
-"""Time as the package uses it; twisted's reactor and its test clock fit."""
+"""Clock and timer interfaces, which Twisted's reactor and test clock satisfy."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 class Timer(Protocol):
-    """A call that is due later."""
+    """A scheduled call."""
 
     def active(self) -> bool:
-        """Tell whether it is still due."""
+        """Return whether the call is still scheduled."""
 
     def cancel(self) -> None:
-        """Forget it."""
+        """Cancel the call."""
 
 
 class Clock(Protocol):
     """Source of time and timers."""
 
     def seconds(self) -> float:
-        """Return the present time in seconds."""
+        """Return the current time in seconds."""
 
     def callLater(
         self,
@@ -32,31 +32,31 @@
         callable: Callable[..., Any],  # noqa: A002
         *args: Any,
     ) -> Timer:
-        """Call something later.
+        """Schedule a call.
 
         Parameters
         ----------
         delay : float
             Seconds from now.
         callable : Callable[..., Any]
-            What to call.
+            Function to call.
         *args : Any
-            With what.
+            Positional arguments of the call.
 
         Returns
         -------
         Timer
-            The call that is due.
+            Timer with which the call can be cancelled.
         """
 
 
 def cancel_timer(timer: Timer | None) -> None:
-    """Forget a call that may still be due.
+    """Cancel a scheduled call unless it has run or been cancelled.
 
     Parameters
     ----------
     timer : Timer | None
-        The call.
+        Timer of the call; None for no call.
     """
     if timer is not None and timer.active():
         timer.cancel()
--- a/src/primrosescale/exceptions.py
+++ b/src/primrosescale/exceptions.py
@@ -1,17 +1,17 @@
-"""Root of the package's error types."""
+"""Base class of the package's exceptions."""
 
 from __future__ import annotations
 
 
 class PrimrosescaleError(Exception):
-    """Base of every error the package raises on purpose.
+    """Base class of all exceptions that the package defines.
 
     Parameters
     ----------
     problem : str
         What is wrong, in one clause.
     remedy : str
-        What the reader can do about it.
+        What the reader can do about it, in one clause.
     """
 
     def __init__(self, problem: str, remedy: str) -> None:
--- a/src/primrosescale/process/__init__.py
+++ b/src/primrosescale/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as a process."""
+"""Processes: routers, agents, their settings, logs, metrics and administration."""
--- a/src/primrosescale/process/administration/__init__.py
+++ b/src/primrosescale/process/administration/__init__.py
@@ -1,1 +1,1 @@
-"""Operators: bundles, sign-off, roll-out and their HTTP interface."""
+"""Administration: bundles, sign-off, roll-out and their HTTP interface."""
--- a/src/primrosescale/process/administration/admin_resource.py
+++ b/src/primrosescale/process/administration/admin_resource.py
@@ -1,4 +1,4 @@
-"""The administration API over HTTP."""
+"""HTTP resource of the administration API: authentication, dispatch, answers."""
 
 from __future__ import annotations
 
@@ -55,11 +55,11 @@
 CONFLICT = 409
 PRECONDITION = 412
 UNAVAILABLE = 503
-DEFAULT_LIMIT = 20
+MAX_LISTED = 20
 
 
-class StrangerError(ProcessError):
-    """The operator's key is missing or unknown."""
+class UnknownOperatorError(ProcessError):
+    """The request's operator key is missing or unknown."""
 
     def __init__(self) -> None:
         super().__init__(
@@ -69,13 +69,13 @@
 
 
 class PreconditionError(ConflictError):
-    """The head is not the one that If-Match names."""
+    """The head in force is not the one that If-Match names."""
 
 
 STATUS_BY_ERROR: tuple[tuple[type[Exception], int], ...] = (
     (FaultsError, BAD_REQUEST),
     (IniError, BAD_REQUEST),
-    (StrangerError, UNAUTHORISED),
+    (UnknownOperatorError, UNAUTHORISED),
     (NotAllowedError, FORBIDDEN),
     (HeadError, FORBIDDEN),
     (NotFoundError, NOT_FOUND),
@@ -87,14 +87,14 @@
 
 
 class OperatorKeys:
-    """Knows operators by their bearer keys.
+    """Authenticates operators by their bearer keys.
 
     Parameters
     ----------
     bootstrap : tuple[str, ...]
-        ``name:hash`` of operators that the process settings name.
+        ``name:hash`` of the operators in the process settings.
     view : Callable[[], VersionView | None]
-        Returns the version in force.
+        Returns the configuration version in force; None before the first.
     """
 
     def __init__(
@@ -114,12 +114,12 @@
         ]
 
     def find(self, header: str) -> OperatorRecord:
-        """Return whose key a header carries.
+        """Return the operator whose key a header carries.
 
         Parameters
         ----------
         header : str
-            The Authorization header.
+            Value of the Authorization header.
 
         Returns
         -------
@@ -128,11 +128,11 @@
 
         Raises
         ------
-        StrangerError
-            When nobody's.
+        UnknownOperatorError
+            When the header carries no known operator's key.
         """
         if not header.startswith(BEARER):
-            raise StrangerError
+            raise UnknownOperatorError
         key = header[len(BEARER) :].strip()
         view = self._view()
         found = None if view is None else view.operator_of(key)
@@ -142,22 +142,22 @@
         for record in self._bootstrap:
             if hmac.compare_digest(record.key_hash, sent):
                 return record
-        raise StrangerError
+        raise UnknownOperatorError
 
 
 class AdminResource(Resource):
-    """Serves operators.
+    """Handles requests to the administration API.
 
     Parameters
     ----------
     administration : Administration
-        What they may do.
+        Operations on bundles and the head.
     keys : OperatorKeys
-        Who they are.
+        Authenticates operators.
     status : Callable[[], Deferred[dict[str, Any]]]
-        Returns what is in force where.
+        Returns the versions in force across the fleet.
     log : EventLog
-        The log.
+        Event log.
     """
 
     isLeaf = True
@@ -176,7 +176,7 @@
         self._log = log
 
     def render(self, request: Request) -> int:
-        """Answer one request.
+        """Answer one request asynchronously.
 
         Parameters
         ----------
@@ -188,15 +188,17 @@
         int
             `NOT_DONE_YET`.
         """
-        gone: list[bool] = []
-        request.notifyFinish().addErrback(lambda _: gone.append(True))
-        answered = self._answer(request, gone)
-        answered.addErrback(self._refuse, request, gone)
-        answered.addErrback(self._broken, request, gone)
+        disconnected: list[bool] = []
+        request.notifyFinish().addErrback(lambda _: disconnected.append(True))
+        answered = self._answer(request, disconnected)
+        answered.addErrback(self._answer_error, request, disconnected)
+        answered.addErrback(self._answer_internal_error, request, disconnected)
         return NOT_DONE_YET
 
     @inlineCallbacks
-    def _answer(self, request: Request, gone: list[bool]) -> Generator[Any, Any, None]:
+    def _answer(
+        self, request: Request, disconnected: list[bool]
+    ) -> Generator[Any, Any, None]:
         operator = self._keys.find(request.getHeader("Authorization") or "")
         path = request.path.decode("latin-1")
         if not path.startswith(PREFIX):
@@ -204,20 +206,20 @@
         parts = path[len(PREFIX) :].strip("/").split("/")
         call = f"{request.method.decode('latin-1')} {parts[0]}"
         if call == "POST bundles":
-            yield self._create(request, operator, gone)
+            yield self._create(request, operator, disconnected)
         elif call == "POST head":
-            yield self._roll_out(request, operator, gone)
+            yield self._roll_out(request, operator, disconnected)
         elif call == "POST revert":
             info = yield self._administration.revert_to(
-                str(_fields(request)["to"]),
+                str(_json_body(request)["to"]),
                 operator,
             )
-            self._send_info(request, CREATED, info, gone)
+            self._send_info(request, CREATED, info, disconnected)
         elif call == "PUT bundles" and parts[-1] == "sign-off":
-            yield self._sign(request, operator, parts[1], gone)
+            yield self._sign(request, operator, parts[1], disconnected)
         elif request.method == b"GET":
             require_role(operator, READER)
-            yield self._read(request, parts, gone)
+            yield self._read(request, parts, disconnected)
         else:
             raise NotFoundError(call)
 
@@ -226,33 +228,38 @@
         self,
         request: Request,
         parts: list[str],
-        gone: list[bool],
+        disconnected: list[bool],
     ) -> Generator[Any, Any, None]:
-        office = self._administration
+        admin = self._administration
         if parts[0] == "status":
             fields = yield self._status()
-            _send(request, OK, fields, gone)
+            _send(request, OK, fields, disconnected)
         elif parts[0] == "audit":
-            entries = yield office.audit(DEFAULT_LIMIT)
-            _send(request, OK, {"entries": entries}, gone)
+            entries = yield admin.audit(MAX_LISTED)
+            _send(request, OK, {"entries": entries}, disconnected)
         elif parts[0] == "bundles" and len(parts) == 1:
-            known = yield office.history(DEFAULT_LIMIT)
-            _send(request, OK, {"bundles": [_info(item) for item in known]}, gone)
+            known = yield admin.history(MAX_LISTED)
+            _send(
+                request,
+                OK,
+                {"bundles": [_info_fields(item) for item in known]},
+                disconnected,
+            )
         elif parts[0] == "bundles" and parts[-1] == "diff":
-            digest = yield office.find(parts[1])
-            other = _argument(request, "with")
-            root = yield office.root(digest)
+            digest = yield admin.find(parts[1])
+            other = _query_argument(request, "with")
+            root = yield admin.root(digest)
             old = root.base
             if other:
-                old = yield office.find(other)
-            text = yield office.diff(old, digest)
-            _send(request, OK, {"diff": text}, gone)
+                old = yield admin.find(other)
+            text = yield admin.diff(old, digest)
+            _send(request, OK, {"diff": text}, disconnected)
         elif parts[0] == "bundles":
-            digest = yield office.find(parts[1])
-            root = yield office.root(digest)
-            bundle = yield office.load(digest)
+            digest = yield admin.find(parts[1])
+            root = yield admin.root(digest)
+            bundle = yield admin.load(digest)
             fields = {"digest": digest, "version": root.version, "ini": bundle.to_ini()}
-            _send(request, OK, fields, gone)
+            _send(request, OK, fields, disconnected)
         else:
             raise NotFoundError("/".join(parts))
 
@@ -261,7 +268,7 @@
         self,
         request: Request,
         operator: OperatorRecord,
-        gone: list[bool],
+        disconnected: list[bool],
     ) -> Generator[Any, Any, None]:
         text = request_body(request).decode("utf-8", "replace")
         bundle = Bundle.from_ini(text, "bundle")
@@ -271,7 +278,7 @@
         except ConflictError as error:
             raise PreconditionError(error.problem) from error
         self._log.emit(Event.BUNDLE_CREATED, by=operator.name, digest=info.digest)
-        self._send_info(request, CREATED, info, gone)
+        self._send_info(request, CREATED, info, disconnected)
 
     @inlineCallbacks
     def _sign(
@@ -279,39 +286,41 @@
         request: Request,
         operator: OperatorRecord,
         digest: str,
-        gone: list[bool],
+        disconnected: list[bool],
     ) -> Generator[Any, Any, None]:
         try:
-            signature = bytes.fromhex(str(_fields(request)["signature"]))
+            signature = bytes.fromhex(str(_json_body(request)["signature"]))
         except (KeyError, ValueError) as error:
             raise IniError("no signature in hex", "send {'signature': HEX}") from error
         info = yield self._administration.sign(digest, operator, signature)
         self._log.emit(Event.BUNDLE_SIGNED, by=operator.name, digest=digest)
-        self._send_info(request, OK, info, gone)
+        self._send_info(request, OK, info, disconnected)
 
     @inlineCallbacks
     def _roll_out(
         self,
         request: Request,
         operator: OperatorRecord,
-        gone: list[bool],
+        disconnected: list[bool],
     ) -> Generator[Any, Any, None]:
-        digest = str(_fields(request).get("digest", ""))
+        digest = str(_json_body(request).get("digest", ""))
         info = yield self._administration.roll_out(digest, operator)
         self._log.emit(Event.BUNDLE_ROLLED_OUT, by=operator.name, digest=digest)
-        self._send_info(request, OK, info, gone)
+        self._send_info(request, OK, info, disconnected)
 
     def _send_info(
         self,
         request: Request,
         status: int,
         info: BundleInfo,
-        gone: list[bool],
+        disconnected: list[bool],
     ) -> None:
         request.setHeader(b"ETag", f'"{info.digest}"'.encode())
-        _send(request, status, _info(info), gone)
+        _send(request, status, _info_fields(info), disconnected)
 
-    def _refuse(self, failure: Failure, request: Request, gone: list[bool]) -> None:
+    def _answer_error(
+        self, failure: Failure, request: Request, disconnected: list[bool]
+    ) -> None:
         error = failure.value
         failure.trap(PrimrosescaleError, FaultsError)
         self._log.emit(
@@ -320,16 +329,18 @@
         status = next(
             status for kind, status in STATUS_BY_ERROR if isinstance(error, kind)
         )
-        _send(request, status, _problem(error, status), gone)
+        _send(request, status, _problem_fields(error, status), disconnected)
 
-    def _broken(self, failure: Failure, request: Request, gone: list[bool]) -> None:
-        """Answer a fault of our own and keep its traceback in the log."""
+    def _answer_internal_error(
+        self, failure: Failure, request: Request, disconnected: list[bool]
+    ) -> None:
+        """Answer an unexpected exception with status 500 and log its traceback."""
         self._log.emit(Event.ADMIN_REFUSED, detail=failure.getTraceback())
         fields = {"title": "internal error", "remedy": "look at event 413 in the log"}
-        _send(request, 500, fields, gone)
+        _send(request, 500, fields, disconnected)
 
 
-def _problem(error: BaseException | None, status: int) -> dict[str, Any]:
+def _problem_fields(error: BaseException | None, status: int) -> dict[str, Any]:
     if isinstance(error, FaultsError):
         faults = [
             {"problem": e.problem, "remedy": e.remedy}
@@ -342,7 +353,7 @@
     return {"status": status, "title": str(error)}
 
 
-def _info(info: BundleInfo) -> dict[str, Any]:
+def _info_fields(info: BundleInfo) -> dict[str, Any]:
     return {
         "digest": info.digest,
         "version": info.root.version,
@@ -353,12 +364,12 @@
     }
 
 
-def _send(request: Request, status: int, fields: Any, gone: list[bool]) -> None:
-    if not gone:
+def _send(request: Request, status: int, fields: Any, disconnected: list[bool]) -> None:
+    if not disconnected:
         write_json(request, status, fields)
 
 
-def _fields(request: Request) -> dict[str, Any]:
+def _json_body(request: Request) -> dict[str, Any]:
     try:
         fields = json.loads(request_body(request))
     except ValueError as error:
@@ -373,6 +384,6 @@
     return None if tag is None else tag.strip('"')
 
 
-def _argument(request: Request, name: str) -> str:
+def _query_argument(request: Request, name: str) -> str:
     values: list[bytes] = request.args.get(name.encode(), [])
     return values[0].decode() if values else ""
--- a/src/primrosescale/process/administration/administration.py
+++ b/src/primrosescale/process/administration/administration.py
@@ -1,4 +1,4 @@
-"""Bundles from creation to roll-out, kept in the platform."""
+"""Creates, signs off, rolls out and reverts bundles stored at the platform."""
 
 from __future__ import annotations
 
@@ -51,21 +51,21 @@
 OPERATOR = "operator"
 READER = "reader"
 MILLISECONDS = 1000
-WRITE_TRIES = 40
-WRITE_PAUSE = 0.25
-HISTORY_LIMIT = 50
+MAX_WRITE_ATTEMPTS = 40
+WRITE_RETRY_SECONDS = 0.25
+MAX_HISTORY = 50
 
 
 @dataclass(frozen=True, slots=True)
 class StoredHead:
-    """The head as it stands at the platform.
+    """The head as stored at the platform.
 
     Parameters
     ----------
     head : VersionHead
         The head; `NO_HEAD` before the first roll-out.
     object_version : int
-        Version of the platform's object.
+        Version of the platform's object, for conditional updates.
     """
 
     head: VersionHead
@@ -74,16 +74,16 @@
 
 @dataclass(frozen=True, slots=True)
 class BundleInfo:
-    """One version, accepted or not.
+    """Summary of one configuration version, accepted or not.
 
     Parameters
     ----------
     digest : str
-        Its name.
+        Digest that identifies the version.
     root : Root
-        Number, author, time and base.
+        Version number, author, creation time and base.
     approver : str
-        Who signed it off; empty for nobody.
+        Operator who signed it off; empty when it is not signed off.
     """
 
     digest: str
@@ -92,16 +92,16 @@
 
 
 class Administration:
-    """What operators may do to the configuration.
+    """Operations that operators perform on the configuration.
 
     Parameters
     ----------
     platform : Platform
-        Where everything is kept.
+        Object store for sections, sign-offs, the head and the audit trail.
     keeper : VersionKeeper
-        Sections that need not be read again.
+        Cache of sections, so that known ones are not read again.
     check : HeadCheck
-        Knows the trusted approvers.
+        Verifies signatures of trusted approvers.
     clock : Clock
         Source of timers.
     wall_clock : Callable[[], float]
@@ -129,7 +129,7 @@
         Returns
         -------
         Deferred[StoredHead]
-            The head as it stands.
+            The current head.
         """
         found = yield self._platform.get(HEAD_KEY)
         if found is None:
@@ -143,19 +143,19 @@
         operator: OperatorRecord,
         expected_base: str | None,
     ) -> Generator[Any, Any, BundleInfo]:
-        """Store a bundle as the version after the present one.
+        """Store a bundle as the version after the current one.
 
-        Storing the same bundle again gives the same version, so a repeat
-        after a lost answer does no harm.
+        Storing the same bundle again yields the same version, so a retry
+        after a lost answer is safe.
 
         Parameters
         ----------
         bundle : Bundle
             A valid bundle.
         operator : OperatorRecord
-            Its author.
+            Author of the bundle.
         expected_base : str | None
-            Digest that the head must have; None for any.
+            Digest that the head must have; None to accept any.
 
         Returns
         -------
@@ -166,7 +166,7 @@
         stored = yield self.head()
         head = stored.head
         if expected_base is not None and expected_base != head.digest:
-            raise ConflictError(_name(head))
+            raise ConflictError(_describe_head(head))
         before = Bundle({})
         if head.version:
             before = yield self.load(head.digest)
@@ -181,8 +181,8 @@
         )
         for section in tree.sections.values():
             if self._keeper.section(section.digest) is None:
-                yield self._store_once(section_key(section.digest), section.data)
-        yield self._audit(operator.name, "create", tree.digest)
+                yield self._create_object(section_key(section.digest), section.data)
+        yield self._write_audit_entry(operator.name, "create", tree.digest)
         return BundleInfo(tree.digest, tree.root, "")
 
     @inlineCallbacks
@@ -199,9 +199,9 @@
         digest : str
             The version.
         operator : OperatorRecord
-            Its approver, whose key made the signature.
+            Approver, whose key made the signature.
         signature : bytes
-            Signature of the digest.
+            Ed25519 signature of the digest.
 
         Returns
         -------
@@ -215,8 +215,8 @@
             raise NotAllowedError("nobody approves a bundle of their own")
         head = VersionHead(root.version, digest, operator.name, signature)
         self._check.verify(head)
-        yield self._store_once(SIGN_OFF_PREFIX + digest, head.encode())
-        yield self._audit(operator.name, "sign", digest)
+        yield self._create_object(SIGN_OFF_PREFIX + digest, head.encode())
+        yield self._write_audit_entry(operator.name, "sign", digest)
         return BundleInfo(digest, root, operator.name)
 
     @inlineCallbacks
@@ -225,14 +225,14 @@
         digest: str,
         operator: OperatorRecord,
     ) -> Generator[Any, Any, BundleInfo]:
-        """Accept a signed version: from here on it is in force.
+        """Make a signed-off version the head, which puts it in force.
 
         Parameters
         ----------
         digest : str
             The version.
         operator : OperatorRecord
-            Who does it.
+            Operator who rolls it out.
 
         Returns
         -------
@@ -251,9 +251,9 @@
         if stored.head.digest == digest:
             return BundleInfo(digest, root, head.approver)
         if stored.head.digest != root.base:
-            raise ConflictError(_name(stored.head))
+            raise ConflictError(_describe_head(stored.head))
         yield self._put_head(head, stored.object_version)
-        yield self._audit(operator.name, "roll-out", digest)
+        yield self._write_audit_entry(operator.name, "roll-out", digest)
         return BundleInfo(digest, root, head.approver)
 
     @inlineCallbacks
@@ -268,7 +268,7 @@
         Returns
         -------
         Deferred[Bundle]
-            Its records as written.
+            Its records in their written form.
         """
         root = yield self.root(digest)
         records = {}
@@ -281,7 +281,7 @@
 
     @inlineCallbacks
     def _leaves(self, digest: str, levels: int) -> Generator[Any, Any, list[Section]]:
-        """Return the leaves some levels below a section."""
+        """Return the leaf sections a number of levels below a section."""
         section = yield self._section(digest)
         if not levels:
             return [section]
@@ -293,7 +293,7 @@
 
     @inlineCallbacks
     def root(self, digest: str) -> Generator[Any, Any, Root]:
-        """Read the top of a version.
+        """Read the root section of a version.
 
         Parameters
         ----------
@@ -303,19 +303,20 @@
         Returns
         -------
         Deferred[Root]
-            Number, author, time and base; fails with `NotFoundError`.
+            Version number, author, creation time and base; fails with
+            `NotFoundError`.
         """
         section = yield self._section(digest)
         return Root.decode(section)
 
     @inlineCallbacks
     def history(self, limit: int) -> Generator[Any, Any, list[BundleInfo]]:
-        """Return the accepted versions, the present one first.
+        """Return the accepted versions, newest first.
 
         Parameters
         ----------
         limit : int
-            How many at the most.
+            Maximum number to return; at most `MAX_HISTORY`.
 
         Returns
         -------
@@ -325,7 +326,7 @@
         stored = yield self.head()
         digest = stored.head.digest
         found: list[BundleInfo] = []
-        while digest and len(found) < min(limit, HISTORY_LIMIT):
+        while digest and len(found) < min(limit, MAX_HISTORY):
             root = yield self.root(digest)
             signed = yield self._platform.get(SIGN_OFF_PREFIX + digest)
             approver = ""
@@ -337,12 +338,12 @@
 
     @inlineCallbacks
     def find(self, name: str) -> Generator[Any, Any, str]:
-        """Return the digest that a digest, number or ``head`` names.
+        """Resolve a digest, a version number or ``head`` to a digest.
 
         Parameters
         ----------
         name : str
-            What an operator wrote.
+            Name of the version as the operator wrote it.
 
         Returns
         -------
@@ -351,7 +352,7 @@
         """
         if not name.isdigit() and name != "head":
             return name
-        known = yield self.history(HISTORY_LIMIT)
+        known = yield self.history(MAX_HISTORY)
         if name == "head" and known:
             return str(known[0].digest)
         for info in known:
@@ -361,14 +362,14 @@
 
     @inlineCallbacks
     def diff(self, old: str, new: str) -> Generator[Any, Any, str]:
-        """Return what differs between two versions, for people.
+        """Return the differences between two versions as readable text.
 
         Parameters
         ----------
         old : str
-            Digest of the one; empty for nothing.
+            Digest of the earlier version; empty for no records.
         new : str
-            Digest of the other.
+            Digest of the later version.
 
         Returns
         -------
@@ -387,14 +388,14 @@
         name: str,
         operator: OperatorRecord,
     ) -> Generator[Any, Any, BundleInfo]:
-        """Store a new version with the records of an old one.
+        """Store a new version with the records of an earlier one.
 
         Parameters
         ----------
         name : str
-            The old version.
+            Name of the earlier version, as `find` resolves it.
         operator : OperatorRecord
-            The new one's author.
+            Author of the new version.
 
         Returns
         -------
@@ -408,19 +409,19 @@
 
     @inlineCallbacks
     def audit(self, limit: int) -> Generator[Any, Any, list[dict[str, Any]]]:
-        """Return the last entries of the audit trail.
+        """Return the most recent entries of the audit trail.
 
         Parameters
         ----------
         limit : int
-            How many at the most.
+            Maximum number to return.
 
         Returns
         -------
         Deferred[list[dict[str, Any]]]
-            The entries, the oldest first.
+            The entries, oldest first.
         """
-        found = yield self._platform.list(AUDIT_PREFIX, "", HISTORY_LIMIT * 20)
+        found = yield self._platform.list(AUDIT_PREFIX, "", MAX_HISTORY * 20)
         return [json.loads(item.value) for item in found[-limit:]]
 
     @inlineCallbacks
@@ -430,14 +431,14 @@
         head: VersionHead,
         operator: OperatorRecord,
     ) -> Generator[Any, Any, int]:
-        """Return the time to stamp on a bundle, the same for a repeat."""
+        """Return a bundle's creation time; a retry gets the stored one."""
         draft = build_tree(bundle, head.version + 1, head.digest, operator.name, 0)
         key = f"config/drafts/{draft.digest}"
         now_ms = int(self._wall_clock() * MILLISECONDS)
         found = yield self._platform.get(key)
         if found is not None:
             return int(found.value)
-        yield self._store_once(key, str(now_ms).encode())
+        yield self._create_object(key, str(now_ms).encode())
         stored = yield self._platform.get(key)
         return now_ms if stored is None else int(stored.value)
 
@@ -454,15 +455,15 @@
         return section
 
     @inlineCallbacks
-    def _store_once(self, key: str, value: bytes) -> Generator[Any, Any, None]:
-        """Create an object; one that exists already is left as it is."""
-        for _ in range(WRITE_TRIES):
+    def _create_object(self, key: str, value: bytes) -> Generator[Any, Any, None]:
+        """Create an object unless it exists; retry while the platform fails."""
+        for _ in range(MAX_WRITE_ATTEMPTS):
             try:
                 yield self._platform.put(key, value, MUST_NOT_EXIST)
             except PlatformConflictError:
                 return
             except (PlatformUnavailableError, PlatformAnswerLostError):
-                yield self._pause()
+                yield self._wait_before_retry()
                 continue
             return
         raise PlatformUnavailableError("too many tries")
@@ -473,7 +474,7 @@
         head: VersionHead,
         expected: int,
     ) -> Generator[Any, Any, None]:
-        """Update the head; when the answer is lost, look whether it was done."""
+        """Update the head; after a lost answer or conflict, check the stored head."""
         try:
             yield self._platform.put(HEAD_KEY, head.encode(), expected)
         except (PlatformConflictError, PlatformAnswerLostError):
@@ -482,21 +483,23 @@
                 return
             if stored.object_version == expected:
                 raise
-            raise ConflictError(_name(stored.head)) from None
+            raise ConflictError(_describe_head(stored.head)) from None
 
     @inlineCallbacks
-    def _audit(self, who: str, act: str, digest: str) -> Generator[Any, Any, None]:
+    def _write_audit_entry(
+        self, who: str, act: str, digest: str
+    ) -> Generator[Any, Any, None]:
         now_ms = int(self._wall_clock() * MILLISECONDS)
         entry = {"at_ms": now_ms, "who": who, "act": act, "digest": digest}
         key = f"{AUDIT_PREFIX}{now_ms:015d}-{secrets.token_hex(4)}"
         try:
             yield self._platform.put(key, json.dumps(entry).encode(), MUST_NOT_EXIST)
         except PlatformError:
-            yield self._store_once(key, json.dumps(entry).encode())
+            yield self._create_object(key, json.dumps(entry).encode())
 
-    def _pause(self) -> Deferred[None]:
+    def _wait_before_retry(self) -> Deferred[None]:
         result: Deferred[None] = Deferred()
-        self._clock.callLater(WRITE_PAUSE, result.callback, None)
+        self._clock.callLater(WRITE_RETRY_SECONDS, result.callback, None)
         return result
 
 
@@ -506,21 +509,21 @@
     Parameters
     ----------
     operator : OperatorRecord
-        Who.
+        The operator.
     role : str
-        Which.
+        The role.
 
     Raises
     ------
     NotAllowedError
-        When not.
+        When the operator does not hold it.
     """
     if role not in operator.roles:
         raise NotAllowedError(f"{operator.name} does not hold the role {role}")
 
 
 def _require_teams(operator: OperatorRecord, before: Bundle, after: Bundle) -> None:
-    """Check that an operator changes records of their own teams only."""
+    """Check that an operator changes only records of their own teams."""
     if ANY_TEAM in operator.teams:
         return
     for name in changed_records(before, after):
@@ -532,5 +535,5 @@
                 )
 
 
-def _name(head: VersionHead) -> str:
+def _describe_head(head: VersionHead) -> str:
     return f"version {head.version} ({head.digest[:12]}) by {head.approver}"
--- a/src/primrosescale/process/events.py
+++ b/src/primrosescale/process/events.py
@@ -1,4 +1,4 @@
-"""Numbered events of the log; their catalogue is docs/events.md."""
+"""Numbered log events, written through eliot; docs/events.md lists them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Event(Enum):
-    """What a log line is about; the value is its number."""
+    """Kind of a log event; the value is its number."""
 
     PROCESS_STARTED = 100
     PROCESS_STOPPING = 101
@@ -78,7 +78,7 @@
     Parameters
     ----------
     process : str
-        Name of the process, part of every line.
+        Name of the process, a field of every event.
     """
 
     def __init__(self, process: str) -> None:
@@ -90,9 +90,9 @@
         Parameters
         ----------
         event : Event
-            What happened.
+            Kind of the event.
         **fields : Any
-            Its particulars.
+            Further fields of the event.
         """
         log_message(
             message_type=event.name.lower(),
@@ -103,7 +103,7 @@
 
 
 class LogFile:
-    """Where the log goes.
+    """Destination of log events: a file or standard output.
 
     Parameters
     ----------
@@ -119,7 +119,7 @@
         add_destinations(self._destination)
 
     def close(self) -> None:
-        """Stop writing."""
+        """Remove the destination and flush it; close it when it is a file."""
         remove_destination(self._destination)
         self._file.flush()
         if self._file is not sys.stdout.buffer:
--- a/src/primrosescale/process/exceptions.py
+++ b/src/primrosescale/process/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of processes and of the platform."""
+"""Exceptions raised by processes and by clients of the platform."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 class ProcessError(PrimrosescaleError):
-    """Base of the errors of this package."""
+    """Base class of the exceptions of `primrosescale.process`."""
 
 
 class PlatformError(ProcessError):
-    """Base of the errors of the platform's object API."""
+    """Base class of failures of the platform's object API."""
 
 
 class PlatformUnavailableError(PlatformError):
-    """The platform refused or could not be reached; nothing was changed."""
+    """The platform refused a call or was unreachable; nothing was changed."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(
             f"platform unavailable: {detail}",
-            "try again; chats and idempotent requests go on meanwhile",
+            "retry later; chats and idempotent requests continue meanwhile",
         )
 
 
@@ -30,7 +30,7 @@
     def __init__(self, detail: str) -> None:
         super().__init__(
             f"platform's answer was lost: {detail}",
-            "read the object back before deciding",
+            "read the object back to see whether the write took effect",
         )
 
 
@@ -40,7 +40,7 @@
     def __init__(self, key: str, current: int) -> None:
         super().__init__(
             f"object {key} is at version {current}",
-            "read it and decide anew",
+            "read the object and decide again",
         )
         self._current = current
 
@@ -51,7 +51,7 @@
 
 
 class PlatformHistoryGoneError(PlatformError):
-    """The platform no longer keeps the changes that a watch asks for."""
+    """The platform no longer retains the changes that a watch asks for."""
 
     def __init__(self, prefix: str, since: int) -> None:
         super().__init__(
@@ -61,24 +61,24 @@
 
 
 class PlatformLimitError(PlatformError):
-    """A value is larger than the platform takes."""
+    """A value is larger than the platform accepts."""
 
     def __init__(self, key: str, size: int) -> None:
         super().__init__(
             f"object {key} of {size} bytes is over 1 MB",
-            "split it",
+            "split the value over several objects",
         )
 
 
 class UnreadableRecordError(ProcessError):
-    """A record of the store cannot be read.
+    """A record in the store cannot be parsed.
 
     Parameters
     ----------
     record : str
-        Its key.
+        Key of the record.
     field : str
-        The field at fault; empty for the record as a whole.
+        The invalid field; empty when the record as a whole is invalid.
     reason : str
         What is wrong with it, in one clause.
     remedy : str
@@ -94,31 +94,31 @@
 
     @property
     def field(self) -> str:
-        """Return the field at fault; empty for the record as a whole."""
+        """Return the invalid field; empty for the record as a whole."""
         return self._field
 
     @property
     def reason(self) -> str:
-        """Return what is wrong with it."""
+        """Return what is wrong with the record or field."""
         return self._reason
 
 
 class HostEntryError(ProcessError):
-    """An entry of the platform's list of hosts cannot be read."""
+    """An entry of the platform's list of hosts cannot be parsed."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(
             f"unreadable host entry: {detail}",
-            "see who wrote it; the entries beside it hold",
+            "check which process wrote it; the other entries are applied",
         )
 
 
 class SettingsError(ProcessError):
-    """The settings of a process cannot be used."""
+    """The settings of a process are invalid."""
 
 
 class TargetError(ProcessError):
-    """A target did not do what it was asked."""
+    """A target failed an operation that an agent requested of it."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(
--- a/src/primrosescale/process/incarnation.py
+++ b/src/primrosescale/process/incarnation.py
@@ -1,21 +1,22 @@
-"""Numbers that tell the incarnations of a process apart."""
+"""Incarnation numbers, which distinguish restarts of a process."""
 
 from __future__ import annotations
 
 import secrets
 import time
 
-INCARNATION_SHIFT = 20
+RANDOM_BITS = 20
 
 
 def new_incarnation() -> int:
-    """Return a number for this incarnation of a process.
+    """Return a number for a new incarnation of a process.
 
     Returns
     -------
     int
-        Higher than that of earlier incarnations by the clock, and unlike any
-        started in the same second.
+        Start time in seconds in the high bits, so that it exceeds the numbers
+        of incarnations started in earlier seconds, and random low bits to
+        distinguish incarnations started in the same second.
     """
     seconds = int(time.time())
-    return (seconds << INCARNATION_SHIFT) | secrets.randbits(INCARNATION_SHIFT)
+    return (seconds << RANDOM_BITS) | secrets.randbits(RANDOM_BITS)
--- a/src/primrosescale/process/log_text.py
+++ b/src/primrosescale/process/log_text.py
@@ -1,4 +1,4 @@
-"""Texts of others as they may stand in the log."""
+"""Escapes and shortens untrusted text for log lines."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 def log_text(text: str, longest: int = LOGGED_CHARACTERS) -> str:
-    """Return a text that others chose, safe and short enough for a log line.
+    """Return an untrusted text, escaped and shortened for a log line.
 
     Parameters
     ----------
     text : str
-        The text; it may hold anything, half of a character too.
+        The text; it may contain any characters, unpaired surrogates included.
     longest : int
-        Characters to keep.
+        Maximum number of characters to keep.
 
     Returns
     -------
     str
-        ASCII; other characters are escaped, and a text that was cut says so.
+        ASCII text with other characters escaped; ends in ``...`` when shortened.
     """
     escaped = text[:longest].encode("unicode_escape").decode("ascii")
     is_cut = len(text) > longest or len(escaped) > longest
--- a/src/primrosescale/process/membership/__init__.py
+++ b/src/primrosescale/process/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is in the fleet, and the sums of its loads."""
+"""Membership of the fleet and aggregation of its load reports."""
--- a/src/primrosescale/process/membership/flap_damper.py
+++ b/src/primrosescale/process/membership/flap_damper.py
@@ -1,4 +1,4 @@
-"""How news of hosts is weighed, and what keeps flapping targets out."""
+"""Flap damping: excludes targets that go down too often, until a penalty decays."""
 
 from __future__ import annotations
 
@@ -10,105 +10,105 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberSettings:
-    """How news of hosts is weighed."""
+    """Suspicion of hosts and damping of flapping targets."""
 
     suspect_for: float = option(
         SECONDS,
-        "seconds for which this router avoids a host it could not reach",
+        "seconds for which this router avoids a host that it failed to reach",
         5.0,
     )
     flap_penalty: float = option(
         SECONDS,
-        "penalty of one change to down",
+        "penalty that a target receives each time it goes down",
         1.0,
     )
     flap_limit: float = option(
         SECONDS,
-        "penalty above which a returning target stays out",
+        "penalty above which a target that is up again stays excluded",
         2.5,
     )
     flap_half_life: float = option(
         SECONDS,
-        "seconds in which a penalty falls by half",
+        "half-life of a penalty in seconds",
         60.0,
     )
 
 
 class FlapDamper:
-    """Keeps targets out that come and go too often.
+    """Tracks a decaying penalty for each target that has gone down.
 
     Parameters
     ----------
     settings : MemberSettings
-        Penalty and limit.
+        Penalty, limit and half-life.
     """
 
     def __init__(self, settings: MemberSettings) -> None:
         self._settings = settings
         self._penalties: dict[str, float] = {}
-        self._at: dict[str, float] = {}
+        self._updated_at: dict[str, float] = {}
 
-    def went_down(self, name: str, now: float) -> None:
-        """Take in that a target went down.
+    def record_down(self, name: str, now: float) -> None:
+        """Add the penalty for a target that went down.
 
         Parameters
         ----------
         name : str
             The target.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         penalty = self.penalty(name, now) + self._settings.flap_penalty
         self._penalties[name] = penalty
-        self._at[name] = now
+        self._updated_at[name] = now
 
     def penalty(self, name: str, now: float) -> float:
-        """Return a target's penalty, faded to the present.
+        """Return a target's penalty, decayed to the current time.
 
         Parameters
         ----------
         name : str
             The target.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         float
-            0 for one that never went down.
+            The penalty; 0 for a target without one.
         """
-        held = self._penalties.get(name)
-        if held is None:
+        last = self._penalties.get(name)
+        if last is None:
             return 0.0
-        passed = now - self._at[name]
-        return float(held * 0.5 ** (passed / self._settings.flap_half_life))
+        elapsed = now - self._updated_at[name]
+        return float(last * 0.5 ** (elapsed / self._settings.flap_half_life))
 
-    def keeps_out(self, name: str, now: float) -> bool:
-        """Tell whether a target stays out although it is up.
+    def is_suppressed(self, name: str, now: float) -> bool:
+        """Return whether a target stays excluded although it is up.
 
         Parameters
         ----------
         name : str
             The target.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
-            True while its penalty is over the limit.
+            True while its penalty is above the limit.
         """
         return self.penalty(name, now) > self._settings.flap_limit
 
-    def forget_old(self, now: float) -> None:
-        """Forget penalties that have faded.
+    def remove_decayed(self, now: float) -> None:
+        """Remove penalties that have decayed below an eighth of a single one.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         for name in list(self._penalties):
             if self.penalty(name, now) < self._settings.flap_penalty / 8:
                 del self._penalties[name]
-                del self._at[name]
+                del self._updated_at[name]
--- a/src/primrosescale/process/membership/fleet_status.py
+++ b/src/primrosescale/process/membership/fleet_status.py
@@ -1,4 +1,4 @@
-"""What is in force where, as one router has heard it."""
+"""Versions in force across the fleet, as reported to one router."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
     keeper: VersionKeeper,
     control: RouterControl,
 ) -> dict[str, Any]:
-    """Return the fleet's status.
+    """Return the status of the fleet for the administration API.
 
     Parameters
     ----------
     router : str
-        Name of the router that tells.
+        Name of the router that answers.
     keeper : VersionKeeper
-        Its versions.
+        Configuration versions of that router.
     control : RouterControl
-        Its control traffic.
+        Control traffic of that router, which receives domain reports.
 
     Returns
     -------
     dict[str, Any]
-        Lowest versions by failure domain, laggards by name, and how old the
-        news is.
+        The router's version, the lowest versions by failure domain, hosts that
+        lag behind, and the age of the reports.
     """
     domains = [_domain(report) for report in control.domains]
     lowest = [
--- a/src/primrosescale/process/membership/heartbeat.py
+++ b/src/primrosescale/process/membership/heartbeat.py
@@ -1,4 +1,4 @@
-"""An agent's heartbeat to one router of its failure domain."""
+"""Sends an agent's heartbeats to a router of its failure domain."""
 
 from __future__ import annotations
 
@@ -23,25 +23,25 @@
     from primrosescale.version.head import VersionHead
 
 MILLISECONDS = 1000
-MISSED_BEATS = 2
-AVOID_FOR = 10.0
-LOADS_KEPT = 8
+MAX_MISSED_HEARTBEATS = 2
+AVOID_SECONDS = 10.0
+MAX_LOADS_KEPT = 8
 
 
 @dataclass(frozen=True, slots=True)
 class AgentState:
-    """What an agent says of itself.
+    """An agent's report of its own state.
 
     Parameters
     ----------
     load : int
-        Work units outstanding.
+        Outstanding work in work units.
     state : wire.MemberState
-        Whether it takes new work.
+        Whether the agent accepts new work.
     version : int
-        Version of the configuration in force.
+        Configuration version in force at the agent.
     error_share : float
-        Share of failed answers lately.
+        Share of recent answers that failed.
     """
 
     load: int
@@ -51,37 +51,37 @@
 
 
 class HeartbeatHost(ABC):
-    """What the heartbeat needs of its agent."""
+    """Interface of the agent whose heartbeats are sent."""
 
     @abstractmethod
     def describe(self) -> AgentState:
-        """Return what the agent says of itself now."""
+        """Return the agent's current state."""
 
     @abstractmethod
     def hear_mean(self, view: MeanView) -> None:
-        """Take in the service's mean.
+        """Update the mean load of the agent's service.
 
         Parameters
         ----------
         view : MeanView
-            The mean.
+            Mean load of the service.
         """
 
     @abstractmethod
     def hear_head(self, head: VersionHead, link: Link) -> None:
-        """Take in which version is accepted.
+        """Handle the head of the accepted version.
 
         Parameters
         ----------
         head : VersionHead
-            Its head.
+            The head.
         link : Link
-            Connection to a router that has it.
+            Connection to a router that holds that version.
         """
 
     @abstractmethod
     def hear_targets(self, targets: list[wire.HostEntry]) -> None:
-        """Take in the service's targets, told to a leaving agent.
+        """Set the targets of the service, which routers send to a leaving agent.
 
         Parameters
         ----------
@@ -91,29 +91,30 @@
 
 
 class Heartbeat:
-    """Sends an agent's load and hears mean and head.
+    """Reports an agent's load and receives the mean load and the head.
 
-    The router is the first of the domain's by rendezvous hashing; one that
-    does not answer is avoided for a while, and the next is asked.
+    The agent reports to the first router of its domain by rendezvous hashing. A
+    router that does not answer is avoided for `AVOID_SECONDS`, and the next one
+    in that order is used.
 
     Parameters
     ----------
     agent : str
-        The agent's name.
+        Name of the agent.
     service : str
-        Its service.
+        Name of its service.
     incarnation : int
         Its incarnation.
     seeds : list[Endpoint]
-        Routers to report to before the list is known.
+        Routers to report to before the list of routers is received.
     settings : SumSettings
-        Times.
+        Heartbeat interval.
     pool : LinkPool
         Connections to routers.
     host : HeartbeatHost
         The agent.
     clock : Clock
-        Source of time.
+        Source of the current time.
     """
 
     def __init__(
@@ -127,48 +128,48 @@
         host: HeartbeatHost,
         clock: Clock,
     ) -> None:
-        self._agent = agent
+        self._agent_name = agent
         self._service = service
         self._incarnation = incarnation
         self._seeds = seeds
         self._settings = settings
         self._pool = pool
-        self._host = host
+        self._agent = host
         self._clock = clock
         self._routers: list[Endpoint] = []
         self._list_version = 0
         self._sequence = 0
-        self._answered = 0
-        self._avoided: dict[Endpoint, float] = {}
-        self._loads: deque[int] = deque([0], maxlen=LOADS_KEPT)
+        self._answered_sequence = 0
+        self._avoided_until: dict[Endpoint, float] = {}
+        self._reported_loads: deque[int] = deque([0], maxlen=MAX_LOADS_KEPT)
         self._current: Endpoint | None = None
 
     @property
     def router(self) -> Endpoint | None:
-        """Return the router that is reported to."""
+        """Return the router that the agent reports to; None before the first."""
         return self._current
 
     @property
     def is_heard(self) -> bool:
-        """Tell whether some router has answered lately."""
-        return self._sequence - self._answered <= MISSED_BEATS
+        """Return whether a router has answered one of the last heartbeats."""
+        return self._sequence - self._answered_sequence <= MAX_MISSED_HEARTBEATS
 
     def beat(self) -> None:
-        """Send one heartbeat; change the router when the last ones failed."""
+        """Send a heartbeat; change the router when the last ones went unanswered."""
         now = self._clock.seconds()
         if not self.is_heard and self._current is not None:
-            self._avoided[self._current] = now + AVOID_FOR
-            self._pool.drop(self._current, "heartbeats were not answered")
-            self._answered = self._sequence
-        endpoint = self._choose(now)
+            self._avoided_until[self._current] = now + AVOID_SECONDS
+            self._pool.drop(self._current, "router did not answer the last heartbeats")
+            self._answered_sequence = self._sequence
+        endpoint = self._choose_router(now)
         if endpoint is None:
             return
         self._current = endpoint
         self._sequence += 1
-        state = self._host.describe()
-        self._loads.append(state.load)
+        state = self._agent.describe()
+        self._reported_loads.append(state.load)
         message = wire.Heartbeat(
-            agent=self._agent,
+            agent=self._agent_name,
             incarnation=self._incarnation,
             sequence=self._sequence,
             service_name=self._service,
@@ -181,57 +182,59 @@
         connecting = self._pool.get(endpoint)
         connecting.addCallbacks(
             lambda link: link.send(message),
-            self._unreachable,
+            self._avoid_unreachable,
             errbackArgs=(endpoint,),
         )
 
     def reply(self, link: Link, message: wire.HeartbeatReply) -> None:
-        """Take in what the router answers.
+        """Handle a router's reply to a heartbeat.
 
         Parameters
         ----------
         link : Link
-            The connection.
+            Connection that the reply came on.
         message : wire.HeartbeatReply
-            The answer.
+            The reply.
         """
         now = self._clock.seconds()
-        self._answered = max(self._answered, message.sequence)
+        self._answered_sequence = max(self._answered_sequence, message.sequence)
         for mean in message.means:
             if mean.service_name == self._service:
-                self._host.hear_mean(self._view(mean, now))
+                self._agent.hear_mean(self._pair_with_own_load(mean, now))
         head = message.head
         if head.version:
-            self._host.hear_head(from_wire(head), link)
+            self._agent.hear_head(from_wire(head), link)
         if message.routers:
             self._routers = [
                 Endpoint(entry.address, entry.port) for entry in message.routers
             ]
         self._list_version = message.list_version
         if message.targets:
-            self._host.hear_targets(message.targets)
+            self._agent.hear_targets(message.targets)
 
-    def _view(self, mean: wire.ServiceMean, now: float) -> MeanView:
-        """Match the mean with the load this agent reported for it."""
+    def _pair_with_own_load(self, mean: wire.ServiceMean, now: float) -> MeanView:
+        """Pair the mean load with this agent's load at the time of the reports."""
         age = mean.age_ms / MILLISECONDS
-        behind = 1 + round(age / self._settings.interval)
-        place = max(0, len(self._loads) - 1 - behind)
+        intervals_ago = 1 + round(age / self._settings.interval)
+        index = max(0, len(self._reported_loads) - 1 - intervals_ago)
         return MeanView(
             load=mean.load,
             targets=mean.targets,
-            own_then=self._loads[place],
+            own_then=self._reported_loads[index],
             heard_at=now - age,
         )
 
-    def _choose(self, now: float) -> Endpoint | None:
-        choice = self._usable(self._routers, now) or self._usable(self._seeds, now)
+    def _choose_router(self, now: float) -> Endpoint | None:
+        choice = self._not_avoided(self._routers, now) or self._not_avoided(
+            self._seeds, now
+        )
         choice = choice or self._routers or self._seeds
         by_name = {str(endpoint): endpoint for endpoint in choice}
-        first = first_in_order(by_name, self._agent, 1)
+        first = first_in_order(by_name, self._agent_name, 1)
         return by_name[first[0]] if first else None
 
-    def _usable(self, endpoints: list[Endpoint], now: float) -> list[Endpoint]:
-        return [e for e in endpoints if self._avoided.get(e, 0.0) <= now]
+    def _not_avoided(self, endpoints: list[Endpoint], now: float) -> list[Endpoint]:
+        return [e for e in endpoints if self._avoided_until.get(e, 0.0) <= now]
 
-    def _unreachable(self, _: Any, endpoint: Endpoint) -> None:
-        self._avoided[endpoint] = self._clock.seconds() + AVOID_FOR
+    def _avoid_unreachable(self, _: Any, endpoint: Endpoint) -> None:
+        self._avoided_until[endpoint] = self._clock.seconds() + AVOID_SECONDS
--- a/src/primrosescale/process/membership/host_changes.py
+++ b/src/primrosescale/process/membership/host_changes.py
@@ -1,4 +1,4 @@
-"""Recent changes of the platform's list of hosts."""
+"""Log of recent changes of the platform's list of hosts."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
     from primrosescale.connection.wire import ttypes as wire
 
 CHANGES_LIMIT = 200
-CHANGES_KEPT = 4000
+MAX_CHANGES_KEPT = 4000
 
 
 class HostChanges:
-    """Recent changes of the platform's list, for routers that lag."""
+    """Retains recent changes of the list, to send to routers that lag behind."""
 
     def __init__(self) -> None:
         self._entries: list[wire.HostEntry] = []
-        self._since = 0
+        self._complete_since = 0
         self._version = 0
 
     def take(
@@ -26,47 +26,47 @@
         *,
         is_full: bool,
     ) -> None:
-        """Take in changes of the list.
+        """Record changes of the list.
 
         Parameters
         ----------
         entries : list[wire.HostEntry]
             Changed entries.
         version : int
-            Version of the list with them.
+            Version of the list that includes them.
         is_full : bool
-            Whether they are the whole list.
+            Whether they are the complete list.
         """
         if is_full:
             self._entries = []
-            self._since = version
+            self._complete_since = version
         else:
             self._entries.extend(entries)
-            excess = len(self._entries) - CHANGES_KEPT
+            excess = len(self._entries) - MAX_CHANGES_KEPT
             if excess > 0:
-                self._since = self._entries[excess - 1].version
+                self._complete_since = self._entries[excess - 1].version
                 del self._entries[:excess]
         self._version = version
 
     def since(self, version: int) -> list[wire.HostEntry] | None:
-        """Return the first changes after a version.
+        """Return the earliest changes after a version.
 
         Parameters
         ----------
         version : int
-            Version that is known.
+            Version that the other router has.
 
         Returns
         -------
         list[wire.HostEntry] | None
-            At most `CHANGES_LIMIT`; None when they are not kept.
+            At most `CHANGES_LIMIT`; None when they are no longer retained.
         """
-        if version < self._since:
+        if version < self._complete_since:
             return None
         newer = [entry for entry in self._entries if entry.version > version]
         return newer[:CHANGES_LIMIT]
 
     @property
     def version(self) -> int:
-        """Return the version of the list."""
+        """Return the latest version of the list."""
         return self._version
--- a/src/primrosescale/process/membership/load_sums.py
+++ b/src/primrosescale/process/membership/load_sums.py
@@ -1,10 +1,11 @@
-"""Sums of load, versions and news on their way up and down the fleet.
-
-An agent's heartbeat goes to one router of its failure domain. Each router
-sums its agents and reports to its domain's two aggregators: the first two of
-the domain's routers in an order that all agree on. Aggregators tell each
-other their domain's sums. All sums are kept by origin and replaced, never
-added up twice, so that no leader is needed and a lost message only delays.
+"""Aggregates loads, versions and member notices of agents across the fleet.
+
+An agent sends its heartbeat to one router of its failure domain. Each router
+sums up its agents and reports to its domain's two aggregators, the first two
+routers of the domain by rendezvous hashing. Aggregators exchange the sums of
+their domains. Every sum is stored by its origin, and a later one replaces it,
+so that nothing is added twice, no leader is needed, and a lost message causes
+only a delay.
 """
 
 from __future__ import annotations
@@ -16,61 +17,61 @@
 from primrosescale.connection.wire.ttypes import MemberState
 from primrosescale.ini.options import SECONDS
 from primrosescale.ini.options import option
-from primrosescale.process.membership.notice_board import NOTICES_LIMIT
+from primrosescale.process.membership.notice_board import MAX_NOTICES
 from primrosescale.process.membership.notice_board import NoticeBoard
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
 MILLISECONDS = 1000
-LAGGARDS_LIMIT = 20
+MAX_LAGGARDS = 20
 AGGREGATORS = 2
-QUIET_INTERVALS = 1.5
+OVERDUE_INTERVALS = 1.5
 
 
 @dataclass(frozen=True, slots=True)
 class SumSettings:
-    """Times of heartbeats and sums."""
+    """Intervals and time-outs of heartbeats and load reports."""
 
     interval: float = option(
         SECONDS,
-        "seconds between two heartbeats or reports",
+        "seconds between two heartbeats or two reports",
         1.0,
     )
     agent_lost_after: float = option(
         SECONDS,
-        "seconds without a heartbeat until an agent counts as down",
+        "seconds without a heartbeat after which an agent counts as down",
         3.0,
     )
     report_keep: float = option(
         SECONDS,
-        "seconds for which a router's or a domain's report counts",
+        "seconds for which the report of a router or a domain is valid",
         5.0,
     )
     notice_keep: float = option(
         SECONDS,
-        "seconds for which news of an agent is passed on",
+        "seconds for which a notice of an agent's state is forwarded",
         6.0,
     )
 
 
-class _AgentNews:
-    """The last heartbeat of one agent."""
+class _LastHeartbeat:
+    """The last heartbeat of an agent and when it was received."""
 
-    __slots__ = ("beat", "heard_at")
+    __slots__ = ("heartbeat", "received_at")
 
-    def __init__(self, beat: wire.Heartbeat, heard_at: float) -> None:
-        self.beat = beat
-        self.heard_at = heard_at
+    def __init__(self, heartbeat: wire.Heartbeat, received_at: float) -> None:
+        self.heartbeat = heartbeat
+        self.received_at = received_at
 
 
 class AgentSums:
-    """The agents whose heartbeats come to this router.
+    """Sums over the agents that send their heartbeats to this router.
 
     Parameters
     ----------
     settings : SumSettings
-        Times.
+        Intervals and time-outs.
     origin : str
         This router's name.
     """
@@ -78,144 +79,155 @@
     def __init__(self, settings: SumSettings, origin: str) -> None:
         self._settings = settings
         self._origin = origin
-        self._agents: dict[str, _AgentNews] = {}
-        self._board = NoticeBoard(settings.notice_keep)
+        self._agents: dict[str, _LastHeartbeat] = {}
+        self._pending_notices = NoticeBoard(settings.notice_keep)
 
     def __len__(self) -> int:
-        """Return how many agents report here."""
+        """Return the number of agents that report to this router."""
         return len(self._agents)
 
-    def hear(self, beat: wire.Heartbeat, now: float) -> wire.MemberNotice | None:
-        """Take in a heartbeat.
+    def hear(self, heartbeat: wire.Heartbeat, now: float) -> wire.MemberNotice | None:
+        """Record a heartbeat.
 
         Parameters
         ----------
-        beat : wire.Heartbeat
-            The heartbeat; an older one than known is ignored.
+        heartbeat : wire.Heartbeat
+            The heartbeat; ignored when it is older than the recorded one.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         wire.MemberNotice | None
-            News about the agent, if there is any.
+            Notice of the agent's state when it is new or has changed, else None.
         """
-        known = self._agents.get(beat.agent)
+        known = self._agents.get(heartbeat.agent)
         if known is not None:
-            old = known.beat
-            if (beat.incarnation, beat.sequence) <= (old.incarnation, old.sequence):
+            old = known.heartbeat
+            if (heartbeat.incarnation, heartbeat.sequence) <= (
+                old.incarnation,
+                old.sequence,
+            ):
                 return None
-        self._agents[beat.agent] = _AgentNews(beat, now)
-        if known is not None and known.beat.incarnation == beat.incarnation:
-            if known.beat.state == beat.state:
+        self._agents[heartbeat.agent] = _LastHeartbeat(heartbeat, now)
+        if known is not None and known.heartbeat.incarnation == heartbeat.incarnation:
+            if known.heartbeat.state == heartbeat.state:
                 return None
-        return self._news(beat.agent, beat.incarnation, beat.state, now)
+        return self._post_notice(
+            heartbeat.agent, heartbeat.incarnation, heartbeat.state, now
+        )
 
     def expire(self, now: float) -> list[wire.MemberNotice]:
-        """Notice the agents whose heartbeats have stopped.
+        """Remove the agents whose heartbeats have stopped.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         list[wire.MemberNotice]
-            News that they are down.
+            A notice for each that it is down.
         """
         limit = now - self._settings.agent_lost_after
-        lost = [n for n, news in self._agents.items() if news.heard_at <= limit]
+        lost = [n for n, last in self._agents.items() if last.received_at <= limit]
         notices: list[wire.MemberNotice] = []
         for name in lost:
-            beat = self._agents.pop(name).beat
-            notice = self._news(name, beat.incarnation, MemberState.DOWN, now)
+            heartbeat = self._agents.pop(name).heartbeat
+            notice = self._post_notice(
+                name, heartbeat.incarnation, MemberState.DOWN, now
+            )
             notices.append(notice)
         return notices
 
     def hear_notice(self, notice: wire.MemberNotice, now: float) -> bool:
-        """Take in news of an agent from another router.
+        """Check a peer router's notice of an agent against this router's heartbeats.
 
-        An agent that another router hears now has moved there. One that
-        another router misses while its heartbeats come here is up.
+        An agent that has fallen silent here and is ready at a peer now reports
+        to that peer, and is removed here. An agent that a peer reports as down
+        while its heartbeats arrive here is up, and a notice says so.
 
         Parameters
         ----------
         notice : wire.MemberNotice
-            The news.
+            The notice.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
-            Whether the news counts.
+            Whether the notice is to be applied.
         """
         known = self._agents.get(notice.name)
         if known is None or notice.origin == self._origin:
             return True
-        is_quiet = now - known.heard_at > self._settings.interval * QUIET_INTERVALS
-        if notice.state == MemberState.READY and is_quiet:
+        is_overdue = (
+            now - known.received_at > self._settings.interval * OVERDUE_INTERVALS
+        )
+        if notice.state == MemberState.READY and is_overdue:
             del self._agents[notice.name]
-        if notice.state != MemberState.DOWN or is_quiet:
+        if notice.state != MemberState.DOWN or is_overdue:
             return True
-        beat = known.beat
-        if notice.incarnation <= beat.incarnation:
-            self._news(notice.name, beat.incarnation, beat.state, now)
+        heartbeat = known.heartbeat
+        if notice.incarnation <= heartbeat.incarnation:
+            self._post_notice(notice.name, heartbeat.incarnation, heartbeat.state, now)
             return False
         return True
 
     def notices(self, now: float) -> list[wire.MemberNotice]:
-        """Return the news still to be passed on.
+        """Return the notices that are still forwarded.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         list[wire.MemberNotice]
-            The news.
+            At most `MAX_NOTICES`.
         """
-        return self._board.current(now)
+        return self._pending_notices.current(now)
 
     def sums(self) -> list[wire.ServiceSum]:
-        """Return load and number of agents by service.
+        """Return the load and number of targets of each service.
 
         Returns
         -------
         list[wire.ServiceSum]
-            Leaving agents' load counts, but not they themselves.
+            A leaving agent adds to its service's load, not to its number of
+            targets.
         """
         found: dict[str, wire.ServiceSum] = {}
-        for news in self._agents.values():
-            beat = news.beat
-            total = found.get(beat.service_name)
+        for last in self._agents.values():
+            heartbeat = last.heartbeat
+            total = found.get(heartbeat.service_name)
             if total is None:
-                total = found[beat.service_name] = wire.ServiceSum(
-                    beat.service_name,
+                total = found[heartbeat.service_name] = wire.ServiceSum(
+                    heartbeat.service_name,
                     0,
                     0,
                 )
-            total.load += beat.load
-            if beat.state == MemberState.READY:
+            total.load += heartbeat.load
+            if heartbeat.state == MemberState.READY:
                 total.targets += 1
         return list(found.values())
 
     def lowest_version(self) -> int:
-        """Return the lowest version in force at these agents.
+        """Return the lowest configuration version in force at these agents.
 
         Returns
         -------
         int
-            -1 when there is no agent.
+            The version; -1 when there is no agent.
         """
-        versions = [news.beat.version for news in self._agents.values()]
+        versions = [last.heartbeat.version for last in self._agents.values()]
         return min(versions, default=-1)
 
     def laggards(self, version: int) -> list[wire.Laggard]:
-        """Return the agents that have not reached a version.
+        """Return the agents whose configuration is older than a version.
 
         Parameters
         ----------
@@ -225,16 +237,16 @@
         Returns
         -------
         list[wire.Laggard]
-            At most `LAGGARDS_LIMIT`.
+            At most `MAX_LAGGARDS`.
         """
         behind = [
-            wire.Laggard(name, news.beat.version)
-            for name, news in self._agents.items()
-            if news.beat.version < version
+            wire.Laggard(name, last.heartbeat.version)
+            for name, last in self._agents.items()
+            if last.heartbeat.version < version
         ]
-        return behind[:LAGGARDS_LIMIT]
+        return behind[:MAX_LAGGARDS]
 
-    def _news(
+    def _post_notice(
         self,
         name: str,
         incarnation: int,
@@ -242,17 +254,17 @@
         now: float,
     ) -> wire.MemberNotice:
         notice = wire.MemberNotice(name, incarnation, state, self._origin)
-        self._board.post(notice, now)
+        self._pending_notices.post(notice, now)
         return notice
 
 
 class DomainSums:
-    """The reports of one failure domain's routers, at an aggregator.
+    """Sums of the reports of a failure domain's routers, at an aggregator.
 
     Parameters
     ----------
     settings : SumSettings
-        Times.
+        Intervals and time-outs.
     domain : str
         The domain.
     origin : str
@@ -264,28 +276,28 @@
         self._domain = domain
         self._origin = origin
         self._reports: dict[str, wire.PeerReport] = {}
-        self._heard_at: dict[str, float] = {}
-        self._board = NoticeBoard(settings.notice_keep)
+        self._received_at: dict[str, float] = {}
+        self._pending_notices = NoticeBoard(settings.notice_keep)
         self._sequence = 0
 
     def __len__(self) -> int:
-        """Return how many routers report here."""
+        """Return the number of routers that report to this one."""
         return len(self._reports)
 
     def hear(self, report: wire.PeerReport, now: float) -> list[wire.MemberNotice]:
-        """Take in a router's report.
+        """Record a router's report.
 
         Parameters
         ----------
         report : wire.PeerReport
-            The report; an older one than known is ignored.
+            The report; ignored when it is older than the recorded one.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         list[wire.MemberNotice]
-            News in it that was not known.
+            Notices in it that are new to this router.
         """
         known = self._reports.get(report.origin)
         if known is not None:
@@ -293,11 +305,11 @@
             if newer <= (known.incarnation, known.sequence):
                 return []
         self._reports[report.origin] = report
-        self._heard_at[report.origin] = now
-        return [n for n in report.notices if self._board.post(n, now)]
+        self._received_at[report.origin] = now
+        return [n for n in report.notices if self._pending_notices.post(n, now)]
 
     def at_version(self, version: int) -> list[str]:
-        """Return the routers that have reported a version.
+        """Return the routers that have reported a version or a later one.
 
         Parameters
         ----------
@@ -307,22 +319,22 @@
         Returns
         -------
         list[str]
-            Names, in order of report.
+            Names, in the order of the routers' first reports.
         """
         return [n for n, report in self._reports.items() if report.version >= version]
 
     def summary(self, now: float) -> wire.DomainReport:
-        """Return the domain's sums.
+        """Return the sums of the domain as a report.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         wire.DomainReport
-            Sums of the reports that still count.
+            Sums of the reports that are still valid.
         """
         self._expire(now)
         self._sequence += 1
@@ -338,16 +350,16 @@
             lowest_agent_version=min(agents, default=-1),
             routers=len(reports),
             agents=sum(report.agents for report in reports),
-            laggards=laggards[:LAGGARDS_LIMIT],
-            notices=self._board.current(now),
+            laggards=laggards[:MAX_LAGGARDS],
+            notices=self._pending_notices.current(now),
             rates=add_rates(report.rates for report in reports),
             age_ms=0,
         )
 
     def _expire(self, now: float) -> None:
         limit = now - self._settings.report_keep
-        for name in [n for n, at in self._heard_at.items() if at <= limit]:
-            del self._heard_at[name]
+        for name in [n for n, at in self._received_at.items() if at <= limit]:
+            del self._received_at[name]
             del self._reports[name]
 
 
@@ -357,65 +369,71 @@
     Parameters
     ----------
     settings : SumSettings
-        Times.
+        Intervals and time-outs.
     """
 
     def __init__(self, settings: SumSettings) -> None:
         self._settings = settings
         self._reports: dict[str, wire.DomainReport] = {}
-        self._heard_at: dict[str, float] = {}
+        self._received_at: dict[str, float] = {}
 
     def hear(self, report: wire.DomainReport, now: float) -> None:
-        """Take in a domain's report, from whichever of its aggregators.
+        """Record a domain's report from any of its aggregators.
+
+        A report from another aggregator that covers fewer routers does not
+        replace a recent one.
 
         Parameters
         ----------
         report : wire.DomainReport
             The report.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         known = self._reports.get(report.domain)
         if known is not None and known.origin != report.origin:
-            is_fresh = now - self._heard_at[report.domain] < self._settings.interval * 2
-            if is_fresh and known.routers > report.routers:
+            is_recent = (
+                now - self._received_at[report.domain] < self._settings.interval * 2
+            )
+            if is_recent and known.routers > report.routers:
                 return
         self._reports[report.domain] = report
-        self._heard_at[report.domain] = now - report.age_ms / MILLISECONDS
+        self._received_at[report.domain] = now - report.age_ms / MILLISECONDS
 
     def domains(self, now: float) -> list[wire.DomainReport]:
-        """Return the reports that still count, with their age.
+        """Return the reports that are still valid, with their age.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         list[wire.DomainReport]
-            One for each domain heard of lately.
+            One for each domain that has reported within `report_keep`.
         """
         found: list[wire.DomainReport] = []
         for name, report in self._reports.items():
-            age = now - self._heard_at[name]
+            age = now - self._received_at[name]
             if age <= self._settings.report_keep:
                 report.age_ms = int(age * MILLISECONDS)
                 found.append(report)
         return found
 
     def means(self, now: float) -> list[wire.ServiceMean]:
-        """Return load and number of targets of every service.
+        """Return the load and number of targets of every service.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         list[wire.ServiceMean]
-            Over all domains heard of lately, with the oldest part's age.
+            Sums over all domains with a valid report, with the age of the
+            oldest report.
         """
         reports = self.domains(now)
         age = max((report.age_ms for report in reports), default=0)
@@ -425,12 +443,12 @@
         ]
 
     def rates(self, now: float) -> list[wire.RateReport]:
-        """Return the demand of organisations near their limit.
+        """Return the demand of organisations close to their limit.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
@@ -440,24 +458,24 @@
         return add_rates(report.rates for report in self.domains(now))
 
     def notices(self, now: float) -> list[wire.MemberNotice]:
-        """Return the news of agents from all domains.
+        """Return the notices of agents from all domains.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         list[wire.MemberNotice]
-            The news.
+            At most `MAX_NOTICES`.
         """
         found = [n for report in self.domains(now) for n in report.notices]
-        return found[:NOTICES_LIMIT]
+        return found[:MAX_NOTICES]
 
 
 def add_sums(parts: Iterable[list[wire.ServiceSum]]) -> list[wire.ServiceSum]:
-    """Add sums up by service.
+    """Add up sums by service.
 
     Parameters
     ----------
@@ -485,12 +503,12 @@
 
 
 def add_rates(parts: Iterable[list[wire.RateReport]]) -> list[wire.RateReport]:
-    """Add demands up by organisation.
+    """Add up demands by organisation.
 
     Parameters
     ----------
     parts : Iterable[list[wire.RateReport]]
-        Demands seen by disjoint sets of routers.
+        Demands at disjoint sets of routers.
 
     Returns
     -------
--- a/src/primrosescale/process/membership/members.py
+++ b/src/primrosescale/process/membership/members.py
@@ -1,9 +1,9 @@
-"""What a router knows of hosts: the platform's list, news and suspicion.
+"""Membership: the hosts that a router knows and the targets that it may choose.
 
-Three sources, each fresher and narrower than the one before: the platform's
-list, which lags; notices that agents' heartbeats began, stopped or say
-"leaving", which all routers hear in seconds; and this router's own failures
-to connect, which stay its own affair.
+It combines three sources, each more recent and narrower than the one before:
+the platform's list of hosts, which lags; notices that an agent's heartbeats
+began, stopped or announce that it leaves, which reach all routers within
+seconds; and this router's own failures to connect, which it does not share.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class Member:
-    """A host as a router knows it.
+    """State of a host as known to a router.
 
     Parameters
     ----------
@@ -48,19 +48,19 @@
 
     @property
     def endpoint(self) -> Endpoint:
-        """Return where it listens."""
+        """Return the endpoint that the host listens on."""
         return Endpoint(self.entry.address, self.entry.port)
 
 
 class Members:
-    """All hosts a router knows, and the targets that may be chosen.
+    """Hosts that a router knows, and the targets of each service to choose from.
 
     Parameters
     ----------
     settings : MemberSettings
-        How news is weighed.
+        Suspicion of hosts and damping of flapping targets.
     locality : Locality
-        Where this router runs.
+        Region and failure domain of this router.
     """
 
     def __init__(self, settings: MemberSettings, locality: Locality) -> None:
@@ -69,21 +69,21 @@
         self._members: dict[str, Member] = {}
         self._services: dict[str, ServiceTargets] = {}
         self._damper = FlapDamper(settings)
-        self._held_back: set[str] = set()
+        self._suppressed: set[str] = set()
         self._list_version = 0
 
     def __len__(self) -> int:
-        """Return how many hosts are known."""
+        """Return the number of known hosts."""
         return len(self._members)
 
     @property
     def list_version(self) -> int:
-        """Return the version of the platform's list that is known."""
+        """Return the latest known version of the platform's list."""
         return self._list_version
 
     @property
     def damper(self) -> FlapDamper:
-        """Return the damper of flapping targets."""
+        """Return the damper that excludes flapping targets."""
         return self._damper
 
     def get(self, name: str) -> Member | None:
@@ -97,7 +97,7 @@
         Returns
         -------
         Member | None
-            The host, if it is known.
+            The host; None when it is not known.
         """
         return self._members.get(name)
 
@@ -112,19 +112,19 @@
         Returns
         -------
         ServiceTargets | None
-            None when it has no target.
+            The targets; None when the service has never had one.
         """
         return self._services.get(name)
 
     def routers(self, domain: str, now: float) -> list[Member]:
-        """Return the routers of a failure domain that seem alive.
+        """Return the routers of a failure domain that are ready and not suspect.
 
         Parameters
         ----------
         domain : str
-            The domain; empty for all.
+            The domain; empty for all domains.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
@@ -152,7 +152,7 @@
         Returns
         -------
         list[Member]
-            Those that may be chosen.
+            Hosts whose targets may be chosen.
         """
         found = self._services.get(service)
         if found is None:
@@ -160,7 +160,7 @@
         return [self._members[target.name] for target in found.targets()]
 
     def domains(self) -> list[str]:
-        """Return the failure domains that have routers.
+        """Return the failure domains with at least one router.
 
         Returns
         -------
@@ -171,7 +171,7 @@
         return sorted({e.domain for e in entries if e.role == ROUTER_ROLE})
 
     def find_target(self, service: str, name: str, now: float) -> Target | None:
-        """Return a target that may be chosen.
+        """Return a target by name if it may be chosen.
 
         Parameters
         ----------
@@ -180,12 +180,13 @@
         name : str
             Its name.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         Target | None
-            None when it is unknown, down, leaving or suspect.
+            The target; None when it is unknown, down, leaving, suspect or
+            excluded for flapping.
         """
         targets = self._services.get(service)
         member = self._members.get(name)
@@ -200,21 +201,21 @@
         count: int,
         now: float,
     ) -> list[Target]:
-        """Return the order in which a request tries targets.
+        """Return the candidates of a request in the order in which they are tried.
 
-        A suspect target goes last instead of leaving the order, so that the
-        order of the others is that of every other router.
+        A suspect target is moved to the end rather than removed, so that the
+        others stay in the order that every other router uses.
 
         Parameters
         ----------
         service : str
             The service.
         key : str
-            The chat, or a random key.
+            The chat, or a random key for a request without one.
         count : int
-            How many at the most.
+            Maximum number to return.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
@@ -237,18 +238,20 @@
         *,
         is_full: bool,
     ) -> None:
-        """Take in the platform's list or changes of it.
+        """Apply the platform's list or changes of it.
 
         Parameters
         ----------
         entries : Iterable[HostEntry]
             The entries.
         version : int
-            Version of the list with them; an older one is ignored.
+            Version of the list that includes them; ignored when it is older
+            than the known one.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         is_full : bool
-            Whether hosts that are not among them have left.
+            Whether the entries are the complete list, so that other hosts are
+            removed.
         """
         if version < self._list_version:
             return
@@ -258,21 +261,21 @@
             kept = {entry.name for entry in items}
             for name in [n for n in self._members if n not in kept]:
                 self._remove(name)
-        touched: set[str] = set()
+        changed_services: set[str] = set()
         for entry in items:
-            self._take_entry(entry, touched)
-        for service in touched:
-            self._rebuild(service, now)
+            self._apply_entry(entry, changed_services)
+        for service in changed_services:
+            self._rebuild_targets(service, now)
 
     def take_notice(self, notice: MemberNotice, now: float) -> None:
-        """Take in news of an agent.
+        """Apply a notice of an agent's state.
 
         Parameters
         ----------
         notice : MemberNotice
-            The news; that of an earlier incarnation is ignored.
+            The notice; ignored when it is of an earlier incarnation.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         member = self._members.get(notice.name)
         if member is None or notice.incarnation < member.incarnation:
@@ -288,38 +291,38 @@
         member.state = MemberState(notice.state)
         member.suspect_until = 0.0
         if notice.state == MemberState.DOWN and was_ready:
-            self._damper.went_down(notice.name, now)
-        self._place(member, now)
+            self._damper.record_down(notice.name, now)
+        self._update_target(member, now)
 
     def suspect(self, name: str, now: float) -> None:
-        """Take in that this router could not reach a host.
+        """Suspect a host for a while after this router failed to reach it.
 
         Parameters
         ----------
         name : str
             The host.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         member = self._members.get(name)
         if member is not None:
             member.suspect_until = now + self._settings.suspect_for
 
     def tick(self, now: float) -> None:
-        """Let targets back whose penalty has faded.
+        """Make excluded targets available again once their penalty has decayed.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
-        for name in sorted(self._held_back):
+        for name in sorted(self._suppressed):
             member = self._members.get(name)
             if member is None:
-                self._held_back.discard(name)
+                self._suppressed.discard(name)
             else:
-                self._place(member, now)
-        self._damper.forget_old(now)
+                self._update_target(member, now)
+        self._damper.remove_decayed(now)
 
     def entries_after(self, version: int, count: int) -> list[HostEntry]:
         """Return entries of the list in the order of their versions.
@@ -327,14 +330,14 @@
         Parameters
         ----------
         version : int
-            Version after which they begin.
+            Version after which the entries begin.
         count : int
-            How many at the most.
+            Maximum number to return.
 
         Returns
         -------
         list[HostEntry]
-            Hosts that are on the list now.
+            Entries of hosts that are on the list now.
         """
         entries = [member.entry for member in self._members.values()]
         newer = [entry for entry in entries if entry.version > version]
@@ -354,18 +357,18 @@
             if member.entry.role == AGENT_ROLE and member.state != MemberState.READY
         ]
 
-    def _take_entry(self, entry: HostEntry, touched: set[str]) -> None:
+    def _apply_entry(self, entry: HostEntry, changed_services: set[str]) -> None:
         known = self._members.get(entry.name)
         if known is not None and entry.role == AGENT_ROLE:
-            touched.add(known.entry.service_name)
+            changed_services.add(known.entry.service_name)
         if entry.gone:
             if known is not None and entry.incarnation >= known.incarnation:
                 self._remove(entry.name)
             return
         if entry.role == AGENT_ROLE:
-            touched.add(entry.service_name)
+            changed_services.add(entry.service_name)
         if known is None or entry.incarnation > known.incarnation:
-            _share_words(entry)
+            _intern_strings(entry)
             member = Member(entry)
             if known is not None:
                 member.suspect_until = known.suspect_until
@@ -384,7 +387,7 @@
         if targets is not None:
             targets.remove(name)
 
-    def _rebuild(self, service: str, now: float) -> None:
+    def _rebuild_targets(self, service: str, now: float) -> None:
         targets = self._services.get(service)
         if targets is None:
             targets = self._services[service] = ServiceTargets(self._locality)
@@ -393,7 +396,7 @@
             for member in self._members.values()
             if member.entry.role == AGENT_ROLE
             and member.entry.service_name == service
-            and self._is_choosable(member, now)
+            and self._is_eligible(member, now)
         ]
         if len(targets):
             known = {target.name for target in targets.targets()}
@@ -405,31 +408,31 @@
         else:
             targets.fill([_target_of(member) for member in members])
 
-    def _place(self, member: Member, now: float) -> None:
-        """Put a target into its service's order, or take it out."""
+    def _update_target(self, member: Member, now: float) -> None:
+        """Add a target to its service or remove it, as its state requires."""
         if member.entry.role != AGENT_ROLE:
             return
         service = member.entry.service_name
         targets = self._services.get(service)
         if targets is None:
             targets = self._services[service] = ServiceTargets(self._locality)
-        if self._is_choosable(member, now):
-            self._held_back.discard(member.entry.name)
+        if self._is_eligible(member, now):
+            self._suppressed.discard(member.entry.name)
             targets.put(_target_of(member))
         else:
             targets.remove(member.entry.name)
 
-    def _is_choosable(self, member: Member, now: float) -> bool:
+    def _is_eligible(self, member: Member, now: float) -> bool:
         if member.state != MemberState.READY:
             return False
-        if self._damper.keeps_out(member.entry.name, now):
-            self._held_back.add(member.entry.name)
+        if self._damper.is_suppressed(member.entry.name, now):
+            self._suppressed.add(member.entry.name)
             return False
         return True
 
 
-def _share_words(entry: HostEntry) -> None:
-    """Keep one copy of the words that thousands of hosts have in common."""
+def _intern_strings(entry: HostEntry) -> None:
+    """Intern the strings that thousands of hosts have in common, to save memory."""
     entry.role = sys.intern(entry.role)
     entry.domain = sys.intern(entry.domain)
     entry.region = sys.intern(entry.region)
--- a/src/primrosescale/process/membership/notice_board.py
+++ b/src/primrosescale/process/membership/notice_board.py
@@ -1,4 +1,4 @@
-"""News of agents on its way through the fleet."""
+"""Notices of agents' state that are still forwarded through the fleet."""
 
 from __future__ import annotations
 
@@ -7,63 +7,63 @@
 if TYPE_CHECKING:
     from primrosescale.connection.wire import ttypes as wire
 
-NOTICES_LIMIT = 200
+MAX_NOTICES = 200
 
 
 class NoticeBoard:
-    """News of agents that is still passed on.
+    """Retains the latest notice of each agent while it is to be forwarded.
 
     Parameters
     ----------
     keep : float
-        Seconds for which news is passed on.
+        Seconds for which a notice is forwarded.
     """
 
     def __init__(self, keep: float) -> None:
         self._keep = keep
         self._notices: dict[str, wire.MemberNotice] = {}
-        self._until: dict[str, float] = {}
+        self._forward_until: dict[str, float] = {}
 
     def post(self, notice: wire.MemberNotice, now: float) -> bool:
-        """Take in news unless it is known or older than what is known.
+        """Record a notice unless the same or a later one is recorded.
 
         Parameters
         ----------
         notice : wire.MemberNotice
-            The news.
+            The notice.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
-            Whether it was new.
+            Whether it was recorded.
         """
         known = self._notices.get(notice.name)
-        if known is not None and self._until[notice.name] > now:
+        if known is not None and self._forward_until[notice.name] > now:
             if notice.incarnation < known.incarnation:
                 return False
             is_same = notice.incarnation == known.incarnation
             if is_same and notice.state == known.state:
                 return False
         self._notices[notice.name] = notice
-        self._until[notice.name] = now + self._keep
+        self._forward_until[notice.name] = now + self._keep
         return True
 
     def current(self, now: float) -> list[wire.MemberNotice]:
-        """Return the news still passed on.
+        """Return the notices that are still forwarded.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         list[wire.MemberNotice]
-            At most `NOTICES_LIMIT`.
+            At most `MAX_NOTICES`.
         """
-        for name in [n for n, until in self._until.items() if until <= now]:
-            del self._until[name]
+        for name in [n for n, until in self._forward_until.items() if until <= now]:
+            del self._forward_until[name]
             del self._notices[name]
-        return list(self._notices.values())[:NOTICES_LIMIT]
+        return list(self._notices.values())[:MAX_NOTICES]
--- a/src/primrosescale/process/membership/order.py
+++ b/src/primrosescale/process/membership/order.py
@@ -1,4 +1,4 @@
-"""An order of names that all who know the same names agree on."""
+"""Rendezvous hashing: an order of names that every process computes alike."""
 
 from __future__ import annotations
 
@@ -16,16 +16,17 @@
     Parameters
     ----------
     names : Iterable[str]
-        Who may be chosen.
+        Names to choose from.
     key : str
-        What for.
+        Key that the choice is made for.
     count : int
-        How many at the most.
+        Maximum number to return.
 
     Returns
     -------
     list[str]
-        The same for all who know the same names.
+        The names with the lowest hashes, the same in every process that passes
+        the same names and key.
     """
     ranked = sorted(
         names, key=lambda name: xxh3_64_intdigest(f"{key}\0{name}".encode())
--- a/src/primrosescale/process/metrics.py
+++ b/src/primrosescale/process/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics sent to statsd; their catalogue is docs/metrics.md."""
+"""Metrics sent to statsd; docs/metrics.md lists them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Metric(Enum):
-    """What is measured."""
+    """Metrics by their statsd names."""
 
     CALLS = "calls"
     CALLS_WHOLE = "calls.whole"
@@ -38,12 +38,12 @@
 
 
 class Metrics:
-    """Sends metrics, or nothing when no statsd is named.
+    """Sends metrics to statsd; sends nothing when none is configured.
 
     Parameters
     ----------
     address : str
-        IP number of statsd.
+        IP address of statsd.
     port : int
         Its UDP port; 0 for none.
     process : str
@@ -57,40 +57,40 @@
             self._client = StatsClient(address, port, prefix=prefix)
 
     def count(self, metric: Metric, by: int = 1) -> None:
-        """Count something.
+        """Increment a counter.
 
         Parameters
         ----------
         metric : Metric
-            What.
+            The counter.
         by : int
-            How many.
+            Amount to add.
         """
         if self._client is not None:
             self._client.incr(metric.value, by)
 
     def gauge(self, metric: Metric, value: float) -> None:
-        """Tell a present value.
+        """Set a gauge.
 
         Parameters
         ----------
         metric : Metric
-            Of what.
+            The gauge.
         value : float
-            The value.
+            Current value.
         """
         if self._client is not None:
             self._client.gauge(metric.value, value)
 
     def timing(self, metric: Metric, seconds: float) -> None:
-        """Tell how long something took.
+        """Record a duration.
 
         Parameters
         ----------
         metric : Metric
-            What.
+            The timer.
         seconds : float
-            How long.
+            Duration in seconds.
         """
         if self._client is not None:
             self._client.timing(metric.value, seconds * MILLISECONDS)
--- a/src/primrosescale/process/settings.py
+++ b/src/primrosescale/process/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process, read from one INI file."""
+"""Settings of a process, read from an INI file and validated."""
 
 from __future__ import annotations
 
@@ -54,85 +54,101 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ProcessSettings:
-    """Who a process is and where it runs."""
+    """Identity of a process and where it runs."""
 
-    name: str = option(NAME, "name, unique in the fleet")
-    role: str = option(Text(ROLES), "what it does")
-    domain: str = option(NAME, "its failure domain")
-    region: str = option(NAME, "its region")
+    name: str = option(NAME, "name of the process, unique in the fleet")
+    role: str = option(Text(ROLES), "role of the process")
+    domain: str = option(NAME, "failure domain of the process")
+    region: str = option(NAME, "region of the process")
     stop_within: float = option(
         SECONDS,
-        "seconds a planned stop waits for requests in flight",
+        "seconds for which a planned stop waits for requests in flight",
         60.0,
     )
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RouterSettings:
-    """Where a router listens and how it treats callers."""
+    """Addresses, limits and time-outs of a router."""
 
-    address: str = option(Address(), "IP number it listens on", LOOPBACK)
-    port: int = option(PORT, "port of callers' HTTP", 8080)
+    address: str = option(Address(), "IP address to listen on", LOOPBACK)
+    port: int = option(PORT, "port of the HTTP interface for callers", 8080)
     admin_port: int = option(PORT, "port of the administration API", 8081)
-    link_port: int = option(PORT, "port for agents and other routers", 8082)
-    body_limit: int = option(POSITIVE, "bytes of a request's body", 2_000_000)
-    answer_limit: int = option(POSITIVE, "bytes of an unstreamed answer", 8_000_000)
-    calls_limit: int = option(POSITIVE, "requests under way at once", 2000)
-    idle_timeout: float = option(SECONDS, "seconds a caller may be silent", 60.0)
-    dial_timeout: float = option(SECONDS, "seconds to connect to an agent", 1.0)
+    link_port: int = option(PORT, "port for agents and peer routers", 8082)
+    body_limit: int = option(POSITIVE, "maximum bytes of a request's body", 2_000_000)
+    answer_limit: int = option(
+        POSITIVE, "maximum bytes of an answer that is not streamed", 8_000_000
+    )
+    calls_limit: int = option(POSITIVE, "maximum number of requests in flight", 2000)
+    idle_timeout: float = option(
+        SECONDS, "seconds of silence after which a caller's connection closes", 60.0
+    )
+    dial_timeout: float = option(
+        SECONDS, "time-out of connecting to an agent, in seconds", 1.0
+    )
     link_idle: float = option(SECONDS, "seconds until an idle link closes", 30.0)
     seeds: tuple[str, ...] = option(
         Words(),
-        "address:port of routers to ask at start while the platform is down",
+        "address:port of routers to contact at start while the platform is down",
         (),
     )
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AgentSettings:
-    """Where an agent listens and which target it stands before."""
+    """Addresses of an agent and its target, and what the agent retains."""
 
-    service: str = option(NAME, "service of its target")
-    target_address: str = option(Address(), "IP number of its target", LOOPBACK)
-    target_port: int = option(PORT, "port of its target")
-    address: str = option(Address(), "IP number it listens on", LOOPBACK)
-    port: int = option(PORT, "port for routers", 8090)
+    service: str = option(NAME, "service of the agent's target")
+    target_address: str = option(Address(), "IP address of the target", LOOPBACK)
+    target_port: int = option(PORT, "port of the target")
+    address: str = option(Address(), "IP address to listen on", LOOPBACK)
+    port: int = option(PORT, "port that routers connect to", 8090)
     routers: tuple[str, ...] = option(
         Words(),
-        "address:port of routers of its domain to report to at start",
+        "address:port of routers of the domain to report to at start",
     )
     must_echo: bool = option(
         Flag(),
-        "whether the target repeats X-Request-Id in its answers",
+        "whether the target returns X-Request-Id in its answers",
         default=True,
     )
     takes_orders: bool = option(
         Flag(),
-        "whether the target is an engine that takes orders",
+        "whether the target is an engine that accepts orders",
         default=False,
     )
     checks_fence: bool = option(
         Flag(),
-        "whether the engine refuses an order with an old fencing number",
+        "whether the engine refuses an order with a stale fencing number",
         default=False,
     )
-    hand_over: int = option(COUNT, "chats whose cache is handed over on leaving", 32)
-    chats: int = option(POSITIVE, "chats remembered", 8192)
-    chat_keep: float = option(SECONDS, "seconds a chat is remembered", 14400.0)
-    answer_keep: float = option(SECONDS, "seconds an answer can be resumed", 10.0)
-    recorded_answer: int = option(COUNT, "bytes of an answer kept for repeats", 16384)
+    hand_over: int = option(
+        COUNT, "maximum number of chats whose cache is handed over on leaving", 32
+    )
+    chats: int = option(POSITIVE, "maximum number of chats remembered", 8192)
+    chat_keep: float = option(
+        SECONDS, "seconds for which a chat is remembered", 14400.0
+    )
+    answer_keep: float = option(
+        SECONDS, "seconds for which an answer can be resumed", 10.0
+    )
+    recorded_answer: int = option(
+        COUNT, "maximum bytes of an answer recorded for retries", 16384
+    )
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlatformSettings:
-    """Where the platform's service listens."""
+    """Address and time-out of the platform, and registration with it."""
 
-    address: str = option(Address(), "IP number of the platform", LOOPBACK)
+    address: str = option(Address(), "IP address of the platform", LOOPBACK)
     port: int = option(PORT, "port of the platform", 8070)
-    timeout: float = option(SECONDS, "seconds a call may take", 2.0)
+    timeout: float = option(
+        SECONDS, "time-out of a call to the platform, in seconds", 2.0
+    )
     register: bool = option(
         Flag(),
-        "whether the process puts itself on the platform's list of hosts",
+        "whether the process registers in the platform's list of hosts",
         default=True,
     )
 
@@ -141,14 +157,16 @@
 class TlsSettings:
     """Key material for links between the fleet's own processes."""
 
-    certificate: str = option(Text(), "PEM file of this process; empty for none", "")
+    certificate: str = option(
+        Text(), "PEM file of this process's certificate; empty for no TLS", ""
+    )
     key: str = option(Text(), "PEM file of its private key", "")
-    authority: str = option(Text(), "PEM file of the fleet's authority", "")
+    authority: str = option(Text(), "PEM file of the fleet's certificate authority", "")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TrustSettings:
-    """Whose sign-off counts."""
+    """Trusted approvers and bootstrap operators."""
 
     approvers: tuple[str, ...] = option(
         Words(),
@@ -164,49 +182,59 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TelemetrySettings:
-    """Logs, metrics and traces."""
+    """Destinations of logs, metrics and traces."""
 
     log: str = option(Text(), "file of the log; empty for standard output", "")
-    statsd_address: str = option(Address(), "IP number of statsd", LOOPBACK)
+    statsd_address: str = option(Address(), "IP address of statsd", LOOPBACK)
     statsd_port: int = option(PORT, "port of statsd; 0 for no metrics", 0)
     trace_share: float = option(
         Number(0.0, 1.0),
-        "share of requests traced when the caller does not say",
+        "share of requests traced when the caller sends no trace context",
         0.01,
     )
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StandInSettings:
-    """What a stand-in does."""
+    """Behaviour of the stand-ins for engines, services and the platform."""
 
-    address: str = option(Address(), "IP number it listens on", LOOPBACK)
-    port: int = option(PORT, "port it listens on", 0)
+    address: str = option(Address(), "IP address to listen on", LOOPBACK)
+    port: int = option(PORT, "port to listen on", 0)
     tokens_per_second: float = option(
         Number(0.1),
-        "tokens an engine generates for one request in a second",
+        "tokens per second that an engine generates for one request",
         200.0,
     )
     prefill_per_second: float = option(
         Number(1.0),
-        "prompt tokens an engine reads in a second",
+        "prompt tokens per second that an engine processes",
         20_000.0,
     )
-    cache_tokens: int = option(COUNT, "prompt tokens an engine's cache holds", 200_000)
+    cache_tokens: int = option(
+        COUNT, "capacity of an engine's cache in prompt tokens", 200_000
+    )
     checks_fence: bool = option(
         Flag(),
-        "whether the engine refuses an order with an old fencing number",
+        "whether the engine refuses an order with a stale fencing number",
         default=True,
     )
-    delay: float = option(SECONDS, "seconds a plain service takes", 0.01)
-    latency: float = option(SECONDS, "seconds the platform takes", 0.002)
-    writes_per_second: float = option(Number(1.0), "writes the platform takes", 400.0)
-    reads_per_second: float = option(Number(1.0), "reads the platform takes", 2000.0)
+    delay: float = option(
+        SECONDS, "seconds that a plain service takes for a request", 0.01
+    )
+    latency: float = option(
+        SECONDS, "seconds that the platform takes for a call", 0.002
+    )
+    writes_per_second: float = option(
+        Number(1.0), "writes per second that the platform accepts", 400.0
+    )
+    reads_per_second: float = option(
+        Number(1.0), "reads per second that the platform accepts", 2000.0
+    )
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Settings:
-    """All settings of a process, a field for each section of its file."""
+    """All settings of a process, one field for each section of the file."""
 
     process: ProcessSettings
     router: RouterSettings
@@ -232,7 +260,7 @@
 
     @property
     def approvers(self) -> dict[str, bytes]:
-        """Return the trusted approvers' public keys by name."""
+        """Return the public keys of the trusted approvers by name."""
         return _approver_keys(self.trust.approvers, [])
 
 
@@ -273,14 +301,14 @@
     Returns
     -------
     Settings
-        Checked settings.
+        Validated settings.
 
     Raises
     ------
     IniError
-        When the file cannot be read or is not INI.
+        When the file cannot be read or is not valid INI.
     FaultsError
-        With every fault of the settings.
+        With every fault found in the settings.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -299,19 +327,19 @@
     text : str
         The text.
     source : str
-        Its name, for errors.
+        Name of the text in error messages.
 
     Returns
     -------
     Settings
-        Checked settings.
+        Validated settings.
 
     Raises
     ------
     IniError
-        When it is not INI.
+        When the text is not valid INI.
     FaultsError
-        With every fault of the settings.
+        With every fault found in the settings.
     """
     parser = parse_text(text, source)
     faults = [
@@ -326,19 +354,19 @@
             values[name] = None
             continue
         values[name] = read_section(kind, name, options, faults)
-    faults.extend(_cross_faults(values))
+    faults.extend(_cross_section_faults(values))
     if faults:
         raise faults_error(source, faults)
     return Settings(**values)
 
 
 def settings_reference() -> str:
-    """Return the reference of all settings.
+    """Return a reference of all settings for the documentation.
 
     Returns
     -------
     str
-        Markdown, a table for each section.
+        Markdown with a table for each section.
     """
     blocks: list[str] = []
     for name, kind in SECTIONS.items():
@@ -357,7 +385,7 @@
 
 
 def parse_endpoint(text: str) -> Endpoint:
-    """Return the endpoint that ``address:port`` names.
+    """Parse an endpoint written as ``address:port``.
 
     Parameters
     ----------
@@ -372,15 +400,15 @@
     Raises
     ------
     ValueError
-        When it is not of that form.
+        When the text does not have that form.
     """
     address, _, port = text.rpartition(":")
     checked = Address().parse(address)
     return Endpoint(checked, PORT.parse(port))
 
 
-def _cross_faults(values: Mapping[str, Any]) -> list[Fault]:
-    """Check what no section can tell alone."""
+def _cross_section_faults(values: Mapping[str, Any]) -> list[Fault]:
+    """Return the faults that only show when sections are checked together."""
     faults: list[Fault] = []
     process = cast("ProcessSettings | None", values["process"])
     if process is not None and process.role == "agent" and values["agent"] is None:
@@ -404,7 +432,7 @@
         try:
             parse_endpoint(text)
         except ValueError:
-            remedy = "write IP-number:port such as 10.0.0.1:8082"
+            remedy = "write IP-address:port such as 10.0.0.1:8082"
             faults.append(Fault(section, key, text, "wrong endpoint", remedy))
     return faults
 
--- a/src/primrosescale/process/tracing.py
+++ b/src/primrosescale/process/tracing.py
@@ -1,4 +1,4 @@
-"""Traces with a span for each hop, exported to the log."""
+"""Starts OpenTelemetry spans for traced requests and exports them to the log."""
 
 from __future__ import annotations
 
@@ -28,25 +28,25 @@
     from primrosescale.process.events import EventLog
 
 HEADER = "traceparent"
-HEADER_PARTS = 4
-SAMPLED = 1
-HEX = 16
+MIN_TRACEPARENT_FIELDS = 4
+SAMPLED_FLAG = 1
+HEX_BASE = 16
 
 
 class LogExporter(SpanExporter):
-    """Writes ended spans to the log.
+    """Span exporter that writes ended spans to the log.
 
     Parameters
     ----------
     log : EventLog
-        The log.
+        Event log.
     """
 
     def __init__(self, log: EventLog) -> None:
         self._log = log
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        """Write some spans.
+        """Write spans to the log.
 
         Parameters
         ----------
@@ -56,7 +56,7 @@
         Returns
         -------
         SpanExportResult
-            Always a success.
+            Always `SpanExportResult.SUCCESS`.
         """
         for span in spans:
             context = span.context
@@ -76,15 +76,15 @@
         return SpanExportResult.SUCCESS
 
 
-class SpanHop(Hop):
-    """A hop that is recorded as a span.
+class RecordedSpan(Hop):
+    """Span of a traced request, recorded through OpenTelemetry.
 
     Parameters
     ----------
     span : Span
-        Its span.
+        The OpenTelemetry span.
     traceparent : str
-        What the next hop is given.
+        Trace context to send to the next process.
     """
 
     __slots__ = ("_span", "_traceparent")
@@ -95,7 +95,7 @@
 
     @property
     def traceparent(self) -> str:
-        """Return the trace context for the next hop; see `Hop.traceparent`."""
+        """Return the trace context to send on; see `Hop.traceparent`."""
         return self._traceparent
 
     def end(self, **attributes: Any) -> None:
@@ -110,11 +110,11 @@
     Parameters
     ----------
     log : EventLog
-        Where spans go.
+        Event log that spans are written to.
     share : float
         Share of requests traced when the caller does not say.
     rng : Random
-        Source of chance.
+        Random numbers for sampling.
     """
 
     def __init__(self, log: EventLog, share: float, rng: Random) -> None:
@@ -126,21 +126,22 @@
         self._propagator = TraceContextTextMapPropagator()
 
     def start(self, name: str, traceparent: str, *, may_begin: bool) -> Hop:
-        """Start a hop.
+        """Start a span if the request is traced.
 
         Parameters
         ----------
         name : str
-            What the hop does.
+            Name of the span.
         traceparent : str
-            What the hop before said; empty for nothing.
+            Trace context received with the request; empty for none.
         may_begin : bool
-            Whether a trace may begin here.
+            Whether a new trace may begin here.
 
         Returns
         -------
         Hop
-            To be ended; it costs nothing when the request is not traced.
+            The span, which the caller ends; one that records nothing when the
+            request is not traced.
         """
         if traceparent:
             if not _is_sampled(traceparent):
@@ -151,14 +152,14 @@
         span = self._tracer.start_span(name, context=context)
         carrier: dict[str, str] = {}
         self._propagator.inject(carrier, set_span_in_context(span))
-        return SpanHop(span, carrier.get(HEADER, ""))
+        return RecordedSpan(span, carrier.get(HEADER, ""))
 
 
 def _is_sampled(traceparent: str) -> bool:
     parts = traceparent.split("-")
-    if len(parts) < HEADER_PARTS:
+    if len(parts) < MIN_TRACEPARENT_FIELDS:
         return False
     try:
-        return bool(int(parts[3], HEX) & SAMPLED)
+        return bool(int(parts[3], HEX_BASE) & SAMPLED_FLAG)
     except ValueError:
         return False
