--- a/src/primrosescale/process/administration/admin_resource.py
+++ b/src/primrosescale/process/administration/admin_resource.py
@@ -188,17 +188,15 @@
         int
             `NOT_DONE_YET`.
         """
-        disconnected: list[bool] = []
-        request.notifyFinish().addErrback(lambda _: disconnected.append(True))
-        answered = self._answer(request, disconnected)
-        answered.addErrback(self._answer_error, request, disconnected)
-        answered.addErrback(self._answer_internal_error, request, disconnected)
+        gone: list[bool] = []
+        request.notifyFinish().addErrback(lambda _: gone.append(True))
+        answered = self._answer(request, gone)
+        answered.addErrback(self._answer_error, request, gone)
+        answered.addErrback(self._answer_internal_error, request, gone)
         return NOT_DONE_YET
 
     @inlineCallbacks
-    def _answer(
-        self, request: Request, disconnected: list[bool]
-    ) -> Generator[Any, Any, None]:
+    def _answer(self, request: Request, gone: list[bool]) -> Generator[Any, Any, None]:
         operator = self._keys.find(request.getHeader("Authorization") or "")
         path = request.path.decode("latin-1")
         if not path.startswith(PREFIX):
@@ -206,20 +204,20 @@
         parts = path[len(PREFIX) :].strip("/").split("/")
         call = f"{request.method.decode('latin-1')} {parts[0]}"
         if call == "POST bundles":
-            yield self._create(request, operator, disconnected)
+            yield self._create(request, operator, gone)
         elif call == "POST head":
-            yield self._roll_out(request, operator, disconnected)
+            yield self._roll_out(request, operator, gone)
         elif call == "POST revert":
             info = yield self._administration.revert_to(
                 str(_json_body(request)["to"]),
                 operator,
             )
-            self._send_info(request, CREATED, info, disconnected)
+            self._send_info(request, CREATED, info, gone)
         elif call == "PUT bundles" and parts[-1] == "sign-off":
-            yield self._sign(request, operator, parts[1], disconnected)
+            yield self._sign(request, operator, parts[1], gone)
         elif request.method == b"GET":
             require_role(operator, READER)
-            yield self._read(request, parts, disconnected)
+            yield self._read(request, parts, gone)
         else:
             raise NotFoundError(call)
 
@@ -228,22 +226,22 @@
         self,
         request: Request,
         parts: list[str],
-        disconnected: list[bool],
+        gone: list[bool],
     ) -> Generator[Any, Any, None]:
         admin = self._administration
         if parts[0] == "status":
             fields = yield self._status()
-            _send(request, OK, fields, disconnected)
+            _send(request, OK, fields, gone)
         elif parts[0] == "audit":
             entries = yield admin.audit(MAX_LISTED)
-            _send(request, OK, {"entries": entries}, disconnected)
+            _send(request, OK, {"entries": entries}, gone)
         elif parts[0] == "bundles" and len(parts) == 1:
             known = yield admin.history(MAX_LISTED)
             _send(
                 request,
                 OK,
                 {"bundles": [_info_fields(item) for item in known]},
-                disconnected,
+                gone,
             )
         elif parts[0] == "bundles" and parts[-1] == "diff":
             digest = yield admin.find(parts[1])
@@ -253,13 +251,13 @@
             if other:
                 old = yield admin.find(other)
             text = yield admin.diff(old, digest)
-            _send(request, OK, {"diff": text}, disconnected)
+            _send(request, OK, {"diff": text}, gone)
         elif parts[0] == "bundles":
             digest = yield admin.find(parts[1])
             root = yield admin.root(digest)
             bundle = yield admin.load(digest)
             fields = {"digest": digest, "version": root.version, "ini": bundle.to_ini()}
-            _send(request, OK, fields, disconnected)
+            _send(request, OK, fields, gone)
         else:
             raise NotFoundError("/".join(parts))
 
@@ -268,7 +266,7 @@
         self,
         request: Request,
         operator: OperatorRecord,
-        disconnected: list[bool],
+        gone: list[bool],
     ) -> Generator[Any, Any, None]:
         text = request_body(request).decode("utf-8", "replace")
         bundle = Bundle.from_ini(text, "bundle")
@@ -278,7 +276,7 @@
         except ConflictError as error:
             raise PreconditionError(error.problem) from error
         self._log.emit(Event.BUNDLE_CREATED, by=operator.name, digest=info.digest)
-        self._send_info(request, CREATED, info, disconnected)
+        self._send_info(request, CREATED, info, gone)
 
     @inlineCallbacks
     def _sign(
@@ -286,7 +284,7 @@
         request: Request,
         operator: OperatorRecord,
         digest: str,
-        disconnected: list[bool],
+        gone: list[bool],
     ) -> Generator[Any, Any, None]:
         try:
             signature = bytes.fromhex(str(_json_body(request)["signature"]))
@@ -294,32 +292,32 @@
             raise IniError("no signature in hex", "send {'signature': HEX}") from error
         info = yield self._administration.sign(digest, operator, signature)
         self._log.emit(Event.BUNDLE_SIGNED, by=operator.name, digest=digest)
-        self._send_info(request, OK, info, disconnected)
+        self._send_info(request, OK, info, gone)
 
     @inlineCallbacks
     def _roll_out(
         self,
         request: Request,
         operator: OperatorRecord,
-        disconnected: list[bool],
+        gone: list[bool],
     ) -> Generator[Any, Any, None]:
         digest = str(_json_body(request).get("digest", ""))
         info = yield self._administration.roll_out(digest, operator)
         self._log.emit(Event.BUNDLE_ROLLED_OUT, by=operator.name, digest=digest)
-        self._send_info(request, OK, info, disconnected)
+        self._send_info(request, OK, info, gone)
 
     def _send_info(
         self,
         request: Request,
         status: int,
         info: BundleInfo,
-        disconnected: list[bool],
+        gone: list[bool],
     ) -> None:
         request.setHeader(b"ETag", f'"{info.digest}"'.encode())
-        _send(request, status, _info_fields(info), disconnected)
+        _send(request, status, _info_fields(info), gone)
 
     def _answer_error(
-        self, failure: Failure, request: Request, disconnected: list[bool]
+        self, failure: Failure, request: Request, gone: list[bool]
     ) -> None:
         error = failure.value
         failure.trap(PrimrosescaleError, FaultsError)
@@ -329,15 +327,15 @@
         status = next(
             status for kind, status in STATUS_BY_ERROR if isinstance(error, kind)
         )
-        _send(request, status, _problem_fields(error, status), disconnected)
+        _send(request, status, _problem_fields(error, status), gone)
 
     def _answer_internal_error(
-        self, failure: Failure, request: Request, disconnected: list[bool]
+        self, failure: Failure, request: Request, gone: list[bool]
     ) -> None:
         """Answer an unexpected exception with status 500 and log its traceback."""
         self._log.emit(Event.ADMIN_REFUSED, detail=failure.getTraceback())
         fields = {"title": "internal error", "remedy": "look at event 413 in the log"}
-        _send(request, 500, fields, disconnected)
+        _send(request, 500, fields, gone)
 
 
 def _problem_fields(error: BaseException | None, status: int) -> dict[str, Any]:
@@ -364,8 +362,8 @@
     }
 
 
-def _send(request: Request, status: int, fields: Any, disconnected: list[bool]) -> None:
-    if not disconnected:
+def _send(request: Request, status: int, fields: Any, gone: list[bool]) -> None:
+    if not gone:
         write_json(request, status, fields)
 
 
--- a/src/primrosescale/process/exceptions.py
+++ b/src/primrosescale/process/exceptions.py
@@ -20,7 +20,7 @@
     def __init__(self, detail: str) -> None:
         super().__init__(
             f"platform unavailable: {detail}",
-            "retry later; chats and idempotent requests continue meanwhile",
+            "try again; chats and idempotent requests go on meanwhile",
         )
 
 
@@ -30,7 +30,7 @@
     def __init__(self, detail: str) -> None:
         super().__init__(
             f"platform's answer was lost: {detail}",
-            "read the object back to see whether the write took effect",
+            "read the object back before deciding",
         )
 
 
@@ -40,7 +40,7 @@
     def __init__(self, key: str, current: int) -> None:
         super().__init__(
             f"object {key} is at version {current}",
-            "read the object and decide again",
+            "read it and decide anew",
         )
         self._current = current
 
@@ -66,7 +66,7 @@
     def __init__(self, key: str, size: int) -> None:
         super().__init__(
             f"object {key} of {size} bytes is over 1 MB",
-            "split the value over several objects",
+            "split it",
         )
 
 
