--- a/tests/process/test_callers.py
+++ b/tests/process/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP, with the inputs a stranger would try."""
+"""HTTP interfaces for callers and operators, with invalid and hostile input."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class RawClient(Protocol):
-    """Sends bytes and collects what comes until the end."""
+    """Sends bytes and collects the answer until the connection closes."""
 
     def __init__(self, data):
         self.data = data
@@ -48,7 +48,7 @@
 
 
 class DeployedTest(LiveTest):
-    """A test with Riga's deployment up."""
+    """A test against a running deployment."""
 
     run_tests_with = DeploymentRunTest.make_factory(timeout=TIMEOUT)
 
@@ -84,7 +84,7 @@
 
 class CallersTest(DeployedTest):
     @inlineCallbacks
-    def test_bad_input_gets_a_clear_refusal(self):
+    def test_bad_input_gets_a_problem_that_names_it(self):
         chat = "/v1/chat/completions"
         cases = [
             (chat, b"{", {}, 400, "not JSON"),
@@ -119,7 +119,7 @@
             self.assertTrue(fields["type"].startswith("urn:primrosescale:problem:"))
 
     @inlineCallbacks
-    def test_strangers_are_refused_before_their_body_is_read(self):
+    def test_unknown_callers_are_refused_before_their_body_is_read(self):
         for header in ("", "Authorization: Bearer wrong\r\n", "Authorization: x\r\n"):
             got = yield self.raw(
                 b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
@@ -153,7 +153,7 @@
         self.assertEqual((200, 200), (health.status, ready.status))
 
     @inlineCallbacks
-    def test_a_hang_up_cancels_the_work_at_the_engine(self):
+    def test_a_caller_that_disconnects_cancels_the_work_at_the_engine(self):
         content = json.dumps({**CHAT, "stream": True, "max_tokens": 100_000}).encode()
         head = (
             "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
@@ -175,7 +175,7 @@
         self.assertEqual(0, sum(engine.running for engine in engines))
 
     @inlineCallbacks
-    def test_a_trace_goes_in_and_comes_to_the_target(self):
+    def test_a_trace_continues_from_the_caller_to_the_target(self):
         trace = "0af7651916cd43dd8448eb211c80319c"
         parent = f"00-{trace}-b7ad6b7169203331-01"
         lines = []
@@ -193,7 +193,7 @@
         self.assertEqual(spans["router"]["span"], spans["agent"]["parent"])
 
     @inlineCallbacks
-    def test_a_deadline_is_told_with_what_is_known(self):
+    def test_a_missed_deadline_is_answered_with_whether_it_ran(self):
         content = {**CHAT, "max_tokens": 100_000}
         headers = {"X-Request-Timeout": "2"}
         reply = yield self.call("/v1/chat/completions", content, headers)
@@ -231,7 +231,7 @@
         self.assertEqual(200, again.status)
 
     @inlineCallbacks
-    def test_a_rate_limit_tells_when_to_come_back(self):
+    def test_a_rate_limit_answers_with_retry_after(self):
         text = self.deployment.bundle_text(limit=1.0)
         version = yield self.deployment.roll_out(self.caller, text)
         yield self.deployment.settle(version)
@@ -245,12 +245,12 @@
     @inlineCallbacks
     def test_a_stopping_router_refuses_new_work_and_finishes_what_it_has(self):
         content = {**CHAT, "stream": True, "max_tokens": 30}
-        under_way = self.call("/v1/chat/completions", content)
+        in_flight = self.call("/v1/chat/completions", content)
         while not self.router.under_way:
             yield self.deployment.pause(0.01)
         self.deployment.routers.remove(self.router)
         stopped = self.router.stop()
-        reply = yield under_way
+        reply = yield in_flight
         yield stopped
         self.assertTrue(reply.is_whole)
         self.assertTrue(reply.body.endswith(b"data: [DONE]\n\n"))
@@ -286,7 +286,7 @@
         self.assertIn(digests[0][:12], second.json()["title"])
 
     @inlineCallbacks
-    def test_a_repeat_is_recognised(self):
+    def test_a_retried_operation_is_recognised(self):
         body = self.text("[organisation z]\nkey_hashes =\n")
         one = yield self.operate("POST", "bundles", body)
         again = yield self.operate("POST", "bundles", body)
@@ -354,7 +354,7 @@
         self.assertEqual(412, reply.status)
 
     @inlineCallbacks
-    def test_going_back_is_a_new_version_with_the_old_content(self):
+    def test_a_revert_is_a_new_version_with_the_earlier_content(self):
         old = self.text().decode()
         version = yield self.deployment.roll_out(
             self.caller,
--- a/tests/process/test_members.py
+++ b/tests/process/test_members.py
@@ -1,4 +1,4 @@
-"""What a router believes of hosts, and sums of loads on their way."""
+"""Membership of hosts, flap damping and aggregation of load reports."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class MembersTest(TestCase):
-    def test_the_list_fills_the_order(self):
+    def test_hosts_of_the_list_are_candidates(self):
         members = make(entry("a"), entry("b"))
         self.assertEqual({"a", "b"}, names(members))
 
@@ -59,12 +59,12 @@
         members.take_list([], 3, 0.0, is_full=True)
         self.assertEqual({"a", "b"}, names(members))
 
-    def test_a_host_that_left_the_list_leaves_the_order(self):
+    def test_a_host_removed_from_the_list_is_no_candidate(self):
         members = make(entry("a"), entry("b"))
         members.take_list([entry("a", gone=True)], 2, 0.0, is_full=False)
         self.assertEqual({"b"}, names(members))
 
-    def test_a_late_word_of_an_old_life_does_not_remove_the_new_one(self):
+    def test_a_late_notice_of_an_earlier_incarnation_does_not_remove_the_later(self):
         members = make(entry("a", incarnation=2))
         members.take_list([entry("a", gone=True)], 2, 0.0, is_full=False)
         members.take_notice(notice("a", DOWN, 1), 0.0)
@@ -77,7 +77,7 @@
         members.take_notice(notice("a", READY), 2.0)
         self.assertEqual({"a", "b"}, names(members))
 
-    def test_leaving_is_final_for_a_life(self):
+    def test_leaving_is_final_for_an_incarnation(self):
         members = make(entry("a"))
         members.take_notice(notice("a", LEAVING), 1.0)
         members.take_notice(notice("a", READY), 2.0)
@@ -85,7 +85,7 @@
         members.take_notice(notice("a", READY, 2), 3.0)
         self.assertEqual({"a"}, names(members))
 
-    def test_a_flapping_target_stays_out_until_its_penalty_fades(self):
+    def test_a_flapping_target_is_excluded_until_its_penalty_decays(self):
         members = make(entry("a"), entry("b"))
         for number in range(4):
             members.take_notice(notice("a", DOWN), 10.0 + number)
@@ -107,7 +107,7 @@
 
 
 class HostChangesTest(TestCase):
-    def test_a_router_that_lags_too_far_is_told_so(self):
+    def test_no_changes_are_returned_to_a_router_that_lags_too_far(self):
         changes = HostChanges()
         changes.take([entry("a", 5)], 5, is_full=True)
         changes.take([entry("b", 6)], 6, is_full=False)
@@ -152,25 +152,25 @@
         total = sums.sums()[0]
         self.assertEqual((20, 1), (total.load, total.targets))
 
-    def test_silence_makes_news(self):
+    def test_missing_heartbeats_raise_a_notice(self):
         sums = AgentSums(SumSettings(), "r1")
         self.assertEqual(READY, sums.hear(beat("a", 1), 1.0).state)
         self.assertIsNone(sums.hear(beat("a", 2), 2.0))
         self.assertEqual([DOWN], [item.state for item in sums.expire(6.0)])
 
-    def test_an_agent_that_moved_is_not_called_down(self):
+    def test_an_agent_that_moved_to_another_router_is_not_reported_down(self):
         sums = AgentSums(SumSettings(), "r1")
         sums.hear(beat("a", 1), 1.0)
         self.assertTrue(sums.hear_notice(notice("a", READY, origin="r2"), 3.0))
         self.assertEqual([], sums.expire(9.0))
 
-    def test_an_agent_heard_here_is_up_whatever_others_miss(self):
+    def test_an_agent_with_recent_heartbeats_is_up_whatever_peers_report(self):
         sums = AgentSums(SumSettings(), "r1")
         sums.hear(beat("a", 1), 1.0)
         self.assertFalse(sums.hear_notice(notice("a", DOWN, origin="r2"), 1.5))
         self.assertEqual([READY], [item.state for item in sums.notices(1.5)])
 
-    def test_a_domain_forgets_routers_that_fell_silent(self):
+    def test_reports_of_silent_routers_expire(self):
         domain = DomainSums(SumSettings(), "d1", "r1")
         domain.hear(report("r1", 1, 100), 0.0)
         domain.hear(report("r2", 1, 50), 3.0)
@@ -196,14 +196,14 @@
         self.assertEqual((130, 2), (mean.load, mean.targets))
         self.assertEqual(1000, fleet.rates(1.0)[0].demand_permille)
 
-    def test_a_domain_that_is_cut_off_stops_counting(self):
+    def test_reports_of_an_unreachable_domain_expire(self):
         fleet = FleetSums(SumSettings())
         domain = DomainSums(SumSettings(), "d1", "r1")
         domain.hear(report("r1", 1, 100), 0.0)
         fleet.hear(domain.summary(0.0), 0.0)
         self.assertEqual([], fleet.means(10.0))
 
-    def test_all_agree_on_the_first_in_order(self):
+    def test_the_first_names_do_not_depend_on_the_order_of_input(self):
         names = [f"r{number}" for number in range(50)]
         self.assertEqual(
             first_in_order(names, "x", 2),
--- a/tests/process/test_seeded_bugs.py
+++ b/tests/process/test_seeded_bugs.py
@@ -1,4 +1,4 @@
-"""The checker finds a bug of every kind, so that its silence means something."""
+"""Seeds a bug of every kind and verifies that the invariant checker reports it."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
         kinds = {fault.partition(":")[0] for fault in faults}
         self.assertIn(kind, kinds, faults)
 
-    def test_a_cut_answer_delivered_as_whole(self):
+    def test_a_truncated_answer_delivered_as_complete(self):
         def failed(call, outcome, detail):
             call._run = None
             call.target_done(0)
@@ -54,7 +54,7 @@
             return True
 
         def finish(check, length, digest):
-            """Believe every end."""
+            """Accept every answer without comparing length and digest."""
 
         deliver = CallTable.message
         with (
@@ -113,7 +113,7 @@
             world = run_cell("keyed", [("first byte", "agent dies")])
         self.assert_found("once", world.faults())
 
-    def test_a_non_idempotent_call_repeated(self):
+    def test_a_non_idempotent_call_retried(self):
         def after_unknown(plan, failure, now):
             return plan._try_next(now, failure, 0.0)
 
@@ -124,7 +124,7 @@
             world = run_cell("keyed", [("first byte", "agent dies")])
         self.assert_found("once", world.faults())
 
-    def test_a_copy_of_a_call_taken_twice(self):
+    def test_a_duplicate_of_a_call_accepted(self):
         def resumed(call, link, attempt):
             call._link = link
             link.expect()
@@ -132,13 +132,15 @@
 
         with (
             mock.patch.object(RoutedCall, "_resumed", resumed),
-            mock.patch("primrosescale.request.call_names.CallNames.take", _forget),
+            mock.patch(
+                "primrosescale.request.call_names.CallNames.take", _record_nothing
+            ),
             mock.patch.object(AgentCore, "_start", _start_unclaimed),
         ):
             world = run_cell("keyed", [("first byte", "silent to router")])
         self.assert_found("once", world.faults())
 
-    def test_work_taken_after_leaving(self):
+    def test_work_admitted_after_leaving(self):
         with mock.patch.object(Admission, "drain", lambda admission: None):
             world = World(agents=1)
             world.stop_agent("a1")
@@ -146,7 +148,7 @@
             world.run(5)
         self.assert_found("leaving", world.faults())
 
-    def test_work_taken_over_the_bound(self):
+    def test_work_admitted_over_the_bound(self):
         with mock.patch.object(LoadBound, "admits", lambda *_: True):
             world = World(agents=2)
             for number in range(60):
@@ -187,8 +189,8 @@
     core._run(call)
 
 
-def _forget(names, name, deadline):
-    """Remember nothing."""
+def _record_nothing(names, name, deadline):
+    """Do not record the call."""
 
 
 def _any_other(check, head, known):
--- a/tests/support/faults.py
+++ b/tests/support/faults.py
@@ -1,4 +1,4 @@
-"""The faults of the matrix, each as something done to a world."""
+"""Faults of the fault matrix, each a function that injects it into a world."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from primrosescale.connection.wire.ttypes import MemberState
 
 ANSWERS = (wire.Answer, wire.AnswerHead, wire.AnswerChunk, wire.AnswerEnd)
-OUTAGE = 4.0
-RESTART = 3.0
+OUTAGE_SECONDS = 4.0
+RESTART_SECONDS = 3.0
 
 
 def router_dies(world, agent):
@@ -22,13 +22,13 @@
     if world.is_process_dead(agent):
         return
     world.kill(agent)
-    world.clock.callLater(RESTART, world.start_agent, agent)
+    world.clock.callLater(RESTART_SECONDS, world.start_agent, agent)
 
 
 def target_dies(world, agent):
     target = world.targets[int(agent[1:])]
     target.is_dead = True
-    world.clock.callLater(RESTART, revive, target)
+    world.clock.callLater(RESTART_SECONDS, revive, target)
 
 
 def revive(target):
@@ -54,7 +54,7 @@
 
 
 def answers_crossed(world, agent):
-    """Bring answers under the names of other calls and other routers."""
+    """Deliver copies of answers under the numbers of other calls and routers."""
     network = world.network
 
     def cross(sender, receiver, data):
@@ -91,12 +91,16 @@
 
 def store_down(world, agent):
     world.store.settings.is_down = True
-    world.clock.callLater(OUTAGE, setattr, world.store.settings, "is_down", False)
+    world.clock.callLater(
+        OUTAGE_SECONDS, setattr, world.store.settings, "is_down", False
+    )
 
 
 def store_slow(world, agent):
     world.store.settings.latency = 1.5
-    world.clock.callLater(OUTAGE, setattr, world.store.settings, "latency", 0.002)
+    world.clock.callLater(
+        OUTAGE_SECONDS, setattr, world.store.settings, "latency", 0.002
+    )
 
 
 def write_answer_lost(world, agent):
@@ -112,8 +116,8 @@
 def lists_differ(world, agent):
     if "r1" in world.routers:
         members = world.routers["r1"].members
-        life = world.agents[agent].core.incarnation
-        notice = wire.MemberNotice(agent, life, MemberState.DOWN, "r9")
+        incarnation = world.agents[agent].core.incarnation
+        notice = wire.MemberNotice(agent, incarnation, MemberState.DOWN, "r9")
         members.take_notice(notice, world.clock.seconds())
 
 
@@ -133,7 +137,7 @@
     if "r1" not in world.routers:
         return
     for _ in range(40):
-        # A surge may strike twice, and a name stands for one request.
+        # The surge may be injected twice, and each request needs its own name.
         world.surged += 1
         name = f"surge{world.surged}"
         world.submit("r1", name, organisation="large", timeout=6.0)
--- a/tests/support/history.py
+++ b/tests/support/history.py
@@ -1,4 +1,4 @@
-"""What happened in a test, and the checker of what must always hold."""
+"""Records the events of a simulated run and checks its invariants."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass
 class CallStory:
-    """One caller's request and everything known of it."""
+    """A caller's request and what became of it."""
 
     name: str
     key: str
@@ -31,7 +31,7 @@
 
 @dataclass
 class Run:
-    """One time a target was handed a request."""
+    """One run of a request at a target."""
 
     target: str
     agent_life: int
@@ -42,7 +42,7 @@
 
 @dataclass
 class Admission:
-    """One call that an agent took."""
+    """One call that an agent admitted."""
 
     agent: str
     life: int
@@ -53,7 +53,7 @@
 
 
 class History:
-    """Everything the checker needs."""
+    """Events of a simulated run, as the checker needs them."""
 
     def __init__(self):
         self.calls = {}
@@ -83,12 +83,12 @@
 
 
 def expected_body(name):
-    """Return the only right answer to a call."""
+    """Return the one correct answer to a call."""
     return (f"answer to {name};" * 40).encode()
 
 
 class Checker:
-    """Checks a history against the brief's invariants."""
+    """Checks a history against the invariants of routing."""
 
     def __init__(self, history):
         self.history = history
@@ -96,19 +96,19 @@
     def faults(self):
         found = []
         for check in (
-            self._one_end,
-            self._whole_and_own,
+            self._one_end_each,
+            self._answers_are_complete,
             self._not_run_is_true,
             self._at_most_once,
             self._none_after_leaving,
-            self._bound,
-            self._planned_stop,
-            self._versions,
+            self._load_within_bound,
+            self._planned_stops_wait,
+            self._versions_increase,
         ):
             found.extend(check())
         return found
 
-    def _one_end(self):
+    def _one_end_each(self):
         for call in self.history.calls.values():
             if call.caller_gone:
                 continue
@@ -118,7 +118,7 @@
                 late = call.ended_at - call.deadline
                 yield f"end: {call.name} ended {late:.2f} s late"
 
-    def _whole_and_own(self):
+    def _answers_are_complete(self):
         for call in self.history.calls.values():
             if call.outcome == "whole" and call.body != call.right_body:
                 yield f"whole: {call.name} got {call.body[:60]!r}"
@@ -149,18 +149,18 @@
             if left is not None and item.at > left:
                 yield f"leaving: {item.agent} took {item.call} after it left"
 
-    def _bound(self):
+    def _load_within_bound(self):
         for item in self.history.admissions:
             if item.load > item.cap + 1e-6:
                 yield f"bound: {item.agent} at {item.load} over {item.cap}"
 
-    def _planned_stop(self):
+    def _planned_stops_wait(self):
         for name in self.history.planned:
             call = self.history.calls[name]
             if call.outcome != "whole" and not call.caller_gone:
                 yield f"stop: {name} was cut by a planned stop: {call.ends}"
 
-    def _versions(self):
+    def _versions_increase(self):
         for (process, _), versions in self.history.versions.items():
             if versions != sorted(versions):
                 yield f"version: {process} went back: {versions}"
--- a/tests/test_constants.py
+++ b/tests/test_constants.py
@@ -1,4 +1,4 @@
-"""Each constant that decisions rest on stands on a page, with its value and unit."""
+"""Every constant of deciding code is listed with its value and unit."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 PAGE = ROOT / "docs/constants.md"
 SOURCE = ROOT / "src/primrosescale"
-DECIDING = ("request", "process/entry")
+DECIDING_FOLDERS = ("request", "process/entry")
 UNITS = {
     "seconds",
     "milliseconds a second",
@@ -43,7 +43,7 @@
 
 
 def is_number(node):
-    """Tell whether an expression is made of numbers and names alone."""
+    """Return whether an expression consists of numbers and names only."""
     if isinstance(node, ast.Constant):
         return type(node.value) in {int, float}
     if isinstance(node, ast.Tuple):
@@ -54,8 +54,8 @@
 
 
 def constants():
-    """Yield module, name and value of each constant of deciding code."""
-    for folder in DECIDING:
+    """Yield module, name and value of each numeric constant of deciding code."""
+    for folder in DECIDING_FOLDERS:
         for path in sorted((SOURCE / folder).glob("*.py")):
             for node in ast.parse(path.read_text()).body:
                 if not isinstance(node, ast.Assign) or not is_number(node.value):
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Pages and code say the same."""
+"""The documentation agrees with the code."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class DocsTest(TestCase):
-    def test_generated_parts_are_those_of_code_and_results(self):
+    def test_generated_parts_are_up_to_date(self):
         found = subprocess.run(
             [sys.executable, str(ROOT / "tools/fill_docs.py"), "--check"],
             capture_output=True,
@@ -53,7 +53,7 @@
             if not name.endswith("_created"):
                 self.assertIn(f"`{name}`", text)
 
-    def test_every_outcome_is_explained_to_who_is_on_call(self):
+    def test_every_refusal_is_explained_in_the_operations_page(self):
         text = (DOCS / "OPERATIONS.md").read_text()
         for refusal in Refusal:
             self.assertIn(refusal.name.lower(), text)
@@ -62,7 +62,7 @@
         kinds = [problem.kind for problem in ALL_PROBLEMS]
         self.assertEqual(len(kinds), len(set(kinds)))
 
-    def test_links_between_pages_lead_somewhere(self):
+    def test_links_between_pages_resolve(self):
         for page in [*DOCS.rglob("*.md"), *ROOT.glob("*.md")]:
             for link in re.findall(r"\]\(([^)#:]+)\)", page.read_text()):
                 self.assertTrue((page.parent / link).exists(), f"{page}: {link}")
