--- a/src/primrosescale/process/entry/load_sum.py
+++ b/src/primrosescale/process/entry/load_sum.py
@@ -76,7 +76,7 @@
         return rest
 
 
-def sum_of(parts: list[LoadSum], now: float) -> LoadSum:
+def total_load(parts: list[LoadSum], now: float) -> LoadSum:
     """Return the sum over several sets of routers.
 
     Parameters
--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -15,7 +15,7 @@
 
 from primrosescale.connection.wire.ttypes import NewsScope
 from primrosescale.process.entry.load_sum import LoadSum
-from primrosescale.process.entry.load_sum import sum_of
+from primrosescale.process.entry.load_sum import total_load
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -365,12 +365,12 @@
         if not others and not members:
             return []
         reports = [word.loads for word in self._fresh(self._reports, now)]
-        domain = sum_of([own, *reports], now)
+        domain = total_load([own, *reports], now)
         told = [
             Telling(name, NewsScope.DOMAIN, domain, _of_domain(parts), _of_domain(ends))
             for name in others
         ]
-        fleet = sum_of([own, self._gathered(now)], now)
+        fleet = total_load([own, self._gathered(now)], now)
         for name in members:
             report = self._reports.get(name)
             is_counted = report is not None and self._is_fresh(report, now)
@@ -389,7 +389,7 @@
     def _gathered(self, now: float) -> LoadSum:
         reports = [word.loads for word in self._fresh(self._reports, now)]
         domains = [word.loads for word in self._fresh(self._domains, now)]
-        return sum_of([*reports, *domains], now)
+        return total_load([*reports, *domains], now)
 
     def _fresh(self, words: dict[str, _Word], now: float) -> list[_Word]:
         return [word for word in words.values() if self._is_fresh(word, now)]
--- a/tests/entry/test_load_codec.py
+++ b/tests/entry/test_load_codec.py
@@ -15,7 +15,7 @@
 from primrosescale.process.entry.load_codec import MOST_IN_A_BYTE
 from primrosescale.process.entry.load_codec import LoadCodec
 from primrosescale.process.entry.load_sum import LoadSum
-from primrosescale.process.entry.load_sum import sum_of
+from primrosescale.process.entry.load_sum import total_load
 from primrosescale.process.entry.target_list import TargetList
 from support.drawn import drawn
 
@@ -106,7 +106,7 @@
             part.running = {5: number, number: 1}
             part.outcomes = {5: (1.0, float(number))}
             parts.append(part)
-        total = sum_of(parts, START)
+        total = total_load(parts, START)
         self.assertEqual(
             (START - 3, 3, True),
             (
