--- a/src/primrosescale/process/entry/target_keys.py
+++ b/src/primrosescale/process/entry/target_keys.py
@@ -12,11 +12,11 @@
     from primrosescale.request.target_state import TargetState
 
 # Short names that are remembered.
-MOST_KEYS = 16384
+MAX_CACHED_KEYS = 16384
 SIGN = 2**31
 
 
-@lru_cache(maxsize=MOST_KEYS)
+@lru_cache(maxsize=MAX_CACHED_KEYS)
 def target_key(name: str, started_at: int | None = None) -> int:
     """Return the short name of an incarnation of a target in news.
 
