--- a/src/primrosescale/process/entry/target_keys.py
+++ b/src/primrosescale/process/entry/target_keys.py
@@ -13,7 +13,7 @@
 
 # Short names that are remembered.
 MAX_CACHED_KEYS = 16384
-SIGN = 2**31
+SIGN_OFFSET = 2**31
 
 
 @lru_cache(maxsize=MAX_CACHED_KEYS)
@@ -37,7 +37,7 @@
         then a load is counted for the wrong one of them.
     """
     text = name if started_at is None else f"{name}\0{started_at}"
-    return int(xxh32_intdigest(text.encode())) - SIGN
+    return int(xxh32_intdigest(text.encode())) - SIGN_OFFSET
 
 
 class TargetKeys:
@@ -88,4 +88,4 @@
         }
         self._order = sorted(self._states)
         text = ",".join(map(str, self._order))
-        self._digest = int(xxh32_intdigest(text.encode())) - SIGN
+        self._digest = int(xxh32_intdigest(text.encode())) - SIGN_OFFSET
