--- a/src/primrosescale/process/entry/load_codec.py
+++ b/src/primrosescale/process/entry/load_codec.py
@@ -17,7 +17,7 @@
     from primrosescale.request.target_state import TargetState
 
 # Datagrams stay under what every link carries in one piece.
-MOST_TARGETS = 40
+MAX_TARGETS = 40
 # The same in sums, which are told by name only while two routers know other
 # targets.
 MOST_SUMMED_TARGETS = 70
@@ -83,7 +83,7 @@
         ]
         # The bound concerns the most loaded ones; failures come after them.
         states.sort(key=lambda state: (-state.own_running, -state.outcomes(now)[1]))
-        return [_target_news(state, now) for state in states[:MOST_TARGETS]]
+        return [_target_news(state, now) for state in states[:MAX_TARGETS]]
 
     def own_sum(self, now: float, *, reaches_store: bool) -> LoadSum:
         """Return what this router has at targets.
