--- a/src/primrosescale/process/entry/load_codec.py
+++ b/src/primrosescale/process/entry/load_codec.py
@@ -20,7 +20,7 @@
 MAX_TARGETS = 40
 # The same in sums, which are told by name only while two routers know other
 # targets.
-MOST_SUMMED_TARGETS = 70
+MAX_SUMMED_TARGETS = 70
 # Failures that are worth telling.
 LEAST_TOLD = 0.05
 # A router that sees more than half of its requests fail everywhere has a
@@ -143,7 +143,7 @@
             named = loads.running | {
                 key: loads.running.get(key, 0) for key in loads.outcomes
             }
-        keys = sorted(named, key=lambda key: -named[key])[:MOST_SUMMED_TARGETS]
+        keys = sorted(named, key=lambda key: -named[key])[:MAX_SUMMED_TARGETS]
         message.targets = [_summed(key, named[key], loads) for key in keys]
         message.targets_digest = self._keys.digest
         message.age_ms = round((now - loads.known_at) * MILLISECONDS)
