--- a/src/primrosescale/process/entry/load_codec.py
+++ b/src/primrosescale/process/entry/load_codec.py
@@ -22,7 +22,7 @@
 # targets.
 MAX_SUMMED_TARGETS = 70
 # Failures that are worth telling.
-LEAST_TOLD = 0.05
+MIN_REPORTED_FAILURES = 0.05
 # A router that sees more than half of its requests fail everywhere has a
 # trouble of its own and is no witness.
 WITNESS_MOST_FAILURES = 0.5
@@ -105,7 +105,7 @@
             if state.own_running:
                 own.running[key] = state.own_running
             good, bad = state.outcomes(now)
-            if bad > LEAST_TOLD:
+            if bad > MIN_REPORTED_FAILURES:
                 own.outcomes[key] = (good, bad)
         return own
 
@@ -226,7 +226,7 @@
 def _has_outcomes(state: TargetState, now: float) -> bool:
     """Tell whether there are outcomes that would be seen after rounding."""
     good, bad = state.outcomes(now)
-    return bad > LEAST_TOLD or round(good) > 0
+    return bad > MIN_REPORTED_FAILURES or round(good) > 0
 
 
 def _target_news(state: TargetState, now: float) -> wire.TargetNews:
@@ -237,7 +237,7 @@
     """
     good, bad = state.outcomes(now)
     news = wire.TargetNews(target_key(*state.incarnation), state.own_running)
-    if bad > LEAST_TOLD:
+    if bad > MIN_REPORTED_FAILURES:
         news.good_percent = round(good * PERCENT)
         news.bad_percent = round(bad * PERCENT)
     elif round(good):
