--- a/src/primrosescale/process/entry/load_codec.py
+++ b/src/primrosescale/process/entry/load_codec.py
@@ -25,7 +25,7 @@
 MIN_REPORTED_FAILURES = 0.05
 # A router that sees more than half of its requests fail everywhere has a
 # trouble of its own and is no witness.
-WITNESS_MOST_FAILURES = 0.5
+MAX_RELIABLE_FAILURE_SHARE = 0.5
 # Largest number of requests that a byte tells.
 MOST_IN_A_BYTE = 255
 # Loads of so many targets are deflated: 370 bytes become 210, in 20 us.
@@ -220,7 +220,7 @@
     }
     good = sum(outcomes[0] for outcomes in found.values())
     bad = sum(outcomes[1] for outcomes in found.values())
-    return found if bad <= WITNESS_MOST_FAILURES * (good + bad) else {}
+    return found if bad <= MAX_RELIABLE_FAILURE_SHARE * (good + bad) else {}
 
 
 def _has_outcomes(state: TargetState, now: float) -> bool:
