--- a/src/primrosescale/process/entry/load_codec.py
+++ b/src/primrosescale/process/entry/load_codec.py
@@ -27,7 +27,7 @@
 # trouble of its own and is no witness.
 MAX_RELIABLE_FAILURE_SHARE = 0.5
 # Largest number of requests that a byte tells.
-MOST_IN_A_BYTE = 255
+MAX_BYTE_COUNT = 255
 # Loads of so many targets are deflated: 370 bytes become 210, in 20 us.
 LEAST_PACKED = 128
 PACKED_SHARE = 0.6
@@ -131,7 +131,7 @@
         """
         if receiver_digest == self._keys.digest:
             told = bytes(
-                min(MOST_IN_A_BYTE, loads.running.get(key, 0))
+                min(MAX_BYTE_COUNT, loads.running.get(key, 0))
                 for key in self._keys.order
             )
             message.is_packed = len(told) >= LEAST_PACKED or None
@@ -241,7 +241,7 @@
         news.good_percent = round(good * PERCENT)
         news.bad_percent = round(bad * PERCENT)
     elif round(good):
-        news.good = min(MOST_IN_A_BYTE, round(good))
+        news.good = min(MAX_BYTE_COUNT, round(good))
     return news
 
 
--- a/tests/entry/test_load_codec.py
+++ b/tests/entry/test_load_codec.py
@@ -12,7 +12,7 @@
 from primrosescale.connection.codec import encode
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.process.entry.load_codec import LEAST_PACKED
-from primrosescale.process.entry.load_codec import MOST_IN_A_BYTE
+from primrosescale.process.entry.load_codec import MAX_BYTE_COUNT
 from primrosescale.process.entry.load_codec import LoadCodec
 from primrosescale.process.entry.load_sum import LoadSum
 from primrosescale.process.entry.load_sum import total_load
@@ -80,7 +80,7 @@
     def test_more_than_a_byte_tells_is_told_as_much_as_it_can(self):
         a, b = codec(2), codec(2)
         heard = b.read(carry(a, b, self.loads(a, [900, 1])), START)
-        self.assertEqual([MOST_IN_A_BYTE, 1], list(heard.running.values()))
+        self.assertEqual([MAX_BYTE_COUNT, 1], list(heard.running.values()))
 
     @drawn(200)
     @given(st.binary(max_size=300), st.booleans())
