--- a/src/primrosescale/process/entry/load_codec.py
+++ b/src/primrosescale/process/entry/load_codec.py
@@ -29,7 +29,7 @@
 # Largest number of requests that a byte tells.
 MAX_BYTE_COUNT = 255
 # Loads of so many targets are deflated: 370 bytes become 210, in 20 us.
-LEAST_PACKED = 128
+MIN_DEFLATED_TARGETS = 128
 PACKED_SHARE = 0.6
 FASTEST = 1
 # Bytes of a message without loads and parts.
@@ -60,7 +60,7 @@
     def usual_bytes(self) -> float:
         """Return the bytes that a message with a sum usually has."""
         targets = len(self._keys.order)
-        share = PACKED_SHARE if targets >= LEAST_PACKED else 1.0
+        share = PACKED_SHARE if targets >= MIN_DEFLATED_TARGETS else 1.0
         return USUAL_HEAD + targets * share
 
     def own_news(self, now: float) -> list[wire.TargetNews]:
@@ -134,7 +134,7 @@
                 min(MAX_BYTE_COUNT, loads.running.get(key, 0))
                 for key in self._keys.order
             )
-            message.is_packed = len(told) >= LEAST_PACKED or None
+            message.is_packed = len(told) >= MIN_DEFLATED_TARGETS or None
             message.running = (
                 zlib.compress(told, FASTEST) if message.is_packed else told
             )
--- a/tests/entry/test_load_codec.py
+++ b/tests/entry/test_load_codec.py
@@ -11,8 +11,8 @@
 from primrosescale.connection.codec import decode
 from primrosescale.connection.codec import encode
 from primrosescale.connection.wire import ttypes as wire
-from primrosescale.process.entry.load_codec import LEAST_PACKED
 from primrosescale.process.entry.load_codec import MAX_BYTE_COUNT
+from primrosescale.process.entry.load_codec import MIN_DEFLATED_TARGETS
 from primrosescale.process.entry.load_codec import LoadCodec
 from primrosescale.process.entry.load_sum import LoadSum
 from primrosescale.process.entry.load_sum import total_load
@@ -48,7 +48,7 @@
         return found
 
     def test_who_knows_the_same_targets_needs_no_names(self):
-        for count in (3, LEAST_PACKED, 3 * LEAST_PACKED):
+        for count in (3, MIN_DEFLATED_TARGETS, 3 * MIN_DEFLATED_TARGETS):
             a, b = codec(count), codec(count)
             told = self.loads(a, [n % 9 + 1 for n in range(count)])
             told.outcomes[a.keys.order[1]] = (2.0, 5.0)
@@ -85,11 +85,11 @@
     @drawn(200)
     @given(st.binary(max_size=300), st.booleans())
     def test_odd_bytes_are_no_loads(self, odd, is_packed):
-        known = codec(LEAST_PACKED)
+        known = codec(MIN_DEFLATED_TARGETS)
         digest = known.keys.digest
         said = message(running=odd, is_packed=is_packed, targets_digest=digest)
         heard = known.read(said, START)
-        self.assertTrue(heard is None or is_packed or len(odd) == LEAST_PACKED)
+        self.assertTrue(heard is None or is_packed or len(odd) == MIN_DEFLATED_TARGETS)
 
     def test_a_router_to_which_all_targets_fail_is_no_witness(self):
         a, b = codec(3), codec(3)
