--- a/src/primrosescale/process/entry/load_codec.py
+++ b/src/primrosescale/process/entry/load_codec.py
@@ -30,7 +30,7 @@
 MAX_BYTE_COUNT = 255
 # Loads of so many targets are deflated: 370 bytes become 210, in 20 us.
 MIN_DEFLATED_TARGETS = 128
-PACKED_SHARE = 0.6
+DEFLATED_SIZE_RATIO = 0.6
 FASTEST = 1
 # Bytes of a message without loads and parts.
 USUAL_HEAD = 50
@@ -60,7 +60,7 @@
     def usual_bytes(self) -> float:
         """Return the bytes that a message with a sum usually has."""
         targets = len(self._keys.order)
-        share = PACKED_SHARE if targets >= MIN_DEFLATED_TARGETS else 1.0
+        share = DEFLATED_SIZE_RATIO if targets >= MIN_DEFLATED_TARGETS else 1.0
         return USUAL_HEAD + targets * share
 
     def own_news(self, now: float) -> list[wire.TargetNews]:
