--- a/src/primrosescale/process/entry/load_codec.py
+++ b/src/primrosescale/process/entry/load_codec.py
@@ -31,7 +31,7 @@
 # Loads of so many targets are deflated: 370 bytes become 210, in 20 us.
 MIN_DEFLATED_TARGETS = 128
 DEFLATED_SIZE_RATIO = 0.6
-FASTEST = 1
+FASTEST_ZLIB_LEVEL = 1
 # Bytes of a message without loads and parts.
 USUAL_HEAD = 50
 PERCENT = 100
@@ -136,7 +136,7 @@
             )
             message.is_packed = len(told) >= MIN_DEFLATED_TARGETS or None
             message.running = (
-                zlib.compress(told, FASTEST) if message.is_packed else told
+                zlib.compress(told, FASTEST_ZLIB_LEVEL) if message.is_packed else told
             )
             named = dict.fromkeys(loads.outcomes, 0)
         else:
