--- a/src/primrosescale/process/entry/load_codec.py
+++ b/src/primrosescale/process/entry/load_codec.py
@@ -33,7 +33,7 @@
 DEFLATED_SIZE_RATIO = 0.6
 FASTEST_ZLIB_LEVEL = 1
 # Bytes of a message without loads and parts.
-USUAL_HEAD = 50
+TYPICAL_HEADER_BYTES = 50
 PERCENT = 100
 MILLISECONDS = 1000
 
@@ -61,7 +61,7 @@
         """Return the bytes that a message with a sum usually has."""
         targets = len(self._keys.order)
         share = DEFLATED_SIZE_RATIO if targets >= MIN_DEFLATED_TARGETS else 1.0
-        return USUAL_HEAD + targets * share
+        return TYPICAL_HEADER_BYTES + targets * share
 
     def own_news(self, now: float) -> list[wire.TargetNews]:
         """Return what this router has at targets, the most loaded ones first.
