--- a/src/primrosescale/process/entry/load_codec.py
+++ b/src/primrosescale/process/entry/load_codec.py
@@ -57,7 +57,7 @@
         return self._keys
 
     @property
-    def usual_bytes(self) -> float:
+    def typical_bytes(self) -> float:
         """Return the bytes that a message with a sum usually has."""
         targets = len(self._keys.order)
         share = DEFLATED_SIZE_RATIO if targets >= MIN_DEFLATED_TARGETS else 1.0
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -127,7 +127,7 @@
         """Return the seconds between two rounds of news."""
         if self._paths.is_relayed:
             settings = self._settings
-            bytes_a_round = self._round_messages * self._codec.usual_bytes
+            bytes_a_round = self._round_messages * self._codec.typical_bytes
             return max(settings.interval, bytes_a_round / settings.bytes_per_second)
         bytes_a_round = len(self._peers) * USUAL_DATAGRAM
         return max(SHORTEST_INTERVAL, bytes_a_round / BYTES_PER_SECOND)
