--- a/src/primrosescale/process/entry/load_codec.py
+++ b/src/primrosescale/process/entry/load_codec.py
@@ -63,7 +63,7 @@
         share = DEFLATED_SIZE_RATIO if targets >= MIN_DEFLATED_TARGETS else 1.0
         return TYPICAL_HEADER_BYTES + targets * share
 
-    def own_news(self, now: float) -> list[wire.TargetNews]:
+    def own_targets(self, now: float) -> list[wire.TargetNews]:
         """Return what this router has at targets, the most loaded ones first.
 
         Parameters
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -432,7 +432,7 @@
                 self._note_rank(now)
                 self._adopt_relayed(now)
             return [self._summed(item, head, held, now) for item in told]
-        targets = self._codec.own_news(now)
+        targets = self._codec.own_targets(now)
         messages = []
         for peer in self._peers.values():
             message = self._message(peer, head, now)
