--- a/src/primrosescale/process/entry/load_codec.py
+++ b/src/primrosescale/process/entry/load_codec.py
@@ -85,7 +85,7 @@
         states.sort(key=lambda state: (-state.own_running, -state.outcomes(now)[1]))
         return [_target_news(state, now) for state in states[:MAX_TARGETS]]
 
-    def own_sum(self, now: float, *, reaches_store: bool) -> LoadSum:
+    def own_load(self, now: float, *, reaches_store: bool) -> LoadSum:
         """Return what this router has at targets.
 
         Parameters
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -425,7 +425,7 @@
         ends = self._harm.ends(now) if self._harm else []
         held = self._harm.held(now) if self._harm and not is_urgent else []
         if is_relayed:
-            own = self._codec.own_sum(now, reaches_store=not is_store_lost)
+            own = self._codec.own_load(now, reaches_store=not is_store_lost)
             told = self._relay.compose(own, parts, ends, now, is_urgent=is_urgent)
             if not is_urgent:
                 self._round_messages = len(told)
