--- a/src/primrosescale/process/entry/load_codec.py
+++ b/src/primrosescale/process/entry/load_codec.py
@@ -180,7 +180,7 @@
             loads.running = {
                 item.target: item.running for item in message.targets if item.running
             }
-        loads.outcomes = told_outcomes(message.targets)
+        loads.outcomes = reported_outcomes(message.targets)
         return loads
 
 
@@ -195,7 +195,7 @@
         return b""
 
 
-def told_outcomes(
+def reported_outcomes(
     targets: Iterable[wire.TargetNews],
 ) -> dict[int, tuple[float, float]]:
     """Return good and bad outcomes by the targets' short names.
