--- a/src/primrosescale/process/entry/load_codec.py
+++ b/src/primrosescale/process/entry/load_codec.py
@@ -171,7 +171,7 @@
         if message.running is not None:
             if message.targets_digest != self._keys.digest:
                 return None
-            told = _unpacked(message, len(self._keys.order))
+            told = _inflated(message, len(self._keys.order))
             if len(told) != len(self._keys.order):
                 return None
             pairs = zip(self._keys.order, told, strict=True)
@@ -184,7 +184,7 @@
         return loads
 
 
-def _unpacked(message: wire.RouterNews, most: int) -> bytes:
+def _inflated(message: wire.RouterNews, most: int) -> bytes:
     """Return the loads in a message, hardly more of them than there can be."""
     told = message.running or b""
     if not message.is_packed:
