--- a/src/primrosescale/process/entry/load_codec.py
+++ b/src/primrosescale/process/entry/load_codec.py
@@ -144,7 +144,7 @@
                 key: loads.running.get(key, 0) for key in loads.outcomes
             }
         keys = sorted(named, key=lambda key: -named[key])[:MAX_SUMMED_TARGETS]
-        message.targets = [_summed(key, named[key], loads) for key in keys]
+        message.targets = [_target_sum(key, named[key], loads) for key in keys]
         message.targets_digest = self._keys.digest
         message.age_ms = round((now - loads.known_at) * MILLISECONDS)
         message.routers = loads.routers
@@ -245,7 +245,7 @@
     return news
 
 
-def _summed(key: int, running: int, loads: LoadSum) -> wire.TargetNews:
+def _target_sum(key: int, running: int, loads: LoadSum) -> wire.TargetNews:
     outcomes = loads.outcomes.get(key)
     if outcomes is None:
         return wire.TargetNews(key, running)
