--- a/src/primrosescale/process/entry/other_router.py
+++ b/src/primrosescale/process/entry/other_router.py
@@ -32,7 +32,7 @@
     domain: str = ""
 
 
-class RouterPeer:
+class PeerState:
     """What is known of one other router.
 
     Parameters
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -19,7 +19,7 @@
 from primrosescale.process.entry.news_paths import NewsPaths
 from primrosescale.process.entry.news_paths import NewsSettings
 from primrosescale.process.entry.news_relay import NewsRelay
-from primrosescale.process.entry.other_router import RouterPeer
+from primrosescale.process.entry.other_router import PeerState
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.request.evacuations import EvacuationList
 from primrosescale.request.part_directory import PartUse
@@ -110,7 +110,7 @@
         self._parts = parts
         self._freshness = freshness
         self._codec = LoadCodec(targets)
-        self._peers: dict[str, RouterPeer] = {}
+        self._peers: dict[str, PeerState] = {}
         self._former: dict[str, OtherRouter] = {}
         self._paths = NewsPaths(name, domain, settings)
         self._relay = NewsRelay(name, self._paths, settings)
@@ -284,7 +284,7 @@
         )
         return before < ASKING_ROUTERS
 
-    def _heard(self, now: float) -> list[RouterPeer]:
+    def _heard(self, now: float) -> list[PeerState]:
         """Return the other routers that were heard of lately."""
         oldest = now - self._kept_for
         return [
@@ -345,7 +345,7 @@
             return
         known = self._peers.get(router.name)
         if known is None or known.router != router:
-            self._peers[router.name] = RouterPeer(router, now)
+            self._peers[router.name] = PeerState(router, now)
             self._paths.put(router.name, router.domain)
 
     def remove(self, name: str) -> None:
@@ -451,7 +451,7 @@
         else:
             self._judges_since = min(self._judges_since, now)
 
-    def _message(self, peer: RouterPeer, head: _Head, now: float) -> wire.RouterNews:
+    def _message(self, peer: PeerState, head: _Head, now: float) -> wire.RouterNews:
         self._sequence += 1
         peer.sends(self._sequence, now)
         message = wire.RouterNews(
@@ -531,7 +531,7 @@
         return True
 
     def _take_freshness(
-        self, peer: RouterPeer, message: wire.RouterNews, version: int
+        self, peer: PeerState, message: wire.RouterNews, version: int
     ) -> None:
         """Rely on the other router's question to the store as on an own one.
 
@@ -554,7 +554,7 @@
         told = EvacuationList(domains, message.evacuated_revision, message.origin)
         self._evacuations.take(told, now)
 
-    def _take_own(self, peer: RouterPeer, loads: LoadSum, now: float) -> None:
+    def _take_own(self, peer: PeerState, loads: LoadSum, now: float) -> None:
         """Take in the requests of one router."""
         origin = peer.router.name
         if self._paths.is_relayed:
