--- a/src/primrosescale/process/entry/other_router.py
+++ b/src/primrosescale/process/entry/other_router.py
@@ -10,7 +10,7 @@
     from primrosescale.connection.endpoint import Endpoint
 
 # Own messages whose sending time is remembered for each other router.
-REMEMBERED_SENDINGS = 64
+MAX_SENT_TIMES = 64
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
             Present time in seconds.
         """
         self.sent_at[sequence] = now
-        if len(self.sent_at) > REMEMBERED_SENDINGS:
+        if len(self.sent_at) > MAX_SENT_TIMES:
             self.sent_at.popitem(last=False)
 
     def is_new(self, incarnation: int, sequence: int) -> bool:
