--- a/src/primrosescale/process/entry/other_router.py
+++ b/src/primrosescale/process/entry/other_router.py
@@ -72,7 +72,7 @@
         # Short names of the targets that its last message told requests of.
         self.told_targets: frozenset[int] = frozenset()
 
-    def sends(self, sequence: int, now: float) -> None:
+    def record_sent(self, sequence: int, now: float) -> None:
         """Remember when a message of this router went out to it.
 
         Parameters
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -453,7 +453,7 @@
 
     def _message(self, peer: PeerState, head: _Head, now: float) -> wire.RouterNews:
         self._sequence += 1
-        peer.sends(self._sequence, now)
+        peer.record_sent(self._sequence, now)
         message = wire.RouterNews(
             self._name,
             self._incarnation,
