--- a/src/primrosescale/process/entry/other_router.py
+++ b/src/primrosescale/process/entry/other_router.py
@@ -86,7 +86,7 @@
         if len(self.sent_at) > MAX_SENT_TIMES:
             self.sent_at.popitem(last=False)
 
-    def is_new(self, incarnation: int, sequence: int) -> bool:
+    def accept_sequence(self, incarnation: int, sequence: int) -> bool:
         """Take in the number of a message; tell whether it is news.
 
         Parameters
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -506,7 +506,9 @@
             False for a router that is not listed, and for old news.
         """
         peer = self._peers.get(message.origin)
-        if peer is None or not peer.is_new(message.incarnation, message.sequence):
+        if peer is None or not peer.accept_sequence(
+            message.incarnation, message.sequence
+        ):
             return False
         peer.heard_at = now
         peer.is_store_lost = message.store_lost
