--- a/src/primrosescale/process/entry/other_router.py
+++ b/src/primrosescale/process/entry/other_router.py
@@ -53,7 +53,7 @@
         "router",
         "sent_at",
         "targets_digest",
-        "told_targets",
+        "reported_targets",
         "version",
     )
 
@@ -70,7 +70,7 @@
         # Of the targets that it knows, as it told last.
         self.targets_digest: int | None = None
         # Short names of the targets that its last message told requests of.
-        self.told_targets: frozenset[int] = frozenset()
+        self.reported_targets: frozenset[int] = frozenset()
 
     def record_sent(self, sequence: int, now: float) -> None:
         """Remember when a message of this router went out to it.
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -563,8 +563,8 @@
             if self._paths.is_own_domain(origin):
                 self._relay.hear(NewsScope.ROUTER, origin, loads, now)
             return
-        self._keep(origin, loads, peer.told_targets, now)
-        peer.told_targets = frozenset(loads.running)
+        self._keep(origin, loads, peer.reported_targets, now)
+        peer.reported_targets = frozenset(loads.running)
 
     def _adopt_relayed(self, now: float) -> None:
         """Let targets' states have the best sum that relays told."""
