--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -46,12 +46,12 @@
 class _Word:
     """The last sum that was heard from a router, and when."""
 
-    __slots__ = ("heard_at", "loads", "origin")
+    __slots__ = ("received_at", "loads", "origin")
 
-    def __init__(self, origin: str, loads: LoadSum, heard_at: float) -> None:
+    def __init__(self, origin: str, loads: LoadSum, received_at: float) -> None:
         self.origin = origin
         self.loads = loads
-        self.heard_at = heard_at
+        self.received_at = received_at
 
 
 class Telling:
@@ -259,7 +259,7 @@
         known = self._domains.get(domain)
         if known is not None and known.origin != word.origin:
             believed = BELIEVED_INTERVALS * self._settings.interval
-            is_telling = now - known.heard_at < believed
+            is_telling = now - known.received_at < believed
             if is_telling and known.loads.routers > word.loads.routers:
                 return
         self._domains[domain] = word
@@ -294,7 +294,7 @@
         told = self._fresh(self._fleets, now)
         if not told:
             return gathered
-        best = max(told, key=lambda word: (word.loads.routers, word.heard_at)).loads
+        best = max(told, key=lambda word: (word.loads.routers, word.received_at)).loads
         return gathered if gathered.routers >= best.routers else best
 
     def compose(
@@ -395,4 +395,4 @@
         return [word for word in words.values() if self._is_fresh(word, now)]
 
     def _is_fresh(self, word: _Word, now: float) -> bool:
-        return now - word.heard_at <= self._settings.keep
+        return now - word.received_at <= self._settings.keep
--- a/src/primrosescale/process/entry/other_router.py
+++ b/src/primrosescale/process/entry/other_router.py
@@ -45,7 +45,7 @@
 
     __slots__ = (
         "heard",
-        "heard_at",
+        "received_at",
         "incarnation",
         "is_store_lost",
         "list_revision",
@@ -62,7 +62,7 @@
         self.listed_at = now
         self.incarnation = 0
         self.heard = 0
-        self.heard_at: float | None = None
+        self.received_at: float | None = None
         self.is_store_lost = False
         self.version = 0
         self.list_revision = 0
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -226,7 +226,7 @@
             True when another router says that it reaches the store, or when
             none is heard of any more, so that the network fails here.
         """
-        if all(peer.heard_at is None for peer in self._peers.values()):
+        if all(peer.received_at is None for peer in self._peers.values()):
             return False
         heard = self._heard(now)
         return not heard or any(not peer.is_store_lost for peer in heard)
@@ -290,7 +290,7 @@
         return [
             peer
             for peer in self._peers.values()
-            if peer.heard_at is not None and peer.heard_at >= oldest
+            if peer.received_at is not None and peer.received_at >= oldest
         ]
 
     @property
@@ -329,7 +329,7 @@
 
     def _last_sign(self, name: str) -> float:
         peer = self._peers[name]
-        return max(peer.listed_at, peer.heard_at or 0.0)
+        return max(peer.listed_at, peer.received_at or 0.0)
 
     def put(self, router: OtherRouter, now: float) -> None:
         """Take in another router of the list.
@@ -510,7 +510,7 @@
             message.incarnation, message.sequence
         ):
             return False
-        peer.heard_at = now
+        peer.received_at = now
         peer.is_store_lost = message.store_lost
         peer.version = message.version
         peer.list_revision = message.targets_revision or 0
