--- a/src/primrosescale/process/entry/news_paths.py
+++ b/src/primrosescale/process/entry/news_paths.py
@@ -19,7 +19,7 @@
 from primrosescale.process.membership.order import first_in_order
 
 # A domain has two relays at least, so that one may be lost.
-LEAST_RELAYS = 2
+MIN_RELAYS_PER_DOMAIN = 2
 # Questions in a row that a relay may leave open: 1 s. A datagram in a thousand is
 # lost, and hosts are held up for some tenths of a second.
 PATIENCE = 6
@@ -287,6 +287,8 @@
             names = self._domains[domain]
             order = first_in_order(names, domain, len(names))
             self._orders[domain] = order
-        count = max(LEAST_RELAYS, -(-len(order) // self._settings.routers_a_relay))
+        count = max(
+            MIN_RELAYS_PER_DOMAIN, -(-len(order) // self._settings.routers_a_relay)
+        )
         answering = [name for name in order if not self._is_suspected(name, now)]
         return (answering or order)[:count]
