--- a/src/primrosescale/process/entry/news_paths.py
+++ b/src/primrosescale/process/entry/news_paths.py
@@ -22,7 +22,7 @@
 MIN_RELAYS_PER_DOMAIN = 2
 # Questions in a row that a relay may leave open: 1 s. A datagram in a thousand is
 # lost, and hosts are held up for some tenths of a second.
-PATIENCE = 6
+MAX_UNANSWERED_MESSAGES = 6
 # After this time a relay that did not answer is asked again, for two questions.
 FORGIVEN_SECONDS = 5.0
 SECOND_CHANCE = 2
@@ -262,8 +262,8 @@
         """
         answers = self._answers.setdefault(name, _Answers())
         answers.open_questions += 1
-        if answers.open_questions >= PATIENCE:
-            answers.open_questions = PATIENCE - SECOND_CHANCE
+        if answers.open_questions >= MAX_UNANSWERED_MESSAGES:
+            answers.open_questions = MAX_UNANSWERED_MESSAGES - SECOND_CHANCE
             answers.suspected_until = now + FORGIVEN_SECONDS
 
     def answered(self, name: str) -> None:
