--- a/src/primrosescale/process/entry/news_paths.py
+++ b/src/primrosescale/process/entry/news_paths.py
@@ -24,7 +24,7 @@
 # lost, and hosts are held up for some tenths of a second.
 MAX_UNANSWERED_MESSAGES = 6
 # After this time a relay that did not answer is asked again, for two questions.
-FORGIVEN_SECONDS = 5.0
+SUSPICION_SECONDS = 5.0
 SECOND_CHANCE = 2
 
 
@@ -264,7 +264,7 @@
         answers.open_questions += 1
         if answers.open_questions >= MAX_UNANSWERED_MESSAGES:
             answers.open_questions = MAX_UNANSWERED_MESSAGES - SECOND_CHANCE
-            answers.suspected_until = now + FORGIVEN_SECONDS
+            answers.suspected_until = now + SUSPICION_SECONDS
 
     def answered(self, name: str) -> None:
         """Take in that a router has answered as a relay.
--- a/tests/entry/test_news_relays.py
+++ b/tests/entry/test_news_relays.py
@@ -13,7 +13,7 @@
 from primrosescale.connection.codec import encode
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.connection.wire.ttypes import NewsScope
-from primrosescale.process.entry.news_paths import FORGIVEN_SECONDS
+from primrosescale.process.entry.news_paths import SUSPICION_SECONDS
 from primrosescale.process.entry.news_paths import NewsSettings
 from primrosescale.process.entry.router_news import GONE_SECONDS
 from primrosescale.process.entry.target_keys import target_key
@@ -139,7 +139,7 @@
         gone.targets.state(TARGET).ended()
         self.fleet.run(1.0)
         self.fleet.wake(frozen)
-        self.fleet.run(FORGIVEN_SECONDS + TAKEN_OVER)
+        self.fleet.run(SUSPICION_SECONDS + TAKEN_OVER)
         self.assert_all_know(0.0)
         self.send(gone)
         self.fleet.run(1.0)
