--- a/src/primrosescale/process/entry/news_paths.py
+++ b/src/primrosescale/process/entry/news_paths.py
@@ -25,7 +25,7 @@
 MAX_UNANSWERED_MESSAGES = 6
 # After this time a relay that did not answer is asked again, for two questions.
 SUSPICION_SECONDS = 5.0
-SECOND_CHANCE = 2
+MESSAGES_AFTER_SUSPICION = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -263,7 +263,7 @@
         answers = self._answers.setdefault(name, _Answers())
         answers.open_questions += 1
         if answers.open_questions >= MAX_UNANSWERED_MESSAGES:
-            answers.open_questions = MAX_UNANSWERED_MESSAGES - SECOND_CHANCE
+            answers.open_questions = MAX_UNANSWERED_MESSAGES - MESSAGES_AFTER_SUSPICION
             answers.suspected_until = now + SUSPICION_SECONDS
 
     def answered(self, name: str) -> None:
