--- a/src/primrosescale/process/entry/news_paths.py
+++ b/src/primrosescale/process/entry/news_paths.py
@@ -63,7 +63,7 @@
     )
 
 
-class _Answers:
+class _RelaySuspicion:
     """Whether a router that was asked has answered lately."""
 
     __slots__ = ("open_questions", "suspected_until")
@@ -93,7 +93,7 @@
         self._domains: dict[str, set[str]] = {domain: {name}}
         self._domain_of: dict[str, str] = {name: domain}
         self._orders: dict[str, list[str]] = {}
-        self._answers: dict[str, _Answers] = {}
+        self._answers: dict[str, _RelaySuspicion] = {}
 
     @property
     def is_relayed(self) -> bool:
@@ -260,7 +260,7 @@
         now : float
             Present time in seconds.
         """
-        answers = self._answers.setdefault(name, _Answers())
+        answers = self._answers.setdefault(name, _RelaySuspicion())
         answers.open_questions += 1
         if answers.open_questions >= MAX_UNANSWERED_MESSAGES:
             answers.open_questions = MAX_UNANSWERED_MESSAGES - MESSAGES_AFTER_SUSPICION
