--- a/src/primrosescale/process/entry/news_paths.py
+++ b/src/primrosescale/process/entry/news_paths.py
@@ -66,10 +66,10 @@
 class _RelaySuspicion:
     """Whether a router that was asked has answered lately."""
 
-    __slots__ = ("open_questions", "suspected_until")
+    __slots__ = ("unanswered_messages", "suspected_until")
 
     def __init__(self) -> None:
-        self.open_questions = 0
+        self.unanswered_messages = 0
         self.suspected_until = -math.inf
 
 
@@ -261,9 +261,11 @@
             Present time in seconds.
         """
         answers = self._answers.setdefault(name, _RelaySuspicion())
-        answers.open_questions += 1
-        if answers.open_questions >= MAX_UNANSWERED_MESSAGES:
-            answers.open_questions = MAX_UNANSWERED_MESSAGES - MESSAGES_AFTER_SUSPICION
+        answers.unanswered_messages += 1
+        if answers.unanswered_messages >= MAX_UNANSWERED_MESSAGES:
+            answers.unanswered_messages = (
+                MAX_UNANSWERED_MESSAGES - MESSAGES_AFTER_SUSPICION
+            )
             answers.suspected_until = now + SUSPICION_SECONDS
 
     def answered(self, name: str) -> None:
