--- a/src/primrosescale/process/entry/news_paths.py
+++ b/src/primrosescale/process/entry/news_paths.py
@@ -93,7 +93,7 @@
         self._domains: dict[str, set[str]] = {domain: {name}}
         self._domain_of: dict[str, str] = {name: domain}
         self._orders: dict[str, list[str]] = {}
-        self._answers: dict[str, _RelaySuspicion] = {}
+        self._suspicions: dict[str, _RelaySuspicion] = {}
 
     @property
     def is_relayed(self) -> bool:
@@ -130,7 +130,7 @@
         if not self._domains[domain]:
             del self._domains[domain]
         self._orders.pop(domain, None)
-        self._answers.pop(name, None)
+        self._suspicions.pop(name, None)
 
     def is_own_domain(self, name: str) -> bool:
         """Tell whether a router is of this one's failure domain.
@@ -260,7 +260,7 @@
         now : float
             Present time in seconds.
         """
-        answers = self._answers.setdefault(name, _RelaySuspicion())
+        answers = self._suspicions.setdefault(name, _RelaySuspicion())
         answers.unanswered_messages += 1
         if answers.unanswered_messages >= MAX_UNANSWERED_MESSAGES:
             answers.unanswered_messages = (
@@ -276,10 +276,10 @@
         name : str
             The router.
         """
-        self._answers.pop(name, None)
+        self._suspicions.pop(name, None)
 
     def _is_suspected(self, name: str, now: float) -> bool:
-        answers = self._answers.get(name)
+        answers = self._suspicions.get(name)
         return answers is not None and now < answers.suspected_until
 
     def _relays(self, domain: str, now: float) -> list[str]:
