--- a/src/primrosescale/process/entry/news_paths.py
+++ b/src/primrosescale/process/entry/news_paths.py
@@ -73,7 +73,7 @@
         self.suspected_until = -math.inf
 
 
-class NewsPaths:
+class RelayTopology:
     """The ways of news from and to one router.
 
     Parameters
--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -22,8 +22,8 @@
     from collections.abc import Iterator
 
     from primrosescale.connection.wire import ttypes as wire
-    from primrosescale.process.entry.news_paths import NewsPaths
     from primrosescale.process.entry.news_paths import NewsSettings
+    from primrosescale.process.entry.news_paths import RelayTopology
 
 # News of parts that wait to be passed on; the oldest are left out, each of which
 # costs a prompt that is read once more.
@@ -178,13 +178,13 @@
     ----------
     name : str
         This router.
-    paths : NewsPaths
+    paths : RelayTopology
         Who exchanges news with whom.
     settings : NewsSettings
         Sizes and times.
     """
 
-    def __init__(self, name: str, paths: NewsPaths, settings: NewsSettings) -> None:
+    def __init__(self, name: str, paths: RelayTopology, settings: NewsSettings) -> None:
         self._name = name
         self._paths = paths
         self._settings = settings
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -16,8 +16,8 @@
 from primrosescale.connection.wire.ttypes import NewsScope
 from primrosescale.process.entry.load_codec import MILLISECONDS
 from primrosescale.process.entry.load_codec import LoadCodec
-from primrosescale.process.entry.news_paths import NewsPaths
 from primrosescale.process.entry.news_paths import NewsSettings
+from primrosescale.process.entry.news_paths import RelayTopology
 from primrosescale.process.entry.news_relay import NewsRelay
 from primrosescale.process.entry.other_router import PeerState
 from primrosescale.process.entry.target_keys import target_key
@@ -112,7 +112,7 @@
         self._codec = LoadCodec(targets)
         self._peers: dict[str, PeerState] = {}
         self._former: dict[str, OtherRouter] = {}
-        self._paths = NewsPaths(name, domain, settings)
+        self._paths = RelayTopology(name, domain, settings)
         self._relay = NewsRelay(name, self._paths, settings)
         self._sequence = 0
         self._round_messages = 0
