--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -171,7 +171,7 @@
     return [each.item for each in waiting if each.origin != name]
 
 
-class NewsRelay:
+class RelayAggregator:
     """Sums of others' requests, by router, by domain and of all.
 
     Parameters
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -18,7 +18,7 @@
 from primrosescale.process.entry.load_codec import LoadCodec
 from primrosescale.process.entry.news_paths import NewsSettings
 from primrosescale.process.entry.news_paths import RelayTopology
-from primrosescale.process.entry.news_relay import NewsRelay
+from primrosescale.process.entry.news_relay import RelayAggregator
 from primrosescale.process.entry.other_router import PeerState
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.request.evacuations import EvacuationList
@@ -113,7 +113,7 @@
         self._peers: dict[str, PeerState] = {}
         self._former: dict[str, OtherRouter] = {}
         self._paths = RelayTopology(name, domain, settings)
-        self._relay = NewsRelay(name, self._paths, settings)
+        self._relay = RelayAggregator(name, self._paths, settings)
         self._sequence = 0
         self._round_messages = 0
         # When the oldest load that relays told was true, and at which targets.
