--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_learning.py
@@ -45,7 +45,7 @@
 # Pauses before routers that have not answered are asked again: of those that were
 # killed together, hosts with half a core answer a second after the first.
 ASK_AGAIN_SECONDS = (0.3, 0.6, 1.2)
-# Telling delays a model engine's work, and each answer takes a connection; for
+# RelayedUpdate delays a model engine's work, and each answer takes a connection; for
 # the rest, what the hash order of targets says is relied on.
 MOST_READ = 96
 
--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -54,7 +54,7 @@
         self.received_at = received_at
 
 
-class Telling:
+class RelayedUpdate:
     """What one router is to be told in a round.
 
     Parameters
@@ -305,7 +305,7 @@
         now: float,
         *,
         is_urgent: bool,
-    ) -> list[Telling]:
+    ) -> list[RelayedUpdate]:
         """Return what to tell whom in a round.
 
         Parameters
@@ -323,7 +323,7 @@
 
         Returns
         -------
-        list[Telling]
+        list[RelayedUpdate]
             What each is told.
         """
         self._parts.add(self._name, parts, is_of_domain=True)
@@ -331,7 +331,7 @@
         self._ends.add(self._name, new_ends, is_of_domain=True)
         teller = self._paths.teller(now)
         told = [
-            Telling(
+            RelayedUpdate(
                 name,
                 NewsScope.ROUTER,
                 own,
@@ -347,7 +347,7 @@
             self._paths.asked(teller, now)
         return told + self._answers(own, now)
 
-    def _answers(self, own: LoadSum, now: float) -> list[Telling]:
+    def _answers(self, own: LoadSum, now: float) -> list[RelayedUpdate]:
         """Return the sums for those who ask, and for relays of other domains.
 
         Nothing where this router is no relay and nobody takes it for one.
@@ -367,7 +367,9 @@
         reports = [word.loads for word in self._fresh(self._reports, now)]
         domain = total_load([own, *reports], now)
         told = [
-            Telling(name, NewsScope.DOMAIN, domain, _of_domain(parts), _of_domain(ends))
+            RelayedUpdate(
+                name, NewsScope.DOMAIN, domain, _of_domain(parts), _of_domain(ends)
+            )
             for name in others
         ]
         fleet = total_load([own, self._gathered(now)], now)
@@ -376,7 +378,7 @@
             is_counted = report is not None and self._is_fresh(report, now)
             loads = fleet.without(report.loads) if report and is_counted else fleet
             told.append(
-                Telling(
+                RelayedUpdate(
                     name,
                     NewsScope.FLEET,
                     loads,
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -30,7 +30,7 @@
     from primrosescale.process.entry.harm_news import HarmNews
     from primrosescale.process.entry.leaving_news import LeavingNews
     from primrosescale.process.entry.load_sum import LoadSum
-    from primrosescale.process.entry.news_relay import Telling
+    from primrosescale.process.entry.news_relay import RelayedUpdate
     from primrosescale.process.entry.other_router import OtherRouter
     from primrosescale.process.entry.target_list import TargetList
     from primrosescale.request.evacuations import Evacuations
@@ -474,7 +474,7 @@
         return message
 
     def _summed(
-        self, item: Telling, head: _Head, held: list[wire.EndNews], now: float
+        self, item: RelayedUpdate, head: _Head, held: list[wire.EndNews], now: float
     ) -> tuple[OtherRouter, wire.RouterNews]:
         """Return the message for what a router is told by relays."""
         peer = self._peers[item.name]
