--- a/src/primrosescale/process/entry/news_paths.py
+++ b/src/primrosescale/process/entry/news_paths.py
@@ -208,7 +208,7 @@
         """
         return [n for n in self._relays(self._domain, now) if n != self._name]
 
-    def teller(self, now: float) -> str | None:
+    def upstream_relay(self, now: float) -> str | None:
         """Return the relay that tells this router of all others.
 
         A relay tells a part of its domain, so that each has little to send.
--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -329,7 +329,7 @@
         self._parts.add(self._name, parts, is_of_domain=True)
         new_ends = self._passed_ends.take_new(ends, now)
         self._ends.add(self._name, new_ends, is_of_domain=True)
-        teller = self._paths.teller(now)
+        upstream_relay = self._paths.upstream_relay(now)
         told = [
             RelayedUpdate(
                 name,
@@ -337,14 +337,14 @@
                 own,
                 parts[-MOST_RELAYED_PARTS:],
                 ends,
-                wants_fleet=name == teller,
+                wants_fleet=name == upstream_relay,
             )
             for name in self._paths.own_relays(now)
         ]
         if is_urgent:
             return told
-        if teller is not None:
-            self._paths.asked(teller, now)
+        if upstream_relay is not None:
+            self._paths.asked(upstream_relay, now)
         return told + self._answers(own, now)
 
     def _answers(self, own: LoadSum, now: float) -> list[RelayedUpdate]:
--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_exchange.py
@@ -160,17 +160,17 @@
     def _note_teller(self) -> None:
         """Log from whom this router hears of all others, when that changes."""
         now = self._reactor.seconds()
-        teller = self._news.teller(now)
-        if teller != self._teller:
+        upstream_relay = self._news.upstream_relay(now)
+        if upstream_relay != self._teller:
             age = self._news.age(now)
             self._log.emit(
                 Event.RELAY_CHANGED,
-                relay=teller,
+                relay=upstream_relay,
                 former=self._teller,
                 news_age=round(age, 2) if math.isfinite(age) else None,
                 routers=self._news.heard_lately(now),
             )
-            self._teller = teller
+            self._teller = upstream_relay
 
     def _send(self, *, is_urgent: bool) -> None:
         messages = self._news.compose(
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -180,7 +180,7 @@
         """
         return self._paths.rank(now) if self._paths.is_relayed else None
 
-    def teller(self, now: float) -> str | None:
+    def upstream_relay(self, now: float) -> str | None:
         """Return the relay that tells this router of all others.
 
         Parameters
@@ -193,7 +193,7 @@
         str | None
             Its name; None where all routers tell all.
         """
-        return self._paths.teller(now) if self._paths.is_relayed else None
+        return self._paths.upstream_relay(now) if self._paths.is_relayed else None
 
     def heard_lately(self, now: float) -> int:
         """Return how many other routers were heard of lately.
