--- a/src/primrosescale/process/entry/news_paths.py
+++ b/src/primrosescale/process/entry/news_paths.py
@@ -226,7 +226,7 @@
         first = first_in_order(self.own_relays(now), self._name, 1)
         return first[0] if first else None
 
-    def counterparts(self, now: float) -> list[str]:
+    def peer_relays(self, now: float) -> list[str]:
         """Return the relays of other domains that this one exchanges sums with.
 
         Those of the same place talk to each other, so that the loss of one
--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -355,7 +355,7 @@
         self._askers = {n: until for n, until in self._askers.items() if now < until}
         others: set[str] = set()
         if self._askers or self._paths.is_relay(now):
-            others.update(self._paths.counterparts(now))
+            others.update(self._paths.peer_relays(now))
             for name in others:
                 self._paths.asked(name, now)
         others.update(n for n in self._askers if not self._paths.is_own_domain(n))
