--- a/src/primrosescale/process/entry/news_paths.py
+++ b/src/primrosescale/process/entry/news_paths.py
@@ -250,7 +250,7 @@
                 found.append(relays[place % len(relays)])
         return found
 
-    def asked(self, name: str, now: float) -> None:
+    def expect_answer(self, name: str, now: float) -> None:
         """Take in that a router was sent something that it must answer.
 
         Parameters
--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -344,7 +344,7 @@
         if is_urgent:
             return told
         if upstream_relay is not None:
-            self._paths.asked(upstream_relay, now)
+            self._paths.expect_answer(upstream_relay, now)
         return told + self._answers(own, now)
 
     def _answers(self, own: LoadSum, now: float) -> list[RelayedUpdate]:
@@ -357,7 +357,7 @@
         if self._askers or self._paths.is_relay(now):
             others.update(self._paths.peer_relays(now))
             for name in others:
-                self._paths.asked(name, now)
+                self._paths.expect_answer(name, now)
         others.update(n for n in self._askers if not self._paths.is_own_domain(n))
         members = [name for name in self._askers if self._paths.is_own_domain(name)]
         parts = self._parts.take()
