--- a/src/primrosescale/process/entry/news_paths.py
+++ b/src/primrosescale/process/entry/news_paths.py
@@ -268,7 +268,7 @@
             )
             answers.suspected_until = now + SUSPICION_SECONDS
 
-    def answered(self, name: str) -> None:
+    def answer_received(self, name: str) -> None:
         """Take in that a router has answered as a relay.
 
         Parameters
--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -221,7 +221,7 @@
         origin = message.origin
         is_report = message.scope == NewsScope.ROUTER
         if message.scope is not None and not is_report:
-            self._paths.answered(origin)
+            self._paths.answer_received(origin)
             if loads is not None:
                 self.hear(message.scope, origin, loads, now)
         if message.wants_fleet or message.scope == NewsScope.DOMAIN:
