--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -27,7 +27,7 @@
 
 # News of parts that wait to be passed on; the oldest are left out, each of which
 # costs a prompt that is read once more.
-MOST_WAITING_PARTS = 200
+MAX_QUEUED_PARTS = 200
 # Parts in one message of a relay: 27 a second, 700 bytes to each router that it
 # tells. Loads, which grow old, do not wait for more of them.
 MOST_RELAYED_PARTS = 4
@@ -197,7 +197,7 @@
         # Routers that ask this one to answer as a relay, and until when.
         self._askers: dict[str, float] = {}
         self._parts: _PassedOn[wire.PartNews] = _PassedOn(
-            MOST_WAITING_PARTS, MOST_RELAYED_PARTS
+            MAX_QUEUED_PARTS, MOST_RELAYED_PARTS
         )
         self._ends: _PassedOn[wire.EndNews] = _PassedOn(
             MOST_WAITING_ENDS, MOST_RELAYED_ENDS
