--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -30,7 +30,7 @@
 MAX_QUEUED_PARTS = 200
 # Parts in one message of a relay: 27 a second, 700 bytes to each router that it
 # tells. Loads, which grow old, do not wait for more of them.
-MOST_RELAYED_PARTS = 4
+MAX_PARTS_PER_MESSAGE = 4
 # Ends of targets that wait to be passed on, and those in one message of a relay.
 MOST_WAITING_ENDS = 200
 MOST_RELAYED_ENDS = 12
@@ -197,7 +197,7 @@
         # Routers that ask this one to answer as a relay, and until when.
         self._askers: dict[str, float] = {}
         self._parts: _PassedOn[wire.PartNews] = _PassedOn(
-            MAX_QUEUED_PARTS, MOST_RELAYED_PARTS
+            MAX_QUEUED_PARTS, MAX_PARTS_PER_MESSAGE
         )
         self._ends: _PassedOn[wire.EndNews] = _PassedOn(
             MOST_WAITING_ENDS, MOST_RELAYED_ENDS
@@ -335,7 +335,7 @@
                 name,
                 NewsScope.ROUTER,
                 own,
-                parts[-MOST_RELAYED_PARTS:],
+                parts[-MAX_PARTS_PER_MESSAGE:],
                 ends,
                 wants_fleet=name == upstream_relay,
             )
