--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -33,7 +33,7 @@
 MAX_PARTS_PER_MESSAGE = 4
 # Ends of targets that wait to be passed on, and those in one message of a relay.
 MAX_QUEUED_ENDS = 200
-MOST_RELAYED_ENDS = 12
+MAX_ENDS_PER_MESSAGE = 12
 # Seconds in which the same end is passed on once, however many routers tell of it,
 # and ends that are remembered for that.
 SAME_END_SECONDS = 5.0
@@ -200,7 +200,7 @@
             MAX_QUEUED_PARTS, MAX_PARTS_PER_MESSAGE
         )
         self._ends: _PassedOn[wire.EndNews] = _PassedOn(
-            MAX_QUEUED_ENDS, MOST_RELAYED_ENDS
+            MAX_QUEUED_ENDS, MAX_ENDS_PER_MESSAGE
         )
         self._passed_ends = _PassedEnds()
 
