--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -36,7 +36,7 @@
 MAX_ENDS_PER_MESSAGE = 12
 # Seconds in which the same end is passed on once, however many routers tell of it,
 # and ends that are remembered for that.
-SAME_END_SECONDS = 5.0
+END_DEDUPLICATION_SECONDS = 5.0
 MOST_PASSED_ENDS = 2048
 # Of two relays that tell of the same routers the one that counts more of them is
 # believed, for as long as it tells: a relay that has just become one knows few.
@@ -152,7 +152,7 @@
         for end in ends:
             key = (end.fingerprint, end.target, end.is_try)
             passed_at = self._passed.get(key)
-            if passed_at is not None and now - passed_at < SAME_END_SECONDS:
+            if passed_at is not None and now - passed_at < END_DEDUPLICATION_SECONDS:
                 continue
             self._passed.pop(key, None)
             self._passed[key] = now
