--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -37,7 +37,7 @@
 # Seconds in which the same end is passed on once, however many routers tell of it,
 # and ends that are remembered for that.
 END_DEDUPLICATION_SECONDS = 5.0
-MOST_PASSED_ENDS = 2048
+MAX_REMEMBERED_ENDS = 2048
 # Of two relays that tell of the same routers the one that counts more of them is
 # believed, for as long as it tells: a relay that has just become one knows few.
 BELIEVED_INTERVALS = 3
@@ -156,7 +156,7 @@
                 continue
             self._passed.pop(key, None)
             self._passed[key] = now
-            if len(self._passed) > MOST_PASSED_ENDS:
+            if len(self._passed) > MAX_REMEMBERED_ENDS:
                 self._passed.popitem(last=False)
             yield end
 
