--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -40,7 +40,7 @@
 MAX_REMEMBERED_ENDS = 2048
 # Of two relays that tell of the same routers the one that counts more of them is
 # believed, for as long as it tells: a relay that has just become one knows few.
-BELIEVED_INTERVALS = 3
+PREFERENCE_INTERVALS = 3
 
 
 class _Word:
@@ -258,7 +258,7 @@
     def _hear_domain(self, domain: str, word: _Word, now: float) -> None:
         known = self._domains.get(domain)
         if known is not None and known.origin != word.origin:
-            believed = BELIEVED_INTERVALS * self._settings.interval
+            believed = PREFERENCE_INTERVALS * self._settings.interval
             is_telling = now - known.received_at < believed
             if is_telling and known.loads.routers > word.loads.routers:
                 return
