--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -43,7 +43,7 @@
 PREFERENCE_INTERVALS = 3
 
 
-class _Word:
+class _ReceivedSum:
     """The last sum that was heard from a router, and when."""
 
     __slots__ = ("received_at", "loads", "origin")
@@ -189,11 +189,11 @@
         self._paths = paths
         self._settings = settings
         # Requests of routers of the own domain, by router.
-        self._reports: dict[str, _Word] = {}
+        self._reports: dict[str, _ReceivedSum] = {}
         # Requests of other domains, by domain.
-        self._domains: dict[str, _Word] = {}
+        self._domains: dict[str, _ReceivedSum] = {}
         # Requests of all but this router, by the relay that told it.
-        self._fleets: dict[str, _Word] = {}
+        self._fleets: dict[str, _ReceivedSum] = {}
         # Routers that ask this one to answer as a relay, and until when.
         self._askers: dict[str, float] = {}
         self._parts: _PassedOn[wire.PartNews] = _PassedOn(
@@ -246,7 +246,7 @@
         now : float
             Present time in seconds.
         """
-        word = _Word(origin, loads, now)
+        word = _ReceivedSum(origin, loads, now)
         if scope == NewsScope.FLEET:
             self._fleets[origin] = word
         elif scope == NewsScope.ROUTER:
@@ -255,7 +255,7 @@
         elif not self._paths.is_own_domain(origin):
             self._hear_domain(self._paths.domain_of(origin), word, now)
 
-    def _hear_domain(self, domain: str, word: _Word, now: float) -> None:
+    def _hear_domain(self, domain: str, word: _ReceivedSum, now: float) -> None:
         known = self._domains.get(domain)
         if known is not None and known.origin != word.origin:
             believed = PREFERENCE_INTERVALS * self._settings.interval
@@ -393,8 +393,8 @@
         domains = [word.loads for word in self._fresh(self._domains, now)]
         return total_load([*reports, *domains], now)
 
-    def _fresh(self, words: dict[str, _Word], now: float) -> list[_Word]:
+    def _fresh(self, words: dict[str, _ReceivedSum], now: float) -> list[_ReceivedSum]:
         return [word for word in words.values() if self._is_fresh(word, now)]
 
-    def _is_fresh(self, word: _Word, now: float) -> bool:
+    def _is_fresh(self, word: _ReceivedSum, now: float) -> bool:
         return now - word.received_at <= self._settings.keep
