--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -96,7 +96,7 @@
 Item = TypeVar("Item")
 
 
-class _Waiting(Generic[Item]):
+class _QueuedItem(Generic[Item]):
     """News that is to be passed on."""
 
     __slots__ = ("is_of_domain", "item", "origin")
@@ -122,14 +122,14 @@
 
     def __init__(self, most: int, most_in_message: int) -> None:
         self._most_in_message = most_in_message
-        self._waiting: deque[_Waiting[Item]] = deque(maxlen=most)
+        self._waiting: deque[_QueuedItem[Item]] = deque(maxlen=most)
 
     def add(self, origin: str, items: Iterable[Item], *, is_of_domain: bool) -> None:
         """Have news wait that came from a router."""
         for item in items:
-            self._waiting.append(_Waiting(origin, item, is_of_domain=is_of_domain))
+            self._waiting.append(_QueuedItem(origin, item, is_of_domain=is_of_domain))
 
-    def take(self) -> list[_Waiting[Item]]:
+    def take(self) -> list[_QueuedItem[Item]]:
         """Return what goes into the messages of this round."""
         count = min(self._most_in_message, len(self._waiting))
         return [self._waiting.popleft() for _ in range(count)]
@@ -161,12 +161,12 @@
             yield end
 
 
-def _of_domain(waiting: list[_Waiting[Item]]) -> list[Item]:
+def _of_domain(waiting: list[_QueuedItem[Item]]) -> list[Item]:
     """Return what other domains are told."""
     return [each.item for each in waiting if each.is_of_domain]
 
 
-def _not_from(name: str, waiting: list[_Waiting[Item]]) -> list[Item]:
+def _not_from(name: str, waiting: list[_QueuedItem[Item]]) -> list[Item]:
     """Return what the router that some of it came from is told."""
     return [each.item for each in waiting if each.origin != name]
 
