--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -107,7 +107,7 @@
         self.is_of_domain = is_of_domain
 
 
-class _PassedOn(Generic[Item]):
+class _ForwardQueue(Generic[Item]):
     """News that waits to be passed on, the oldest first.
 
     Parameters
@@ -196,10 +196,10 @@
         self._fleets: dict[str, _ReceivedSum] = {}
         # Routers that ask this one to answer as a relay, and until when.
         self._askers: dict[str, float] = {}
-        self._parts: _PassedOn[wire.PartNews] = _PassedOn(
+        self._parts: _ForwardQueue[wire.PartNews] = _ForwardQueue(
             MAX_QUEUED_PARTS, MAX_PARTS_PER_MESSAGE
         )
-        self._ends: _PassedOn[wire.EndNews] = _PassedOn(
+        self._ends: _ForwardQueue[wire.EndNews] = _ForwardQueue(
             MAX_QUEUED_ENDS, MAX_ENDS_PER_MESSAGE
         )
         self._passed_ends = _PassedEnds()
