--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -135,7 +135,7 @@
         return [self._waiting.popleft() for _ in range(count)]
 
 
-class _PassedEnds:
+class _ForwardedEnds:
     """Which ends were passed on lately, so that none is again."""
 
     __slots__ = ("_passed",)
@@ -202,7 +202,7 @@
         self._ends: _ForwardQueue[wire.EndNews] = _ForwardQueue(
             MAX_QUEUED_ENDS, MAX_ENDS_PER_MESSAGE
         )
-        self._passed_ends = _PassedEnds()
+        self._passed_ends = _ForwardedEnds()
 
     def hear_from(
         self, message: wire.RouterNews, loads: LoadSum | None, now: float
