--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -202,7 +202,7 @@
         self._ends: _ForwardQueue[wire.EndNews] = _ForwardQueue(
             MAX_QUEUED_ENDS, MAX_ENDS_PER_MESSAGE
         )
-        self._passed_ends = _ForwardedEnds()
+        self._forwarded_ends = _ForwardedEnds()
 
     def hear_from(
         self, message: wire.RouterNews, loads: LoadSum | None, now: float
@@ -229,7 +229,7 @@
         if not self._askers or message.scope == NewsScope.FLEET:
             return
         self._parts.add(origin, message.parts, is_of_domain=is_report)
-        ends = self._passed_ends.take_new(message.ends or (), now)
+        ends = self._forwarded_ends.take_new(message.ends or (), now)
         self._ends.add(origin, ends, is_of_domain=is_report)
 
     def hear(self, scope: NewsScope, origin: str, loads: LoadSum, now: float) -> None:
@@ -327,7 +327,7 @@
             What each is told.
         """
         self._parts.add(self._name, parts, is_of_domain=True)
-        new_ends = self._passed_ends.take_new(ends, now)
+        new_ends = self._forwarded_ends.take_new(ends, now)
         self._ends.add(self._name, new_ends, is_of_domain=True)
         upstream_relay = self._paths.upstream_relay(now)
         told = [
