--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -138,10 +138,10 @@
 class _ForwardedEnds:
     """Which ends were passed on lately, so that none is again."""
 
-    __slots__ = ("_passed",)
+    __slots__ = ("_forwarded_at",)
 
     def __init__(self) -> None:
-        self._passed: OrderedDict[tuple[int, int | None, bool | None], float] = (
+        self._forwarded_at: OrderedDict[tuple[int, int | None, bool | None], float] = (
             OrderedDict()
         )
 
@@ -151,13 +151,13 @@
         """Yield those that were not passed on lately, and take note of them."""
         for end in ends:
             key = (end.fingerprint, end.target, end.is_try)
-            passed_at = self._passed.get(key)
+            passed_at = self._forwarded_at.get(key)
             if passed_at is not None and now - passed_at < END_DEDUPLICATION_SECONDS:
                 continue
-            self._passed.pop(key, None)
-            self._passed[key] = now
-            if len(self._passed) > MAX_REMEMBERED_ENDS:
-                self._passed.popitem(last=False)
+            self._forwarded_at.pop(key, None)
+            self._forwarded_at[key] = now
+            if len(self._forwarded_at) > MAX_REMEMBERED_ENDS:
+                self._forwarded_at.popitem(last=False)
             yield end
 
 
