--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -145,7 +145,7 @@
             OrderedDict()
         )
 
-    def take_new(
+    def filter_new(
         self, ends: Iterable[wire.EndNews], now: float
     ) -> Iterator[wire.EndNews]:
         """Yield those that were not passed on lately, and take note of them."""
@@ -229,7 +229,7 @@
         if not self._askers or message.scope == NewsScope.FLEET:
             return
         self._parts.add(origin, message.parts, is_of_domain=is_report)
-        ends = self._forwarded_ends.take_new(message.ends or (), now)
+        ends = self._forwarded_ends.filter_new(message.ends or (), now)
         self._ends.add(origin, ends, is_of_domain=is_report)
 
     def hear(self, scope: NewsScope, origin: str, loads: LoadSum, now: float) -> None:
@@ -327,7 +327,7 @@
             What each is told.
         """
         self._parts.add(self._name, parts, is_of_domain=True)
-        new_ends = self._forwarded_ends.take_new(ends, now)
+        new_ends = self._forwarded_ends.filter_new(ends, now)
         self._ends.add(self._name, new_ends, is_of_domain=True)
         upstream_relay = self._paths.upstream_relay(now)
         told = [
