--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -161,7 +161,7 @@
             yield end
 
 
-def _of_domain(waiting: list[_QueuedItem[Item]]) -> list[Item]:
+def _from_own_domain(waiting: list[_QueuedItem[Item]]) -> list[Item]:
     """Return what other domains are told."""
     return [each.item for each in waiting if each.is_of_domain]
 
@@ -368,7 +368,11 @@
         domain = total_load([own, *reports], now)
         told = [
             RelayedUpdate(
-                name, NewsScope.DOMAIN, domain, _of_domain(parts), _of_domain(ends)
+                name,
+                NewsScope.DOMAIN,
+                domain,
+                _from_own_domain(parts),
+                _from_own_domain(ends),
             )
             for name in others
         ]
