--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -99,12 +99,12 @@
 class _QueuedItem(Generic[Item]):
     """News that is to be passed on."""
 
-    __slots__ = ("is_of_domain", "item", "origin")
+    __slots__ = ("is_from_own_domain", "item", "origin")
 
-    def __init__(self, origin: str, item: Item, *, is_of_domain: bool) -> None:
+    def __init__(self, origin: str, item: Item, *, is_from_own_domain: bool) -> None:
         self.origin = origin
         self.item = item
-        self.is_of_domain = is_of_domain
+        self.is_from_own_domain = is_from_own_domain
 
 
 class _ForwardQueue(Generic[Item]):
@@ -124,10 +124,14 @@
         self._most_in_message = most_in_message
         self._waiting: deque[_QueuedItem[Item]] = deque(maxlen=most)
 
-    def add(self, origin: str, items: Iterable[Item], *, is_of_domain: bool) -> None:
+    def add(
+        self, origin: str, items: Iterable[Item], *, is_from_own_domain: bool
+    ) -> None:
         """Have news wait that came from a router."""
         for item in items:
-            self._waiting.append(_QueuedItem(origin, item, is_of_domain=is_of_domain))
+            self._waiting.append(
+                _QueuedItem(origin, item, is_from_own_domain=is_from_own_domain)
+            )
 
     def take(self) -> list[_QueuedItem[Item]]:
         """Return what goes into the messages of this round."""
@@ -163,7 +167,7 @@
 
 def _from_own_domain(waiting: list[_QueuedItem[Item]]) -> list[Item]:
     """Return what other domains are told."""
-    return [each.item for each in waiting if each.is_of_domain]
+    return [each.item for each in waiting if each.is_from_own_domain]
 
 
 def _not_from(name: str, waiting: list[_QueuedItem[Item]]) -> list[Item]:
@@ -228,9 +232,9 @@
             self._askers[origin] = now + self._settings.keep
         if not self._askers or message.scope == NewsScope.FLEET:
             return
-        self._parts.add(origin, message.parts, is_of_domain=is_report)
+        self._parts.add(origin, message.parts, is_from_own_domain=is_report)
         ends = self._forwarded_ends.filter_new(message.ends or (), now)
-        self._ends.add(origin, ends, is_of_domain=is_report)
+        self._ends.add(origin, ends, is_from_own_domain=is_report)
 
     def hear(self, scope: NewsScope, origin: str, loads: LoadSum, now: float) -> None:
         """Take in what another router tells of requests.
@@ -326,9 +330,9 @@
         list[RelayedUpdate]
             What each is told.
         """
-        self._parts.add(self._name, parts, is_of_domain=True)
+        self._parts.add(self._name, parts, is_from_own_domain=True)
         new_ends = self._forwarded_ends.filter_new(ends, now)
-        self._ends.add(self._name, new_ends, is_of_domain=True)
+        self._ends.add(self._name, new_ends, is_from_own_domain=True)
         upstream_relay = self._paths.upstream_relay(now)
         told = [
             RelayedUpdate(
