--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -170,7 +170,7 @@
     return [each.item for each in waiting if each.is_from_own_domain]
 
 
-def _not_from(name: str, waiting: list[_QueuedItem[Item]]) -> list[Item]:
+def _not_from_router(name: str, waiting: list[_QueuedItem[Item]]) -> list[Item]:
     """Return what the router that some of it came from is told."""
     return [each.item for each in waiting if each.origin != name]
 
@@ -390,8 +390,8 @@
                     name,
                     NewsScope.FLEET,
                     loads,
-                    _not_from(name, parts),
-                    _not_from(name, ends),
+                    _not_from_router(name, parts),
+                    _not_from_router(name, ends),
                 )
             )
         return told
