--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -208,7 +208,7 @@
         )
         self._forwarded_ends = _ForwardedEnds()
 
-    def hear_from(
+    def receive(
         self, message: wire.RouterNews, loads: LoadSum | None, now: float
     ) -> None:
         """Take in a message that goes by relays.
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -522,7 +522,7 @@
             self._leaving.take(message.leaving, states, message.origin, now)
         loads = self._codec.read(message, now)
         if message.scope is not None:
-            self._relay.hear_from(message, loads, now)
+            self._relay.receive(message, loads, now)
         if message.scope in {None, NewsScope.ROUTER} and loads is not None:
             self._take_own(peer, loads, now)
         if message.scope == NewsScope.FLEET:
