--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -227,7 +227,7 @@
         if message.scope is not None and not is_report:
             self._paths.answer_received(origin)
             if loads is not None:
-                self.hear(message.scope, origin, loads, now)
+                self.receive_load(message.scope, origin, loads, now)
         if message.wants_fleet or message.scope == NewsScope.DOMAIN:
             self._askers[origin] = now + self._settings.keep
         if not self._askers or message.scope == NewsScope.FLEET:
@@ -236,7 +236,9 @@
         ends = self._forwarded_ends.filter_new(message.ends or (), now)
         self._ends.add(origin, ends, is_from_own_domain=is_report)
 
-    def hear(self, scope: NewsScope, origin: str, loads: LoadSum, now: float) -> None:
+    def receive_load(
+        self, scope: NewsScope, origin: str, loads: LoadSum, now: float
+    ) -> None:
         """Take in what another router tells of requests.
 
         Parameters
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -561,7 +561,7 @@
         origin = peer.router.name
         if self._paths.is_relayed:
             if self._paths.is_own_domain(origin):
-                self._relay.hear(NewsScope.ROUTER, origin, loads, now)
+                self._relay.receive_load(NewsScope.ROUTER, origin, loads, now)
             return
         self._keep(origin, loads, peer.reported_targets, now)
         peer.reported_targets = frozenset(loads.running)
