--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -259,9 +259,9 @@
             if self._paths.is_own_domain(origin):
                 self._reports[origin] = word
         elif not self._paths.is_own_domain(origin):
-            self._hear_domain(self._paths.domain_of(origin), word, now)
+            self._receive_domain_sum(self._paths.domain_of(origin), word, now)
 
-    def _hear_domain(self, domain: str, word: _ReceivedSum, now: float) -> None:
+    def _receive_domain_sum(self, domain: str, word: _ReceivedSum, now: float) -> None:
         known = self._domains.get(domain)
         if known is not None and known.origin != word.origin:
             believed = PREFERENCE_INTERVALS * self._settings.interval
