--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -199,7 +199,7 @@
         # Requests of all but this router, by the relay that told it.
         self._fleets: dict[str, _ReceivedSum] = {}
         # Routers that ask this one to answer as a relay, and until when.
-        self._askers: dict[str, float] = {}
+        self._subscribers: dict[str, float] = {}
         self._parts: _ForwardQueue[wire.PartNews] = _ForwardQueue(
             MAX_QUEUED_PARTS, MAX_PARTS_PER_MESSAGE
         )
@@ -229,8 +229,8 @@
             if loads is not None:
                 self.receive_load(message.scope, origin, loads, now)
         if message.wants_fleet or message.scope == NewsScope.DOMAIN:
-            self._askers[origin] = now + self._settings.keep
-        if not self._askers or message.scope == NewsScope.FLEET:
+            self._subscribers[origin] = now + self._settings.keep
+        if not self._subscribers or message.scope == NewsScope.FLEET:
             return
         self._parts.add(origin, message.parts, is_from_own_domain=is_report)
         ends = self._forwarded_ends.filter_new(message.ends or (), now)
@@ -280,7 +280,7 @@
         """
         self._reports.pop(name, None)
         self._fleets.pop(name, None)
-        self._askers.pop(name, None)
+        self._subscribers.pop(name, None)
 
     def others(self, now: float) -> LoadSum:
         """Return the requests of all other routers by the best knowledge.
@@ -358,14 +358,18 @@
 
         Nothing where this router is no relay and nobody takes it for one.
         """
-        self._askers = {n: until for n, until in self._askers.items() if now < until}
+        self._subscribers = {
+            n: until for n, until in self._subscribers.items() if now < until
+        }
         others: set[str] = set()
-        if self._askers or self._paths.is_relay(now):
+        if self._subscribers or self._paths.is_relay(now):
             others.update(self._paths.peer_relays(now))
             for name in others:
                 self._paths.expect_answer(name, now)
-        others.update(n for n in self._askers if not self._paths.is_own_domain(n))
-        members = [name for name in self._askers if self._paths.is_own_domain(name)]
+        others.update(n for n in self._subscribers if not self._paths.is_own_domain(n))
+        members = [
+            name for name in self._subscribers if self._paths.is_own_domain(name)
+        ]
         parts = self._parts.take()
         ends = self._ends.take()
         if not others and not members:
