--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -296,7 +296,7 @@
             What this router has gathered itself, or what a relay has told it,
             whichever counts more routers.
         """
-        gathered = self._gathered(now)
+        gathered = self._aggregated(now)
         told = self._fresh(self._fleets, now)
         if not told:
             return gathered
@@ -386,7 +386,7 @@
             )
             for name in others
         ]
-        fleet = total_load([own, self._gathered(now)], now)
+        fleet = total_load([own, self._aggregated(now)], now)
         for name in members:
             report = self._reports.get(name)
             is_counted = report is not None and self._is_fresh(report, now)
@@ -402,7 +402,7 @@
             )
         return told
 
-    def _gathered(self, now: float) -> LoadSum:
+    def _aggregated(self, now: float) -> LoadSum:
         reports = [word.loads for word in self._fresh(self._reports, now)]
         domains = [word.loads for word in self._fresh(self._domains, now)]
         return total_load([*reports, *domains], now)
