--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -38,7 +38,7 @@
     from primrosescale.request.part_directory import PartDirectory
 
 # Datagrams stay under what every link carries in one piece.
-MOST_PARTS = 36
+MAX_PARTS = 36
 # Bytes a second that a router spends on telling all others; the users allow 22
 # KB/s for all control.
 BYTES_PER_SECOND = 12_000.0
@@ -438,7 +438,7 @@
             message = self._message(peer, head, now)
             message.targets = targets
             # Ends are few, and a datagram has room for as many parts less.
-            message.parts = parts[-(MOST_PARTS - len(ends) - len(held)) :]
+            message.parts = parts[-(MAX_PARTS - len(ends) - len(held)) :]
             message.ends = ends or None
             message.held = held or None
             messages.append((peer.router, message))
--- a/tests/entry/test_router_news.py
+++ b/tests/entry/test_router_news.py
@@ -14,8 +14,8 @@
 from primrosescale.process.entry.news_paths import NewsSettings
 from primrosescale.process.entry.other_router import OtherRouter
 from primrosescale.process.entry.router_news import BYTES_PER_SECOND
+from primrosescale.process.entry.router_news import MAX_PARTS
 from primrosescale.process.entry.router_news import MOST_FORMER
-from primrosescale.process.entry.router_news import MOST_PARTS
 from primrosescale.process.entry.router_news import USUAL_DATAGRAM
 from primrosescale.process.entry.router_news import RouterNews
 from primrosescale.process.entry.target_list import TargetList
@@ -148,7 +148,7 @@
         for number in range(1, 6):
             self.a.targets.state(f"m{number}").sent(START)
         message = self.a.message()
-        self.assertEqual(MOST_PARTS, len(message.parts))
+        self.assertEqual(MAX_PARTS, len(message.parts))
         self.assertTrue(len(encode(message)) < BYTES_IN_ONE_PIECE)
 
     def test_four_routers_ask_the_store_for_all(self):
