--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -41,7 +41,7 @@
 MAX_PARTS = 36
 # Bytes a second that a router spends on telling all others; the users allow 22
 # KB/s for all control.
-BYTES_PER_SECOND = 12_000.0
+DIRECT_BYTES_PER_SECOND = 12_000.0
 USUAL_DATAGRAM = 180
 SHORTEST_INTERVAL = 0.25
 # Routers that ask the store often for all. Four at times of their own leave the
@@ -130,7 +130,7 @@
             bytes_a_round = self._round_messages * self._codec.typical_bytes
             return max(settings.interval, bytes_a_round / settings.bytes_per_second)
         bytes_a_round = len(self._peers) * USUAL_DATAGRAM
-        return max(SHORTEST_INTERVAL, bytes_a_round / BYTES_PER_SECOND)
+        return max(SHORTEST_INTERVAL, bytes_a_round / DIRECT_BYTES_PER_SECOND)
 
     @property
     def is_relayed(self) -> bool:
--- a/tests/entry/test_router_news.py
+++ b/tests/entry/test_router_news.py
@@ -13,7 +13,7 @@
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.process.entry.news_paths import NewsSettings
 from primrosescale.process.entry.other_router import OtherRouter
-from primrosescale.process.entry.router_news import BYTES_PER_SECOND
+from primrosescale.process.entry.router_news import DIRECT_BYTES_PER_SECOND
 from primrosescale.process.entry.router_news import MAX_PARTS
 from primrosescale.process.entry.router_news import MOST_FORMER
 from primrosescale.process.entry.router_news import USUAL_DATAGRAM
@@ -197,7 +197,7 @@
         direct.knows(*(f"r{number}" for number in range(420)))
         told = (len(direct.news.others)) * USUAL_DATAGRAM / direct.news.interval
         self.assertTrue(len(direct.news.others) >= 420)
-        self.assertAlmostEqual(BYTES_PER_SECOND, told)
+        self.assertAlmostEqual(DIRECT_BYTES_PER_SECOND, told)
 
     def test_many_routers_are_told_within_the_bytes_allowed(self):
         self.assertEqual(0.25, self.a.news.interval)
@@ -207,7 +207,7 @@
         self.assertTrue(len(self.a.news.others) >= 420)
         messages = self.a.news.compose(1, START)
         told = sum(len(encode(message)) for _, message in messages)
-        self.assertLess(told / self.a.news.interval, BYTES_PER_SECOND)
+        self.assertLess(told / self.a.news.interval, DIRECT_BYTES_PER_SECOND)
         self.assertLess(3 * self.a.news.interval, 0.8)
 
 
