--- a/tests/entry/test_router_news.py
+++ b/tests/entry/test_router_news.py
@@ -16,7 +16,7 @@
 from primrosescale.process.entry.router_news import DIRECT_BYTES_PER_SECOND
 from primrosescale.process.entry.router_news import MAX_PARTS
 from primrosescale.process.entry.router_news import MOST_FORMER
-from primrosescale.process.entry.router_news import USUAL_DATAGRAM
+from primrosescale.process.entry.router_news import TYPICAL_DATAGRAM_BYTES
 from primrosescale.process.entry.router_news import RouterNews
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.freshness import Freshness
@@ -195,7 +195,7 @@
         direct.knows("a", "b")
         self.assertEqual(0.25, direct.news.interval)
         direct.knows(*(f"r{number}" for number in range(420)))
-        told = (len(direct.news.others)) * USUAL_DATAGRAM / direct.news.interval
+        told = (len(direct.news.others)) * TYPICAL_DATAGRAM_BYTES / direct.news.interval
         self.assertTrue(len(direct.news.others) >= 420)
         self.assertAlmostEqual(DIRECT_BYTES_PER_SECOND, told)
 
