--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -43,7 +43,7 @@
 # KB/s for all control.
 DIRECT_BYTES_PER_SECOND = 12_000.0
 TYPICAL_DATAGRAM_BYTES = 180
-SHORTEST_INTERVAL = 0.25
+MIN_INTERVAL_SECONDS = 0.25
 # Routers that ask the store often for all. Four at times of their own leave the
 # newest answer half as old as two do, for one call more a second in all.
 ASKING_ROUTERS = 4
@@ -130,7 +130,7 @@
             bytes_a_round = self._round_messages * self._codec.typical_bytes
             return max(settings.interval, bytes_a_round / settings.bytes_per_second)
         bytes_a_round = len(self._peers) * TYPICAL_DATAGRAM_BYTES
-        return max(SHORTEST_INTERVAL, bytes_a_round / DIRECT_BYTES_PER_SECOND)
+        return max(MIN_INTERVAL_SECONDS, bytes_a_round / DIRECT_BYTES_PER_SECOND)
 
     @property
     def is_relayed(self) -> bool:
