--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -46,7 +46,7 @@
 MIN_INTERVAL_SECONDS = 0.25
 # Routers that ask the store often for all. Four at times of their own leave the
 # newest answer half as old as two do, for one call more a second in all.
-ASKING_ROUTERS = 4
+POLLING_ROUTERS = 4
 # News of another router is relied on for this many of its intervals.
 FRESH_INTERVALS = 4
 # A listed router that has been silent for so long is taken off the list. Cuts
@@ -282,7 +282,7 @@
             target_key(peer.router.name) < own_place and not peer.is_store_lost
             for peer in self._heard(now)
         )
-        return before < ASKING_ROUTERS
+        return before < POLLING_ROUTERS
 
     def _heard(self, now: float) -> list[PeerState]:
         """Return the other routers that were heard of lately."""
