--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -51,7 +51,7 @@
 FRESH_INTERVALS = 4
 # A listed router that has been silent for so long is taken off the list. Cuts
 # and restarts of today last some seconds; one that lives lists itself again.
-GONE_SECONDS = 60.0
+SILENT_REMOVAL_SECONDS = 60.0
 # Routers that left the list whose addresses are remembered.
 MOST_FORMER = 64
 UNKNOWN = -1
@@ -324,7 +324,7 @@
         return [
             name
             for name in names
-            if now - max(since, self._last_sign(name)) > GONE_SECONDS
+            if now - max(since, self._last_sign(name)) > SILENT_REMOVAL_SECONDS
         ]
 
     def _last_sign(self, name: str) -> float:
--- a/tests/entry/test_news_relays.py
+++ b/tests/entry/test_news_relays.py
@@ -15,7 +15,7 @@
 from primrosescale.connection.wire.ttypes import NewsScope
 from primrosescale.process.entry.news_paths import SUSPICION_SECONDS
 from primrosescale.process.entry.news_paths import NewsSettings
-from primrosescale.process.entry.router_news import GONE_SECONDS
+from primrosescale.process.entry.router_news import SILENT_REMOVAL_SECONDS
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.request.target_choice import OLD_NEWS
 from support.drawn import drawn
@@ -198,7 +198,7 @@
         self.assertLess(max(ages), 0.5)
 
     def test_a_relay_that_has_just_become_one_takes_nobody_for_gone(self):
-        self.fleet.run(GONE_SECONDS)
+        self.fleet.run(SILENT_REMOVAL_SECONDS)
         for lost in self.relays("domain-0"):
             self.fleet.lose(lost)
         self.fleet.run(2 * TAKEN_OVER)
@@ -208,7 +208,7 @@
     def test_a_router_that_is_gone_is_noticed_by_its_domain_s_first_relay(self):
         [gone, *_] = self.members("domain-0")
         self.fleet.lose(gone)
-        self.fleet.run(GONE_SECONDS + 1)
+        self.fleet.run(SILENT_REMOVAL_SECONDS + 1)
         first, second = self.relays("domain-0")
         self.assertEqual([gone.name], first.news.unheard(self.now()))
         self.assertEqual([], second.news.unheard(self.now()))
