--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -53,7 +53,7 @@
 # and restarts of today last some seconds; one that lives lists itself again.
 SILENT_REMOVAL_SECONDS = 60.0
 # Routers that left the list whose addresses are remembered.
-MOST_FORMER = 64
+MAX_FORMER_ROUTERS = 64
 UNKNOWN = -1
 # Under which targets' states keep what relays tell.
 RELAYED = "relays"
@@ -363,7 +363,7 @@
         self._relay.forget(name)
         self._former.pop(name, None)
         self._former[name] = peer.router
-        if len(self._former) > MOST_FORMER:
+        if len(self._former) > MAX_FORMER_ROUTERS:
             del self._former[next(iter(self._former))]
 
     def find(self, name: str) -> OtherRouter | None:
--- a/tests/entry/test_router_news.py
+++ b/tests/entry/test_router_news.py
@@ -14,8 +14,8 @@
 from primrosescale.process.entry.news_paths import NewsSettings
 from primrosescale.process.entry.other_router import OtherRouter
 from primrosescale.process.entry.router_news import DIRECT_BYTES_PER_SECOND
+from primrosescale.process.entry.router_news import MAX_FORMER_ROUTERS
 from primrosescale.process.entry.router_news import MAX_PARTS
-from primrosescale.process.entry.router_news import MOST_FORMER
 from primrosescale.process.entry.router_news import TYPICAL_DATAGRAM_BYTES
 from primrosescale.process.entry.router_news import RouterNews
 from primrosescale.process.entry.target_list import TargetList
@@ -214,7 +214,7 @@
 class FormerTest(TestCase):
     def test_of_routers_that_left_the_list_the_last_are_found(self):
         side = Side("a")
-        count = MOST_FORMER + 1
+        count = MAX_FORMER_ROUTERS + 1
         side.knows(*(f"r{number}" for number in range(count)))
         self.assertEqual("r0", side.news.find("r0").name)
         for number in range(count):
