--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -56,7 +56,7 @@
 MAX_FORMER_ROUTERS = 64
 UNKNOWN = -1
 # Under which targets' states keep what relays tell.
-RELAYED = "relays"
+RELAYED_ORIGIN = "relays"
 
 
 class RouterNews:
@@ -571,7 +571,7 @@
         loads = self._relay.others(now)
         if not loads.routers:
             return
-        self._keep(RELAYED, loads, self._relayed_targets, now)
+        self._keep(RELAYED_ORIGIN, loads, self._relayed_targets, now)
         self._relayed_targets = frozenset(loads.running)
         self._known_at = loads.known_at
 
