--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_exchange.py
@@ -296,7 +296,7 @@
         """
         if not self._news.asks_often(now):
             return
-        for name in self._news.unheard(now):
+        for name in self._news.silent_routers(now):
             self._news.remove(name)
             gone = self._parts.platform.announce(self._entry(name, gone=True))
             gone.addErrback(self._not_forgotten)
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -300,7 +300,7 @@
             return self._settings.keep
         return FRESH_INTERVALS * self.interval
 
-    def unheard(self, now: float) -> list[str]:
+    def silent_routers(self, now: float) -> list[str]:
         """Return listed routers that have not been heard of for long.
 
         Parameters
--- a/tests/entry/test_news_relays.py
+++ b/tests/entry/test_news_relays.py
@@ -203,15 +203,15 @@
             self.fleet.lose(lost)
         self.fleet.run(2 * TAKEN_OVER)
         for router in self.members("domain-0"):
-            self.assertEqual([], router.news.unheard(self.now()))
+            self.assertEqual([], router.news.silent_routers(self.now()))
 
     def test_a_router_that_is_gone_is_noticed_by_its_domain_s_first_relay(self):
         [gone, *_] = self.members("domain-0")
         self.fleet.lose(gone)
         self.fleet.run(SILENT_REMOVAL_SECONDS + 1)
         first, second = self.relays("domain-0")
-        self.assertEqual([gone.name], first.news.unheard(self.now()))
-        self.assertEqual([], second.news.unheard(self.now()))
+        self.assertEqual([gone.name], first.news.silent_routers(self.now()))
+        self.assertEqual([], second.news.silent_routers(self.now()))
 
     def test_a_round_that_fails_is_not_the_last(self):
         [member, *_] = self.members("domain-0")
--- a/tests/entry/test_router_news.py
+++ b/tests/entry/test_router_news.py
@@ -171,10 +171,10 @@
 
     def test_a_router_that_stays_silent_is_gone_and_a_lonely_one_judges_nobody(self):
         self.a.knows("a", "b", "c")
-        self.assertEqual([], self.a.news.unheard(START + 100))
+        self.assertEqual([], self.a.news.silent_routers(START + 100))
         self.a.news.take(self.b.message(), 1, START + 100)
-        self.assertEqual(["c"], self.a.news.unheard(START + 100))
-        self.assertEqual([], self.a.news.unheard(START + 59))
+        self.assertEqual(["c"], self.a.news.silent_routers(START + 100))
+        self.assertEqual([], self.a.news.silent_routers(START + 59))
 
     def test_what_is_no_longer_told_of_a_target_is_no_longer_there(self):
         for number in range(1, 81):
