--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -210,7 +210,7 @@
         """
         if self._paths.is_relayed:
             return self._relay.others(now).routers
-        return len(self._heard(now))
+        return len(self._recent_peers(now))
 
     def others_reach_store(self, now: float) -> bool:
         """Tell whether other routers are better off than one without the store.
@@ -228,7 +228,7 @@
         """
         if all(peer.received_at is None for peer in self._peers.values()):
             return False
-        heard = self._heard(now)
+        heard = self._recent_peers(now)
         return not heard or any(not peer.is_store_lost for peer in heard)
 
     def newest_version(self, now: float) -> int:
@@ -244,7 +244,7 @@
         int
             The version; 0 for none.
         """
-        return max((peer.version for peer in self._heard(now)), default=0)
+        return max((peer.version for peer in self._recent_peers(now)), default=0)
 
     def newest_list(self) -> int:
         """Return the newest change of the target list that others told of.
@@ -280,11 +280,11 @@
         own_place = target_key(self._name)
         before = sum(
             target_key(peer.router.name) < own_place and not peer.is_store_lost
-            for peer in self._heard(now)
+            for peer in self._recent_peers(now)
         )
         return before < POLLING_ROUTERS
 
-    def _heard(self, now: float) -> list[PeerState]:
+    def _recent_peers(self, now: float) -> list[PeerState]:
         """Return the other routers that were heard of lately."""
         oldest = now - self._kept_for
         return [
