--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -286,7 +286,7 @@
 
     def _recent_peers(self, now: float) -> list[PeerState]:
         """Return the other routers that were heard of lately."""
-        oldest = now - self._kept_for
+        oldest = now - self._validity_seconds
         return [
             peer
             for peer in self._peers.values()
@@ -294,7 +294,7 @@
         ]
 
     @property
-    def _kept_for(self) -> float:
+    def _validity_seconds(self) -> float:
         """Return the seconds for which news of another router is relied on."""
         if self._paths.is_relayed:
             return self._settings.keep
@@ -579,7 +579,7 @@
         self, origin: str, loads: LoadSum, before: frozenset[int], now: float
     ) -> None:
         """Let targets' states have a sum in place of the one told before."""
-        fresh_until = now + self._kept_for
+        fresh_until = now + self._validity_seconds
         states = self._codec.keys.states
         for key in before.union(loads.running):
             state = states.get(key)
