--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -324,10 +324,10 @@
         return [
             name
             for name in names
-            if now - max(since, self._last_sign(name)) > SILENT_REMOVAL_SECONDS
+            if now - max(since, self._last_seen(name)) > SILENT_REMOVAL_SECONDS
         ]
 
-    def _last_sign(self, name: str) -> float:
+    def _last_seen(self, name: str) -> float:
         peer = self._peers[name]
         return max(peer.listed_at, peer.received_at or 0.0)
 
