--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -120,7 +120,7 @@
         self._known_at = -math.inf
         self._relayed_targets: frozenset[int] = frozenset()
         # Since when routers of the own domain should be heard of here.
-        self._judges_since = math.inf
+        self._first_relay_since = math.inf
 
     @property
     def interval(self) -> float:
@@ -320,7 +320,7 @@
         since = 0.0
         if self._paths.is_relayed:
             names = filter(self._paths.is_own_domain, self._peers)
-            since = self._judges_since
+            since = self._first_relay_since
         return [
             name
             for name in names
@@ -447,9 +447,9 @@
     def _note_rank(self, now: float) -> None:
         """Note since when this router is the one that all of its domain report to."""
         if self._paths.rank(now) != 0:
-            self._judges_since = math.inf
+            self._first_relay_since = math.inf
         else:
-            self._judges_since = min(self._judges_since, now)
+            self._first_relay_since = min(self._first_relay_since, now)
 
     def _message(self, peer: PeerState, head: _Head, now: float) -> wire.RouterNews:
         self._sequence += 1
