--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -429,7 +429,7 @@
             told = self._relay.compose(own, parts, ends, now, is_urgent=is_urgent)
             if not is_urgent:
                 self._round_messages = len(told)
-                self._note_rank(now)
+                self._update_rank(now)
                 self._adopt_relayed(now)
             return [self._summed(item, head, held, now) for item in told]
         targets = self._codec.own_targets(now)
@@ -444,7 +444,7 @@
             messages.append((peer.router, message))
         return messages
 
-    def _note_rank(self, now: float) -> None:
+    def _update_rank(self, now: float) -> None:
         """Note since when this router is the one that all of its domain report to."""
         if self._paths.rank(now) != 0:
             self._first_relay_since = math.inf
