--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -412,7 +412,7 @@
         list[tuple[OtherRouter, wire.RouterNews]]
             Messages, each for one router.
         """
-        head = _Head(
+        head = _RoundHeader(
             version,
             self._freshness.age(now),
             is_store_lost,
@@ -451,7 +451,9 @@
         else:
             self._first_relay_since = min(self._first_relay_since, now)
 
-    def _message(self, peer: PeerState, head: _Head, now: float) -> wire.RouterNews:
+    def _message(
+        self, peer: PeerState, head: _RoundHeader, now: float
+    ) -> wire.RouterNews:
         self._sequence += 1
         peer.record_sent(self._sequence, now)
         message = wire.RouterNews(
@@ -474,7 +476,11 @@
         return message
 
     def _summed(
-        self, item: RelayedUpdate, head: _Head, held: list[wire.EndNews], now: float
+        self,
+        item: RelayedUpdate,
+        head: _RoundHeader,
+        held: list[wire.EndNews],
+        now: float,
     ) -> tuple[OtherRouter, wire.RouterNews]:
         """Return the message for what a router is told by relays."""
         peer = self._peers[item.name]
@@ -606,7 +612,7 @@
                 self._parts.note(use)
 
 
-class _Head:
+class _RoundHeader:
     """What each message of a round begins with."""
 
     __slots__ = ("age", "is_store_lost", "leaving", "list_revision", "version")
