--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -431,7 +431,7 @@
                 self._round_messages = len(told)
                 self._update_rank(now)
                 self._adopt_relayed(now)
-            return [self._summed(item, head, held, now) for item in told]
+            return [self._relayed_message(item, head, held, now) for item in told]
         targets = self._codec.own_targets(now)
         messages = []
         for peer in self._peers.values():
@@ -475,7 +475,7 @@
         message.leaving = head.leaving or None
         return message
 
-    def _summed(
+    def _relayed_message(
         self,
         item: RelayedUpdate,
         head: _RoundHeader,
