--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -435,7 +435,7 @@
         targets = self._codec.own_targets(now)
         messages = []
         for peer in self._peers.values():
-            message = self._message(peer, head, now)
+            message = self._new_message(peer, head, now)
             message.targets = targets
             # Ends are few, and a datagram has room for as many parts less.
             message.parts = parts[-(MAX_PARTS - len(ends) - len(held)) :]
@@ -451,7 +451,7 @@
         else:
             self._first_relay_since = min(self._first_relay_since, now)
 
-    def _message(
+    def _new_message(
         self, peer: PeerState, head: _RoundHeader, now: float
     ) -> wire.RouterNews:
         self._sequence += 1
@@ -484,7 +484,7 @@
     ) -> tuple[OtherRouter, wire.RouterNews]:
         """Return the message for what a router is told by relays."""
         peer = self._peers[item.name]
-        message = self._message(peer, head, now)
+        message = self._new_message(peer, head, now)
         message.scope = item.scope
         message.wants_fleet = item.wants_fleet
         message.parts = item.parts
