--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -521,7 +521,7 @@
         peer.version = message.version
         peer.list_revision = message.targets_revision or 0
         peer.targets_digest = message.targets_digest
-        self._take_freshness(peer, message, version)
+        self._apply_freshness(peer, message, version)
         self._take_evacuations(message, now)
         if self._leaving is not None and message.leaving:
             states = self._codec.keys.states
@@ -538,7 +538,7 @@
             self._harm.take(message, self._codec.keys.states, now)
         return True
 
-    def _take_freshness(
+    def _apply_freshness(
         self, peer: PeerState, message: wire.RouterNews, version: int
     ) -> None:
         """Rely on the other router's question to the store as on an own one.
