--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -522,7 +522,7 @@
         peer.list_revision = message.targets_revision or 0
         peer.targets_digest = message.targets_digest
         self._apply_freshness(peer, message, version)
-        self._take_evacuations(message, now)
+        self._apply_evacuations(message, now)
         if self._leaving is not None and message.leaving:
             states = self._codec.keys.states
             self._leaving.take(message.leaving, states, message.origin, now)
@@ -555,7 +555,7 @@
             age = message.knowledge_age_ms / MILLISECONDS
             self._freshness.answered(replied_to - age)
 
-    def _take_evacuations(self, message: wire.RouterNews, now: float) -> None:
+    def _apply_evacuations(self, message: wire.RouterNews, now: float) -> None:
         if self._evacuations is None or message.evacuated_revision is None:
             return
         domains = frozenset(message.evacuated or ())
