--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -530,7 +530,7 @@
         if message.scope is not None:
             self._relay.receive(message, loads, now)
         if message.scope in {None, NewsScope.ROUTER} and loads is not None:
-            self._take_own(peer, loads, now)
+            self._apply_own_load(peer, loads, now)
         if message.scope == NewsScope.FLEET:
             self._adopt_relayed(now)
         self._take_parts(message, now)
@@ -562,7 +562,7 @@
         told = EvacuationList(domains, message.evacuated_revision, message.origin)
         self._evacuations.take(told, now)
 
-    def _take_own(self, peer: PeerState, loads: LoadSum, now: float) -> None:
+    def _apply_own_load(self, peer: PeerState, loads: LoadSum, now: float) -> None:
         """Take in the requests of one router."""
         origin = peer.router.name
         if self._paths.is_relayed:
