--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -533,7 +533,7 @@
             self._apply_own_load(peer, loads, now)
         if message.scope == NewsScope.FLEET:
             self._adopt_relayed(now)
-        self._take_parts(message, now)
+        self._apply_parts(message, now)
         if self._harm is not None:
             self._harm.take(message, self._codec.keys.states, now)
         return True
@@ -596,7 +596,7 @@
             if state is not None:
                 state.hear_outcomes(origin, good, bad, fresh_until)
 
-    def _take_parts(self, message: wire.RouterNews, now: float) -> None:
+    def _apply_parts(self, message: wire.RouterNews, now: float) -> None:
         states = self._codec.keys.states
         for item in message.parts:
             state = states.get(item.target)
