--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -430,7 +430,7 @@
             if not is_urgent:
                 self._round_messages = len(told)
                 self._update_rank(now)
-                self._adopt_relayed(now)
+                self._apply_relayed_load(now)
             return [self._relayed_message(item, head, held, now) for item in told]
         targets = self._codec.own_targets(now)
         messages = []
@@ -532,7 +532,7 @@
         if message.scope in {None, NewsScope.ROUTER} and loads is not None:
             self._apply_own_load(peer, loads, now)
         if message.scope == NewsScope.FLEET:
-            self._adopt_relayed(now)
+            self._apply_relayed_load(now)
         self._apply_parts(message, now)
         if self._harm is not None:
             self._harm.take(message, self._codec.keys.states, now)
@@ -572,7 +572,7 @@
         self._keep(origin, loads, peer.reported_targets, now)
         peer.reported_targets = frozenset(loads.running)
 
-    def _adopt_relayed(self, now: float) -> None:
+    def _apply_relayed_load(self, now: float) -> None:
         """Let targets' states have the best sum that relays told."""
         loads = self._relay.others(now)
         if not loads.routers:
