--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -569,7 +569,7 @@
             if self._paths.is_own_domain(origin):
                 self._relay.receive_load(NewsScope.ROUTER, origin, loads, now)
             return
-        self._keep(origin, loads, peer.reported_targets, now)
+        self._set_load(origin, loads, peer.reported_targets, now)
         peer.reported_targets = frozenset(loads.running)
 
     def _apply_relayed_load(self, now: float) -> None:
@@ -577,11 +577,11 @@
         loads = self._relay.others(now)
         if not loads.routers:
             return
-        self._keep(RELAYED_ORIGIN, loads, self._relayed_targets, now)
+        self._set_load(RELAYED_ORIGIN, loads, self._relayed_targets, now)
         self._relayed_targets = frozenset(loads.running)
         self._known_at = loads.known_at
 
-    def _keep(
+    def _set_load(
         self, origin: str, loads: LoadSum, before: frozenset[int], now: float
     ) -> None:
         """Let targets' states have a sum in place of the one told before."""
