--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -190,7 +190,7 @@
 
     def __init__(self, name: str, paths: RelayTopology, settings: NewsSettings) -> None:
         self._name = name
-        self._paths = paths
+        self._topology = paths
         self._settings = settings
         # Requests of routers of the own domain, by router.
         self._reports: dict[str, _ReceivedSum] = {}
@@ -225,7 +225,7 @@
         origin = message.origin
         is_report = message.scope == NewsScope.ROUTER
         if message.scope is not None and not is_report:
-            self._paths.answer_received(origin)
+            self._topology.answer_received(origin)
             if loads is not None:
                 self.receive_load(message.scope, origin, loads, now)
         if message.wants_fleet or message.scope == NewsScope.DOMAIN:
@@ -256,10 +256,10 @@
         if scope == NewsScope.FLEET:
             self._fleets[origin] = word
         elif scope == NewsScope.ROUTER:
-            if self._paths.is_own_domain(origin):
+            if self._topology.is_own_domain(origin):
                 self._reports[origin] = word
-        elif not self._paths.is_own_domain(origin):
-            self._receive_domain_sum(self._paths.domain_of(origin), word, now)
+        elif not self._topology.is_own_domain(origin):
+            self._receive_domain_sum(self._topology.domain_of(origin), word, now)
 
     def _receive_domain_sum(self, domain: str, word: _ReceivedSum, now: float) -> None:
         known = self._domains.get(domain)
@@ -335,7 +335,7 @@
         self._parts.add(self._name, parts, is_from_own_domain=True)
         new_ends = self._forwarded_ends.filter_new(ends, now)
         self._ends.add(self._name, new_ends, is_from_own_domain=True)
-        upstream_relay = self._paths.upstream_relay(now)
+        upstream_relay = self._topology.upstream_relay(now)
         told = [
             RelayedUpdate(
                 name,
@@ -345,12 +345,12 @@
                 ends,
                 wants_fleet=name == upstream_relay,
             )
-            for name in self._paths.own_relays(now)
+            for name in self._topology.own_relays(now)
         ]
         if is_urgent:
             return told
         if upstream_relay is not None:
-            self._paths.expect_answer(upstream_relay, now)
+            self._topology.expect_answer(upstream_relay, now)
         return told + self._answers(own, now)
 
     def _answers(self, own: LoadSum, now: float) -> list[RelayedUpdate]:
@@ -362,13 +362,15 @@
             n: until for n, until in self._subscribers.items() if now < until
         }
         others: set[str] = set()
-        if self._subscribers or self._paths.is_relay(now):
-            others.update(self._paths.peer_relays(now))
+        if self._subscribers or self._topology.is_relay(now):
+            others.update(self._topology.peer_relays(now))
             for name in others:
-                self._paths.expect_answer(name, now)
-        others.update(n for n in self._subscribers if not self._paths.is_own_domain(n))
+                self._topology.expect_answer(name, now)
+        others.update(
+            n for n in self._subscribers if not self._topology.is_own_domain(n)
+        )
         members = [
-            name for name in self._subscribers if self._paths.is_own_domain(name)
+            name for name in self._subscribers if self._topology.is_own_domain(name)
         ]
         parts = self._parts.take()
         ends = self._ends.take()
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -112,8 +112,8 @@
         self._codec = LoadCodec(targets)
         self._peers: dict[str, PeerState] = {}
         self._former: dict[str, OtherRouter] = {}
-        self._paths = RelayTopology(name, domain, settings)
-        self._relay = RelayAggregator(name, self._paths, settings)
+        self._topology = RelayTopology(name, domain, settings)
+        self._relay = RelayAggregator(name, self._topology, settings)
         self._sequence = 0
         self._round_messages = 0
         # When the oldest load that relays told was true, and at which targets.
@@ -125,7 +125,7 @@
     @property
     def interval(self) -> float:
         """Return the seconds between two rounds of news."""
-        if self._paths.is_relayed:
+        if self._topology.is_relayed:
             settings = self._settings
             bytes_a_round = self._round_messages * self._codec.typical_bytes
             return max(settings.interval, bytes_a_round / settings.bytes_per_second)
@@ -135,12 +135,12 @@
     @property
     def is_relayed(self) -> bool:
         """Tell whether news goes by relays."""
-        return self._paths.is_relayed
+        return self._topology.is_relayed
 
     @property
     def is_urgent(self) -> bool:
         """Tell whether there is something that others should not wait for."""
-        if not self._paths.is_relayed or self._parts.has_unexpected:
+        if not self._topology.is_relayed or self._parts.has_unexpected:
             return True
         return self._harm is not None and self._harm.is_urgent
 
@@ -163,7 +163,7 @@
             Seconds; of relayed news the age of the oldest load in it, which
             grows while relays are silent.
         """
-        return now - self._known_at if self._paths.is_relayed else self.interval
+        return now - self._known_at if self._topology.is_relayed else self.interval
 
     def relay_rank(self, now: float) -> int | None:
         """Return this router's place among the relays of its domain.
@@ -178,7 +178,7 @@
         int | None
             0 for the first; None for a router that is none of them.
         """
-        return self._paths.rank(now) if self._paths.is_relayed else None
+        return self._topology.rank(now) if self._topology.is_relayed else None
 
     def upstream_relay(self, now: float) -> str | None:
         """Return the relay that tells this router of all others.
@@ -193,7 +193,7 @@
         str | None
             Its name; None where all routers tell all.
         """
-        return self._paths.upstream_relay(now) if self._paths.is_relayed else None
+        return self._topology.upstream_relay(now) if self._topology.is_relayed else None
 
     def heard_lately(self, now: float) -> int:
         """Return how many other routers were heard of lately.
@@ -208,7 +208,7 @@
         int
             Routers.
         """
-        if self._paths.is_relayed:
+        if self._topology.is_relayed:
             return self._relay.others(now).routers
         return len(self._recent_peers(now))
 
@@ -274,9 +274,9 @@
             True for the first few of those that reach the store; with relays
             for the first relay of each domain.
         """
-        if self._paths.is_relayed:
+        if self._topology.is_relayed:
             is_alone = not self.heard_lately(now)
-            return is_alone or self._paths.rank(now) == 0
+            return is_alone or self._topology.rank(now) == 0
         own_place = target_key(self._name)
         before = sum(
             target_key(peer.router.name) < own_place and not peer.is_store_lost
@@ -296,7 +296,7 @@
     @property
     def _validity_seconds(self) -> float:
         """Return the seconds for which news of another router is relied on."""
-        if self._paths.is_relayed:
+        if self._topology.is_relayed:
             return self._settings.keep
         return FRESH_INTERVALS * self.interval
 
@@ -318,8 +318,8 @@
             return []
         names: Iterable[str] = self._peers
         since = 0.0
-        if self._paths.is_relayed:
-            names = filter(self._paths.is_own_domain, self._peers)
+        if self._topology.is_relayed:
+            names = filter(self._topology.is_own_domain, self._peers)
             since = self._first_relay_since
         return [
             name
@@ -346,7 +346,7 @@
         known = self._peers.get(router.name)
         if known is None or known.router != router:
             self._peers[router.name] = PeerState(router, now)
-            self._paths.put(router.name, router.domain)
+            self._topology.put(router.name, router.domain)
 
     def remove(self, name: str) -> None:
         """Take in that a router is no longer listed.
@@ -359,7 +359,7 @@
         peer = self._peers.pop(name, None)
         if peer is None:
             return
-        self._paths.remove(name)
+        self._topology.remove(name)
         self._relay.forget(name)
         self._former.pop(name, None)
         self._former[name] = peer.router
@@ -419,7 +419,7 @@
             list_revision,
             self._leaving.to_tell() if self._leaving else [],
         )
-        is_relayed = self._paths.is_relayed
+        is_relayed = self._topology.is_relayed
         take_uses = self._parts.take_unexpected if is_relayed else self._parts.take_news
         parts = [_part_news(use, now) for use in take_uses()]
         ends = self._harm.ends(now) if self._harm else []
@@ -446,7 +446,7 @@
 
     def _update_rank(self, now: float) -> None:
         """Note since when this router is the one that all of its domain report to."""
-        if self._paths.rank(now) != 0:
+        if self._topology.rank(now) != 0:
             self._first_relay_since = math.inf
         else:
             self._first_relay_since = min(self._first_relay_since, now)
@@ -565,8 +565,8 @@
     def _apply_own_load(self, peer: PeerState, loads: LoadSum, now: float) -> None:
         """Take in the requests of one router."""
         origin = peer.router.name
-        if self._paths.is_relayed:
-            if self._paths.is_own_domain(origin):
+        if self._topology.is_relayed:
+            if self._topology.is_own_domain(origin):
                 self._relay.receive_load(NewsScope.ROUTER, origin, loads, now)
             return
         self._set_load(origin, loads, peer.reported_targets, now)
