--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -113,7 +113,7 @@
         self._peers: dict[str, PeerState] = {}
         self._former: dict[str, OtherRouter] = {}
         self._topology = RelayTopology(name, domain, settings)
-        self._relay = RelayAggregator(name, self._topology, settings)
+        self._aggregator = RelayAggregator(name, self._topology, settings)
         self._sequence = 0
         self._round_messages = 0
         # When the oldest load that relays told was true, and at which targets.
@@ -209,7 +209,7 @@
             Routers.
         """
         if self._topology.is_relayed:
-            return self._relay.others(now).routers
+            return self._aggregator.others(now).routers
         return len(self._recent_peers(now))
 
     def others_reach_store(self, now: float) -> bool:
@@ -360,7 +360,7 @@
         if peer is None:
             return
         self._topology.remove(name)
-        self._relay.forget(name)
+        self._aggregator.forget(name)
         self._former.pop(name, None)
         self._former[name] = peer.router
         if len(self._former) > MAX_FORMER_ROUTERS:
@@ -426,7 +426,7 @@
         held = self._harm.held(now) if self._harm and not is_urgent else []
         if is_relayed:
             own = self._codec.own_load(now, reaches_store=not is_store_lost)
-            told = self._relay.compose(own, parts, ends, now, is_urgent=is_urgent)
+            told = self._aggregator.compose(own, parts, ends, now, is_urgent=is_urgent)
             if not is_urgent:
                 self._round_messages = len(told)
                 self._update_rank(now)
@@ -528,7 +528,7 @@
             self._leaving.take(message.leaving, states, message.origin, now)
         loads = self._codec.read(message, now)
         if message.scope is not None:
-            self._relay.receive(message, loads, now)
+            self._aggregator.receive(message, loads, now)
         if message.scope in {None, NewsScope.ROUTER} and loads is not None:
             self._apply_own_load(peer, loads, now)
         if message.scope == NewsScope.FLEET:
@@ -567,14 +567,14 @@
         origin = peer.router.name
         if self._topology.is_relayed:
             if self._topology.is_own_domain(origin):
-                self._relay.receive_load(NewsScope.ROUTER, origin, loads, now)
+                self._aggregator.receive_load(NewsScope.ROUTER, origin, loads, now)
             return
         self._set_load(origin, loads, peer.reported_targets, now)
         peer.reported_targets = frozenset(loads.running)
 
     def _apply_relayed_load(self, now: float) -> None:
         """Let targets' states have the best sum that relays told."""
-        loads = self._relay.others(now)
+        loads = self._aggregator.others(now)
         if not loads.routers:
             return
         self._set_load(RELAYED_ORIGIN, loads, self._relayed_targets, now)
