--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_exchange.py
@@ -41,7 +41,7 @@
 
 # Where a part of a prompt went is told at once, with what else comes up in
 # these milliseconds.
-URGENT_SECONDS = 0.005
+URGENT_DELAY_SECONDS = 0.005
 ANNOUNCE_PAUSE = 0.5
 
 
@@ -104,7 +104,9 @@
     def tell_soon(self) -> None:
         """Tell within milliseconds what others should not have to wait for."""
         if self._urgent is None and self._news.is_urgent and not self._is_stopped:
-            self._urgent = self._reactor.callLater(URGENT_SECONDS, self._urgent_round)
+            self._urgent = self._reactor.callLater(
+                URGENT_DELAY_SECONDS, self._urgent_round
+            )
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
         """Take in a datagram; what cannot be read is dropped.
