--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_exchange.py
@@ -42,7 +42,7 @@
 # Where a part of a prompt went is told at once, with what else comes up in
 # these milliseconds.
 URGENT_DELAY_SECONDS = 0.005
-ANNOUNCE_PAUSE = 0.5
+ANNOUNCE_RETRY_SECONDS = 0.5
 
 
 class NewsExchange(DatagramProtocol):
@@ -354,7 +354,9 @@
                 break
             except PlatformError as error:
                 self._parts.log.emit(Event.ANNOUNCE_FAILED, detail=str(error))
-                yield deferLater(self._parts.reactor, ANNOUNCE_PAUSE, lambda: None)
+                yield deferLater(
+                    self._parts.reactor, ANNOUNCE_RETRY_SECONDS, lambda: None
+                )
         self._is_announcing = False
 
     def _entry(self, name: str, *, gone: bool) -> wire.HostEntry:
