--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_exchange.py
@@ -81,7 +81,7 @@
         self._reactor = parts.reactor
         self._log = parts.log
         self._timer: Timer | None = None
-        self._urgent: Timer | None = None
+        self._urgent_timer: Timer | None = None
         self._is_stopped = False
         self._bytes_out = 0
         self._teller: str | None = None
@@ -99,12 +99,12 @@
         """Send no more."""
         self._is_stopped = True
         cancel_timer(self._timer)
-        cancel_timer(self._urgent)
+        cancel_timer(self._urgent_timer)
 
     def tell_soon(self) -> None:
         """Tell within milliseconds what others should not have to wait for."""
-        if self._urgent is None and self._news.is_urgent and not self._is_stopped:
-            self._urgent = self._reactor.callLater(
+        if self._urgent_timer is None and self._news.is_urgent and not self._is_stopped:
+            self._urgent_timer = self._reactor.callLater(
                 URGENT_DELAY_SECONDS, self._urgent_round
             )
 
@@ -146,12 +146,12 @@
             cancel_timer(self._timer)
             self._round()
             return
-        self._urgent = None
+        self._urgent_timer = None
         self._send(is_urgent=True)
 
     def _round(self) -> None:
-        cancel_timer(self._urgent)
-        self._urgent = None
+        cancel_timer(self._urgent_timer)
+        self._urgent_timer = None
         if self._is_stopped:
             return
         # Before anything that may fail: a round that fails must not be the last.
