--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_exchange.py
@@ -84,7 +84,7 @@
         self._urgent_timer: Timer | None = None
         self._is_stopped = False
         self._bytes_out = 0
-        self._teller: str | None = None
+        self._upstream_relay: str | None = None
 
     @property
     def bytes_out(self) -> int:
@@ -163,16 +163,16 @@
         """Log from whom this router hears of all others, when that changes."""
         now = self._reactor.seconds()
         upstream_relay = self._news.upstream_relay(now)
-        if upstream_relay != self._teller:
+        if upstream_relay != self._upstream_relay:
             age = self._news.age(now)
             self._log.emit(
                 Event.RELAY_CHANGED,
                 relay=upstream_relay,
-                former=self._teller,
+                former=self._upstream_relay,
                 news_age=round(age, 2) if math.isfinite(age) else None,
                 routers=self._news.heard_lately(now),
             )
-            self._teller = upstream_relay
+            self._upstream_relay = upstream_relay
 
     def _send(self, *, is_urgent: bool) -> None:
         messages = self._news.compose(
