--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_exchange.py
@@ -157,9 +157,9 @@
         # Before anything that may fail: a round that fails must not be the last.
         self._timer = self._reactor.callLater(self._news.interval, self._round)
         self._send(is_urgent=False)
-        self._note_teller()
+        self._log_relay_change()
 
-    def _note_teller(self) -> None:
+    def _log_relay_change(self) -> None:
         """Log from whom this router hears of all others, when that changes."""
         now = self._reactor.seconds()
         upstream_relay = self._news.upstream_relay(now)
