--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_learning.py
@@ -110,7 +110,7 @@
             own = self._rng.sample(own, MOST_READ)
         read = DeferredList([self._read(target) for target in own])
         read.addCallback(lambda _: self._know())
-        self._exchange.ask_caches()
+        self._exchange.request_caches()
 
         self._reactor.callLater(ANSWER_SECONDS, self._read_for_others, has_cache)
         self._look()
@@ -137,7 +137,7 @@
 
         def ask() -> None:
             if self._shares.unanswered:
-                self._exchange.ask_caches()
+                self._exchange.request_caches()
                 self._ask_again(pauses[1:])
 
         self._reactor.callLater(pauses[0], ask)
--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_exchange.py
@@ -132,7 +132,7 @@
         elif isinstance(message, wire.CacheAnswer):
             self._shares.take_answer(message, now)
 
-    def ask_caches(self) -> None:
+    def request_caches(self) -> None:
         """Ask the routers that have not answered yet what targets hold."""
         question = self._shares.question()
         self._write_all([(other, question) for other in self._shares.unanswered])
