--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_learning.py
@@ -89,7 +89,7 @@
 
     def skip(self) -> None:
         """Take in that there is nothing to learn."""
-        self._exchange.know_caches()
+        self._exchange.answer_cache_requests()
 
     def start(
         self, has_cache: Callable[[ServingTarget], bool], on_done: Callable[[], None]
@@ -144,7 +144,7 @@
 
     def _know(self) -> None:
         self._is_read = True
-        self._exchange.know_caches()
+        self._exchange.answer_cache_requests()
 
     def _done(self) -> None:
         self._log.emit(
--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_exchange.py
@@ -137,7 +137,7 @@
         question = self._shares.question()
         self._write_all([(other, question) for other in self._shares.unanswered])
 
-    def know_caches(self) -> None:
+    def answer_cache_requests(self) -> None:
         """Tell those who have asked: this router knows its share by now."""
         self._write_all(self._shares.know(self._reactor.seconds()))
 
