--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_exchange.py
@@ -301,9 +301,9 @@
         for name in self._news.silent_routers(now):
             self._news.remove(name)
             gone = self._parts.platform.announce(self._entry(name, gone=True))
-            gone.addErrback(self._not_forgotten)
+            gone.addErrback(self._removal_failed)
 
-    def _not_forgotten(self, failure: Failure) -> None:
+    def _removal_failed(self, failure: Failure) -> None:
         failure.trap(PlatformError)
         detail = failure.getErrorMessage()
         self._parts.log.emit(Event.ANNOUNCE_FAILED, detail=detail)
