--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_exchange.py
@@ -323,14 +323,14 @@
             # budgets is not given away; silence ends that.
             self._refused.refuse(stored, error)
             if stored.name == self._settings.name:
-                self._mend(stored)
+                self._rewrite_entry(stored)
             return
         self._refused.settle(stored.key)
         if router.name == self._settings.name:
             self._spoiled = None
         self._news.put(router, self._parts.reactor.seconds())
 
-    def _mend(self, stored: StoredObject) -> None:
+    def _rewrite_entry(self, stored: StoredObject) -> None:
         """Write this router's entry again that somebody spoiled.
 
         The same content twice in a row is what it wrote itself, which writing
