--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_exchange.py
@@ -230,7 +230,7 @@
         self._has_list = False
         self._was_listed = False
         self._links = settings.links
-        self._spoiled: bytes | None = None
+        self._overwritten_value: bytes | None = None
         self._refused = RefusedRecords(RecordKind.ROUTER, parts.log, parts.metrics)
 
     @property
@@ -327,7 +327,7 @@
             return
         self._refused.settle(stored.key)
         if router.name == self._settings.name:
-            self._spoiled = None
+            self._overwritten_value = None
         self._news.put(router, self._parts.reactor.seconds())
 
     def _rewrite_entry(self, stored: StoredObject) -> None:
@@ -336,8 +336,8 @@
         The same content twice in a row is what it wrote itself, which writing
         would not mend.
         """
-        if stored.value != self._spoiled:
-            self._spoiled = stored.value
+        if stored.value != self._overwritten_value:
+            self._overwritten_value = stored.value
             self._announce()
 
     @inlineCallbacks
