--- a/src/primrosescale/process/entry/harm_news.py
+++ b/src/primrosescale/process/entry/harm_news.py
@@ -42,7 +42,7 @@
 HELD_INTERVAL = 1.0
 
 
-class _Waiting:
+class _PendingReport:
     """What is to be told."""
 
     __slots__ = ("item", "times_left")
@@ -66,7 +66,7 @@
     def __init__(self, requests: HarmfulRequests, log: Any) -> None:
         self._requests = requests
         self._log = log
-        self._waiting: deque[_Waiting] = deque(maxlen=MOST_WAITING)
+        self._waiting: deque[_PendingReport] = deque(maxlen=MOST_WAITING)
         self._held_at = 0.0
         self._held_queue: deque[TargetEnd] = deque()
         self._known_held: set[int] = set()
@@ -96,7 +96,7 @@
         if not self._take(item, "", now):
             return False
         # What was never told goes first.
-        self._waiting.appendleft(_Waiting(item))
+        self._waiting.appendleft(_PendingReport(item))
         if isinstance(item, TargetEnd):
             self._vouch(item)
         return True
@@ -106,7 +106,7 @@
         answer = self._requests.last_answer(end.fingerprint)
         is_told = any(each.item == answer for each in self._waiting)
         if answer is not None and not is_told:
-            self._waiting.appendleft(_Waiting(answer))
+            self._waiting.appendleft(_PendingReport(answer))
 
     def ends(self, now: float) -> list[wire.EndNews]:
         """Return what is to be told in the next message.
