--- a/src/primrosescale/process/entry/harm_news.py
+++ b/src/primrosescale/process/entry/harm_news.py
@@ -66,7 +66,7 @@
     def __init__(self, requests: HarmfulRequests, log: Any) -> None:
         self._requests = requests
         self._log = log
-        self._waiting: deque[_PendingReport] = deque(maxlen=MOST_WAITING)
+        self._pending: deque[_PendingReport] = deque(maxlen=MOST_WAITING)
         self._held_at = 0.0
         self._held_queue: deque[TargetEnd] = deque()
         self._known_held: set[int] = set()
@@ -76,7 +76,7 @@
     @property
     def is_urgent(self) -> bool:
         """Tell whether there is something that no router was told of yet."""
-        return bool(self._waiting) and self._waiting[0].times_left == TIMES_TOLD
+        return bool(self._pending) and self._pending[0].times_left == TIMES_TOLD
 
     def note(self, item: HarmReport, now: float) -> bool:
         """Take in what this router has seen, and tell the others of it.
@@ -96,7 +96,7 @@
         if not self._take(item, "", now):
             return False
         # What was never told goes first.
-        self._waiting.appendleft(_PendingReport(item))
+        self._pending.appendleft(_PendingReport(item))
         if isinstance(item, TargetEnd):
             self._vouch(item)
         return True
@@ -104,9 +104,9 @@
     def _vouch(self, end: TargetEnd) -> None:
         """Tell of a whole answer that only this router may know of."""
         answer = self._requests.last_answer(end.fingerprint)
-        is_told = any(each.item == answer for each in self._waiting)
+        is_told = any(each.item == answer for each in self._pending)
         if answer is not None and not is_told:
-            self._waiting.appendleft(_PendingReport(answer))
+            self._pending.appendleft(_PendingReport(answer))
 
     def ends(self, now: float) -> list[wire.EndNews]:
         """Return what is to be told in the next message.
@@ -121,12 +121,12 @@
         list[wire.EndNews]
             A few of all; each comes some times.
         """
-        count = min(MOST_IN_MESSAGE, len(self._waiting))
-        told = [self._waiting.popleft() for _ in range(count)]
+        count = min(MOST_IN_MESSAGE, len(self._pending))
+        told = [self._pending.popleft() for _ in range(count)]
         for each in told:
             each.times_left -= 1
             if each.times_left:
-                self._waiting.append(each)
+                self._pending.append(each)
         return [_end_news(each.item, now) for each in told]
 
     def held(self, now: float) -> list[wire.EndNews]:
