--- a/src/primrosescale/process/entry/harm_news.py
+++ b/src/primrosescale/process/entry/harm_news.py
@@ -98,10 +98,10 @@
         # What was never told goes first.
         self._pending.appendleft(_PendingReport(item))
         if isinstance(item, TargetEnd):
-            self._vouch(item)
+            self._queue_known_answer(item)
         return True
 
-    def _vouch(self, end: TargetEnd) -> None:
+    def _queue_known_answer(self, end: TargetEnd) -> None:
         """Tell of a whole answer that only this router may know of."""
         answer = self._requests.last_answer(end.fingerprint)
         is_told = any(each.item == answer for each in self._pending)
@@ -180,7 +180,7 @@
             was_answered = bool(told.was_answered)
             end = TargetEnd(told.fingerprint, told.target, at, was_answered)
             if self._take(end, message.origin, now):
-                self._vouch(end)
+                self._queue_known_answer(end)
                 self.on_end(end, now)
 
     def _readable(self, message: wire.RouterNews) -> Iterable[wire.EndNews]:
