--- a/src/primrosescale/process/entry/harm_news.py
+++ b/src/primrosescale/process/entry/harm_news.py
@@ -167,7 +167,7 @@
         now : float
             Present time in seconds.
         """
-        for told in self._readable(message):
+        for told in self._reports_in(message):
             at = now - max(0, told.age_ms) / MILLISECONDS
             if told.target is None:
                 kind = LoneTry if told.is_try else WholeAnswer
@@ -183,7 +183,7 @@
                 self._queue_known_answer(end)
                 self.on_end(end, now)
 
-    def _readable(self, message: wire.RouterNews) -> Iterable[wire.EndNews]:
+    def _reports_in(self, message: wire.RouterNews) -> Iterable[wire.EndNews]:
         yield from message.ends or ()
         yield from message.held or ()
 
