--- a/src/primrosescale/process/entry/harm_news.py
+++ b/src/primrosescale/process/entry/harm_news.py
@@ -195,10 +195,10 @@
         else:
             is_news = self._requests.take_answer(item)
         if is_news:
-            self._note_verdict(item.fingerprint, told_by, now)
+            self._log_hold_change(item.fingerprint, told_by, now)
         return is_news
 
-    def _note_verdict(self, fingerprint: int, told_by: str, now: float) -> None:
+    def _log_hold_change(self, fingerprint: int, told_by: str, now: float) -> None:
         """Log that a request is held back from now on, or no more."""
         seconds = self._requests.held_for(fingerprint, now)
         if bool(seconds) == (fingerprint in self._known_held):
