--- a/src/primrosescale/process/entry/harm_news.py
+++ b/src/primrosescale/process/entry/harm_news.py
@@ -34,7 +34,7 @@
 # hundred on a bad link.
 TIMES_TOLD = 3
 # Ends that wait to be told; the oldest make room.
-MOST_WAITING = 512
+MAX_PENDING_REPORTS = 512
 # Ends in one message, at 20 bytes each.
 MOST_IN_MESSAGE = 12
 MOST_HELD_IN_MESSAGE = 8
@@ -66,7 +66,7 @@
     def __init__(self, requests: HarmfulRequests, log: Any) -> None:
         self._requests = requests
         self._log = log
-        self._pending: deque[_PendingReport] = deque(maxlen=MOST_WAITING)
+        self._pending: deque[_PendingReport] = deque(maxlen=MAX_PENDING_REPORTS)
         self._held_at = 0.0
         self._held_queue: deque[TargetEnd] = deque()
         self._known_held: set[int] = set()
