--- a/src/primrosescale/process/entry/leaving_news.py
+++ b/src/primrosescale/process/entry/leaving_news.py
@@ -21,7 +21,7 @@
     from primrosescale.request.target_state import TargetState
 
 # Targets in one message, at 5 bytes each; a release replaces some at a time.
-MOST_IN_MESSAGE = 40
+MAX_TARGETS_PER_MESSAGE = 40
 # Targets that are remembered; those noted first make room.
 MOST_NOTED = 1000
 
@@ -71,7 +71,7 @@
                 del self._leaving[name]
             else:
                 told.append(target_key(*target))
-        return told[:MOST_IN_MESSAGE]
+        return told[:MAX_TARGETS_PER_MESSAGE]
 
     def take(
         self,
