--- a/src/primrosescale/process/entry/leaving_news.py
+++ b/src/primrosescale/process/entry/leaving_news.py
@@ -23,7 +23,7 @@
 # Targets in one message, at 5 bytes each; a release replaces some at a time.
 MAX_TARGETS_PER_MESSAGE = 40
 # Targets that are remembered; those noted first make room.
-MOST_NOTED = 1000
+MAX_REMEMBERED_TARGETS = 1000
 
 
 class LeavingNews:
@@ -55,7 +55,7 @@
             The target.
         """
         self._leaving[target.name] = target
-        if len(self._leaving) > MOST_NOTED:
+        if len(self._leaving) > MAX_REMEMBERED_TARGETS:
             del self._leaving[next(iter(self._leaving))]
 
     def to_tell(self) -> list[int]:
