--- a/src/primrosescale/process/entry/leaving_news.py
+++ b/src/primrosescale/process/entry/leaving_news.py
@@ -58,7 +58,7 @@
         if len(self._leaving) > MAX_REMEMBERED_TARGETS:
             del self._leaving[next(iter(self._leaving))]
 
-    def to_tell(self) -> list[int]:
+    def to_send(self) -> list[int]:
         """Return the short names of targets whose entries do not tell it yet."""
         told = []
         # The latest first: what was said long ago is known everywhere.
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -417,7 +417,7 @@
             self._freshness.age(now),
             is_store_lost,
             list_revision,
-            self._leaving.to_tell() if self._leaving else [],
+            self._leaving.to_send() if self._leaving else [],
         )
         is_relayed = self._topology.is_relayed
         take_uses = self._parts.take_unexpected if is_relayed else self._parts.take_news
