--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_learning.py
@@ -32,7 +32,7 @@
 
 # Model engines tell what they hold within 20-40 ms, other routers within 10 ms;
 # one that is silent must not keep callers waiting.
-PATIENCE = 0.1
+MAX_WAIT_SECONDS = 0.1
 LOOK_PAUSE = 0.01
 # Routers that have not answered by then are still down, or gone.
 ANSWER_SECONDS = 0.06
@@ -125,7 +125,7 @@
     def _look(self) -> None:
         """Let callers go on when nothing is missing, or they have waited enough."""
         is_complete = self._is_read and not self._shares.unanswered
-        left = self._began_at + PATIENCE - self._reactor.seconds()
+        left = self._began_at + MAX_WAIT_SECONDS - self._reactor.seconds()
         if is_complete or left < TIMER_SLACK:
             self._done()
         else:
