--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_learning.py
@@ -33,7 +33,7 @@
 # Model engines tell what they hold within 20-40 ms, other routers within 10 ms;
 # one that is silent must not keep callers waiting.
 MAX_WAIT_SECONDS = 0.1
-LOOK_PAUSE = 0.01
+CHECK_INTERVAL_SECONDS = 0.01
 # Routers that have not answered by then are still down, or gone.
 ANSWER_SECONDS = 0.06
 # Engines of their shares that are asked in all by routers that start together: in
@@ -129,7 +129,7 @@
         if is_complete or left < TIMER_SLACK:
             self._done()
         else:
-            self._reactor.callLater(min(LOOK_PAUSE, left), self._look)
+            self._reactor.callLater(min(CHECK_INTERVAL_SECONDS, left), self._look)
 
     def _ask_again(self, pauses: tuple[float, ...]) -> None:
         if not pauses:
