--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_learning.py
@@ -35,7 +35,7 @@
 MAX_WAIT_SECONDS = 0.1
 CHECK_INTERVAL_SECONDS = 0.01
 # Routers that have not answered by then are still down, or gone.
-ANSWER_SECONDS = 0.06
+PEER_ANSWER_SECONDS = 0.06
 # Engines of their shares that are asked in all by routers that start together: in
 # a small fleet each share is a large part of what is held; in a large one, what
 # the hash order of targets says is relied on for it.
@@ -112,7 +112,7 @@
         read.addCallback(lambda _: self._know())
         self._exchange.request_caches()
 
-        self._reactor.callLater(ANSWER_SECONDS, self._read_for_others, has_cache)
+        self._reactor.callLater(PEER_ANSWER_SECONDS, self._read_for_others, has_cache)
         self._look()
         self._ask_again(ASK_AGAIN_SECONDS)
 
