--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_learning.py
@@ -39,7 +39,7 @@
 # Engines of their shares that are asked in all by routers that start together: in
 # a small fleet each share is a large part of what is held; in a large one, what
 # the hash order of targets says is relied on for it.
-READS_FOR_OTHERS = 12
+EXTRA_READS = 12
 # A timer may fire this much before the time that it was set for, by rounding.
 TIMER_SLACK = 0.001
 # Pauses before routers that have not answered are asked again: of those that were
@@ -118,7 +118,7 @@
 
     def _read_for_others(self, has_cache: Callable[[ServingTarget], bool]) -> None:
         untold = [state.target for state in self._shares.untold()]
-        most = READS_FOR_OTHERS // self._shares.routers
+        most = EXTRA_READS // self._shares.routers
         for target in list(filter(has_cache, untold))[:most]:
             self._read(target)
 
--- a/tests/entry/test_cache_shares.py
+++ b/tests/entry/test_cache_shares.py
@@ -20,8 +20,8 @@
 from primrosescale.connection.codec import encode
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.connection.wire import ttypes as wire
+from primrosescale.process.entry.cache_learning import EXTRA_READS
 from primrosescale.process.entry.cache_learning import PATIENCE
-from primrosescale.process.entry.cache_learning import READS_FOR_OTHERS
 from primrosescale.process.entry.cache_learning import CacheLearning
 from primrosescale.process.entry.cache_shares import MOST_CACHED_PARTS
 from primrosescale.process.entry.cache_shares import CacheShares
@@ -176,7 +176,7 @@
 
     def test_all_that_start_at_once_ask_little_more_than_each_engine(self):
         self.restart_all()
-        most = self.ENGINES + READS_FOR_OTHERS
+        most = self.ENGINES + EXTRA_READS
         self.assertLessEqual(len(self.engines.asked), most)
         for router in self.fleet.routers:
             self.assertGreater(self.known_share(router), 0.95, router.name)
