--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_learning.py
@@ -41,7 +41,7 @@
 # the hash order of targets says is relied on for it.
 EXTRA_READS = 12
 # A timer may fire this much before the time that it was set for, by rounding.
-TIMER_SLACK = 0.001
+TIMER_SLACK_SECONDS = 0.001
 # Pauses before routers that have not answered are asked again: of those that were
 # killed together, hosts with half a core answer a second after the first.
 ASK_AGAIN_SECONDS = (0.3, 0.6, 1.2)
@@ -126,7 +126,7 @@
         """Let callers go on when nothing is missing, or they have waited enough."""
         is_complete = self._is_read and not self._shares.unanswered
         left = self._began_at + MAX_WAIT_SECONDS - self._reactor.seconds()
-        if is_complete or left < TIMER_SLACK:
+        if is_complete or left < TIMER_SLACK_SECONDS:
             self._done()
         else:
             self._reactor.callLater(min(CHECK_INTERVAL_SECONDS, left), self._look)
