--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_learning.py
@@ -44,7 +44,7 @@
 TIMER_SLACK_SECONDS = 0.001
 # Pauses before routers that have not answered are asked again: of those that were
 # killed together, hosts with half a core answer a second after the first.
-ASK_AGAIN_SECONDS = (0.3, 0.6, 1.2)
+RETRY_PAUSES_SECONDS = (0.3, 0.6, 1.2)
 # RelayedUpdate delays a model engine's work, and each answer takes a connection; for
 # the rest, what the hash order of targets says is relied on.
 MOST_READ = 96
@@ -114,7 +114,7 @@
 
         self._reactor.callLater(PEER_ANSWER_SECONDS, self._read_for_others, has_cache)
         self._look()
-        self._ask_again(ASK_AGAIN_SECONDS)
+        self._ask_again(RETRY_PAUSES_SECONDS)
 
     def _read_for_others(self, has_cache: Callable[[ServingTarget], bool]) -> None:
         untold = [state.target for state in self._shares.untold()]
