--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_learning.py
@@ -113,7 +113,7 @@
         self._exchange.request_caches()
 
         self._reactor.callLater(PEER_ANSWER_SECONDS, self._read_for_others, has_cache)
-        self._look()
+        self._check_complete()
         self._ask_again(RETRY_PAUSES_SECONDS)
 
     def _read_for_others(self, has_cache: Callable[[ServingTarget], bool]) -> None:
@@ -122,14 +122,16 @@
         for target in list(filter(has_cache, untold))[:most]:
             self._read(target)
 
-    def _look(self) -> None:
+    def _check_complete(self) -> None:
         """Let callers go on when nothing is missing, or they have waited enough."""
         is_complete = self._is_read and not self._shares.unanswered
         left = self._began_at + MAX_WAIT_SECONDS - self._reactor.seconds()
         if is_complete or left < TIMER_SLACK_SECONDS:
             self._done()
         else:
-            self._reactor.callLater(min(CHECK_INTERVAL_SECONDS, left), self._look)
+            self._reactor.callLater(
+                min(CHECK_INTERVAL_SECONDS, left), self._check_complete
+            )
 
     def _ask_again(self, pauses: tuple[float, ...]) -> None:
         if not pauses:
