--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_learning.py
@@ -109,7 +109,7 @@
         if len(own) > MOST_READ:
             own = self._rng.sample(own, MOST_READ)
         read = DeferredList([self._read(target) for target in own])
-        read.addCallback(lambda _: self._know())
+        read.addCallback(lambda _: self._finish_own_share())
         self._exchange.request_caches()
 
         self._reactor.callLater(PEER_ANSWER_SECONDS, self._read_for_others, has_cache)
@@ -144,7 +144,7 @@
 
         self._reactor.callLater(pauses[0], ask)
 
-    def _know(self) -> None:
+    def _finish_own_share(self) -> None:
         self._is_read = True
         self._exchange.answer_cache_requests()
 
