--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_learning.py
@@ -127,7 +127,7 @@
         is_complete = self._is_read and not self._shares.unanswered
         left = self._began_at + MAX_WAIT_SECONDS - self._reactor.seconds()
         if is_complete or left < TIMER_SLACK_SECONDS:
-            self._done()
+            self._finish()
         else:
             self._reactor.callLater(
                 min(CHECK_INTERVAL_SECONDS, left), self._check_complete
@@ -148,7 +148,7 @@
         self._is_read = True
         self._exchange.answer_cache_requests()
 
-    def _done(self) -> None:
+    def _finish(self) -> None:
         self._log.emit(
             Event.CACHES_LEARNED,
             parts=len(self._directory),
