--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_learning.py
@@ -114,7 +114,7 @@
 
         self._reactor.callLater(PEER_ANSWER_SECONDS, self._read_for_others, has_cache)
         self._check_complete()
-        self._ask_again(RETRY_PAUSES_SECONDS)
+        self._schedule_retry(RETRY_PAUSES_SECONDS)
 
     def _read_for_others(self, has_cache: Callable[[ServingTarget], bool]) -> None:
         untold = [state.target for state in self._shares.untold()]
@@ -133,14 +133,14 @@
                 min(CHECK_INTERVAL_SECONDS, left), self._check_complete
             )
 
-    def _ask_again(self, pauses: tuple[float, ...]) -> None:
+    def _schedule_retry(self, pauses: tuple[float, ...]) -> None:
         if not pauses:
             return
 
         def ask() -> None:
             if self._shares.unanswered:
                 self._exchange.request_caches()
-                self._ask_again(pauses[1:])
+                self._schedule_retry(pauses[1:])
 
         self._reactor.callLater(pauses[0], ask)
 
