--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_learning.py
@@ -165,9 +165,11 @@
             detail = failure.getErrorMessage()
             self._log.emit(Event.CACHE_NOT_READ, target=target.name, detail=detail)
 
-        return reading.addCallbacks(self._learn, failed, callbackArgs=(target,))
+        return reading.addCallbacks(
+            self._record_contents, failed, callbackArgs=(target,)
+        )
 
-    def _learn(self, held: HeldParts, target: ServingTarget) -> None:
+    def _record_contents(self, held: HeldParts, target: ServingTarget) -> None:
         """Take in what a target told; it may be of another incarnation."""
         now = self._reactor.seconds()
         told = target.incarnation
