--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_learning.py
@@ -117,9 +117,11 @@
         self._schedule_retry(RETRY_PAUSES_SECONDS)
 
     def _read_for_others(self, has_cache: Callable[[ServingTarget], bool]) -> None:
-        untold = [state.target for state in self._shares.untold()]
+        unanswered_targets = [
+            state.target for state in self._shares.unanswered_targets()
+        ]
         most = EXTRA_READS // self._shares.routers
-        for target in list(filter(has_cache, untold))[:most]:
+        for target in list(filter(has_cache, unanswered_targets))[:most]:
             self._read(target)
 
     def _check_complete(self) -> None:
--- a/src/primrosescale/process/entry/cache_shares.py
+++ b/src/primrosescale/process/entry/cache_shares.py
@@ -103,7 +103,7 @@
             if first_in_order(names, state.target.name, 1) == [self._name]
         ]
 
-    def untold(self) -> list[TargetState]:
+    def unanswered_targets(self) -> list[TargetState]:
         """Return the targets that no router has told of.
 
         Returns
