--- a/src/primrosescale/process/entry/cache_shares.py
+++ b/src/primrosescale/process/entry/cache_shares.py
@@ -28,7 +28,7 @@
     from primrosescale.request.target_state import TargetState
 
 # Datagrams stay under what every link carries in one piece: a part takes 18 bytes.
-MOST_CACHED_PARTS = 60
+MAX_PARTS_PER_ANSWER = 60
 
 
 class CacheShares:
@@ -208,11 +208,11 @@
             for state in self.own()
             for use in self._parts.shared(state.incarnation, now)
         ]
-        begins = range(0, len(uses), MOST_CACHED_PARTS) or (0,)
+        begins = range(0, len(uses), MAX_PARTS_PER_ANSWER) or (0,)
         return [
             wire.CacheAnswer(
                 self._name,
-                _by_target(uses[begin : begin + MOST_CACHED_PARTS], now),
+                _by_target(uses[begin : begin + MAX_PARTS_PER_ANSWER], now),
                 is_last=begin == begins[-1],
             )
             for begin in begins
--- a/tests/entry/test_cache_shares.py
+++ b/tests/entry/test_cache_shares.py
@@ -23,7 +23,7 @@
 from primrosescale.process.entry.cache_learning import EXTRA_READS
 from primrosescale.process.entry.cache_learning import PATIENCE
 from primrosescale.process.entry.cache_learning import CacheLearning
-from primrosescale.process.entry.cache_shares import MOST_CACHED_PARTS
+from primrosescale.process.entry.cache_shares import MAX_PARTS_PER_ANSWER
 from primrosescale.process.entry.cache_shares import CacheShares
 from primrosescale.process.entry.codec import CacheReader
 from primrosescale.process.entry.codec import HeldParts
@@ -252,13 +252,13 @@
         self.assertEqual(["tariffs"], [part.part for part in cache.parts])
 
     def test_a_long_answer_comes_in_datagrams_of_one_piece(self):
-        count = 3 * MOST_CACHED_PARTS + 1
+        count = 3 * MAX_PARTS_PER_ANSWER + 1
         for number in range(count):
             use = PartUse(f"{number:08x}", self.own, 9000, START - 30)
             self.parts.note(use)
         self.shares.know(START)
         frames = [encode(message) for _, message in self.asked()]
-        self.assertEqual(math.ceil(count / MOST_CACHED_PARTS), len(frames))
+        self.assertEqual(math.ceil(count / MAX_PARTS_PER_ANSWER), len(frames))
         self.assertLess(max(map(len, frames)), BYTES_IN_ONE_PIECE)
         messages = [decode(frame) for frame in frames]
         ends = [message.is_last for message in messages]
