--- a/src/primrosescale/process/entry/cache_shares.py
+++ b/src/primrosescale/process/entry/cache_shares.py
@@ -58,7 +58,7 @@
         "_others",
         "_parts",
         "_targets",
-        "_waiting",
+        "_pending_requesters",
     )
 
     def __init__(
@@ -75,7 +75,7 @@
         self._others = others
         self._find = find
         self._answered: set[str] = set()
-        self._waiting: set[str] = set()
+        self._pending_requesters: set[str] = set()
         self._is_known = False
 
     @property
@@ -151,7 +151,7 @@
         """
         if self._find(message.origin) is None:
             return []
-        self._waiting.add(message.origin)
+        self._pending_requesters.add(message.origin)
         return self._answers(now) if self._is_known else []
 
     def know(self, now: float) -> list[tuple[OtherRouter, wire.CacheAnswer]]:
@@ -193,9 +193,9 @@
                 )
 
     def _answers(self, now: float) -> list[tuple[OtherRouter, wire.CacheAnswer]]:
-        found = [self._find(name) for name in sorted(self._waiting)]
+        found = [self._find(name) for name in sorted(self._pending_requesters)]
         askers = [router for router in found if router is not None]
-        self._waiting.clear()
+        self._pending_requesters.clear()
         if not askers:
             return []
         messages = self._messages(now)
