--- a/src/primrosescale/process/entry/cache_shares.py
+++ b/src/primrosescale/process/entry/cache_shares.py
@@ -53,7 +53,7 @@
     __slots__ = (
         "_answered",
         "_find",
-        "_is_known",
+        "_is_own_share_read",
         "_name",
         "_others",
         "_parts",
@@ -76,7 +76,7 @@
         self._find = find
         self._answered: set[str] = set()
         self._pending_requesters: set[str] = set()
-        self._is_known = False
+        self._is_own_share_read = False
 
     @property
     def routers(self) -> int:
@@ -152,7 +152,7 @@
         if self._find(message.origin) is None:
             return []
         self._pending_requesters.add(message.origin)
-        return self._answers(now) if self._is_known else []
+        return self._answers(now) if self._is_own_share_read else []
 
     def know(self, now: float) -> list[tuple[OtherRouter, wire.CacheAnswer]]:
         """Take in that this router knows what the targets of its share hold.
@@ -167,7 +167,7 @@
         list[tuple[OtherRouter, wire.CacheAnswer]]
             What to tell the routers that have asked meanwhile.
         """
-        self._is_known = True
+        self._is_own_share_read = True
         return self._answers(now)
 
     def take_answer(self, message: wire.CacheAnswer, now: float) -> None:
