--- a/src/primrosescale/process/entry/cache_shares.py
+++ b/src/primrosescale/process/entry/cache_shares.py
@@ -88,7 +88,7 @@
         """Return the listed routers that have not answered yet."""
         return [item for item in self._others() if item.name not in self._answered]
 
-    def own(self) -> list[TargetState]:
+    def own_targets(self) -> list[TargetState]:
         """Return the targets that are this router's share.
 
         Returns
@@ -205,7 +205,7 @@
         """Return the messages of one whole answer."""
         uses = [
             use
-            for state in self.own()
+            for state in self.own_targets()
             for use in self._parts.shared(state.incarnation, now)
         ]
         begins = range(0, len(uses), MAX_PARTS_PER_ANSWER) or (0,)
--- a/tests/entry/test_cache_shares.py
+++ b/tests/entry/test_cache_shares.py
@@ -115,7 +115,7 @@
         router = self.fleet.routers[4]
         self.restart(router)
         self.fleet.run(PATIENCE)
-        share = {state.target.name for state in router.shares.own()}
+        share = {state.target.name for state in router.shares.own_targets()}
         self.assertEqual(share, set(self.engines.asked))
         self.assertLess(len(share), self.ENGINES / 4)
         self.assertGreater(self.known_share(router), 0.95)
@@ -163,15 +163,15 @@
 
     def test_the_share_of_one_that_is_gone_is_asked_for_by_others(self):
         lost, router = sorted(
-            self.fleet.routers, key=lambda router: -len(router.shares.own())
+            self.fleet.routers, key=lambda router: -len(router.shares.own_targets())
         )[:2]
-        share = {state.target.name for state in lost.shares.own()}
-        own = {state.target.name for state in router.shares.own()}
+        share = {state.target.name for state in lost.shares.own_targets()}
+        own_targets = {state.target.name for state in router.shares.own_targets()}
         self.fleet.lose(lost)
         self.restart(router)
         self.fleet.run(2 * PATIENCE)
         self.assertTrue(share)
-        self.assertEqual(own | share, set(self.engines.asked))
+        self.assertEqual(own_targets | share, set(self.engines.asked))
         self.assertGreater(self.known_share(router), 0.95)
 
     def test_all_that_start_at_once_ask_little_more_than_each_engine(self):
@@ -190,7 +190,7 @@
         self.shares = self.sharing("a", lambda: self.others)
         for number in range(8):
             self.targets.put(target(f"m{number}"), START)
-        self.own = self.shares.own()[0].incarnation
+        self.own_targets = self.shares.own_targets()[0].incarnation
 
     def sharing(self, name, others):
         def find(wanted):
@@ -212,10 +212,12 @@
     def test_each_target_is_the_share_of_one_router(self):
         first = OtherRouter("a", Endpoint("127.0.0.1", 7000))
         other = self.sharing("b", lambda: [first])
-        own = [state.target.name for state in self.shares.own()]
-        theirs = [state.target.name for state in other.own()]
-        self.assertEqual([f"m{number}" for number in range(8)], sorted(own + theirs))
-        self.assertTrue(own)
+        own_targets = [state.target.name for state in self.shares.own_targets()]
+        theirs = [state.target.name for state in other.own_targets()]
+        self.assertEqual(
+            [f"m{number}" for number in range(8)], sorted(own_targets + theirs)
+        )
+        self.assertTrue(own_targets)
         self.assertTrue(theirs)
 
     def test_who_asks_one_that_has_just_started_is_told_once_that_knows(self):
@@ -245,7 +247,7 @@
 
     def test_what_one_chat_has_alone_is_not_told(self):
         parts = prompt(("tariffs", 9000), ("chat", 10)).parts
-        self.parts.note_own(self.own, parts, START)
+        self.parts.note_own(self.own_targets, parts, START)
         self.shares.know(START)
         [(_, message)] = self.asked()
         [cache] = message.caches
@@ -254,7 +256,7 @@
     def test_a_long_answer_comes_in_datagrams_of_one_piece(self):
         count = 3 * MAX_PARTS_PER_ANSWER + 1
         for number in range(count):
-            use = PartUse(f"{number:08x}", self.own, 9000, START - 30)
+            use = PartUse(f"{number:08x}", self.own_targets, 9000, START - 30)
             self.parts.note(use)
         self.shares.know(START)
         frames = [encode(message) for _, message in self.asked()]
