--- a/src/primrosescale/process/entry/cache_shares.py
+++ b/src/primrosescale/process/entry/cache_shares.py
@@ -131,7 +131,7 @@
         """
         return wire.CacheQuestion(self._name)
 
-    def take_question(
+    def receive_request(
         self, message: wire.CacheQuestion, now: float
     ) -> list[tuple[OtherRouter, wire.CacheAnswer]]:
         """Take in that another router has started.
--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_exchange.py
@@ -128,7 +128,7 @@
         if isinstance(message, wire.RouterNews):
             self._news.take(message, self._version(), now)
         elif isinstance(message, wire.CacheQuestion):
-            self._write_all(self._shares.take_question(message, now))
+            self._write_all(self._shares.receive_request(message, now))
         elif isinstance(message, wire.CacheAnswer):
             self._shares.take_answer(message, now)
 
--- a/tests/entry/test_cache_shares.py
+++ b/tests/entry/test_cache_shares.py
@@ -199,7 +199,7 @@
         return CacheShares(name, self.targets, self.parts, others, find)
 
     def asked(self, origin="b", now=START):
-        return self.shares.take_question(wire.CacheQuestion(origin), now)
+        return self.shares.receive_request(wire.CacheQuestion(origin), now)
 
     def told(self, origin="b", *, part="tariffs", key=None, is_last=True):
         cached = [wire.CachedPart(part, 9000, 50)]
