--- a/src/primrosescale/process/entry/cache_shares.py
+++ b/src/primrosescale/process/entry/cache_shares.py
@@ -170,7 +170,7 @@
         self._is_own_share_read = True
         return self._answers(now)
 
-    def take_answer(self, message: wire.CacheAnswer, now: float) -> None:
+    def receive_answer(self, message: wire.CacheAnswer, now: float) -> None:
         """Take in what another router tells of its share.
 
         Parameters
--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_exchange.py
@@ -130,7 +130,7 @@
         elif isinstance(message, wire.CacheQuestion):
             self._write_all(self._shares.receive_request(message, now))
         elif isinstance(message, wire.CacheAnswer):
-            self._shares.take_answer(message, now)
+            self._shares.receive_answer(message, now)
 
     def request_caches(self) -> None:
         """Ask the routers that have not answered yet what targets hold."""
--- a/tests/entry/test_cache_shares.py
+++ b/tests/entry/test_cache_shares.py
@@ -204,7 +204,7 @@
     def told(self, origin="b", *, part="tariffs", key=None, is_last=True):
         cached = [wire.CachedPart(part, 9000, 50)]
         cache = wire.TargetCache(key or target_key("m1"), cached)
-        self.shares.take_answer(wire.CacheAnswer(origin, [cache], is_last), START)
+        self.shares.receive_answer(wire.CacheAnswer(origin, [cache], is_last), START)
 
     def held(self, name="m1", part="tariffs"):
         return self.parts.held(life(name), prompt((part, 9000)).parts, START)
