--- a/src/primrosescale/process/entry/cache_shares.py
+++ b/src/primrosescale/process/entry/cache_shares.py
@@ -154,7 +154,7 @@
         self._pending_requesters.add(message.origin)
         return self._answers(now) if self._is_own_share_read else []
 
-    def know(self, now: float) -> list[tuple[OtherRouter, wire.CacheAnswer]]:
+    def share_read(self, now: float) -> list[tuple[OtherRouter, wire.CacheAnswer]]:
         """Take in that this router knows what the targets of its share hold.
 
         Parameters
--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_exchange.py
@@ -139,7 +139,7 @@
 
     def answer_cache_requests(self) -> None:
         """Tell those who have asked: this router knows its share by now."""
-        self._write_all(self._shares.know(self._reactor.seconds()))
+        self._write_all(self._shares.share_read(self._reactor.seconds()))
 
     def _urgent_round(self) -> None:
         if not self._news.is_relayed:
--- a/tests/entry/test_cache_shares.py
+++ b/tests/entry/test_cache_shares.py
@@ -69,7 +69,7 @@
         super().setUp()
         self.fleet = Fleet(self.ROUTERS, self.ENGINES, self.DOMAINS, 100.0, 3)
         for router in self.fleet.routers:
-            router.shares.know(FLEET_START)
+            router.shares.share_read(FLEET_START)
         self.fleet.begin()
         self.fleet.run(8.0)
         self.engines = Engines(self.fleet)
@@ -222,13 +222,13 @@
 
     def test_who_asks_one_that_has_just_started_is_told_once_that_knows(self):
         self.assertEqual([], self.asked())
-        [(asker, message)] = self.shares.know(START)
+        [(asker, message)] = self.shares.share_read(START)
         self.assertEqual(("b", True), (asker.name, message.is_last))
-        self.assertEqual([], self.shares.know(START))
+        self.assertEqual([], self.shares.share_read(START))
         self.assertEqual(1, len(self.asked()))
 
     def test_a_stranger_is_told_nothing_and_tells_nothing(self):
-        self.shares.know(START)
+        self.shares.share_read(START)
         self.assertEqual([], self.asked("c"))
         self.told("c")
         self.assertEqual(0, self.held())
@@ -248,7 +248,7 @@
     def test_what_one_chat_has_alone_is_not_told(self):
         parts = prompt(("tariffs", 9000), ("chat", 10)).parts
         self.parts.note_own(self.own_targets, parts, START)
-        self.shares.know(START)
+        self.shares.share_read(START)
         [(_, message)] = self.asked()
         [cache] = message.caches
         self.assertEqual(["tariffs"], [part.part for part in cache.parts])
@@ -258,7 +258,7 @@
         for number in range(count):
             use = PartUse(f"{number:08x}", self.own_targets, 9000, START - 30)
             self.parts.note(use)
-        self.shares.know(START)
+        self.shares.share_read(START)
         frames = [encode(message) for _, message in self.asked()]
         self.assertEqual(math.ceil(count / MAX_PARTS_PER_ANSWER), len(frames))
         self.assertLess(max(map(len, frames)), BYTES_IN_ONE_PIECE)
