--- a/src/primrosescale/process/entry/cache_shares.py
+++ b/src/primrosescale/process/entry/cache_shares.py
@@ -152,7 +152,7 @@
         if self._find(message.origin) is None:
             return []
         self._pending_requesters.add(message.origin)
-        return self._answers(now) if self._is_own_share_read else []
+        return self._pending_answers(now) if self._is_own_share_read else []
 
     def share_read(self, now: float) -> list[tuple[OtherRouter, wire.CacheAnswer]]:
         """Take in that this router knows what the targets of its share hold.
@@ -168,7 +168,7 @@
             What to tell the routers that have asked meanwhile.
         """
         self._is_own_share_read = True
-        return self._answers(now)
+        return self._pending_answers(now)
 
     def receive_answer(self, message: wire.CacheAnswer, now: float) -> None:
         """Take in what another router tells of its share.
@@ -192,7 +192,9 @@
                     PartUse(part.part, state.incarnation, part.tokens, used_at)
                 )
 
-    def _answers(self, now: float) -> list[tuple[OtherRouter, wire.CacheAnswer]]:
+    def _pending_answers(
+        self, now: float
+    ) -> list[tuple[OtherRouter, wire.CacheAnswer]]:
         found = [self._find(name) for name in sorted(self._pending_requesters)]
         askers = [router for router in found if router is not None]
         self._pending_requesters.clear()
