--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -36,7 +36,7 @@
 # Age of the knowledge at which this router asks, though others do so for it:
 # their questions leave it at most twice a watch of 1.5 s old and a round of news
 # more.
-ASK_AT_AGE = 3.4
+POLL_AGE_SECONDS = 3.4
 ASK_AGAIN_SECONDS = 0.7
 # The same while the last question is still under way: on a thin link its answer
 # may be on its way, and a second one would only slow it down.
@@ -328,7 +328,7 @@
 
     def _is_old(self, now: float) -> bool:
         age = self._freshness.age(now)
-        return age is None or age > ASK_AT_AGE
+        return age is None or age > POLL_AGE_SECONDS
 
     def _is_outdated(self, newest_version: int, now: float) -> bool:
         """Tell whether others have had a newer version for some time."""
