--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -37,7 +37,7 @@
 # their questions leave it at most twice a watch of 1.5 s old and a round of news
 # more.
 POLL_AGE_SECONDS = 3.4
-ASK_AGAIN_SECONDS = 0.7
+POLL_PAUSE_SECONDS = 0.7
 # The same while the last question is still under way: on a thin link its answer
 # may be on its way, and a second one would only slow it down.
 ASK_BESIDE_SECONDS = 2.0
@@ -286,7 +286,7 @@
         if not is_due or self._is_lost():
             # A lost store is asked by the watch, again and again.
             return
-        pause = ASK_BESIDE_SECONDS if self._is_asking else ASK_AGAIN_SECONDS
+        pause = ASK_BESIDE_SECONDS if self._is_asking else POLL_PAUSE_SECONDS
         if self._asked_at is None or now - self._asked_at > pause:
             self._asked_at = now
             self._ask(now)
--- a/tests/entry/test_knowledge.py
+++ b/tests/entry/test_knowledge.py
@@ -14,8 +14,8 @@
 
 from primrosescale.process.entry.entry_metrics import EntryMetrics
 from primrosescale.process.entry.entry_settings import EntryWatches
-from primrosescale.process.entry.knowledge import ASK_AGAIN_SECONDS
 from primrosescale.process.entry.knowledge import LIST_PATIENCE
+from primrosescale.process.entry.knowledge import POLL_PAUSE_SECONDS
 from primrosescale.process.entry.knowledge import VERSION_PATIENCE
 from primrosescale.process.entry.knowledge import Knowledge
 from primrosescale.process.entry.store_watch import FIRST_PAUSE
@@ -106,7 +106,7 @@
     def test_a_version_the_store_does_not_give_is_asked_for_with_pauses(self):
         self.pass_time(7.0, version=1)
         self.assertIn("versions/", self.store.reads)
-        self.assertLessEqual(len(self.store.reads), 7.0 / ASK_AGAIN_SECONDS)
+        self.assertLessEqual(len(self.store.reads), 7.0 / POLL_PAUSE_SECONDS)
 
     def test_a_list_that_others_know_better_is_asked_for_with_pauses(self):
         self.pass_time(REST + LIST_PATIENCE - TICK, listed=9)
