--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -40,7 +40,7 @@
 POLL_PAUSE_SECONDS = 0.7
 # The same while the last question is still under way: on a thin link its answer
 # may be on its way, and a second one would only slow it down.
-ASK_BESIDE_SECONDS = 2.0
+PARALLEL_POLL_PAUSE_SECONDS = 2.0
 # A newer version that others tell of is normally on its way here, 0.5 s for 600
 # kB over the thinnest link of today (10 Mbit/s); it has to be in force in 2 s.
 VERSION_PATIENCE = 0.8
@@ -286,7 +286,7 @@
         if not is_due or self._is_lost():
             # A lost store is asked by the watch, again and again.
             return
-        pause = ASK_BESIDE_SECONDS if self._is_asking else POLL_PAUSE_SECONDS
+        pause = PARALLEL_POLL_PAUSE_SECONDS if self._is_asking else POLL_PAUSE_SECONDS
         if self._asked_at is None or now - self._asked_at > pause:
             self._asked_at = now
             self._ask(now)
