--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -43,7 +43,7 @@
 PARALLEL_POLL_PAUSE_SECONDS = 2.0
 # A newer version that others tell of is normally on its way here, 0.5 s for 600
 # kB over the thinnest link of today (10 Mbit/s); it has to be in force in 2 s.
-VERSION_PATIENCE = 0.8
+VERSION_ARRIVAL_SECONDS = 0.8
 # A change of the list of targets that others tell of is normally known here by
 # then: an answer of the store takes 4 ms, and 0.25 s while it is slow.
 LIST_PATIENCE = 0.3
@@ -180,7 +180,7 @@
         self._asked_at: float | None = None
         self._is_asking = False
         self._told_version = 0
-        self._version_lag = _Lag(VERSION_PATIENCE)
+        self._version_lag = _Lag(VERSION_ARRIVAL_SECONDS)
         self._list_lag = _Lag(watches.targets.rest + LIST_PATIENCE)
         self._watches: list[StoreWatch] = []
         self._follow(watches.configuration, self._handler, self._configuration_wait)
--- a/tests/entry/test_knowledge.py
+++ b/tests/entry/test_knowledge.py
@@ -16,7 +16,7 @@
 from primrosescale.process.entry.entry_settings import EntryWatches
 from primrosescale.process.entry.knowledge import LIST_PATIENCE
 from primrosescale.process.entry.knowledge import POLL_PAUSE_SECONDS
-from primrosescale.process.entry.knowledge import VERSION_PATIENCE
+from primrosescale.process.entry.knowledge import VERSION_ARRIVAL_SECONDS
 from primrosescale.process.entry.knowledge import Knowledge
 from primrosescale.process.entry.store_watch import FIRST_PAUSE
 from primrosescale.process.entry.store_watch import WatchedPrefix
@@ -100,7 +100,7 @@
 
 class LookAfterTest(KnowledgeTest):
     def test_a_version_on_its_way_is_not_asked_for(self):
-        self.pass_time(VERSION_PATIENCE - TICK, version=1)
+        self.pass_time(VERSION_ARRIVAL_SECONDS - TICK, version=1)
         self.assertEqual([], self.store.reads)
 
     def test_a_version_the_store_does_not_give_is_asked_for_with_pauses(self):
