--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -46,7 +46,7 @@
 VERSION_ARRIVAL_SECONDS = 0.8
 # A change of the list of targets that others tell of is normally known here by
 # then: an answer of the store takes 4 ms, and 0.25 s while it is slow.
-LIST_PATIENCE = 0.3
+LIST_ARRIVAL_SECONDS = 0.3
 
 
 class _Lag:
@@ -181,7 +181,7 @@
         self._is_asking = False
         self._told_version = 0
         self._version_lag = _Lag(VERSION_ARRIVAL_SECONDS)
-        self._list_lag = _Lag(watches.targets.rest + LIST_PATIENCE)
+        self._list_lag = _Lag(watches.targets.rest + LIST_ARRIVAL_SECONDS)
         self._watches: list[StoreWatch] = []
         self._follow(watches.configuration, self._handler, self._configuration_wait)
         self._targets_watch = self._follow_lists(watches.targets, self._listed)
--- a/tests/entry/test_knowledge.py
+++ b/tests/entry/test_knowledge.py
@@ -14,7 +14,7 @@
 
 from primrosescale.process.entry.entry_metrics import EntryMetrics
 from primrosescale.process.entry.entry_settings import EntryWatches
-from primrosescale.process.entry.knowledge import LIST_PATIENCE
+from primrosescale.process.entry.knowledge import LIST_ARRIVAL_SECONDS
 from primrosescale.process.entry.knowledge import POLL_PAUSE_SECONDS
 from primrosescale.process.entry.knowledge import VERSION_ARRIVAL_SECONDS
 from primrosescale.process.entry.knowledge import Knowledge
@@ -109,9 +109,9 @@
         self.assertLessEqual(len(self.store.reads), 7.0 / POLL_PAUSE_SECONDS)
 
     def test_a_list_that_others_know_better_is_asked_for_with_pauses(self):
-        self.pass_time(REST + LIST_PATIENCE - TICK, listed=9)
+        self.pass_time(REST + LIST_ARRIVAL_SECONDS - TICK, listed=9)
         before = [prefix for prefix, _ in self.store.watches].count("targets/")
-        self.pass_time(REST + LIST_PATIENCE + TICK, listed=9)
+        self.pass_time(REST + LIST_ARRIVAL_SECONDS + TICK, listed=9)
         after = [prefix for prefix, _ in self.store.watches].count("targets/")
         self.assertEqual((1, 2), (before, after))
 
