--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -64,7 +64,7 @@
         self._patience = patience
         self._since: float | None = None
 
-    def is_over(self, now: float, *, is_behind: bool) -> bool:
+    def is_overdue(self, now: float, *, is_behind: bool) -> bool:
         """Take in whether others know more; tell whether for too long."""
         if not is_behind:
             self._since = None
@@ -335,13 +335,13 @@
         own = 0 if self._table is None else self._table.version
         # Versions only go up: what was told once holds when the teller is gone.
         self._told_version = max(self._told_version, newest_version)
-        return self._version_lag.is_over(now, is_behind=self._told_version > own)
+        return self._version_lag.is_overdue(now, is_behind=self._told_version > own)
 
     def _look_after_list(self, newest: int, now: float) -> None:
         """Renew the watch of targets when another router heard a change first."""
         watch = self._targets_watch
         is_behind = self._listed.is_complete and newest > watch.revision
-        if self._list_lag.is_over(now, is_behind=is_behind):
+        if self._list_lag.is_overdue(now, is_behind=is_behind):
             self._list_lag.restart()
             self._log.emit(
                 Event.WATCH_RENEWED,
