--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -166,7 +166,7 @@
             RefusedRecords(RecordKind.TARGET, parts.log, parts.metrics),
             parts.log,
             self._now,
-            self._look_complete,
+            self._check_complete,
         )
         self._refused = RefusedRecords(
             RecordKind.CONFIGURATION, parts.log, parts.metrics
@@ -192,7 +192,7 @@
                 evacuations,
                 lambda: watch.revision,
                 self._now,
-                self._look_complete,
+                self._check_complete,
             )
             watch = self._follow_lists(watches.evacuations, self._evacuations)
 
@@ -462,11 +462,11 @@
                 self._log.emit(Event.TABLE_REFUSED, detail=detail)
             return
         self._table = table
-        self._look_complete()
+        self._check_complete()
         age = round(self._now() - asked_at, 3)
         self._log.emit(Event.TABLE_ADOPTED, version=table.version, asked_before=age)
 
-    def _look_complete(self) -> None:
+    def _check_complete(self) -> None:
         if self.is_complete and self._on_complete is not None:
             on_complete, self._on_complete = self._on_complete, None
             on_complete()
