--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -266,7 +266,7 @@
         self._on_complete = on_complete
         for watch in self._watches:
             running = watch.run()
-            running.addErrback(self._broken)
+            running.addErrback(self._log_fault)
 
     def look_after(self, newest_version: int, newest_list: int, now: float) -> None:
         """Ask the store when others know more, or their questions are too old.
@@ -319,7 +319,7 @@
             handler,
             self._reactor,
             self._rng,
-            self._broken,
+            self._log_fault,
             wait,
             leaves_asking,
         )
@@ -363,12 +363,12 @@
             self._is_asking = False
             error = failure.value
             if not isinstance(error, PlatformError):
-                self._broken(failure)
+                self._log_fault(failure)
                 return
             self._handler.failed(error)
 
         reading.addCallbacks(answered, failed)
-        reading.addErrback(self._broken)
+        reading.addErrback(self._log_fault)
 
     def _is_lost(self) -> bool:
         """Tell whether the watch of the configuration asks the store for all."""
@@ -471,7 +471,7 @@
             on_complete, self._on_complete = self._on_complete, None
             on_complete()
 
-    def _broken(self, failure: Any) -> None:
+    def _log_fault(self, failure: Any) -> None:
         self._log.emit(Event.LOOP_FAILED, detail=failure.getTraceback())
 
     def _now(self) -> float:
