--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -179,7 +179,7 @@
         self._asks_often = asks_often
         self._asked_at: float | None = None
         self._is_asking = False
-        self._told_version = 0
+        self._reported_version = 0
         self._version_lag = _Lag(VERSION_ARRIVAL_SECONDS)
         self._list_lag = _Lag(watches.targets.rest + LIST_ARRIVAL_SECONDS)
         self._watches: list[StoreWatch] = []
@@ -334,8 +334,8 @@
         """Tell whether others have had a newer version for some time."""
         own = 0 if self._table is None else self._table.version
         # Versions only go up: what was told once holds when the teller is gone.
-        self._told_version = max(self._told_version, newest_version)
-        return self._version_lag.is_overdue(now, is_behind=self._told_version > own)
+        self._reported_version = max(self._reported_version, newest_version)
+        return self._version_lag.is_overdue(now, is_behind=self._reported_version > own)
 
     def _look_after_list(self, newest: int, now: float) -> None:
         """Renew the watch of targets when another router heard a change first."""
