--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -281,7 +281,7 @@
         now : float
             Present time in seconds.
         """
-        self._look_after_list(newest_list, now)
+        self._check_target_list(newest_list, now)
         is_due = self._is_old(now) or self._is_outdated(newest_version, now)
         if not is_due or self._is_lost():
             # A lost store is asked by the watch, again and again.
@@ -337,7 +337,7 @@
         self._reported_version = max(self._reported_version, newest_version)
         return self._version_lag.is_overdue(now, is_behind=self._reported_version > own)
 
-    def _look_after_list(self, newest: int, now: float) -> None:
+    def _check_target_list(self, newest: int, now: float) -> None:
         """Renew the watch of targets when another router heard a change first."""
         watch = self._targets_watch
         is_behind = self._listed.is_complete and newest > watch.revision
