--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -304,14 +304,14 @@
         self, watched: WatchedPrefix, handler: WatchHandler
     ) -> StoreWatch:
         """Follow what the watch of the configuration asks a lost store for too."""
-        return self._follow(watched, handler, leaves_asking=self._is_lost)
+        return self._follow(watched, handler, defers_polling=self._is_lost)
 
     def _follow(
         self,
         watched: WatchedPrefix,
         handler: WatchHandler,
         wait: Callable[[], float] | None = None,
-        leaves_asking: Callable[[], bool] = lambda: False,
+        defers_polling: Callable[[], bool] = lambda: False,
     ) -> StoreWatch:
         watch = StoreWatch(
             self._platform,
@@ -321,7 +321,7 @@
             self._rng,
             self._log_fault,
             wait,
-            leaves_asking,
+            defers_polling,
         )
         self._watches.append(watch)
         return watch
--- a/src/primrosescale/process/entry/store_watch.py
+++ b/src/primrosescale/process/entry/store_watch.py
@@ -127,7 +127,7 @@
     wait : Callable[[], float] | None
         Returns the seconds that the store may keep the next question waiting;
         None for what `watched` says.
-    leaves_asking : Callable[[], bool]
+    defers_polling : Callable[[], bool]
         Returns whether another watch asks a store that does not answer, and
         renews this one when it does: three that ask through an outage cost three
         times as much and know it no sooner.
@@ -142,10 +142,10 @@
         rng: Random,
         on_fault: Callable[[Failure], None],
         wait: Callable[[], float] | None = None,
-        leaves_asking: Callable[[], bool] = lambda: False,
+        defers_polling: Callable[[], bool] = lambda: False,
     ) -> None:
         self._wait = wait
-        self._leaves_asking = leaves_asking
+        self._leaves_asking = defers_polling
         self._on_fault = on_fault
         self._platform = platform
         self._watched = watched
