--- a/src/primrosescale/process/entry/store_watch.py
+++ b/src/primrosescale/process/entry/store_watch.py
@@ -145,7 +145,7 @@
         defers_polling: Callable[[], bool] = lambda: False,
     ) -> None:
         self._wait = wait
-        self._leaves_asking = defers_polling
+        self._defers_polling = defers_polling
         self._on_fault = on_fault
         self._platform = platform
         self._watched = watched
@@ -205,7 +205,7 @@
                 self._handler.failed(error)
                 if self._watched.reads_after_failure:
                     self._since = 0
-                yield self._rest(LEFT_PAUSE if self._leaves_asking() else pause)
+                yield self._rest(LEFT_PAUSE if self._defers_polling() else pause)
                 pause = min(LONGEST_PAUSE, pause * GROWTH)
                 continue
             if found is None:
