--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -283,7 +283,7 @@
         """
         self._check_target_list(newest_list, now)
         is_due = self._is_old(now) or self._is_outdated(newest_version, now)
-        if not is_due or self._is_lost():
+        if not is_due or self._is_store_lost():
             # A lost store is asked by the watch, again and again.
             return
         pause = PARALLEL_POLL_PAUSE_SECONDS if self._is_asking else POLL_PAUSE_SECONDS
@@ -304,7 +304,7 @@
         self, watched: WatchedPrefix, handler: WatchHandler
     ) -> StoreWatch:
         """Follow what the watch of the configuration asks a lost store for too."""
-        return self._follow(watched, handler, defers_polling=self._is_lost)
+        return self._follow(watched, handler, defers_polling=self._is_store_lost)
 
     def _follow(
         self,
@@ -370,7 +370,7 @@
         reading.addCallbacks(answered, failed)
         reading.addErrback(self._log_fault)
 
-    def _is_lost(self) -> bool:
+    def _is_store_lost(self) -> bool:
         """Tell whether the watch of the configuration asks the store for all."""
         return self._connection.lost_at is not None
 
