--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -178,7 +178,7 @@
         )
         self._asks_often = asks_often
         self._asked_at: float | None = None
-        self._is_asking = False
+        self._is_polling = False
         self._reported_version = 0
         self._version_lag = _Lag(VERSION_ARRIVAL_SECONDS)
         self._list_lag = _Lag(watches.targets.rest + LIST_ARRIVAL_SECONDS)
@@ -286,7 +286,7 @@
         if not is_due or self._is_store_lost():
             # A lost store is asked by the watch, again and again.
             return
-        pause = PARALLEL_POLL_PAUSE_SECONDS if self._is_asking else POLL_PAUSE_SECONDS
+        pause = PARALLEL_POLL_PAUSE_SECONDS if self._is_polling else POLL_PAUSE_SECONDS
         if self._asked_at is None or now - self._asked_at > pause:
             self._asked_at = now
             self._ask(now)
@@ -352,15 +352,15 @@
             watch.renew()
 
     def _ask(self, asked_at: float) -> None:
-        self._is_asking = True
+        self._is_polling = True
         reading = self._platform.watch(self._watched.prefix, 0, 0.0)
 
         def answered(found: WatchResult) -> None:
-            self._is_asking = False
+            self._is_polling = False
             self._handler.replaced(found.changes, asked_at)
 
         def failed(failure: Failure) -> None:
-            self._is_asking = False
+            self._is_polling = False
             error = failure.value
             if not isinstance(error, PlatformError):
                 self._log_fault(failure)
