--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -177,7 +177,7 @@
             self, self._connection, watches.configuration.prefix
         )
         self._asks_often = asks_often
-        self._asked_at: float | None = None
+        self._polled_at: float | None = None
         self._is_polling = False
         self._reported_version = 0
         self._version_lag = _Lag(VERSION_ARRIVAL_SECONDS)
@@ -287,8 +287,8 @@
             # A lost store is asked by the watch, again and again.
             return
         pause = PARALLEL_POLL_PAUSE_SECONDS if self._is_polling else POLL_PAUSE_SECONDS
-        if self._asked_at is None or now - self._asked_at > pause:
-            self._asked_at = now
+        if self._polled_at is None or now - self._polled_at > pause:
+            self._polled_at = now
             self._ask(now)
 
     def renew_watches(self) -> None:
