--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -289,7 +289,7 @@
         pause = PARALLEL_POLL_PAUSE_SECONDS if self._is_polling else POLL_PAUSE_SECONDS
         if self._polled_at is None or now - self._polled_at > pause:
             self._polled_at = now
-            self._ask(now)
+            self._poll(now)
 
     def renew_watches(self) -> None:
         """Ask anew what waits for an answer.
@@ -351,7 +351,7 @@
             )
             watch.renew()
 
-    def _ask(self, asked_at: float) -> None:
+    def _poll(self, asked_at: float) -> None:
         self._is_polling = True
         reading = self._platform.watch(self._watched.prefix, 0, 0.0)
 
