--- a/src/primrosescale/process/entry/store_watch.py
+++ b/src/primrosescale/process/entry/store_watch.py
@@ -29,7 +29,7 @@
 # Pause after a failed call, growing by half to the most. An outage is asked
 # through two or three times a second, which finds its end soon enough for a
 # bound of 2 s and is a thousandth of the store's rate for four routers.
-FIRST_PAUSE = 0.1
+MIN_PAUSE_SECONDS = 0.1
 LONGEST_PAUSE = 0.5
 GROWTH = 1.5
 # The same of a watch that leaves asking to another one, which wakes it.
@@ -190,7 +190,7 @@
     @inlineCallbacks
     def _follow(self) -> Generator[Any, Any, None]:
         """Follow changes until stopped or something unexpected is raised."""
-        pause = FIRST_PAUSE
+        pause = MIN_PAUSE_SECONDS
         while not self._is_stopped:
             asked_at = self._reactor.seconds()
             try:
@@ -210,7 +210,7 @@
                 continue
             if found is None:
                 continue
-            pause = FIRST_PAUSE
+            pause = MIN_PAUSE_SECONDS
             is_change = bool(self._since)
             self._since = found.revision
             tell = self._handler.changed if is_change else self._handler.replaced
--- a/tests/entry/test_knowledge.py
+++ b/tests/entry/test_knowledge.py
@@ -18,7 +18,7 @@
 from primrosescale.process.entry.knowledge import POLL_PAUSE_SECONDS
 from primrosescale.process.entry.knowledge import VERSION_ARRIVAL_SECONDS
 from primrosescale.process.entry.knowledge import Knowledge
-from primrosescale.process.entry.store_watch import FIRST_PAUSE
+from primrosescale.process.entry.store_watch import MIN_PAUSE_SECONDS
 from primrosescale.process.entry.store_watch import WatchedPrefix
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.process.exceptions import PlatformUnavailableError
@@ -188,5 +188,5 @@
         [asked] = [a for prefix, a in self.store.watches if prefix == "targets/"]
         self.store.asked.clear()
         asked.errback(PlatformUnavailableError("status 429"))
-        self.clock.advance(FIRST_PAUSE)
+        self.clock.advance(MIN_PAUSE_SECONDS)
         self.assertEqual(["targets/"], self.store.asked)
