--- a/src/primrosescale/process/entry/store_watch.py
+++ b/src/primrosescale/process/entry/store_watch.py
@@ -30,7 +30,7 @@
 # through two or three times a second, which finds its end soon enough for a
 # bound of 2 s and is a thousandth of the store's rate for four routers.
 MIN_PAUSE_SECONDS = 0.1
-LONGEST_PAUSE = 0.5
+MAX_PAUSE_SECONDS = 0.5
 GROWTH = 1.5
 # The same of a watch that leaves asking to another one, which wakes it.
 LEFT_PAUSE = 4.0
@@ -206,7 +206,7 @@
                 if self._watched.reads_after_failure:
                     self._since = 0
                 yield self._rest(LEFT_PAUSE if self._defers_polling() else pause)
-                pause = min(LONGEST_PAUSE, pause * GROWTH)
+                pause = min(MAX_PAUSE_SECONDS, pause * GROWTH)
                 continue
             if found is None:
                 continue
