--- a/src/primrosescale/process/entry/store_watch.py
+++ b/src/primrosescale/process/entry/store_watch.py
@@ -31,7 +31,7 @@
 # bound of 2 s and is a thousandth of the store's rate for four routers.
 MIN_PAUSE_SECONDS = 0.1
 MAX_PAUSE_SECONDS = 0.5
-GROWTH = 1.5
+PAUSE_GROWTH = 1.5
 # The same of a watch that leaves asking to another one, which wakes it.
 LEFT_PAUSE = 4.0
 # Pause after a fault of this program's own, which reading anew may not mend.
@@ -206,7 +206,7 @@
                 if self._watched.reads_after_failure:
                     self._since = 0
                 yield self._rest(LEFT_PAUSE if self._defers_polling() else pause)
-                pause = min(MAX_PAUSE_SECONDS, pause * GROWTH)
+                pause = min(MAX_PAUSE_SECONDS, pause * PAUSE_GROWTH)
                 continue
             if found is None:
                 continue
