--- a/src/primrosescale/process/entry/store_watch.py
+++ b/src/primrosescale/process/entry/store_watch.py
@@ -33,7 +33,7 @@
 MAX_PAUSE_SECONDS = 0.5
 PAUSE_GROWTH = 1.5
 # The same of a watch that leaves asking to another one, which wakes it.
-LEFT_PAUSE = 4.0
+DEFERRED_PAUSE_SECONDS = 4.0
 # Pause after a fault of this program's own, which reading anew may not mend.
 FAULT_PAUSE = 1.0
 # A change answers the watches of all routers at once; drawing each wait anew
@@ -205,7 +205,9 @@
                 self._handler.failed(error)
                 if self._watched.reads_after_failure:
                     self._since = 0
-                yield self._rest(LEFT_PAUSE if self._defers_polling() else pause)
+                yield self._rest(
+                    DEFERRED_PAUSE_SECONDS if self._defers_polling() else pause
+                )
                 pause = min(MAX_PAUSE_SECONDS, pause * PAUSE_GROWTH)
                 continue
             if found is None:
