--- a/src/primrosescale/process/entry/store_watch.py
+++ b/src/primrosescale/process/entry/store_watch.py
@@ -35,7 +35,7 @@
 # The same of a watch that leaves asking to another one, which wakes it.
 DEFERRED_PAUSE_SECONDS = 4.0
 # Pause after a fault of this program's own, which reading anew may not mend.
-FAULT_PAUSE = 1.0
+FAULT_PAUSE_SECONDS = 1.0
 # A change answers the watches of all routers at once; drawing each wait anew
 # keeps their next questions apart, so that one of them is always recent.
 LEAST_WAIT_SHARE = 0.6
@@ -185,7 +185,7 @@
                 self._on_fault(Failure())
                 # What was taken in by half is read anew.
                 self._since = 0
-                yield self._sleep(FAULT_PAUSE)
+                yield self._sleep(FAULT_PAUSE_SECONDS)
 
     @inlineCallbacks
     def _follow(self) -> Generator[Any, Any, None]:
--- a/tests/entry/test_foreign_entries.py
+++ b/tests/entry/test_foreign_entries.py
@@ -28,7 +28,7 @@
 from primrosescale.process.entry.refused_records import RefusedRecords
 from primrosescale.process.entry.router_exchange import RouterRegistry
 from primrosescale.process.entry.router_news import RouterNews
-from primrosescale.process.entry.store_watch import FAULT_PAUSE
+from primrosescale.process.entry.store_watch import FAULT_PAUSE_SECONDS
 from primrosescale.process.entry.store_watch import StoreWatch
 from primrosescale.process.entry.store_watch import WatchedPrefix
 from primrosescale.process.entry.store_watch import WatchHandler
@@ -281,14 +281,14 @@
             store = Store(*answers)
             self.watch(store, handler)
             self.assertEqual([fault], [each.value for each in self.faults])
-            self.clock.advance(FAULT_PAUSE)
+            self.clock.advance(FAULT_PAUSE_SECONDS)
             self.assertEqual(["all", "all", "some"], [kind for kind, _ in handler.told])
             self.assertEqual([0, 0, 4, 5], [since for _, since in store.asked])
 
     def test_what_the_store_s_client_raises_ends_no_watch(self):
         handler = Failing([])
         self.watch(Store(UnicodeError("x"), WatchResult(3, ())), handler)
-        self.clock.advance(FAULT_PAUSE)
+        self.clock.advance(FAULT_PAUSE_SECONDS)
         self.assertEqual(["all"], [kind for kind, _ in handler.told])
 
     def test_a_fault_that_stays_is_met_with_pauses(self):
@@ -296,9 +296,9 @@
         watch = self.watch(store, Failing([ValueError("x")] * 1000))
         for _ in range(100):
             self.clock.advance(0.1)
-        self.assertLessEqual(len(store.asked), 1 + 10 / (FAULT_PAUSE / 2))
+        self.assertLessEqual(len(store.asked), 1 + 10 / (FAULT_PAUSE_SECONDS / 2))
         watch.stop()
-        self.clock.advance(FAULT_PAUSE)
+        self.clock.advance(FAULT_PAUSE_SECONDS)
         asked = len(store.asked)
         self.clock.advance(60.0)
         self.assertEqual(asked, len(store.asked))
