--- a/src/primrosescale/process/entry/store_watch.py
+++ b/src/primrosescale/process/entry/store_watch.py
@@ -38,7 +38,7 @@
 FAULT_PAUSE_SECONDS = 1.0
 # A change answers the watches of all routers at once; drawing each wait anew
 # keeps their next questions apart, so that one of them is always recent.
-LEAST_WAIT_SHARE = 0.6
+MIN_WAIT_SHARE = 0.6
 
 
 class WatchHandler(ABC):
@@ -195,7 +195,7 @@
             asked_at = self._reactor.seconds()
             try:
                 wait = self._wait() if self._wait is not None else self._watched.wait
-                wait *= self._rng.uniform(LEAST_WAIT_SHARE, 1.0)
+                wait *= self._rng.uniform(MIN_WAIT_SHARE, 1.0)
                 found = yield self._ask(wait)
             except PlatformHistoryGoneError as error:
                 self._handler.failed(error)
