--- a/src/primrosescale/process/entry/store_watch.py
+++ b/src/primrosescale/process/entry/store_watch.py
@@ -153,14 +153,14 @@
         self._reactor = reactor
         self._rng = rng
         self._is_stopped = False
-        self._since = 0
+        self._revision = 0
         self._asked: Deferred[WatchResult] | None = None
         self._resting: Deferred[None] | None = None
 
     @property
     def revision(self) -> int:
         """Return up to which revision of the store all changes are known."""
-        return self._since
+        return self._revision
 
     def stop(self) -> None:
         """Follow no more; the question that waits is withdrawn, not lost."""
@@ -184,7 +184,7 @@
             except Exception:  # noqa: BLE001 - a watch that ends is missed by nobody
                 self._on_fault(Failure())
                 # What was taken in by half is read anew.
-                self._since = 0
+                self._revision = 0
                 yield self._sleep(FAULT_PAUSE_SECONDS)
 
     @inlineCallbacks
@@ -199,12 +199,12 @@
                 found = yield self._ask(wait)
             except PlatformHistoryGoneError as error:
                 self._handler.failed(error)
-                self._since = 0
+                self._revision = 0
                 continue
             except PlatformError as error:
                 self._handler.failed(error)
                 if self._watched.reads_after_failure:
-                    self._since = 0
+                    self._revision = 0
                 yield self._rest(
                     DEFERRED_PAUSE_SECONDS if self._defers_polling() else pause
                 )
@@ -213,8 +213,8 @@
             if found is None:
                 continue
             pause = MIN_PAUSE_SECONDS
-            is_change = bool(self._since)
-            self._since = found.revision
+            is_change = bool(self._revision)
+            self._revision = found.revision
             tell = self._handler.changed if is_change else self._handler.replaced
             tell(found.changes, asked_at)
             is_news = is_change and bool(found.changes)
@@ -224,7 +224,7 @@
     @inlineCallbacks
     def _ask(self, wait: float) -> Generator[Any, Any, WatchResult | None]:
         """Return what the store answers; None when the question was renewed."""
-        asked = self._platform.watch(self._watched.prefix, self._since, wait)
+        asked = self._platform.watch(self._watched.prefix, self._revision, wait)
         self._asked = asked
         try:
             found: WatchResult = yield asked
