--- a/src/primrosescale/process/entry/store_watch.py
+++ b/src/primrosescale/process/entry/store_watch.py
@@ -154,7 +154,7 @@
         self._rng = rng
         self._is_stopped = False
         self._revision = 0
-        self._asked: Deferred[WatchResult] | None = None
+        self._pending_poll: Deferred[WatchResult] | None = None
         self._resting: Deferred[None] | None = None
 
     @property
@@ -169,7 +169,7 @@
 
     def renew(self) -> None:
         """Ask again at once: the question that waits may never be answered."""
-        asked, self._asked = self._asked, None
+        asked, self._pending_poll = self._pending_poll, None
         if asked is not None:
             asked.cancel()
         if self._resting is not None:
@@ -225,17 +225,17 @@
     def _ask(self, wait: float) -> Generator[Any, Any, WatchResult | None]:
         """Return what the store answers; None when the question was renewed."""
         asked = self._platform.watch(self._watched.prefix, self._revision, wait)
-        self._asked = asked
+        self._pending_poll = asked
         try:
             found: WatchResult = yield asked
         except (CancelledError, PlatformError):
             # A store may tell a cancelled question as a failure of its own.
-            if self._asked is asked:
+            if self._pending_poll is asked:
                 raise
             return None
         finally:
-            if self._asked is asked:
-                self._asked = None
+            if self._pending_poll is asked:
+                self._pending_poll = None
         return found
 
     @inlineCallbacks
