--- a/src/primrosescale/process/entry/store_watch.py
+++ b/src/primrosescale/process/entry/store_watch.py
@@ -155,7 +155,7 @@
         self._is_stopped = False
         self._revision = 0
         self._pending_poll: Deferred[WatchResult] | None = None
-        self._resting: Deferred[None] | None = None
+        self._pausing: Deferred[None] | None = None
 
     @property
     def revision(self) -> int:
@@ -172,8 +172,8 @@
         asked, self._pending_poll = self._pending_poll, None
         if asked is not None:
             asked.cancel()
-        if self._resting is not None:
-            self._resting.cancel()
+        if self._pausing is not None:
+            self._pausing.cancel()
 
     @inlineCallbacks
     def run(self) -> Generator[Any, Any, None]:
@@ -241,13 +241,13 @@
     @inlineCallbacks
     def _rest(self, seconds: float) -> Generator[Any, Any, None]:
         """Wait after a failed question, until it is renewed at the longest."""
-        self._resting = self._sleep(seconds)
+        self._pausing = self._sleep(seconds)
         try:
-            yield self._resting
+            yield self._pausing
         except CancelledError:
             pass
         finally:
-            self._resting = None
+            self._pausing = None
 
     def _sleep(self, seconds: float) -> Any:
         drawn = seconds * self._rng.uniform(0.5, 1.0)
