--- a/src/primrosescale/process/entry/store_watch.py
+++ b/src/primrosescale/process/entry/store_watch.py
@@ -205,7 +205,7 @@
                 self._handler.failed(error)
                 if self._watched.reads_after_failure:
                     self._revision = 0
-                yield self._rest(
+                yield self._pause(
                     DEFERRED_PAUSE_SECONDS if self._defers_polling() else pause
                 )
                 pause = min(MAX_PAUSE_SECONDS, pause * PAUSE_GROWTH)
@@ -239,7 +239,7 @@
         return found
 
     @inlineCallbacks
-    def _rest(self, seconds: float) -> Generator[Any, Any, None]:
+    def _pause(self, seconds: float) -> Generator[Any, Any, None]:
         """Wait after a failed question, until it is renewed at the longest."""
         self._pausing = self._sleep(seconds)
         try:
