--- a/src/primrosescale/process/entry/store_watch.py
+++ b/src/primrosescale/process/entry/store_watch.py
@@ -196,7 +196,7 @@
             try:
                 wait = self._wait() if self._wait is not None else self._watched.wait
                 wait *= self._rng.uniform(MIN_WAIT_SHARE, 1.0)
-                found = yield self._ask(wait)
+                found = yield self._poll(wait)
             except PlatformHistoryGoneError as error:
                 self._handler.failed(error)
                 self._revision = 0
@@ -222,7 +222,7 @@
                 yield deferLater(self._reactor, self._watched.rest, lambda: None)
 
     @inlineCallbacks
-    def _ask(self, wait: float) -> Generator[Any, Any, WatchResult | None]:
+    def _poll(self, wait: float) -> Generator[Any, Any, WatchResult | None]:
         """Return what the store answers; None when the question was renewed."""
         asked = self._platform.watch(self._watched.prefix, self._revision, wait)
         self._pending_poll = asked
