--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -101,7 +101,7 @@
 
     def failed(self, error: PlatformError) -> None:
         """Note that the store could not be asked."""
-        self._connection.lost(error)
+        self._connection.record_failure(error)
 
     def _take(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
         if self._connection.regained():
--- a/src/primrosescale/process/entry/listed_targets.py
+++ b/src/primrosescale/process/entry/listed_targets.py
@@ -106,7 +106,7 @@
 
     def failed(self, error: PlatformError) -> None:
         """Note that the store could not be asked; see `WatchHandler.failed`."""
-        self._connection.lost(error)
+        self._connection.record_failure(error)
 
     def forget_gone(self, now: float) -> list[TargetIncarnation]:
         """Forget targets whose entry stayed gone.
--- a/src/primrosescale/process/entry/store_connection.py
+++ b/src/primrosescale/process/entry/store_connection.py
@@ -39,7 +39,7 @@
         """Return when questions began to fail; None while they are answered."""
         return self._lost_at
 
-    def lost(self, error: PlatformError) -> None:
+    def record_failure(self, error: PlatformError) -> None:
         """Take in a failed question.
 
         Parameters
