--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -104,7 +104,7 @@
         self._connection.record_failure(error)
 
     def _take(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        if self._connection.regained():
+        if self._connection.record_success():
             self._knowledge.renew_watches()
         for stored in objects:
             # The store gives all objects whose names begin alike.
--- a/src/primrosescale/process/entry/listed_targets.py
+++ b/src/primrosescale/process/entry/listed_targets.py
@@ -79,7 +79,7 @@
 
     def replaced(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
         """Take in the whole list; see `WatchHandler.replaced`."""
-        self._connection.regained()
+        self._connection.record_success()
         now = self._now()
         listed = [item for item in objects if not item.is_deleted]
         self._refused.keep(item.key for item in listed)
@@ -94,7 +94,7 @@
 
     def changed(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
         """Take in changed entries; see `WatchHandler.changed`."""
-        self._connection.regained()
+        self._connection.record_success()
         now = self._now()
         for stored in objects:
             self._revision = max(self._revision, stored.version)
--- a/src/primrosescale/process/entry/store_connection.py
+++ b/src/primrosescale/process/entry/store_connection.py
@@ -51,7 +51,7 @@
             self._lost_at = self._now()
             self._log.emit(Event.STORE_LOST, watch=self._name, detail=str(error))
 
-    def regained(self) -> bool:
+    def record_success(self) -> bool:
         """Take in an answered question.
 
         Returns
