--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from primrosescale.process.entry.listed_evacuations import ListedEvacuations
-from primrosescale.process.entry.listed_targets import ListedTargets
+from primrosescale.process.entry.listed_targets import TargetListSync
 from primrosescale.process.entry.refused_records import RecordKind
 from primrosescale.process.entry.refused_records import RefusedRecords
 from primrosescale.process.entry.store_connection import StoreConnection
@@ -159,7 +159,7 @@
         self._on_complete: Callable[[], None] | None = None
         self._freshness = freshness
         self._targets = targets
-        self._listed = ListedTargets(
+        self._listed = TargetListSync(
             targets,
             watches.targets.rest,
             parts.decoder,
@@ -207,7 +207,7 @@
         return self._targets
 
     @property
-    def listed(self) -> ListedTargets:
+    def listed(self) -> TargetListSync:
         """Return what keeps the targets in step with the store."""
         return self._listed
 
--- a/src/primrosescale/process/entry/listed_targets.py
+++ b/src/primrosescale/process/entry/listed_targets.py
@@ -23,7 +23,7 @@
     from primrosescale.request.target_incarnation import TargetIncarnation
 
 
-class ListedTargets(WatchHandler):
+class TargetListSync(WatchHandler):
     """Takes entries of the store's list of targets into a `TargetList`.
 
     Parameters
--- a/tests/entry/test_foreign_entries.py
+++ b/tests/entry/test_foreign_entries.py
@@ -22,7 +22,7 @@
 from primrosescale.process.entry.entry_metrics import EntryMetrics
 from primrosescale.process.entry.entry_settings import EntryWatches
 from primrosescale.process.entry.knowledge import Knowledge
-from primrosescale.process.entry.listed_targets import ListedTargets
+from primrosescale.process.entry.listed_targets import TargetListSync
 from primrosescale.process.entry.log_writer import LogWriter
 from primrosescale.process.entry.refused_records import RecordKind
 from primrosescale.process.entry.refused_records import RefusedRecords
@@ -74,7 +74,7 @@
         self.log = Log()
         self.metrics = EntryMetrics()
         self.targets = TargetList(HOLD)
-        self.listed = ListedTargets(
+        self.listed = TargetListSync(
             self.targets,
             0.0,
             PlatformRecords(),
