--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 from typing import Any
 
-from primrosescale.process.entry.listed_evacuations import ListedEvacuations
+from primrosescale.process.entry.listed_evacuations import EvacuationListSync
 from primrosescale.process.entry.listed_targets import TargetListSync
 from primrosescale.process.entry.refused_records import RecordKind
 from primrosescale.process.entry.refused_records import RefusedRecords
@@ -186,9 +186,9 @@
         self._follow(watches.configuration, self._handler, self._configuration_wait)
         self._targets_watch = self._follow_lists(watches.targets, self._listed)
         self._follow_lists(watches.routers, routers)
-        self._evacuations: ListedEvacuations | None = None
+        self._evacuations: EvacuationListSync | None = None
         if watches.evacuations is not None and evacuations is not None:
-            self._evacuations = ListedEvacuations(
+            self._evacuations = EvacuationListSync(
                 evacuations,
                 lambda: watch.revision,
                 self._now,
--- a/src/primrosescale/process/entry/listed_evacuations.py
+++ b/src/primrosescale/process/entry/listed_evacuations.py
@@ -16,7 +16,7 @@
     from primrosescale.request.evacuations import Evacuations
 
 
-class ListedEvacuations(WatchHandler):
+class EvacuationListSync(WatchHandler):
     """Takes entries of the store's list of evacuations into `Evacuations`.
 
     Whatever an entry holds, its name alone says which domain is evacuated.
