--- a/src/primrosescale/process/entry/listed_targets.py
+++ b/src/primrosescale/process/entry/listed_targets.py
@@ -65,7 +65,7 @@
         self._is_complete = False
         self._revision = 0
         # By name: the revision of each entry and when it was first told here.
-        self._told: dict[str, tuple[int, float]] = {}
+        self._first_seen: dict[str, tuple[int, float]] = {}
 
     @property
     def is_complete(self) -> bool:
@@ -155,15 +155,15 @@
 
         A list that is read again tells entries that were written long ago.
         """
-        known = self._told.get(target.name)
+        known = self._first_seen.get(target.name)
         if known is None or known[0] != revision:
-            self._told[target.name] = (revision, now)
+            self._first_seen[target.name] = (revision, now)
             return target
         left = max(0.0, target.warming_for - (now - known[1]))
         return replace(target, warming_for=left)
 
     def _remove(self, name: str, now: float) -> None:
-        self._told.pop(name, None)
+        self._first_seen.pop(name, None)
         # It may have happened while the watch rested.
         if self._targets.remove(name, now - self._rest):
             self._log.emit(Event.TARGET_DELISTED, target=name)
