--- a/src/primrosescale/process/entry/listed_targets.py
+++ b/src/primrosescale/process/entry/listed_targets.py
@@ -136,7 +136,7 @@
             self._targets.drop(stored.name, now)
             self._refused.refuse(stored, error)
             return
-        target = self._counted_down(target, stored.version, now)
+        target = self._with_remaining_warm_up(target, stored.version, now)
         is_back = self._refused.settle(stored.key)
         if self._targets.put(target, now) or is_back:
             self._log.emit(
@@ -148,7 +148,7 @@
                 started_at=target.started_at,
             )
 
-    def _counted_down(
+    def _with_remaining_warm_up(
         self, target: ServingTarget, revision: int, now: float
     ) -> ServingTarget:
         """Return a target with what is left of its time, if its entry was known.
