--- a/src/primrosescale/process/entry/listed_evacuations.py
+++ b/src/primrosescale/process/entry/listed_evacuations.py
@@ -55,7 +55,7 @@
     def replaced(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
         """Take in the whole list; see `WatchHandler.replaced`."""
         self._listed = {item.name for item in objects if not item.is_deleted}
-        self._tell()
+        self._apply()
         self._is_complete = True
         self._on_list()
 
@@ -66,11 +66,11 @@
                 self._listed.discard(stored.name)
             else:
                 self._listed.add(stored.name)
-        self._tell()
+        self._apply()
 
     def failed(self, error: PlatformError) -> None:
         """Do nothing: the watch of the configuration logs outages."""
 
-    def _tell(self) -> None:
+    def _apply(self) -> None:
         told = EvacuationList(frozenset(self._listed), self._revision(), STORE)
         self._evacuations.take(told, self._now())
