--- a/src/primrosescale/process/entry/refused_records.py
+++ b/src/primrosescale/process/entry/refused_records.py
@@ -47,18 +47,18 @@
         Where refusals are counted.
     """
 
-    __slots__ = ("_kind", "_log", "_metrics", "_standing")
+    __slots__ = ("_kind", "_log", "_metrics", "_refused")
 
     def __init__(self, kind: RecordKind, log: Any, metrics: EntryMetrics) -> None:
         self._kind = kind
         self._log = log
         self._metrics = metrics
         # By key, what the refused record looked like.
-        self._standing: dict[str, tuple[int, int]] = {}
+        self._refused: dict[str, tuple[int, int]] = {}
 
     def __len__(self) -> int:
         """Return how many records cannot be read now."""
-        return len(self._standing)
+        return len(self._refused)
 
     def refuse(self, stored: StoredObject, error: UnreadableRecordError) -> None:
         """Take in that a record cannot be read.
@@ -71,9 +71,9 @@
             Why.
         """
         look = (stored.version, hash(stored.value))
-        if self._standing.get(stored.key) == look:
+        if self._refused.get(stored.key) == look:
             return
-        self._standing[stored.key] = look
+        self._refused[stored.key] = look
         self._metrics.record_refused(self._kind.value)
         self._told()
         said = {
@@ -97,7 +97,7 @@
         bool
             Whether it could not be read until now.
         """
-        if self._standing.pop(key, None) is None:
+        if self._refused.pop(key, None) is None:
             return False
         self._told()
         return True
@@ -110,8 +110,8 @@
         keys : Iterable[str]
             All keys of the kind.
         """
-        for key in self._standing.keys() - set(keys):
+        for key in self._refused.keys() - set(keys):
             self.settle(key)
 
     def _told(self) -> None:
-        self._metrics.unreadable_records(self._kind.value, len(self._standing))
+        self._metrics.unreadable_records(self._kind.value, len(self._refused))
