--- a/src/primrosescale/process/entry/refused_records.py
+++ b/src/primrosescale/process/entry/refused_records.py
@@ -75,7 +75,7 @@
             return
         self._refused[stored.key] = look
         self._metrics.record_refused(self._kind.value)
-        self._told()
+        self._update_metric()
         said = {
             self._kind.value: log_text(stored.name),
             "field": log_text(error.field),
@@ -99,7 +99,7 @@
         """
         if self._refused.pop(key, None) is None:
             return False
-        self._told()
+        self._update_metric()
         return True
 
     def keep(self, keys: Iterable[str]) -> None:
@@ -113,5 +113,5 @@
         for key in self._refused.keys() - set(keys):
             self.settle(key)
 
-    def _told(self) -> None:
+    def _update_metric(self) -> None:
         self._metrics.unreadable_records(self._kind.value, len(self._refused))
