--- a/src/primrosescale/process/entry/refused_records.py
+++ b/src/primrosescale/process/entry/refused_records.py
@@ -70,10 +70,10 @@
         error : UnreadableRecordError
             Why.
         """
-        look = (stored.version, hash(stored.value))
-        if self._refused.get(stored.key) == look:
+        content_key = (stored.version, hash(stored.value))
+        if self._refused.get(stored.key) == content_key:
             return
-        self._refused[stored.key] = look
+        self._refused[stored.key] = content_key
         self._metrics.record_refused(self._kind.value)
         self._update_metric()
         said = {
