--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -453,7 +453,7 @@
             self._is_behind = True
             self._refused.refuse(stored, error)
             return
-        self._refused.settle(stored.key)
+        self._refused.clear(stored.key)
         known = self._table
         self._is_behind = known is not None and table.version < known.version
         if known is not None and table.version <= known.version:
--- a/src/primrosescale/process/entry/listed_targets.py
+++ b/src/primrosescale/process/entry/listed_targets.py
@@ -99,7 +99,7 @@
         for stored in objects:
             self._revision = max(self._revision, stored.version)
             if stored.is_deleted:
-                self._refused.settle(stored.key)
+                self._refused.clear(stored.key)
                 self._remove(stored.name, now)
             else:
                 self._take(stored, now)
@@ -137,7 +137,7 @@
             self._refused.refuse(stored, error)
             return
         target = self._with_remaining_warm_up(target, stored.version, now)
-        is_back = self._refused.settle(stored.key)
+        is_back = self._refused.clear(stored.key)
         if self._targets.put(target, now) or is_back:
             self._log.emit(
                 Event.TARGET_LISTED,
--- a/src/primrosescale/process/entry/refused_records.py
+++ b/src/primrosescale/process/entry/refused_records.py
@@ -84,7 +84,7 @@
         }
         self._log.emit(_EVENTS[self._kind], **said)
 
-    def settle(self, key: str) -> bool:
+    def clear(self, key: str) -> bool:
         """Take in that a record can be read, or is gone.
 
         Parameters
@@ -111,7 +111,7 @@
             All keys of the kind.
         """
         for key in self._refused.keys() - set(keys):
-            self.settle(key)
+            self.clear(key)
 
     def _update_metric(self) -> None:
         self._metrics.unreadable_records(self._kind.value, len(self._refused))
--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_exchange.py
@@ -313,7 +313,7 @@
 
     def _take(self, stored: StoredObject) -> None:
         if stored.is_deleted:
-            self._refused.settle(stored.key)
+            self._refused.clear(stored.key)
             self._news.remove(stored.name)
             return
         try:
@@ -325,7 +325,7 @@
             if stored.name == self._settings.name:
                 self._rewrite_entry(stored)
             return
-        self._refused.settle(stored.key)
+        self._refused.clear(stored.key)
         if router.name == self._settings.name:
             self._overwritten_value = None
         self._news.put(router, self._parts.reactor.seconds())
