--- a/src/primrosescale/process/entry/listed_targets.py
+++ b/src/primrosescale/process/entry/listed_targets.py
@@ -82,7 +82,7 @@
         self._connection.record_success()
         now = self._now()
         listed = [item for item in objects if not item.is_deleted]
-        self._refused.keep(item.key for item in listed)
+        self._refused.retain_only(item.key for item in listed)
         for item in listed:
             self._take(item, now)
         names = {item.name for item in listed}
--- a/src/primrosescale/process/entry/refused_records.py
+++ b/src/primrosescale/process/entry/refused_records.py
@@ -102,7 +102,7 @@
         self._update_metric()
         return True
 
-    def keep(self, keys: Iterable[str]) -> None:
+    def retain_only(self, keys: Iterable[str]) -> None:
         """Take in which records there are at all.
 
         Parameters
--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_exchange.py
@@ -272,7 +272,7 @@
         if not self._has_list:
             self._was_listed = self._settings.name in names
         self._has_list = True
-        self._refused.keep(stored.key for stored in objects)
+        self._refused.retain_only(stored.key for stored in objects)
         for stored in objects:
             self._take(stored)
         for router in self._news.others:
