--- a/src/primrosescale/process/entry/cache_shares.py
+++ b/src/primrosescale/process/entry/cache_shares.py
@@ -121,7 +121,7 @@
         }
         return [found[name] for name in first_in_order(found, self._name, len(found))]
 
-    def question(self) -> wire.CacheQuestion:
+    def new_request(self) -> wire.CacheQuestion:
         """Return what to ask other routers after a start.
 
         Returns
--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_exchange.py
@@ -134,7 +134,7 @@
 
     def request_caches(self) -> None:
         """Ask the routers that have not answered yet what targets hold."""
-        question = self._shares.question()
+        question = self._shares.new_request()
         self._write_all([(other, question) for other in self._shares.unanswered])
 
     def answer_cache_requests(self) -> None:
