--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_learning.py
@@ -105,7 +105,11 @@
         """
         self._began_at = self._reactor.seconds()
         self._on_done = on_done
-        own = [state.target for state in self._shares.own_targets() if has_cache(state.target)]
+        own = [
+            state.target
+            for state in self._shares.own_targets()
+            if has_cache(state.target)
+        ]
         if len(own) > MOST_READ:
             own = self._rng.sample(own, MOST_READ)
         read = DeferredList([self._read(target) for target in own])
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -18,8 +18,8 @@
 from primrosescale.process.entry.load_codec import LoadCodec
 from primrosescale.process.entry.news_paths import NewsSettings
 from primrosescale.process.entry.news_paths import RelayTopology
-from primrosescale.process.entry.news_relay import RelayAggregator
 from primrosescale.process.entry.other_router import PeerState
+from primrosescale.process.entry.relay_aggregation import RelayAggregator
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.request.evacuations import EvacuationList
 from primrosescale.request.part_directory import PartUse
@@ -30,8 +30,8 @@
     from primrosescale.process.entry.harm_news import HarmNews
     from primrosescale.process.entry.leaving_news import LeavingNews
     from primrosescale.process.entry.load_sum import LoadSum
-    from primrosescale.process.entry.news_relay import RelayedUpdate
     from primrosescale.process.entry.other_router import OtherRouter
+    from primrosescale.process.entry.relay_aggregation import RelayedUpdate
     from primrosescale.process.entry.target_list import TargetList
     from primrosescale.request.evacuations import Evacuations
     from primrosescale.request.freshness import Freshness
