--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -6,12 +6,12 @@
 from typing import Any
 
 from primrosescale.process.entry.listed_evacuations import EvacuationListSync
-from primrosescale.process.entry.listed_targets import TargetListSync
 from primrosescale.process.entry.refused_records import RecordKind
 from primrosescale.process.entry.refused_records import RefusedRecords
 from primrosescale.process.entry.store_connection import StoreConnection
 from primrosescale.process.entry.store_watch import StoreWatch
 from primrosescale.process.entry.store_watch import WatchHandler
+from primrosescale.process.entry.target_list_sync import TargetListSync
 from primrosescale.process.events import Event
 from primrosescale.process.exceptions import PlatformError
 from primrosescale.process.exceptions import UnreadableRecordError
--- a/tests/entry/test_foreign_entries.py
+++ b/tests/entry/test_foreign_entries.py
@@ -22,7 +22,6 @@
 from primrosescale.process.entry.entry_metrics import EntryMetrics
 from primrosescale.process.entry.entry_settings import EntryWatches
 from primrosescale.process.entry.knowledge import Knowledge
-from primrosescale.process.entry.listed_targets import TargetListSync
 from primrosescale.process.entry.log_writer import LogWriter
 from primrosescale.process.entry.refused_records import RecordKind
 from primrosescale.process.entry.refused_records import RefusedRecords
@@ -33,6 +32,7 @@
 from primrosescale.process.entry.store_watch import WatchedPrefix
 from primrosescale.process.entry.store_watch import WatchHandler
 from primrosescale.process.entry.target_list import TargetList
+from primrosescale.process.entry.target_list_sync import TargetListSync
 from primrosescale.process.events import Event
 from primrosescale.process.log_text import log_text
 from primrosescale.process.transport.platform import StoredObject
