--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 from typing import Any
 
-from primrosescale.process.entry.listed_evacuations import EvacuationListSync
+from primrosescale.process.entry.evacuation_list_sync import EvacuationListSync
 from primrosescale.process.entry.refused_records import RecordKind
 from primrosescale.process.entry.refused_records import RefusedRecords
 from primrosescale.process.entry.store_connection import StoreConnection
