--- a/src/primrosescale/process/entry/cache_shares.py
+++ b/src/primrosescale/process/entry/cache_shares.py
@@ -57,8 +57,8 @@
         "_name",
         "_others",
         "_parts",
-        "_targets",
         "_pending_requesters",
+        "_targets",
     )
 
     def __init__(
--- a/src/primrosescale/process/entry/news_paths.py
+++ b/src/primrosescale/process/entry/news_paths.py
@@ -66,7 +66,7 @@
 class _RelaySuspicion:
     """Whether a router that was asked has answered lately."""
 
-    __slots__ = ("unanswered_messages", "suspected_until")
+    __slots__ = ("suspected_until", "unanswered_messages")
 
     def __init__(self) -> None:
         self.unanswered_messages = 0
--- a/src/primrosescale/process/entry/other_router.py
+++ b/src/primrosescale/process/entry/other_router.py
@@ -45,15 +45,15 @@
 
     __slots__ = (
         "heard",
-        "received_at",
         "incarnation",
         "is_store_lost",
         "list_revision",
         "listed_at",
+        "received_at",
+        "reported_targets",
         "router",
         "sent_at",
         "targets_digest",
-        "reported_targets",
         "version",
     )
 
--- a/src/primrosescale/process/entry/relay_aggregation.py
+++ b/src/primrosescale/process/entry/relay_aggregation.py
@@ -46,7 +46,7 @@
 class _ReceivedSum:
     """The last sum that was heard from a router, and when."""
 
-    __slots__ = ("received_at", "loads", "origin")
+    __slots__ = ("loads", "origin", "received_at")
 
     def __init__(self, origin: str, loads: LoadSum, received_at: float) -> None:
         self.origin = origin
