--- a/src/primrosescale/process/entry/__init__.py
+++ b/src/primrosescale/process/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The router on a platform where it calls its targets itself."""
+"""The entry router: it accepts callers' requests and sends them to targets itself."""
