--- a/src/primrosescale/process/entry/load_codec.py
+++ b/src/primrosescale/process/entry/load_codec.py
@@ -1,4 +1,4 @@
-"""Loads of targets on their way into news of routers and out of them."""
+"""Encodes the load of targets into messages between routers and decodes it."""
 
 from __future__ import annotations
 
@@ -16,30 +16,30 @@
     from primrosescale.process.entry.target_list import TargetList
     from primrosescale.request.target_state import TargetState
 
-# Datagrams stay under what every link carries in one piece.
+# Bounds the datagram to a size that no link fragments.
 MAX_TARGETS = 40
-# The same in sums, which are told by name only while two routers know other
+# The same for sums, which are keyed by target only while the two routers know different
 # targets.
 MAX_SUMMED_TARGETS = 70
-# Failures that are worth telling.
+# Smallest decayed count of failures that is sent.
 MIN_REPORTED_FAILURES = 0.05
-# A router that sees more than half of its requests fail everywhere has a
-# trouble of its own and is no witness.
+# A router that sees more than half of its requests fail over all targets probably has a
+# fault of its own, so the outcomes that it reports are ignored.
 MAX_RELIABLE_FAILURE_SHARE = 0.5
-# Largest number of requests that a byte tells.
+# Largest number of requests that fits into a byte.
 MAX_BYTE_COUNT = 255
-# Loads of so many targets are deflated: 370 bytes become 210, in 20 us.
+# From this many targets on, loads are deflated: 370 bytes become 210, in 20 us.
 MIN_DEFLATED_TARGETS = 128
 DEFLATED_SIZE_RATIO = 0.6
 FASTEST_ZLIB_LEVEL = 1
-# Bytes of a message without loads and parts.
+# Bytes of a message without loads and prompt parts.
 TYPICAL_HEADER_BYTES = 50
 PERCENT = 100
 MILLISECONDS = 1000
 
 
 class LoadCodec:
-    """Writes and reads the loads in news.
+    """Encodes and decodes the load of targets in state updates.
 
     Parameters
     ----------
@@ -53,18 +53,18 @@
 
     @property
     def keys(self) -> TargetKeys:
-        """Return the short names of targets."""
+        """Return the keys of targets."""
         return self._keys
 
     @property
     def typical_bytes(self) -> float:
-        """Return the bytes that a message with a sum usually has."""
+        """Return the typical size in bytes of a message with a sum."""
         targets = len(self._keys.order)
         share = DEFLATED_SIZE_RATIO if targets >= MIN_DEFLATED_TARGETS else 1.0
         return TYPICAL_HEADER_BYTES + targets * share
 
     def own_targets(self, now: float) -> list[wire.TargetNews]:
-        """Return what this router has at targets, the most loaded ones first.
+        """Return this router's own load at targets, the most loaded ones first.
 
         Parameters
         ----------
@@ -81,24 +81,24 @@
             for state in self._targets.states
             if state.own_running or _has_outcomes(state, now)
         ]
-        # The bound concerns the most loaded ones; failures come after them.
+        # The limit keeps the most loaded targets; those with failures come next.
         states.sort(key=lambda state: (-state.own_running, -state.outcomes(now)[1]))
         return [_target_news(state, now) for state in states[:MAX_TARGETS]]
 
     def own_load(self, now: float, *, reaches_store: bool) -> LoadSum:
-        """Return what this router has at targets.
+        """Return this router's own load at targets as a sum.
 
         Parameters
         ----------
         now : float
             Present time in seconds.
         reaches_store : bool
-            Whether the store answered its last question.
+            Whether the store answered the last request.
 
         Returns
         -------
         LoadSum
-            Of this router alone.
+            The sum over this router alone.
         """
         own = LoadSum(now, 1, reaches_store=reaches_store)
         for key, state in self._keys.states.items():
@@ -116,7 +116,7 @@
         receiver_digest: int | None,
         now: float,
     ) -> None:
-        """Put a sum into a message.
+        """Write a sum into a message.
 
         Parameters
         ----------
@@ -125,18 +125,20 @@
         message : wire.RouterNews
             The message.
         receiver_digest : int | None
-            Of the targets that its receiver knows; None when not told.
+            Digest of the targets that the receiver knows; None if not reported.
         now : float
             Present time in seconds.
         """
         if receiver_digest == self._keys.digest:
-            told = bytes(
+            counts = bytes(
                 min(MAX_BYTE_COUNT, loads.running.get(key, 0))
                 for key in self._keys.order
             )
-            message.is_packed = len(told) >= MIN_DEFLATED_TARGETS or None
+            message.is_packed = len(counts) >= MIN_DEFLATED_TARGETS or None
             message.running = (
-                zlib.compress(told, FASTEST_ZLIB_LEVEL) if message.is_packed else told
+                zlib.compress(counts, FASTEST_ZLIB_LEVEL)
+                if message.is_packed
+                else counts
             )
             named = dict.fromkeys(loads.outcomes, 0)
         else:
@@ -163,7 +165,8 @@
         Returns
         -------
         LoadSum | None
-            None where it is in the order of other targets than are known here.
+            None if it is in the order of a list of targets that is not the one known
+            here.
         """
         known_at = now - (message.age_ms or 0) / MILLISECONDS
         routers = 1 if message.routers is None else message.routers
@@ -171,10 +174,10 @@
         if message.running is not None:
             if message.targets_digest != self._keys.digest:
                 return None
-            told = _inflated(message, len(self._keys.order))
-            if len(told) != len(self._keys.order):
+            counts = _inflated(message, len(self._keys.order))
+            if len(counts) != len(self._keys.order):
                 return None
-            pairs = zip(self._keys.order, told, strict=True)
+            pairs = zip(self._keys.order, counts, strict=True)
             loads.running = {key: running for key, running in pairs if running}
         else:
             loads.running = {
@@ -184,13 +187,13 @@
         return loads
 
 
-def _inflated(message: wire.RouterNews, most: int) -> bytes:
-    """Return the loads in a message, hardly more of them than there can be."""
-    told = message.running or b""
+def _inflated(message: wire.RouterNews, max_count: int) -> bytes:
+    """Return the loads in a message, at most one more than there can be."""
+    counts = message.running or b""
     if not message.is_packed:
-        return told
+        return counts
     try:
-        return zlib.decompressobj().decompress(told, most + 1)
+        return zlib.decompressobj().decompress(counts, max_count + 1)
     except zlib.error:
         return b""
 
@@ -198,17 +201,17 @@
 def reported_outcomes(
     targets: Iterable[wire.TargetNews],
 ) -> dict[int, tuple[float, float]]:
-    """Return good and bad outcomes by the targets' short names.
+    """Return successes and failures by the targets' keys.
 
     Parameters
     ----------
     targets : Iterable[wire.TargetNews]
-        What a router tells of targets.
+        What a router reports of targets.
 
     Returns
     -------
     dict[int, tuple[float, float]]
-        Empty for a router that is no witness.
+        Empty if the router's reports are unreliable, since most of its requests fail.
     """
     found = {
         item.target: (
@@ -224,16 +227,16 @@
 
 
 def _has_outcomes(state: TargetState, now: float) -> bool:
-    """Tell whether there are outcomes that would be seen after rounding."""
+    """Return whether any outcome is still visible after rounding."""
     good, bad = state.outcomes(now)
     return bad > MIN_REPORTED_FAILURES or round(good) > 0
 
 
 def _target_news(state: TargetState, now: float) -> wire.TargetNews:
-    """Return what a router tells of a target.
+    """Return this router's report on a target.
 
-    Good outcomes are told without failures too: by those of one router a single
-    failure would look like a target that often fails.
+    Successes are sent even without failures: otherwise a single failure among many
+    requests of one router would make the target look unreliable.
     """
     good, bad = state.outcomes(now)
     news = wire.TargetNews(target_key(*state.incarnation), state.own_running)
