--- a/src/primrosescale/process/entry/load_sum.py
+++ b/src/primrosescale/process/entry/load_sum.py
@@ -1,22 +1,23 @@
-"""Requests and failures at targets, summed over routers."""
+"""Requests in flight and recent outcomes at targets, summed over routers."""
 
 from __future__ import annotations
 
 
 class LoadSum:
-    """What some routers have at targets.
+    """Requests in flight and outcomes at targets, summed over a set of routers.
 
-    Sums are built from the last word of each router and replaced whole, so that
-    nothing is ever added twice and a lost message costs only its own age.
+    A sum is built from the latest report of each router and replaced as a whole,
+    never incremented. So nothing is counted twice, and a lost message only leaves
+    older data in place until the next one.
 
     Parameters
     ----------
     known_at : float
-        When the oldest word in it was true, in seconds of this router's clock.
+        Time of the oldest report in the sum, in seconds of this router's clock.
     routers : int
-        How many routers it counts.
+        Number of routers in the sum.
     reaches_store : bool
-        Whether one of them reaches the store.
+        Whether at least one of them reaches the store.
     """
 
     __slots__ = ("known_at", "outcomes", "reaches_store", "routers", "running")
@@ -27,12 +28,12 @@
         self.known_at = known_at
         self.routers = routers
         self.reaches_store = reaches_store
-        # Both by the targets' short names; good outcomes, then bad ones.
+        # Both are keyed by `target_key`. Outcomes are pairs of successes and failures.
         self.running: dict[int, int] = {}
         self.outcomes: dict[int, tuple[float, float]] = {}
 
     def add(self, other: LoadSum) -> None:
-        """Add what other routers have.
+        """Add the load of other routers.
 
         Parameters
         ----------
@@ -49,7 +50,7 @@
             self.outcomes[key] = (known_good + good, known_bad + bad)
 
     def without(self, other: LoadSum) -> LoadSum:
-        """Return this sum without what some of its routers have.
+        """Return this sum without the load of some of its routers.
 
         Parameters
         ----------
@@ -59,7 +60,7 @@
         Returns
         -------
         LoadSum
-            The rest, taken to be as old as this sum.
+            The remainder, with the age of this sum.
         """
         rest = LoadSum(
             self.known_at,
@@ -77,19 +78,19 @@
 
 
 def total_load(parts: list[LoadSum], now: float) -> LoadSum:
-    """Return the sum over several sets of routers.
+    """Return the sum over several disjoint sets of routers.
 
     Parameters
     ----------
     parts : list[LoadSum]
-        Sums over routers, no router in two of them.
+        Sums over routers; no router is in two of them.
     now : float
         Present time in seconds.
 
     Returns
     -------
     LoadSum
-        The sum; of no routers where there are no parts.
+        The total; of no routers if there are no parts.
     """
     total = LoadSum(now, 0)
     for part in parts:
