--- a/src/primrosescale/process/entry/target_keys.py
+++ b/src/primrosescale/process/entry/target_keys.py
@@ -1,4 +1,4 @@
-"""Short names of targets in news between routers, and an order of them."""
+"""32-bit keys of targets in messages between routers, and their common order."""
 
 from __future__ import annotations
 
@@ -11,40 +11,40 @@
     from primrosescale.process.entry.target_list import TargetList
     from primrosescale.request.target_state import TargetState
 
-# Short names that are remembered.
+# Number of cached keys.
 MAX_CACHED_KEYS = 16384
 SIGN_OFFSET = 2**31
 
 
 @lru_cache(maxsize=MAX_CACHED_KEYS)
 def target_key(name: str, started_at: int | None = None) -> int:
-    """Return the short name of an incarnation of a target in news.
+    """Return the 32-bit key of an incarnation of a target.
 
-    News of an incarnation that a router does not know as the present one match
-    nothing there, whether it is a former one or one that it has yet to hear of.
+    Data about an incarnation other than the present one known to the receiver, be
+    it a former one or one not yet known there, matches no key and is ignored.
 
     Parameters
     ----------
     name : str
         The target.
     started_at : int | None
-        Its start in its own Unix milliseconds; None where nothing tells it.
+        Its start in its own Unix milliseconds; None if unknown.
 
     Returns
     -------
     int
-        32 bits. Two of 11,000 targets share one in about one fleet of seventy;
-        then a load is counted for the wrong one of them.
+        A signed 32-bit hash. With 11,000 targets, two share a key in about one fleet
+        of seventy; load is then counted for the wrong one of them.
     """
     text = name if started_at is None else f"{name}\0{started_at}"
     return int(xxh32_intdigest(text.encode())) - SIGN_OFFSET
 
 
 class TargetKeys:
-    """Short names of the known targets, in an order that all routers agree on.
+    """Keys of the known targets, in an order that all routers derive alike.
 
-    Where two routers know the same targets, loads need no names between them:
-    1 byte a target in place of 9.
+    Between routers that know the same targets, loads are sent in this order without
+    keys, which takes 1 byte per target instead of 9.
 
     Parameters
     ----------
@@ -63,19 +63,19 @@
 
     @property
     def states(self) -> dict[int, TargetState]:
-        """Return the states of all known targets by short name."""
+        """Return the states of all known targets by key."""
         self._refresh()
         return self._states
 
     @property
     def order(self) -> list[int]:
-        """Return the short names in their common order."""
+        """Return the keys in their common order."""
         self._refresh()
         return self._order
 
     @property
     def digest(self) -> int:
-        """Return what tells apart two lists of targets; 32 bits."""
+        """Return a 32-bit hash that identifies the list of targets."""
         self._refresh()
         return self._digest
 
