--- a/src/primrosescale/process/entry/news_paths.py
+++ b/src/primrosescale/process/entry/news_paths.py
@@ -1,11 +1,12 @@
-"""Which routers a router exchanges news with.
-
-The pattern it answers: a fleet so large that news from each router to each other
-takes more than the bytes allowed, or comes too late to share load by. Up to some
-number all routers tell all. Beyond it, each tells the relays of its own failure
-domain; these sum up, tell the relays of other domains, and tell their own domain
-of the whole. Relays are the first routers in an order of names that all agree on:
-nobody elects them, and who is asked answers, whatever it holds itself to be.
+"""Decides which routers exchange state updates with each other, and by which relays.
+
+In a small fleet each router sends its updates to all others. In a large one that
+would exceed the bytes allowed, or updates would arrive too late to balance load by.
+There, each router reports to the relays of its own failure domain. Relays aggregate
+these reports, exchange sums with the relays of other domains, and send the total to
+the routers of their own domain. The relays of a domain are the first routers in an
+order of names that all routers derive alike, so there is no election. A router that
+is asked to act as a relay does so, whether or not it is one by its own list.
 """
 
 from __future__ import annotations
@@ -18,24 +19,24 @@
 from primrosescale.ini.options import option
 from primrosescale.process.membership.order import first_in_order
 
-# A domain has two relays at least, so that one may be lost.
+# A domain has at least two relays, so that one may be lost.
 MIN_RELAYS_PER_DOMAIN = 2
-# Questions in a row that a relay may leave open: 1 s. A datagram in a thousand is
-# lost, and hosts are held up for some tenths of a second.
+# Messages in a row that a relay may leave unanswered: 1 s. A datagram in a thousand is
+# lost, and hosts may stall for some tenths of a second.
 MAX_UNANSWERED_MESSAGES = 6
-# After this time a relay that did not answer is asked again, for two questions.
+# A relay that did not answer is tried again after this time, for two messages.
 SUSPICION_SECONDS = 5.0
 MESSAGES_AFTER_SUSPICION = 2
 
 
 @dataclass(frozen=True, slots=True)
 class NewsSettings:
-    """How often routers tell each other what, and by which way."""
+    """Limits and intervals of the exchange of state between routers."""
 
     most_direct: int = option(
         COUNT,
-        "routers up to which each tells all others; beyond it news of the "
-        "others would be more than 0.5 s old within the bytes allowed",
+        "routers up to which each sends updates to all others; beyond that, updates "
+        "would be more than 0.5 s old within the bytes allowed",
         32,
     )
     routers_a_relay: int = option(
@@ -45,26 +46,26 @@
     )
     interval: float = option(
         SECONDS,
-        "seconds between two reports to a relay, and two of a relay's sums; "
-        "three of them are the age of the oldest load that is known",
+        "seconds between two reports to a relay, and between two sums from it; "
+        "the oldest load that is known is three of them old",
         0.15,
     )
     keep: float = option(
         SECONDS,
-        "seconds for which a relayed report counts; one that is not renewed by "
-        "then is of a router that is gone",
+        "seconds for which a relayed report counts; a router whose report is not "
+        "renewed by then is taken to be gone",
         1.2,
     )
     bytes_per_second: int = option(
         COUNT,
-        "bytes of news that a router sends in a second; all control may take "
-        "22 kB on the busiest, 12 kB on the mean",
+        "bytes of state updates that a router sends in a second; all control "
+        "traffic may take 22 kB on the busiest router, 12 kB on the mean",
         14_000,
     )
 
 
 class _RelaySuspicion:
-    """Whether a router that was asked has answered lately."""
+    """Whether a relay has left messages unanswered recently."""
 
     __slots__ = ("suspected_until", "unanswered_messages")
 
@@ -74,7 +75,7 @@
 
 
 class RelayTopology:
-    """The ways of news from and to one router.
+    """Relays of all failure domains, and the routers that one router talks to.
 
     Parameters
     ----------
@@ -83,7 +84,7 @@
     domain : str
         Its failure domain.
     settings : NewsSettings
-        Sizes and times.
+        Limits and intervals.
     """
 
     def __init__(self, name: str, domain: str, settings: NewsSettings) -> None:
@@ -97,11 +98,11 @@
 
     @property
     def is_relayed(self) -> bool:
-        """Tell whether news goes by relays."""
+        """Return whether state updates are sent by relays."""
         return len(self._domain_of) > self._settings.most_direct
 
     def put(self, name: str, domain: str) -> None:
-        """Take in another router.
+        """Add another router, or replace its entry.
 
         Parameters
         ----------
@@ -116,7 +117,7 @@
         self._orders.pop(domain, None)
 
     def remove(self, name: str) -> None:
-        """Take in that a router is gone.
+        """Remove a router that is gone.
 
         Parameters
         ----------
@@ -133,7 +134,7 @@
         self._suspicions.pop(name, None)
 
     def is_own_domain(self, name: str) -> bool:
-        """Tell whether a router is of this one's failure domain.
+        """Return whether a router is in this one's failure domain.
 
         Parameters
         ----------
@@ -163,7 +164,7 @@
         return self._domain_of[name]
 
     def rank(self, now: float) -> int | None:
-        """Return this router's place among the relays of its domain.
+        """Return this router's rank among the relays of its domain.
 
         Parameters
         ----------
@@ -173,13 +174,13 @@
         Returns
         -------
         int | None
-            0 for the first; None when it is none of them.
+            0 for the first; None if it is not a relay.
         """
         relays = self._relays(self._domain, now)
         return relays.index(self._name) if self._name in relays else None
 
     def is_relay(self, now: float) -> bool:
-        """Tell whether this router is one of the relays of its domain.
+        """Return whether this router is one of the relays of its domain.
 
         Parameters
         ----------
@@ -189,7 +190,7 @@
         Returns
         -------
         bool
-            True for a relay by this router's own knowledge.
+            True for a relay, as far as this router can tell.
         """
         return self.rank(now) is not None
 
@@ -204,14 +205,15 @@
         Returns
         -------
         list[str]
-            Their names; not its own.
+            Their names, without its own.
         """
         return [n for n in self._relays(self._domain, now) if n != self._name]
 
     def upstream_relay(self, now: float) -> str | None:
-        """Return the relay that tells this router of all others.
+        """Return the relay from which this router receives the load of all others.
 
-        A relay tells a part of its domain, so that each has little to send.
+        The routers of a domain are spread over its relays, so that each relay has
+        little to send.
 
         Parameters
         ----------
@@ -221,7 +223,7 @@
         Returns
         -------
         str | None
-            Its name; None where there is no other router in the domain.
+            Its name; None if there is no other router in the domain.
         """
         first = first_in_order(self.own_relays(now), self._name, 1)
         return first[0] if first else None
@@ -229,8 +231,8 @@
     def peer_relays(self, now: float) -> list[str]:
         """Return the relays of other domains that this one exchanges sums with.
 
-        Those of the same place talk to each other, so that the loss of one
-        leaves the ways by the others whole.
+        Relays of the same rank talk to each other, so that the loss of one leaves the
+        connections of the others intact.
 
         Parameters
         ----------
@@ -240,18 +242,18 @@
         Returns
         -------
         list[str]
-            One of each other domain.
+            One relay of each other domain.
         """
-        place = self.rank(now) or 0
+        rank = self.rank(now) or 0
         found = []
         for domain in self._domains:
             if domain != self._domain:
                 relays = self._relays(domain, now)
-                found.append(relays[place % len(relays)])
+                found.append(relays[rank % len(relays)])
         return found
 
     def expect_answer(self, name: str, now: float) -> None:
-        """Take in that a router was sent something that it must answer.
+        """Record that a message was sent that a router has to answer.
 
         Parameters
         ----------
@@ -269,7 +271,7 @@
             answers.suspected_until = now + SUSPICION_SECONDS
 
     def answer_received(self, name: str) -> None:
-        """Take in that a router has answered as a relay.
+        """Record that a router has answered as a relay.
 
         Parameters
         ----------
@@ -283,7 +285,7 @@
         return answers is not None and now < answers.suspected_until
 
     def _relays(self, domain: str, now: float) -> list[str]:
-        """Return the relays of a domain, as far as they answer."""
+        """Return the relays of a domain, leaving out those that do not answer."""
         order = self._orders.get(domain)
         if order is None:
             names = self._domains[domain]
