--- a/src/primrosescale/process/entry/other_router.py
+++ b/src/primrosescale/process/entry/other_router.py
@@ -1,4 +1,4 @@
-"""Another entry router: its entry in the list, and what was heard of it."""
+"""Another entry router: its entry in the store, and the state received from it."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 if TYPE_CHECKING:
     from primrosescale.connection.endpoint import Endpoint
 
-# Own messages whose sending time is remembered for each other router.
+# Messages to each other router whose sending time is remembered.
 MAX_SENT_TIMES = 64
 
 
 @dataclass(frozen=True, slots=True)
 class OtherRouter:
-    """Another router as the store lists it.
+    """Another router as listed in the store.
 
     Parameters
     ----------
     name : str
         Name of its host.
     endpoint : Endpoint
-        Where it takes news.
+        Where it receives state updates.
     domain : str
-        Its failure domain; empty where its entry does not tell it.
+        Its failure domain; empty if its entry has none.
     """
 
     name: str
@@ -33,12 +33,12 @@
 
 
 class PeerState:
-    """What is known of one other router.
+    """The state last received from one other router.
 
     Parameters
     ----------
     router : OtherRouter
-        Its entry in the list.
+        Its entry in the store.
     now : float
         Present time in seconds.
     """
@@ -67,18 +67,18 @@
         self.version = 0
         self.list_revision = 0
         self.sent_at: OrderedDict[int, float] = OrderedDict()
-        # Of the targets that it knows, as it told last.
+        # Digest of the targets that it knows, as last reported.
         self.targets_digest: int | None = None
-        # Short names of the targets that its last message told requests of.
+        # Keys of the targets for which its last message reported requests.
         self.reported_targets: frozenset[int] = frozenset()
 
     def record_sent(self, sequence: int, now: float) -> None:
-        """Remember when a message of this router went out to it.
+        """Record when a message was sent to it.
 
         Parameters
         ----------
         sequence : int
-            Number of the message.
+            Sequence number of the message.
         now : float
             Present time in seconds.
         """
@@ -87,19 +87,20 @@
             self.sent_at.popitem(last=False)
 
     def accept_sequence(self, incarnation: int, sequence: int) -> bool:
-        """Take in the number of a message; tell whether it is news.
+        """Record the sequence number of a received message unless it is outdated.
 
         Parameters
         ----------
         incarnation : int
             Number of the sender's incarnation.
         sequence : int
-            Number of the message in that incarnation.
+            Sequence number of the message within that incarnation.
 
         Returns
         -------
         bool
-            False for a message of a former incarnation, and for an older one.
+            False for a message of a former incarnation, and for one that is older than
+            the last.
         """
         if incarnation < self.incarnation:
             return False
