--- a/src/primrosescale/process/entry/relay_aggregation.py
+++ b/src/primrosescale/process/entry/relay_aggregation.py
@@ -1,8 +1,9 @@
-"""What a router knows of others' requests by relays, and passes on for them.
+"""Aggregates the load of other routers and decides what a router relays to whom.
 
-The pattern it answers: many routers before few targets, where no router can hear
-all others often. Every word is kept by who it came from and replaced whole. A
-relay that is lost, frozen or cut off costs the time until the next one is asked.
+With many routers, no router can receive messages from all others often enough.
+Reports are therefore summed by relays. Each sum is stored under the router that sent
+it and replaced as a whole. If a relay fails, stalls or is cut off, its routers get no
+updates until they have turned to the next one.
 """
 
 from __future__ import annotations
@@ -25,26 +26,27 @@
     from primrosescale.process.entry.news_paths import NewsSettings
     from primrosescale.process.entry.news_paths import RelayTopology
 
-# News of parts that wait to be passed on; the oldest are left out, each of which
-# costs a prompt that is read once more.
+# Prompt parts that wait to be forwarded; the oldest are dropped, each of which costs
+# one prompt that is prefilled once more.
 MAX_QUEUED_PARTS = 200
-# Parts in one message of a relay: 27 a second, 700 bytes to each router that it
-# tells. Loads, which grow old, do not wait for more of them.
+# Prompt parts in one message of a relay: 27 a second, 700 bytes to each router that it
+# sends to. Loads, which become stale, are not delayed for more of them.
 MAX_PARTS_PER_MESSAGE = 4
-# Ends of targets that wait to be passed on, and those in one message of a relay.
+# Ends of targets that wait to be forwarded, and those in one message of a relay.
 MAX_QUEUED_ENDS = 200
 MAX_ENDS_PER_MESSAGE = 12
-# Seconds in which the same end is passed on once, however many routers tell of it,
-# and ends that are remembered for that.
+# For this many seconds an end is forwarded only once, however many routers report it;
+# and the number of ends that are remembered for that.
 END_DEDUPLICATION_SECONDS = 5.0
 MAX_REMEMBERED_ENDS = 2048
-# Of two relays that tell of the same routers the one that counts more of them is
-# believed, for as long as it tells: a relay that has just become one knows few.
+# If two relays report the same domain, the one whose sum covers more routers is
+# preferred for as long as it keeps reporting: a relay that has just become one covers
+# few.
 PREFERENCE_INTERVALS = 3
 
 
 class _ReceivedSum:
-    """The last sum that was heard from a router, and when."""
+    """The last sum received from a router, and when."""
 
     __slots__ = ("loads", "origin", "received_at")
 
@@ -55,22 +57,22 @@
 
 
 class RelayedUpdate:
-    """What one router is to be told in a round.
+    """What is sent to one router in a round.
 
     Parameters
     ----------
     name : str
         The router.
     scope : NewsScope
-        Whose requests it is told.
+        Whose load it is.
     loads : LoadSum
-        The requests.
+        The load.
     parts : list[wire.PartNews]
-        Where parts of prompts went.
+        Which targets prompt parts were sent to.
     ends : list[wire.EndNews]
-        Which targets ended with which requests on board.
+        Which targets ended while they ran which requests.
     wants_fleet : bool
-        Whether it is asked to tell of all routers.
+        Whether the router is asked for the load of the whole fleet.
     """
 
     __slots__ = ("ends", "loads", "name", "parts", "scope", "wants_fleet")
@@ -97,7 +99,7 @@
 
 
 class _QueuedItem(Generic[Item]):
-    """News that is to be passed on."""
+    """An item to forward, and the router that it came from."""
 
     __slots__ = ("is_from_own_domain", "item", "origin")
 
@@ -108,39 +110,39 @@
 
 
 class _ForwardQueue(Generic[Item]):
-    """News that waits to be passed on, the oldest first.
+    """Items that wait to be forwarded, the oldest first.
 
     Parameters
     ----------
-    most : int
-        How much may wait; the oldest makes room.
-    most_in_message : int
-        How much of it goes into one message.
+    max_queued : int
+        How many may wait; the oldest is dropped.
+    max_per_message : int
+        How many go into one message.
     """
 
-    __slots__ = ("_most_in_message", "_waiting")
+    __slots__ = ("_max_per_message", "_queued")
 
-    def __init__(self, most: int, most_in_message: int) -> None:
-        self._most_in_message = most_in_message
-        self._waiting: deque[_QueuedItem[Item]] = deque(maxlen=most)
+    def __init__(self, max_queued: int, max_per_message: int) -> None:
+        self._max_per_message = max_per_message
+        self._queued: deque[_QueuedItem[Item]] = deque(maxlen=max_queued)
 
     def add(
         self, origin: str, items: Iterable[Item], *, is_from_own_domain: bool
     ) -> None:
-        """Have news wait that came from a router."""
+        """Queue items received from a router."""
         for item in items:
-            self._waiting.append(
+            self._queued.append(
                 _QueuedItem(origin, item, is_from_own_domain=is_from_own_domain)
             )
 
     def take(self) -> list[_QueuedItem[Item]]:
-        """Return what goes into the messages of this round."""
-        count = min(self._most_in_message, len(self._waiting))
-        return [self._waiting.popleft() for _ in range(count)]
+        """Remove and return the items for the messages of this round."""
+        count = min(self._max_per_message, len(self._queued))
+        return [self._queued.popleft() for _ in range(count)]
 
 
 class _ForwardedEnds:
-    """Which ends were passed on lately, so that none is again."""
+    """Ends that were forwarded recently, so that none is sent twice."""
 
     __slots__ = ("_forwarded_at",)
 
@@ -152,7 +154,7 @@
     def filter_new(
         self, ends: Iterable[wire.EndNews], now: float
     ) -> Iterator[wire.EndNews]:
-        """Yield those that were not passed on lately, and take note of them."""
+        """Yield the ends that were not forwarded recently, and record them."""
         for end in ends:
             key = (end.fingerprint, end.target, end.is_try)
             passed_at = self._forwarded_at.get(key)
@@ -165,38 +167,40 @@
             yield end
 
 
-def _from_own_domain(waiting: list[_QueuedItem[Item]]) -> list[Item]:
-    """Return what other domains are told."""
-    return [each.item for each in waiting if each.is_from_own_domain]
+def _from_own_domain(queued: list[_QueuedItem[Item]]) -> list[Item]:
+    """Return the items to send to other domains."""
+    return [each.item for each in queued if each.is_from_own_domain]
 
 
-def _not_from_router(name: str, waiting: list[_QueuedItem[Item]]) -> list[Item]:
-    """Return what the router that some of it came from is told."""
-    return [each.item for each in waiting if each.origin != name]
+def _not_from_router(name: str, queued: list[_QueuedItem[Item]]) -> list[Item]:
+    """Return the items to send to a router, without those it sent itself."""
+    return [each.item for each in queued if each.origin != name]
 
 
 class RelayAggregator:
-    """Sums of others' requests, by router, by domain and of all.
+    """Load of other routers: by router, by domain and in total.
 
     Parameters
     ----------
     name : str
         This router.
-    paths : RelayTopology
-        Who exchanges news with whom.
+    topology : RelayTopology
+        Who exchanges updates with whom.
     settings : NewsSettings
-        Sizes and times.
+        Limits and intervals.
     """
 
-    def __init__(self, name: str, paths: RelayTopology, settings: NewsSettings) -> None:
+    def __init__(
+        self, name: str, topology: RelayTopology, settings: NewsSettings
+    ) -> None:
         self._name = name
-        self._topology = paths
+        self._topology = topology
         self._settings = settings
-        # Requests of routers of the own domain, by router.
+        # Load of routers of the own domain, by router.
         self._reports: dict[str, _ReceivedSum] = {}
-        # Requests of other domains, by domain.
+        # Load of other domains, by domain.
         self._domains: dict[str, _ReceivedSum] = {}
-        # Requests of all but this router, by the relay that told it.
+        # Load of all routers but this one, by the relay that sent it.
         self._fleets: dict[str, _ReceivedSum] = {}
         # Routers that ask this one to answer as a relay, and until when.
         self._subscribers: dict[str, float] = {}
@@ -211,14 +215,14 @@
     def receive(
         self, message: wire.RouterNews, loads: LoadSum | None, now: float
     ) -> None:
-        """Take in a message that goes by relays.
+        """Process a message of the exchange by relays.
 
         Parameters
         ----------
         message : wire.RouterNews
             The message.
         loads : LoadSum | None
-            The requests in it; None where they could not be read.
+            The load in it; None if it could not be decoded.
         now : float
             Present time in seconds.
         """
@@ -239,39 +243,41 @@
     def receive_load(
         self, scope: NewsScope, origin: str, loads: LoadSum, now: float
     ) -> None:
-        """Take in what another router tells of requests.
+        """Store the load that another router reports.
 
         Parameters
         ----------
         scope : NewsScope
-            Whose requests they are.
+            Whose load it is.
         origin : str
-            The router that tells.
+            The router that reports it.
         loads : LoadSum
-            The requests.
+            The load.
         now : float
             Present time in seconds.
         """
-        word = _ReceivedSum(origin, loads, now)
+        received = _ReceivedSum(origin, loads, now)
         if scope == NewsScope.FLEET:
-            self._fleets[origin] = word
+            self._fleets[origin] = received
         elif scope == NewsScope.ROUTER:
             if self._topology.is_own_domain(origin):
-                self._reports[origin] = word
+                self._reports[origin] = received
         elif not self._topology.is_own_domain(origin):
-            self._receive_domain_sum(self._topology.domain_of(origin), word, now)
+            self._receive_domain_sum(self._topology.domain_of(origin), received, now)
 
-    def _receive_domain_sum(self, domain: str, word: _ReceivedSum, now: float) -> None:
+    def _receive_domain_sum(
+        self, domain: str, received: _ReceivedSum, now: float
+    ) -> None:
         known = self._domains.get(domain)
-        if known is not None and known.origin != word.origin:
-            believed = PREFERENCE_INTERVALS * self._settings.interval
-            is_telling = now - known.received_at < believed
-            if is_telling and known.loads.routers > word.loads.routers:
+        if known is not None and known.origin != received.origin:
+            preferred_for = PREFERENCE_INTERVALS * self._settings.interval
+            is_reporting = now - known.received_at < preferred_for
+            if is_reporting and known.loads.routers > received.loads.routers:
                 return
-        self._domains[domain] = word
+        self._domains[domain] = received
 
     def forget(self, name: str) -> None:
-        """Forget a router that is no longer listed.
+        """Remove a router that is no longer listed.
 
         Parameters
         ----------
@@ -283,7 +289,7 @@
         self._subscribers.pop(name, None)
 
     def others(self, now: float) -> LoadSum:
-        """Return the requests of all other routers by the best knowledge.
+        """Return the best known load of all other routers.
 
         Parameters
         ----------
@@ -293,15 +299,17 @@
         Returns
         -------
         LoadSum
-            What this router has gathered itself, or what a relay has told it,
-            whichever counts more routers.
+            What this router has aggregated itself or the latest total from a relay,
+            whichever covers more routers.
         """
-        gathered = self._aggregated(now)
-        told = self._fresh(self._fleets, now)
-        if not told:
-            return gathered
-        best = max(told, key=lambda word: (word.loads.routers, word.received_at)).loads
-        return gathered if gathered.routers >= best.routers else best
+        aggregated = self._aggregated(now)
+        totals = self._fresh(self._fleets, now)
+        if not totals:
+            return aggregated
+        best = max(
+            totals, key=lambda received: (received.loads.routers, received.received_at)
+        ).loads
+        return aggregated if aggregated.routers >= best.routers else best
 
     def compose(
         self,
@@ -312,31 +320,31 @@
         *,
         is_urgent: bool,
     ) -> list[RelayedUpdate]:
-        """Return what to tell whom in a round.
+        """Return what to send to which routers in a round.
 
         Parameters
         ----------
         own : LoadSum
-            This router's own requests.
+            This router's own load.
         parts : list[wire.PartNews]
-            Where this router sent parts of prompts.
+            Which targets this router sent prompt parts to.
         ends : list[wire.EndNews]
-            Which targets ended with which of its requests on board.
+            Which targets ended while they ran which of its requests.
         now : float
             Present time in seconds.
         is_urgent : bool
-            Whether only this router's relays are told.
+            Whether only this router's relays are sent to.
 
         Returns
         -------
         list[RelayedUpdate]
-            What each is told.
+            One item for each router.
         """
         self._parts.add(self._name, parts, is_from_own_domain=True)
         new_ends = self._forwarded_ends.filter_new(ends, now)
         self._ends.add(self._name, new_ends, is_from_own_domain=True)
         upstream_relay = self._topology.upstream_relay(now)
-        told = [
+        updates = [
             RelayedUpdate(
                 name,
                 NewsScope.ROUTER,
@@ -348,15 +356,15 @@
             for name in self._topology.own_relays(now)
         ]
         if is_urgent:
-            return told
+            return updates
         if upstream_relay is not None:
             self._topology.expect_answer(upstream_relay, now)
-        return told + self._answers(own, now)
+        return updates + self._answers(own, now)
 
     def _answers(self, own: LoadSum, now: float) -> list[RelayedUpdate]:
-        """Return the sums for those who ask, and for relays of other domains.
+        """Return the sums for routers that ask, and for relays of other domains.
 
-        Nothing where this router is no relay and nobody takes it for one.
+        Empty if this router is not a relay and no router takes it for one.
         """
         self._subscribers = {
             n: until for n, until in self._subscribers.items() if now < until
@@ -376,9 +384,9 @@
         ends = self._ends.take()
         if not others and not members:
             return []
-        reports = [word.loads for word in self._fresh(self._reports, now)]
+        reports = [received.loads for received in self._fresh(self._reports, now)]
         domain = total_load([own, *reports], now)
-        told = [
+        updates = [
             RelayedUpdate(
                 name,
                 NewsScope.DOMAIN,
@@ -393,7 +401,7 @@
             report = self._reports.get(name)
             is_counted = report is not None and self._is_fresh(report, now)
             loads = fleet.without(report.loads) if report and is_counted else fleet
-            told.append(
+            updates.append(
                 RelayedUpdate(
                     name,
                     NewsScope.FLEET,
@@ -402,15 +410,15 @@
                     _not_from_router(name, ends),
                 )
             )
-        return told
+        return updates
 
     def _aggregated(self, now: float) -> LoadSum:
-        reports = [word.loads for word in self._fresh(self._reports, now)]
-        domains = [word.loads for word in self._fresh(self._domains, now)]
+        reports = [received.loads for received in self._fresh(self._reports, now)]
+        domains = [received.loads for received in self._fresh(self._domains, now)]
         return total_load([*reports, *domains], now)
 
-    def _fresh(self, words: dict[str, _ReceivedSum], now: float) -> list[_ReceivedSum]:
-        return [word for word in words.values() if self._is_fresh(word, now)]
+    def _fresh(self, sums: dict[str, _ReceivedSum], now: float) -> list[_ReceivedSum]:
+        return [received for received in sums.values() if self._is_fresh(received, now)]
 
-    def _is_fresh(self, word: _ReceivedSum, now: float) -> bool:
-        return now - word.received_at <= self._settings.keep
+    def _is_fresh(self, received: _ReceivedSum, now: float) -> bool:
+        return now - received.received_at <= self._settings.keep
