--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -1,10 +1,11 @@
-"""What entry routers tell each other, and what follows from hearing it.
-
-The patterns it answers: returning chats that come back on another router; a
-target's load that no single router sees; and a router that is cut off from the
-store while another is not. News is state, not change: what one datagram loses,
-the next brings again, save for where parts of prompts went, whose loss costs
-one prompt that is read twice.
+"""Composes state updates for other routers and applies those received from them.
+
+Updates let a router know what it cannot see itself: which targets hold the prompts of
+returning chats that other routers served; the load of a target over all routers; and
+the configuration, if this router is cut off from the store and another one is not.
+Updates carry state, not changes: what one lost datagram contained, the next one
+contains again. The exception is which targets prompt parts went to; losing that costs
+one prompt that is prefilled twice.
 """
 
 from __future__ import annotations
@@ -37,30 +38,32 @@
     from primrosescale.request.freshness import Freshness
     from primrosescale.request.part_directory import PartDirectory
 
-# Datagrams stay under what every link carries in one piece.
+# Bounds the datagram to a size that no link fragments.
 MAX_PARTS = 36
-# Bytes a second that a router spends on telling all others; the users allow 22
-# KB/s for all control.
+# Bytes a second that a router spends on updates to all others; the users allow 22 KB/s
+# for all control traffic.
 DIRECT_BYTES_PER_SECOND = 12_000.0
 TYPICAL_DATAGRAM_BYTES = 180
 MIN_INTERVAL_SECONDS = 0.25
-# Routers that ask the store often for all. Four at times of their own leave the
-# newest answer half as old as two do, for one call more a second in all.
+# Routers that poll the store often on behalf of all. With four, polling independently
+# of each other, the newest answer is half as old as with two, for one more call a
+# second in all.
 POLLING_ROUTERS = 4
-# News of another router is relied on for this many of its intervals.
+# An update of another router is valid for this many of its intervals.
 FRESH_INTERVALS = 4
-# A listed router that has been silent for so long is taken off the list. Cuts
-# and restarts of today last some seconds; one that lives lists itself again.
+# A listed router that has been silent for so long is removed from the list. Network
+# cuts and restarts last some seconds; a router that is alive after all lists itself
+# again.
 SILENT_REMOVAL_SECONDS = 60.0
-# Routers that left the list whose addresses are remembered.
+# Routers that left the list whose addresses are kept.
 MAX_FORMER_ROUTERS = 64
 UNKNOWN = -1
-# Under which targets' states keep what relays tell.
+# The origin under which target states store load received from relays.
 RELAYED_ORIGIN = "relays"
 
 
 class RouterNews:
-    """Composes news for other routers and takes in theirs.
+    """Composes state updates for other routers and applies theirs.
 
     Parameters
     ----------
@@ -71,20 +74,20 @@
     targets : TargetList
         Targets and their states.
     parts : PartDirectory
-        Where parts of prompts are cached.
+        Where prompt parts are cached.
     freshness : Freshness
-        How old the knowledge of the configuration is.
+        Age of the configuration known here.
     domain : str
         Failure domain of this router.
     settings : NewsSettings | None
-        Sizes and times; None for the usual ones.
+        Limits and intervals; None for the defaults.
     harm : HarmNews | None
-        What is told of targets that ended with requests on board; None for
-        nothing.
+        Exchange of reports on targets that ended while they ran requests; None for
+        none.
     evacuations : Evacuations | None
-        Failure domains that get no requests; None for a router that follows none.
+        Failure domains that get no requests; None if evacuations are not followed.
     leaving : LeavingNews | None
-        What is told of targets that leave by their own word; None for nothing.
+        Exchange of targets that announced that they leave; None for none.
     """
 
     def __init__(
@@ -116,15 +119,16 @@
         self._aggregator = RelayAggregator(name, self._topology, settings)
         self._sequence = 0
         self._round_messages = 0
-        # When the oldest load that relays told was true, and at which targets.
+        # Time of the oldest load received from relays, and the targets that it covers.
         self._known_at = -math.inf
         self._relayed_targets: frozenset[int] = frozenset()
-        # Since when routers of the own domain should be heard of here.
+        # Since when this router is the first relay, to which all routers of its domain
+        # report.
         self._first_relay_since = math.inf
 
     @property
     def interval(self) -> float:
-        """Return the seconds between two rounds of news."""
+        """Return the seconds between two rounds of updates."""
         if self._topology.is_relayed:
             settings = self._settings
             bytes_a_round = self._round_messages * self._codec.typical_bytes
@@ -134,12 +138,12 @@
 
     @property
     def is_relayed(self) -> bool:
-        """Tell whether news goes by relays."""
+        """Return whether updates are sent by relays."""
         return self._topology.is_relayed
 
     @property
     def is_urgent(self) -> bool:
-        """Tell whether there is something that others should not wait for."""
+        """Return whether something should be sent before the next round."""
         if not self._topology.is_relayed or self._parts.has_unexpected:
             return True
         return self._harm is not None and self._harm.is_urgent
@@ -150,7 +154,7 @@
         return [peer.router for peer in self._peers.values()]
 
     def age(self, now: float) -> float:
-        """Return how old the news of other routers' requests may be.
+        """Return how old the known load of other routers may be.
 
         Parameters
         ----------
@@ -160,13 +164,13 @@
         Returns
         -------
         float
-            Seconds; of relayed news the age of the oldest load in it, which
-            grows while relays are silent.
+            Seconds; with relays the age of the oldest load received, which grows while
+            relays are silent.
         """
         return now - self._known_at if self._topology.is_relayed else self.interval
 
     def relay_rank(self, now: float) -> int | None:
-        """Return this router's place among the relays of its domain.
+        """Return this router's rank among the relays of its domain.
 
         Parameters
         ----------
@@ -176,12 +180,12 @@
         Returns
         -------
         int | None
-            0 for the first; None for a router that is none of them.
+            0 for the first; None if it is not a relay.
         """
         return self._topology.rank(now) if self._topology.is_relayed else None
 
     def upstream_relay(self, now: float) -> str | None:
-        """Return the relay that tells this router of all others.
+        """Return the relay from which this router receives the load of all others.
 
         Parameters
         ----------
@@ -191,12 +195,12 @@
         Returns
         -------
         str | None
-            Its name; None where all routers tell all.
+            Its name; None if all routers send updates to all.
         """
         return self._topology.upstream_relay(now) if self._topology.is_relayed else None
 
     def heard_lately(self, now: float) -> int:
-        """Return how many other routers were heard of lately.
+        """Return how many other routers have valid updates here.
 
         Parameters
         ----------
@@ -206,14 +210,14 @@
         Returns
         -------
         int
-            Routers.
+            Number of routers.
         """
         if self._topology.is_relayed:
             return self._aggregator.others(now).routers
         return len(self._recent_peers(now))
 
     def others_reach_store(self, now: float) -> bool:
-        """Tell whether other routers are better off than one without the store.
+        """Return whether callers are better served by other routers during an outage.
 
         Parameters
         ----------
@@ -223,8 +227,8 @@
         Returns
         -------
         bool
-            True when another router says that it reaches the store, or when
-            none is heard of any more, so that the network fails here.
+            True if another router reports that it reaches the store, or if no updates
+            arrive any more, so that this router's network has probably failed.
         """
         if all(peer.received_at is None for peer in self._peers.values()):
             return False
@@ -232,7 +236,7 @@
         return not heard or any(not peer.is_store_lost for peer in heard)
 
     def newest_version(self, now: float) -> int:
-        """Return the newest version that another router has lately told of.
+        """Return the newest version that another router has recently reported.
 
         Parameters
         ----------
@@ -247,7 +251,7 @@
         return max((peer.version for peer in self._recent_peers(now)), default=0)
 
     def newest_list(self) -> int:
-        """Return the newest change of the target list that others told of.
+        """Return the newest change of the target list that other routers reported.
 
         Returns
         -------
@@ -257,11 +261,11 @@
         return max((peer.list_revision for peer in self._peers.values()), default=0)
 
     def asks_often(self, now: float) -> bool:
-        """Tell whether this router is one of the few that ask the store often.
+        """Return whether this router is one of the few that poll the store often.
 
-        The others rely on the questions of these. Which ones they are follows
-        from an order of names that all agree on; where two routers have heard
-        of different ones, one more asks.
+        The others rely on the answers that these get. Which routers poll follows from
+        an order of names that all routers derive alike. If two routers have valid
+        updates from different peers, one more router may poll.
 
         Parameters
         ----------
@@ -271,8 +275,8 @@
         Returns
         -------
         bool
-            True for the first few of those that reach the store; with relays
-            for the first relay of each domain.
+            True for the first few of those that reach the store; with relays, for the
+            first relay of each domain.
         """
         if self._topology.is_relayed:
             is_alone = not self.heard_lately(now)
@@ -285,7 +289,7 @@
         return before < POLLING_ROUTERS
 
     def _recent_peers(self, now: float) -> list[PeerState]:
-        """Return the other routers that were heard of lately."""
+        """Return the other routers with valid updates."""
         oldest = now - self._validity_seconds
         return [
             peer
@@ -295,13 +299,13 @@
 
     @property
     def _validity_seconds(self) -> float:
-        """Return the seconds for which news of another router is relied on."""
+        """Return the seconds for which an update of another router is valid."""
         if self._topology.is_relayed:
             return self._settings.keep
         return FRESH_INTERVALS * self.interval
 
     def silent_routers(self, now: float) -> list[str]:
-        """Return listed routers that have not been heard of for long.
+        """Return listed routers from which nothing has been received for long.
 
         Parameters
         ----------
@@ -311,8 +315,8 @@
         Returns
         -------
         list[str]
-            Their names. Empty while no router is heard of: then the silence
-            is this router's own.
+            Their names. Empty if there are no updates from any router: then this
+            router itself is probably cut off.
         """
         if not self.heard_lately(now):
             return []
@@ -332,12 +336,12 @@
         return max(peer.listed_at, peer.received_at or 0.0)
 
     def put(self, router: OtherRouter, now: float) -> None:
-        """Take in another router of the list.
+        """Add another router of the list, or replace its entry.
 
         Parameters
         ----------
         router : OtherRouter
-            The router; this router itself is passed over.
+            The router; this router itself is ignored.
         now : float
             Present time in seconds.
         """
@@ -349,7 +353,7 @@
             self._topology.put(router.name, router.domain)
 
     def remove(self, name: str) -> None:
-        """Take in that a router is no longer listed.
+        """Remove a router that is no longer listed.
 
         Parameters
         ----------
@@ -367,7 +371,7 @@
             del self._former[next(iter(self._former))]
 
     def find(self, name: str) -> OtherRouter | None:
-        """Return another router that is listed, or one of the last that were.
+        """Return another router that is listed, or was until recently.
 
         Parameters
         ----------
@@ -377,7 +381,7 @@
         Returns
         -------
         OtherRouter | None
-            As it is or was listed.
+            Its present or last entry.
         """
         peer = self._peers.get(name)
         return self._former.get(name) if peer is None else peer.router
@@ -391,7 +395,7 @@
         list_revision: int = 0,
         is_urgent: bool = False,
     ) -> list[tuple[OtherRouter, wire.RouterNews]]:
-        """Return what to tell other routers now.
+        """Return the updates to send to other routers now.
 
         Parameters
         ----------
@@ -400,19 +404,19 @@
         now : float
             Present time in seconds.
         is_store_lost : bool
-            Whether the store did not answer this router's last question.
+            Whether the store did not answer this router's last request.
         list_revision : int
-            The store's revision of the newest change of the target list that
-            is known here.
+            The store's revision of the newest change of the target list that is
+            known here.
         is_urgent : bool
-            Whether only what relays should hear before the next round is told.
+            Whether only what cannot wait for the next round is sent, to relays.
 
         Returns
         -------
         list[tuple[OtherRouter, wire.RouterNews]]
             Messages, each for one router.
         """
-        head = _RoundHeader(
+        header = _RoundHeader(
             version,
             self._freshness.age(now),
             is_store_lost,
@@ -421,23 +425,25 @@
         )
         is_relayed = self._topology.is_relayed
         take_uses = self._parts.take_unexpected if is_relayed else self._parts.take_news
-        parts = [_part_news(use, now) for use in take_uses()]
+        parts = [_part_update(use, now) for use in take_uses()]
         ends = self._harm.ends(now) if self._harm else []
         held = self._harm.held(now) if self._harm and not is_urgent else []
         if is_relayed:
             own = self._codec.own_load(now, reaches_store=not is_store_lost)
-            told = self._aggregator.compose(own, parts, ends, now, is_urgent=is_urgent)
+            updates = self._aggregator.compose(
+                own, parts, ends, now, is_urgent=is_urgent
+            )
             if not is_urgent:
-                self._round_messages = len(told)
+                self._round_messages = len(updates)
                 self._update_rank(now)
                 self._apply_relayed_load(now)
-            return [self._relayed_message(item, head, held, now) for item in told]
+            return [self._relayed_message(item, header, held, now) for item in updates]
         targets = self._codec.own_targets(now)
         messages = []
         for peer in self._peers.values():
-            message = self._new_message(peer, head, now)
+            message = self._new_message(peer, header, now)
             message.targets = targets
-            # Ends are few, and a datagram has room for as many parts less.
+            # Ends are few; they take the place of as many prompt parts.
             message.parts = parts[-(MAX_PARTS - len(ends) - len(held)) :]
             message.ends = ends or None
             message.held = held or None
@@ -445,14 +451,14 @@
         return messages
 
     def _update_rank(self, now: float) -> None:
-        """Note since when this router is the one that all of its domain report to."""
+        """Record since when this router is the first relay of its domain."""
         if self._topology.rank(now) != 0:
             self._first_relay_since = math.inf
         else:
             self._first_relay_since = min(self._first_relay_since, now)
 
     def _new_message(
-        self, peer: PeerState, head: _RoundHeader, now: float
+        self, peer: PeerState, header: _RoundHeader, now: float
     ) -> wire.RouterNews:
         self._sequence += 1
         peer.record_sent(self._sequence, now)
@@ -461,30 +467,30 @@
             self._incarnation,
             self._sequence,
             peer.heard,
-            head.version,
-            UNKNOWN if head.age is None else _milliseconds(head.age),
+            header.version,
+            UNKNOWN if header.age is None else _milliseconds(header.age),
             [],
             [],
-            head.is_store_lost,
-            head.list_revision,
+            header.is_store_lost,
+            header.list_revision,
         )
         evacuations = self._evacuations
         if evacuations is not None and evacuations.is_news:
             message.evacuated = sorted(evacuations.domains)
             message.evacuated_revision = evacuations.revision
-        message.leaving = head.leaving or None
+        message.leaving = header.leaving or None
         return message
 
     def _relayed_message(
         self,
         item: RelayedUpdate,
-        head: _RoundHeader,
+        header: _RoundHeader,
         held: list[wire.EndNews],
         now: float,
     ) -> tuple[OtherRouter, wire.RouterNews]:
-        """Return the message for what a router is told by relays."""
+        """Return the message for an update by relays."""
         peer = self._peers[item.name]
-        message = self._new_message(peer, head, now)
+        message = self._new_message(peer, header, now)
         message.scope = item.scope
         message.wants_fleet = item.wants_fleet
         message.parts = item.parts
@@ -495,12 +501,12 @@
         return peer.router, message
 
     def take(self, message: wire.RouterNews, version: int, now: float) -> bool:
-        """Take in the news of another router.
+        """Apply an update of another router.
 
         Parameters
         ----------
         message : wire.RouterNews
-            Its news.
+            The update.
         version : int
             Version of the configuration in force here; 0 for none.
         now : float
@@ -509,7 +515,7 @@
         Returns
         -------
         bool
-            False for a router that is not listed, and for old news.
+            False if the router is not listed or the update is outdated.
         """
         peer = self._peers.get(message.origin)
         if peer is None or not peer.accept_sequence(
@@ -541,12 +547,13 @@
     def _apply_freshness(
         self, peer: PeerState, message: wire.RouterNews, version: int
     ) -> None:
-        """Rely on the other router's question to the store as on an own one.
+        """Treat the other router's request to the store like one of this router's own.
 
-        It was asked no earlier than its age before the message that this one
-        replies to went out from here. That holds whatever the network did to
-        either message, and through any number of routers that rely on each
-        other so. Another version there proves nothing about this one.
+        The peer's newest answer belongs to a request that it sent no earlier than the
+        reported age before this router sent the message that is replied to here. That
+        holds whatever delay the network adds to either message, and over any chain of
+        routers that rely on each other in this way. If the peer has another version in
+        force, that proves nothing about this router's version.
         """
         if message.version != version or message.knowledge_age_ms < 0:
             return
@@ -559,11 +566,11 @@
         if self._evacuations is None or message.evacuated_revision is None:
             return
         domains = frozenset(message.evacuated or ())
-        told = EvacuationList(domains, message.evacuated_revision, message.origin)
-        self._evacuations.take(told, now)
+        received = EvacuationList(domains, message.evacuated_revision, message.origin)
+        self._evacuations.take(received, now)
 
     def _apply_own_load(self, peer: PeerState, loads: LoadSum, now: float) -> None:
-        """Take in the requests of one router."""
+        """Apply the load of one router."""
         origin = peer.router.name
         if self._topology.is_relayed:
             if self._topology.is_own_domain(origin):
@@ -573,7 +580,7 @@
         peer.reported_targets = frozenset(loads.running)
 
     def _apply_relayed_load(self, now: float) -> None:
-        """Let targets' states have the best sum that relays told."""
+        """Apply the best sum received from relays to the states of targets."""
         loads = self._aggregator.others(now)
         if not loads.routers:
             return
@@ -584,7 +591,7 @@
     def _set_load(
         self, origin: str, loads: LoadSum, before: frozenset[int], now: float
     ) -> None:
-        """Let targets' states have a sum in place of the one told before."""
+        """Replace the load of an origin in the states of targets."""
         fresh_until = now + self._validity_seconds
         states = self._codec.keys.states
         for key in before.union(loads.running):
@@ -613,7 +620,7 @@
 
 
 class _RoundHeader:
-    """What each message of a round begins with."""
+    """Fields that all messages of a round share."""
 
     __slots__ = ("age", "is_store_lost", "leaving", "list_revision", "version")
 
@@ -632,7 +639,7 @@
         self.leaving = leaving
 
 
-def _part_news(use: PartUse, now: float) -> wire.PartNews:
+def _part_update(use: PartUse, now: float) -> wire.PartNews:
     return wire.PartNews(
         use.part,
         target_key(*use.target),
