--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_exchange.py
@@ -1,4 +1,4 @@
-"""Datagrams between entry routers, and the list of these routers."""
+"""The datagram protocol between entry routers, and this router's entry in the store."""
 
 from __future__ import annotations
 
@@ -39,29 +39,29 @@
     from primrosescale.process.entry.router_news import RouterNews
     from primrosescale.process.transport.platform import StoredObject
 
-# Where a part of a prompt went is told at once, with what else comes up in
-# these milliseconds.
+# Where a prompt part went is sent almost at once, together with everything else that
+# comes up within this delay.
 URGENT_DELAY_SECONDS = 0.005
 ANNOUNCE_RETRY_SECONDS = 0.5
 
 
 class NewsExchange(DatagramProtocol):
-    """Sends this router's news in rounds and takes in that of others.
+    """Sends this router's state updates in rounds and receives those of other routers.
 
     Parameters
     ----------
     news : RouterNews
-        Composes and takes in news.
+        Composes and applies updates.
     version : Callable[[], int]
         Returns the version in force here; 0 for none.
     is_store_lost : Callable[[], bool]
-        Returns whether the store did not answer the last question.
+        Returns whether the store did not answer the last request.
     list_revision : Callable[[], int]
         Returns the newest change of the target list that is known here.
     parts : EntryParts
-        What the router is built with.
+        Collaborators of the router.
     shares : CacheShares
-        What is asked and told of the caches of targets.
+        Requests and answers about the cache contents of targets.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         parts: EntryParts,
         shares: CacheShares,
     ) -> None:
-        self._news = news
+        self._exchange = news
         self._shares = shares
         self._version = version
         self._is_store_lost = is_store_lost
@@ -88,35 +88,39 @@
 
     @property
     def bytes_out(self) -> int:
-        """Return the bytes of news sent."""
+        """Return the bytes sent in datagrams."""
         return self._bytes_out
 
     def startProtocol(self) -> None:
-        """Begin the rounds."""
-        self._timer = self._reactor.callLater(self._news.interval, self._round)
+        """Start the rounds of updates."""
+        self._timer = self._reactor.callLater(self._exchange.interval, self._round)
 
     def stop(self) -> None:
-        """Send no more."""
+        """Stop sending."""
         self._is_stopped = True
         cancel_timer(self._timer)
         cancel_timer(self._urgent_timer)
 
     def tell_soon(self) -> None:
-        """Tell within milliseconds what others should not have to wait for."""
-        if self._urgent_timer is None and self._news.is_urgent and not self._is_stopped:
+        """Send urgent state within milliseconds, without waiting for the next round."""
+        if (
+            self._urgent_timer is None
+            and self._exchange.is_urgent
+            and not self._is_stopped
+        ):
             self._urgent_timer = self._reactor.callLater(
                 URGENT_DELAY_SECONDS, self._urgent_round
             )
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-        """Take in a datagram; what cannot be read is dropped.
+        """Process a datagram; one that cannot be decoded is dropped.
 
         Parameters
         ----------
         datagram : bytes
             The datagram.
         addr : Any
-            Where it comes from.
+            Address of the sender.
         """
         try:
             message = decode(datagram)
@@ -126,23 +130,23 @@
             return
         now = self._reactor.seconds()
         if isinstance(message, wire.RouterNews):
-            self._news.take(message, self._version(), now)
+            self._exchange.take(message, self._version(), now)
         elif isinstance(message, wire.CacheQuestion):
             self._write_all(self._shares.receive_request(message, now))
         elif isinstance(message, wire.CacheAnswer):
             self._shares.receive_answer(message, now)
 
     def request_caches(self) -> None:
-        """Ask the routers that have not answered yet what targets hold."""
+        """Ask the routers that have not answered yet what their targets have cached."""
         question = self._shares.new_request()
         self._write_all([(other, question) for other in self._shares.unanswered])
 
     def answer_cache_requests(self) -> None:
-        """Tell those who have asked: this router knows its share by now."""
+        """Answer pending requests: this router has read its own share."""
         self._write_all(self._shares.share_read(self._reactor.seconds()))
 
     def _urgent_round(self) -> None:
-        if not self._news.is_relayed:
+        if not self._exchange.is_relayed:
             cancel_timer(self._timer)
             self._round()
             return
@@ -154,28 +158,28 @@
         self._urgent_timer = None
         if self._is_stopped:
             return
-        # Before anything that may fail: a round that fails must not be the last.
-        self._timer = self._reactor.callLater(self._news.interval, self._round)
+        # Scheduled first, so that a round that fails is not the last.
+        self._timer = self._reactor.callLater(self._exchange.interval, self._round)
         self._send(is_urgent=False)
         self._log_relay_change()
 
     def _log_relay_change(self) -> None:
-        """Log from whom this router hears of all others, when that changes."""
+        """Log a change of the relay from which this router gets the others' load."""
         now = self._reactor.seconds()
-        upstream_relay = self._news.upstream_relay(now)
+        upstream_relay = self._exchange.upstream_relay(now)
         if upstream_relay != self._upstream_relay:
-            age = self._news.age(now)
+            age = self._exchange.age(now)
             self._log.emit(
                 Event.RELAY_CHANGED,
                 relay=upstream_relay,
                 former=self._upstream_relay,
                 news_age=round(age, 2) if math.isfinite(age) else None,
-                routers=self._news.heard_lately(now),
+                routers=self._exchange.heard_lately(now),
             )
             self._upstream_relay = upstream_relay
 
     def _send(self, *, is_urgent: bool) -> None:
-        messages = self._news.compose(
+        messages = self._exchange.compose(
             self._version(),
             self._reactor.seconds(),
             is_store_lost=self._is_store_lost(),
@@ -192,7 +196,7 @@
             try:
                 transport.write(frame, address)
             except OSError as error:
-                # The next round brings the same news.
+                # The next round sends the same state again.
                 detail = f"{router.name}: {error}"
                 self._log.emit(Event.NEWS_NOT_SENT, detail=detail)
                 continue
@@ -200,7 +204,7 @@
 
 
 class RouterRegistry(WatchHandler):
-    """Lists this router in the store and follows the list of the others.
+    """Keeps this router's entry in the store and follows the entries of the others.
 
     Parameters
     ----------
@@ -209,9 +213,9 @@
     incarnation : int
         Number of this incarnation of the process.
     news : RouterNews
-        Told of the other routers.
+        Notified of changes of the list of other routers.
     parts : EntryParts
-        What the router is built with.
+        Collaborators of the router.
     """
 
     def __init__(
@@ -223,7 +227,7 @@
     ) -> None:
         self._settings = settings
         self._incarnation = incarnation
-        self._news = news
+        self._exchange = news
         self._parts = parts
         self._is_announcing = False
         self._is_stopped = False
@@ -235,71 +239,72 @@
 
     @property
     def routers(self) -> int | None:
-        """Return how many routers are listed; None before the list came."""
-        return len(self._news.others) + 1 if self._has_list else None
+        """Return how many routers are listed; None before the list was received."""
+        return len(self._exchange.others) + 1 if self._has_list else None
 
     @property
     def was_listed(self) -> bool:
-        """Tell whether this router's name was on the first list that it read."""
+        """Return whether this router's name was on the first list that it read."""
         return self._was_listed
 
     def start(self, links: Endpoint) -> None:
-        """List this router.
+        """Write this router's entry to the store.
 
         Parameters
         ----------
         links : Endpoint
-            Where it takes news.
+            Where it receives state updates.
         """
         self._links = links
         self._announce()
 
     @inlineCallbacks
     def stop(self) -> Generator[Any, Any, None]:
-        """Take this router off the list."""
+        """Remove this router's entry from the store."""
         self._is_stopped = True
         try:
             yield self._parts.platform.announce(
                 self._entry(self._settings.name, gone=True)
             )
         except PlatformError as error:
-            # The entry stays; the others stop to rely on this router anyway.
+            # The entry stays; the others stop relying on this router anyway once it is
+            # silent.
             self._parts.log.emit(Event.ANNOUNCE_FAILED, detail=str(error))
 
     def replaced(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Take in the whole list; see `WatchHandler.replaced`."""
+        """Apply the whole list; see `WatchHandler.replaced`."""
         names = {stored.name for stored in objects if not stored.is_deleted}
         if not self._has_list:
             self._was_listed = self._settings.name in names
         self._has_list = True
         self._refused.retain_only(stored.key for stored in objects)
         for stored in objects:
-            self._take(stored)
-        for router in self._news.others:
+            self._apply(stored)
+        for router in self._exchange.others:
             if router.name not in names:
-                self._news.remove(router.name)
+                self._exchange.remove(router.name)
         if self._settings.name not in names:
             self._announce()
 
     def changed(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Take in changed entries; see `WatchHandler.changed`."""
+        """Apply changed entries; see `WatchHandler.changed`."""
         for stored in objects:
-            self._take(stored)
+            self._apply(stored)
             if stored.is_deleted and stored.name == self._settings.name:
                 self._announce()
 
     def forget_silent(self, now: float) -> None:
-        """Take routers off the list that are gone for good.
+        """Remove the entries of routers that have been silent for long.
 
         Parameters
         ----------
         now : float
             Present time in seconds.
         """
-        if not self._news.asks_often(now):
+        if not self._exchange.asks_often(now):
             return
-        for name in self._news.silent_routers(now):
-            self._news.remove(name)
+        for name in self._exchange.silent_routers(now):
+            self._exchange.remove(name)
             gone = self._parts.platform.announce(self._entry(name, gone=True))
             gone.addErrback(self._removal_failed)
 
@@ -311,16 +316,17 @@
     def failed(self, error: PlatformError) -> None:
         """Do nothing: the watch of the configuration logs outages."""
 
-    def _take(self, stored: StoredObject) -> None:
+    def _apply(self, stored: StoredObject) -> None:
         if stored.is_deleted:
             self._refused.clear(stored.key)
-            self._news.remove(stored.name)
+            self._exchange.remove(stored.name)
             return
         try:
             router = self._parts.decoder.router(stored)
         except UnreadableRecordError as error:
-            # What was known of the router holds, so that its part of shared
-            # budgets is not given away; silence ends that.
+            # The last readable entry stays in force, so that the router's share of
+            # common budgets is not given to others. If the router is gone, its silence
+            # ends that.
             self._refused.refuse(stored, error)
             if stored.name == self._settings.name:
                 self._rewrite_entry(stored)
@@ -328,13 +334,13 @@
         self._refused.clear(stored.key)
         if router.name == self._settings.name:
             self._overwritten_value = None
-        self._news.put(router, self._parts.reactor.seconds())
+        self._exchange.put(router, self._parts.reactor.seconds())
 
     def _rewrite_entry(self, stored: StoredObject) -> None:
-        """Write this router's entry again that somebody spoiled.
+        """Write this router's entry again after something else has overwritten it.
 
-        The same content twice in a row is what it wrote itself, which writing
-        would not mend.
+        If the same content is read twice in a row, it is what this router wrote itself
+        and writing it again would not help.
         """
         if stored.value != self._overwritten_value:
             self._overwritten_value = stored.value
@@ -342,7 +348,7 @@
 
     @inlineCallbacks
     def _announce(self) -> Generator[Any, Any, None]:
-        """Write this router's entry until the store has taken it."""
+        """Write this router's entry, trying again until the store accepts it."""
         if self._is_announcing:
             return
         self._is_announcing = True
