--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_learning.py
@@ -1,7 +1,7 @@
-"""Learning after a start what model engines hold from before it.
+"""Learns after a start which prompt parts engines have cached.
 
-Requests that wait for the start come in a burst; without this knowledge each of
-their prompts would be read again somewhere.
+Requests that wait for the start arrive in a burst. Without this knowledge each of their
+prompts would be prefilled again on some engine.
 """
 
 from __future__ import annotations
@@ -30,20 +30,20 @@
     from primrosescale.request.part_directory import PartDirectory
     from primrosescale.request.serving_target import ServingTarget
 
-# Model engines tell what they hold within 20-40 ms, other routers within 10 ms;
-# one that is silent must not keep callers waiting.
+# Engines report their cache contents within 20-40 ms, other routers within 10 ms; one
+# that does not answer must not keep callers waiting.
 MAX_WAIT_SECONDS = 0.1
 CHECK_INTERVAL_SECONDS = 0.01
 # Routers that have not answered by then are still down, or gone.
 PEER_ANSWER_SECONDS = 0.06
-# Engines of their shares that are asked in all by routers that start together: in
-# a small fleet each share is a large part of what is held; in a large one, what
-# the hash order of targets says is relied on for it.
+# Engines of the shares of such routers that are read, over all routers that start
+# together. In a small fleet each share is a large part of all cache contents; in a
+# large one, requests go to the targets chosen by hash order instead.
 EXTRA_READS = 12
 # A timer may fire this much before the time that it was set for, by rounding.
 TIMER_SLACK_SECONDS = 0.001
-# Pauses before routers that have not answered are asked again: of those that were
-# killed together, hosts with half a core answer a second after the first.
+# Pauses before routers that have not answered are asked again: of routers that were
+# killed together, those on hosts with half a core answer a second after the first.
 RETRY_PAUSES_SECONDS = (0.3, 0.6, 1.2)
 # RelayedUpdate delays a model engine's work, and each answer takes a connection; for
 # the rest, what the hash order of targets says is relied on.
@@ -51,20 +51,20 @@
 
 
 class CacheLearning:
-    """Asks engines for this router's share, and other routers for theirs.
+    """Reads the caches of this router's share of engines, and asks other routers for theirs.
 
     Parameters
     ----------
     shares : CacheShares
-        Which targets are this router's to ask.
+        Which targets this router reads.
     exchange : NewsExchange
         Sends to other routers.
     targets : TargetList
         Targets and their states.
     directory : PartDirectory
-        Where parts of prompts are cached.
+        Where prompt parts are cached.
     parts : EntryParts
-        What the router is built with.
+        Collaborators of the router.
     """
 
     def __init__(
@@ -88,7 +88,7 @@
         self._is_read = False
 
     def skip(self) -> None:
-        """Take in that there is nothing to learn."""
+        """Finish without reading any engine."""
         self._exchange.answer_cache_requests()
 
     def start(
@@ -99,9 +99,9 @@
         Parameters
         ----------
         has_cache : Callable[[ServingTarget], bool]
-            Tells whether a target is an engine that holds parts of prompts.
+            Returns whether a target is an engine that caches prompt parts.
         on_done : Callable[[], None]
-            Called once, when all have answered or callers have waited enough.
+            Called once, when all have answered or callers have waited long enough.
         """
         self._began_at = self._reactor.seconds()
         self._on_done = on_done
@@ -129,7 +129,7 @@
             self._read(target)
 
     def _check_complete(self) -> None:
-        """Let callers go on when nothing is missing, or they have waited enough."""
+        """Finish when nothing is missing or callers have waited long enough."""
         is_complete = self._is_read and not self._shares.unanswered
         left = self._began_at + MAX_WAIT_SECONDS - self._reactor.seconds()
         if is_complete or left < TIMER_SLACK_SECONDS:
@@ -164,7 +164,7 @@
         self._on_done()
 
     def _read(self, target: ServingTarget) -> Deferred[None]:
-        """Learn what a model engine holds from before this process's start."""
+        """Read what an engine cached before this process started."""
         reading = self._reader.read(target)
 
         def failed(failure: Failure) -> None:
@@ -176,25 +176,26 @@
         )
 
     def _record_contents(self, held: HeldParts, target: ServingTarget) -> None:
-        """Take in what a target told; it may be of another incarnation."""
+        """Record what a target reported; it may be of another incarnation."""
         now = self._reactor.seconds()
-        told = target.incarnation
+        incarnation = target.incarnation
         if held.started_at is not None:
-            told = TargetIncarnation(target.name, held.started_at)
+            incarnation = TargetIncarnation(target.name, held.started_at)
         state = self._targets.state(target.name)
-        if state is not None and state.incarnation.is_followed_by(told):
-            # The store's word on a leave or a slow start was of the former.
+        if state is not None and state.incarnation.is_followed_by(incarnation):
+            # In the store's entry, draining and warm-up still concern the former
+            # incarnation.
             begun = replace(
                 state.target,
-                started_at=told.started_at,
+                started_at=incarnation.started_at,
                 is_draining=False,
                 warming_for=0.0,
             )
             self._targets.put(begun, now, told_by=TARGET)
-        elif state is None or state.incarnation != told:
-            detail = f"not of the incarnation that is known: start {told.started_at}"
+        elif state is None or state.incarnation != incarnation:
+            detail = f"not the known incarnation: started at {incarnation.started_at}"
             self._log.emit(Event.CACHE_NOT_READ, target=target.name, detail=detail)
             return
         for part in held.parts:
-            self._directory.note(PartUse(part.name, told, part.tokens, now))
+            self._directory.note(PartUse(part.name, incarnation, part.tokens, now))
         self._log.emit(Event.CACHE_READ, target=target.name, parts=len(held.parts))
