--- a/src/primrosescale/process/entry/cache_shares.py
+++ b/src/primrosescale/process/entry/cache_shares.py
@@ -1,11 +1,11 @@
-"""Which router asks a target what it holds, and tells the others.
-
-The pattern it answers: routers that start again, one by one or all at once. What
-targets have cached is known to routers that went on, and asking each target costs
-it work; if each router asked each target, a fleet of 30 routers before 30 targets
-that starts again would ask 900 times in the second in which callers come back. So
-each target is the share of one router, by an order that all agree on: that one
-asks it when it starts itself, and answers other routers for it.
+"""Decides which router reads the cache contents of a target, and answers for it.
+
+Routers may restart one by one or all at once. Routers that kept running know what
+targets have cached, and reading it from a target costs the target work. If each router
+read each target, a restarted fleet of 30 routers and 30 targets would send 900 requests
+in the second in which callers come back. So each target belongs to the share of one
+router, by an order that all routers derive alike. That router reads the target's cache
+when it starts itself, and answers other routers for it.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
     from primrosescale.request.part_directory import PartDirectory
     from primrosescale.request.target_state import TargetState
 
-# Datagrams stay under what every link carries in one piece: a part takes 18 bytes.
+# Bounds the datagram to a size that no link fragments: a prompt part takes 18 bytes.
 MAX_PARTS_PER_ANSWER = 60
 
 
 class CacheShares:
-    """What one router asks and tells of the caches of targets.
+    """Requests and answers of one router about the cache contents of targets.
 
     Parameters
     ----------
@@ -41,13 +41,13 @@
     targets : TargetList
         Targets and their states.
     parts : PartDirectory
-        Where parts of prompts are cached.
+        Where prompt parts are cached.
     others : Callable[[], Sequence[OtherRouter]]
         Returns the other routers that are listed.
     find : Callable[[str], OtherRouter | None]
-        Returns a router by name that is listed, or was until lately: one that is
-        stopped takes itself off the list, and asks some seconds before the others
-        hear that it is back.
+        Returns a router by name that is listed, or was until recently: a router that
+        is stopped removes its entry, and after its restart sends requests some seconds
+        before the others see its new entry.
     """
 
     __slots__ = (
@@ -80,7 +80,7 @@
 
     @property
     def routers(self) -> int:
-        """Return how many routers are listed, this one too."""
+        """Return how many routers are listed, including this one."""
         return 1 + len(self._others())
 
     @property
@@ -89,7 +89,7 @@
         return [item for item in self._others() if item.name not in self._answered]
 
     def own_targets(self) -> list[TargetState]:
-        """Return the targets that are this router's share.
+        """Return the targets in this router's share.
 
         Returns
         -------
@@ -104,13 +104,13 @@
         ]
 
     def unanswered_targets(self) -> list[TargetState]:
-        """Return the targets that no router has told of.
+        """Return the targets whose cache contents no router has reported.
 
         Returns
         -------
         list[TargetState]
-            Of the shares of routers that have not answered, in an order that
-            differs from router to router.
+            The shares of routers that have not answered, in an order that differs from
+            router to router.
         """
         silent = {router.name for router in self.unanswered}
         names = [self._name, *(router.name for router in self._others())]
@@ -122,7 +122,7 @@
         return [found[name] for name in first_in_order(found, self._name, len(found))]
 
     def new_request(self) -> wire.CacheQuestion:
-        """Return what to ask other routers after a start.
+        """Return the request to other routers after a start.
 
         Returns
         -------
@@ -134,20 +134,20 @@
     def receive_request(
         self, message: wire.CacheQuestion, now: float
     ) -> list[tuple[OtherRouter, wire.CacheAnswer]]:
-        """Take in that another router has started.
+        """Process a request of another router that has started.
 
         Parameters
         ----------
         message : wire.CacheQuestion
-            Its question.
+            Its request.
         now : float
             Present time in seconds.
 
         Returns
         -------
         list[tuple[OtherRouter, wire.CacheAnswer]]
-            What to tell it now; it is told later by a router that has just
-            started itself, and nothing when it was not listed.
+            The answer; empty, with the answer sent later, if this router has just
+            started itself, and empty for a router that was never listed.
         """
         if self._find(message.origin) is None:
             return []
@@ -155,7 +155,7 @@
         return self._pending_answers(now) if self._is_own_share_read else []
 
     def share_read(self, now: float) -> list[tuple[OtherRouter, wire.CacheAnswer]]:
-        """Take in that this router knows what the targets of its share hold.
+        """Record that this router has read its own share.
 
         Parameters
         ----------
@@ -165,13 +165,13 @@
         Returns
         -------
         list[tuple[OtherRouter, wire.CacheAnswer]]
-            What to tell the routers that have asked meanwhile.
+            Answers to the routers that have asked meanwhile.
         """
         self._is_own_share_read = True
         return self._pending_answers(now)
 
     def receive_answer(self, message: wire.CacheAnswer, now: float) -> None:
-        """Take in what another router tells of its share.
+        """Record what another router reports of its share.
 
         Parameters
         ----------
@@ -184,9 +184,9 @@
             return
         if message.is_last:
             self._answered.add(message.origin)
-        told = {cache.target: cache.parts for cache in message.caches}
+        reported = {cache.target: cache.parts for cache in message.caches}
         for state in self._targets.states:
-            for part in told.get(target_key(*state.incarnation), ()):
+            for part in reported.get(target_key(*state.incarnation), ()):
                 used_at = now - part.age_ms / MILLISECONDS
                 self._parts.note(
                     PartUse(part.part, state.incarnation, part.tokens, used_at)
@@ -204,7 +204,7 @@
         return [(asker, message) for asker in askers for message in messages]
 
     def _messages(self, now: float) -> list[wire.CacheAnswer]:
-        """Return the messages of one whole answer."""
+        """Return the messages that make up one complete answer."""
         uses = [
             use
             for state in self.own_targets()
