--- a/src/primrosescale/process/entry/harm_news.py
+++ b/src/primrosescale/process/entry/harm_news.py
@@ -1,9 +1,8 @@
-"""What routers tell each other of targets that ended with requests on board.
+"""Exchanges reports on targets that ended while they ran requests.
 
-Each end is told some times over, since a datagram may be lost. The ends for which
-requests are held back are told again and again, a few at a time, so that a router
-that starts, or that others could not reach for a while, holds the same ones back
-within seconds.
+Each report is sent several times, since a datagram may be lost. The ends because
+of which a request is held back are repeated, a few at a time. So a router that starts, or that
+could not be reached for a while, holds back the same requests within seconds.
 """
 
 from __future__ import annotations
@@ -30,20 +29,20 @@
     from primrosescale.request.harmful_requests import HarmfulRequests
     from primrosescale.request.target_state import TargetState
 
-# How often each end is told. One datagram in a thousand is lost, and three in a
+# How often each report is sent. One datagram in a thousand is lost, and three in a
 # hundred on a bad link.
 TIMES_TOLD = 3
-# Ends that wait to be told; the oldest make room.
+# Reports that wait to be sent; the oldest are dropped.
 MAX_PENDING_REPORTS = 512
-# Ends in one message, at 20 bytes each.
+# Reports in one message, at 20 bytes each.
 MOST_IN_MESSAGE = 12
 MOST_HELD_IN_MESSAGE = 8
-# Seconds between two messages with ends for which requests are held back.
+# Seconds between two messages with ends because of which requests are held back.
 HELD_INTERVAL = 1.0
 
 
 class _PendingReport:
-    """What is to be told."""
+    """A report, and how often it is still to be sent."""
 
     __slots__ = ("item", "times_left")
 
@@ -53,14 +52,14 @@
 
 
 class HarmNews:
-    """Tells other routers of ends of targets and takes in theirs.
+    """Sends reports on ends of targets to other routers and applies theirs.
 
     Parameters
     ----------
     requests : HarmfulRequests
-        What all reports amount to.
+        Decides from all reports which requests are held back.
     log : Any
-        Where events are told.
+        Log for events.
     """
 
     def __init__(self, requests: HarmfulRequests, log: Any) -> None:
@@ -70,46 +69,46 @@
         self._held_at = 0.0
         self._held_queue: deque[TargetEnd] = deque()
         self._known_held: set[int] = set()
-        # Told of each end that another router saw.
+        # Called for each end that another router reported.
         self.on_end: Callable[[TargetEnd, float], None] = lambda *_: None
 
     @property
     def is_urgent(self) -> bool:
-        """Tell whether there is something that no router was told of yet."""
+        """Return whether there is a report that has not been sent yet."""
         return bool(self._pending) and self._pending[0].times_left == TIMES_TOLD
 
     def note(self, item: HarmReport, now: float) -> bool:
-        """Take in what this router has seen, and tell the others of it.
+        """Record what this router has observed, and queue it for other routers.
 
         Parameters
         ----------
         item : HarmReport
-            What it has seen.
+            The observation.
         now : float
             Present time in seconds.
 
         Returns
         -------
         bool
-            Whether it changed anything.
+            Whether it was new.
         """
-        if not self._take(item, "", now):
+        if not self._apply(item, "", now):
             return False
-        # What was never told goes first.
+        # Reports that were never sent go first.
         self._pending.appendleft(_PendingReport(item))
         if isinstance(item, TargetEnd):
             self._queue_known_answer(item)
         return True
 
     def _queue_known_answer(self, end: TargetEnd) -> None:
-        """Tell of a whole answer that only this router may know of."""
+        """Queue a complete answer that only this router may know of."""
         answer = self._requests.last_answer(end.fingerprint)
-        is_told = any(each.item == answer for each in self._pending)
-        if answer is not None and not is_told:
+        is_queued = any(each.item == answer for each in self._pending)
+        if answer is not None and not is_queued:
             self._pending.appendleft(_PendingReport(answer))
 
     def ends(self, now: float) -> list[wire.EndNews]:
-        """Return what is to be told in the next message.
+        """Return the reports to send in the next message.
 
         Parameters
         ----------
@@ -119,18 +118,18 @@
         Returns
         -------
         list[wire.EndNews]
-            A few of all; each comes some times.
+            A few of all; each is returned several times.
         """
         count = min(MOST_IN_MESSAGE, len(self._pending))
-        told = [self._pending.popleft() for _ in range(count)]
-        for each in told:
+        sent = [self._pending.popleft() for _ in range(count)]
+        for each in sent:
             each.times_left -= 1
             if each.times_left:
                 self._pending.append(each)
-        return [_end_news(each.item, now) for each in told]
+        return [_end_report(each.item, now) for each in sent]
 
     def held(self, now: float) -> list[wire.EndNews]:
-        """Return some of the ends for which requests are held back here.
+        """Return some of the ends because of which requests are held back here.
 
         Parameters
         ----------
@@ -151,35 +150,36 @@
             for fingerprint in held:
                 self._held_queue.extend(self._requests.proof(fingerprint))
         count = min(MOST_HELD_IN_MESSAGE, len(self._held_queue))
-        return [_end_news(self._held_queue.popleft(), now) for _ in range(count)]
+        return [_end_report(self._held_queue.popleft(), now) for _ in range(count)]
 
     def take(
         self, message: wire.RouterNews, states: Mapping[int, TargetState], now: float
     ) -> None:
-        """Take in what another router tells.
+        """Apply the reports of another router.
 
         Parameters
         ----------
         message : wire.RouterNews
-            Its news.
+            Its update.
         states : Mapping[int, TargetState]
-            What is known of targets, by their short names.
+            States of targets by key.
         now : float
             Present time in seconds.
         """
-        for told in self._reports_in(message):
-            at = now - max(0, told.age_ms) / MILLISECONDS
-            if told.target is None:
-                kind = LoneTry if told.is_try else WholeAnswer
-                self._take(kind(told.fingerprint, at), message.origin, now)
+        for report in self._reports_in(message):
+            at = now - max(0, report.age_ms) / MILLISECONDS
+            if report.target is None:
+                kind = LoneTry if report.is_try else WholeAnswer
+                self._apply(kind(report.fingerprint, at), message.origin, now)
                 continue
-            state = states.get(told.target)
+            state = states.get(report.target)
             if state is not None and state.heard_at > at + BUFFERED_SECONDS:
-                # It was cut off from the router that tells, and has not ended.
+                # The target was only cut off from the reporting router and has not
+                # ended.
                 continue
-            was_answered = bool(told.was_answered)
-            end = TargetEnd(told.fingerprint, told.target, at, was_answered)
-            if self._take(end, message.origin, now):
+            was_answered = bool(report.was_answered)
+            end = TargetEnd(report.fingerprint, report.target, at, was_answered)
+            if self._apply(end, message.origin, now):
                 self._queue_known_answer(end)
                 self.on_end(end, now)
 
@@ -187,19 +187,19 @@
         yield from message.ends or ()
         yield from message.held or ()
 
-    def _take(self, item: HarmReport, told_by: str, now: float) -> bool:
+    def _apply(self, item: HarmReport, told_by: str, now: float) -> bool:
         if isinstance(item, LoneTry):
             return self._requests.take_try(item)
         if isinstance(item, TargetEnd):
-            is_news = self._requests.take_end(item)
+            is_new = self._requests.take_end(item)
         else:
-            is_news = self._requests.take_answer(item)
-        if is_news:
+            is_new = self._requests.take_answer(item)
+        if is_new:
             self._log_hold_change(item.fingerprint, told_by, now)
-        return is_news
+        return is_new
 
     def _log_hold_change(self, fingerprint: int, told_by: str, now: float) -> None:
-        """Log that a request is held back from now on, or no more."""
+        """Log that a request is held back from now on, or no longer."""
         seconds = self._requests.held_for(fingerprint, now)
         if bool(seconds) == (fingerprint in self._known_held):
             return
@@ -214,7 +214,7 @@
         )
 
 
-def _end_news(item: HarmReport, now: float) -> wire.EndNews:
+def _end_report(item: HarmReport, now: float) -> wire.EndNews:
     age = max(0, round((now - item.at) * MILLISECONDS))
     if isinstance(item, TargetEnd):
         was_answered = item.was_answered or None
