--- a/src/primrosescale/process/entry/leaving_news.py
+++ b/src/primrosescale/process/entry/leaving_news.py
@@ -1,7 +1,7 @@
-"""What routers tell each other of targets that said in an answer that they leave.
+"""Exchanges which targets announced in an answer that they are leaving.
 
-The pattern it answers: the store is away, and only the routers that a leaving target
-has answered know of it.
+While the store is unavailable, only the routers that a leaving target has answered
+know that it is leaving.
 """
 
 from __future__ import annotations
@@ -20,34 +20,34 @@
     from primrosescale.request.target_incarnation import TargetIncarnation
     from primrosescale.request.target_state import TargetState
 
-# Targets in one message, at 5 bytes each; a release replaces some at a time.
+# Targets in one message, at 5 bytes each; a release replaces a few at a time.
 MAX_TARGETS_PER_MESSAGE = 40
-# Targets that are remembered; those noted first make room.
+# Targets that are remembered; the ones recorded first are dropped.
 MAX_REMEMBERED_TARGETS = 1000
 
 
 class LeavingNews:
-    """Tells other routers which targets leave by their own word, and hears of theirs.
+    """Sends other routers the targets that announced that they leave, and applies theirs.
 
-    Each router tells all that it knows for as long as it knows it, also what it was
-    told, so that it spreads by whatever way news goes and a datagram may be lost.
+    Each router sends all that it knows for as long as it knows it, including what it
+    received. So it spreads whichever routers exchange updates, and despite lost datagrams.
 
     Parameters
     ----------
     targets : TargetList
         Targets and their states.
     log : Any
-        Where events are told.
+        Log for events.
     """
 
     def __init__(self, targets: TargetList, log: Any) -> None:
         self._targets = targets
         self._log = log
-        # By name of the target, the latest last.
+        # By name of the target, the most recent last.
         self._leaving: dict[str, TargetIncarnation] = {}
 
     def note(self, target: TargetIncarnation) -> None:
-        """Take in that a target said so, here or to another router.
+        """Record that a target announced, here or to another router, that it is leaving.
 
         Parameters
         ----------
@@ -59,9 +59,9 @@
             del self._leaving[next(iter(self._leaving))]
 
     def to_send(self) -> list[int]:
-        """Return the short names of targets whose entries do not tell it yet."""
-        told = []
-        # The latest first: what was said long ago is known everywhere.
+        """Return the keys of leaving targets whose entries do not show it yet."""
+        keys = []
+        # The most recent first: earlier announcements are known everywhere.
         for name, target in reversed(list(self._leaving.items())):
             state = self._targets.state(name)
             if state is None:
@@ -70,8 +70,8 @@
             if state.incarnation != target or state.target.is_draining:
                 del self._leaving[name]
             else:
-                told.append(target_key(*target))
-        return told[:MAX_TARGETS_PER_MESSAGE]
+                keys.append(target_key(*target))
+        return keys[:MAX_TARGETS_PER_MESSAGE]
 
     def take(
         self,
@@ -80,14 +80,14 @@
         told_by: str,
         now: float,
     ) -> None:
-        """Take in which targets another router knows to leave.
+        """Apply what another router reports of leaving targets.
 
         Parameters
         ----------
         leaving : Iterable[int]
-            Their short names.
+            Their keys.
         states : Mapping[int, TargetState]
-            States of the targets that are known here, by short name.
+            States of the targets that are known here, by key.
         told_by : str
             The other router.
         now : float
