--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_learning.py
@@ -51,7 +51,7 @@
 
 
 class CacheLearning:
-    """Reads the caches of this router's share of engines, and asks other routers for theirs.
+    """Reads the caches of this router's share of engines; asks routers for the rest.
 
     Parameters
     ----------
