--- a/src/primrosescale/process/entry/harm_news.py
+++ b/src/primrosescale/process/entry/harm_news.py
@@ -1,8 +1,8 @@
 """Exchanges reports on targets that ended while they ran requests.
 
-Each report is sent several times, since a datagram may be lost. The ends because
-of which a request is held back are repeated, a few at a time. So a router that starts, or that
-could not be reached for a while, holds back the same requests within seconds.
+Each report is sent several times, since a datagram may be lost. The ends because of
+which a request is held back are repeated, a few at a time. So a router that starts, or
+that could not be reached for a while, holds back the same requests within seconds.
 """
 
 from __future__ import annotations
