--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -1,4 +1,8 @@
-"""What an entry router knows from the store: routes, keys and targets."""
+"""The configuration and the lists of targets and evacuations, as last read from the store.
+
+It also decides when the store is polled in addition to the watches: when other routers
+report newer state, or when the last answer is too old.
+"""
 
 from __future__ import annotations
 
@@ -33,53 +37,53 @@
     from primrosescale.version.routing_table import RoutingTable
 
 
-# Age of the knowledge at which this router asks, though others do so for it:
-# their questions leave it at most twice a watch of 1.5 s old and a round of news
-# more.
+# Age of the configuration at which this router polls the store although other routers
+# do so on behalf of all: their requests leave it at most twice a watch of 1.5 s old,
+# and a round of updates more.
 POLL_AGE_SECONDS = 3.4
 POLL_PAUSE_SECONDS = 0.7
-# The same while the last question is still under way: on a thin link its answer
-# may be on its way, and a second one would only slow it down.
+# The same while the last request is still pending: on a slow link its answer may be on
+# its way, and a second one would only delay it.
 PARALLEL_POLL_PAUSE_SECONDS = 2.0
-# A newer version that others tell of is normally on its way here, 0.5 s for 600
-# kB over the thinnest link of today (10 Mbit/s); it has to be in force in 2 s.
+# A newer version that others report is normally on its way here: 0.5 s for 600 kB over
+# the slowest links in use (10 Mbit/s). It has to be in force within 2 s.
 VERSION_ARRIVAL_SECONDS = 0.8
-# A change of the list of targets that others tell of is normally known here by
-# then: an answer of the store takes 4 ms, and 0.25 s while it is slow.
+# A change of the list of targets that others report is normally known here by then: the
+# store answers in 4 ms, and in 0.25 s while it is slow.
 LIST_ARRIVAL_SECONDS = 0.3
 
 
 class _Lag:
-    """Whether others have known more for longer than it takes to arrive here.
+    """Whether others have known more for longer than an update takes to arrive here.
 
     Parameters
     ----------
-    patience : float
+    allowance : float
         Seconds that it may take.
     """
 
-    __slots__ = ("_patience", "_since")
+    __slots__ = ("_allowance", "_since")
 
-    def __init__(self, patience: float) -> None:
-        self._patience = patience
+    def __init__(self, allowance: float) -> None:
+        self._allowance = allowance
         self._since: float | None = None
 
     def is_overdue(self, now: float, *, is_behind: bool) -> bool:
-        """Take in whether others know more; tell whether for too long."""
+        """Record whether others know more; return whether they have for too long."""
         if not is_behind:
             self._since = None
             return False
         if self._since is None:
             self._since = now
-        return now - self._since >= self._patience
+        return now - self._since >= self._allowance
 
     def restart(self) -> None:
-        """Wait anew: something was done about it."""
+        """Start the wait again, after something was done about the lag."""
         self._since = None
 
 
 class _ConfigurationHandler(WatchHandler):
-    """Keeps the newest version that can be read."""
+    """Adopts the newest version that can be decoded."""
 
     def __init__(
         self,
@@ -92,50 +96,52 @@
         self._prefix = prefix
 
     def replaced(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Take in the newest version."""
+        """Apply the newest version."""
         self._take(objects, asked_at)
 
     def changed(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Take in newer versions."""
+        """Apply newer versions."""
         self._take(objects, asked_at)
 
     def failed(self, error: PlatformError) -> None:
-        """Note that the store could not be asked."""
+        """Record that a request to the store failed."""
         self._connection.record_failure(error)
 
     def _take(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
         if self._connection.record_success():
             self._knowledge.renew_watches()
         for stored in objects:
-            # The store gives all objects whose names begin alike.
-            is_other = not self._prefix.endswith("/") and stored.key != self._prefix
-            if not stored.is_deleted and not is_other:
+            # The store returns all objects whose names begin with the prefix.
+            is_other_object = (
+                not self._prefix.endswith("/") and stored.key != self._prefix
+            )
+            if not stored.is_deleted and not is_other_object:
                 self._knowledge.adopt(stored, asked_at)
         if not self._knowledge.is_behind:
             self._knowledge.freshness.answered(asked_at)
 
 
 class Knowledge:
-    """The newest version of the configuration and the list of targets.
+    """The newest configuration and the list of targets, as read from the store.
 
     Parameters
     ----------
     settings : EntrySettings
         Settings of the router.
     watches : EntryWatches
-        What is followed.
+        Prefixes to watch.
     parts : EntryParts
-        What the router is built with.
+        Collaborators of the router.
     freshness : Freshness
-        How old the knowledge of the configuration is.
+        Age of the configuration known here.
     targets : TargetList
         Targets and their states.
     routers : WatchHandler
         Follows the list of routers.
     asks_often : Callable[[], bool]
-        Returns whether this router asks the store for others too.
+        Returns whether this router polls the store on behalf of others too.
     evacuations : Evacuations | None
-        Failure domains that get no requests; None for a router that follows none.
+        Failure domains that get no requests; None if evacuations are not followed.
     """
 
     def __init__(
@@ -198,7 +204,7 @@
 
     @property
     def freshness(self) -> Freshness:
-        """Return how old the knowledge of the configuration is."""
+        """Return the age of the configuration."""
         return self._freshness
 
     @property
@@ -208,31 +214,31 @@
 
     @property
     def listed(self) -> TargetListSync:
-        """Return what keeps the targets in step with the store."""
+        """Return what keeps the list of targets in sync with the store."""
         return self._listed
 
     @property
     def table(self) -> RoutingTable | None:
-        """Return the newest version, if one is known."""
+        """Return the routing table of the newest version, if one is known."""
         return self._table
 
     @property
     def is_behind(self) -> bool:
-        """Tell whether the store has a version that cannot be read here.
+        """Return whether the store has a version that this router cannot decode.
 
-        It may withdraw keys, so that answers of the store say nothing about
-        the keys of the version that is known.
+        That version may withdraw keys, so answers of the store do not confirm the keys
+        of the version known here.
         """
         return self._is_behind
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether routes and targets are known."""
+        """Return whether routes and targets are known."""
         return self._table is not None and not self._missing_list
 
     @property
     def _missing_list(self) -> str:
-        """Return what the store has not been read for yet; empty for nothing."""
+        """Return what has not been read from the store yet; empty for nothing."""
         if not self._listed.is_complete:
             return "no list of targets"
         if self._evacuations is not None and not self._evacuations.is_complete:
@@ -245,7 +251,7 @@
         return int(getattr(self._platform, "calls", 0))
 
     def configure(self, settings: EntrySettings) -> None:
-        """Take in changed settings.
+        """Apply changed settings.
 
         Parameters
         ----------
@@ -256,7 +262,7 @@
         self._targets.configure(settings.drain)
 
     def start(self, on_complete: Callable[[], None]) -> None:
-        """Follow the store.
+        """Start watching the store.
 
         Parameters
         ----------
@@ -269,22 +275,22 @@
             running.addErrback(self._log_fault)
 
     def look_after(self, newest_version: int, newest_list: int, now: float) -> None:
-        """Ask the store when others know more, or their questions are too old.
+        """Poll the store if others know more or the last answer is too old.
 
         Parameters
         ----------
         newest_version : int
-            Newest version that another router tells of.
+            Newest version that another router reports.
         newest_list : int
-            Newest change of the list of targets that another router tells of,
-            as the store's revision.
+            Newest change of the list of targets that another router reports, as the
+            store's revision.
         now : float
             Present time in seconds.
         """
         self._check_target_list(newest_list, now)
         is_due = self._is_old(now) or self._is_outdated(newest_version, now)
         if not is_due or self._is_store_lost():
-            # A lost store is asked by the watch, again and again.
+            # While the store does not answer, the watch polls it repeatedly.
             return
         pause = PARALLEL_POLL_PAUSE_SECONDS if self._is_polling else POLL_PAUSE_SECONDS
         if self._polled_at is None or now - self._polled_at > pause:
@@ -292,10 +298,10 @@
             self._poll(now)
 
     def renew_watches(self) -> None:
-        """Ask anew what waits for an answer.
+        """Send the pending requests of all watches again.
 
-        A store that went silent towards this router may never answer what it
-        was asked before; changes would go unnoticed until the wait is over.
+        A store that stopped answering this router may never answer what it was asked
+        before; changes would go unnoticed until the wait is over.
         """
         for watch in self._watches:
             watch.renew()
@@ -303,7 +309,7 @@
     def _follow_lists(
         self, watched: WatchedPrefix, handler: WatchHandler
     ) -> StoreWatch:
-        """Follow what the watch of the configuration asks a lost store for too."""
+        """Watch a prefix, but leave polling an unavailable store to the main watch."""
         return self._follow(watched, handler, defers_polling=self._is_store_lost)
 
     def _follow(
@@ -331,14 +337,15 @@
         return age is None or age > POLL_AGE_SECONDS
 
     def _is_outdated(self, newest_version: int, now: float) -> bool:
-        """Tell whether others have had a newer version for some time."""
+        """Return whether others have had a newer version for some time."""
         own = 0 if self._table is None else self._table.version
-        # Versions only go up: what was told once holds when the teller is gone.
+        # Versions only increase, so a reported one stays valid when its reporter is
+        # gone.
         self._reported_version = max(self._reported_version, newest_version)
         return self._version_lag.is_overdue(now, is_behind=self._reported_version > own)
 
     def _check_target_list(self, newest: int, now: float) -> None:
-        """Renew the watch of targets when another router heard a change first."""
+        """Renew the watch of targets if another router knows a change first."""
         watch = self._targets_watch
         is_behind = self._listed.is_complete and newest > watch.revision
         if self._list_lag.is_overdue(now, is_behind=is_behind):
@@ -371,7 +378,7 @@
         reading.addErrback(self._log_fault)
 
     def _is_store_lost(self) -> bool:
-        """Tell whether the watch of the configuration asks the store for all."""
+        """Return whether the configuration's watch is polling an unavailable store."""
         return self._connection.lost_at is not None
 
     def _configuration_wait(self) -> float:
@@ -380,12 +387,12 @@
         return max(self._watched.wait, self._watched.longest_wait)
 
     def stop(self) -> None:
-        """Follow the store no more."""
+        """Stop watching the store."""
         for watch in self._watches:
             watch.stop()
 
     def lost_for(self, now: float) -> float:
-        """Return for how long the store has not told of the configuration.
+        """Return for how long the store has not answered about the configuration.
 
         Parameters
         ----------
@@ -401,7 +408,7 @@
         return 0.0 if lost_at is None else now - lost_at
 
     def missing(self, now: float) -> str:
-        """Return what is missing for serving callers.
+        """Return what is missing before callers can be served.
 
         Parameters
         ----------
@@ -438,14 +445,14 @@
         return None if age is None else round(age, 2)
 
     def adopt(self, stored: StoredObject, asked_at: float) -> None:
-        """Take in a version, unless it is older or cannot be read.
+        """Adopt a version, unless it is older or cannot be decoded.
 
         Parameters
         ----------
         stored : StoredObject
             The record.
         asked_at : float
-            When the store was asked, in seconds.
+            When the request to the store was sent, in seconds.
         """
         try:
             table = self._decoder.table(stored)
