--- a/src/primrosescale/process/entry/leaving_news.py
+++ b/src/primrosescale/process/entry/leaving_news.py
@@ -27,10 +27,11 @@
 
 
 class LeavingNews:
-    """Sends other routers the targets that announced that they leave, and applies theirs.
+    """Sends other routers the targets that announced that they leave; applies theirs.
 
     Each router sends all that it knows for as long as it knows it, including what it
-    received. So it spreads whichever routers exchange updates, and despite lost datagrams.
+    received. So it spreads whichever routers exchange updates, and despite lost
+    datagrams.
 
     Parameters
     ----------
@@ -47,7 +48,7 @@
         self._leaving: dict[str, TargetIncarnation] = {}
 
     def note(self, target: TargetIncarnation) -> None:
-        """Record that a target announced, here or to another router, that it is leaving.
+        """Record that a target announced, here or elsewhere, that it is leaving.
 
         Parameters
         ----------
