--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_learning.py
@@ -45,13 +45,13 @@
 # Pauses before routers that have not answered are asked again: of routers that were
 # killed together, those on hosts with half a core answer a second after the first.
 RETRY_PAUSES_SECONDS = (0.3, 0.6, 1.2)
-# RelayedUpdate delays a model engine's work, and each answer takes a connection; for
-# the rest, what the hash order of targets says is relied on.
+# Reporting its cache delays an engine's work, and each answer takes a connection. For
+# the remaining engines, requests go to the targets chosen by hash order.
 MOST_READ = 96
 
 
 class CacheLearning:
-    """Reads the caches of this router's share of engines; asks routers for the rest.
+    """Reads the caches of this router's share of engines; asks peers for the rest.
 
     Parameters
     ----------
