--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -1,6 +1,6 @@
-"""The configuration and the lists of targets and evacuations, as last read from the store.
+"""The configuration and the list of targets as last read from the platform's store.
 
-It also decides when the store is polled in addition to the watches: when other routers
+It also decides when the store is polled in addition to the watches: when peer routers
 report newer state, or when the last answer is too old.
 """
 
@@ -97,25 +97,23 @@
 
     def replaced(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
         """Apply the newest version."""
-        self._take(objects, asked_at)
+        self._apply(objects, asked_at)
 
     def changed(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
         """Apply newer versions."""
-        self._take(objects, asked_at)
+        self._apply(objects, asked_at)
 
     def failed(self, error: PlatformError) -> None:
         """Record that a request to the store failed."""
         self._connection.record_failure(error)
 
-    def _take(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
+    def _apply(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
         if self._connection.record_success():
             self._knowledge.renew_watches()
         for stored in objects:
             # The store returns all objects whose names begin with the prefix.
-            is_other_object = (
-                not self._prefix.endswith("/") and stored.key != self._prefix
-            )
-            if not stored.is_deleted and not is_other_object:
+            is_other = not self._prefix.endswith("/") and stored.key != self._prefix
+            if not stored.is_deleted and not is_other:
                 self._knowledge.adopt(stored, asked_at)
         if not self._knowledge.is_behind:
             self._knowledge.freshness.answered(asked_at)
