--- a/src/primrosescale/process/entry/evacuation_list_sync.py
+++ b/src/primrosescale/process/entry/evacuation_list_sync.py
@@ -1,4 +1,4 @@
-"""Keeps the evacuated failure domains in step with the store."""
+"""Keeps the evacuated failure domains in sync with the store."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class EvacuationListSync(WatchHandler):
-    """Takes entries of the store's list of evacuations into `Evacuations`.
+    """Applies entries of the store's list of evacuations to `Evacuations`.
 
-    Whatever an entry holds, its name alone says which domain is evacuated.
+    Only an entry's name matters: it is the evacuated domain, whatever the entry holds.
 
     Parameters
     ----------
@@ -30,7 +30,7 @@
     now : Callable[[], float]
         Returns the present time in seconds.
     on_list : Callable[[], None]
-        Called when the whole list has come.
+        Called when the whole list has been received.
     """
 
     def __init__(
@@ -49,18 +49,18 @@
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether the whole list has come once."""
+        """Return whether the whole list has been received once."""
         return self._is_complete
 
     def replaced(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Take in the whole list; see `WatchHandler.replaced`."""
+        """Apply the whole list; see `WatchHandler.replaced`."""
         self._listed = {item.name for item in objects if not item.is_deleted}
         self._apply()
         self._is_complete = True
         self._on_list()
 
     def changed(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Take in changed entries; see `WatchHandler.changed`."""
+        """Apply changed entries; see `WatchHandler.changed`."""
         for stored in objects:
             if stored.is_deleted:
                 self._listed.discard(stored.name)
@@ -72,5 +72,5 @@
         """Do nothing: the watch of the configuration logs outages."""
 
     def _apply(self) -> None:
-        told = EvacuationList(frozenset(self._listed), self._revision(), STORE)
-        self._evacuations.take(told, self._now())
+        listed = EvacuationList(frozenset(self._listed), self._revision(), STORE)
+        self._evacuations.take(listed, self._now())
