--- a/src/primrosescale/process/entry/refused_records.py
+++ b/src/primrosescale/process/entry/refused_records.py
@@ -1,4 +1,4 @@
-"""Entries of the store that cannot be read: told once a change, and counted."""
+"""Records of the store that cannot be decoded: logged once per change, and counted."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class RecordKind(Enum):
-    """What a record of the store describes; the value names it in logs."""
+    """What a record of the store describes; the value is its name in logs."""
 
     TARGET = "target"
     ROUTER = "router"
@@ -33,18 +33,18 @@
 
 
 class RefusedRecords:
-    """The records of a kind that cannot be read as they stand now.
+    """The records of one kind that cannot be decoded in their present state.
 
-    A record that is read again and again unchanged is told of once.
+    A record that is read repeatedly without a change is logged once.
 
     Parameters
     ----------
     kind : RecordKind
         What the records describe.
     log : Any
-        Where events are told.
+        Log for events.
     metrics : EntryMetrics
-        Where refusals are counted.
+        Metrics in which refusals are counted.
     """
 
     __slots__ = ("_kind", "_log", "_metrics", "_refused")
@@ -53,22 +53,22 @@
         self._kind = kind
         self._log = log
         self._metrics = metrics
-        # By key, what the refused record looked like.
+        # By key: version and hash of the refused record.
         self._refused: dict[str, tuple[int, int]] = {}
 
     def __len__(self) -> int:
-        """Return how many records cannot be read now."""
+        """Return how many records cannot be decoded at present."""
         return len(self._refused)
 
     def refuse(self, stored: StoredObject, error: UnreadableRecordError) -> None:
-        """Take in that a record cannot be read.
+        """Record that a record cannot be decoded.
 
         Parameters
         ----------
         stored : StoredObject
             The record.
         error : UnreadableRecordError
-            Why.
+            The reason.
         """
         content_key = (stored.version, hash(stored.value))
         if self._refused.get(stored.key) == content_key:
@@ -76,16 +76,16 @@
         self._refused[stored.key] = content_key
         self._metrics.record_refused(self._kind.value)
         self._update_metric()
-        said = {
+        details = {
             self._kind.value: log_text(stored.name),
             "field": log_text(error.field),
             "reason": log_text(error.reason),
             "remedy": error.remedy,
         }
-        self._log.emit(_EVENTS[self._kind], **said)
+        self._log.emit(_EVENTS[self._kind], **details)
 
     def clear(self, key: str) -> bool:
-        """Take in that a record can be read, or is gone.
+        """Record that a record can be decoded again, or is gone.
 
         Parameters
         ----------
@@ -95,7 +95,7 @@
         Returns
         -------
         bool
-            Whether it could not be read until now.
+            Whether it could not be decoded until now.
         """
         if self._refused.pop(key, None) is None:
             return False
@@ -103,12 +103,12 @@
         return True
 
     def retain_only(self, keys: Iterable[str]) -> None:
-        """Take in which records there are at all.
+        """Drop records that no longer exist.
 
         Parameters
         ----------
         keys : Iterable[str]
-            All keys of the kind.
+            All existing keys of the kind.
         """
         for key in self._refused.keys() - set(keys):
             self.clear(key)
