--- a/src/primrosescale/process/entry/store_connection.py
+++ b/src/primrosescale/process/entry/store_connection.py
@@ -1,4 +1,4 @@
-"""Whether a watch of the store gets answers."""
+"""Tracks whether a watch gets answers from the store."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class StoreConnection:
-    """Logs when the store is lost to a watch and when it is regained.
+    """Logs when the store stops answering a watch and when it answers again.
 
     Parameters
     ----------
     name : str
         What is watched.
     log : Any
-        Where events are told.
+        Log for events.
     now : Callable[[], float]
         Returns the present time in seconds.
     """
@@ -36,11 +36,11 @@
 
     @property
     def lost_at(self) -> float | None:
-        """Return when questions began to fail; None while they are answered."""
+        """Return when requests began to fail; None while they are answered."""
         return self._lost_at
 
     def record_failure(self, error: PlatformError) -> None:
-        """Take in a failed question.
+        """Record a failed request.
 
         Parameters
         ----------
@@ -52,7 +52,7 @@
             self._log.emit(Event.STORE_LOST, watch=self._name, detail=str(error))
 
     def record_success(self) -> bool:
-        """Take in an answered question.
+        """Record an answered request.
 
         Returns
         -------
