--- a/src/primrosescale/process/entry/store_watch.py
+++ b/src/primrosescale/process/entry/store_watch.py
@@ -1,4 +1,4 @@
-"""Following objects of the platform's store, whatever becomes of the store."""
+"""Watches objects of the platform's store, through outages and faults of the store."""
 
 from __future__ import annotations
 
@@ -26,78 +26,78 @@
     from primrosescale.process.transport.platform import StoredObject
     from primrosescale.process.transport.platform import WatchResult
 
-# Pause after a failed call, growing by half to the most. An outage is asked
-# through two or three times a second, which finds its end soon enough for a
+# Pause after a failed request, growing by half up to the maximum. During an outage the
+# store is polled two or three times a second, which notices its end soon enough for a
 # bound of 2 s and is a thousandth of the store's rate for four routers.
 MIN_PAUSE_SECONDS = 0.1
 MAX_PAUSE_SECONDS = 0.5
 PAUSE_GROWTH = 1.5
-# The same of a watch that leaves asking to another one, which wakes it.
+# The same for a watch that leaves polling to another one, which renews it.
 DEFERRED_PAUSE_SECONDS = 4.0
-# Pause after a fault of this program's own, which reading anew may not mend.
+# Pause after a fault of this program itself, which reading again may not fix.
 FAULT_PAUSE_SECONDS = 1.0
-# A change answers the watches of all routers at once; drawing each wait anew
-# keeps their next questions apart, so that one of them is always recent.
+# A change answers the watches of all routers at once. Drawing each wait at random keeps
+# their next requests apart, so that one of them is always recent.
 MIN_WAIT_SHARE = 0.6
 
 
 class WatchHandler(ABC):
-    """Told of what a watch finds."""
+    """Receives the results of a watch."""
 
     @abstractmethod
     def replaced(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Handle all objects at once.
+        """Handle a complete listing of the objects.
 
         Parameters
         ----------
         objects : tuple[StoredObject, ...]
             All objects.
         asked_at : float
-            When the question was sent, in seconds.
+            When the request was sent, in seconds.
         """
 
     @abstractmethod
     def changed(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Handle changes, which may be none.
+        """Handle changes, of which there may be none.
 
         Parameters
         ----------
         objects : tuple[StoredObject, ...]
             Changed objects.
         asked_at : float
-            When the question was sent, in seconds.
+            When the request was sent, in seconds.
         """
 
     @abstractmethod
     def failed(self, error: PlatformError) -> None:
-        """Handle that the store could not be asked.
+        """Handle a failed request to the store.
 
         Parameters
         ----------
         error : PlatformError
-            Why.
+            The reason.
         """
 
 
 @dataclass(frozen=True, slots=True)
 class WatchedPrefix:
-    """What to watch.
+    """What to watch, and how long each request may wait.
 
     Parameters
     ----------
     prefix : str
         What the objects' names begin with.
     wait : float
-        Seconds that the store may keep the question waiting.
+        Seconds that the store may hold a request open while nothing changes.
     longest_wait : float
-        The same while other routers ask often.
+        The same while other routers poll often.
     rest : float
-        Seconds after a change before the next question, so that changes that
-        come together are read together.
+        Seconds between a change and the next request, so that changes that arrive
+        together are read together.
     reads_after_failure : bool
-        Whether all objects are read after a failed question. That is answered
-        at once, while a watch may be kept waiting by a store that has not
-        caught up; it suits prefixes with few objects.
+        Whether all objects are read after a failed request. That is answered at
+        once, whereas a watch may be held open by a store that has not caught up;
+        suitable for prefixes with few objects.
     """
 
     prefix: str
@@ -115,22 +115,22 @@
     platform : Platform
         The store.
     watched : WatchedPrefix
-        What to follow.
+        What to watch.
     handler : WatchHandler
-        Told of what is found.
+        Receives the results.
     reactor : Any
         Twisted's reactor.
     rng : Random
-        Source of chance for pauses.
+        Source of randomness for pauses.
     on_fault : Callable[[Failure], None]
-        Told of what should not have been raised; the watch goes on.
+        Called with unexpected exceptions; the watch continues.
     wait : Callable[[], float] | None
-        Returns the seconds that the store may keep the next question waiting;
-        None for what `watched` says.
+        Returns the seconds that the store may hold the next request open; None for
+        the value in `watched`.
     defers_polling : Callable[[], bool]
-        Returns whether another watch asks a store that does not answer, and
-        renews this one when it does: three that ask through an outage cost three
-        times as much and know it no sooner.
+        Returns whether another watch polls a store that does not answer, and renews
+        this one when it does: three watches that poll through an outage cost three
+        times as much and notice its end no sooner.
     """
 
     def __init__(
@@ -163,12 +163,12 @@
         return self._revision
 
     def stop(self) -> None:
-        """Follow no more; the question that waits is withdrawn, not lost."""
+        """Stop watching; the pending request is cancelled, not reported as failed."""
         self._is_stopped = True
         self.renew()
 
     def renew(self) -> None:
-        """Ask again at once: the question that waits may never be answered."""
+        """Send a new request at once, since the pending one may never be answered."""
         asked, self._pending_poll = self._pending_poll, None
         if asked is not None:
             asked.cancel()
@@ -177,19 +177,19 @@
 
     @inlineCallbacks
     def run(self) -> Generator[Any, Any, None]:
-        """Follow changes until stopped, whatever is met on the way."""
+        """Follow changes until stopped, and resume after faults."""
         while not self._is_stopped:
             try:
                 yield self._follow()
-            except Exception:  # noqa: BLE001 - a watch that ends is missed by nobody
+            except Exception:  # noqa: BLE001 - nobody would notice that a watch ended
                 self._on_fault(Failure())
-                # What was taken in by half is read anew.
+                # What was applied only in part is read again.
                 self._revision = 0
                 yield self._sleep(FAULT_PAUSE_SECONDS)
 
     @inlineCallbacks
     def _follow(self) -> Generator[Any, Any, None]:
-        """Follow changes until stopped or something unexpected is raised."""
+        """Follow changes until stopped or an unexpected exception is raised."""
         pause = MIN_PAUSE_SECONDS
         while not self._is_stopped:
             asked_at = self._reactor.seconds()
@@ -215,21 +215,21 @@
             pause = MIN_PAUSE_SECONDS
             is_change = bool(self._revision)
             self._revision = found.revision
-            tell = self._handler.changed if is_change else self._handler.replaced
-            tell(found.changes, asked_at)
-            is_news = is_change and bool(found.changes)
-            if is_news and self._watched.rest:
+            notify = self._handler.changed if is_change else self._handler.replaced
+            notify(found.changes, asked_at)
+            has_changes = is_change and bool(found.changes)
+            if has_changes and self._watched.rest:
                 yield deferLater(self._reactor, self._watched.rest, lambda: None)
 
     @inlineCallbacks
     def _poll(self, wait: float) -> Generator[Any, Any, WatchResult | None]:
-        """Return what the store answers; None when the question was renewed."""
+        """Return the store's answer; None if the request was cancelled or renewed."""
         asked = self._platform.watch(self._watched.prefix, self._revision, wait)
         self._pending_poll = asked
         try:
             found: WatchResult = yield asked
         except (CancelledError, PlatformError):
-            # A store may tell a cancelled question as a failure of its own.
+            # A store may report a cancelled request as a failure of its own.
             if self._pending_poll is asked:
                 raise
             return None
@@ -240,7 +240,7 @@
 
     @inlineCallbacks
     def _pause(self, seconds: float) -> Generator[Any, Any, None]:
-        """Wait after a failed question, until it is renewed at the longest."""
+        """Wait after a failed request, at most until the watch is renewed."""
         self._pausing = self._sleep(seconds)
         try:
             yield self._pausing
