--- a/src/primrosescale/process/entry/target_list_sync.py
+++ b/src/primrosescale/process/entry/target_list_sync.py
@@ -1,4 +1,4 @@
-"""Keeps the list of targets in step with the store."""
+"""Keeps the list of targets in sync with the store."""
 
 from __future__ import annotations
 
@@ -24,24 +24,24 @@
 
 
 class TargetListSync(WatchHandler):
-    """Takes entries of the store's list of targets into a `TargetList`.
+    """Applies entries of the store's list of targets to a `TargetList`.
 
     Parameters
     ----------
     targets : TargetList
         Targets and their states.
     rest : float
-        Seconds that the watch rests after a change.
+        Seconds that the watch pauses after a change.
     decoder : RecordDecoder
-        Reads entries.
+        Decodes entries.
     refused : RefusedRecords
-        Entries that cannot be read.
+        Entries that cannot be decoded.
     log : Any
-        Where events are told.
+        Log for events.
     now : Callable[[], float]
         Returns the present time in seconds.
     on_list : Callable[[], None]
-        Called when the whole list has come.
+        Called when the whole list has been received.
     """
 
     def __init__(
@@ -64,12 +64,12 @@
         self._connection = StoreConnection("targets", log, now)
         self._is_complete = False
         self._revision = 0
-        # By name: the revision of each entry and when it was first told here.
+        # By name: the revision of each entry and when that was first received here.
         self._first_seen: dict[str, tuple[int, float]] = {}
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether the whole list has come once."""
+        """Return whether the whole list has been received once."""
         return self._is_complete
 
     @property
@@ -78,13 +78,13 @@
         return self._revision
 
     def replaced(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Take in the whole list; see `WatchHandler.replaced`."""
+        """Apply the whole list; see `WatchHandler.replaced`."""
         self._connection.record_success()
         now = self._now()
         listed = [item for item in objects if not item.is_deleted]
         self._refused.retain_only(item.key for item in listed)
         for item in listed:
-            self._take(item, now)
+            self._apply(item, now)
         names = {item.name for item in listed}
         for state in list(self._targets.states):
             if state.target.name not in names:
@@ -93,7 +93,7 @@
         self._on_list()
 
     def changed(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Take in changed entries; see `WatchHandler.changed`."""
+        """Apply changed entries; see `WatchHandler.changed`."""
         self._connection.record_success()
         now = self._now()
         for stored in objects:
@@ -102,14 +102,14 @@
                 self._refused.clear(stored.key)
                 self._remove(stored.name, now)
             else:
-                self._take(stored, now)
+                self._apply(stored, now)
 
     def failed(self, error: PlatformError) -> None:
-        """Note that the store could not be asked; see `WatchHandler.failed`."""
+        """Record a failed request to the store; see `WatchHandler.failed`."""
         self._connection.record_failure(error)
 
     def forget_gone(self, now: float) -> list[TargetIncarnation]:
-        """Forget targets whose entry stayed gone.
+        """Forget targets whose entry has not returned.
 
         Parameters
         ----------
@@ -126,13 +126,13 @@
             self._log.emit(Event.TARGET_FORGOTTEN, target=incarnation.name)
         return gone
 
-    def _take(self, stored: StoredObject, now: float) -> None:
-        """Take in an entry; one that cannot be read names no target."""
+    def _apply(self, stored: StoredObject, now: float) -> None:
+        """Apply an entry; one that cannot be decoded removes its target."""
         try:
             target = self._decoder.target(stored)
         except UnreadableRecordError as error:
-            # Not the way of an entry that is gone, whose target may still be
-            # used when there is no other: this one may lead anywhere.
+            # Stricter than for a deleted entry, whose target may still be used if there
+            # is no other: an unreadable entry may lead anywhere.
             self._targets.drop(stored.name, now)
             self._refused.refuse(stored, error)
             return
@@ -151,9 +151,9 @@
     def _with_remaining_warm_up(
         self, target: ServingTarget, revision: int, now: float
     ) -> ServingTarget:
-        """Return a target with what is left of its time, if its entry was known.
+        """Return a target with the rest of its warm-up time, if its entry was known.
 
-        A list that is read again tells entries that were written long ago.
+        A list that is read again contains entries that were written long ago.
         """
         known = self._first_seen.get(target.name)
         if known is None or known[0] != revision:
@@ -164,6 +164,6 @@
 
     def _remove(self, name: str, now: float) -> None:
         self._first_seen.pop(name, None)
-        # It may have happened while the watch rested.
+        # The entry may have been deleted while the watch paused.
         if self._targets.remove(name, now - self._rest):
             self._log.emit(Event.TARGET_DELISTED, target=name)
