--- a/src/primrosescale/process/entry/news_paths.py
+++ b/src/primrosescale/process/entry/news_paths.py
@@ -74,7 +74,7 @@
         self.suspected_until = -math.inf
 
 
-class RelayTopology:
+class NewsPaths:
     """Relays of all failure domains, and the routers that one router talks to.
 
     Parameters
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -17,10 +17,10 @@
 from primrosescale.connection.wire.ttypes import NewsScope
 from primrosescale.process.entry.load_codec import MILLISECONDS
 from primrosescale.process.entry.load_codec import LoadCodec
+from primrosescale.process.entry.news_paths import NewsPaths
 from primrosescale.process.entry.news_paths import NewsSettings
-from primrosescale.process.entry.news_paths import RelayTopology
+from primrosescale.process.entry.news_relay import NewsRelay
 from primrosescale.process.entry.other_router import PeerState
-from primrosescale.process.entry.relay_aggregation import RelayAggregator
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.request.evacuations import EvacuationList
 from primrosescale.request.part_directory import PartUse
@@ -31,8 +31,8 @@
     from primrosescale.process.entry.harm_news import HarmNews
     from primrosescale.process.entry.leaving_news import LeavingNews
     from primrosescale.process.entry.load_sum import LoadSum
+    from primrosescale.process.entry.news_relay import RelayedUpdate
     from primrosescale.process.entry.other_router import OtherRouter
-    from primrosescale.process.entry.relay_aggregation import RelayedUpdate
     from primrosescale.process.entry.target_list import TargetList
     from primrosescale.request.evacuations import Evacuations
     from primrosescale.request.freshness import Freshness
@@ -115,8 +115,8 @@
         self._codec = LoadCodec(targets)
         self._peers: dict[str, PeerState] = {}
         self._former: dict[str, OtherRouter] = {}
-        self._topology = RelayTopology(name, domain, settings)
-        self._aggregator = RelayAggregator(name, self._topology, settings)
+        self._topology = NewsPaths(name, domain, settings)
+        self._relay = NewsRelay(name, self._topology, settings)
         self._sequence = 0
         self._round_messages = 0
         # Time of the oldest load received from relays, and the targets that it covers.
@@ -213,7 +213,7 @@
             Number of routers.
         """
         if self._topology.is_relayed:
-            return self._aggregator.others(now).routers
+            return self._relay.others(now).routers
         return len(self._recent_peers(now))
 
     def others_reach_store(self, now: float) -> bool:
@@ -364,7 +364,7 @@
         if peer is None:
             return
         self._topology.remove(name)
-        self._aggregator.forget(name)
+        self._relay.forget(name)
         self._former.pop(name, None)
         self._former[name] = peer.router
         if len(self._former) > MAX_FORMER_ROUTERS:
@@ -430,9 +430,7 @@
         held = self._harm.held(now) if self._harm and not is_urgent else []
         if is_relayed:
             own = self._codec.own_load(now, reaches_store=not is_store_lost)
-            updates = self._aggregator.compose(
-                own, parts, ends, now, is_urgent=is_urgent
-            )
+            updates = self._relay.compose(own, parts, ends, now, is_urgent=is_urgent)
             if not is_urgent:
                 self._round_messages = len(updates)
                 self._update_rank(now)
@@ -534,7 +532,7 @@
             self._leaving.take(message.leaving, states, message.origin, now)
         loads = self._codec.read(message, now)
         if message.scope is not None:
-            self._aggregator.receive(message, loads, now)
+            self._relay.receive(message, loads, now)
         if message.scope in {None, NewsScope.ROUTER} and loads is not None:
             self._apply_own_load(peer, loads, now)
         if message.scope == NewsScope.FLEET:
@@ -574,14 +572,14 @@
         origin = peer.router.name
         if self._topology.is_relayed:
             if self._topology.is_own_domain(origin):
-                self._aggregator.receive_load(NewsScope.ROUTER, origin, loads, now)
+                self._relay.receive_load(NewsScope.ROUTER, origin, loads, now)
             return
         self._set_load(origin, loads, peer.reported_targets, now)
         peer.reported_targets = frozenset(loads.running)
 
     def _apply_relayed_load(self, now: float) -> None:
         """Apply the best sum received from relays to the states of targets."""
-        loads = self._aggregator.others(now)
+        loads = self._relay.others(now)
         if not loads.routers:
             return
         self._set_load(RELAYED_ORIGIN, loads, self._relayed_targets, now)
