--- a/tests/entry/test_cache_shares.py
+++ b/tests/entry/test_cache_shares.py
@@ -1,7 +1,7 @@
-"""Routers that start again learn what engines hold from each other.
+"""Routers that restart learn the engines' cache contents from each other.
 
-The load: a fleet of thirty routers before as many engines whose routers are killed
-one by one or all at once, while callers come back with prompts that engines hold.
+Thirty routers in front of as many engines are killed one by one or all at once, while
+callers return with prompts that engines have cached.
 """
 
 from __future__ import annotations
@@ -37,14 +37,14 @@
 from support.router_fleet import ExchangeParts
 from support.router_fleet import Fleet
 
-BYTES_IN_ONE_PIECE = 1400
+MAX_DATAGRAM_BYTES = 1400
 READ_SECONDS = 0.03
 # Routers of one fleet are restarted within this time of each other.
 RESTARTS_SECONDS = 1.2
 
 
 class Engines(CacheReader):
-    """Tells what the engines of a fleet hold, and counts the questions."""
+    """Reports the cache contents of a fleet's engines, and counts the requests."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -61,7 +61,7 @@
 
 
 class RestartedFleet(TestCase):
-    """A fleet that has served for a while, whose routers can be restarted."""
+    """A fleet that has served requests for a while and whose routers can restart."""
 
     ROUTERS, ENGINES, DOMAINS = 30, 29, 3
 
@@ -91,7 +91,7 @@
         learning.start(lambda _: True, done)
 
     def known_share(self, router):
-        """Return the part of all tokens that engines hold that a router knows."""
+        """Return the share of cached tokens of all engines that a router knows."""
         now, held, known = self.fleet.clock.seconds(), 0, 0
         for engine in self.fleet.engines.values():
             incarnation = router.targets.state(engine.name).incarnation
@@ -111,7 +111,7 @@
 
 
 class RestartTest(RestartedFleet):
-    def test_one_that_starts_alone_asks_its_share_and_is_told_the_rest(self):
+    def test_a_router_that_restarts_alone_reads_its_share_and_receives_the_rest(self):
         router = self.fleet.routers[4]
         self.restart(router)
         self.fleet.run(MAX_WAIT_SECONDS)
@@ -121,13 +121,13 @@
         self.assertGreater(self.known_share(router), 0.95)
         self.assertLess(self.served[router.name], MAX_WAIT_SECONDS)
 
-    def test_all_that_start_at_once_ask_each_engine_once(self):
+    def test_routers_that_restart_together_read_each_engine_once(self):
         self.restart_all()
         self.assertEqual(sorted(self.fleet.engines), sorted(self.engines.asked))
         for router in self.fleet.routers:
             self.assertGreater(self.known_share(router), 0.95, router.name)
 
-    def test_one_that_is_stopped_and_started_is_told_before_it_is_listed(self):
+    def test_a_stopped_router_that_restarts_gets_answers_before_it_is_listed(self):
         router = self.fleet.routers[4]
         for other in self.fleet.routers:
             if other is not router:
@@ -145,7 +145,7 @@
         self.assertAlmostEqual(MAX_WAIT_SECONDS, self.served[router.name], places=2)
         self.assertEqual([lost.name], [r.name for r in router.shares.unanswered])
 
-    def test_one_that_wakes_late_is_asked_again(self):
+    def test_a_router_that_resumes_late_is_asked_again(self):
         lost, router = self.fleet.routers[:2]
         self.fleet.lose(lost)
         self.restart(router)
@@ -157,11 +157,11 @@
 
 
 class SmallRestartTest(RestartedFleet):
-    """Four routers before five engines: each share is a large part."""
+    """Four routers in front of five engines: each share is a large part."""
 
     ROUTERS, ENGINES = 4, 5
 
-    def test_the_share_of_one_that_is_gone_is_asked_for_by_others(self):
+    def test_the_share_of_a_router_that_is_gone_is_read_by_others(self):
         lost, router = sorted(
             self.fleet.routers, key=lambda router: -len(router.shares.own_targets())
         )[:2]
@@ -174,7 +174,7 @@
         self.assertEqual(own_targets | share, set(self.engines.asked))
         self.assertGreater(self.known_share(router), 0.95)
 
-    def test_all_that_start_at_once_ask_little_more_than_each_engine(self):
+    def test_routers_that_restart_together_send_few_extra_requests(self):
         self.restart_all()
         most = self.ENGINES + EXTRA_READS
         self.assertLessEqual(len(self.engines.asked), most)
@@ -220,32 +220,32 @@
         self.assertTrue(own_targets)
         self.assertTrue(theirs)
 
-    def test_who_asks_one_that_has_just_started_is_told_once_that_knows(self):
+    def test_a_request_to_a_router_that_has_just_started_is_answered_later(self):
         self.assertEqual([], self.asked())
         [(asker, message)] = self.shares.share_read(START)
         self.assertEqual(("b", True), (asker.name, message.is_last))
         self.assertEqual([], self.shares.share_read(START))
         self.assertEqual(1, len(self.asked()))
 
-    def test_a_stranger_is_told_nothing_and_tells_nothing(self):
+    def test_an_unlisted_router_gets_no_answer_and_its_answers_are_ignored(self):
         self.shares.share_read(START)
         self.assertEqual([], self.asked("c"))
         self.told("c")
         self.assertEqual(0, self.held())
 
-    def test_what_is_told_counts_for_the_incarnation_that_it_is_told_of(self):
+    def test_an_answer_applies_only_to_the_incarnation_that_it_names(self):
         self.told(key=target_key("m1", 77))
         self.assertEqual(0, self.held())
         self.told()
         self.assertEqual(9000, self.held())
 
-    def test_an_answer_that_goes_on_is_not_whole(self):
+    def test_an_answer_is_incomplete_until_its_last_message(self):
         self.told(is_last=False)
         self.assertEqual(self.others, self.shares.unanswered)
         self.told()
         self.assertEqual([], self.shares.unanswered)
 
-    def test_what_one_chat_has_alone_is_not_told(self):
+    def test_parts_of_a_single_chat_are_not_reported(self):
         parts = prompt(("tariffs", 9000), ("chat", 10)).parts
         self.parts.note_own(self.own_targets, parts, START)
         self.shares.share_read(START)
@@ -253,7 +253,7 @@
         [cache] = message.caches
         self.assertEqual(["tariffs"], [part.part for part in cache.parts])
 
-    def test_a_long_answer_comes_in_datagrams_of_one_piece(self):
+    def test_a_long_answer_is_split_into_datagrams_that_are_not_fragmented(self):
         count = 3 * MAX_PARTS_PER_ANSWER + 1
         for number in range(count):
             use = PartUse(f"{number:08x}", self.own_targets, 9000, START - 30)
@@ -261,7 +261,7 @@
         self.shares.share_read(START)
         frames = [encode(message) for _, message in self.asked()]
         self.assertEqual(math.ceil(count / MAX_PARTS_PER_ANSWER), len(frames))
-        self.assertLess(max(map(len, frames)), BYTES_IN_ONE_PIECE)
+        self.assertLess(max(map(len, frames)), MAX_DATAGRAM_BYTES)
         messages = [decode(frame) for frame in frames]
         ends = [message.is_last for message in messages]
         self.assertEqual([False, False, False, True], ends)
