--- a/tests/entry/test_foreign_entries.py
+++ b/tests/entry/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""An entry that cannot be read names no target; all others go on."""
+"""An entry of the store that cannot be decoded removes its target; all others stay."""
 
 from __future__ import annotations
 
@@ -47,19 +47,19 @@
 from support.foreign import names
 
 SERVICE = TARGET["service"]
-HOLD = 2.0
-ODD = {**TARGET, "slots": "64"}
+DRAIN_SECONDS = 2.0
+UNREADABLE = {**TARGET, "slots": "64"}
 
 
 class Log:
     def __init__(self):
         self.lines = []
 
-    def emit(self, event, **said):
-        self.lines.append((event, said))
+    def emit(self, event, **details):
+        self.lines.append((event, details))
 
     def of(self, event):
-        return [said for found, said in self.lines if found is event]
+        return [details for found, details in self.lines if found is event]
 
 
 def entry(name, fields=TARGET, version=1, *, gone=False):
@@ -73,7 +73,7 @@
         self.now = 100.0
         self.log = Log()
         self.metrics = EntryMetrics()
-        self.targets = TargetList(HOLD)
+        self.targets = TargetList(DRAIN_SECONDS)
         self.listed = TargetListSync(
             self.targets,
             0.0,
@@ -97,50 +97,52 @@
         found = [each for each in text.splitlines() if each.startswith(line)]
         return float(found[0].split()[-1]) if found else 0.0
 
-    def test_an_entry_that_becomes_unreadable_names_no_target_at_once(self):
+    def test_an_entry_that_becomes_unreadable_removes_its_target_at_once(self):
         before = self.targets.generation
-        self.change(entry("i-1", ODD, 2))
+        self.change(entry("i-1", UNREADABLE, 2))
         self.assertEqual(["i-2"], self.usable())
         self.assertIsNone(self.targets.state("i-1"))
         self.assertEqual((1, before + 1), (len(self.targets), self.targets.generation))
 
     def test_it_is_not_used_when_there_is_no_other_either(self):
-        self.change(entry("i-1", ODD, 2), entry("i-2", b"\xff", 2))
+        self.change(entry("i-1", UNREADABLE, 2), entry("i-2", b"\xff", 2))
         self.assertEqual([], self.usable())
 
-    def test_the_whole_list_says_the_same_as_a_change(self):
-        self.listed.replaced((entry("i-1", ODD, 2), entry("i-2")), self.now)
+    def test_a_complete_list_has_the_same_effect_as_a_change(self):
+        self.listed.replaced((entry("i-1", UNREADABLE, 2), entry("i-2")), self.now)
         self.assertEqual(["i-2"], self.usable())
-        self.listed.replaced((entry("i-1", ODD, 2), entry("i-2", ODD, 2)), self.now)
+        self.listed.replaced(
+            (entry("i-1", UNREADABLE, 2), entry("i-2", UNREADABLE, 2)), self.now
+        )
         self.assertEqual([], self.usable())
 
     def test_one_that_vanished_and_comes_back_unreadable_is_not_used(self):
         self.change(entry("i-1", gone=True), entry("i-2", gone=True))
         self.assertEqual(["i-1", "i-2"], self.usable())
-        self.change(entry("i-1", ODD, 3))
+        self.change(entry("i-1", UNREADABLE, 3))
         self.assertEqual(["i-2"], self.usable())
 
     def test_one_that_is_unreadable_and_then_vanishes_is_not_used(self):
-        self.change(entry("i-1", ODD, 2), entry("i-2", ODD, 2))
+        self.change(entry("i-1", UNREADABLE, 2), entry("i-2", UNREADABLE, 2))
         self.change(entry("i-1", gone=True))
-        self.listed.replaced((entry("i-2", ODD, 2),), self.now)
+        self.listed.replaced((entry("i-2", UNREADABLE, 2),), self.now)
         self.assertEqual([], self.usable())
 
-    def test_when_it_can_be_read_again_what_runs_there_is_known(self):
+    def test_a_target_whose_entry_is_readable_again_keeps_its_state(self):
         state = self.targets.state("i-1")
-        self.change(entry("i-1", ODD, 2))
-        self.now += HOLD / 4
+        self.change(entry("i-1", UNREADABLE, 2))
+        self.now += DRAIN_SECONDS / 4
         self.change(entry("i-1", TARGET, 3))
         self.assertEqual(["i-1", "i-2"], self.usable())
         self.assertIs(state, self.targets.state("i-1"))
-        listed = [said["target"] for said in self.log.of(Event.TARGET_LISTED)]
+        listed = [details["target"] for details in self.log.of(Event.TARGET_LISTED)]
         self.assertEqual(["i-1", "i-2", "i-1"], listed)
-        self.assertEqual([], self.listed.forget_gone(self.now + HOLD))
+        self.assertEqual([], self.listed.forget_gone(self.now + DRAIN_SECONDS))
 
     def test_one_that_stays_unreadable_is_forgotten(self):
         state = self.targets.state("i-1")
-        self.change(entry("i-1", ODD, 2))
-        self.now += HOLD
+        self.change(entry("i-1", UNREADABLE, 2))
+        self.now += DRAIN_SECONDS
         self.assertEqual(
             [life("i-1", TARGET["born"])], self.listed.forget_gone(self.now)
         )
@@ -149,80 +151,88 @@
         self.assertEqual(["i-1", "i-2"], self.usable())
         self.assertIsNot(state, self.targets.state("i-1"))
 
-    def test_an_entry_of_a_former_life_does_not_bring_an_unreadable_one_back(self):
-        self.change(entry("i-1", ODD, 2))
+    def test_an_entry_of_a_former_incarnation_does_not_restore_an_unreadable_one(self):
+        self.change(entry("i-1", UNREADABLE, 2))
         self.change(entry("i-1", {**TARGET, "born": TARGET["born"] - 1}, 3))
         self.assertEqual(["i-2"], self.usable())
         self.change(entry("i-1", TARGET, 4))
         self.assertEqual(["i-1", "i-2"], self.usable())
 
-    def test_a_target_s_own_word_does_not_bring_an_unreadable_one_back(self):
+    def test_a_target_s_self_report_does_not_restore_an_unreadable_entry(self):
         state = self.targets.state("i-1")
-        self.change(entry("i-1", ODD, 2))
+        self.change(entry("i-1", UNREADABLE, 2))
         begun = replace(state.target, started_at=TARGET["born"] + 1)
         self.assertFalse(self.targets.put(begun, self.now, told_by="target"))
         self.assertEqual(["i-2"], self.usable())
 
-    def test_an_odd_entry_between_good_ones_hides_neither(self):
-        self.change(entry("i-0"), entry("i-x", ODD), entry("i-3"))
+    def test_an_unreadable_entry_does_not_hide_its_neighbours(self):
+        self.change(entry("i-0"), entry("i-x", UNREADABLE), entry("i-3"))
         self.assertEqual(["i-0", "i-1", "i-2", "i-3"], self.usable())
 
-    def test_a_refusal_is_told_once_a_change(self):
+    def test_a_refusal_is_logged_once_per_change(self):
         for _ in range(3):
-            self.change(entry("i-1", ODD, 2))
-            self.listed.replaced((entry("i-1", ODD, 2), entry("i-2")), self.now)
-        [said] = self.log.of(Event.TARGET_REFUSED)
+            self.change(entry("i-1", UNREADABLE, 2))
+            self.listed.replaced((entry("i-1", UNREADABLE, 2), entry("i-2")), self.now)
+        [details] = self.log.of(Event.TARGET_REFUSED)
         self.assertEqual(
             ("i-1", "slots", "a text, no number"),
-            (said["target"], said["field"], said["reason"]),
+            (details["target"], details["field"], details["reason"]),
         )
         self.assertEqual(1, self.metric("refused_records_total"))
-        self.change(entry("i-1", ODD, 3))
+        self.change(entry("i-1", UNREADABLE, 3))
         self.assertEqual(2, len(self.log.of(Event.TARGET_REFUSED)))
         self.assertEqual(2, self.metric("refused_records_total"))
         self.assertEqual(1, self.metric("unreadable_records"))
 
-    def test_what_cannot_be_read_now_is_counted(self):
-        self.change(entry("i-1", ODD, 2), entry("i-2", ODD, 2), entry("i-3", ODD, 2))
+    def test_unreadable_records_are_counted(self):
+        self.change(
+            entry("i-1", UNREADABLE, 2),
+            entry("i-2", UNREADABLE, 2),
+            entry("i-3", UNREADABLE, 2),
+        )
         self.assertEqual(3, self.metric("unreadable_records"))
-        self.change(entry("i-1", TARGET, 3), entry("i-2", ODD, 3, gone=True))
+        self.change(entry("i-1", TARGET, 3), entry("i-2", UNREADABLE, 3, gone=True))
         self.assertEqual(1, self.metric("unreadable_records"))
         self.listed.replaced((entry("i-1"),), self.now)
         self.assertEqual(0, self.metric("unreadable_records"))
 
-    def test_lines_about_odd_names_are_short_and_whole(self):
+    def test_log_lines_about_invalid_names_are_short_and_encodable(self):
         self.change(
             entry("\ud800\r\n\x00"), entry("x" * 100_000), entry(""), entry("é")
         )
         lines = self.log.of(Event.TARGET_REFUSED)
         self.assertEqual(4, len(lines))
-        for said in lines:
-            self.assertEqual("name", said["field"])
-            self.assertLess(len(json.dumps(said)), 600)
-            json.dumps(said, ensure_ascii=False).encode()
+        for details in lines:
+            self.assertEqual("name", details["field"])
+            self.assertLess(len(json.dumps(details)), 600)
+            json.dumps(details, ensure_ascii=False).encode()
         self.assertEqual(["i-1", "i-2"], self.usable())
 
     @drawn(200)
     @given(st.lists(st.tuples(names, contents(TARGET)), max_size=5), st.booleans())
-    def test_drawn_entries_leave_the_others_in_use(self, odd, is_whole):
+    def test_drawn_entries_leave_the_others_in_use(self, unreadable, is_whole):
         self.setUp_again()
-        odd = [entry(name, value, 2) for name, value in odd if name != "i-1"]
-        tell = self.listed.replaced if is_whole else self.listed.changed
-        tell((*odd, entry("i-1", TARGET, 2)), self.now)
-        tell((entry("i-1", TARGET, 3), *odd), self.now)
+        unreadable = [
+            entry(name, value, 2) for name, value in unreadable if name != "i-1"
+        ]
+        notify = self.listed.replaced if is_whole else self.listed.changed
+        notify((*unreadable, entry("i-1", TARGET, 2)), self.now)
+        notify((entry("i-1", TARGET, 3), *unreadable), self.now)
         self.assertIn("i-1", self.usable())
-        self.assertLessEqual(len(self.log.of(Event.TARGET_REFUSED)), 2 * len(odd))
+        self.assertLessEqual(
+            len(self.log.of(Event.TARGET_REFUSED)), 2 * len(unreadable)
+        )
 
     def setUp_again(self):
-        """Begin anew for each draw; hypothesis runs them in one test."""
+        """Reset the state for each example; hypothesis runs them in one test."""
         self.log.lines.clear()
         self.listed.replaced((entry("i-1"), entry("i-2")), self.now)
         self.listed.changed((entry("i-1"), entry("i-2")), self.now)
         self.log.lines.clear()
 
 
-class Failing(WatchHandler):
-    """Raises what nobody expects, once."""
+class RaisingHandler(WatchHandler):
+    """Handler that raises unexpected exceptions, once each."""
 
     def __init__(self, faults):
         self.faults = faults
@@ -245,7 +255,7 @@
 
 
 class Store:
-    """Answers at once what it is given, then never."""
+    """Answers with the given results at once, then never."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -274,10 +284,10 @@
         watch.run()
         return watch
 
-    def test_what_a_handler_raises_ends_no_watch(self):
+    def test_an_exception_of_a_handler_does_not_end_the_watch(self):
         for fault in (ValueError("x"), RecursionError("x"), OverflowError("x")):
             answers = [WatchResult(3, ()), WatchResult(4, ()), WatchResult(5, ())]
-            handler = Failing([fault])
+            handler = RaisingHandler([fault])
             store = Store(*answers)
             self.watch(store, handler)
             self.assertEqual([fault], [each.value for each in self.faults])
@@ -285,15 +295,15 @@
             self.assertEqual(["all", "all", "some"], [kind for kind, _ in handler.told])
             self.assertEqual([0, 0, 4, 5], [since for _, since in store.asked])
 
-    def test_what_the_store_s_client_raises_ends_no_watch(self):
-        handler = Failing([])
+    def test_an_exception_of_the_store_s_client_does_not_end_the_watch(self):
+        handler = RaisingHandler([])
         self.watch(Store(UnicodeError("x"), WatchResult(3, ())), handler)
         self.clock.advance(FAULT_PAUSE_SECONDS)
         self.assertEqual(["all"], [kind for kind, _ in handler.told])
 
-    def test_a_fault_that_stays_is_met_with_pauses(self):
+    def test_a_persistent_fault_is_retried_with_pauses(self):
         store = Store(*[WatchResult(3, ())] * 1000)
-        watch = self.watch(store, Failing([ValueError("x")] * 1000))
+        watch = self.watch(store, RaisingHandler([ValueError("x")] * 1000))
         for _ in range(100):
             self.clock.advance(0.1)
         self.assertLessEqual(len(store.asked), 1 + 10 / (FAULT_PAUSE_SECONDS / 2))
@@ -327,7 +337,7 @@
             parts,
             Freshness(5.0),
             TargetList(2.0),
-            Failing([]),
+            RaisingHandler([]),
             lambda: True,
         )
         self.told(CONFIGURATION, 1)
@@ -337,11 +347,13 @@
         stored = StoredObject(f"config/{name}", version, value)
         self.knowledge._handler.replaced((stored,), 0.0)
 
-    def test_a_version_that_cannot_be_read_is_told_once_a_change(self):
+    def test_an_unreadable_version_is_logged_once_per_change(self):
         for _ in range(5):
             self.told({**CONFIGURATION, "version": "8"}, 2)
-        [said] = self.log.of(Event.TABLE_REFUSED)
-        self.assertEqual(("main", "version"), (said["configuration"], said["field"]))
+        [details] = self.log.of(Event.TABLE_REFUSED)
+        self.assertEqual(
+            ("main", "version"), (details["configuration"], details["field"])
+        )
         self.assertTrue(self.knowledge.is_behind)
         self.assertEqual(7, self.knowledge.table.version)
         self.told({**CONFIGURATION, "version": 9}, 3)
@@ -350,7 +362,7 @@
 
     def test_an_object_with_a_longer_name_is_no_configuration(self):
         self.told({**CONFIGURATION, "version": 99}, 2, name="main-of-another")
-        self.told({"version": "odd"}, 3, name="maintenance")
+        self.told({"version": "unreadable"}, 3, name="maintenance")
         self.assertEqual(7, self.knowledge.table.version)
         self.assertFalse(self.knowledge.is_behind)
 
@@ -386,40 +398,40 @@
         stored = StoredObject(f"routers/{name}", version, value)
         self.registry.changed((stored,), 0.0)
 
-    def test_an_odd_entry_hides_no_other_and_is_told_once(self):
+    def test_an_unreadable_router_entry_hides_no_other_and_is_logged_once(self):
         for _ in range(3):
             self.told("r-2", {**ROUTER, "port": 99_999})
         self.told("r-3", ROUTER)
         self.assertEqual(["r-1", "r-3"], [router.name for router in self.news.others])
-        [said] = self.log.of(Event.ROUTER_REFUSED)
-        self.assertEqual(("r-2", "port"), (said["router"], said["field"]))
+        [details] = self.log.of(Event.ROUTER_REFUSED)
+        self.assertEqual(("r-2", "port"), (details["router"], details["field"]))
 
     def test_a_router_whose_entry_becomes_unreadable_still_counts(self):
         self.told("r-1", {**ROUTER, "port": "7340"}, 2)
         self.assertEqual(["r-1"], [router.name for router in self.news.others])
-        odd = StoredObject("routers/r-1", 2, b"\xff")
-        self.registry.replaced((odd,), 0.0)
+        unreadable = StoredObject("routers/r-1", 2, b"\xff")
+        self.registry.replaced((unreadable,), 0.0)
         self.assertEqual(2, self.registry.routers)
 
-    def test_a_router_whose_own_entry_was_spoiled_writes_it_again(self):
+    def test_a_router_whose_own_entry_was_overwritten_writes_it_again(self):
         self.told("r-0", ROUTER)
         self.assertEqual([], self.announced)
         self.told("r-0", {**ROUTER, "address": 7}, 2)
         self.assertEqual(["r-0"], [listed.name for listed in self.announced])
 
-    def test_what_writing_does_not_mend_is_written_twice_at_most(self):
-        odd = {**ROUTER, "address": "host.example"}
+    def test_an_entry_that_stays_unreadable_is_not_written_again_and_again(self):
+        unreadable = {**ROUTER, "address": "host.example"}
         for version in range(2, 9):
-            self.told("r-0", odd, version)
+            self.told("r-0", unreadable, version)
         self.assertEqual(1, len(self.announced))
         self.told("r-0", ROUTER, 9)
-        self.told("r-0", odd, 10)
+        self.told("r-0", unreadable, 10)
         self.assertEqual(2, len(self.announced))
 
     @drawn(100)
     @given(st.lists(st.tuples(names, contents(ROUTER)), max_size=4))
-    def test_drawn_entries_leave_the_others(self, odd):
-        for name, value in odd:
+    def test_drawn_entries_leave_the_others(self, unreadable):
+        for name, value in unreadable:
             self.told(name, value)
         self.told("r-9", ROUTER)
         self.assertIn("r-9", [router.name for router in self.news.others])
@@ -428,13 +440,13 @@
 
 
 class LogTest(TestCase):
-    def test_a_text_of_others_is_escaped_and_cut(self):
+    def test_foreign_text_is_escaped_and_truncated(self):
         self.assertEqual("i-1", log_text("i-1"))
         self.assertEqual("\\ud800\\r\\n", log_text("\ud800\r\n"))
         self.assertEqual("x" * 80 + "...", log_text("x" * 81))
         self.assertLess(len(log_text("\x00" * 80)), 90)
 
-    def test_a_line_with_half_a_character_is_written(self):
+    def test_a_line_with_a_lone_surrogate_is_written(self):
         reading, writing = os.pipe()
         self.addCleanup(os.close, reading)
         self.addCleanup(os.close, writing)
