--- a/tests/entry/test_knowledge.py
+++ b/tests/entry/test_knowledge.py
@@ -1,4 +1,4 @@
-"""Tests of when a router asks the store for what others know already."""
+"""When a router polls the store for state that other routers already have."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class QuietStore:
-    """Answers reads at once with nothing new, and watches never."""
+    """Answers reads at once with no changes, and never answers watches."""
 
     def __init__(self):
         self.reads = []
@@ -45,8 +45,8 @@
         return succeed(WatchResult(1, ()))
 
 
-class Ignorant:
-    """Follows nothing."""
+class IgnoringHandler:
+    """Ignores all results."""
 
     def replaced(self, objects, asked_at):
         """Do nothing."""
@@ -62,14 +62,16 @@
         super().setUp()
         self.clock = Clock()
         self.store = self.make_store()
-        self.told = []
+        self.events = []
         parts = SimpleNamespace(
             reactor=self.clock,
             platform=self.store,
             rng=random.Random(1),
             decoder=None,
             metrics=EntryMetrics(),
-            log=SimpleNamespace(emit=lambda event, **said: self.told.append(event)),
+            log=SimpleNamespace(
+                emit=lambda event, **details: self.events.append(event)
+            ),
         )
         watches = EntryWatches(
             configuration=WatchedPrefix("versions/", 1.5, reads_after_failure=True),
@@ -82,7 +84,7 @@
             parts,
             Freshness(5.0),
             TargetList(2.0),
-            Ignorant(),
+            IgnoringHandler(),
             lambda: True,
         )
         self.knowledge.start(lambda: None)
@@ -98,39 +100,39 @@
             self.clock.advance(TICK)
 
 
-class LookAfterTest(KnowledgeTest):
-    def test_a_version_on_its_way_is_not_asked_for(self):
+class PollingTest(KnowledgeTest):
+    def test_a_version_that_may_still_arrive_is_not_requested(self):
         self.pass_time(VERSION_ARRIVAL_SECONDS - TICK, version=1)
         self.assertEqual([], self.store.reads)
 
-    def test_a_version_the_store_does_not_give_is_asked_for_with_pauses(self):
+    def test_a_version_the_store_does_not_send_is_requested_with_pauses(self):
         self.pass_time(7.0, version=1)
         self.assertIn("versions/", self.store.reads)
         self.assertLessEqual(len(self.store.reads), 7.0 / POLL_PAUSE_SECONDS)
 
-    def test_a_list_that_others_know_better_is_asked_for_with_pauses(self):
+    def test_a_list_that_is_newer_elsewhere_is_requested_with_pauses(self):
         self.pass_time(REST + LIST_ARRIVAL_SECONDS - TICK, listed=9)
         before = [prefix for prefix, _ in self.store.watches].count("targets/")
         self.pass_time(REST + LIST_ARRIVAL_SECONDS + TICK, listed=9)
         after = [prefix for prefix, _ in self.store.watches].count("targets/")
         self.assertEqual((1, 2), (before, after))
 
-    def test_what_ends_after_the_stop_is_no_failure(self):
+    def test_requests_that_fail_after_the_stop_are_not_logged(self):
         self.knowledge.stop()
         for _, asked in self.store.watches:
             asked.errback(PlatformUnavailableError("connection lost"))
         self.clock.advance(60.0)
-        self.assertEqual([], self.told)
+        self.assertEqual([], self.events)
         self.assertEqual(3, len(self.store.watches))
 
-    def test_a_renewed_question_is_no_failure(self):
+    def test_a_renewed_request_is_not_logged_as_failed(self):
         self.knowledge.renew_watches()
-        self.assertEqual([], self.told)
+        self.assertEqual([], self.events)
         self.assertEqual(6, len(self.store.watches))
 
 
-class LostStore(QuietStore):
-    """Fails each question while it is down, and keeps watches waiting else."""
+class FailingStore(QuietStore):
+    """Fails each request while it is down, and otherwise leaves watches pending."""
 
     def __init__(self):
         super().__init__()
@@ -143,40 +145,42 @@
             return fail(PlatformUnavailableError("status 503"))
         return super().watch(prefix, since, wait)
 
-    def fall(self):
-        """Go down: what waits is answered with a failure."""
+    def go_down(self):
+        """Go down: pending requests fail."""
         self.is_down = True
-        waiting, self.watches = self.watches, []
-        for _, asked in waiting:
+        pending, self.watches = self.watches, []
+        for _, asked in pending:
             asked.errback(PlatformUnavailableError("connection lost"))
         self.asked.clear()
 
 
 class OutageTest(KnowledgeTest):
-    """A store that is away for long, asked by hundreds of routers."""
+    """A long outage of a store that is used by hundreds of routers."""
 
     OUTAGE = 10.0
-    # The watch of the configuration asks two or three times a second.
-    MOST_ASKED_A_SECOND = 4
+    # The watch of the configuration polls two or three times a second.
+    MAX_REQUESTS_PER_SECOND = 4
 
     def make_store(self):
-        return LostStore()
+        return FailingStore()
 
     def pass_outage(self, seconds):
         for _ in range(int(seconds / TICK)):
             self.knowledge.look_after(1, 0, self.clock.seconds())
             self.clock.advance(TICK)
 
-    def test_one_watch_asks_for_all(self):
-        self.store.fall()
+    def test_one_watch_polls_on_behalf_of_all(self):
+        self.store.go_down()
         self.pass_outage(self.OUTAGE)
         asked = Counter(self.store.asked)
-        self.assertLess(len(self.store.asked), self.MOST_ASKED_A_SECOND * self.OUTAGE)
+        self.assertLess(
+            len(self.store.asked), self.MAX_REQUESTS_PER_SECOND * self.OUTAGE
+        )
         self.assertGreater(asked["versions/"], 3 * asked["targets/"])
         self.assertGreater(asked["versions/"], 3 * asked["routers/"])
 
-    def test_the_end_of_an_outage_wakes_the_others_at_once(self):
-        self.store.fall()
+    def test_the_end_of_an_outage_renews_the_other_watches_at_once(self):
+        self.store.go_down()
         self.pass_outage(self.OUTAGE)
         self.store.asked.clear()
         self.store.is_down = False
@@ -184,7 +188,7 @@
             self.clock.advance(0.01)
         self.assertEqual({"versions/", "targets/", "routers/"}, set(self.store.asked))
 
-    def test_a_failure_of_one_watch_alone_is_asked_through(self):
+    def test_a_failure_of_a_single_watch_is_retried(self):
         [asked] = [a for prefix, a in self.store.watches if prefix == "targets/"]
         self.store.asked.clear()
         asked.errback(PlatformUnavailableError("status 429"))
