--- a/tests/entry/test_leaving_answers.py
+++ b/tests/entry/test_leaving_answers.py
@@ -1,9 +1,8 @@
-"""A target that says in its answers that it leaves, while its entry says ready.
+"""A target that announces in its answers that it leaves, while its entry says ready.
 
-What was seen: the store was away when a target began to leave. Its answers said so,
-and for eleven seconds all routers went on sending it requests.
-
-Cause: routers took from the store's list alone that a target leaves.
+Guards against requests to a leaving target during an outage of the store: routers once
+learnt only from the store's list that a target leaves. For eleven seconds all of them
+went on sending requests to a target whose answers already announced it.
 """
 
 from __future__ import annotations
@@ -40,22 +39,22 @@
 from support.entry_site import LOOPBACK
 from support.router_site import RouterSiteTest
 
-# Seconds after which a leaving target must get no new work, as routers are told.
+# Seconds after which a leaving target must get no new requests; the routers' setting.
 DRAIN = 0.5
 
 
 class LeavingAnswerTest(TestCase):
-    """Requests of each kind after one answer of their target said that it leaves."""
+    """Requests of each kind after an answer that announced that their target leaves."""
 
     def desk(self, route, count=3):
         service = route.services[0].service
         return Desk([target(f"m{n}", service) for n in range(1, count + 1)])
 
-    def leave(self, desk, route, status=200, **said):
-        """Have the target of a first request say that it leaves; return its name."""
+    def leave(self, desk, route, status=200, **fields):
+        """Let the target of a request announce that it leaves; return its name."""
         desk.call(request(route))
         run = desk.caller.last
-        run.observer.run_head(head(status, is_leaving=True, **said))
+        run.observer.run_head(head(status, is_leaving=True, **fields))
         return run.name
 
     def sent_to(self, desk, route, count=20):
@@ -64,7 +63,7 @@
             desk.call(request(route, now=desk.clock.seconds()))
         return {run.name for run in desk.caller.runs[before:]}
 
-    # Guards against requests to a target whose entry does not tell yet that it leaves.
+    # Guards against requests to a target whose entry does not show yet that it leaves.
     def test_nothing_new_is_sent_there(self):
         for route in (LOOKUP, CONFIRMATION, STREAM, FRAGILE_STREAM):
             desk = self.desk(route)
@@ -73,14 +72,14 @@
             desk.pass_time(30.0, step=1.0)
             self.assertNotIn(left, self.sent_to(desk, route))
 
-    # Guards against reading the header in answers of success alone.
-    def test_failures_and_declined_requests_say_it_too(self):
-        for status, said in ((500, {}), (404, {}), (503, {"is_not_run": True})):
+    # Guards against evaluating the header only in successful answers.
+    def test_failed_and_declined_requests_announce_it_too(self):
+        for status, fields in ((500, {}), (404, {}), (503, {"is_not_run": True})):
             desk = self.desk(LOOKUP)
-            left = self.leave(desk, LOOKUP, status, **said)
+            left = self.leave(desk, LOOKUP, status, **fields)
             self.assertNotIn(left, self.sent_to(desk, LOOKUP))
 
-    # Guards against a stream that goes on at a target that leaves.
+    # Guards against resuming a stream at a target that leaves.
     def test_a_cut_stream_goes_on_elsewhere(self):
         desk = self.desk(STREAM)
         left = self.leave(desk, STREAM)
@@ -91,14 +90,14 @@
         run.observer.run_cut("reset")
         self.assertNotIn(desk.caller.last.name, {left, run.name})
 
-    # Guards against reading what another incarnation says of itself.
-    def test_another_incarnation_s_word_is_not_the_target_s(self):
+    # Guards against applying the self-report of another incarnation.
+    def test_a_self_report_of_another_incarnation_is_ignored(self):
         desk = self.desk(LOOKUP, count=1)
         self.leave(desk, LOOKUP, 421, is_not_run=True, is_other_incarnation=True)
         desk.restart("m1", 1_790_000_000_000)
         self.assertEqual({"m1"}, self.sent_to(desk, LOOKUP, count=1))
 
-    # Guards against holding a later start to what the former one said.
+    # Guards against applying a self-report to a later incarnation.
     def test_it_holds_for_that_incarnation_alone(self):
         desk = self.desk(LOOKUP, count=1)
         self.leave(desk, LOOKUP)
@@ -106,7 +105,7 @@
         desk.restart("m1", 1_790_000_000_000)
         self.assertEqual({"m1"}, self.sent_to(desk, LOOKUP, count=1))
 
-    # Guards against requests that wait for the last target of a service that leaves.
+    # Guards against requests that wait although the last target of a service leaves.
     def test_a_request_without_another_target_is_refused_at_once(self):
         desk = self.desk(LOOKUP, count=1)
         self.leave(desk, LOOKUP)
@@ -114,8 +113,8 @@
         self.assertEqual(Refusal.NO_TARGET, sink.refusal)
 
 
-class Side:
-    """One router's news of targets that all know."""
+class ExchangingRouter:
+    """One router's state exchange, and targets that all routers know."""
 
     def __init__(self, name, names, settings=None, entries=()):
         self.targets = TargetList(2.0)
@@ -123,8 +122,8 @@
             self.targets.put(entry, START)
         self.events = []
         log = EventLog(name)
-        log.emit = lambda event, **said: self.events.append((event, said))
-        self.leaving_news = LeavingNews(self.targets, log)
+        log.emit = lambda event, **fields: self.events.append((event, fields))
+        self.leaving_exchange = LeavingNews(self.targets, log)
         self.news = RouterNews(
             name,
             1,
@@ -133,17 +132,17 @@
             Freshness(5.0),
             "x",
             settings,
-            leaving=self.leaving_news,
+            leaving=self.leaving_exchange,
         )
         for number, other in enumerate(names):
             endpoint = Endpoint(LOOPBACK, 7000 + number)
             self.news.put(OtherRouter(other, endpoint, "x"), START)
 
-    def hears(self, name, now=START):
-        """Take in an answer of a target that says that it leaves."""
+    def receive_leaving(self, name, now=START):
+        """Process an answer in which a target announces that it leaves."""
         state = self.targets.state(name)
         if state.answered(head(is_leaving=True), now):
-            self.leaving_news.note(state.incarnation)
+            self.leaving_exchange.note(state.incarnation)
 
     @property
     def leaving(self):
@@ -151,29 +150,31 @@
 
 
 class LeavingNewsTest(TestCase):
-    """Routers that the target has not answered hear of it from the others."""
+    """Routers learn from others that a target leaves which has not answered them."""
 
-    def sides(self, count, settings=None, entries=None):
+    def routers_by_name(self, count, settings=None, entries=None):
         names = [f"r{n}" for n in range(count)]
         entries = entries or [target(f"m{n}") for n in range(5)]
-        return {name: Side(name, names, settings, entries) for name in names}
+        return {
+            name: ExchangingRouter(name, names, settings, entries) for name in names
+        }
 
-    def rounds(self, sides, count, now=START, lost=()):
-        """Have all tell all that they tell, some rounds of 0.2 s."""
+    def run_rounds(self, routers_by_name, count, now=START, lost=()):
+        """Let all routers send their updates, in some rounds of 0.2 s."""
         for number in range(count):
             at = now + 0.2 * number
-            told = [
+            sent = [
                 (router.name, message)
-                for name, side in sides.items()
+                for name, side in routers_by_name.items()
                 if name not in lost
                 for router, message in side.news.compose(1, at)
             ]
-            for name, message in told:
-                if name in sides:
-                    sides[name].news.take(decode(encode(message)), 1, at)
+            for name, message in sent:
+                if name in routers_by_name:
+                    routers_by_name[name].news.take(decode(encode(message)), 1, at)
 
-    # Guards against requests of routers that the leaving target has not answered.
-    def test_all_hear_of_it_in_time(self):
+    # Guards against requests of routers to which the leaving target has sent no answer.
+    def test_all_routers_learn_of_it_in_time(self):
         for count, settings, rounds in (
             (4, None, 1),
             (30, None, 1),
@@ -181,50 +182,52 @@
             (300, None, 6),
             (40, NewsSettings(most_direct=2), 6),
         ):
-            sides = self.sides(count, settings)
-            sides["r1"].hears("m3")
-            self.rounds(sides, rounds)
+            routers_by_name = self.routers_by_name(count, settings)
+            routers_by_name["r1"].receive_leaving("m3")
+            self.run_rounds(routers_by_name, rounds)
             self.assertLess(0.2 * rounds, 2.0)
-            known = {frozenset(side.leaving) for side in sides.values()}
+            known = {frozenset(side.leaving) for side in routers_by_name.values()}
             self.assertEqual({frozenset({"m3"})}, known, count)
 
-    # Guards against a router that starts while the store is away.
-    def test_one_that_starts_later_hears_of_it(self):
-        sides = self.sides(3)
-        sides["r0"].hears("m3")
-        self.rounds(sides, 1)
-        late = self.sides(3)["r2"]
-        sides["r2"] = late
+    # Guards against a router that starts during an outage of the store.
+    def test_a_router_that_starts_later_learns_of_it(self):
+        routers_by_name = self.routers_by_name(3)
+        routers_by_name["r0"].receive_leaving("m3")
+        self.run_rounds(routers_by_name, 1)
+        late = self.routers_by_name(3)["r2"]
+        routers_by_name["r2"] = late
         self.assertEqual(set(), late.leaving)
-        self.rounds(sides, 1, START + 20)
+        self.run_rounds(routers_by_name, 1, START + 20)
         self.assertEqual({"m3"}, late.leaving)
         self.assertEqual([Event.TARGET_SAID], [event for event, _ in late.events])
 
-    # Guards against holding a later start to what others heard of the former one.
-    def test_it_is_told_of_that_incarnation_alone(self):
-        sides = self.sides(2, entries=[target("m1", started_at=5)])
-        sides["r0"].hears("m1")
-        sides["r1"].targets.put(target("m1", started_at=9), START)
-        self.rounds(sides, 2)
-        self.assertEqual(set(), sides["r1"].leaving)
-
-    # Guards against telling for ever what all know from the store.
-    def test_what_the_entry_says_is_not_told(self):
-        sides = self.sides(2)
-        sides["r0"].hears("m3")
-        sides["r0"].targets.put(target("m3", is_draining=True), START)
-        [(_, message)] = sides["r0"].news.compose(1, START)
+    # Guards against applying others' reports of a former incarnation to a later one.
+    def test_reports_apply_to_that_incarnation_alone(self):
+        routers_by_name = self.routers_by_name(2, entries=[target("m1", started_at=5)])
+        routers_by_name["r0"].receive_leaving("m1")
+        routers_by_name["r1"].targets.put(target("m1", started_at=9), START)
+        self.run_rounds(routers_by_name, 2)
+        self.assertEqual(set(), routers_by_name["r1"].leaving)
+
+    # Guards against sending forever what all know from the store.
+    def test_leaving_that_the_entry_shows_is_not_sent(self):
+        routers_by_name = self.routers_by_name(2)
+        routers_by_name["r0"].receive_leaving("m3")
+        routers_by_name["r0"].targets.put(target("m3", is_draining=True), START)
+        [(_, message)] = routers_by_name["r0"].news.compose(1, START)
         self.assertIsNone(message.leaving)
 
     # Guards against messages that grow with the fleet.
     def test_a_message_names_the_latest_few(self):
-        sides = self.sides(2, entries=[target(f"m{n}") for n in range(200)])
+        routers_by_name = self.routers_by_name(
+            2, entries=[target(f"m{n}") for n in range(200)]
+        )
         for number in range(200):
-            sides["r0"].hears(f"m{number}", START + number / 100)
-        [(_, message)] = sides["r0"].news.compose(1, START + 3)
+            routers_by_name["r0"].receive_leaving(f"m{number}", START + number / 100)
+        [(_, message)] = routers_by_name["r0"].news.compose(1, START + 3)
         self.assertEqual(40, len(message.leaving))
-        sides["r1"].news.take(decode(encode(message)), 1, START + 3)
-        self.assertIn("m199", sides["r1"].leaving)
+        routers_by_name["r1"].news.take(decode(encode(message)), 1, START + 3)
+        self.assertIn("m199", routers_by_name["r1"].leaving)
 
 
 class LeavingTargetTest(RouterSiteTest):
@@ -248,14 +251,14 @@
 
     @inlineCallbacks
     def leave(self, name):
-        """Have a target say that it leaves until an answer was passed on."""
+        """Let a target announce that it leaves until one answer was forwarded."""
         yield self.until(lambda: self.knows(self.router, 2))
         self.scripts[name].is_leaving = True
         seen = len(self.scripts[name].arrivals)
         while len(self.scripts[name].arrivals) == seen:
             yield self.ask_for(0.01)
 
-    # Guards against requests to a target whose entry stands as ready.
+    # Guards against requests to a target whose entry remains ready.
     @inlineCallbacks
     def test_an_entry_that_says_ready_does_not_count(self):
         yield self.leave("i-1")
@@ -266,7 +269,7 @@
         yield self.ask_for(0.3)
         self.assertEqual([], self.scripts["i-1"].arrivals)
 
-    # Guards against forgetting it with an entry that lapses and is written again.
+    # Guards against forgetting it when the entry is deleted and written again.
     @inlineCallbacks
     def test_an_entry_that_lapses_and_returns_does_not_count(self):
         yield self.leave("i-1")
