--- a/tests/entry/test_load_codec.py
+++ b/tests/entry/test_load_codec.py
@@ -1,4 +1,4 @@
-"""Loads of targets in news, by the order of a list or by name."""
+"""Encoding of the load of targets in messages, by the order of a list or by key."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from primrosescale.process.entry.target_list import TargetList
 from support.drawn import drawn
 
-BYTES_IN_ONE_PIECE = 1400
+MAX_DATAGRAM_BYTES = 1400
 
 
 def codec(count, first=0):
@@ -35,9 +35,9 @@
 
 
 def carry(writer, reader, loads, now=START):
-    said = message()
-    writer.write(loads, said, reader.keys.digest, now)
-    return decode(encode(said))
+    sent = message()
+    writer.write(loads, sent, reader.keys.digest, now)
+    return decode(encode(sent))
 
 
 class LoadCodecTest(TestCase):
@@ -47,59 +47,61 @@
         found.running = dict(zip(keys, running, strict=False))
         return found
 
-    def test_who_knows_the_same_targets_needs_no_names(self):
+    def test_routers_that_know_the_same_targets_need_no_keys(self):
         for count in (3, MIN_DEFLATED_TARGETS, 3 * MIN_DEFLATED_TARGETS):
             a, b = codec(count), codec(count)
-            told = self.loads(a, [n % 9 + 1 for n in range(count)])
-            told.outcomes[a.keys.order[1]] = (2.0, 5.0)
-            said = carry(a, b, told)
-            heard = b.read(said, START)
-            self.assertEqual(told.running, heard.running)
-            self.assertEqual((7, True), (heard.routers, heard.reaches_store))
-            self.assertAlmostEqual(START - 0.3, heard.known_at)
-            self.assertLess(len(encode(said)), 70 + count)
-
-    def test_who_knows_other_targets_is_told_by_name(self):
+            loads = self.loads(a, [n % 9 + 1 for n in range(count)])
+            loads.outcomes[a.keys.order[1]] = (2.0, 5.0)
+            sent = carry(a, b, loads)
+            decoded = b.read(sent, START)
+            self.assertEqual(loads.running, decoded.running)
+            self.assertEqual((7, True), (decoded.routers, decoded.reaches_store))
+            self.assertAlmostEqual(START - 0.3, decoded.known_at)
+            self.assertLess(len(encode(sent)), 70 + count)
+
+    def test_routers_that_know_other_targets_get_keys(self):
         a, b = codec(10), codec(10, first=1)
-        told = self.loads(a, [4] * 10)
-        heard = b.read(carry(a, b, told), START)
-        self.assertEqual(told.running, heard.running)
+        loads = self.loads(a, [4] * 10)
+        decoded = b.read(carry(a, b, loads), START)
+        self.assertEqual(loads.running, decoded.running)
 
-    def test_a_list_that_changed_on_the_way_is_not_misread(self):
+    def test_a_sum_in_the_order_of_another_list_is_not_decoded(self):
         a, b = codec(10), codec(10)
-        said = carry(a, b, self.loads(a, [4] * 10))
-        self.assertIsNone(codec(11).read(said, START))
+        sent = carry(a, b, self.loads(a, [4] * 10))
+        self.assertIsNone(codec(11).read(sent, START))
 
-    def test_of_many_targets_the_most_loaded_are_told_by_name(self):
+    def test_of_many_targets_the_most_loaded_are_sent_by_key(self):
         a, b = codec(400), codec(400, first=1)
-        told = self.loads(a, [1] * 399 + [90])
-        said = carry(a, b, told)
-        self.assertLess(len(encode(said)), BYTES_IN_ONE_PIECE)
-        self.assertIn(90, b.read(said, START).running.values())
+        loads = self.loads(a, [1] * 399 + [90])
+        sent = carry(a, b, loads)
+        self.assertLess(len(encode(sent)), MAX_DATAGRAM_BYTES)
+        self.assertIn(90, b.read(sent, START).running.values())
 
-    def test_more_than_a_byte_tells_is_told_as_much_as_it_can(self):
+    def test_counts_that_exceed_a_byte_are_capped(self):
         a, b = codec(2), codec(2)
-        heard = b.read(carry(a, b, self.loads(a, [900, 1])), START)
-        self.assertEqual([MAX_BYTE_COUNT, 1], list(heard.running.values()))
+        decoded = b.read(carry(a, b, self.loads(a, [900, 1])), START)
+        self.assertEqual([MAX_BYTE_COUNT, 1], list(decoded.running.values()))
 
     @drawn(200)
     @given(st.binary(max_size=300), st.booleans())
-    def test_odd_bytes_are_no_loads(self, odd, is_packed):
+    def test_arbitrary_bytes_are_not_decoded_as_loads(self, drawn_bytes, is_packed):
         known = codec(MIN_DEFLATED_TARGETS)
         digest = known.keys.digest
-        said = message(running=odd, is_packed=is_packed, targets_digest=digest)
-        heard = known.read(said, START)
-        self.assertTrue(heard is None or is_packed or len(odd) == MIN_DEFLATED_TARGETS)
+        sent = message(running=drawn_bytes, is_packed=is_packed, targets_digest=digest)
+        decoded = known.read(sent, START)
+        self.assertTrue(
+            decoded is None or is_packed or len(drawn_bytes) == MIN_DEFLATED_TARGETS
+        )
 
-    def test_a_router_to_which_all_targets_fail_is_no_witness(self):
+    def test_outcomes_of_a_router_whose_requests_fail_everywhere_are_ignored(self):
         a, b = codec(3), codec(3)
-        told = self.loads(a, [1, 1, 1])
-        told.outcomes = dict.fromkeys(a.keys.order, (1.0, 9.0))
-        self.assertEqual({}, b.read(carry(a, b, told), START).outcomes)
+        loads = self.loads(a, [1, 1, 1])
+        loads.outcomes = dict.fromkeys(a.keys.order, (1.0, 9.0))
+        self.assertEqual({}, b.read(carry(a, b, loads), START).outcomes)
 
 
 class LoadSumTest(TestCase):
-    def test_what_was_added_can_be_left_out(self):
+    def test_a_sum_that_was_added_can_be_subtracted(self):
         parts = []
         for number in range(1, 4):
             part = LoadSum(START - number, 1, reaches_store=number == 2)
