--- a/tests/entry/test_news_relays.py
+++ b/tests/entry/test_news_relays.py
@@ -1,4 +1,4 @@
-"""News by relays: lost, frozen, cut off, restarted, and of another release."""
+"""State exchange by relays that fail, stall, are cut off, restart or run older code."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 ROUTERS, TARGETS, DOMAINS = 18, 10, 3
 SETTINGS = NewsSettings(most_direct=6)
-# A relay is taken for lost after a second of silence; then another is asked.
-TAKEN_OVER = 2.0
+# A relay is considered lost after a second of silence; then another one is used.
+TAKEOVER_SECONDS = 2.0
 TARGET = "target-3"
 
 
 class RelayedFleet(TestCase):
-    """A small fleet whose routers go by relays."""
+    """A small fleet whose routers exchange state by relays."""
 
     routers = ROUTERS
 
@@ -75,7 +75,7 @@
             self.assertEqual(ROUTERS / 2, self.seen(router), router.name)
             self.assertEqual(ROUTERS - 1, router.news.heard_lately(self.now()))
 
-    def test_what_has_ended_is_counted_no_more(self):
+    def test_requests_that_ended_are_not_counted(self):
         first = self.fleet.routers[0]
         self.send(first)
         self.fleet.run(1.0)
@@ -98,7 +98,7 @@
             life = router.targets.state(TARGET).incarnation
             self.assertEqual(9500, router.parts.held(life, wanted[:2], self.now()))
 
-    def test_a_prompt_where_all_expect_it_is_no_news(self):
+    def test_a_prompt_sent_to_its_home_is_not_reported(self):
         [member, *_] = self.members("domain-0")
         wanted = prompt(("tariffs", 9000), ("chat", 10)).parts
         life = member.targets.state(TARGET).incarnation
@@ -108,7 +108,7 @@
         self.assertEqual(0, self.fleet.routers[1].parts.held(life, wanted, self.now()))
 
 
-class TroubleTest(RelayedFleet):
+class FaultTest(RelayedFleet):
     def assert_all_know(self, load, routers=None):
         for router in routers or self.fleet.routers:
             if router.is_up:
@@ -118,7 +118,7 @@
         lost = self.relays("domain-0")[0]
         self.fleet.lose(lost)
         self.send(self.members("domain-0")[0])
-        self.fleet.run(TAKEN_OVER)
+        self.fleet.run(TAKEOVER_SECONDS)
         self.assert_all_know(1.0)
 
     def test_two_lost_relays_of_a_domain_are_replaced(self):
@@ -126,56 +126,56 @@
             self.fleet.lose(lost)
         left = self.members("domain-0")
         self.send(left[0])
-        self.fleet.run(2 * TAKEN_OVER)
+        self.fleet.run(2 * TAKEOVER_SECONDS)
         self.assert_all_know(1.0)
 
-    def test_a_frozen_relay_that_wakes_spoils_nothing(self):
-        frozen = self.relays("domain-1")[0]
+    def test_a_stalled_relay_that_resumes_restores_no_stale_load(self):
+        stalled = self.relays("domain-1")[0]
         gone = self.members("domain-1")[0]
         self.send(gone)
         self.fleet.run(1.0)
-        self.fleet.lose(frozen)
+        self.fleet.lose(stalled)
         self.fleet.run(3.0)
         gone.targets.state(TARGET).ended()
         self.fleet.run(1.0)
-        self.fleet.wake(frozen)
-        self.fleet.run(SUSPICION_SECONDS + TAKEN_OVER)
+        self.fleet.wake(stalled)
+        self.fleet.run(SUSPICION_SECONDS + TAKEOVER_SECONDS)
         self.assert_all_know(0.0)
         self.send(gone)
         self.fleet.run(1.0)
         self.assert_all_know(1.0)
 
-    def test_a_relay_that_hears_but_is_not_heard_is_replaced(self):
+    def test_a_relay_that_receives_but_cannot_send_is_replaced(self):
         cut = self.relays("domain-2")[0]
         for router in self.fleet.routers:
             self.fleet.cuts.add((cut.name, router.name))
         self.send(self.members("domain-2")[0])
-        self.fleet.run(2 * TAKEN_OVER)
+        self.fleet.run(2 * TAKEOVER_SECONDS)
         others = [router for router in self.fleet.routers if router is not cut]
         self.assert_all_know(1.0, others)
 
-    def test_a_relay_that_starts_again_under_its_name_is_believed_anew(self):
+    def test_a_relay_that_restarts_under_its_name_is_used_again(self):
         again = self.relays("domain-0")[0]
         self.send(self.members("domain-0")[0])
         self.fleet.lose(again)
         self.fleet.run(0.3)
         self.fleet.restart(again, 2)
-        self.fleet.run(TAKEN_OVER)
+        self.fleet.run(TAKEOVER_SECONDS)
         self.assert_all_know(1.0)
 
-    def test_two_domains_that_lose_each_other_know_the_rest(self):
+    def test_two_domains_cut_off_from_each_other_know_the_rest(self):
         for one in self.fleet.routers:
             for other in self.fleet.routers:
                 if {one.domain, other.domain} == {"domain-0", "domain-1"}:
                     self.fleet.cuts.add((one.name, other.name))
         for domain in ("domain-0", "domain-1", "domain-2"):
             self.send(self.members(domain)[0])
-        self.fleet.run(2 * TAKEN_OVER)
+        self.fleet.run(2 * TAKEOVER_SECONDS)
         for router in self.fleet.routers:
             know = 3.0 if router.domain == "domain-2" else 2.0
             self.assertEqual(know, self.seen(router), router.name)
 
-    def test_a_router_cut_off_from_all_relies_on_what_it_sees_itself(self):
+    def test_a_router_cut_off_from_all_relies_on_its_own_load(self):
         alone = self.members("domain-0")[0]
         for router in self.fleet.routers:
             self.fleet.cuts |= {(alone.name, router.name), (router.name, alone.name)}
@@ -187,21 +187,21 @@
         self.assertEqual(0, alone.news.heard_lately(self.now()))
         self.assertTrue(alone.news.asks_often(self.now()))
 
-    def test_news_is_young_for_all_others_meanwhile(self):
+    def test_loads_stay_recent_for_all_others_meanwhile(self):
         self.fleet.lose(self.relays("domain-0")[0])
-        self.fleet.run(TAKEN_OVER)
+        self.fleet.run(TAKEOVER_SECONDS)
         ages = [r.news.age(self.now()) for r in self.fleet.routers if r.is_up]
-        # Two intervals more while the lost one's last word still counts.
+        # Two intervals more, while the last update of the lost relay is still valid.
         self.assertLess(max(ages), SETTINGS.keep + 4 * SETTINGS.interval)
         self.fleet.run(SETTINGS.keep)
         ages = [r.news.age(self.now()) for r in self.fleet.routers if r.is_up]
         self.assertLess(max(ages), 0.5)
 
-    def test_a_relay_that_has_just_become_one_takes_nobody_for_gone(self):
+    def test_a_new_relay_considers_no_router_gone(self):
         self.fleet.run(SILENT_REMOVAL_SECONDS)
         for lost in self.relays("domain-0"):
             self.fleet.lose(lost)
-        self.fleet.run(2 * TAKEN_OVER)
+        self.fleet.run(2 * TAKEOVER_SECONDS)
         for router in self.members("domain-0"):
             self.assertEqual([], router.news.silent_routers(self.now()))
 
@@ -231,10 +231,10 @@
 
 
 class ReleasesTest(RelayedFleet):
-    """Routers of the release before relays tell all others, and hear no sums."""
+    """Routers of the release before relays send to all others, and receive no sums."""
 
     def former(self, number):
-        """Return what a router of the former release sends."""
+        """Return a message as sent by a router of the former release."""
         router = self.fleet.routers[number]
         return wire.RouterNews(
             router.name,
@@ -264,7 +264,7 @@
         for router in self.fleet.routers[1:]:
             self.assertEqual(1.0, self.seen(router), router.name)
 
-    def test_a_router_of_the_former_release_is_told_no_sum_as_a_router_s_own(self):
+    def test_no_sum_looks_like_a_router_s_own_load_to_the_former_release(self):
         relay = self.relays("domain-0")[0]
         self.send(self.members("domain-0")[0])
         self.fleet.run(1.0)
@@ -274,7 +274,7 @@
 
 
 class FreshnessTest(RelayedFleet):
-    """Knowledge of the store that passes through routers keeps its age."""
+    """The age of a configuration confirmed by the store is kept when it is relayed."""
 
     routers = 12
 
@@ -286,14 +286,14 @@
             max_size=8,
         )
     )
-    def test_no_router_takes_an_answer_for_younger_than_its_question(self, asked):
+    def test_no_answer_counts_as_more_recent_than_its_request(self, asked):
         self.begin()
         newest = -math.inf
         for number, pause, is_slow in asked:
             router = self.fleet.routers[number]
-            question = self.now() - (0.4 if is_slow else 0.0)
-            router.freshness.answered(question)
-            newest = max(newest, question)
+            requested_at = self.now() - (0.4 if is_slow else 0.0)
+            router.freshness.answered(requested_at)
+            newest = max(newest, requested_at)
             self.fleet.run(pause)
             for other in self.fleet.routers:
                 age = other.freshness.age(self.now())
