--- a/tests/entry/test_router_news.py
+++ b/tests/entry/test_router_news.py
@@ -1,4 +1,4 @@
-"""What routers tell each other, over a network that loses and delays."""
+"""State updates between routers, over a network that loses and delays datagrams."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 from primrosescale.request.freshness import Freshness
 from primrosescale.request.part_directory import PartDirectory
 
-BYTES_IN_ONE_PIECE = 1400
+MAX_DATAGRAM_BYTES = 1400
 
 
-class Side:
+class ExchangingRouter:
     def __init__(self, name, incarnation=1, settings=None):
         self.targets = TargetList(2.0)
         self.parts = PartDirectory()
@@ -54,11 +54,11 @@
 class NewsTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.a, self.b = Side("a"), Side("b")
+        self.a, self.b = ExchangingRouter("a"), ExchangingRouter("b")
         self.a.knows("a", "b")
         self.b.knows("a", "b")
 
-    def test_loads_and_parts_are_told(self):
+    def test_loads_and_prompt_parts_are_sent(self):
         self.a.targets.state("m1").sent(START)
         parts = prompt(("tariffs", 9000), ("chat", 10)).parts
         self.a.parts.note_own(life("m3"), parts, START)
@@ -66,7 +66,7 @@
         self.assertEqual(1.0, self.b.targets.state("m1").load(START))
         self.assertEqual(9000, self.b.parts.held(life("m3"), parts, START))
 
-    def test_of_many_targets_the_most_loaded_are_told(self):
+    def test_of_many_targets_the_most_loaded_are_sent(self):
         for number in range(1, 81):
             self.a.targets.put(target(f"x{number}"), START)
             self.b.targets.put(target(f"x{number}"), START)
@@ -78,22 +78,22 @@
         self.assertEqual(2.0, self.b.targets.state("x80").load(START))
         self.assertGreater(self.b.targets.state("x79").failure_share(START), 0)
 
-    def test_old_news_and_strangers_are_passed_over(self):
+    def test_outdated_updates_and_unlisted_routers_are_ignored(self):
         first, second = self.a.message(), self.a.message()
         self.assertTrue(self.b.news.take(second, 1, START))
         self.assertFalse(self.b.news.take(first, 1, START))
-        stranger = Side("c")
+        stranger = ExchangingRouter("c")
         stranger.knows("b")
         self.assertFalse(self.b.news.take(stranger.message(), 1, START))
 
-    def test_a_restarted_router_is_heard_and_its_past_is_not(self):
+    def test_updates_of_a_former_incarnation_are_ignored(self):
         before = self.a.message()
-        again = Side("a", incarnation=2)
+        again = ExchangingRouter("a", incarnation=2)
         again.knows("b")
         self.assertTrue(self.b.news.take(again.message(), 1, START))
         self.assertFalse(self.b.news.take(before, 1, START))
 
-    def test_another_router_s_question_counts_after_a_reply(self):
+    def test_another_router_s_request_to_the_store_counts_after_a_reply(self):
         self.a.fresh.answered(START - 10)
         self.b.fresh.answered(START - 1)
         self.b.news.take(self.a.message(now=START), 1, START)
@@ -119,17 +119,17 @@
         self.a.news.take(self.b.message(version=2), 1, START)
         self.assertTrue(self.a.news.others_reach_store(START))
 
-    def test_an_outage_for_all_is_nobody_s_alone(self):
+    def test_an_outage_that_all_routers_see_is_not_one_router_s(self):
         [(_, message)] = self.b.news.compose(1, START, is_store_lost=True)
         self.a.news.take(message, 1, START)
         self.assertFalse(self.a.news.others_reach_store(START))
 
-    def test_a_router_that_hears_nobody_any_more_is_cut_off(self):
+    def test_a_router_that_receives_no_more_updates_is_cut_off(self):
         [(_, message)] = self.b.news.compose(1, START, is_store_lost=True)
         self.a.news.take(message, 1, START)
         self.assertTrue(self.a.news.others_reach_store(START + 4))
 
-    def test_a_router_with_trouble_of_its_own_is_no_witness(self):
+    def test_outcomes_of_a_router_whose_requests_fail_everywhere_are_ignored(self):
         for number in range(1, 6):
             self.a.targets.state(f"m{number}").failed(START)
         self.b.news.take(self.a.message(), 1, START)
@@ -142,41 +142,47 @@
         self.b.news.take(self.a.message(), 1, START)
         self.assertEqual(0.0, self.b.targets.state("m1").failure_share(START))
 
-    def test_a_datagram_fits_into_one_piece(self):
+    def test_a_datagram_is_not_fragmented(self):
         many = [(f"{number:016x}", 100) for number in range(200)]
         self.a.parts.note_own(life("m1"), prompt(*many).parts, START)
         for number in range(1, 6):
             self.a.targets.state(f"m{number}").sent(START)
         message = self.a.message()
         self.assertEqual(MAX_PARTS, len(message.parts))
-        self.assertTrue(len(encode(message)) < BYTES_IN_ONE_PIECE)
+        self.assertTrue(len(encode(message)) < MAX_DATAGRAM_BYTES)
 
-    def test_four_routers_ask_the_store_for_all(self):
+    def test_four_routers_poll_the_store_for_all(self):
         names = ["a", "b", "c", "d", "e", "f", "g"]
-        sides = {name: Side(name) for name in names}
-        for side in sides.values():
+        routers_by_name = {name: ExchangingRouter(name) for name in names}
+        for side in routers_by_name.values():
             side.knows(*names)
-        for side in sides.values():
+        for side in routers_by_name.values():
             for router, message in side.news.compose(1, START):
-                sides[router.name].news.take(decode(encode(message)), 1, START)
-        asking = [n for n, side in sides.items() if side.news.asks_often(START)]
-        self.assertEqual(4, len(asking))
-        # When these are no longer heard of, everyone asks.
-        self.assertTrue(all(s.news.asks_often(START + 9) for s in sides.values()))
+                routers_by_name[router.name].news.take(
+                    decode(encode(message)), 1, START
+                )
+        polling = [
+            n for n, side in routers_by_name.items() if side.news.asks_often(START)
+        ]
+        self.assertEqual(4, len(polling))
+        # When no updates of these arrive any more, every router polls.
+        self.assertTrue(
+            all(s.news.asks_often(START + 9) for s in routers_by_name.values())
+        )
 
     def test_a_newer_version_of_another_router_is_noticed(self):
         self.b.news.take(self.a.message(version=7), 3, START)
         self.assertEqual(7, self.b.news.newest_version(START))
         self.assertEqual(0, self.b.news.newest_version(START + 9))
 
-    def test_a_router_that_stays_silent_is_gone_and_a_lonely_one_judges_nobody(self):
+    def test_silent_routers_are_reported_unless_all_are_silent(self):
         self.a.knows("a", "b", "c")
         self.assertEqual([], self.a.news.silent_routers(START + 100))
         self.a.news.take(self.b.message(), 1, START + 100)
         self.assertEqual(["c"], self.a.news.silent_routers(START + 100))
         self.assertEqual([], self.a.news.silent_routers(START + 59))
 
-    def test_what_is_no_longer_told_of_a_target_is_no_longer_there(self):
+    def test_load_missing_from_an_update_is_removed(self):
         for number in range(1, 81):
             self.a.targets.put(target(f"x{number}"), START)
             self.b.targets.put(target(f"x{number}"), START)
@@ -190,30 +196,30 @@
         self.b.news.take(self.a.message(), 1, START)
         self.assertEqual(0.0, self.b.targets.state("x80").load(START))
 
-    def test_many_routers_are_told_less_often(self):
-        direct = Side("a", settings=NewsSettings(most_direct=1000))
+    def test_many_routers_get_updates_less_often(self):
+        direct = ExchangingRouter("a", settings=NewsSettings(most_direct=1000))
         direct.knows("a", "b")
         self.assertEqual(0.25, direct.news.interval)
         direct.knows(*(f"r{number}" for number in range(420)))
-        told = (len(direct.news.others)) * TYPICAL_DATAGRAM_BYTES / direct.news.interval
+        sent = (len(direct.news.others)) * TYPICAL_DATAGRAM_BYTES / direct.news.interval
         self.assertTrue(len(direct.news.others) >= 420)
-        self.assertAlmostEqual(DIRECT_BYTES_PER_SECOND, told)
+        self.assertAlmostEqual(DIRECT_BYTES_PER_SECOND, sent)
 
-    def test_many_routers_are_told_within_the_bytes_allowed(self):
+    def test_updates_to_many_routers_stay_within_the_bytes_allowed(self):
         self.assertEqual(0.25, self.a.news.interval)
         self.a.targets.state("m1").sent(START)
         names = [f"r{number}" for number in range(420)]
         self.a.knows(*names, domains=8)
         self.assertTrue(len(self.a.news.others) >= 420)
         messages = self.a.news.compose(1, START)
-        told = sum(len(encode(message)) for _, message in messages)
-        self.assertLess(told / self.a.news.interval, DIRECT_BYTES_PER_SECOND)
+        sent = sum(len(encode(message)) for _, message in messages)
+        self.assertLess(sent / self.a.news.interval, DIRECT_BYTES_PER_SECOND)
         self.assertLess(3 * self.a.news.interval, 0.8)
 
 
 class FormerTest(TestCase):
-    def test_of_routers_that_left_the_list_the_last_are_found(self):
-        side = Side("a")
+    def test_the_last_routers_that_left_the_list_are_found(self):
+        side = ExchangingRouter("a")
         count = MAX_FORMER_ROUTERS + 1
         side.knows(*(f"r{number}" for number in range(count)))
         self.assertEqual("r0", side.news.find("r0").name)
@@ -225,42 +231,42 @@
 
 
 class OutcomesTest(TestCase):
-    """Many routers, each of which sees few requests at each target."""
+    """Many routers, each of which sends few requests to each target."""
 
     ROUTERS, SENT_BY_EACH = 30, 2
 
     def setUp(self):
         super().setUp()
         names = [f"r{number}" for number in range(self.ROUTERS)]
-        self.sides = [Side(name) for name in names]
-        for side in self.sides:
+        self.routers_by_name = [ExchangingRouter(name) for name in names]
+        for side in self.routers_by_name:
             side.knows(*names)
             for _ in range(self.SENT_BY_EACH):
                 for number in range(1, 6):
                     side.targets.state(f"m{number}").succeeded(START)
 
-    def tell_all(self):
-        for side in self.sides:
+    def exchange_updates(self):
+        for side in self.routers_by_name:
             _, message = side.news.compose(1, START)[0]
             frame = encode(message)
-            self.assertLess(len(frame), BYTES_IN_ONE_PIECE)
-            for other in self.sides:
+            self.assertLess(len(frame), MAX_DATAGRAM_BYTES)
+            for other in self.routers_by_name:
                 if other is not side:
                     other.news.take(decode(frame), 1, START)
 
     def share(self, name):
-        return self.sides[0].targets.state(name).failure_share(START)
+        return self.routers_by_name[0].targets.state(name).failure_share(START)
 
-    def test_a_single_failure_weighs_as_one_of_all_that_all_sent(self):
-        self.sides[7].targets.state("m1").failed(START)
-        self.tell_all()
+    def test_a_single_failure_counts_as_one_of_all_requests_of_all_routers(self):
+        self.routers_by_name[7].targets.state("m1").failed(START)
+        self.exchange_updates()
         sent = self.ROUTERS * self.SENT_BY_EACH + 1
         self.assertLess(self.share("m1"), 1.1 / sent)
 
-    def test_one_that_fails_two_in_five_everywhere_is_known_everywhere(self):
-        for side in self.sides:
+    def test_a_target_that_fails_two_in_five_is_known_everywhere(self):
+        for side in self.routers_by_name:
             for _ in range(4 * self.SENT_BY_EACH // 3):
                 side.targets.state("m1").failed(START)
-        self.tell_all()
+        self.exchange_updates()
         self.assertAlmostEqual(0.4, self.share("m1"), delta=0.1)
         self.assertEqual(0.0, self.share("m2"))
