--- a/tests/entry/test_rules_of_knowledge.py
+++ b/tests/entry/test_rules_of_knowledge.py
@@ -1,4 +1,4 @@
-"""What a router may rely on: age of knowledge, budgets, the list of targets."""
+"""Age of the configuration, acceptance of requests, retry budgets, list of targets."""
 
 from __future__ import annotations
 
@@ -51,14 +51,14 @@
 
 
 class FreshnessTest(TestCase):
-    def test_what_counts_is_when_the_question_was_sent(self):
+    def test_the_age_counts_from_when_the_request_was_sent(self):
         fresh = Freshness(5.0)
         self.assertFalse(fresh.allows_keys(START))
         fresh.answered(START)
         self.assertTrue(fresh.allows_keys(START + 4.6))
         self.assertFalse(fresh.allows_keys(START + 4.8))
 
-    def test_an_answer_to_an_older_question_takes_nothing_back(self):
+    def test_an_answer_to_an_older_request_does_not_increase_the_age(self):
         fresh = Freshness(5.0)
         fresh.answered(START + 2)
         fresh.answered(START)
@@ -95,12 +95,12 @@
             "lookup", self.judge(path=b"/lookup/70/", known=known).route.name
         )
 
-    def test_what_is_known_for_certain_is_refused_for_good(self):
+    def test_unknown_routes_and_keys_are_refused_while_knowledge_is_recent(self):
         self.assertEqual(Refusal.NO_ROUTE, self.judge(path=b"/none/"))
         self.assertEqual(Refusal.UNKNOWN_KEY, self.judge(key="x"))
         self.assertEqual(Refusal.UNKNOWN_KEY, self.judge(key=""))
 
-    def test_what_may_have_been_added_meanwhile_may_come_back(self):
+    def test_routes_and_keys_that_may_have_been_added_can_be_retried(self):
         later = START + 2.5
         self.assertEqual(Refusal.STALE, self.judge(later, path=b"/none/"))
         self.assertEqual(Refusal.STALE, self.judge(later, key="x"))
@@ -109,12 +109,12 @@
         self.assertNotEqual(Refusal.STALE, self.judge(START + 4.6))
         self.assertEqual(Refusal.STALE, self.judge(START + 4.8))
 
-    def test_an_open_route_needs_no_key_and_no_fresh_knowledge(self):
+    def test_an_open_route_needs_no_key_and_no_recent_configuration(self):
         known = table(routes=(replace(LOOKUP, is_open=True),))
         found = self.judge(START + 60, known=known, key="")
         self.assertEqual("", found.organisation)
 
-    def test_nothing_is_known_yet(self):
+    def test_requests_before_the_first_configuration_are_refused(self):
         found = self.gate.judge(caller_head(), b"", None, START)
         self.assertEqual(Refusal.NO_CONFIGURATION, found)
 
@@ -188,7 +188,7 @@
 
 
 class EventSplitterTest(TestCase):
-    def test_events_come_out_whole_however_the_bytes_come(self):
+    def test_events_are_complete_however_the_bytes_are_split(self):
         text = b"id: 1\ndata: a\n\nid: 2\nversion: 3\ndata: b\n\n: note\n\n"
         for size in (1, 2, 7, 100):
             splitter = EventSplitter()
