--- a/tests/support/router_fleet.py
+++ b/tests/support/router_fleet.py
@@ -1,10 +1,10 @@
-"""Many entry routers that choose targets and hear of each other, on one clock.
+"""Simulates many routers that choose targets and exchange state, on one virtual clock.
 
-The pattern it plays: model engines of a large deployment, whose prompts share
-long parts, with callers spread over all routers. Targets are a number of slots
-and a bounded cache. Routers are the product's own news, knowledge of targets and
-choice; only sockets, callers and targets are stand-ins. Nothing waits: time is
-that of the clock.
+The load is that of model engines of a large deployment: prompts share long parts, and
+callers are spread over all routers. A target has a number of slots and a bounded
+cache. State exchange, lists of targets and the choice of targets are the real code of
+the routers; only sockets, callers and targets are simulated. No test waits: time is
+that of the virtual clock.
 """
 
 from __future__ import annotations
@@ -35,23 +35,23 @@
 SLOTS = 16
 CACHE_TOKENS = 310_000
 LINK_SECONDS = 0.001
-# Datagrams get lost now and then.
+# Share of datagrams that are lost.
 LOST_SHARE = 0.001
-# Pace of an engine of this size: a step for one token, more for each request
-# beside, and the reading of prompts.
+# Speed of an engine: a step per token, which takes longer for each concurrent request,
+# and the prefill of prompts.
 STEP_SECONDS = 0.0029
 STEP_SECONDS_A_REQUEST = 0.0001
 READ_TOKENS_A_SECOND = 55_000
 FETCHED_TOKENS_A_SECOND = 880_000
-# Work of a plain request.
+# Mean duration of a plain request.
 PLAIN_SECONDS = 0.09
-# Of a kind with a hot subject, the requests that ask for it.
+# Share of requests of a kind that ask for its hot subject, if it has one.
 HOT_SHARE = 0.28
 STARTS_AT = 1_790_000_000_000
 
 
 class Timer:
-    """A call that is due."""
+    """A scheduled call."""
 
     __slots__ = ("act", "arguments", "is_due")
 
@@ -68,7 +68,7 @@
 
 
 class HeapClock:
-    """Time and timers, fast with many of them."""
+    """Virtual clock with timers that is fast with many of them."""
 
     def __init__(self):
         self._now = START
@@ -98,13 +98,13 @@
     Parameters
     ----------
     rate : float
-        Its part of all requests.
+        Its share of all requests.
     subjects : int
-        How many long shared parts there are; 0 for plain requests.
+        Number of long shared prompt parts; 0 for plain requests.
     shared_tokens : int
         Mean length of these.
     own_tokens : int
-        Mean length of what belongs to a request alone.
+        Mean length of the part that is unique to a request.
     output_tokens : int
         Mean length of an answer.
     """
@@ -118,8 +118,8 @@
         self.output_tokens = output_tokens
 
 
-# A desk that drafts contracts, tells of meter histories and tags complaints:
-# requests a second as fractions, subjects and tokens of such a deployment.
+# An office application that drafts contracts, narrates meter histories and tags
+# complaints: shares of requests, number of subjects and tokens of such a deployment.
 DESK = (
     Kind("draft", 0.263, 217, 10_000, 1300, 384),
     Kind("story", 0.307, 380, 580, 130, 288),
@@ -127,12 +127,12 @@
 )
 
 
-# Customers' portals that look up readings and confirm changes.
+# Customer portals that look up readings and confirm changes.
 PORTAL = (Kind("lookup", 1.0, 0, 0, 0, 0),)
 
 
 class Engine:
-    """A target: what it runs and what its cache holds."""
+    """A target: its requests in flight and the contents of its cache."""
 
     def __init__(self, name):
         self.name = name
@@ -141,7 +141,7 @@
         self.cached_tokens = 0
 
     def holds(self, parts):
-        """Return the leading tokens that it need not read."""
+        """Return the leading tokens that it has cached."""
         tokens = 0
         for part in parts:
             if part.name not in self.cache:
@@ -160,14 +160,14 @@
 
 
 class QuietLog:
-    """Takes no notice of events."""
+    """Discards events."""
 
     def emit(self, *arguments, **fields):
         pass
 
 
 class ExchangeParts:
-    """What an exchange of news is built with."""
+    """Collaborators of the exchange protocol."""
 
     def __init__(self, clock):
         self.reactor = clock
@@ -175,7 +175,7 @@
 
 
 class Wire:
-    """The datagrams of one router."""
+    """Transport of one router's datagrams."""
 
     def __init__(self, fleet, router):
         self._fleet = fleet
@@ -186,7 +186,7 @@
 
 
 class FleetRouter:
-    """One router: its knowledge, its choice and its news."""
+    """One router: its lists, its choice of targets and its state exchange."""
 
     def __init__(self, number, domain, fleet):
         self.name = f"router-{number}"
@@ -197,7 +197,7 @@
         self.begin(1)
 
     def begin(self, incarnation):
-        """Begin a life of the process, which knows nothing of a former one."""
+        """Start an incarnation of the process, without state of a former one."""
         clock = self.fleet.clock
         self.targets = TargetList(2.0)
         self.parts = PartDirectory()
@@ -260,7 +260,7 @@
     rate : float
         Requests a second.
     seed : int
-        Of all chance.
+        Seed of all random numbers.
     """
 
     router_class = FleetRouter
@@ -275,7 +275,7 @@
         self.settings = settings
         self.engines = {}
         self.hot = None
-        # Pairs of names, from whom to whom nothing comes through.
+        # Pairs of names of sender and receiver between which datagrams are dropped.
         self.cuts = set()
         self.sent = self.over = 0
         self.tokens = self.read = self.fetched = 0
@@ -301,7 +301,7 @@
         router.router_shares.list_routers(names, now, was_listed=True)
 
     def add_target(self, name, number, delay=lambda: 0.0):
-        """List a target, which each router hears of at a time of its own."""
+        """List a target, which each router sees at a time of its own."""
         self.engines[name] = Engine(name)
         entry = ServingTarget(
             name=name,
@@ -320,7 +320,7 @@
         router.parts.limit(state.incarnation, CACHE_TOKENS)
 
     def remove_target(self, name, delay):
-        """Lose a target with all that runs there."""
+        """Remove a target with all requests that run there."""
         self.engines.pop(name)
         for router in self.routers:
             self.clock.callLater(delay(), self._delist, router, name)
@@ -331,7 +331,7 @@
             router.parts.forget_target(incarnation)
 
     def carry(self, sender, frame, number):
-        """Take a datagram to another router."""
+        """Deliver a datagram to another router, unless it is cut off or lost."""
         if (sender.name, self.routers[number].name) in self.cuts:
             return
         if sender.is_up and self.rng.random() >= LOST_SHARE:
@@ -343,15 +343,15 @@
             router.exchange.datagramReceived(frame, ("10.0.0.1", 1))
 
     def lose(self, router):
-        """Have a router neither send nor receive any more, frozen or dead."""
+        """Stop a router from sending and receiving, as if stalled or dead."""
         router.is_up = False
 
     def wake(self, router):
-        """Have a frozen router go on with what it knew."""
+        """Let a stalled router continue with the state that it had."""
         router.is_up = True
 
     def restart(self, router, incarnation):
-        """Have a router begin anew under its name, knowing only its lists."""
+        """Restart a router under its name, with nothing but its lists."""
         router.exchange.stop()
         entries = [state.target for state in router.targets.states]
         router.begin(incarnation)
@@ -365,7 +365,7 @@
         self.clock.run(self.clock.seconds() + seconds)
 
     def begin(self):
-        """Let callers come, once targets are listed."""
+        """Start the callers, once targets are listed."""
         self.run(0.1)
         self._ask()
 
@@ -400,14 +400,14 @@
         )
 
     def _refuse(self):
-        """Take in that a request is sent nowhere."""
+        """Handle a request for which no target was chosen."""
         raise AssertionError("no target was chosen")
 
     def _draw(self):
         [kind] = self.rng.choices(self.kinds, [kind.rate for kind in self.kinds])
         if not kind.subjects:
             return kind, None
-        # Few subjects are asked for much more often than the rest.
+        # A few subjects are requested much more often than the rest.
         place = int(kind.subjects * self.rng.random() ** 1.4)
         if self.hot is not None and kind is self.hot and self.rng.random() < HOT_SHARE:
             place = kind.subjects
@@ -428,7 +428,7 @@
         now = self.clock.seconds()
         engine = self.engines.get(state.target.name)
         if engine is None:
-            # A crashed target; its caller would be sent elsewhere.
+            # A crashed target; its request would be sent elsewhere.
             state.unreachable(now)
             state.ended()
             return
@@ -480,19 +480,19 @@
 
     @property
     def over_share(self):
-        """Return the share of requests that met a target over the bound."""
+        """Return the share of requests that were sent to a target over the bound."""
         return self.over / max(1, self.sent)
 
     @property
     def read_share(self):
-        """Return the share of tokens of shared parts that were read again."""
+        """Return the share of tokens of shared parts that were prefilled again."""
         return self.read / max(1, self.tokens)
 
     @property
     def fetched_share(self):
-        """Return the share of tokens of shared parts that were moved."""
+        """Return the share of tokens of shared parts that were copied."""
         return self.fetched / max(1, self.tokens)
 
     def bytes_out(self):
-        """Return the bytes of news that each router has sent."""
+        """Return the bytes of state updates that each router has sent."""
         return [router.exchange.bytes_out for router in self.routers]
