--- a/src/primrosescale/process/entry/load_codec.py
+++ b/src/primrosescale/process/entry/load_codec.py
@@ -239,13 +239,13 @@
     requests of one router would make the target look unreliable.
     """
     good, bad = state.outcomes(now)
-    news = wire.TargetNews(target_key(*state.incarnation), state.own_running)
+    report = wire.TargetNews(target_key(*state.incarnation), state.own_running)
     if bad > MIN_REPORTED_FAILURES:
-        news.good_percent = round(good * PERCENT)
-        news.bad_percent = round(bad * PERCENT)
+        report.good_percent = round(good * PERCENT)
+        report.bad_percent = round(bad * PERCENT)
     elif round(good):
-        news.good = min(MAX_BYTE_COUNT, round(good))
-    return news
+        report.good = min(MAX_BYTE_COUNT, round(good))
+    return report
 
 
 def _target_sum(key: int, running: int, loads: LoadSum) -> wire.TargetNews:
