--- a/src/primrosescale/process/entry/news_paths.py
+++ b/src/primrosescale/process/entry/news_paths.py
@@ -47,7 +47,7 @@
     interval: float = option(
         SECONDS,
         "seconds between two reports to a relay, and between two sums from it; "
-        "the oldest load that is known is three of them old",
+        "the oldest known load is three of these old",
         0.15,
     )
     keep: float = option(
