--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_exchange.py
@@ -50,7 +50,7 @@
 
     Parameters
     ----------
-    news : RouterNews
+    exchange : RouterNews
         Composes and applies updates.
     version : Callable[[], int]
         Returns the version in force here; 0 for none.
@@ -66,14 +66,14 @@
 
     def __init__(
         self,
-        news: RouterNews,
+        exchange: RouterNews,
         version: Callable[[], int],
         is_store_lost: Callable[[], bool],
         list_revision: Callable[[], int],
         parts: EntryParts,
         shares: CacheShares,
     ) -> None:
-        self._exchange = news
+        self._exchange = exchange
         self._shares = shares
         self._version = version
         self._is_store_lost = is_store_lost
@@ -138,8 +138,8 @@
 
     def request_caches(self) -> None:
         """Ask the routers that have not answered yet what their targets have cached."""
-        question = self._shares.new_request()
-        self._write_all([(other, question) for other in self._shares.unanswered])
+        request = self._shares.new_request()
+        self._write_all([(other, request) for other in self._shares.unanswered])
 
     def answer_cache_requests(self) -> None:
         """Answer pending requests: this router has read its own share."""
@@ -212,7 +212,7 @@
         Settings of the router.
     incarnation : int
         Number of this incarnation of the process.
-    news : RouterNews
+    exchange : RouterNews
         Notified of changes of the list of other routers.
     parts : EntryParts
         Collaborators of the router.
@@ -222,12 +222,12 @@
         self,
         settings: EntrySettings,
         incarnation: int,
-        news: RouterNews,
+        exchange: RouterNews,
         parts: EntryParts,
     ) -> None:
         self._settings = settings
         self._incarnation = incarnation
-        self._exchange = news
+        self._exchange = exchange
         self._parts = parts
         self._is_announcing = False
         self._is_stopped = False
