--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -232,8 +232,8 @@
         """
         if all(peer.received_at is None for peer in self._peers.values()):
             return False
-        heard = self._recent_peers(now)
-        return not heard or any(not peer.is_store_lost for peer in heard)
+        peers = self._recent_peers(now)
+        return not peers or any(not peer.is_store_lost for peer in peers)
 
     def newest_version(self, now: float) -> int:
         """Return the newest version that another router has recently reported.
