--- a/src/primrosescale/process/entry/store_watch.py
+++ b/src/primrosescale/process/entry/store_watch.py
@@ -169,9 +169,9 @@
 
     def renew(self) -> None:
         """Send a new request at once, since the pending one may never be answered."""
-        asked, self._pending_poll = self._pending_poll, None
-        if asked is not None:
-            asked.cancel()
+        pending, self._pending_poll = self._pending_poll, None
+        if pending is not None:
+            pending.cancel()
         if self._pausing is not None:
             self._pausing.cancel()
 
@@ -224,17 +224,17 @@
     @inlineCallbacks
     def _poll(self, wait: float) -> Generator[Any, Any, WatchResult | None]:
         """Return the store's answer; None if the request was cancelled or renewed."""
-        asked = self._platform.watch(self._watched.prefix, self._revision, wait)
-        self._pending_poll = asked
+        pending = self._platform.watch(self._watched.prefix, self._revision, wait)
+        self._pending_poll = pending
         try:
-            found: WatchResult = yield asked
+            found: WatchResult = yield pending
         except (CancelledError, PlatformError):
             # A store may report a cancelled request as a failure of its own.
-            if self._pending_poll is asked:
+            if self._pending_poll is pending:
                 raise
             return None
         finally:
-            if self._pending_poll is asked:
+            if self._pending_poll is pending:
                 self._pending_poll = None
         return found
 
