--- a/tests/entry/test_cache_shares.py
+++ b/tests/entry/test_cache_shares.py
@@ -55,8 +55,8 @@
         held = self.fleet.engines[target.name].cache.items()
         parts = tuple(PromptPart(name, tokens) for name, tokens in held)
         answer = Deferred()
-        told = HeldParts(parts, target.started_at)
-        self.fleet.clock.callLater(READ_SECONDS, answer.callback, told)
+        held_parts = HeldParts(parts, target.started_at)
+        self.fleet.clock.callLater(READ_SECONDS, answer.callback, held_parts)
         return answer
 
 
@@ -198,10 +198,10 @@
 
         return CacheShares(name, self.targets, self.parts, others, find)
 
-    def asked(self, origin="b", now=START):
+    def request(self, origin="b", now=START):
         return self.shares.receive_request(wire.CacheQuestion(origin), now)
 
-    def told(self, origin="b", *, part="tariffs", key=None, is_last=True):
+    def receive(self, origin="b", *, part="tariffs", key=None, is_last=True):
         cached = [wire.CachedPart(part, 9000, 50)]
         cache = wire.TargetCache(key or target_key("m1"), cached)
         self.shares.receive_answer(wire.CacheAnswer(origin, [cache], is_last), START)
@@ -221,35 +221,35 @@
         self.assertTrue(theirs)
 
     def test_a_request_to_a_router_that_has_just_started_is_answered_later(self):
-        self.assertEqual([], self.asked())
+        self.assertEqual([], self.request())
         [(asker, message)] = self.shares.share_read(START)
         self.assertEqual(("b", True), (asker.name, message.is_last))
         self.assertEqual([], self.shares.share_read(START))
-        self.assertEqual(1, len(self.asked()))
+        self.assertEqual(1, len(self.request()))
 
     def test_an_unlisted_router_gets_no_answer_and_its_answers_are_ignored(self):
         self.shares.share_read(START)
-        self.assertEqual([], self.asked("c"))
-        self.told("c")
+        self.assertEqual([], self.request("c"))
+        self.receive("c")
         self.assertEqual(0, self.held())
 
     def test_an_answer_applies_only_to_the_incarnation_that_it_names(self):
-        self.told(key=target_key("m1", 77))
+        self.receive(key=target_key("m1", 77))
         self.assertEqual(0, self.held())
-        self.told()
+        self.receive()
         self.assertEqual(9000, self.held())
 
     def test_an_answer_is_incomplete_until_its_last_message(self):
-        self.told(is_last=False)
+        self.receive(is_last=False)
         self.assertEqual(self.others, self.shares.unanswered)
-        self.told()
+        self.receive()
         self.assertEqual([], self.shares.unanswered)
 
     def test_parts_of_a_single_chat_are_not_reported(self):
         parts = prompt(("tariffs", 9000), ("chat", 10)).parts
         self.parts.note_own(self.own_targets, parts, START)
         self.shares.share_read(START)
-        [(_, message)] = self.asked()
+        [(_, message)] = self.request()
         [cache] = message.caches
         self.assertEqual(["tariffs"], [part.part for part in cache.parts])
 
@@ -259,11 +259,11 @@
             use = PartUse(f"{number:08x}", self.own_targets, 9000, START - 30)
             self.parts.note(use)
         self.shares.share_read(START)
-        frames = [encode(message) for _, message in self.asked()]
+        frames = [encode(message) for _, message in self.request()]
         self.assertEqual(math.ceil(count / MAX_PARTS_PER_ANSWER), len(frames))
         self.assertLess(max(map(len, frames)), MAX_DATAGRAM_BYTES)
         messages = [decode(frame) for frame in frames]
         ends = [message.is_last for message in messages]
         self.assertEqual([False, False, False, True], ends)
-        told = [p.part for m in messages for c in m.caches for p in c.parts]
-        self.assertEqual([f"{number:08x}" for number in range(count)], told)
+        names = [p.part for m in messages for c in m.caches for p in c.parts]
+        self.assertEqual([f"{number:08x}" for number in range(count)], names)
