--- a/tests/entry/test_foreign_entries.py
+++ b/tests/entry/test_foreign_entries.py
@@ -340,29 +340,29 @@
             RaisingHandler([]),
             lambda: True,
         )
-        self.told(CONFIGURATION, 1)
+        self.receive(CONFIGURATION, 1)
 
-    def told(self, fields, version, name="main"):
+    def receive(self, fields, version, name="main"):
         value = json.dumps(fields).encode()
         stored = StoredObject(f"config/{name}", version, value)
         self.knowledge._handler.replaced((stored,), 0.0)
 
     def test_an_unreadable_version_is_logged_once_per_change(self):
         for _ in range(5):
-            self.told({**CONFIGURATION, "version": "8"}, 2)
+            self.receive({**CONFIGURATION, "version": "8"}, 2)
         [details] = self.log.of(Event.TABLE_REFUSED)
         self.assertEqual(
             ("main", "version"), (details["configuration"], details["field"])
         )
         self.assertTrue(self.knowledge.is_behind)
         self.assertEqual(7, self.knowledge.table.version)
-        self.told({**CONFIGURATION, "version": 9}, 3)
+        self.receive({**CONFIGURATION, "version": 9}, 3)
         self.assertFalse(self.knowledge.is_behind)
         self.assertEqual(9, self.knowledge.table.version)
 
     def test_an_object_with_a_longer_name_is_no_configuration(self):
-        self.told({**CONFIGURATION, "version": 99}, 2, name="main-of-another")
-        self.told({"version": "odd"}, 3, name="maintenance")
+        self.receive({**CONFIGURATION, "version": 99}, 2, name="main-of-another")
+        self.receive({"version": "odd"}, 3, name="maintenance")
         self.assertEqual(7, self.knowledge.table.version)
         self.assertFalse(self.knowledge.is_behind)
 
@@ -387,53 +387,53 @@
             name="r-0", domain="a", links=Endpoint("127.0.0.1", 1)
         )
         self.registry = RouterRegistry(settings, 1, self.news, parts)
-        self.told("r-1", ROUTER)
+        self.receive("r-1", ROUTER)
 
     def announce(self, listed):
         self.announced.append(listed)
         return succeed(None)
 
-    def told(self, name, fields, version=1):
+    def receive(self, name, fields, version=1):
         value = fields if isinstance(fields, bytes) else json.dumps(fields).encode()
         stored = StoredObject(f"routers/{name}", version, value)
         self.registry.changed((stored,), 0.0)
 
     def test_an_unreadable_router_entry_hides_no_other_and_is_logged_once(self):
         for _ in range(3):
-            self.told("r-2", {**ROUTER, "port": 99_999})
-        self.told("r-3", ROUTER)
+            self.receive("r-2", {**ROUTER, "port": 99_999})
+        self.receive("r-3", ROUTER)
         self.assertEqual(["r-1", "r-3"], [router.name for router in self.news.others])
         [details] = self.log.of(Event.ROUTER_REFUSED)
         self.assertEqual(("r-2", "port"), (details["router"], details["field"]))
 
     def test_a_router_whose_entry_becomes_unreadable_still_counts(self):
-        self.told("r-1", {**ROUTER, "port": "7340"}, 2)
+        self.receive("r-1", {**ROUTER, "port": "7340"}, 2)
         self.assertEqual(["r-1"], [router.name for router in self.news.others])
         unreadable = StoredObject("routers/r-1", 2, b"\xff")
         self.registry.replaced((unreadable,), 0.0)
         self.assertEqual(2, self.registry.routers)
 
     def test_a_router_whose_own_entry_was_overwritten_writes_it_again(self):
-        self.told("r-0", ROUTER)
+        self.receive("r-0", ROUTER)
         self.assertEqual([], self.announced)
-        self.told("r-0", {**ROUTER, "address": 7}, 2)
+        self.receive("r-0", {**ROUTER, "address": 7}, 2)
         self.assertEqual(["r-0"], [listed.name for listed in self.announced])
 
     def test_an_entry_that_stays_unreadable_is_not_written_again_and_again(self):
         unreadable = {**ROUTER, "address": "host.example"}
         for version in range(2, 9):
-            self.told("r-0", unreadable, version)
+            self.receive("r-0", unreadable, version)
         self.assertEqual(1, len(self.announced))
-        self.told("r-0", ROUTER, 9)
-        self.told("r-0", unreadable, 10)
+        self.receive("r-0", ROUTER, 9)
+        self.receive("r-0", unreadable, 10)
         self.assertEqual(2, len(self.announced))
 
     @drawn(100)
     @given(st.lists(st.tuples(names, contents(ROUTER)), max_size=4))
     def test_drawn_entries_leave_the_others(self, unreadable):
         for name, value in unreadable:
-            self.told(name, value)
-        self.told("r-9", ROUTER)
+            self.receive(name, value)
+        self.receive("r-9", ROUTER)
         self.assertIn("r-9", [router.name for router in self.news.others])
         for router in self.news.others:
             self.assertTrue(0 < router.endpoint.port < 65536)
