--- a/tests/entry/test_leaving_answers.py
+++ b/tests/entry/test_leaving_answers.py
@@ -46,70 +46,70 @@
 class LeavingAnswerTest(TestCase):
     """Requests of each kind after an answer that announced that their target leaves."""
 
-    def desk(self, route, count=3):
+    def harness(self, route, count=3):
         service = route.services[0].service
         return Desk([target(f"m{n}", service) for n in range(1, count + 1)])
 
-    def leave(self, desk, route, status=200, **fields):
+    def leave(self, harness, route, status=200, **fields):
         """Let the target of a request announce that it leaves; return its name."""
-        desk.call(request(route))
-        run = desk.caller.last
+        harness.call(request(route))
+        run = harness.caller.last
         run.observer.run_head(head(status, is_leaving=True, **fields))
         return run.name
 
-    def sent_to(self, desk, route, count=20):
-        before = len(desk.caller.runs)
+    def sent_to(self, harness, route, count=20):
+        before = len(harness.caller.runs)
         for _ in range(count):
-            desk.call(request(route, now=desk.clock.seconds()))
-        return {run.name for run in desk.caller.runs[before:]}
+            harness.call(request(route, now=harness.clock.seconds()))
+        return {run.name for run in harness.caller.runs[before:]}
 
     # Guards against requests to a target whose entry does not show yet that it leaves.
     def test_nothing_new_is_sent_there(self):
         for route in (LOOKUP, CONFIRMATION, STREAM, FRAGILE_STREAM):
-            desk = self.desk(route)
-            left = self.leave(desk, route)
-            self.assertNotIn(left, self.sent_to(desk, route))
-            desk.pass_time(30.0, step=1.0)
-            self.assertNotIn(left, self.sent_to(desk, route))
+            harness = self.harness(route)
+            left = self.leave(harness, route)
+            self.assertNotIn(left, self.sent_to(harness, route))
+            harness.pass_time(30.0, step=1.0)
+            self.assertNotIn(left, self.sent_to(harness, route))
 
     # Guards against evaluating the header only in successful answers.
     def test_failed_and_declined_requests_announce_it_too(self):
         for status, fields in ((500, {}), (404, {}), (503, {"is_not_run": True})):
-            desk = self.desk(LOOKUP)
-            left = self.leave(desk, LOOKUP, status, **fields)
-            self.assertNotIn(left, self.sent_to(desk, LOOKUP))
+            harness = self.harness(LOOKUP)
+            left = self.leave(harness, LOOKUP, status, **fields)
+            self.assertNotIn(left, self.sent_to(harness, LOOKUP))
 
     # Guards against resuming a stream at a target that leaves.
     def test_a_cut_stream_goes_on_elsewhere(self):
-        desk = self.desk(STREAM)
-        left = self.leave(desk, STREAM)
-        desk.call(request(STREAM, now=desk.clock.seconds()))
-        run = desk.caller.last
+        harness = self.harness(STREAM)
+        left = self.leave(harness, STREAM)
+        harness.call(request(STREAM, now=harness.clock.seconds()))
+        run = harness.caller.last
         run.observer.run_head(head())
         run.observer.run_data(event(1))
         run.observer.run_cut("reset")
-        self.assertNotIn(desk.caller.last.name, {left, run.name})
+        self.assertNotIn(harness.caller.last.name, {left, run.name})
 
     # Guards against applying the self-report of another incarnation.
     def test_a_self_report_of_another_incarnation_is_ignored(self):
-        desk = self.desk(LOOKUP, count=1)
-        self.leave(desk, LOOKUP, 421, is_not_run=True, is_other_incarnation=True)
-        desk.restart("m1", 1_790_000_000_000)
-        self.assertEqual({"m1"}, self.sent_to(desk, LOOKUP, count=1))
+        harness = self.harness(LOOKUP, count=1)
+        self.leave(harness, LOOKUP, 421, is_not_run=True, is_other_incarnation=True)
+        harness.restart("m1", 1_790_000_000_000)
+        self.assertEqual({"m1"}, self.sent_to(harness, LOOKUP, count=1))
 
     # Guards against applying a self-report to a later incarnation.
     def test_it_holds_for_that_incarnation_alone(self):
-        desk = self.desk(LOOKUP, count=1)
-        self.leave(desk, LOOKUP)
-        self.assertEqual(set(), self.sent_to(desk, LOOKUP, count=3))
-        desk.restart("m1", 1_790_000_000_000)
-        self.assertEqual({"m1"}, self.sent_to(desk, LOOKUP, count=1))
+        harness = self.harness(LOOKUP, count=1)
+        self.leave(harness, LOOKUP)
+        self.assertEqual(set(), self.sent_to(harness, LOOKUP, count=3))
+        harness.restart("m1", 1_790_000_000_000)
+        self.assertEqual({"m1"}, self.sent_to(harness, LOOKUP, count=1))
 
     # Guards against requests that wait although the last target of a service leaves.
     def test_a_request_without_another_target_is_refused_at_once(self):
-        desk = self.desk(LOOKUP, count=1)
-        self.leave(desk, LOOKUP)
-        _, sink = desk.call(request(LOOKUP, now=desk.clock.seconds()))
+        harness = self.harness(LOOKUP, count=1)
+        self.leave(harness, LOOKUP)
+        _, sink = harness.call(request(LOOKUP, now=harness.clock.seconds()))
         self.assertEqual(Refusal.NO_TARGET, sink.refusal)
 
 
