--- a/tests/entry/test_foreign_entries.py
+++ b/tests/entry/test_foreign_entries.py
@@ -236,14 +236,14 @@
 
     def __init__(self, faults):
         self.faults = faults
-        self.told = []
+        self.results = []
 
     def replaced(self, objects, asked_at):
-        self.told.append(("all", objects))
+        self.results.append(("all", objects))
         self.raise_next()
 
     def changed(self, objects, asked_at):
-        self.told.append(("some", objects))
+        self.results.append(("some", objects))
         self.raise_next()
 
     def raise_next(self):
@@ -251,7 +251,7 @@
             raise self.faults.pop(0)
 
     def failed(self, error):
-        self.told.append(("failed", error))
+        self.results.append(("failed", error))
 
 
 class Store:
@@ -292,14 +292,16 @@
             self.watch(store, handler)
             self.assertEqual([fault], [each.value for each in self.faults])
             self.clock.advance(FAULT_PAUSE_SECONDS)
-            self.assertEqual(["all", "all", "some"], [kind for kind, _ in handler.told])
+            self.assertEqual(
+                ["all", "all", "some"], [kind for kind, _ in handler.results]
+            )
             self.assertEqual([0, 0, 4, 5], [since for _, since in store.asked])
 
     def test_an_exception_of_the_store_s_client_does_not_end_the_watch(self):
         handler = RaisingHandler([])
         self.watch(Store(UnicodeError("x"), WatchResult(3, ())), handler)
         self.clock.advance(FAULT_PAUSE_SECONDS)
-        self.assertEqual(["all"], [kind for kind, _ in handler.told])
+        self.assertEqual(["all"], [kind for kind, _ in handler.results])
 
     def test_a_persistent_fault_is_retried_with_pauses(self):
         store = Store(*[WatchResult(3, ())] * 1000)
