--- a/tests/entry/test_cache_shares.py
+++ b/tests/entry/test_cache_shares.py
@@ -190,7 +190,7 @@
         self.shares = self.sharing("a", lambda: self.others)
         for number in range(8):
             self.targets.put(target(f"m{number}"), START)
-        self.own_targets = self.shares.own_targets()[0].incarnation
+        self.own_target = self.shares.own_targets()[0].incarnation
 
     def sharing(self, name, others):
         def find(wanted):
@@ -247,7 +247,7 @@
 
     def test_parts_of_a_single_chat_are_not_reported(self):
         parts = prompt(("tariffs", 9000), ("chat", 10)).parts
-        self.parts.note_own(self.own_targets, parts, START)
+        self.parts.note_own(self.own_target, parts, START)
         self.shares.share_read(START)
         [(_, message)] = self.request()
         [cache] = message.caches
@@ -256,7 +256,7 @@
     def test_a_long_answer_is_split_into_datagrams_that_are_not_fragmented(self):
         count = 3 * MAX_PARTS_PER_ANSWER + 1
         for number in range(count):
-            use = PartUse(f"{number:08x}", self.own_targets, 9000, START - 30)
+            use = PartUse(f"{number:08x}", self.own_target, 9000, START - 30)
             self.parts.note(use)
         self.shares.share_read(START)
         frames = [encode(message) for _, message in self.request()]
