--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -1,17 +1,21 @@
-"""What an entry router knows from the store: routes, keys and targets."""
+"""The configuration and the list of targets as last read from the platform's store.
+
+It also decides when the store is polled in addition to the watches: when peer routers
+report newer state, or when the last answer is too old.
+"""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 from typing import Any
 
-from primrosescale.process.entry.listed_evacuations import ListedEvacuations
-from primrosescale.process.entry.listed_targets import ListedTargets
+from primrosescale.process.entry.evacuation_list_sync import EvacuationListSync
 from primrosescale.process.entry.refused_records import RecordKind
 from primrosescale.process.entry.refused_records import RefusedRecords
 from primrosescale.process.entry.store_connection import StoreConnection
 from primrosescale.process.entry.store_watch import StoreWatch
 from primrosescale.process.entry.store_watch import WatchHandler
+from primrosescale.process.entry.target_list_sync import TargetListSync
 from primrosescale.process.events import Event
 from primrosescale.process.exceptions import PlatformError
 from primrosescale.process.exceptions import UnreadableRecordError
@@ -33,53 +37,53 @@
     from primrosescale.version.routing_table import RoutingTable
 
 
-# Age of the knowledge at which this router asks, though others do so for it:
-# their questions leave it at most twice a watch of 1.5 s old and a round of news
-# more.
-ASK_AT_AGE = 3.4
-ASK_AGAIN_SECONDS = 0.7
-# The same while the last question is still under way: on a thin link its answer
-# may be on its way, and a second one would only slow it down.
-ASK_BESIDE_SECONDS = 2.0
-# A newer version that others tell of is normally on its way here, 0.5 s for 600
-# kB over the thinnest link of today (10 Mbit/s); it has to be in force in 2 s.
-VERSION_PATIENCE = 0.8
-# A change of the list of targets that others tell of is normally known here by
-# then: an answer of the store takes 4 ms, and 0.25 s while it is slow.
-LIST_PATIENCE = 0.3
+# Age of the configuration at which this router polls the store although other routers
+# do so on behalf of all: their requests leave it at most twice a watch of 1.5 s old,
+# and a round of updates more.
+POLL_AGE_SECONDS = 3.4
+POLL_PAUSE_SECONDS = 0.7
+# The same while the last request is still pending: on a slow link its answer may be on
+# its way, and a second one would only delay it.
+PARALLEL_POLL_PAUSE_SECONDS = 2.0
+# A newer version that others report is normally on its way here: 0.5 s for 600 kB over
+# the slowest links in use (10 Mbit/s). It has to be in force within 2 s.
+VERSION_ARRIVAL_SECONDS = 0.8
+# A change of the list of targets that others report is normally known here by then: the
+# store answers in 4 ms, and in 0.25 s while it is slow.
+LIST_ARRIVAL_SECONDS = 0.3
 
 
 class _Lag:
-    """Whether others have known more for longer than it takes to arrive here.
+    """Whether others have known more for longer than an update takes to arrive here.
 
     Parameters
     ----------
-    patience : float
+    allowance : float
         Seconds that it may take.
     """
 
-    __slots__ = ("_patience", "_since")
+    __slots__ = ("_allowance", "_since")
 
-    def __init__(self, patience: float) -> None:
-        self._patience = patience
+    def __init__(self, allowance: float) -> None:
+        self._allowance = allowance
         self._since: float | None = None
 
-    def is_over(self, now: float, *, is_behind: bool) -> bool:
-        """Take in whether others know more; tell whether for too long."""
+    def is_overdue(self, now: float, *, is_behind: bool) -> bool:
+        """Record whether others know more; return whether they have for too long."""
         if not is_behind:
             self._since = None
             return False
         if self._since is None:
             self._since = now
-        return now - self._since >= self._patience
+        return now - self._since >= self._allowance
 
     def restart(self) -> None:
-        """Wait anew: something was done about it."""
+        """Start the wait again, after something was done about the lag."""
         self._since = None
 
 
 class _ConfigurationHandler(WatchHandler):
-    """Keeps the newest version that can be read."""
+    """Adopts the newest version that can be decoded."""
 
     def __init__(
         self,
@@ -92,22 +96,22 @@
         self._prefix = prefix
 
     def replaced(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Take in the newest version."""
-        self._take(objects, asked_at)
+        """Apply the newest version."""
+        self._apply(objects, asked_at)
 
     def changed(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Take in newer versions."""
-        self._take(objects, asked_at)
+        """Apply newer versions."""
+        self._apply(objects, asked_at)
 
     def failed(self, error: PlatformError) -> None:
-        """Note that the store could not be asked."""
-        self._connection.lost(error)
+        """Record that a request to the store failed."""
+        self._connection.record_failure(error)
 
-    def _take(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        if self._connection.regained():
+    def _apply(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
+        if self._connection.record_success():
             self._knowledge.renew_watches()
         for stored in objects:
-            # The store gives all objects whose names begin alike.
+            # The store returns all objects whose names begin with the prefix.
             is_other = not self._prefix.endswith("/") and stored.key != self._prefix
             if not stored.is_deleted and not is_other:
                 self._knowledge.adopt(stored, asked_at)
@@ -116,26 +120,26 @@
 
 
 class Knowledge:
-    """The newest version of the configuration and the list of targets.
+    """The newest configuration and the list of targets, as read from the store.
 
     Parameters
     ----------
     settings : EntrySettings
         Settings of the router.
     watches : EntryWatches
-        What is followed.
+        Prefixes to watch.
     parts : EntryParts
-        What the router is built with.
+        Collaborators of the router.
     freshness : Freshness
-        How old the knowledge of the configuration is.
+        Age of the configuration known here.
     targets : TargetList
         Targets and their states.
     routers : WatchHandler
         Follows the list of routers.
     asks_often : Callable[[], bool]
-        Returns whether this router asks the store for others too.
+        Returns whether this router polls the store on behalf of others too.
     evacuations : Evacuations | None
-        Failure domains that get no requests; None for a router that follows none.
+        Failure domains that get no requests; None if evacuations are not followed.
     """
 
     def __init__(
@@ -159,14 +163,14 @@
         self._on_complete: Callable[[], None] | None = None
         self._freshness = freshness
         self._targets = targets
-        self._listed = ListedTargets(
+        self._listed = TargetListSync(
             targets,
             watches.targets.rest,
             parts.decoder,
             RefusedRecords(RecordKind.TARGET, parts.log, parts.metrics),
             parts.log,
             self._now,
-            self._look_complete,
+            self._check_complete,
         )
         self._refused = RefusedRecords(
             RecordKind.CONFIGURATION, parts.log, parts.metrics
@@ -177,28 +181,28 @@
             self, self._connection, watches.configuration.prefix
         )
         self._asks_often = asks_often
-        self._asked_at: float | None = None
-        self._is_asking = False
-        self._told_version = 0
-        self._version_lag = _Lag(VERSION_PATIENCE)
-        self._list_lag = _Lag(watches.targets.rest + LIST_PATIENCE)
+        self._polled_at: float | None = None
+        self._is_polling = False
+        self._reported_version = 0
+        self._version_lag = _Lag(VERSION_ARRIVAL_SECONDS)
+        self._list_lag = _Lag(watches.targets.rest + LIST_ARRIVAL_SECONDS)
         self._watches: list[StoreWatch] = []
         self._follow(watches.configuration, self._handler, self._configuration_wait)
         self._targets_watch = self._follow_lists(watches.targets, self._listed)
         self._follow_lists(watches.routers, routers)
-        self._evacuations: ListedEvacuations | None = None
+        self._evacuations: EvacuationListSync | None = None
         if watches.evacuations is not None and evacuations is not None:
-            self._evacuations = ListedEvacuations(
+            self._evacuations = EvacuationListSync(
                 evacuations,
                 lambda: watch.revision,
                 self._now,
-                self._look_complete,
+                self._check_complete,
             )
             watch = self._follow_lists(watches.evacuations, self._evacuations)
 
     @property
     def freshness(self) -> Freshness:
-        """Return how old the knowledge of the configuration is."""
+        """Return the age of the configuration."""
         return self._freshness
 
     @property
@@ -207,32 +211,32 @@
         return self._targets
 
     @property
-    def listed(self) -> ListedTargets:
-        """Return what keeps the targets in step with the store."""
+    def listed(self) -> TargetListSync:
+        """Return what keeps the list of targets in sync with the store."""
         return self._listed
 
     @property
     def table(self) -> RoutingTable | None:
-        """Return the newest version, if one is known."""
+        """Return the routing table of the newest version, if one is known."""
         return self._table
 
     @property
     def is_behind(self) -> bool:
-        """Tell whether the store has a version that cannot be read here.
+        """Return whether the store has a version that this router cannot decode.
 
-        It may withdraw keys, so that answers of the store say nothing about
-        the keys of the version that is known.
+        That version may withdraw keys, so answers of the store do not confirm the keys
+        of the version known here.
         """
         return self._is_behind
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether routes and targets are known."""
+        """Return whether routes and targets are known."""
         return self._table is not None and not self._missing_list
 
     @property
     def _missing_list(self) -> str:
-        """Return what the store has not been read for yet; empty for nothing."""
+        """Return what has not been read from the store yet; empty for nothing."""
         if not self._listed.is_complete:
             return "no list of targets"
         if self._evacuations is not None and not self._evacuations.is_complete:
@@ -245,7 +249,7 @@
         return int(getattr(self._platform, "calls", 0))
 
     def configure(self, settings: EntrySettings) -> None:
-        """Take in changed settings.
+        """Apply changed settings.
 
         Parameters
         ----------
@@ -256,7 +260,7 @@
         self._targets.configure(settings.drain)
 
     def start(self, on_complete: Callable[[], None]) -> None:
-        """Follow the store.
+        """Start watching the store.
 
         Parameters
         ----------
@@ -266,36 +270,36 @@
         self._on_complete = on_complete
         for watch in self._watches:
             running = watch.run()
-            running.addErrback(self._broken)
+            running.addErrback(self._log_fault)
 
     def look_after(self, newest_version: int, newest_list: int, now: float) -> None:
-        """Ask the store when others know more, or their questions are too old.
+        """Poll the store if others know more or the last answer is too old.
 
         Parameters
         ----------
         newest_version : int
-            Newest version that another router tells of.
+            Newest version that another router reports.
         newest_list : int
-            Newest change of the list of targets that another router tells of,
-            as the store's revision.
+            Newest change of the list of targets that another router reports, as the
+            store's revision.
         now : float
             Present time in seconds.
         """
-        self._look_after_list(newest_list, now)
+        self._check_target_list(newest_list, now)
         is_due = self._is_old(now) or self._is_outdated(newest_version, now)
-        if not is_due or self._is_lost():
-            # A lost store is asked by the watch, again and again.
+        if not is_due or self._is_store_lost():
+            # While the store does not answer, the watch polls it repeatedly.
             return
-        pause = ASK_BESIDE_SECONDS if self._is_asking else ASK_AGAIN_SECONDS
-        if self._asked_at is None or now - self._asked_at > pause:
-            self._asked_at = now
-            self._ask(now)
+        pause = PARALLEL_POLL_PAUSE_SECONDS if self._is_polling else POLL_PAUSE_SECONDS
+        if self._polled_at is None or now - self._polled_at > pause:
+            self._polled_at = now
+            self._poll(now)
 
     def renew_watches(self) -> None:
-        """Ask anew what waits for an answer.
+        """Send the pending requests of all watches again.
 
-        A store that went silent towards this router may never answer what it
-        was asked before; changes would go unnoticed until the wait is over.
+        A store that stopped answering this router may never answer what it was asked
+        before; changes would go unnoticed until the wait is over.
         """
         for watch in self._watches:
             watch.renew()
@@ -303,15 +307,15 @@
     def _follow_lists(
         self, watched: WatchedPrefix, handler: WatchHandler
     ) -> StoreWatch:
-        """Follow what the watch of the configuration asks a lost store for too."""
-        return self._follow(watched, handler, leaves_asking=self._is_lost)
+        """Watch a prefix, but leave polling an unavailable store to the main watch."""
+        return self._follow(watched, handler, defers_polling=self._is_store_lost)
 
     def _follow(
         self,
         watched: WatchedPrefix,
         handler: WatchHandler,
         wait: Callable[[], float] | None = None,
-        leaves_asking: Callable[[], bool] = lambda: False,
+        defers_polling: Callable[[], bool] = lambda: False,
     ) -> StoreWatch:
         watch = StoreWatch(
             self._platform,
@@ -319,29 +323,30 @@
             handler,
             self._reactor,
             self._rng,
-            self._broken,
+            self._log_fault,
             wait,
-            leaves_asking,
+            defers_polling,
         )
         self._watches.append(watch)
         return watch
 
     def _is_old(self, now: float) -> bool:
         age = self._freshness.age(now)
-        return age is None or age > ASK_AT_AGE
+        return age is None or age > POLL_AGE_SECONDS
 
     def _is_outdated(self, newest_version: int, now: float) -> bool:
-        """Tell whether others have had a newer version for some time."""
+        """Return whether others have had a newer version for some time."""
         own = 0 if self._table is None else self._table.version
-        # Versions only go up: what was told once holds when the teller is gone.
-        self._told_version = max(self._told_version, newest_version)
-        return self._version_lag.is_over(now, is_behind=self._told_version > own)
+        # Versions only increase, so a reported one stays valid when its reporter is
+        # gone.
+        self._reported_version = max(self._reported_version, newest_version)
+        return self._version_lag.is_overdue(now, is_behind=self._reported_version > own)
 
-    def _look_after_list(self, newest: int, now: float) -> None:
-        """Renew the watch of targets when another router heard a change first."""
+    def _check_target_list(self, newest: int, now: float) -> None:
+        """Renew the watch of targets if another router knows a change first."""
         watch = self._targets_watch
         is_behind = self._listed.is_complete and newest > watch.revision
-        if self._list_lag.is_over(now, is_behind=is_behind):
+        if self._list_lag.is_overdue(now, is_behind=is_behind):
             self._list_lag.restart()
             self._log.emit(
                 Event.WATCH_RENEWED,
@@ -351,27 +356,27 @@
             )
             watch.renew()
 
-    def _ask(self, asked_at: float) -> None:
-        self._is_asking = True
+    def _poll(self, asked_at: float) -> None:
+        self._is_polling = True
         reading = self._platform.watch(self._watched.prefix, 0, 0.0)
 
         def answered(found: WatchResult) -> None:
-            self._is_asking = False
+            self._is_polling = False
             self._handler.replaced(found.changes, asked_at)
 
         def failed(failure: Failure) -> None:
-            self._is_asking = False
+            self._is_polling = False
             error = failure.value
             if not isinstance(error, PlatformError):
-                self._broken(failure)
+                self._log_fault(failure)
                 return
             self._handler.failed(error)
 
         reading.addCallbacks(answered, failed)
-        reading.addErrback(self._broken)
+        reading.addErrback(self._log_fault)
 
-    def _is_lost(self) -> bool:
-        """Tell whether the watch of the configuration asks the store for all."""
+    def _is_store_lost(self) -> bool:
+        """Return whether the configuration's watch is polling an unavailable store."""
         return self._connection.lost_at is not None
 
     def _configuration_wait(self) -> float:
@@ -380,12 +385,12 @@
         return max(self._watched.wait, self._watched.longest_wait)
 
     def stop(self) -> None:
-        """Follow the store no more."""
+        """Stop watching the store."""
         for watch in self._watches:
             watch.stop()
 
     def lost_for(self, now: float) -> float:
-        """Return for how long the store has not told of the configuration.
+        """Return for how long the store has not answered about the configuration.
 
         Parameters
         ----------
@@ -401,7 +406,7 @@
         return 0.0 if lost_at is None else now - lost_at
 
     def missing(self, now: float) -> str:
-        """Return what is missing for serving callers.
+        """Return what is missing before callers can be served.
 
         Parameters
         ----------
@@ -438,14 +443,14 @@
         return None if age is None else round(age, 2)
 
     def adopt(self, stored: StoredObject, asked_at: float) -> None:
-        """Take in a version, unless it is older or cannot be read.
+        """Adopt a version, unless it is older or cannot be decoded.
 
         Parameters
         ----------
         stored : StoredObject
             The record.
         asked_at : float
-            When the store was asked, in seconds.
+            When the request to the store was sent, in seconds.
         """
         try:
             table = self._decoder.table(stored)
@@ -453,7 +458,7 @@
             self._is_behind = True
             self._refused.refuse(stored, error)
             return
-        self._refused.settle(stored.key)
+        self._refused.clear(stored.key)
         known = self._table
         self._is_behind = known is not None and table.version < known.version
         if known is not None and table.version <= known.version:
@@ -462,16 +467,16 @@
                 self._log.emit(Event.TABLE_REFUSED, detail=detail)
             return
         self._table = table
-        self._look_complete()
+        self._check_complete()
         age = round(self._now() - asked_at, 3)
         self._log.emit(Event.TABLE_ADOPTED, version=table.version, asked_before=age)
 
-    def _look_complete(self) -> None:
+    def _check_complete(self) -> None:
         if self.is_complete and self._on_complete is not None:
             on_complete, self._on_complete = self._on_complete, None
             on_complete()
 
-    def _broken(self, failure: Any) -> None:
+    def _log_fault(self, failure: Any) -> None:
         self._log.emit(Event.LOOP_FAILED, detail=failure.getTraceback())
 
     def _now(self) -> float:
--- a/src/primrosescale/process/entry/load_codec.py
+++ b/src/primrosescale/process/entry/load_codec.py
@@ -1,4 +1,4 @@
-"""Loads of targets on their way into news of routers and out of them."""
+"""Encodes the load of targets into messages between routers and decodes it."""
 
 from __future__ import annotations
 
@@ -16,30 +16,30 @@
     from primrosescale.process.entry.target_list import TargetList
     from primrosescale.request.target_state import TargetState
 
-# Datagrams stay under what every link carries in one piece.
-MOST_TARGETS = 40
-# The same in sums, which are told by name only while two routers know other
+# Bounds the datagram to a size that no link fragments.
+MAX_TARGETS = 40
+# The same for sums, which are keyed by target only while the two routers know different
 # targets.
-MOST_SUMMED_TARGETS = 70
-# Failures that are worth telling.
-LEAST_TOLD = 0.05
-# A router that sees more than half of its requests fail everywhere has a
-# trouble of its own and is no witness.
-WITNESS_MOST_FAILURES = 0.5
-# Largest number of requests that a byte tells.
-MOST_IN_A_BYTE = 255
-# Loads of so many targets are deflated: 370 bytes become 210, in 20 us.
-LEAST_PACKED = 128
-PACKED_SHARE = 0.6
-FASTEST = 1
-# Bytes of a message without loads and parts.
-USUAL_HEAD = 50
+MAX_SUMMED_TARGETS = 70
+# Smallest decayed count of failures that is sent.
+MIN_REPORTED_FAILURES = 0.05
+# A router that sees more than half of its requests fail over all targets probably has a
+# fault of its own, so the outcomes that it reports are ignored.
+MAX_RELIABLE_FAILURE_SHARE = 0.5
+# Largest number of requests that fits into a byte.
+MAX_BYTE_COUNT = 255
+# From this many targets on, loads are deflated: 370 bytes become 210, in 20 us.
+MIN_DEFLATED_TARGETS = 128
+DEFLATED_SIZE_RATIO = 0.6
+FASTEST_ZLIB_LEVEL = 1
+# Bytes of a message without loads and prompt parts.
+TYPICAL_HEADER_BYTES = 50
 PERCENT = 100
 MILLISECONDS = 1000
 
 
 class LoadCodec:
-    """Writes and reads the loads in news.
+    """Encodes and decodes the load of targets in state updates.
 
     Parameters
     ----------
@@ -53,18 +53,18 @@
 
     @property
     def keys(self) -> TargetKeys:
-        """Return the short names of targets."""
+        """Return the keys of targets."""
         return self._keys
 
     @property
-    def usual_bytes(self) -> float:
-        """Return the bytes that a message with a sum usually has."""
+    def typical_bytes(self) -> float:
+        """Return the typical size in bytes of a message with a sum."""
         targets = len(self._keys.order)
-        share = PACKED_SHARE if targets >= LEAST_PACKED else 1.0
-        return USUAL_HEAD + targets * share
+        share = DEFLATED_SIZE_RATIO if targets >= MIN_DEFLATED_TARGETS else 1.0
+        return TYPICAL_HEADER_BYTES + targets * share
 
-    def own_news(self, now: float) -> list[wire.TargetNews]:
-        """Return what this router has at targets, the most loaded ones first.
+    def own_targets(self, now: float) -> list[wire.TargetNews]:
+        """Return this router's own load at targets, the most loaded ones first.
 
         Parameters
         ----------
@@ -81,31 +81,31 @@
             for state in self._targets.states
             if state.own_running or _has_outcomes(state, now)
         ]
-        # The bound concerns the most loaded ones; failures come after them.
+        # The limit keeps the most loaded targets; those with failures come next.
         states.sort(key=lambda state: (-state.own_running, -state.outcomes(now)[1]))
-        return [_target_news(state, now) for state in states[:MOST_TARGETS]]
+        return [_target_news(state, now) for state in states[:MAX_TARGETS]]
 
-    def own_sum(self, now: float, *, reaches_store: bool) -> LoadSum:
-        """Return what this router has at targets.
+    def own_load(self, now: float, *, reaches_store: bool) -> LoadSum:
+        """Return this router's own load at targets as a sum.
 
         Parameters
         ----------
         now : float
             Present time in seconds.
         reaches_store : bool
-            Whether the store answered its last question.
+            Whether the store answered the last request.
 
         Returns
         -------
         LoadSum
-            Of this router alone.
+            The sum over this router alone.
         """
         own = LoadSum(now, 1, reaches_store=reaches_store)
         for key, state in self._keys.states.items():
             if state.own_running:
                 own.running[key] = state.own_running
             good, bad = state.outcomes(now)
-            if bad > LEAST_TOLD:
+            if bad > MIN_REPORTED_FAILURES:
                 own.outcomes[key] = (good, bad)
         return own
 
@@ -116,7 +116,7 @@
         receiver_digest: int | None,
         now: float,
     ) -> None:
-        """Put a sum into a message.
+        """Write a sum into a message.
 
         Parameters
         ----------
@@ -125,26 +125,28 @@
         message : wire.RouterNews
             The message.
         receiver_digest : int | None
-            Of the targets that its receiver knows; None when not told.
+            Digest of the targets that the receiver knows; None if not reported.
         now : float
             Present time in seconds.
         """
         if receiver_digest == self._keys.digest:
-            told = bytes(
-                min(MOST_IN_A_BYTE, loads.running.get(key, 0))
+            counts = bytes(
+                min(MAX_BYTE_COUNT, loads.running.get(key, 0))
                 for key in self._keys.order
             )
-            message.is_packed = len(told) >= LEAST_PACKED or None
+            message.is_packed = len(counts) >= MIN_DEFLATED_TARGETS or None
             message.running = (
-                zlib.compress(told, FASTEST) if message.is_packed else told
+                zlib.compress(counts, FASTEST_ZLIB_LEVEL)
+                if message.is_packed
+                else counts
             )
             named = dict.fromkeys(loads.outcomes, 0)
         else:
             named = loads.running | {
                 key: loads.running.get(key, 0) for key in loads.outcomes
             }
-        keys = sorted(named, key=lambda key: -named[key])[:MOST_SUMMED_TARGETS]
-        message.targets = [_summed(key, named[key], loads) for key in keys]
+        keys = sorted(named, key=lambda key: -named[key])[:MAX_SUMMED_TARGETS]
+        message.targets = [_target_sum(key, named[key], loads) for key in keys]
         message.targets_digest = self._keys.digest
         message.age_ms = round((now - loads.known_at) * MILLISECONDS)
         message.routers = loads.routers
@@ -163,7 +165,8 @@
         Returns
         -------
         LoadSum | None
-            None where it is in the order of other targets than are known here.
+            None if it is in the order of a list of targets that is not the one known
+            here.
         """
         known_at = now - (message.age_ms or 0) / MILLISECONDS
         routers = 1 if message.routers is None else message.routers
@@ -171,44 +174,44 @@
         if message.running is not None:
             if message.targets_digest != self._keys.digest:
                 return None
-            told = _unpacked(message, len(self._keys.order))
-            if len(told) != len(self._keys.order):
+            counts = _inflated(message, len(self._keys.order))
+            if len(counts) != len(self._keys.order):
                 return None
-            pairs = zip(self._keys.order, told, strict=True)
+            pairs = zip(self._keys.order, counts, strict=True)
             loads.running = {key: running for key, running in pairs if running}
         else:
             loads.running = {
                 item.target: item.running for item in message.targets if item.running
             }
-        loads.outcomes = told_outcomes(message.targets)
+        loads.outcomes = reported_outcomes(message.targets)
         return loads
 
 
-def _unpacked(message: wire.RouterNews, most: int) -> bytes:
-    """Return the loads in a message, hardly more of them than there can be."""
-    told = message.running or b""
+def _inflated(message: wire.RouterNews, max_count: int) -> bytes:
+    """Return the loads in a message, at most one more than there can be."""
+    counts = message.running or b""
     if not message.is_packed:
-        return told
+        return counts
     try:
-        return zlib.decompressobj().decompress(told, most + 1)
+        return zlib.decompressobj().decompress(counts, max_count + 1)
     except zlib.error:
         return b""
 
 
-def told_outcomes(
+def reported_outcomes(
     targets: Iterable[wire.TargetNews],
 ) -> dict[int, tuple[float, float]]:
-    """Return good and bad outcomes by the targets' short names.
+    """Return successes and failures by the targets' keys.
 
     Parameters
     ----------
     targets : Iterable[wire.TargetNews]
-        What a router tells of targets.
+        What a router reports of targets.
 
     Returns
     -------
     dict[int, tuple[float, float]]
-        Empty for a router that is no witness.
+        Empty if the router's reports are unreliable, since most of its requests fail.
     """
     found = {
         item.target: (
@@ -220,32 +223,32 @@
     }
     good = sum(outcomes[0] for outcomes in found.values())
     bad = sum(outcomes[1] for outcomes in found.values())
-    return found if bad <= WITNESS_MOST_FAILURES * (good + bad) else {}
+    return found if bad <= MAX_RELIABLE_FAILURE_SHARE * (good + bad) else {}
 
 
 def _has_outcomes(state: TargetState, now: float) -> bool:
-    """Tell whether there are outcomes that would be seen after rounding."""
+    """Return whether any outcome is still visible after rounding."""
     good, bad = state.outcomes(now)
-    return bad > LEAST_TOLD or round(good) > 0
+    return bad > MIN_REPORTED_FAILURES or round(good) > 0
 
 
 def _target_news(state: TargetState, now: float) -> wire.TargetNews:
-    """Return what a router tells of a target.
+    """Return this router's report on a target.
 
-    Good outcomes are told without failures too: by those of one router a single
-    failure would look like a target that often fails.
+    Successes are sent even without failures: otherwise a single failure among many
+    requests of one router would make the target look unreliable.
     """
     good, bad = state.outcomes(now)
-    news = wire.TargetNews(target_key(*state.incarnation), state.own_running)
-    if bad > LEAST_TOLD:
-        news.good_percent = round(good * PERCENT)
-        news.bad_percent = round(bad * PERCENT)
+    report = wire.TargetNews(target_key(*state.incarnation), state.own_running)
+    if bad > MIN_REPORTED_FAILURES:
+        report.good_percent = round(good * PERCENT)
+        report.bad_percent = round(bad * PERCENT)
     elif round(good):
-        news.good = min(MOST_IN_A_BYTE, round(good))
-    return news
+        report.good = min(MAX_BYTE_COUNT, round(good))
+    return report
 
 
-def _summed(key: int, running: int, loads: LoadSum) -> wire.TargetNews:
+def _target_sum(key: int, running: int, loads: LoadSum) -> wire.TargetNews:
     outcomes = loads.outcomes.get(key)
     if outcomes is None:
         return wire.TargetNews(key, running)
--- a/tests/entry/test_cache_shares.py
+++ b/tests/entry/test_cache_shares.py
@@ -1,7 +1,7 @@
-"""Routers that start again learn what engines hold from each other.
+"""Routers that restart learn the engines' cache contents from each other.
 
-The load: a fleet of thirty routers before as many engines whose routers are killed
-one by one or all at once, while callers come back with prompts that engines hold.
+Thirty routers in front of as many engines are killed one by one or all at once, while
+callers return with prompts that engines have cached.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 from primrosescale.connection.codec import encode
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.connection.wire import ttypes as wire
-from primrosescale.process.entry.cache_learning import PATIENCE
-from primrosescale.process.entry.cache_learning import READS_FOR_OTHERS
+from primrosescale.process.entry.cache_learning import EXTRA_READS
+from primrosescale.process.entry.cache_learning import MAX_WAIT_SECONDS
 from primrosescale.process.entry.cache_learning import CacheLearning
-from primrosescale.process.entry.cache_shares import MOST_CACHED_PARTS
+from primrosescale.process.entry.cache_shares import MAX_PARTS_PER_ANSWER
 from primrosescale.process.entry.cache_shares import CacheShares
 from primrosescale.process.entry.codec import CacheReader
 from primrosescale.process.entry.codec import HeldParts
@@ -37,14 +37,14 @@
 from support.router_fleet import ExchangeParts
 from support.router_fleet import Fleet
 
-BYTES_IN_ONE_PIECE = 1400
+MAX_DATAGRAM_BYTES = 1400
 READ_SECONDS = 0.03
 # Routers of one fleet are restarted within this time of each other.
 RESTARTS_SECONDS = 1.2
 
 
 class Engines(CacheReader):
-    """Tells what the engines of a fleet hold, and counts the questions."""
+    """Reports the cache contents of a fleet's engines, and counts the requests."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -55,13 +55,13 @@
         held = self.fleet.engines[target.name].cache.items()
         parts = tuple(PromptPart(name, tokens) for name, tokens in held)
         answer = Deferred()
-        told = HeldParts(parts, target.started_at)
-        self.fleet.clock.callLater(READ_SECONDS, answer.callback, told)
+        held_parts = HeldParts(parts, target.started_at)
+        self.fleet.clock.callLater(READ_SECONDS, answer.callback, held_parts)
         return answer
 
 
 class RestartedFleet(TestCase):
-    """A fleet that has served for a while, whose routers can be restarted."""
+    """A fleet that has served requests for a while and whose routers can restart."""
 
     ROUTERS, ENGINES, DOMAINS = 30, 29, 3
 
@@ -69,7 +69,7 @@
         super().setUp()
         self.fleet = Fleet(self.ROUTERS, self.ENGINES, self.DOMAINS, 100.0, 3)
         for router in self.fleet.routers:
-            router.shares.know(FLEET_START)
+            router.shares.share_read(FLEET_START)
         self.fleet.begin()
         self.fleet.run(8.0)
         self.engines = Engines(self.fleet)
@@ -91,7 +91,7 @@
         learning.start(lambda _: True, done)
 
     def known_share(self, router):
-        """Return the part of all tokens that engines hold that a router knows."""
+        """Return the share of cached tokens of all engines that a router knows."""
         now, held, known = self.fleet.clock.seconds(), 0, 0
         for engine in self.fleet.engines.values():
             incarnation = router.targets.state(engine.name).incarnation
@@ -111,41 +111,41 @@
 
 
 class RestartTest(RestartedFleet):
-    def test_one_that_starts_alone_asks_its_share_and_is_told_the_rest(self):
+    def test_a_router_that_restarts_alone_reads_its_share_and_receives_the_rest(self):
         router = self.fleet.routers[4]
         self.restart(router)
-        self.fleet.run(PATIENCE)
-        share = {state.target.name for state in router.shares.own()}
+        self.fleet.run(MAX_WAIT_SECONDS)
+        share = {state.target.name for state in router.shares.own_targets()}
         self.assertEqual(share, set(self.engines.asked))
         self.assertLess(len(share), self.ENGINES / 4)
         self.assertGreater(self.known_share(router), 0.95)
-        self.assertLess(self.served[router.name], PATIENCE)
+        self.assertLess(self.served[router.name], MAX_WAIT_SECONDS)
 
-    def test_all_that_start_at_once_ask_each_engine_once(self):
+    def test_routers_that_restart_together_read_each_engine_once(self):
         self.restart_all()
         self.assertEqual(sorted(self.fleet.engines), sorted(self.engines.asked))
         for router in self.fleet.routers:
             self.assertGreater(self.known_share(router), 0.95, router.name)
 
-    def test_one_that_is_stopped_and_started_is_told_before_it_is_listed(self):
+    def test_a_stopped_router_that_restarts_gets_answers_before_it_is_listed(self):
         router = self.fleet.routers[4]
         for other in self.fleet.routers:
             if other is not router:
                 other.news.remove(router.name)
         self.restart(router)
-        self.fleet.run(PATIENCE)
+        self.fleet.run(MAX_WAIT_SECONDS)
         self.assertGreater(self.known_share(router), 0.95)
-        self.assertLess(self.served[router.name], PATIENCE)
+        self.assertLess(self.served[router.name], MAX_WAIT_SECONDS)
 
     def test_callers_do_not_wait_for_routers_that_are_gone(self):
         lost, router = self.fleet.routers[:2]
         self.fleet.lose(lost)
         self.restart(router)
-        self.fleet.run(2 * PATIENCE)
-        self.assertAlmostEqual(PATIENCE, self.served[router.name], places=2)
+        self.fleet.run(2 * MAX_WAIT_SECONDS)
+        self.assertAlmostEqual(MAX_WAIT_SECONDS, self.served[router.name], places=2)
         self.assertEqual([lost.name], [r.name for r in router.shares.unanswered])
 
-    def test_one_that_wakes_late_is_asked_again(self):
+    def test_a_router_that_resumes_late_is_asked_again(self):
         lost, router = self.fleet.routers[:2]
         self.fleet.lose(lost)
         self.restart(router)
@@ -157,26 +157,26 @@
 
 
 class SmallRestartTest(RestartedFleet):
-    """Four routers before five engines: each share is a large part."""
+    """Four routers in front of five engines: each share is a large part."""
 
     ROUTERS, ENGINES = 4, 5
 
-    def test_the_share_of_one_that_is_gone_is_asked_for_by_others(self):
+    def test_the_share_of_a_router_that_is_gone_is_read_by_others(self):
         lost, router = sorted(
-            self.fleet.routers, key=lambda router: -len(router.shares.own())
+            self.fleet.routers, key=lambda router: -len(router.shares.own_targets())
         )[:2]
-        share = {state.target.name for state in lost.shares.own()}
-        own = {state.target.name for state in router.shares.own()}
+        share = {state.target.name for state in lost.shares.own_targets()}
+        own_targets = {state.target.name for state in router.shares.own_targets()}
         self.fleet.lose(lost)
         self.restart(router)
-        self.fleet.run(2 * PATIENCE)
+        self.fleet.run(2 * MAX_WAIT_SECONDS)
         self.assertTrue(share)
-        self.assertEqual(own | share, set(self.engines.asked))
+        self.assertEqual(own_targets | share, set(self.engines.asked))
         self.assertGreater(self.known_share(router), 0.95)
 
-    def test_all_that_start_at_once_ask_little_more_than_each_engine(self):
+    def test_routers_that_restart_together_send_few_extra_requests(self):
         self.restart_all()
-        most = self.ENGINES + READS_FOR_OTHERS
+        most = self.ENGINES + EXTRA_READS
         self.assertLessEqual(len(self.engines.asked), most)
         for router in self.fleet.routers:
             self.assertGreater(self.known_share(router), 0.95, router.name)
@@ -190,7 +190,7 @@
         self.shares = self.sharing("a", lambda: self.others)
         for number in range(8):
             self.targets.put(target(f"m{number}"), START)
-        self.own = self.shares.own()[0].incarnation
+        self.own_target = self.shares.own_targets()[0].incarnation
 
     def sharing(self, name, others):
         def find(wanted):
@@ -198,13 +198,13 @@
 
         return CacheShares(name, self.targets, self.parts, others, find)
 
-    def asked(self, origin="b", now=START):
-        return self.shares.take_question(wire.CacheQuestion(origin), now)
+    def request(self, origin="b", now=START):
+        return self.shares.receive_request(wire.CacheQuestion(origin), now)
 
-    def told(self, origin="b", *, part="tariffs", key=None, is_last=True):
+    def receive(self, origin="b", *, part="tariffs", key=None, is_last=True):
         cached = [wire.CachedPart(part, 9000, 50)]
         cache = wire.TargetCache(key or target_key("m1"), cached)
-        self.shares.take_answer(wire.CacheAnswer(origin, [cache], is_last), START)
+        self.shares.receive_answer(wire.CacheAnswer(origin, [cache], is_last), START)
 
     def held(self, name="m1", part="tariffs"):
         return self.parts.held(life(name), prompt((part, 9000)).parts, START)
@@ -212,56 +212,58 @@
     def test_each_target_is_the_share_of_one_router(self):
         first = OtherRouter("a", Endpoint("127.0.0.1", 7000))
         other = self.sharing("b", lambda: [first])
-        own = [state.target.name for state in self.shares.own()]
-        theirs = [state.target.name for state in other.own()]
-        self.assertEqual([f"m{number}" for number in range(8)], sorted(own + theirs))
-        self.assertTrue(own)
+        own_targets = [state.target.name for state in self.shares.own_targets()]
+        theirs = [state.target.name for state in other.own_targets()]
+        self.assertEqual(
+            [f"m{number}" for number in range(8)], sorted(own_targets + theirs)
+        )
+        self.assertTrue(own_targets)
         self.assertTrue(theirs)
 
-    def test_who_asks_one_that_has_just_started_is_told_once_that_knows(self):
-        self.assertEqual([], self.asked())
-        [(asker, message)] = self.shares.know(START)
+    def test_a_request_to_a_router_that_has_just_started_is_answered_later(self):
+        self.assertEqual([], self.request())
+        [(asker, message)] = self.shares.share_read(START)
         self.assertEqual(("b", True), (asker.name, message.is_last))
-        self.assertEqual([], self.shares.know(START))
-        self.assertEqual(1, len(self.asked()))
+        self.assertEqual([], self.shares.share_read(START))
+        self.assertEqual(1, len(self.request()))
 
-    def test_a_stranger_is_told_nothing_and_tells_nothing(self):
-        self.shares.know(START)
-        self.assertEqual([], self.asked("c"))
-        self.told("c")
+    def test_an_unlisted_router_gets_no_answer_and_its_answers_are_ignored(self):
+        self.shares.share_read(START)
+        self.assertEqual([], self.request("c"))
+        self.receive("c")
         self.assertEqual(0, self.held())
 
-    def test_what_is_told_counts_for_the_incarnation_that_it_is_told_of(self):
-        self.told(key=target_key("m1", 77))
+    def test_an_answer_applies_only_to_the_incarnation_that_it_names(self):
+        self.receive(key=target_key("m1", 77))
         self.assertEqual(0, self.held())
-        self.told()
+        self.receive()
         self.assertEqual(9000, self.held())
 
-    def test_an_answer_that_goes_on_is_not_whole(self):
-        self.told(is_last=False)
+    def test_an_answer_is_incomplete_until_its_last_message(self):
+        self.receive(is_last=False)
         self.assertEqual(self.others, self.shares.unanswered)
-        self.told()
+        self.receive()
         self.assertEqual([], self.shares.unanswered)
 
-    def test_what_one_chat_has_alone_is_not_told(self):
+    def test_parts_of_a_single_chat_are_not_reported(self):
         parts = prompt(("tariffs", 9000), ("chat", 10)).parts
-        self.parts.note_own(self.own, parts, START)
-        self.shares.know(START)
-        [(_, message)] = self.asked()
+        self.parts.note_own(self.own_target, parts, START)
+        self.shares.share_read(START)
+        [(_, message)] = self.request()
         [cache] = message.caches
         self.assertEqual(["tariffs"], [part.part for part in cache.parts])
 
-    def test_a_long_answer_comes_in_datagrams_of_one_piece(self):
-        count = 3 * MOST_CACHED_PARTS + 1
+    def test_a_long_answer_is_split_into_datagrams_that_are_not_fragmented(self):
+        count = 3 * MAX_PARTS_PER_ANSWER + 1
         for number in range(count):
-            use = PartUse(f"{number:08x}", self.own, 9000, START - 30)
+            use = PartUse(f"{number:08x}", self.own_target, 9000, START - 30)
             self.parts.note(use)
-        self.shares.know(START)
-        frames = [encode(message) for _, message in self.asked()]
-        self.assertEqual(math.ceil(count / MOST_CACHED_PARTS), len(frames))
-        self.assertLess(max(map(len, frames)), BYTES_IN_ONE_PIECE)
+        self.shares.share_read(START)
+        frames = [encode(message) for _, message in self.request()]
+        self.assertEqual(math.ceil(count / MAX_PARTS_PER_ANSWER), len(frames))
+        self.assertLess(max(map(len, frames)), MAX_DATAGRAM_BYTES)
         messages = [decode(frame) for frame in frames]
         ends = [message.is_last for message in messages]
         self.assertEqual([False, False, False, True], ends)
-        told = [p.part for m in messages for c in m.caches for p in c.parts]
-        self.assertEqual([f"{number:08x}" for number in range(count)], told)
+        names = [p.part for m in messages for c in m.caches for p in c.parts]
+        self.assertEqual([f"{number:08x}" for number in range(count)], names)
