--- a/src/primrosescale/process/entry/caller_site.py
+++ b/src/primrosescale/process/entry/caller_site.py
@@ -31,7 +31,7 @@
     from primrosescale.request.forwarded_call import ForwardedCall
 
 # Before the first version is known; those of the users' deployments.
-FIRST_LIMITS = CallerLimits(
+DEFAULT_LIMITS = CallerLimits(
     header_bytes=16384,
     body_bytes=4194304,
     header_timeout=3.0,
@@ -56,7 +56,7 @@
 
     @property
     @abstractmethod
-    def sends_callers_away(self) -> bool:
+    def closes_connections(self) -> bool:
         """Tell whether connections are to end with their next answer."""
 
     @abstractmethod
@@ -87,7 +87,7 @@
         super().__init__(channel)
         self._call: ForwardedCall | None = None
         self._is_refused = False
-        self.is_gone = False
+        self.is_disconnected = False
 
     def gotLength(self, length: int | None) -> None:
         """Make room for the body.
@@ -141,10 +141,10 @@
     def process(self) -> None:
         """Handle the request."""
         channel: Any = self.channel
-        channel.head_read()
+        channel.cancel_head_timer()
         channel.handler.handle(self)
 
-    def answered_by(self, call: ForwardedCall) -> None:
+    def attach_call(self, call: ForwardedCall) -> None:
         """Take in the call that will answer.
 
         Parameters
@@ -162,7 +162,7 @@
         reason : Failure
             What the transport says.
         """
-        self.is_gone = True
+        self.is_disconnected = True
         super().connectionLost(reason)
         if self._call is not None:
             self._call.caller_gone()
@@ -177,7 +177,7 @@
 
 
 @implementer(IPushProducer)
-class _Pacer:
+class _BackpressureProducer:
     """Lets a slow caller pace the target."""
 
     def __init__(self, call: ForwardedCall) -> None:
@@ -196,7 +196,7 @@
         self._call.caller_gone()
 
 
-class CallerConnection(CallerSink):
+class CallerResponse(CallerSink):
     """The answer to one request.
 
     Parameters
@@ -220,7 +220,7 @@
         self._refusal_headers = refusal_headers
         self._has_producer = False
 
-    def paced_by(self, call: ForwardedCall) -> None:
+    def apply_backpressure(self, call: ForwardedCall) -> None:
         """Let the caller pace a call.
 
         Parameters
@@ -228,13 +228,13 @@
         call : ForwardedCall
             The call.
         """
-        if not self._request.is_gone and not call.is_over:
-            self._request.registerProducer(_Pacer(call), streaming=True)
+        if not self._request.is_disconnected and not call.is_over:
+            self._request.registerProducer(_BackpressureProducer(call), streaming=True)
             self._has_producer = True
 
     def begin(self, head: AnswerHead) -> None:
         """Send a head; see `CallerSink.begin`."""
-        if self._request.is_gone:
+        if self._request.is_disconnected:
             return
         request = self._request
         request.setResponseCode(head.status, RESPONSES.get(head.status, b"Unknown"))
@@ -243,26 +243,26 @@
         if head.length is not None:
             length = b"%d" % head.length
             request.responseHeaders.setRawHeaders(b"Content-Length", [length])
-        self._close_if_unwanted()
+        self._announce_close()
         request.write(b"")
 
     def write(self, data: bytes) -> None:
         """Send bytes; see `CallerSink.write`."""
-        if not self._request.is_gone:
+        if not self._request.is_disconnected:
             self._request.write(data)
 
     def finish(self) -> None:
         """End the answer; see `CallerSink.finish`."""
-        if self._request.is_gone:
+        if self._request.is_disconnected:
             return
-        self._release()
+        self._unregister_producer()
         self._request.finish()
 
     def break_off(self) -> None:
         """End the answer unfinished; see `CallerSink.break_off`."""
-        if self._request.is_gone:
+        if self._request.is_disconnected:
             return
-        self._release()
+        self._unregister_producer()
         channel: Any = self._request.channel
         if getattr(self._request, "chunked", False):
             # The last chunk is missing, and what was written still arrives.
@@ -273,9 +273,9 @@
     def refuse(self, refusal: Refusal, retry_after: float | None) -> None:
         """Send an answer of the router's own; see `CallerSink.refuse`."""
         request = self._request
-        if request.is_gone:
+        if request.is_disconnected:
             return
-        self._release()
+        self._unregister_producer()
         request.setResponseCode(refusal.status, RESPONSES.get(refusal.status, b""))
         for name, value in self._refusal_headers(refusal, retry_after):
             request.responseHeaders.setRawHeaders(name, [value])
@@ -287,17 +287,17 @@
             },
         ).encode()
         request.responseHeaders.setRawHeaders(b"Content-Length", [b"%d" % len(body)])
-        self._close_if_unwanted()
+        self._announce_close()
         request.write(body)
         request.finish()
 
-    def _release(self) -> None:
+    def _unregister_producer(self) -> None:
         if self._has_producer:
             self._has_producer = False
             self._request.unregisterProducer()
 
-    def _close_if_unwanted(self) -> None:
-        if self._handler.sends_callers_away:
+    def _announce_close(self) -> None:
+        if self._handler.closes_connections:
             self._request.responseHeaders.setRawHeaders(b"Connection", [CLOSE])
             channel: Any = self._request.channel
             channel.persistent = False
@@ -342,10 +342,10 @@
         """
         if not self.requests and self._head_timer is None:
             limit = self.handler.limits.header_timeout
-            self._head_timer = self._clock.callLater(limit, self._head_late)
+            self._head_timer = self._clock.callLater(limit, self._on_head_timeout)
         super().dataReceived(data)
 
-    def head_read(self) -> None:
+    def cancel_head_timer(self) -> None:
         """Take in that a whole request has come."""
         cancel_timer(self._head_timer)
         self._head_timer = None
@@ -374,7 +374,7 @@
         reason : Failure
             What the transport says.
         """
-        self.head_read()
+        self.cancel_head_timer()
         super().connectionLost(reason)
         if self.factory is not None:
             self.factory.forget(self)
@@ -393,10 +393,10 @@
 
     def allHeadersReceived(self) -> None:
         """Take in that the head has come; the body may take longer."""
-        self.head_read()
+        self.cancel_head_timer()
         super().allHeadersReceived()
 
-    def _head_late(self) -> None:
+    def _on_head_timeout(self) -> None:
         self._head_timer = None
         if not self._handlingRequest:
             transport: Any = self.transport
--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -18,8 +18,8 @@
 from primrosescale.exceptions import PrimrosescaleError
 from primrosescale.process.entry.cache_learning import CacheLearning
 from primrosescale.process.entry.cache_shares import CacheShares
-from primrosescale.process.entry.caller_site import FIRST_LIMITS
-from primrosescale.process.entry.caller_site import CallerConnection
+from primrosescale.process.entry.caller_site import DEFAULT_LIMITS
+from primrosescale.process.entry.caller_site import CallerResponse
 from primrosescale.process.entry.caller_site import EntryFactory
 from primrosescale.process.entry.caller_site import EntryHandler
 from primrosescale.process.entry.harm_news import HarmNews
@@ -246,7 +246,7 @@
     def limits(self) -> CallerLimits:
         """Return the limits in force."""
         table = self._knowledge.table
-        return FIRST_LIMITS if table is None else table.limits
+        return DEFAULT_LIMITS if table is None else table.limits
 
     @property
     def bound(self) -> dict[Endpoint, Endpoint]:
@@ -257,7 +257,7 @@
         }
 
     @property
-    def sends_callers_away(self) -> bool:
+    def closes_connections(self) -> bool:
         """Tell whether connections are to end with their next answer."""
         return self._is_stopping or self._is_cut_off(self._now())
 
@@ -364,7 +364,7 @@
         self._patient_until = 0.0
         early, self._early = self._early, []
         for request in early:
-            if not request.is_gone:
+            if not request.is_disconnected:
                 self._serve(request)
 
     def _serve(self, request: EntryRequest) -> None:
@@ -383,8 +383,8 @@
             return
         call = ForwardedCall(judged, sink, self._tools, self._ended)
         self._calls.add(call)
-        request.answered_by(call)
-        sink.paced_by(call)
+        request.attach_call(call)
+        sink.apply_backpressure(call)
         call.start(now)
 
     def too_large(self, request: EntryRequest) -> None:
@@ -394,14 +394,14 @@
         head = self._parts.codec.caller_head(b"", b"", headers)
         self._log_refused(Refusal.TOO_LARGE, head, self._now())
 
-    def _sink(self, request: EntryRequest, request_id: str) -> CallerConnection:
+    def _sink(self, request: EntryRequest, request_id: str) -> CallerResponse:
         def headers(
             refusal: Refusal,
             retry_after: float | None,
         ) -> list[tuple[bytes, bytes]]:
             return self._parts.codec.refusal_headers(refusal, request_id, retry_after)
 
-        return CallerConnection(request, self, headers)
+        return CallerResponse(request, self, headers)
 
     def _log_refused(self, refusal: Refusal, head: CallerHead, now: float) -> None:
         self._metrics.refused(refusal.name.lower())
