--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -33,7 +33,7 @@
 from primrosescale.process.entry.target_list import TARGET
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.process.entry.target_restarts import TargetRestarts
-from primrosescale.process.entry.text_site import Text
+from primrosescale.process.entry.text_site import TextResponse
 from primrosescale.process.entry.text_site import TextSite
 from primrosescale.process.events import Event
 from primrosescale.process.incarnation import new_incarnation
@@ -620,14 +620,14 @@
             knowledge_age=self._knowledge.rounded_age(now),
         )
 
-    def _readiness(self) -> Text:
+    def _readiness(self) -> TextResponse:
         if self.is_ready:
-            return Text(OK, PLAIN, b"ready\n")
-        return Text(UNAVAILABLE, PLAIN, b"not ready\n")
+            return TextResponse(OK, PLAIN, b"ready\n")
+        return TextResponse(UNAVAILABLE, PLAIN, b"not ready\n")
 
-    def _metrics_text(self) -> Text:
+    def _metrics_text(self) -> TextResponse:
         self._refresh_gauges()
-        return Text(OK, METRICS_TYPE, self._metrics.text())
+        return TextResponse(OK, METRICS_TYPE, self._metrics.text())
 
     def _refresh_gauges(self) -> None:
         now = self._now()
--- a/src/primrosescale/process/entry/text_site.py
+++ b/src/primrosescale/process/entry/text_site.py
@@ -16,11 +16,11 @@
 
 # Who asks comes back every second or every few; an idle connection that is
 # older is forgotten by its other end.
-IDLE_SECONDS: int = 30
+IDLE_TIMEOUT_SECONDS: int = 30
 
 
 @dataclass(frozen=True, slots=True)
-class Text:
+class TextResponse:
     """An answer.
 
     Parameters
@@ -57,9 +57,9 @@
     """A connection of someone who asks."""
 
     requestFactory: Any = _TextRequest
-    timeOut = IDLE_SECONDS
+    timeOut = IDLE_TIMEOUT_SECONDS
 
-    def __init__(self, answer: Callable[[], Text]) -> None:
+    def __init__(self, answer: Callable[[], TextResponse]) -> None:
         super().__init__()
         self.answer = answer
 
@@ -69,13 +69,13 @@
 
     Parameters
     ----------
-    answer : Callable[[], Text]
+    answer : Callable[[], TextResponse]
         Returns the answer.
     """
 
     noisy = False
 
-    def __init__(self, answer: Callable[[], Text]) -> None:
+    def __init__(self, answer: Callable[[], TextResponse]) -> None:
         self._answer = answer
 
     def buildProtocol(self, addr: Any) -> HTTPChannel:
