--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -141,7 +141,7 @@
         restarts = TargetRestarts(
             self._caller, self._directory, parts, self._target_ended
         )
-        targets = TargetList(settings.drain, restarts.began)
+        targets = TargetList(settings.drain, restarts.incarnation_started)
         self._evacuations = Evacuations(self._domains_evacuated)
         self._shares = RouterShares(settings.name)
         self._cold = ColdTargets(settings.cold, self._shares, self._service)
--- a/src/primrosescale/process/entry/target_list.py
+++ b/src/primrosescale/process/entry/target_list.py
@@ -29,14 +29,14 @@
 
 # Part of the time in which a leaving target may still get work that is used
 # for one whose entry is gone.
-HOLD_SHARE = 0.8
+RETENTION_SHARE = 0.8
 # Who tells of a target, and of evacuations.
 STORE = "store"
 TARGET = "target"
 
 
 @dataclass(frozen=True, slots=True)
-class BegunIncarnation:
+class IncarnationStart:
     """That an incarnation of a target became known.
 
     Parameters
@@ -61,7 +61,7 @@
     ----------
     drain : float
         Seconds after which a leaving target must get no new work.
-    on_incarnation : Callable[[BegunIncarnation], None] | None
+    on_incarnation : Callable[[IncarnationStart], None] | None
         Told when an incarnation of a target became known.
     """
 
@@ -72,25 +72,25 @@
         "_known",
         "_on_incarnation",
         "_statements",
-        "_unlisted",
+        "_delisted",
         "_unreadable",
-        "_vanished",
+        "_forget_at",
     )
 
     def __init__(
         self,
         drain: float,
-        on_incarnation: Callable[[BegunIncarnation], None] | None = None,
+        on_incarnation: Callable[[IncarnationStart], None] | None = None,
     ) -> None:
         self._drain = drain
         self._on_incarnation = on_incarnation
         self._generation = 0
         self._evacuated: frozenset[str] = frozenset()
         self._known: dict[str, TargetState] = {}
-        self._vanished: dict[str, float] = {}
+        self._forget_at: dict[str, float] = {}
         self._statements = KeptStatements()
         # Targets whose entries went without notice, with until when they may run.
-        self._unlisted: dict[str, tuple[TargetState, float]] = {}
+        self._delisted: dict[str, tuple[TargetState, float]] = {}
         self._unreadable: dict[str, TargetState] = {}
 
     def __len__(self) -> int:
@@ -145,7 +145,7 @@
         bool
             False for one that may have left.
         """
-        return name in self._known and name not in self._vanished
+        return name in self._known and name not in self._forget_at
 
     def of_service(self, service: str) -> list[TargetState]:
         """Return the targets of a service, those that are leaving too.
@@ -164,7 +164,7 @@
             Their states.
         """
         found = [s for s in self._known.values() if s.target.service == service]
-        listed = [s for s in found if s.target.name not in self._vanished]
+        listed = [s for s in found if s.target.name not in self._forget_at]
         if any(state.takes_work for state in listed):
             return listed
         return found
@@ -182,7 +182,7 @@
         list[TargetState]
             Their states, also of those that are forgotten.
         """
-        found = (state for state, _ in self._unlisted.values())
+        found = (state for state, _ in self._delisted.values())
         return [state for state in found if state.target.service == service]
 
     def put(self, target: ServingTarget, now: float, told_by: str = STORE) -> bool:
@@ -213,11 +213,11 @@
         if known is not None and told.started_at is not None:
             if told.is_followed_by(known.incarnation):
                 return False
-        self._vanished.pop(target.name, None)
-        self._unlisted.pop(target.name, None)
-        self._take_up(target.name)
+        self._forget_at.pop(target.name, None)
+        self._delisted.pop(target.name, None)
+        self._restore_readable(target.name)
         if known is None or known.incarnation.is_followed_by(told):
-            self._begin(target, known, now, told_by)
+            self._add_incarnation(target, known, now, told_by)
             return True
         before = known.target
         known.relist(target)
@@ -225,7 +225,7 @@
         self._apply_evacuation(known, now)
         return known.target != before
 
-    def _begin(
+    def _add_incarnation(
         self,
         target: ServingTarget,
         former: TargetState | None,
@@ -238,7 +238,7 @@
         self._generation += 1
         if self._on_incarnation is not None:
             before = None if former is None else former.incarnation
-            self._on_incarnation(BegunIncarnation(target.incarnation, before, told_by))
+            self._on_incarnation(IncarnationStart(target.incarnation, before, told_by))
 
     def evacuate(self, domains: frozenset[str], now: float) -> None:
         """Take in which failure domains get no new requests.
@@ -283,14 +283,14 @@
             return False
         self._generation += 1
         self._unreadable[name] = known
-        self._vanished[name] = now + self._drain * HOLD_SHARE
+        self._forget_at[name] = now + self._drain * RETENTION_SHARE
         return True
 
-    def _take_up(self, name: str) -> None:
+    def _restore_readable(self, name: str) -> None:
         """Have a target back whose entry could not be read for a while."""
         state = self._unreadable.pop(name, None)
         if state is not None:
-            self._vanished.pop(name, None)
+            self._forget_at.pop(name, None)
             self._known[name] = state
             self._generation += 1
 
@@ -310,13 +310,13 @@
             Whether it was there.
         """
         known = self._known.get(name)
-        if known is None or name in self._vanished:
+        if known is None or name in self._forget_at:
             return False
         held_until = gone_at
         if not known.is_leaving:
-            held_until += self._drain * HOLD_SHARE
-            self._unlisted[name] = (known, gone_at + RUNS_ON_SECONDS)
-        self._vanished[name] = held_until
+            held_until += self._drain * RETENTION_SHARE
+            self._delisted[name] = (known, gone_at + RUNS_ON_SECONDS)
+        self._forget_at[name] = held_until
         return True
 
     def forget_gone(self, now: float) -> list[TargetIncarnation]:
@@ -332,12 +332,12 @@
         list[TargetIncarnation]
             The incarnations of the forgotten.
         """
-        ended = [name for name, (_, until) in self._unlisted.items() if now >= until]
+        ended = [name for name, (_, until) in self._delisted.items() if now >= until]
         for name in ended:
-            del self._unlisted[name]
-        gone = [name for name, until in self._vanished.items() if now >= until]
+            del self._delisted[name]
+        gone = [name for name, until in self._forget_at.items() if now >= until]
         for name in gone:
-            del self._vanished[name]
+            del self._forget_at[name]
             self._generation += 1
         return [self._forget(name, now) for name in gone]
 
--- a/src/primrosescale/process/entry/target_restarts.py
+++ b/src/primrosescale/process/entry/target_restarts.py
@@ -11,7 +11,7 @@
     from collections.abc import Callable
 
     from primrosescale.process.entry.entry_parts import EntryParts
-    from primrosescale.process.entry.target_list import BegunIncarnation
+    from primrosescale.process.entry.target_list import IncarnationStart
     from primrosescale.request.direct_port import TargetCaller
     from primrosescale.request.part_directory import PartDirectory
     from primrosescale.request.target_incarnation import TargetIncarnation
@@ -48,14 +48,14 @@
         self._reactor: Any = parts.reactor
         self._log = parts.log
         self._metrics = parts.metrics
-        self._begun: list[BegunIncarnation] = []
+        self._pending: list[IncarnationStart] = []
 
-    def began(self, begun: BegunIncarnation) -> None:
+    def incarnation_started(self, begun: IncarnationStart) -> None:
         """Take in that an incarnation of a target became known.
 
         Parameters
         ----------
-        begun : BegunIncarnation
+        begun : IncarnationStart
             The incarnation, and the one that it replaces.
         """
         if begun.former is not None:
@@ -67,14 +67,14 @@
                 former=begun.former.started_at,
                 told_by=begun.told_by,
             )
-        if not self._begun:
+        if not self._pending:
             # Once the whole list is known, so that what ends at one target
             # does not go to another that has ended too.
             self._reactor.callLater(0, self._end_former)
-        self._begun.append(begun)
+        self._pending.append(begun)
 
     def _end_former(self) -> None:
-        known, self._begun = self._begun, []
+        known, self._pending = self._pending, []
         for begun in known:
             # A target that was forgotten meanwhile may have requests too.
             self._caller.end_former(begun.present)
--- a/tests/entry/test_restart.py
+++ b/tests/entry/test_restart.py
@@ -24,7 +24,7 @@
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.process.entry.other_router import OtherRouter
 from primrosescale.process.entry.router_news import RouterNews
-from primrosescale.process.entry.target_list import BegunIncarnation
+from primrosescale.process.entry.target_list import IncarnationStart
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.direct_port import Refusal
 from primrosescale.request.freshness import Freshness
@@ -59,8 +59,8 @@
         former, present = life("m1", FIRST), life("m1", SECOND)
         self.assertEqual(
             [
-                BegunIncarnation(former, None, "store"),
-                BegunIncarnation(present, former, "store"),
+                IncarnationStart(former, None, "store"),
+                IncarnationStart(present, former, "store"),
             ],
             self.told,
         )
