--- a/src/primrosescale/process/entry/target_caller.py
+++ b/src/primrosescale/process/entry/target_caller.py
@@ -37,11 +37,11 @@
 
 # A connection inside a region opens in some milliseconds; a lost opening
 # packet is sent again by the kernel after 1 s, which is too late to wait for.
-CONNECT_TIMEOUT = 0.4
+CONNECT_TIMEOUT_SECONDS = 0.4
 STARTED_AGAIN = "target started again"
 
 
-class _Body(Protocol):
+class _BodyReceiver(Protocol):
     """Hands the body of an answer to its run."""
 
     def __init__(self, run: HttpRun) -> None:
@@ -67,7 +67,7 @@
         Told of what becomes of it.
     codec : EntryCodec
         Translates headers.
-    life : _Life
+    state : _IncarnationState
         The life of the target that it goes to.
     clock : Any
         Source of time.
@@ -78,13 +78,13 @@
         sending: Sending,
         observer: RunObserver,
         codec: EntryCodec,
-        life: _Life,
+        state: _IncarnationState,
         clock: Any,
     ) -> None:
         self._sending = sending
         self._observer = observer
         self._codec = codec
-        self._life = life
+        self._state = state
         self._clock = clock
         self._opening: Deferred[TargetChannel] | None = None
         self._channel: TargetChannel | None = None
@@ -93,14 +93,14 @@
 
     def start(self) -> None:
         """Send on an idle connection or open one."""
-        self._life.runs.add(self)
+        self._state.runs.add(self)
         channel = None
         if not self._sending.needs_new_connection:
-            channel = self._life.pool.idle(self._clock.seconds())
+            channel = self._state.pool.idle(self._clock.seconds())
         if channel is not None:
             self._send(channel)
             return
-        self._opening = self._life.pool.open()
+        self._opening = self._state.pool.open()
         self._opening.addCallbacks(self._opened, self._not_opened)
 
     def cancel(self) -> None:
@@ -163,12 +163,12 @@
             # The body ends with the connection: whole only by orderly close.
             is_whole = not channel.was_reset
         if not is_whole:
-            self._life.failed_at = self._clock.seconds()
+            self._state.failed_at = self._clock.seconds()
             self._abort()
             self._observer.run_cut(failure_text(reason))
             return
         if channel is not None:
-            self._life.pool.give_back(channel, self._clock.seconds())
+            self._state.pool.give_back(channel, self._clock.seconds())
         self._observer.run_done()
 
     def _opened(self, channel: TargetChannel) -> None:
@@ -181,7 +181,7 @@
     def _not_opened(self, failure: Failure) -> None:
         self._opening = None
         if not self._is_over:
-            self._life.failed_at = self._clock.seconds()
+            self._state.failed_at = self._clock.seconds()
             self._end()
             self._observer.run_not_sent(failure_text(failure))
 
@@ -208,7 +208,7 @@
         head = self._codec.answer_head(response.code, response.headers, length)
         self._observer.run_head(head)
         if not self._is_over:
-            response.deliverBody(_Body(self))
+            response.deliverBody(_BodyReceiver(self))
         if self._is_paused:
             # Twisted reads on when the body is asked for.
             self.pause()
@@ -216,23 +216,23 @@
     def _failed(self, failure: Failure) -> None:
         if self._is_over:
             return
-        self._life.failed_at = self._clock.seconds()
+        self._state.failed_at = self._clock.seconds()
         self._end()
         if self._channel is not None:
-            self._life.pool.lost(self._channel, self._clock.seconds())
+            self._state.pool.lost(self._channel, self._clock.seconds())
         self._abort()
         self._observer.run_cut(failure_text(failure))
 
     def _end(self) -> None:
         self._is_over = True
-        self._life.runs.discard(self)
+        self._state.runs.discard(self)
 
     def _abort(self) -> None:
         if self._channel is not None:
             self._channel.abort_now()
 
 
-class _Life:
+class _IncarnationState:
     """Connections to one life of a target, and the requests there.
 
     Parameters
@@ -269,14 +269,14 @@
         self._codec = codec
         # By name of the target, the newest last. Former ones are kept while
         # requests are under way there.
-        self._lives: dict[str, list[_Life]] = {}
+        self._states: dict[str, list[_IncarnationState]] = {}
         # One for all targets: what drops connections is seldom one of them.
         self._rest_limit = RestLimit()
 
     def send(self, sending: Sending, observer: RunObserver) -> Run:
         """Send a request; see `TargetCaller.send`."""
-        life = self._life(sending.target)
-        run = HttpRun(sending, observer, self._codec, life, self._reactor)
+        state = self._state(sending.target)
+        run = HttpRun(sending, observer, self._codec, state, self._reactor)
         run.start()
         return run
 
@@ -284,9 +284,9 @@
         self, target: TargetIncarnation, on_check: Callable[[TargetCheck], None]
     ) -> None:
         """See whether a target takes connections; see `TargetCaller.check`."""
-        for life in self._lives.get(target.name, ()):
-            if life.incarnation == target:
-                self._check(life.pool, on_check)
+        for state in self._states.get(target.name, ()):
+            if state.incarnation == target:
+                self._check(state.pool, on_check)
                 return
         on_check(TargetCheck.UNKNOWN)
 
@@ -307,17 +307,17 @@
     def end_former(self, present: TargetIncarnation) -> None:
         """End what is under way at former lives; see `TargetCaller.end_former`."""
         former = [
-            life
-            for life in self._lives.get(present.name, ())
-            if life.incarnation.is_followed_by(present)
+            state
+            for state in self._states.get(present.name, ())
+            if state.incarnation.is_followed_by(present)
         ]
-        for life in former:
-            life.pool.close()
-        self._unlearn_former(present)
-        for life in former:
+        for state in former:
+            state.pool.close()
+        self._forget_former_rest_limits(present)
+        for state in former:
             # What is spared now is at the present life and ends with it.
-            failed_at, life.failed_at = life.failed_at, math.inf
-            for run in list(life.runs):
+            failed_at, state.failed_at = state.failed_at, math.inf
+            for run in list(state.runs):
                 run.target_ended(failed_at)
         self._drop_ended(present.name)
 
@@ -329,10 +329,10 @@
         now : float
             Present time in seconds.
         """
-        for target, lives in list(self._lives.items()):
-            for life in lives:
-                life.pool.sweep(now)
-            if lives[0].pool.is_closed:
+        for target, states in list(self._states.items()):
+            for state in states:
+                state.pool.sweep(now)
+            if states[0].pool.is_closed:
                 self._drop_ended(target)
 
     def forget(self, target: str) -> None:
@@ -343,14 +343,14 @@
         target : str
             Its name.
         """
-        for life in self._lives.get(target, ()):
-            life.pool.close()
+        for state in self._states.get(target, ()):
+            state.pool.close()
         self._drop_ended(target)
 
-    def _life(self, target: ServingTarget) -> _Life:
-        lives = self._lives.setdefault(target.name, [])
-        if lives:
-            last = lives[-1]
+    def _state(self, target: ServingTarget) -> _IncarnationState:
+        states = self._states.setdefault(target.name, [])
+        if states:
+            last = states[-1]
             is_same = last.incarnation == target.incarnation
             if is_same and last.pool.endpoint == target.endpoint:
                 if not last.pool.is_closed:
@@ -360,15 +360,15 @@
         pool = ChannelPool(
             self._reactor,
             target.endpoint,
-            CONNECT_TIMEOUT,
+            CONNECT_TIMEOUT_SECONDS,
             self._rest_limit,
             target.incarnation,
         )
-        life = _Life(target.incarnation, pool)
-        self._lives.setdefault(target.name, []).append(life)
-        return life
+        state = _IncarnationState(target.incarnation, pool)
+        self._states.setdefault(target.name, []).append(state)
+        return state
 
-    def _unlearn_former(self, present: TargetIncarnation) -> None:
+    def _forget_former_rest_limits(self, present: TargetIncarnation) -> None:
         """Forget what connections to former lives taught of resting."""
         for source in self._rest_limit.sources:
             if isinstance(source, TargetIncarnation) and source.name == present.name:
@@ -377,9 +377,9 @@
 
     def _drop_ended(self, target: str) -> None:
         """Forget closed lives at which nothing is under way."""
-        lives = self._lives.get(target, ())
-        left = [life for life in lives if life.runs or not life.pool.is_closed]
+        states = self._states.get(target, ())
+        left = [state for state in states if state.runs or not state.pool.is_closed]
         if left:
-            self._lives[target] = left
+            self._states[target] = left
         else:
-            self._lives.pop(target, None)
+            self._states.pop(target, None)
--- a/tests/entry/test_restart_transport.py
+++ b/tests/entry/test_restart_transport.py
@@ -212,7 +212,7 @@
         yield self.eventually(lambda: "done" in heard.said)
         yield self.eventually(lambda: channel.is_closed)
         self.caller.sweep(reactor.seconds())
-        self.assertEqual({}, self.caller._lives)
+        self.assertEqual({}, self.caller._states)
 
     @inlineCallbacks
     def test_a_former_life_ends_also_when_its_target_was_forgotten_meanwhile(self):
