--- a/src/primrosescale/process/entry/harm_watch.py
+++ b/src/primrosescale/process/entry/harm_watch.py
@@ -39,16 +39,16 @@
     from primrosescale.request.target_state import TargetState
 
 # The connections of a target that ends are lost within some milliseconds.
-CHECK_PAUSE = 0.01
+CHECK_DELAY_SECONDS = 0.01
 # A check that brought no answer is made again, as long as lost answers wait.
-RECHECK_PAUSE = 1.0
+RECHECK_INTERVAL_SECONDS = 1.0
 # Between two looks at which whole answers have been proved by now.
-PROOF_PAUSE = 0.25
+CLEARANCE_INTERVAL_SECONDS = 0.25
 # How it shows that another target listens at the address of one.
 REPLACED = "another in its place"
 # A target that sends so soon after its end has not ended; later it may have started
 # again under its name before the list tells it.
-STILL_LIVES_SECONDS = 1.0
+END_REVOCABLE_SECONDS = 1.0
 
 
 class EntryHarmWatch(HarmWatch):
@@ -86,15 +86,15 @@
         self._reactor: Any = parts.reactor
         self._log = parts.log
         self._metrics = parts.metrics
-        self._tell_soon = tell_soon
-        news.on_end = self._told_of_end
+        self._broadcast_soon = tell_soon
+        news.on_end = self._on_peer_end
         self._lost = LostAnswers()
         self._fresh = FreshAnswers()
-        self._proving: Timer | None = None
+        self._proof_timer: Timer | None = None
         # Targets that a connection is being opened to.
-        self._checking: set[int] = set()
+        self._pending_checks: set[int] = set()
         # When targets were seen to end here, by their short names.
-        self._ended: dict[int, float] = {}
+        self._ended_at: dict[int, float] = {}
 
     def held_for(self, request: IncomingRequest, now: float) -> float:
         """Return how long it is held back; see `HarmWatch.held_for`."""
@@ -107,7 +107,7 @@
         if not self._requests.may_hold:
             return
         if self._news.note(LoneTry(request.fingerprint, now), now):
-            self._tell_soon()
+            self._broadcast_soon()
 
     def answer_lost(
         self, request: IncomingRequest, state: TargetState, now: float
@@ -132,20 +132,20 @@
         self._requests.count_answer(now)
         key = target_key(*state.incarnation)
         self._fresh.add(FreshAnswer(request.fingerprint, key, now, state))
-        if self._proving is None:
-            self._proving = self._reactor.callLater(PROOF_PAUSE, self._prove)
+        if self._proof_timer is None:
+            self._proof_timer = self._reactor.callLater(CLEARANCE_INTERVAL_SECONDS, self._clear_proved)
 
     def heard(self, state: TargetState, sent_at: float, now: float) -> None:
         """Take in that the target lives; see `HarmWatch.heard`."""
-        if not state.incarnation.is_named_by_id or not (self._ended or len(self._lost)):
+        if not state.incarnation.is_named_by_id or not (self._ended_at or len(self._lost)):
             return
         key = target_key(*state.incarnation)
         self._lost.lived(key, sent_at)
-        ended_at = self._ended.get(key)
+        ended_at = self._ended_at.get(key)
         if ended_at is None:
             return
-        if BUFFERED_SECONDS < now - ended_at < STILL_LIVES_SECONDS:
-            self._ended.pop(key)
+        if BUFFERED_SECONDS < now - ended_at < END_REVOCABLE_SECONDS:
+            self._ended_at.pop(key)
             self._requests.target_lives(key)
 
     def replaced(self, state: TargetState, now: float) -> None:
@@ -184,10 +184,10 @@
             Event.TARGET_ENDED, target=target.name, on_board=len(ends), how=how
         )
         self._forget_old(now)
-        self._ended[key] = now
+        self._ended_at[key] = now
         self._note_ends(ends, now)
 
-    def _told_of_end(self, end: TargetEnd, now: float) -> None:
+    def _on_peer_end(self, end: TargetEnd, now: float) -> None:
         """Take in that another router lost an answer when a target ended.
 
         What this router had on board there it finds out itself; a whole answer just
@@ -209,45 +209,45 @@
         return ends
 
     def _check_soon(self, target: TargetIncarnation, key: int) -> None:
-        if key not in self._checking:
-            self._checking.add(key)
-            self._reactor.callLater(CHECK_PAUSE, self._check, target, key)
+        if key not in self._pending_checks:
+            self._pending_checks.add(key)
+            self._reactor.callLater(CHECK_DELAY_SECONDS, self._check, target, key)
 
     def _check(self, target: TargetIncarnation, key: int) -> None:
         now = self._reactor.seconds()
         if self._lost.is_waiting(key, now) or self._fresh.has_any(key):
             self._caller.check(target, lambda found: self._checked(target, key, found))
         else:
-            self._checking.discard(key)
+            self._pending_checks.discard(key)
 
     def _checked(self, target: TargetIncarnation, key: int, found: TargetCheck) -> None:
         if found is TargetCheck.UNKNOWN:
-            self._reactor.callLater(RECHECK_PAUSE, self._check, target, key)
+            self._reactor.callLater(RECHECK_INTERVAL_SECONDS, self._check, target, key)
             return
-        self._checking.discard(key)
+        self._pending_checks.discard(key)
         if found is TargetCheck.ENDED:
             self.target_ended(target, found.value, self._reactor.seconds())
 
-    def _prove(self) -> None:
+    def _clear_proved(self) -> None:
         """Take in whole answers that prove something by now."""
         now = self._reactor.seconds()
         for answer in self._fresh.take_proved(now):
             self._clear(answer, now)
-        self._proving = None
+        self._proof_timer = None
         if len(self._fresh):
-            self._proving = self._reactor.callLater(PROOF_PAUSE, self._prove)
+            self._proof_timer = self._reactor.callLater(CLEARANCE_INTERVAL_SECONDS, self._clear_proved)
 
     def _clear(self, answer: FreshAnswer, now: float) -> None:
         if self._news.note(WholeAnswer(answer.fingerprint, answer.at), now):
-            self._tell_soon()
+            self._broadcast_soon()
 
     def _note_ends(self, ends: list[TargetEnd], now: float) -> None:
         for end in ends:
             self._requests.count_end(now)
             self._news.note(end, now)
         if ends:
-            self._tell_soon()
+            self._broadcast_soon()
 
     def _forget_old(self, now: float) -> None:
-        oldest = now - STILL_LIVES_SECONDS
-        self._ended = {key: at for key, at in self._ended.items() if at >= oldest}
+        oldest = now - END_REVOCABLE_SECONDS
+        self._ended_at = {key: at for key, at in self._ended_at.items() if at >= oldest}
