--- a/src/primrosescale/process/entry/log_writer.py
+++ b/src/primrosescale/process/entry/log_writer.py
@@ -25,18 +25,18 @@
 STANDARD_OUTPUT = 1
 # A line of about 600 bytes for each of 400 requests a second is what one
 # router of today can serve at the most; ten times its usual load.
-LINES_PER_SECOND = 400.0
-BURST_LINES = 800.0
+MAX_LINES_PER_SECOND = 400.0
+MAX_BURST_LINES = 800.0
 # What is held while the reader of the pipe is slow.
-BUFFER_BYTES = 512 * 1024
-RETRY_SECONDS = 0.05
+MAX_BUFFER_BYTES = 512 * 1024
+WRITE_RETRY_SECONDS = 0.05
 # Numbers below this are about the process itself and are never dropped for
 # their rate.
-FIRST_BOUNDED_EVENT = Event.CALL_REFUSED.value
-LAST_BOUNDED_EVENT = Event.REQUEST_ENDED.value
+FIRST_RATE_LIMITED_EVENT = Event.CALL_REFUSED.value
+LAST_RATE_LIMITED_EVENT = Event.REQUEST_ENDED.value
 
 
-class LineBudget:
+class LineRateLimiter:
     """Bound on the rate of lines.
 
     Parameters
@@ -48,11 +48,11 @@
     __slots__ = ("_at", "_dropped", "_lines")
 
     def __init__(self, now: float) -> None:
-        self._lines = BURST_LINES
+        self._lines = MAX_BURST_LINES
         self._at = now
         self._dropped = 0
 
-    def spend(self, now: float) -> bool:
+    def acquire(self, now: float) -> bool:
         """Take one line from the budget, or count it as dropped.
 
         Parameters
@@ -65,8 +65,8 @@
         bool
             False when the line is to be left out.
         """
-        earned = (now - self._at) * LINES_PER_SECOND
-        self._lines = min(BURST_LINES, self._lines + max(0.0, earned))
+        earned = (now - self._at) * MAX_LINES_PER_SECOND
+        self._lines = min(MAX_BURST_LINES, self._lines + max(0.0, earned))
         self._at = now
         if self._lines < 1.0:
             self._dropped += 1
@@ -106,7 +106,7 @@
         self._descriptor = descriptor
         self._buffer = bytearray()
         self._timer: Timer | None = None
-        self._budget = LineBudget(clock.seconds())
+        self._rate_limiter = LineRateLimiter(clock.seconds())
         os.set_blocking(descriptor, False)
 
     def install(self) -> None:
@@ -121,7 +121,7 @@
         int
             Lines.
         """
-        return self._budget.take_dropped()
+        return self._rate_limiter.take_dropped()
 
     def __call__(self, message: dict[str, Any]) -> None:
         """Write one line, or leave it out.
@@ -132,8 +132,8 @@
             Fields of the line.
         """
         number = message.get("number", 0)
-        is_bounded = FIRST_BOUNDED_EVENT <= number <= LAST_BOUNDED_EVENT
-        if is_bounded and not self._budget.spend(self._clock.seconds()):
+        is_rate_limited = FIRST_RATE_LIMITED_EVENT <= number <= LAST_RATE_LIMITED_EVENT
+        if is_rate_limited and not self._rate_limiter.acquire(self._clock.seconds()):
             return
         fields = {
             name: value
@@ -141,8 +141,8 @@
             if name not in {"task_uuid", "task_level"}
         }
         line = _json(fields) + b"\n"
-        if len(self._buffer) + len(line) > BUFFER_BYTES:
-            self._budget.count_dropped()
+        if len(self._buffer) + len(line) > MAX_BUFFER_BYTES:
+            self._rate_limiter.count_dropped()
             return
         self._buffer += line
         if self._timer is None:
@@ -160,7 +160,7 @@
             return
         del self._buffer[:written]
         if self._buffer:
-            self._timer = self._clock.callLater(RETRY_SECONDS, self._flush)
+            self._timer = self._clock.callLater(WRITE_RETRY_SECONDS, self._flush)
 
 
 def _json(fields: dict[str, Any]) -> bytes:
--- a/tests/entry/test_log_writer.py
+++ b/tests/entry/test_log_writer.py
@@ -11,8 +11,8 @@
 from twisted.logger import LogPublisher
 from twisted.python.failure import Failure
 
-from primrosescale.process.entry.log_writer import BUFFER_BYTES
-from primrosescale.process.entry.log_writer import BURST_LINES
+from primrosescale.process.entry.log_writer import MAX_BUFFER_BYTES
+from primrosescale.process.entry.log_writer import MAX_BURST_LINES
 from primrosescale.process.entry.log_writer import FailureObserver
 from primrosescale.process.entry.log_writer import LogWriter
 from primrosescale.process.events import Event
@@ -60,7 +60,7 @@
         self.assertEqual({"number": 202, "request": "r1"}, json.loads(self.read()))
 
     def test_lines_over_the_rate_are_counted_and_left_out(self):
-        for _ in range(int(BURST_LINES) + 50):
+        for _ in range(int(MAX_BURST_LINES) + 50):
             self.line(Event.REQUEST_ENDED)
             self.read()
         self.assertEqual(50, self.log.take_dropped())
@@ -70,7 +70,7 @@
         self.assertEqual(1, self.read().count(b"\n"))
 
     def test_lines_about_the_process_are_not_left_out_for_their_rate(self):
-        for _ in range(int(BURST_LINES) + 50):
+        for _ in range(int(MAX_BURST_LINES) + 50):
             self.line(Event.READINESS_CHANGED)
             self.read()
         self.assertEqual(0, self.log.take_dropped())
@@ -83,6 +83,6 @@
         for _ in range(100):
             held += self.read()
             self.clock.advance(0.05)
-        self.assertTrue(BUFFER_BYTES // 2 < len(held) < BUFFER_BYTES + 200_000)
+        self.assertTrue(MAX_BUFFER_BYTES // 2 < len(held) < MAX_BUFFER_BYTES + 200_000)
         for line in held.splitlines():
             json.loads(line)
