--- a/src/primrosescale/process/entry/entry_metrics.py
+++ b/src/primrosescale/process/entry/entry_metrics.py
@@ -17,7 +17,7 @@
     from primrosescale.request.silence import Silence
 
 # Objectives of today lie between 0.3 s and 1 s.
-BUCKETS = (0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1.0, 1.5, 2.5, 5.0, 10.0)
+LATENCY_BUCKETS_SECONDS = (0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1.0, 1.5, 2.5, 5.0, 10.0)
 
 
 class EntryMetrics:
@@ -90,14 +90,14 @@
             "primrosescale_first_byte_seconds",
             "Time from the request to the first byte of its answer",
             ["route"],
-            buckets=BUCKETS,
+            buckets=LATENCY_BUCKETS_SECONDS,
             registry=self._registry,
         )
         self._duration = Histogram(
             "primrosescale_request_seconds",
             "Time from the request to the end of its answer",
             ["route"],
-            buckets=BUCKETS,
+            buckets=LATENCY_BUCKETS_SECONDS,
             registry=self._registry,
         )
         self._gauges = {
--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -83,22 +83,22 @@
 HOUSEKEEPING_SECONDS = 0.25
 # The balancer asks once a second and takes a router out after two misses; a
 # new connection may still come a little later.
-STILL_CHOSEN_SECONDS = 2.6
+BALANCER_REMOVAL_SECONDS = 2.6
 # Routers that are taken to share the budget of repeats before the list came.
-UNLISTED_ROUTERS = 8
+ASSUMED_ROUTERS = 8
 # A request that comes before the store has been read waits this long: reading
 # takes some 10 ms, and 0.25 s while the store is slow.
-START_PATIENCE = 0.5
+MAX_START_WAIT_SECONDS = 0.5
 # Many routers learn nothing of caches at their start: what they send where is at
 # its home by hash already.
 # The list of routers tells which holds. It normally comes within the 4 ms that the
 # store takes to answer; callers do not wait for it longer than for caches.
-LIST_PAUSE = 0.005
-LIST_PATIENCE = 0.05
+LIST_POLL_SECONDS = 0.005
+MAX_LIST_WAIT_SECONDS = 0.05
 # A router that alone has not reached the store for this long sends its callers
 # to others. The balancer needs up to 3 s to move them, and keys may be relied
 # on for 5 s; in an outage for all, routers notice up to 2 s apart.
-LOST_SECONDS = 1.0
+STORE_LOST_SECONDS = 1.0
 # The settings file may change without a signal; reading its 2 KB takes 0.1 ms.
 REREAD_SECONDS = 2.0
 # Left before SIGKILL for closing connections.
@@ -106,7 +106,7 @@
 
 
 # What shows that a target has ended, besides a refused connection.
-GONE = "entry gone"
+ENTRY_GONE = "entry gone"
 STARTED_AGAIN = "started again"
 
 
@@ -232,15 +232,15 @@
         self._calls: set[ForwardedCall] = set()
         self._ports: dict[Endpoint, Any] = {}
         self._is_stopping = False
-        self._early: list[EntryRequest] = []
-        self._patient_until = 0.0
+        self._held_requests: list[EntryRequest] = []
+        self._hold_until = 0.0
         self._was_ready = False
         self._housekeeping: Timer | None = None
         self._lines_dropped = 0
-        self._settings_fault = ""
+        self._settings_error = ""
         # Version and list of targets by which the directory was last limited.
-        self._limited = (0, 0)
-        self._reread_at = self._now() + REREAD_SECONDS
+        self._limits_applied_for = (0, 0)
+        self._next_reread_at = self._now() + REREAD_SECONDS
 
     @property
     def limits(self) -> CallerLimits:
@@ -259,7 +259,7 @@
     @property
     def closes_connections(self) -> bool:
         """Tell whether connections are to end with their next answer."""
-        return self._is_stopping or self._is_cut_off(self._now())
+        return self._is_stopping or self._is_isolated(self._now())
 
     @property
     def is_ready(self) -> bool:
@@ -278,10 +278,10 @@
             links.port, self._exchange, links.address
         )
         self._registry.start(self.bound[links])
-        self._patient_until = self._now() + START_PATIENCE
-        self._reactor.callLater(START_PATIENCE, self._serve_early)
-        self._knowledge.start(self._learned)
-        self._keep_house()
+        self._hold_until = self._now() + MAX_START_WAIT_SECONDS
+        self._reactor.callLater(MAX_START_WAIT_SECONDS, self._serve_held_requests)
+        self._knowledge.start(self._on_first_read)
+        self._run_housekeeping()
         self._log.emit(Event.PROCESS_STARTED, host=settings.name)
 
     @inlineCallbacks
@@ -291,13 +291,13 @@
         self._is_stopping = True
         self._log.emit(Event.PROCESS_STOPPING, under_way=len(self._calls))
         latest = began + self._settings.stop_within - STOP_MARGIN_SECONDS
-        yield self._pause(STILL_CHOSEN_SECONDS)
+        yield self._sleep(BALANCER_REMOVAL_SECONDS)
         self._ports.pop(self._settings.callers).stopListening()
         while self._now() < latest:
             self._factory.close_idle()
             if not self._calls and not self._factory.open_channels:
                 break
-            yield self._pause(0.05)
+            yield self._sleep(0.05)
         if self._calls:
             self._log.emit(Event.STOP_CUT, requests=len(self._calls))
         self._knowledge.stop()
@@ -317,11 +317,11 @@
         try:
             settings = self._parts.reread()
         except PrimrosescaleError as error:
-            if is_asked or str(error) != self._settings_fault:
+            if is_asked or str(error) != self._settings_error:
                 self._log.emit(Event.SETTINGS_REFUSED, detail=str(error))
-            self._settings_fault = str(error)
+            self._settings_error = str(error)
             return
-        self._settings_fault = ""
+        self._settings_error = ""
         # It goes on listening where it does; other addresses need a restart.
         settings = replace(
             settings,
@@ -354,15 +354,15 @@
 
     def handle(self, request: EntryRequest) -> None:
         """Answer or forward a request; see `EntryHandler.handle`."""
-        if self._now() >= self._patient_until:
+        if self._now() >= self._hold_until:
             self._serve(request)
         else:
-            self._early.append(request)
+            self._held_requests.append(request)
 
-    def _serve_early(self) -> None:
+    def _serve_held_requests(self) -> None:
         """Serve the requests that came before the first knowledge."""
-        self._patient_until = 0.0
-        early, self._early = self._early, []
+        self._hold_until = 0.0
+        early, self._held_requests = self._held_requests, []
         for request in early:
             if not request.is_disconnected:
                 self._serve(request)
@@ -446,7 +446,7 @@
                     "until": round((item.ended_at or now) - request.received_at, 3),
                     "load": item.load,
                     "mean": item.mean,
-                    "load_age": _told_age(item.load_age),
+                    "load_age": _rounded_load_age(item.load_age),
                     "cached_tokens": item.held,
                     "is_home": item.is_home,
                     "passed_cold": item.passed_cold,
@@ -518,7 +518,7 @@
 
     def _routers(self) -> int:
         listed = self._registry.routers
-        return UNLISTED_ROUTERS if listed is None else listed
+        return ASSUMED_ROUTERS if listed is None else listed
 
     def _list_routers(self, now: float) -> None:
         """Have rates that all routers share divided among those listed now."""
@@ -539,16 +539,16 @@
         table = self._knowledge.table
         return 0 if table is None else table.version
 
-    def _keep_house(self) -> None:
+    def _run_housekeeping(self) -> None:
         now = self._now()
         self._housekeeping = self._reactor.callLater(
-            HOUSEKEEPING_SECONDS, self._keep_house
+            HOUSEKEEPING_SECONDS, self._run_housekeeping
         )
         self._caller.sweep(now)
-        if now >= self._reread_at:
-            self._reread_at = now + REREAD_SECONDS
+        if now >= self._next_reread_at:
+            self._next_reread_at = now + REREAD_SECONDS
             self.reload(is_asked=False)
-        self._limit_caches()
+        self._update_cache_limits()
         self._registry.forget_silent(now)
         self._list_routers(now)
         self._knowledge.look_after(
@@ -556,37 +556,37 @@
         )
         for incarnation in self._knowledge.listed.forget_gone(now):
             self._directory.forget_target(incarnation)
-            self._harm.target_ended(incarnation, GONE, now)
+            self._harm.target_ended(incarnation, ENTRY_GONE, now)
             self._caller.forget(incarnation.name)
             self._cold.forget(incarnation.name)
-        self._note_readiness(now)
+        self._log_readiness(now)
         dropped = self._parts.writer.take_dropped() if self._parts.writer else 0
         if dropped:
             self._lines_dropped += dropped
             self._log.emit(Event.LOG_DROPPED, lines=dropped)
 
-    def _learned(self, patience: float = LIST_PATIENCE) -> None:
+    def _on_first_read(self, patience: float = MAX_LIST_WAIT_SECONDS) -> None:
         """Take in that routes and targets are known for the first time.
 
         How many routers there are decides whether caches are read; their list
         was asked for together with that of the targets.
         """
         if self._registry.routers is None and patience > 0:
-            self._reactor.callLater(LIST_PAUSE, self._learned, patience - LIST_PAUSE)
+            self._reactor.callLater(LIST_POLL_SECONDS, self._on_first_read, patience - LIST_POLL_SECONDS)
             return
         if not self._settings.reads_caches or self._news.is_relayed:
             self._learning.skip()
-            self._serve_early()
+            self._serve_held_requests()
             return
-        self._learning.start(self._has_cache, self._serve_early)
+        self._learning.start(self._has_cache, self._serve_held_requests)
 
-    def _limit_caches(self) -> None:
+    def _update_cache_limits(self) -> None:
         """Take in how much each target holds, whenever that may have changed."""
         table = self._knowledge.table
         seen = (self._version(), self._knowledge.targets.generation)
-        if table is None or seen == self._limited:
+        if table is None or seen == self._limits_applied_for:
             return
-        self._limited = seen
+        self._limits_applied_for = seen
         for state in self._knowledge.targets.states:
             service = table.service(state.target.service)
             if service is not None:
@@ -596,20 +596,20 @@
         service = self._service(target.service)
         return service is not None and bool(service.cache_tokens)
 
-    def _is_cut_off(self, now: float) -> bool:
+    def _is_isolated(self, now: float) -> bool:
         """Tell whether callers are better served by other routers."""
-        if self._knowledge.lost_for(now) < LOST_SECONDS:
+        if self._knowledge.lost_for(now) < STORE_LOST_SECONDS:
             return False
         return self._news.others_reach_store(now)
 
     def _unready_reason(self, now: float) -> str:
         if self._is_stopping:
             return "stopping"
-        if self._is_cut_off(now):
+        if self._is_isolated(now):
             return "cut off from the store"
         return self._knowledge.missing(now)
 
-    def _note_readiness(self, now: float) -> None:
+    def _log_readiness(self, now: float) -> None:
         if self.is_ready == self._was_ready:
             return
         self._was_ready = not self._was_ready
@@ -680,7 +680,7 @@
         # The reactor listens on a copy.
         early.close()
 
-    def _pause(self, seconds: float) -> Deferred[None]:
+    def _sleep(self, seconds: float) -> Deferred[None]:
         result: Deferred[None] = Deferred()
         self._reactor.callLater(seconds, result.callback, None)
         return result
@@ -689,6 +689,6 @@
         return float(self._reactor.seconds())
 
 
-def _told_age(seconds: float) -> float | None:
+def _rounded_load_age(seconds: float) -> float | None:
     """Return an age as the log has it; None where nothing was ever heard."""
     return round(seconds, 2) if math.isfinite(seconds) else None
