--- a/src/primrosescale/process/entry/entry_metrics.py
+++ b/src/primrosescale/process/entry/entry_metrics.py
@@ -17,7 +17,21 @@
     from primrosescale.request.silence import Silence
 
 # Objectives of today lie between 0.3 s and 1 s.
-LATENCY_BUCKETS_SECONDS = (0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1.0, 1.5, 2.5, 5.0, 10.0)
+LATENCY_BUCKETS_SECONDS = (
+    0.02,
+    0.05,
+    0.1,
+    0.2,
+    0.3,
+    0.4,
+    0.6,
+    0.8,
+    1.0,
+    1.5,
+    2.5,
+    5.0,
+    10.0,
+)
 
 
 class EntryMetrics:
--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -572,7 +572,9 @@
         was asked for together with that of the targets.
         """
         if self._registry.routers is None and patience > 0:
-            self._reactor.callLater(LIST_POLL_SECONDS, self._on_first_read, patience - LIST_POLL_SECONDS)
+            self._reactor.callLater(
+                LIST_POLL_SECONDS, self._on_first_read, patience - LIST_POLL_SECONDS
+            )
             return
         if not self._settings.reads_caches or self._news.is_relayed:
             self._learning.skip()
--- a/src/primrosescale/process/entry/harm_watch.py
+++ b/src/primrosescale/process/entry/harm_watch.py
@@ -133,11 +133,15 @@
         key = target_key(*state.incarnation)
         self._fresh.add(FreshAnswer(request.fingerprint, key, now, state))
         if self._proof_timer is None:
-            self._proof_timer = self._reactor.callLater(CLEARANCE_INTERVAL_SECONDS, self._clear_proved)
+            self._proof_timer = self._reactor.callLater(
+                CLEARANCE_INTERVAL_SECONDS, self._clear_proved
+            )
 
     def heard(self, state: TargetState, sent_at: float, now: float) -> None:
         """Take in that the target lives; see `HarmWatch.heard`."""
-        if not state.incarnation.is_named_by_id or not (self._ended_at or len(self._lost)):
+        if not state.incarnation.is_named_by_id or not (
+            self._ended_at or len(self._lost)
+        ):
             return
         key = target_key(*state.incarnation)
         self._lost.lived(key, sent_at)
@@ -235,7 +239,9 @@
             self._clear(answer, now)
         self._proof_timer = None
         if len(self._fresh):
-            self._proof_timer = self._reactor.callLater(CLEARANCE_INTERVAL_SECONDS, self._clear_proved)
+            self._proof_timer = self._reactor.callLater(
+                CLEARANCE_INTERVAL_SECONDS, self._clear_proved
+            )
 
     def _clear(self, answer: FreshAnswer, now: float) -> None:
         if self._news.note(WholeAnswer(answer.fingerprint, answer.at), now):
--- a/src/primrosescale/process/entry/target_list.py
+++ b/src/primrosescale/process/entry/target_list.py
@@ -66,15 +66,15 @@
     """
 
     __slots__ = (
+        "_delisted",
         "_drain",
         "_evacuated",
+        "_forget_at",
         "_generation",
         "_known",
         "_on_incarnation",
         "_statements",
-        "_delisted",
         "_unreadable",
-        "_forget_at",
     )
 
     def __init__(
--- a/tests/entry/test_harm_watch.py
+++ b/tests/entry/test_harm_watch.py
@@ -243,7 +243,9 @@
         for _ in range(30):
             self.find(TargetCheck.UNKNOWN)
             self.clock.advance(RECHECK_INTERVAL_SECONDS)
-        self.assertLessEqual(len(self.caller.checks), 2 + WAIT_SECONDS / RECHECK_INTERVAL_SECONDS)
+        self.assertLessEqual(
+            len(self.caller.checks), 2 + WAIT_SECONDS / RECHECK_INTERVAL_SECONDS
+        )
         self.assertEqual(0, self.ends())
 
     def test_an_entry_that_goes_shows_it_too(self):
