--- a/src/primrosescale/process/entry/entry_parts.py
+++ b/src/primrosescale/process/entry/entry_parts.py
@@ -1,4 +1,4 @@
-"""What an entry router is built with besides its settings."""
+"""The collaborators that an entry router is constructed with."""
 
 from __future__ import annotations
 
@@ -21,32 +21,33 @@
 
 
 class EntryParts:
-    """What an entry router is built with besides its settings.
+    """Collaborators of an entry router; its settings are passed separately.
 
     Parameters
     ----------
     reactor : Any
         Twisted's reactor.
     platform : Platform
-        The platform's store.
+        Access to the platform's store.
     codec : EntryCodec
-        Translates heads.
+        Converts HTTP heads of requests and responses.
     decoder : RecordDecoder
-        Translates records of the store.
+        Decodes records of the store.
     log : EventLog
-        Numbered events.
+        Log of numbered events.
     writer : LogWriter | None
-        Where their lines go, when it is bounded.
+        Destination of the log lines when it is rate-limited, else None.
     metrics : EntryMetrics
-        Counters and histograms.
+        Metrics of the router.
     rng : Random
-        Source of chance.
+        Source of randomness.
     caches : CacheReader
-        Asks model engines which parts of prompts they hold.
+        Reads from model engines which prompt parts they have cached.
     reread : Callable[[], EntrySettings]
-        Reads the settings anew; fails with a `PrimrosescaleError`.
+        Reads the settings file again; raises a `PrimrosescaleError` if it is
+        invalid.
     early : socket.socket | None
-        A socket that listens for callers already; None to open one.
+        A socket that already listens for callers; None to open one.
     """
 
     __slots__ = (
--- a/src/primrosescale/process/entry/entry_settings.py
+++ b/src/primrosescale/process/entry/entry_settings.py
@@ -1,4 +1,4 @@
-"""Everything an entry router is built with."""
+"""Settings of an entry router, and the store prefixes that it watches."""
 
 from __future__ import annotations
 
@@ -29,38 +29,39 @@
     domain : str
         Its failure domain.
     callers : Endpoint
-        Where callers connect.
+        Address on which callers connect.
     readiness : Endpoint
-        Where the balancer asks whether to send callers.
+        Address of the readiness check that the load balancer polls.
     metrics : Endpoint | None
-        Where metrics are served.
+        Address on which metrics are served; None for no metrics.
     links : Endpoint
-        Where other routers connect.
+        Address on which other routers connect.
     reads_caches : bool
-        Whether model engines may hold parts of prompts already at the start.
+        Whether to read the prompt caches of model engines at start-up.
     drain : float
-        Seconds after which a leaving target must get no new work.
+        Seconds after which a draining target must receive no new requests.
     revoke : float
-        Seconds after which a withdrawn key must not be accepted.
+        Seconds within which a revoked key must stop being accepted.
     certain_for : float
-        Age of the knowledge, in seconds, up to which a missing route or key is
-        taken for unknown rather than for not heard of yet.
+        Maximum age of the configuration, in seconds, at which a missing route or
+        key is answered as unknown. With an older one it may have been added
+        meanwhile.
     stop_within : float
         Seconds between SIGTERM and SIGKILL.
     most_requests : int
-        Requests that may be under way at once; more are refused.
+        Maximum number of concurrent requests; more are refused.
     repeats : RepeatBounds
-        Bound on requests sent again, for all routers together.
+        Retry budget for all routers together.
     forward : ForwardSettings
-        Timing of requests.
+        Timeouts and retry delays of requests.
     choice : ChoiceSettings
-        Weights of the choice of targets.
+        Weights used in choosing a target.
     news : NewsSettings
-        How routers tell each other what they know.
+        How routers exchange their state.
     harm : HarmSettings
-        When a request that ends targets is held back.
+        When a request under which targets end is held back.
     cold : ColdSettings
-        How far targets that have just started may be loaded.
+        How much load recently started targets may get.
     regions : dict[str, str]
         The region of each failure domain.
     """
@@ -88,19 +89,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EntryWatches:
-    """What an entry router follows in the store.
+    """Store prefixes that an entry router watches.
 
     Parameters
     ----------
     configuration : WatchedPrefix
-        The newest version. Asked often: the age of the answer decides whether
-        keys may still be accepted.
+        The current configuration. Polled often, because the age of the last
+        response decides whether keys may still be accepted.
     targets : WatchedPrefix
-        The list of targets.
+        The targets.
     routers : WatchedPrefix
-        The list of entry routers.
+        The entry routers.
     evacuations : WatchedPrefix | None
-        The list of evacuated failure domains; None where there are none.
+        The evacuated failure domains; None on platforms without evacuations.
     """
 
     configuration: WatchedPrefix
