--- a/src/primrosescale/process/entry/caller_site.py
+++ b/src/primrosescale/process/entry/caller_site.py
@@ -1,4 +1,7 @@
-"""Callers' HTTP: connections with limits, and answers that pace their target."""
+"""HTTP server for callers, with limits on connections, heads and bodies.
+
+A caller that reads its response slowly applies backpressure to the target.
+"""
 
 from __future__ import annotations
 
@@ -30,15 +33,16 @@
     from primrosescale.request.direct_port import AnswerHead
     from primrosescale.request.forwarded_call import ForwardedCall
 
-# Before the first version is known; those of the users' deployments.
+# In force until the first configuration is known; the values are those of the
+# configurations in use.
 DEFAULT_LIMITS = CallerLimits(
     header_bytes=16384,
     body_bytes=4194304,
     header_timeout=3.0,
     idle_timeout=15.0,
 )
-# Callers reuse connections up to four fifths of the idle limit; the rest is
-# left for the way there.
+# Callers reuse connections up to four fifths of the idle timeout; the remaining
+# fifth covers network delay.
 CLOSE = b"close"
 HEAD_TOO_LARGE = (
     b"HTTP/1.1 431 Request Header Fields Too Large\r\n"
@@ -47,41 +51,41 @@
 
 
 class EntryHandler(ABC):
-    """Handles callers' requests."""
+    """Handles the requests of callers."""
 
     @property
     @abstractmethod
     def limits(self) -> CallerLimits:
-        """Return the limits in force."""
+        """Return the limits on connections and requests that are in force."""
 
     @property
     @abstractmethod
     def closes_connections(self) -> bool:
-        """Tell whether connections are to end with their next answer."""
+        """Return whether connections are to be closed after their next response."""
 
     @abstractmethod
     def handle(self, request: EntryRequest) -> None:
-        """Answer a request or forward it, now or later.
+        """Answer a request or forward it, immediately or later.
 
         Parameters
         ----------
         request : EntryRequest
-            The whole request.
+            The request, completely received.
         """
 
     @abstractmethod
     def too_large(self, request: EntryRequest) -> None:
-        """Answer a request whose body is too large.
+        """Answer a request whose body exceeds the limit.
 
         Parameters
         ----------
         request : EntryRequest
-            The request, of which only a part has been read.
+            The request, only partly received.
         """
 
 
 class EntryRequest(Request):
-    """A caller's request; its body is held in memory up to the limit."""
+    """A caller's request; its body is buffered in memory up to the limit."""
 
     def __init__(self, channel: EntryChannel, queued: object = None) -> None:
         super().__init__(channel)
@@ -90,12 +94,12 @@
         self.is_disconnected = False
 
     def gotLength(self, length: int | None) -> None:
-        """Make room for the body.
+        """Create the buffer of the body, or refuse a body announced as too large.
 
         Parameters
         ----------
         length : int | None
-            Announced bytes; None for a body in chunks.
+            Announced length in bytes; None for a chunked body.
         """
         self.content: Any = BytesIO()
         channel: Any = self.channel
@@ -103,12 +107,12 @@
             self._refuse_body()
 
     def handleContentChunk(self, data: bytes) -> None:
-        """Take in a part of the body, up to the limit.
+        """Buffer a part of the body, and refuse the request beyond the limit.
 
         Parameters
         ----------
         data : bytes
-            The part.
+            Bytes of the body.
         """
         if self._is_refused:
             return
@@ -120,7 +124,7 @@
         self.content.write(data)
 
     def requestReceived(self, command: bytes, path: bytes, version: bytes) -> None:
-        """Hand the whole request on, without parsing its body.
+        """Process the complete request, without parsing its body.
 
         Parameters
         ----------
@@ -139,28 +143,28 @@
         self.process()
 
     def process(self) -> None:
-        """Handle the request."""
+        """Pass the request to the handler."""
         channel: Any = self.channel
         channel.cancel_head_timer()
         channel.handler.handle(self)
 
     def attach_call(self, call: ForwardedCall) -> None:
-        """Take in the call that will answer.
+        """Set the call that will answer the request.
 
         Parameters
         ----------
         call : ForwardedCall
-            The call; it is told when the caller leaves.
+            The call; it is notified when the caller disconnects.
         """
         self._call = call
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Tell the call that its caller has left.
+        """Notify the call that its caller has disconnected.
 
         Parameters
         ----------
         reason : Failure
-            What the transport says.
+            Reason given by the transport.
         """
         self.is_disconnected = True
         super().connectionLost(reason)
@@ -169,7 +173,7 @@
 
     def _refuse_body(self) -> None:
         self._is_refused = True
-        # Twisted learns the version only with the last byte of the body.
+        # Twisted sets the version only after the last byte of the body.
         self.clientproto = b"HTTP/1.1"
         channel: Any = self.channel
         channel.handler.too_large(self)
@@ -178,35 +182,35 @@
 
 @implementer(IPushProducer)
 class _BackpressureProducer:
-    """Lets a slow caller pace the target."""
+    """Passes backpressure from a slow caller on to the target."""
 
     def __init__(self, call: ForwardedCall) -> None:
         self._call = call
 
     def pauseProducing(self) -> None:
-        """Take no more bytes from the target."""
+        """Stop reading from the target."""
         self._call.pause()
 
     def resumeProducing(self) -> None:
-        """Take bytes from the target again."""
+        """Resume reading from the target."""
         self._call.resume()
 
     def stopProducing(self) -> None:
-        """End the call."""
+        """End the call, as its caller has disconnected."""
         self._call.caller_gone()
 
 
 class CallerResponse(CallerSink):
-    """The answer to one request.
+    """The response to one request of a caller.
 
     Parameters
     ----------
     request : EntryRequest
         The request.
     handler : EntryHandler
-        Says whether the connection is to be kept.
+        Decides whether the connection is kept open.
     refusal_headers : Any
-        Returns the headers of an answer of the router's own.
+        Builds the headers of an error response generated by the router.
     """
 
     def __init__(
@@ -221,7 +225,7 @@
         self._has_producer = False
 
     def apply_backpressure(self, call: ForwardedCall) -> None:
-        """Let the caller pace a call.
+        """Let a slow caller slow down a call.
 
         Parameters
         ----------
@@ -233,7 +237,7 @@
             self._has_producer = True
 
     def begin(self, head: AnswerHead) -> None:
-        """Send a head; see `CallerSink.begin`."""
+        """Send the head; see `CallerSink.begin`."""
         if self._request.is_disconnected:
             return
         request = self._request
@@ -247,31 +251,32 @@
         request.write(b"")
 
     def write(self, data: bytes) -> None:
-        """Send bytes; see `CallerSink.write`."""
+        """Send bytes of the body; see `CallerSink.write`."""
         if not self._request.is_disconnected:
             self._request.write(data)
 
     def finish(self) -> None:
-        """End the answer; see `CallerSink.finish`."""
+        """Complete the response; see `CallerSink.finish`."""
         if self._request.is_disconnected:
             return
         self._unregister_producer()
         self._request.finish()
 
     def break_off(self) -> None:
-        """End the answer unfinished; see `CallerSink.break_off`."""
+        """Terminate the response as incomplete; see `CallerSink.break_off`."""
         if self._request.is_disconnected:
             return
         self._unregister_producer()
         channel: Any = self._request.channel
         if getattr(self._request, "chunked", False):
-            # The last chunk is missing, and what was written still arrives.
+            # The missing last chunk marks the response as incomplete, and an orderly
+            # close still delivers what was written.
             channel.loseConnection()
         else:
             channel.transport.abortConnection()
 
     def refuse(self, refusal: Refusal, retry_after: float | None) -> None:
-        """Send an answer of the router's own; see `CallerSink.refuse`."""
+        """Send an error response of the router; see `CallerSink.refuse`."""
         request = self._request
         if request.is_disconnected:
             return
@@ -304,12 +309,12 @@
 
 
 class EntryChannel(HTTPChannel):
-    """A caller's connection with the limits of the configuration.
+    """A caller's connection, subject to the limits of the configuration.
 
     Parameters
     ----------
     handler : EntryHandler
-        Handles requests.
+        Handles the requests.
     clock : Clock
         Source of time and timers.
     """
@@ -329,16 +334,16 @@
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether no request is being read or answered."""
+        """Return whether no request is being received or answered."""
         return not self.requests
 
     def dataReceived(self, data: bytes) -> None:
-        """Take in bytes, and expect the head to end in time.
+        """Parse received bytes, and start the timeout for the request head.
 
         Parameters
         ----------
         data : bytes
-            The bytes.
+            Received bytes.
         """
         if not self.requests and self._head_timer is None:
             limit = self.handler.limits.header_timeout
@@ -346,20 +351,20 @@
         super().dataReceived(data)
 
     def cancel_head_timer(self) -> None:
-        """Take in that a whole request has come."""
+        """Cancel the timeout for the request head."""
         cancel_timer(self._head_timer)
         self._head_timer = None
 
     def requestDone(self, request: Any) -> None:
-        """Wait for the next request, as long as the configuration allows.
+        """Wait for the next request until the idle timeout.
 
         Parameters
         ----------
         request : Any
-            The request that is answered.
+            The request that has been answered.
         """
-        # A limit that was lowered meanwhile is not applied to this wait: the
-        # caller may still reckon with the higher one.
+        # A timeout that was lowered meanwhile does not apply to this wait, because
+        # the caller may still rely on the higher one.
         limit = self.handler.limits.idle_timeout
         saved: Any = max(self._idle_limit, limit)
         self._savedTimeOut = saved
@@ -367,12 +372,12 @@
         super().requestDone(request)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Forget the connection.
+        """Remove the connection from the factory.
 
         Parameters
         ----------
         reason : Failure
-            What the transport says.
+            Reason given by the transport.
         """
         self.cancel_head_timer()
         super().connectionLost(reason)
@@ -380,19 +385,19 @@
             self.factory.forget(self)
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        """Answer a head with a line that is too long, and close.
+        """Refuse a request head with an overlong line, and close the connection.
 
         Parameters
         ----------
         line : bytes
-            What has come of it.
+            The received part of the line.
         """
         transport: Any = self.transport
         transport.write(HEAD_TOO_LARGE)
         transport.loseConnection()
 
     def allHeadersReceived(self) -> None:
-        """Take in that the head has come; the body may take longer."""
+        """Stop the head timeout; the body may take longer."""
         self.cancel_head_timer()
         super().allHeadersReceived()
 
@@ -404,12 +409,12 @@
 
 
 class EntryFactory(ServerFactory):
-    """Makes callers' connections and knows the open ones.
+    """Creates callers' connections and tracks the open ones.
 
     Parameters
     ----------
     handler : EntryHandler
-        Handles requests.
+        Handles the requests.
     clock : Clock
         Source of time and timers.
     """
@@ -423,16 +428,16 @@
 
     @property
     def open_channels(self) -> int:
-        """Return how many connections are open."""
+        """Return the number of open connections."""
         return len(self._channels)
 
     def buildProtocol(self, addr: Any) -> EntryChannel:
-        """Return the protocol of a new connection.
+        """Create the protocol of a new connection.
 
         Parameters
         ----------
         addr : Any
-            Where it comes from.
+            Address of the caller.
 
         Returns
         -------
@@ -445,7 +450,7 @@
         return channel
 
     def forget(self, channel: EntryChannel) -> None:
-        """Take in that a connection has ended.
+        """Remove a connection that has ended.
 
         Parameters
         ----------
@@ -455,7 +460,7 @@
         self._channels.discard(channel)
 
     def log(self, request: Any) -> None:
-        """Write no access log: the router logs each request itself.
+        """Write no access log, because the router logs each request itself.
 
         Parameters
         ----------
@@ -464,7 +469,7 @@
         """
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is being asked."""
+        """Close the connections that have no request under way."""
         for channel in list(self._channels):
             if channel.is_idle:
                 channel.loseConnection()
--- a/src/primrosescale/process/entry/text_site.py
+++ b/src/primrosescale/process/entry/text_site.py
@@ -1,4 +1,7 @@
-"""Small HTTP sites that answer every GET with a text."""
+"""Minimal HTTP servers that answer every request with one generated text.
+
+Used for the readiness check and the metrics.
+"""
 
 from __future__ import annotations
 
@@ -14,23 +17,23 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Who asks comes back every second or every few; an idle connection that is
-# older is forgotten by its other end.
+# Clients poll every second or every few seconds; a connection that has been idle
+# for longer has been abandoned by its client.
 IDLE_TIMEOUT_SECONDS: int = 30
 
 
 @dataclass(frozen=True, slots=True)
 class TextResponse:
-    """An answer.
+    """A response.
 
     Parameters
     ----------
     status : int
         HTTP status.
     content_type : bytes
-        Type of the content.
+        Value of the Content-Type header.
     content : bytes
-        The content.
+        The body.
     """
 
     status: int
@@ -39,10 +42,10 @@
 
 
 class _TextRequest(Request):
-    """A request that is answered at once."""
+    """A request that is answered immediately, whatever its method and path."""
 
     def process(self) -> None:
-        """Answer."""
+        """Send the generated response."""
         channel: Any = self.channel
         text = channel.answer()
         self.setResponseCode(text.status, RESPONSES.get(text.status, b""))
@@ -54,7 +57,7 @@
 
 
 class _TextChannel(HTTPChannel):
-    """A connection of someone who asks."""
+    """A connection from a client of the server."""
 
     requestFactory: Any = _TextRequest
     timeOut = IDLE_TIMEOUT_SECONDS
@@ -65,12 +68,12 @@
 
 
 class TextSite(ServerFactory):
-    """Answers every request with a text.
+    """Factory of connections on which every request gets the generated text.
 
     Parameters
     ----------
     answer : Callable[[], TextResponse]
-        Returns the answer.
+        Generates the response to a request.
     """
 
     noisy = False
@@ -79,12 +82,12 @@
         self._answer = answer
 
     def buildProtocol(self, addr: Any) -> HTTPChannel:
-        """Return the protocol of a new connection.
+        """Create the protocol of a new connection.
 
         Parameters
         ----------
         addr : Any
-            Where it comes from.
+            Address of the client.
 
         Returns
         -------
