--- a/src/primrosescale/process/entry/target_list.py
+++ b/src/primrosescale/process/entry/target_list.py
@@ -1,14 +1,14 @@
-"""The targets of each service as the store's list tells, with their states.
+"""The known targets of each service, from the list in the store, with their states.
 
-The pattern it answers: a store that comes back from an outage without the
-entries of targets that live. Such entries return within two seconds, so a
-target whose entry is gone without notice is avoided at once, but forgotten
-only after most of the time in which a leaving target may get work.
+After an outage the store may have lost the entries of targets that still run. Such
+entries return within two seconds. Therefore a target whose entry was removed without
+a prior drain is avoided immediately, but forgotten only after most of the time in
+which a draining target may still receive requests.
 
-And one that starts again under its name: all that was known of its former incarnation
-is in one state, which is replaced whole. Which of two incarnations came later follows
-from the starts that the target told, so that an entry that comes late, or a
-store that goes back, brings no former incarnation back.
+When a target restarts under its name, the whole state of its former incarnation is
+replaced by a new one. The order of incarnations follows from the start times that the
+target reports, so neither a delayed entry nor a store that was rolled back restores a
+former incarnation.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
     from primrosescale.request.serving_target import ServingTarget
     from primrosescale.request.target_incarnation import TargetIncarnation
 
-# Part of the time in which a leaving target may still get work that is used
-# for one whose entry is gone.
+# Share of the drain time for which a target is kept after its entry was removed or
+# became unreadable.
 RETENTION_SHARE = 0.8
-# Who tells of a target, and of evacuations.
+# Sources of reports on targets and on evacuations.
 STORE = "store"
 TARGET = "target"
 
 
 @dataclass(frozen=True, slots=True)
 class IncarnationStart:
-    """That an incarnation of a target became known.
+    """An incarnation of a target that has become known.
 
     Parameters
     ----------
@@ -46,7 +46,7 @@
     former : TargetIncarnation | None
         The incarnation that it replaces; None when the target was not known.
     told_by : str
-        Who told of it.
+        Source of the report.
     """
 
     present: TargetIncarnation
@@ -55,14 +55,14 @@
 
 
 class TargetList:
-    """States of all targets, by service.
+    """The states of all known targets.
 
     Parameters
     ----------
     drain : float
-        Seconds after which a leaving target must get no new work.
+        Seconds after which a draining target must receive no new requests.
     on_incarnation : Callable[[IncarnationStart], None] | None
-        Told when an incarnation of a target became known.
+        Called when an incarnation of a target has become known.
     """
 
     __slots__ = (
@@ -89,17 +89,18 @@
         self._known: dict[str, TargetState] = {}
         self._forget_at: dict[str, float] = {}
         self._statements = KeptStatements()
-        # Targets whose entries went without notice, with until when they may run.
+        # Targets whose entries were removed without a prior drain, with the time until
+        # which they may still run.
         self._delisted: dict[str, tuple[TargetState, float]] = {}
         self._unreadable: dict[str, TargetState] = {}
 
     def __len__(self) -> int:
-        """Return how many targets are known."""
+        """Return the number of known targets."""
         return len(self._known)
 
     @property
     def generation(self) -> int:
-        """Return a number that rises when targets become known or forgotten."""
+        """Return a number that increases when targets are added or forgotten."""
         return self._generation
 
     @property
@@ -108,55 +109,55 @@
         return self._known.values()
 
     def configure(self, drain: float) -> None:
-        """Take in a changed bound.
+        """Apply a changed drain time.
 
         Parameters
         ----------
         drain : float
-            Seconds after which a leaving target must get no new work.
+            Seconds after which a draining target must receive no new requests.
         """
         self._drain = drain
 
     def state(self, name: str) -> TargetState | None:
-        """Return a target's state.
+        """Return the state of a target.
 
         Parameters
         ----------
         name : str
-            The target.
+            Name of the target.
 
         Returns
         -------
         TargetState | None
-            Its state; None when it is not known.
+            Its state; None for an unknown target.
         """
         return self._known.get(name)
 
     def is_listed(self, name: str) -> bool:
-        """Tell whether a target is known and its entry was not taken away.
+        """Return whether a target is known and still has its entry.
 
         Parameters
         ----------
         name : str
-            The target.
+            Name of the target.
 
         Returns
         -------
         bool
-            False for one that may have left.
+            False for a target that may have left.
         """
         return name in self._known and name not in self._forget_at
 
     def of_service(self, service: str) -> list[TargetState]:
-        """Return the targets of a service, those that are leaving too.
+        """Return the targets of a service, including draining ones.
 
-        Targets whose entry is gone without notice count only when no other
-        could take work.
+        Targets whose entry was removed are included only when no listed target
+        accepts requests.
 
         Parameters
         ----------
         service : str
-            The service.
+            Name of the service.
 
         Returns
         -------
@@ -170,43 +171,43 @@
         return found
 
     def unlisted_of(self, service: str) -> list[TargetState]:
-        """Return the targets of a service whose entries went, and that may still run.
+        """Return the targets of a service that lost their entry but may still run.
 
         Parameters
         ----------
         service : str
-            The service.
+            Name of the service.
 
         Returns
         -------
         list[TargetState]
-            Their states, also of those that are forgotten.
+            Their states, including those already forgotten otherwise.
         """
         found = (state for state, _ in self._delisted.values())
         return [state for state in found if state.target.service == service]
 
     def put(self, target: ServingTarget, now: float, told_by: str = STORE) -> bool:
-        """Take in what was told of a target.
+        """Add or update a target from a report.
 
-        A later start than the known one begins a new state; an earlier one is
-        old news and changes nothing.
+        A start time later than the known one creates a new state; a report with an
+        earlier one is outdated and ignored.
 
         Parameters
         ----------
         target : ServingTarget
-            The target.
+            The target as reported.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         told_by : str
-            Who told of it.
+            Source of the report.
 
         Returns
         -------
         bool
-            Whether something changed.
+            Whether anything changed.
         """
         if target.name in self._unreadable and told_by != STORE:
-            # Only an entry that can be read again makes it a target again.
+            # Only a readable entry in the store restores the target.
             return False
         told = target.incarnation
         known = self._known.get(target.name) or self._unreadable.get(target.name)
@@ -241,14 +242,14 @@
             self._on_incarnation(IncarnationStart(target.incarnation, before, told_by))
 
     def evacuate(self, domains: frozenset[str], now: float) -> None:
-        """Take in which failure domains get no new requests.
+        """Apply the set of failure domains that get no new requests.
 
         Parameters
         ----------
         domains : frozenset[str]
-            All domains that are evacuated now.
+            All domains that are currently evacuated.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         self._evacuated = domains
         for state in [*self._known.values(), *self._unreadable.values()]:
@@ -261,22 +262,23 @@
             state.take_back(now)
 
     def drop(self, name: str, now: float) -> bool:
-        """Take in that an entry cannot be read: it names no target at once.
+        """Stop using a target whose entry has become unreadable.
 
-        The state is kept as long as that of a target whose entry is gone:
-        when the entry can be read again meanwhile, what runs there is known.
+        Its state is kept for as long as that of a target whose entry was removed. If
+        the entry becomes readable within that time, the state is restored, with the
+        requests that run there.
 
         Parameters
         ----------
         name : str
-            The target.
+            Name of the target.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
-            Whether it was a target until now.
+            Whether the target was in use until now.
         """
         known = self._known.pop(name, None)
         if known is None:
@@ -287,7 +289,7 @@
         return True
 
     def _restore_readable(self, name: str) -> None:
-        """Have a target back whose entry could not be read for a while."""
+        """Restore a target whose entry was unreadable."""
         state = self._unreadable.pop(name, None)
         if state is not None:
             self._forget_at.pop(name, None)
@@ -295,19 +297,19 @@
             self._generation += 1
 
     def remove(self, name: str, gone_at: float) -> bool:
-        """Take in that an entry is gone.
+        """Record that the entry of a target was removed.
 
         Parameters
         ----------
         name : str
-            The target.
+            Name of the target.
         gone_at : float
-            When it may have gone at the earliest, in seconds.
+            Earliest time at which the entry may have been removed, in seconds.
 
         Returns
         -------
         bool
-            Whether it was there.
+            Whether the target was listed until now.
         """
         known = self._known.get(name)
         if known is None or name in self._forget_at:
@@ -320,17 +322,17 @@
         return True
 
     def forget_gone(self, now: float) -> list[TargetIncarnation]:
-        """Forget targets whose entry has been gone for long enough.
+        """Forget targets whose retention time has passed.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         list[TargetIncarnation]
-            The incarnations of the forgotten.
+            The incarnations of the forgotten targets.
         """
         ended = [name for name, (_, until) in self._delisted.items() if now >= until]
         for name in ended:
@@ -342,7 +344,7 @@
         return [self._forget(name, now) for name in gone]
 
     def _forget(self, name: str, now: float) -> TargetIncarnation:
-        """Forget a target, but for what it said of itself."""
+        """Forget a target except for its own statements about itself."""
         state = self._known.pop(name, None) or self._unreadable.pop(name)
         self._statements.keep(state.incarnation, state.statements, now)
         return state.incarnation
