--- a/src/primrosescale/process/entry/target_restarts.py
+++ b/src/primrosescale/process/entry/target_restarts.py
@@ -1,4 +1,4 @@
-"""What follows when a target has started again under its name."""
+"""Ends the requests at former incarnations of a target that has restarted."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 
 class TargetRestarts:
-    """Ends what is under way at former incarnations of targets, and says so.
+    """Ends requests at former incarnations of targets, and logs the restarts.
 
-    What is known of an incarnation is found under that one alone, so nothing here has
-    to be reset for a new one to begin with nothing.
+    All state is keyed by incarnation. Therefore nothing has to be reset here for a
+    new incarnation to start empty.
 
     Parameters
     ----------
     caller : TargetCaller
-        Has the requests that are under way.
+        Holds the requests that are under way.
     directory : PartDirectory
-        Where parts of prompts are cached.
+        Records which targets have which prompt parts cached.
     parts : EntryParts
-        What the router is built with.
+        Collaborators of the router.
     on_end : Callable[[TargetIncarnation], None]
-        Told of each former incarnation, after what was under way there.
+        Called with each former incarnation, after its requests have been ended.
     """
 
     def __init__(
@@ -51,12 +51,12 @@
         self._pending: list[IncarnationStart] = []
 
     def incarnation_started(self, begun: IncarnationStart) -> None:
-        """Take in that an incarnation of a target became known.
+        """Handle an incarnation of a target that has become known.
 
         Parameters
         ----------
         begun : IncarnationStart
-            The incarnation, and the one that it replaces.
+            The incarnation, with the one that it replaces.
         """
         if begun.former is not None:
             self._metrics.target_restarted()
@@ -68,15 +68,16 @@
                 told_by=begun.told_by,
             )
         if not self._pending:
-            # Once the whole list is known, so that what ends at one target
-            # does not go to another that has ended too.
+            # Deferred until the whole list has been read, so that a request ended at
+            # one target is not repeated at another that has ended too.
             self._reactor.callLater(0, self._end_former)
         self._pending.append(begun)
 
     def _end_former(self) -> None:
         known, self._pending = self._pending, []
         for begun in known:
-            # A target that was forgotten meanwhile may have requests too.
+            # Also without a former incarnation: a target that was forgotten in the
+            # meantime may still have requests under way.
             self._caller.end_former(begun.present)
             if begun.former is not None:
                 self._directory.forget_target(begun.former)
