--- a/src/primrosescale/process/entry/target_caller.py
+++ b/src/primrosescale/process/entry/target_caller.py
@@ -1,4 +1,7 @@
-"""Sends requests to targets over HTTP."""
+"""Sends requests to targets over HTTP/1.1 with a pool for each incarnation.
+
+When a target restarts, requests under way at its former incarnation are ended.
+"""
 
 from __future__ import annotations
 
@@ -35,40 +38,40 @@
     from primrosescale.request.direct_port import Sending
     from primrosescale.request.serving_target import ServingTarget
 
-# A connection inside a region opens in some milliseconds; a lost opening
-# packet is sent again by the kernel after 1 s, which is too late to wait for.
+# A connection within a region opens in a few milliseconds. The kernel retransmits a
+# lost SYN only after 1 s, which is too late to wait for.
 CONNECT_TIMEOUT_SECONDS = 0.4
 STARTED_AGAIN = "target started again"
 
 
 class _BodyReceiver(Protocol):
-    """Hands the body of an answer to its run."""
+    """Passes the body of a response to its run."""
 
     def __init__(self, run: HttpRun) -> None:
         self._run = run
 
     def dataReceived(self, data: bytes) -> None:
-        """Hand bytes on."""
+        """Pass on received bytes."""
         self._run.body_data(data)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Tell a whole answer from a cut one."""
+        """Report the end of the body, complete or not."""
         self._run.body_ended(reason)
 
 
 class HttpRun(Run):
-    """A request at one target over HTTP.
+    """A request that is sent to one target over HTTP.
 
     Parameters
     ----------
     sending : Sending
         The request.
     observer : RunObserver
-        Told of what becomes of it.
+        Notified of its progress and result.
     codec : EntryCodec
-        Translates headers.
+        Converts headers.
     state : _IncarnationState
-        The life of the target that it goes to.
+        Connections and requests of the incarnation that it goes to.
     clock : Any
         Source of time.
     """
@@ -92,7 +95,7 @@
         self._is_paused = False
 
     def start(self) -> None:
-        """Send on an idle connection or open one."""
+        """Send the request on an idle connection, or open a new one."""
         self._state.runs.add(self)
         channel = None
         if not self._sending.needs_new_connection:
@@ -104,7 +107,7 @@
         self._opening.addCallbacks(self._opened, self._not_opened)
 
     def cancel(self) -> None:
-        """End it at once; see `Run.cancel`."""
+        """Abort the request; see `Run.cancel`."""
         if self._is_over:
             return
         self._end()
@@ -114,13 +117,13 @@
             self._opening.cancel()
 
     def target_ended(self, failed_at: float) -> None:
-        """Take in that the life of the target that it goes to has ended.
+        """Handle the end of the incarnation that the request was sent to.
 
         Parameters
         ----------
         failed_at : float
-            When that life was seen to fail, in seconds. A connection that was
-            opened later leads to the life after it, as far as can be told.
+            When a connection to that incarnation last failed, in seconds. A connection
+            opened later presumably leads to the next incarnation.
         """
         if self._is_over:
             return
@@ -134,33 +137,34 @@
             self._observer.run_not_sent(STARTED_AGAIN)
 
     def pause(self) -> None:
-        """Take no more bytes; see `Run.pause`."""
+        """Stop reading the response; see `Run.pause`."""
         self._is_paused = True
         if self._channel is not None and not self._is_over:
             transport: Any = self._channel.transport
             transport.pauseProducing()
 
     def resume(self) -> None:
-        """Take bytes again; see `Run.resume`."""
+        """Resume reading the response; see `Run.resume`."""
         self._is_paused = False
         if self._channel is not None and not self._is_over:
             transport: Any = self._channel.transport
             transport.resumeProducing()
 
     def body_data(self, data: bytes) -> None:
-        """Hand bytes of the body on."""
+        """Pass on bytes of the body."""
         if not self._is_over:
             self._observer.run_data(data)
 
     def body_ended(self, reason: Failure) -> None:
-        """Take in the end of the body."""
+        """Handle the end of the body."""
         if self._is_over:
             return
         self._end()
         channel = self._channel
         is_whole = bool(reason.check(ResponseDone))
         if reason.check(PotentialDataLoss) and channel is not None:
-            # The body ends with the connection: whole only by orderly close.
+            # The body is delimited by the end of the connection: it is complete only
+            # after an orderly close.
             is_whole = not channel.was_reset
         if not is_whole:
             self._state.failed_at = self._clock.seconds()
@@ -189,7 +193,7 @@
         self._channel = channel
         request = self._sending.request
         headers = self._codec.target_headers(self._sending)
-        made = Request._construct(  # noqa: SLF001 - the only way past a second pool
+        made = Request._construct(  # noqa: SLF001 - the only way to bypass twisted's own pool
             request.method,
             request.path,
             headers,
@@ -210,7 +214,7 @@
         if not self._is_over:
             response.deliverBody(_BodyReceiver(self))
         if self._is_paused:
-            # Twisted reads on when the body is asked for.
+            # Twisted resumes reading when the body is requested.
             self.pause()
 
     def _failed(self, failure: Failure) -> None:
@@ -233,12 +237,12 @@
 
 
 class _IncarnationState:
-    """Connections to one life of a target, and the requests there.
+    """Connections to one incarnation of a target, and the requests sent there.
 
     Parameters
     ----------
     incarnation : TargetIncarnation
-        The life.
+        The incarnation.
     pool : ChannelPool
         Connections to it.
     """
@@ -249,28 +253,29 @@
         self.incarnation = incarnation
         self.pool = pool
         self.runs: set[HttpRun] = set()
-        # When a connection last failed or broke, in seconds; infinite for never.
+        # When a connection last failed or was lost, in seconds; infinite for never.
         self.failed_at = math.inf
 
 
 class HttpTargetCaller(TargetCaller):
-    """Sends requests to targets over HTTP, with a pool for each life of one.
+    """Sends requests to targets, with a connection pool for each incarnation.
 
     Parameters
     ----------
     reactor : Any
         Twisted's reactor.
     codec : EntryCodec
-        Translates headers.
+        Converts headers.
     """
 
     def __init__(self, reactor: Any, codec: EntryCodec) -> None:
         self._reactor = reactor
         self._codec = codec
-        # By name of the target, the newest last. Former ones are kept while
-        # requests are under way there.
+        # By name of the target, the newest incarnation last. Former ones are kept
+        # while requests are under way there.
         self._states: dict[str, list[_IncarnationState]] = {}
-        # One for all targets: what drops connections is seldom one of them.
+        # Shared by all targets: idle connections are rarely dropped by one target
+        # alone, rather by something in front of them.
         self._rest_limit = RestLimit()
 
     def send(self, sending: Sending, observer: RunObserver) -> Run:
@@ -283,7 +288,7 @@
     def check(
         self, target: TargetIncarnation, on_check: Callable[[TargetCheck], None]
     ) -> None:
-        """See whether a target takes connections; see `TargetCaller.check`."""
+        """Check whether a target accepts connections; see `TargetCaller.check`."""
         for state in self._states.get(target.name, ()):
             if state.incarnation == target:
                 self._check(state.pool, on_check)
@@ -294,7 +299,7 @@
         self, pool: ChannelPool, on_check: Callable[[TargetCheck], None]
     ) -> None:
         def opened(channel: TargetChannel) -> None:
-            # The next request needs one in place of the connection that was lost.
+            # Kept for the next request, in place of the connection that was lost.
             pool.give_back(channel, self._reactor.seconds())
             on_check(TargetCheck.CONNECTED)
 
@@ -305,7 +310,7 @@
         pool.open().addCallbacks(opened, not_opened)
 
     def end_former(self, present: TargetIncarnation) -> None:
-        """End what is under way at former lives; see `TargetCaller.end_former`."""
+        """End requests at former incarnations; see `TargetCaller.end_former`."""
         former = [
             state
             for state in self._states.get(present.name, ())
@@ -315,19 +320,20 @@
             state.pool.close()
         self._forget_former_rest_limits(present)
         for state in former:
-            # What is spared now is at the present life and ends with it.
+            # A request that is spared now runs at the present incarnation and ends
+            # with it.
             failed_at, state.failed_at = state.failed_at, math.inf
             for run in list(state.runs):
                 run.target_ended(failed_at)
         self._drop_ended(present.name)
 
     def sweep(self, now: float) -> None:
-        """Close idle connections that are too old.
+        """Close idle connections that are too old to be reused.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         for target, states in list(self._states.items()):
             for state in states:
@@ -336,12 +342,12 @@
                 self._drop_ended(target)
 
     def forget(self, target: str) -> None:
-        """Close the idle connections of a target that is gone.
+        """Close the idle connections of a target that has been forgotten.
 
         Parameters
         ----------
         target : str
-            Its name.
+            Name of the target.
         """
         for state in self._states.get(target, ()):
             state.pool.close()
@@ -369,14 +375,14 @@
         return state
 
     def _forget_former_rest_limits(self, present: TargetIncarnation) -> None:
-        """Forget what connections to former lives taught of resting."""
+        """Discard idle limits that were learned from former incarnations."""
         for source in self._rest_limit.sources:
             if isinstance(source, TargetIncarnation) and source.name == present.name:
                 if source.is_followed_by(present):
                     self._rest_limit.forget(source)
 
     def _drop_ended(self, target: str) -> None:
-        """Forget closed lives at which nothing is under way."""
+        """Discard closed incarnations without requests under way."""
         states = self._states.get(target, ())
         left = [state for state in states if state.runs or not state.pool.is_closed]
         if left:
