--- a/src/primrosescale/process/entry/harm_watch.py
+++ b/src/primrosescale/process/entry/harm_watch.py
@@ -1,11 +1,14 @@
-"""Finds out which targets ended, and so which requests are harmful.
-
-An answer that was lost says little, and so does a whole one whose target ends just
-after. A new connection that is refused says that the target has ended; one that is
-taken says nothing, since the next process may listen at the same address. An answer
-to a request that was sent later says that it lives, as long as a start has an id of
-its own; that another target answers in its place says that it has ended. What cannot
-be told so is told by the list of targets some seconds later.
+"""Detects which targets have ended, to find the requests that end targets.
+
+A lost response alone proves little, and neither does a complete response whose target
+ends just afterwards. Further evidence decides:
+
+- A refused new connection shows that the target has ended. An accepted one shows
+  nothing, because the next process may listen at the same address.
+- A response to a request that was sent later shows that the target still runs, if
+  every start of a target has its own id.
+- A response by another target at the same address shows that the target has ended.
+- Otherwise, the list of targets shows it some seconds later.
 """
 
 from __future__ import annotations
@@ -38,36 +41,37 @@
     from primrosescale.request.target_incarnation import TargetIncarnation
     from primrosescale.request.target_state import TargetState
 
-# The connections of a target that ends are lost within some milliseconds.
+# All connections of a target that ends are lost within a few milliseconds.
 CHECK_DELAY_SECONDS = 0.01
-# A check that brought no answer is made again, as long as lost answers wait.
+# An inconclusive check is repeated as long as lost responses are unexplained.
 RECHECK_INTERVAL_SECONDS = 1.0
-# Between two looks at which whole answers have been proved by now.
+# Interval at which complete responses are examined for later proof that their target
+# survived them.
 CLEARANCE_INTERVAL_SECONDS = 0.25
-# How it shows that another target listens at the address of one.
+# Logged as the evidence when another target listens at the address.
 REPLACED = "another in its place"
-# A target that sends so soon after its end has not ended; later it may have started
-# again under its name before the list tells it.
+# A target that sends something within this time of its detected end has not ended.
+# Later it may have restarted under its name before the list of targets shows it.
 END_REVOCABLE_SECONDS = 1.0
 
 
 class EntryHarmWatch(HarmWatch):
-    """Watches the requests of one entry router.
+    """Detects harmful requests among those of one entry router.
 
     Parameters
     ----------
     requests : HarmfulRequests
-        What all reports amount to.
+        Evaluates the reports of all routers.
     news : HarmNews
-        Tells other routers.
+        Reports to other routers.
     targets : TargetList
-        Targets and their states.
+        The known targets and their states.
     caller : TargetCaller
         Opens connections to targets.
     parts : EntryParts
-        What the router is built with.
+        Collaborators of the router.
     tell_soon : Callable[[], None]
-        Has other routers told without waiting for the next round.
+        Requests an update to other routers before the next regular round.
     """
 
     def __init__(
@@ -91,19 +95,19 @@
         self._lost = LostAnswers()
         self._fresh = FreshAnswers()
         self._proof_timer: Timer | None = None
-        # Targets that a connection is being opened to.
+        # Targets that are being checked by opening a connection, by short name.
         self._pending_checks: set[int] = set()
-        # When targets were seen to end here, by their short names.
+        # When this router detected the end of targets, by short name, in seconds.
         self._ended_at: dict[int, float] = {}
 
     def held_for(self, request: IncomingRequest, now: float) -> float:
-        """Return how long it is held back; see `HarmWatch.held_for`."""
+        """Return how long a request is held back; see `HarmWatch.held_for`."""
         if not self._requests.may_hold:
             return 0.0
         return self._requests.held_for(request.fingerprint, now)
 
     def sent(self, request: IncomingRequest, now: float) -> None:
-        """Have others not try it besides; see `HarmWatch.sent`."""
+        """Keep other routers from sending a suspect too; see `HarmWatch.sent`."""
         if not self._requests.may_hold:
             return
         if self._news.note(LoneTry(request.fingerprint, now), now):
@@ -112,10 +116,10 @@
     def answer_lost(
         self, request: IncomingRequest, state: TargetState, now: float
     ) -> None:
-        """See whether the target has ended; see `HarmWatch.answer_lost`."""
+        """Check whether the target has ended; see `HarmWatch.answer_lost`."""
         target = state.incarnation
         if state.target.is_draining or not self._targets.is_listed(target.name):
-            # Its end is no surprise, whatever it was working on.
+            # It was expected to end, so its end is no evidence against a request.
             return
         key = target_key(*target)
         fingerprint = request.fingerprint
@@ -128,7 +132,7 @@
     def answered(
         self, request: IncomingRequest, state: TargetState, now: float
     ) -> None:
-        """Have it clear the request once it is proved; see `HarmWatch.answered`."""
+        """Clear the request once its target survived; see `HarmWatch.answered`."""
         self._requests.count_answer(now)
         key = target_key(*state.incarnation)
         self._fresh.add(FreshAnswer(request.fingerprint, key, now, state))
@@ -138,7 +142,7 @@
             )
 
     def heard(self, state: TargetState, sent_at: float, now: float) -> None:
-        """Take in that the target lives; see `HarmWatch.heard`."""
+        """Record that the target is running; see `HarmWatch.heard`."""
         if not state.incarnation.is_named_by_id or not (
             self._ended_at or len(self._lost)
         ):
@@ -153,27 +157,27 @@
             self._requests.target_lives(key)
 
     def replaced(self, state: TargetState, now: float) -> None:
-        """Take in that the target has ended; see `HarmWatch.replaced`."""
+        """Record that the target has ended; see `HarmWatch.replaced`."""
         if not state.target.is_draining:
             self.target_ended(state.incarnation, REPLACED, now)
 
     def unreached(self, state: TargetState, now: float) -> None:
-        """See whether the target has ended; see `HarmWatch.unreached`."""
+        """Check whether the target has ended; see `HarmWatch.unreached`."""
         if not state.target.is_draining:
             target = state.incarnation
             self._check_soon(target, target_key(*target))
 
     def target_ended(self, target: TargetIncarnation, how: str, now: float) -> None:
-        """Take in that an incarnation of a target has ended.
+        """Record that an incarnation of a target has ended.
 
         Parameters
         ----------
         target : TargetIncarnation
             The incarnation.
         how : str
-            What showed it.
+            The evidence, for the log.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         key = target_key(*target)
         lost = self._lost.ended(key, now)
@@ -192,17 +196,20 @@
         self._note_ends(ends, now)
 
     def _on_peer_end(self, end: TargetEnd, now: float) -> None:
-        """Take in that another router lost an answer when a target ended.
+        """Handle the report of another router that a target ended under a request.
 
-        What this router had on board there it finds out itself; a whole answer just
-        before is the only one that nothing else would remind it of.
+        This router detects by itself that its own requests there were lost. Only for
+        requests that were answered just before the end is the report needed.
         """
         self._note_ends(self._answered_before_end(end.target, end.at, now), now)
 
     def _answered_before_end(
         self, key: int, lost_at: float | None, now: float
     ) -> list[TargetEnd]:
-        """Return the requests that a target answered just before it ended, once."""
+        """Return ends for the requests that a target answered just before its end.
+
+        Earlier responses clear their requests. Each response is considered once.
+        """
         ends = []
         for answer in self._fresh.take_at(key):
             if answer.is_just_before(lost_at):
@@ -233,7 +240,7 @@
             self.target_ended(target, found.value, self._reactor.seconds())
 
     def _clear_proved(self) -> None:
-        """Take in whole answers that prove something by now."""
+        """Clear the requests whose targets are now known to have survived them."""
         now = self._reactor.seconds()
         for answer in self._fresh.take_proved(now):
             self._clear(answer, now)
