--- a/src/primrosescale/process/entry/log_writer.py
+++ b/src/primrosescale/process/entry/log_writer.py
@@ -1,4 +1,4 @@
-"""Log lines to standard output that never block and never pile up."""
+"""Writes log lines to standard output with bounded rate and memory, never blocking."""
 
 from __future__ import annotations
 
@@ -23,26 +23,26 @@
     from primrosescale.process.events import EventLog
 
 STANDARD_OUTPUT = 1
-# A line of about 600 bytes for each of 400 requests a second is what one
-# router of today can serve at the most; ten times its usual load.
+# One line of about 600 bytes per request. A router serves at most 400 requests per
+# second, ten times its usual load.
 MAX_LINES_PER_SECOND = 400.0
 MAX_BURST_LINES = 800.0
-# What is held while the reader of the pipe is slow.
+# Lines buffered while the reader of the pipe is slow.
 MAX_BUFFER_BYTES = 512 * 1024
 WRITE_RETRY_SECONDS = 0.05
-# Numbers below this are about the process itself and are never dropped for
-# their rate.
+# Only events in this range, which occur once per request, are rate-limited. Events
+# with lower numbers concern the process itself.
 FIRST_RATE_LIMITED_EVENT = Event.CALL_REFUSED.value
 LAST_RATE_LIMITED_EVENT = Event.REQUEST_ENDED.value
 
 
 class LineRateLimiter:
-    """Bound on the rate of lines.
+    """Token bucket that limits the rate of log lines.
 
     Parameters
     ----------
     now : float
-        Present time in seconds.
+        Current time in seconds.
     """
 
     __slots__ = ("_at", "_dropped", "_lines")
@@ -53,17 +53,17 @@
         self._dropped = 0
 
     def acquire(self, now: float) -> bool:
-        """Take one line from the budget, or count it as dropped.
+        """Take the token for one line, or count the line as dropped.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
-            False when the line is to be left out.
+            False when the line is to be dropped.
         """
         earned = (now - self._at) * MAX_LINES_PER_SECOND
         self._lines = min(MAX_BURST_LINES, self._lines + max(0.0, earned))
@@ -75,30 +75,30 @@
         return True
 
     def count_dropped(self) -> None:
-        """Count a line that was left out for another reason."""
+        """Count a line that was dropped for another reason."""
         self._dropped += 1
 
     def take_dropped(self) -> int:
-        """Return how many lines were left out since the last call.
+        """Return the number of lines dropped since the last call.
 
         Returns
         -------
         int
-            Lines.
+            Number of lines.
         """
         dropped, self._dropped = self._dropped, 0
         return dropped
 
 
 class LogWriter:
-    """Destination of eliot that writes JSON lines without blocking.
+    """An eliot destination that writes JSON lines without blocking.
 
     Parameters
     ----------
     clock : Clock
         Source of time and timers.
     descriptor : int
-        Where lines go.
+        File descriptor to write to; it is made non-blocking.
     """
 
     def __init__(self, clock: Clock, descriptor: int = STANDARD_OUTPUT) -> None:
@@ -110,26 +110,26 @@
         os.set_blocking(descriptor, False)
 
     def install(self) -> None:
-        """Have eliot write here."""
+        """Register as a destination of eliot."""
         add_destinations(self)
 
     def take_dropped(self) -> int:
-        """Return how many lines were left out since the last call.
+        """Return the number of lines dropped since the last call.
 
         Returns
         -------
         int
-            Lines.
+            Number of lines.
         """
         return self._rate_limiter.take_dropped()
 
     def __call__(self, message: dict[str, Any]) -> None:
-        """Write one line, or leave it out.
+        """Write one line, or drop it.
 
         Parameters
         ----------
         message : dict[str, Any]
-            Fields of the line.
+            Fields of the message.
         """
         number = message.get("number", 0)
         is_rate_limited = FIRST_RATE_LIMITED_EVENT <= number <= LAST_RATE_LIMITED_EVENT
@@ -155,7 +155,7 @@
         except BlockingIOError:
             written = 0
         except OSError:
-            # Nobody reads the log any more; serving callers goes on.
+            # The pipe has no reader any more; callers are still served.
             self._buffer.clear()
             return
         del self._buffer[:written]
@@ -167,35 +167,36 @@
     try:
         return orjson.dumps(fields, default=str)
     except TypeError:
-        # A text of others with half a character, or a number of over 64 bits.
+        # orjson rejects lone surrogates in texts from outside and integers of more
+        # than 64 bits.
         return json.dumps(fields, default=str).encode()
 
 
 @implementer(ILogObserver)
 class FailureObserver:
-    """Takes what twisted itself logs as failed into the log.
+    """Copies failures that twisted logs into the event log.
 
     Parameters
     ----------
     log : EventLog
-        Numbered events.
+        Log of numbered events.
     """
 
     def __init__(self, log: EventLog) -> None:
         self._log = log
 
     def install(self) -> None:
-        """Have twisted log here and nowhere else."""
+        """Register as the only observer of twisted's log."""
         observer: Any = self
         globalLogBeginner.beginLoggingTo([observer], redirectStandardIO=False)
 
     def __call__(self, event: dict[str, Any]) -> None:
-        """Take in one event of twisted's.
+        """Log a twisted event if it is a failure.
 
         Parameters
         ----------
         event : dict[str, Any]
-            The event; those that are no failures are passed over.
+            The event; those below the error level are ignored.
         """
         level = event.get("log_level")
         if level is None or level < LogLevel.error:
