--- a/src/primrosescale/process/entry/entry_metrics.py
+++ b/src/primrosescale/process/entry/entry_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of an entry router, as text over HTTP."""
+"""Prometheus metrics of an entry router."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     from primrosescale.request.forwarded_call import ForwardedCall
     from primrosescale.request.silence import Silence
 
-# Objectives of today lie between 0.3 s and 1 s.
+# Finest between 0.3 s and 1 s, where the latency objectives lie.
 LATENCY_BUCKETS_SECONDS = (
     0.02,
     0.05,
@@ -35,7 +35,7 @@
 
 
 class EntryMetrics:
-    """Counts what the router decides."""
+    """Counters, gauges and latency histograms of an entry router."""
 
     def __init__(self) -> None:
         self._registry = CollectorRegistry()
@@ -140,26 +140,26 @@
         }
 
     def refused(self, outcome: str) -> None:
-        """Count a request that was refused before it had a route.
+        """Count a request that was refused before a route was found for it.
 
         Parameters
         ----------
         outcome : str
-            Why.
+            Name of the refusal.
         """
         self._requests.labels("", outcome).inc()
 
     def ended(self, call: ForwardedCall, outcome: str, now: float) -> None:
-        """Count a request that ended.
+        """Count a forwarded request that has ended.
 
         Parameters
         ----------
         call : ForwardedCall
-            The request.
+            The forwarded request.
         outcome : str
-            How it ended.
+            Its result.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         request = call.request
         route = request.route.name
@@ -185,63 +185,63 @@
                 ).inc()
 
     def silence_judged(self, silence: Silence) -> None:
-        """Count a judgement on a silent target.
+        """Count a verdict on a silent target.
 
         Parameters
         ----------
         silence : Silence
-            The judgement.
+            The silence, with the verdict.
         """
         self._silences.labels(silence.verdict.name.lower()).inc()
 
     def target_restarted(self) -> None:
-        """Count a target that has started again."""
+        """Count the restart of a target."""
         self._restarts.inc()
 
     def target_ended(self) -> None:
-        """Count a target that has ended with requests on board."""
+        """Count a target that has ended with requests of this router under way."""
         self._ends.inc()
 
     def record_refused(self, kind: str) -> None:
-        """Count a record of the store that cannot be read as it now stands.
+        """Count a change of a store record that left it unreadable.
 
         Parameters
         ----------
         kind : str
-            What it describes.
+            Kind of the record.
         """
         self._refused_records.labels(kind).inc()
 
     def unreadable_records(self, kind: str, number: int) -> None:
-        """Tell how many records of a kind cannot be read now.
+        """Set the number of store records of a kind that are currently unreadable.
 
         Parameters
         ----------
         kind : str
-            What they describe.
+            Kind of the records.
         number : int
-            Records.
+            Number of records.
         """
         self._unreadable_records.labels(kind).set(number)
 
     def gauge(self, name: str, value: float) -> None:
-        """Tell a present value.
+        """Set the value of a gauge.
 
         Parameters
         ----------
         name : str
-            Which.
+            Name of the gauge, without prefix.
         value : float
-            The value.
+            Current value.
         """
         self._gauges[name].set(value)
 
     def text(self) -> bytes:
-        """Return all metrics in the usual text form.
+        """Return all metrics in the text format of Prometheus.
 
         Returns
         -------
         bytes
-            The text.
+            The encoded text.
         """
         return bytes(generate_latest(self._registry))
