--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -1,4 +1,10 @@
-"""The router on a platform where it calls its targets itself."""
+"""The entry router: accepts callers' HTTP requests and forwards them to targets.
+
+It is used on platforms where routers connect to targets directly. `EntryRouter` wires
+the parts together and decides when the process is ready, when it sends callers to other
+routers, and how it stops. Which target a request goes to is decided in
+`primrosescale.request`.
+"""
 
 from __future__ import annotations
 
@@ -81,46 +87,49 @@
 PLAIN = b"text/plain"
 METRICS_TYPE = b"text/plain; version=0.0.4"
 HOUSEKEEPING_SECONDS = 0.25
-# The balancer asks once a second and takes a router out after two misses; a
-# new connection may still come a little later.
+# The load balancer polls once a second and removes a router after two failed checks.
+# New connections may still arrive shortly afterwards.
 BALANCER_REMOVAL_SECONDS = 2.6
-# Routers that are taken to share the budget of repeats before the list came.
+# Number of routers assumed to share the retry budget until their list has been read.
 ASSUMED_ROUTERS = 8
-# A request that comes before the store has been read waits this long: reading
-# takes some 10 ms, and 0.25 s while the store is slow.
+# A request that arrives before the store has been read waits up to this long. Reading
+# takes about 10 ms, and 0.25 s while the store is slow.
 MAX_START_WAIT_SECONDS = 0.5
-# Many routers learn nothing of caches at their start: what they send where is at
-# its home by hash already.
-# The list of routers tells which holds. It normally comes within the 4 ms that the
-# store takes to answer; callers do not wait for it longer than for caches.
+# Where many routers share a deployment, each skips reading the caches of engines at
+# its start, because it sends prompts to the target that their hash selects anyway.
+# Whether this applies follows from the list of routers, which normally arrives within
+# the 4 ms that the store takes to answer. Callers do not wait for it longer than for
+# the caches.
 LIST_POLL_SECONDS = 0.005
 MAX_LIST_WAIT_SECONDS = 0.05
-# A router that alone has not reached the store for this long sends its callers
-# to others. The balancer needs up to 3 s to move them, and keys may be relied
-# on for 5 s; in an outage for all, routers notice up to 2 s apart.
+# A router that has not reached the store for this long, while others still reach it,
+# sends its callers to other routers. The load balancer needs up to 3 s to move them,
+# and keys may be accepted for 5 s. In an outage that affects all routers, they notice
+# it up to 2 s apart.
 STORE_LOST_SECONDS = 1.0
-# The settings file may change without a signal; reading its 2 KB takes 0.1 ms.
+# The settings file is polled because it may change without a signal. Reading its 2 KB
+# takes 0.1 ms.
 REREAD_SECONDS = 2.0
-# Left before SIGKILL for closing connections.
+# Reserved before SIGKILL for closing connections.
 STOP_MARGIN_SECONDS = 0.5
 
 
-# What shows that a target has ended, besides a refused connection.
+# Evidence that a target has ended, other than a refused connection, for the log.
 ENTRY_GONE = "entry gone"
 STARTED_AGAIN = "started again"
 
 
 class EntryRouter(EntryHandler):
-    """Accepts callers' requests and sends them to targets.
+    """Accepts callers' requests and forwards them to targets.
 
     Parameters
     ----------
     settings : EntrySettings
-        Its settings.
+        Settings of the router.
     watches : EntryWatches
-        What it follows in the store.
+        Store prefixes that it watches.
     parts : EntryParts
-        What it is built with.
+        Its collaborators.
     """
 
     def __init__(
@@ -238,19 +247,20 @@
         self._housekeeping: Timer | None = None
         self._lines_dropped = 0
         self._settings_error = ""
-        # Version and list of targets by which the directory was last limited.
+        # Configuration version and target list generation for which the targets' cache
+        # limits were last set.
         self._limits_applied_for = (0, 0)
         self._next_reread_at = self._now() + REREAD_SECONDS
 
     @property
     def limits(self) -> CallerLimits:
-        """Return the limits in force."""
+        """Return the limits on connections and requests that are in force."""
         table = self._knowledge.table
         return DEFAULT_LIMITS if table is None else table.limits
 
     @property
     def bound(self) -> dict[Endpoint, Endpoint]:
-        """Return where it listens, by the endpoints of the settings."""
+        """Return the actual addresses it listens on, by the configured endpoints."""
         hosts = {wanted: port.getHost() for wanted, port in self._ports.items()}
         return {
             wanted: Endpoint(host.host, host.port) for wanted, host in hosts.items()
@@ -258,16 +268,16 @@
 
     @property
     def closes_connections(self) -> bool:
-        """Tell whether connections are to end with their next answer."""
+        """Return whether connections are to be closed after their next response."""
         return self._is_stopping or self._is_isolated(self._now())
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether callers should be sent here."""
+        """Return whether the load balancer should send callers to this router."""
         return not self._unready_reason(self._now())
 
     def start(self) -> None:
-        """Listen, and follow the store."""
+        """Start listening and watching the store."""
         settings = self._settings
         self._listen(settings.readiness, TextSite(self._readiness))
         if settings.metrics is not None:
@@ -286,7 +296,7 @@
 
     @inlineCallbacks
     def stop(self) -> Generator[Any, Any, None]:
-        """Stop without cutting a request, as far as the time allows."""
+        """Stop after the requests under way have ended, as far as the time allows."""
         began = self._now()
         self._is_stopping = True
         self._log.emit(Event.PROCESS_STOPPING, under_way=len(self._calls))
@@ -307,12 +317,13 @@
         self._log.emit(Event.PROCESS_STOPPED, took=round(self._now() - began, 2))
 
     def reload(self, *, is_asked: bool = True) -> None:
-        """Take in the settings file anew; a bad one changes nothing.
+        """Read the settings file again; an invalid file changes nothing.
 
         Parameters
         ----------
         is_asked : bool
-            Whether somebody asked; otherwise only news is logged.
+            Whether a reload was requested. If not, only changes and new errors are
+            logged.
         """
         try:
             settings = self._parts.reread()
@@ -322,7 +333,7 @@
             self._settings_error = str(error)
             return
         self._settings_error = ""
-        # It goes on listening where it does; other addresses need a restart.
+        # The listening addresses stay; changing them requires a restart.
         settings = replace(
             settings,
             callers=self._settings.callers,
@@ -344,9 +355,9 @@
             self._log.emit(Event.SETTINGS_RELOADED, is_changed=is_changed)
 
     def _close(self) -> None:
-        """Let go of everything, whether or not the stop was planned."""
+        """Stop timers and close all ports, after a planned stop or without one."""
         cancel_timer(self._housekeeping)
-        # Its rounds would go on without a port to send from.
+        # Otherwise its rounds would continue without a port to send from.
         self._exchange.stop()
         for port in self._ports.values():
             port.stopListening()
@@ -360,7 +371,7 @@
             self._held_requests.append(request)
 
     def _serve_held_requests(self) -> None:
-        """Serve the requests that came before the first knowledge."""
+        """Serve the requests that arrived before the store had been read."""
         self._hold_until = 0.0
         early, self._held_requests = self._held_requests, []
         for request in early:
@@ -388,7 +399,7 @@
         call.start(now)
 
     def too_large(self, request: EntryRequest) -> None:
-        """Answer a request that is too large; see `EntryHandler.too_large`."""
+        """Refuse a request that is too large; see `EntryHandler.too_large`."""
         self._sink(request, "").refuse(Refusal.TOO_LARGE, None)
         headers: Any = request.requestHeaders
         head = self._parts.codec.caller_head(b"", b"", headers)
@@ -489,7 +500,7 @@
         )
 
     def _start_hop(self, name: str, traceparent: str) -> Hop:
-        """Start a hop; the library for it is loaded for the first traced one."""
+        """Start a hop of a trace; tracing is imported for the first traced request."""
         if not traceparent:
             return NO_HOP
         if self._tracing is None:
@@ -521,7 +532,7 @@
         return ASSUMED_ROUTERS if listed is None else listed
 
     def _list_routers(self, now: float) -> None:
-        """Have rates that all routers share divided among those listed now."""
+        """Divide the rates that all routers share among the routers listed now."""
         if self._registry.routers is None:
             return
         others = {router.name for router in self._news.others}
@@ -566,10 +577,10 @@
             self._log.emit(Event.LOG_DROPPED, lines=dropped)
 
     def _on_first_read(self, patience: float = MAX_LIST_WAIT_SECONDS) -> None:
-        """Take in that routes and targets are known for the first time.
+        """Read the caches of engines once routes and targets have been read.
 
-        How many routers there are decides whether caches are read; their list
-        was asked for together with that of the targets.
+        The number of routers decides whether caches are read. Their list is requested
+        together with that of the targets, so it is awaited for a short time.
         """
         if self._registry.routers is None and patience > 0:
             self._reactor.callLater(
@@ -583,7 +594,7 @@
         self._learning.start(self._has_cache, self._serve_held_requests)
 
     def _update_cache_limits(self) -> None:
-        """Take in how much each target holds, whenever that may have changed."""
+        """Set the cache size of each target, whenever it may have changed."""
         table = self._knowledge.table
         seen = (self._version(), self._knowledge.targets.generation)
         if table is None or seen == self._limits_applied_for:
@@ -599,7 +610,7 @@
         return service is not None and bool(service.cache_tokens)
 
     def _is_isolated(self, now: float) -> bool:
-        """Tell whether callers are better served by other routers."""
+        """Return whether the store is lost here while other routers still reach it."""
         if self._knowledge.lost_for(now) < STORE_LOST_SECONDS:
             return False
         return self._news.others_reach_store(now)
@@ -679,7 +690,7 @@
         self._ports[endpoint] = self._reactor.adoptStreamPort(
             early.fileno(), socket.AF_INET, self._factory
         )
-        # The reactor listens on a copy.
+        # The reactor listens on a duplicate of the descriptor.
         early.close()
 
     def _sleep(self, seconds: float) -> Deferred[None]:
@@ -692,5 +703,5 @@
 
 
 def _rounded_load_age(seconds: float) -> float | None:
-    """Return an age as the log has it; None where nothing was ever heard."""
+    """Return a load age rounded for the log; None if no load was ever reported."""
     return round(seconds, 2) if math.isfinite(seconds) else None
