--- a/src/primrosescale/process/entry/target_caller.py
+++ b/src/primrosescale/process/entry/target_caller.py
@@ -47,19 +47,19 @@
 class _BodyReceiver(Protocol):
     """Passes the body of a response to its run."""
 
-    def __init__(self, run: HttpRun) -> None:
-        self._run = run
+    def __init__(self, in_flight_request: InFlightHttpRequest) -> None:
+        self._in_flight_request = in_flight_request
 
     def dataReceived(self, data: bytes) -> None:
         """Pass on received bytes."""
-        self._run.body_data(data)
+        self._in_flight_request.body_data(data)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Report the end of the body, complete or not."""
-        self._run.body_ended(reason)
+        self._in_flight_request.body_ended(reason)
 
 
-class HttpRun(Run):
+class InFlightHttpRequest(Run):
     """A request that is sent to one target over HTTP.
 
     Parameters
@@ -96,7 +96,7 @@
 
     def start(self) -> None:
         """Send the request on an idle connection, or open a new one."""
-        self._state.runs.add(self)
+        self._state.in_flight.add(self)
         channel = None
         if not self._sending.needs_new_connection:
             channel = self._state.pool.idle(self._clock.seconds())
@@ -229,7 +229,7 @@
 
     def _end(self) -> None:
         self._is_over = True
-        self._state.runs.discard(self)
+        self._state.in_flight.discard(self)
 
     def _abort(self) -> None:
         if self._channel is not None:
@@ -247,12 +247,12 @@
         Connections to it.
     """
 
-    __slots__ = ("failed_at", "incarnation", "pool", "runs")
+    __slots__ = ("failed_at", "incarnation", "pool", "in_flight")
 
     def __init__(self, incarnation: TargetIncarnation, pool: ChannelPool) -> None:
         self.incarnation = incarnation
         self.pool = pool
-        self.runs: set[HttpRun] = set()
+        self.in_flight: set[InFlightHttpRequest] = set()
         # When a connection last failed or was lost, in seconds; infinite for never.
         self.failed_at = math.inf
 
@@ -281,9 +281,9 @@
     def send(self, sending: Sending, observer: RunObserver) -> Run:
         """Send a request; see `TargetCaller.send`."""
         state = self._state(sending.target)
-        run = HttpRun(sending, observer, self._codec, state, self._reactor)
-        run.start()
-        return run
+        in_flight_request = InFlightHttpRequest(sending, observer, self._codec, state, self._reactor)
+        in_flight_request.start()
+        return in_flight_request
 
     def check(
         self, target: TargetIncarnation, on_check: Callable[[TargetCheck], None]
@@ -291,11 +291,11 @@
         """Check whether a target accepts connections; see `TargetCaller.check`."""
         for state in self._states.get(target.name, ()):
             if state.incarnation == target:
-                self._check(state.pool, on_check)
+                self._probe(state.pool, on_check)
                 return
         on_check(TargetCheck.UNKNOWN)
 
-    def _check(
+    def _probe(
         self, pool: ChannelPool, on_check: Callable[[TargetCheck], None]
     ) -> None:
         def opened(channel: TargetChannel) -> None:
@@ -323,8 +323,8 @@
             # A request that is spared now runs at the present incarnation and ends
             # with it.
             failed_at, state.failed_at = state.failed_at, math.inf
-            for run in list(state.runs):
-                run.target_ended(failed_at)
+            for in_flight_request in list(state.in_flight):
+                in_flight_request.target_ended(failed_at)
         self._drop_ended(present.name)
 
     def sweep(self, now: float) -> None:
@@ -384,7 +384,7 @@
     def _drop_ended(self, target: str) -> None:
         """Discard closed incarnations without requests under way."""
         states = self._states.get(target, ())
-        left = [state for state in states if state.runs or not state.pool.is_closed]
+        left = [state for state in states if state.in_flight or not state.pool.is_closed]
         if left:
             self._states[target] = left
         else:
