--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -145,10 +145,10 @@
         self._metrics = parts.metrics
         incarnation = new_incarnation()
         freshness = Freshness(settings.revoke)
-        self._caller = HttpTargetCaller(parts.reactor, parts.codec)
-        self._directory = PartDirectory()
+        self._target_client = HttpTargetCaller(parts.reactor, parts.codec)
+        self._prefix_index = PartDirectory()
         restarts = TargetRestarts(
-            self._caller, self._directory, parts, self._target_ended
+            self._target_client, self._prefix_index, parts, self._target_ended
         )
         targets = TargetList(settings.drain, restarts.incarnation_started)
         self._evacuations = Evacuations(self._domains_evacuated)
@@ -162,7 +162,7 @@
             settings.name,
             incarnation,
             targets,
-            self._directory,
+            self._prefix_index,
             freshness,
             settings.domain,
             settings.news,
@@ -174,7 +174,7 @@
         shares = CacheShares(
             settings.name,
             targets,
-            self._directory,
+            self._prefix_index,
             lambda: self._news.others,
             self._news.find,
         )
@@ -187,7 +187,7 @@
             shares,
         )
         self._learning = CacheLearning(
-            shares, self._exchange, targets, self._directory, parts
+            shares, self._exchange, targets, self._prefix_index, parts
         )
         self._knowledge = Knowledge(
             settings,
@@ -203,7 +203,7 @@
             self._harmful,
             harm_news,
             targets,
-            self._caller,
+            self._target_client,
             parts,
             self._exchange.tell_soon,
         )
@@ -213,10 +213,10 @@
             settings=settings.forward,
             clock=parts.reactor,
             rng=parts.rng,
-            caller=self._caller,
+            caller=self._target_client,
             chooser=TargetChooser(
                 settings.choice,
-                self._directory,
+                self._prefix_index,
                 parts.rng,
                 lambda: self._news.age(self._now()),
                 lambda: self._news.is_relayed,
@@ -224,7 +224,7 @@
                 targets.unlisted_of,
                 self._shares.own_tokens,
             ),
-            parts=self._directory,
+            parts=self._prefix_index,
             states_of=targets.of_service,
             budget_of=self._budget_of,
             routers=self._routers,
@@ -555,7 +555,7 @@
         self._housekeeping = self._reactor.callLater(
             HOUSEKEEPING_SECONDS, self._run_housekeeping
         )
-        self._caller.sweep(now)
+        self._target_client.sweep(now)
         if now >= self._next_reread_at:
             self._next_reread_at = now + REREAD_SECONDS
             self.reload(is_asked=False)
@@ -566,9 +566,9 @@
             self._news.newest_version(now), self._news.newest_list(), now
         )
         for incarnation in self._knowledge.listed.forget_gone(now):
-            self._directory.forget_target(incarnation)
+            self._prefix_index.forget_target(incarnation)
             self._harm.target_ended(incarnation, ENTRY_GONE, now)
-            self._caller.forget(incarnation.name)
+            self._target_client.forget(incarnation.name)
             self._cold.forget(incarnation.name)
         self._log_readiness(now)
         dropped = self._parts.writer.take_dropped() if self._parts.writer else 0
@@ -603,7 +603,7 @@
         for state in self._knowledge.targets.states:
             service = table.service(state.target.service)
             if service is not None:
-                self._directory.limit(state.incarnation, service.cache_tokens)
+                self._prefix_index.limit(state.incarnation, service.cache_tokens)
 
     def _has_cache(self, target: ServingTarget) -> bool:
         service = self._service(target.service)
--- a/src/primrosescale/process/entry/harm_watch.py
+++ b/src/primrosescale/process/entry/harm_watch.py
@@ -42,12 +42,12 @@
     from primrosescale.request.target_state import TargetState
 
 # All connections of a target that ends are lost within a few milliseconds.
-CHECK_DELAY_SECONDS = 0.01
+PROBE_DELAY_SECONDS = 0.01
 # An inconclusive check is repeated as long as lost responses are unexplained.
-RECHECK_INTERVAL_SECONDS = 1.0
+PROBE_INTERVAL_SECONDS = 1.0
 # Interval at which complete responses are examined for later proof that their target
 # survived them.
-CLEARANCE_INTERVAL_SECONDS = 0.25
+CONFIRMATION_INTERVAL_SECONDS = 0.25
 # Logged as the evidence when another target listens at the address.
 REPLACED = "another in its place"
 # A target that sends something within this time of its detected end has not ended.
@@ -66,7 +66,7 @@
         Reports to other routers.
     targets : TargetList
         The known targets and their states.
-    caller : TargetCaller
+    target_client : TargetCaller
         Opens connections to targets.
     parts : EntryParts
         Collaborators of the router.
@@ -79,24 +79,24 @@
         requests: HarmfulRequests,
         news: HarmNews,
         targets: TargetList,
-        caller: TargetCaller,
+        target_client: TargetCaller,
         parts: EntryParts,
         tell_soon: Callable[[], None],
     ) -> None:
         self._requests = requests
-        self._news = news
+        self._report_exchange = news
         self._targets = targets
-        self._caller = caller
+        self._target_client = target_client
         self._reactor: Any = parts.reactor
         self._log = parts.log
         self._metrics = parts.metrics
-        self._broadcast_soon = tell_soon
+        self._send_soon = tell_soon
         news.on_end = self._on_peer_end
-        self._lost = LostAnswers()
-        self._fresh = FreshAnswers()
-        self._proof_timer: Timer | None = None
+        self._lost_answers = LostAnswers()
+        self._unconfirmed_answers = FreshAnswers()
+        self._confirmation_timer: Timer | None = None
         # Targets that are being checked by opening a connection, by short name.
-        self._pending_checks: set[int] = set()
+        self._pending_probes: set[int] = set()
         # When this router detected the end of targets, by short name, in seconds.
         self._ended_at: dict[int, float] = {}
 
@@ -110,8 +110,8 @@
         """Keep other routers from sending a suspect too; see `HarmWatch.sent`."""
         if not self._requests.may_hold:
             return
-        if self._news.note(LoneTry(request.fingerprint, now), now):
-            self._broadcast_soon()
+        if self._report_exchange.note(LoneTry(request.fingerprint, now), now):
+            self._send_soon()
 
     def answer_lost(
         self, request: IncomingRequest, state: TargetState, now: float
@@ -123,11 +123,11 @@
             return
         key = target_key(*target)
         fingerprint = request.fingerprint
-        if self._lost.has_ended(key, now):
+        if self._lost_answers.has_ended(key, now):
             self._note_ends([TargetEnd(fingerprint, key, now)], now)
         else:
-            self._lost.lost(fingerprint, key, now)
-            self._check_soon(target, key)
+            self._lost_answers.lost(fingerprint, key, now)
+            self._probe_soon(target, key)
 
     def answered(
         self, request: IncomingRequest, state: TargetState, now: float
@@ -135,20 +135,20 @@
         """Clear the request once its target survived; see `HarmWatch.answered`."""
         self._requests.count_answer(now)
         key = target_key(*state.incarnation)
-        self._fresh.add(FreshAnswer(request.fingerprint, key, now, state))
-        if self._proof_timer is None:
-            self._proof_timer = self._reactor.callLater(
-                CLEARANCE_INTERVAL_SECONDS, self._clear_proved
+        self._unconfirmed_answers.add(FreshAnswer(request.fingerprint, key, now, state))
+        if self._confirmation_timer is None:
+            self._confirmation_timer = self._reactor.callLater(
+                CONFIRMATION_INTERVAL_SECONDS, self._clear_confirmed
             )
 
     def heard(self, state: TargetState, sent_at: float, now: float) -> None:
         """Record that the target is running; see `HarmWatch.heard`."""
         if not state.incarnation.is_named_by_id or not (
-            self._ended_at or len(self._lost)
+            self._ended_at or len(self._lost_answers)
         ):
             return
         key = target_key(*state.incarnation)
-        self._lost.lived(key, sent_at)
+        self._lost_answers.lived(key, sent_at)
         ended_at = self._ended_at.get(key)
         if ended_at is None:
             return
@@ -165,7 +165,7 @@
         """Check whether the target has ended; see `HarmWatch.unreached`."""
         if not state.target.is_draining:
             target = state.incarnation
-            self._check_soon(target, target_key(*target))
+            self._probe_soon(target, target_key(*target))
 
     def target_ended(self, target: TargetIncarnation, how: str, now: float) -> None:
         """Record that an incarnation of a target has ended.
@@ -180,7 +180,7 @@
             Current time in seconds.
         """
         key = target_key(*target)
-        lost = self._lost.ended(key, now)
+        lost = self._lost_answers.ended(key, now)
         ends = [TargetEnd(each, key, at) for each, at in lost.items()]
         lost_at = min(lost.values(), default=None)
         answered = self._answered_before_end(key, lost_at, now)
@@ -211,7 +211,7 @@
         Earlier responses clear their requests. Each response is considered once.
         """
         ends = []
-        for answer in self._fresh.take_at(key):
+        for answer in self._unconfirmed_answers.take_at(key):
             if answer.is_just_before(lost_at):
                 end = TargetEnd(answer.fingerprint, key, answer.at, was_answered=True)
                 ends.append(end)
@@ -219,47 +219,47 @@
                 self._clear(answer, now)
         return ends
 
-    def _check_soon(self, target: TargetIncarnation, key: int) -> None:
-        if key not in self._pending_checks:
-            self._pending_checks.add(key)
-            self._reactor.callLater(CHECK_DELAY_SECONDS, self._check, target, key)
+    def _probe_soon(self, target: TargetIncarnation, key: int) -> None:
+        if key not in self._pending_probes:
+            self._pending_probes.add(key)
+            self._reactor.callLater(PROBE_DELAY_SECONDS, self._probe, target, key)
 
-    def _check(self, target: TargetIncarnation, key: int) -> None:
+    def _probe(self, target: TargetIncarnation, key: int) -> None:
         now = self._reactor.seconds()
-        if self._lost.is_waiting(key, now) or self._fresh.has_any(key):
-            self._caller.check(target, lambda found: self._checked(target, key, found))
+        if self._lost_answers.is_waiting(key, now) or self._unconfirmed_answers.has_any(key):
+            self._target_client.check(target, lambda found: self._probed(target, key, found))
         else:
-            self._pending_checks.discard(key)
+            self._pending_probes.discard(key)
 
-    def _checked(self, target: TargetIncarnation, key: int, found: TargetCheck) -> None:
+    def _probed(self, target: TargetIncarnation, key: int, found: TargetCheck) -> None:
         if found is TargetCheck.UNKNOWN:
-            self._reactor.callLater(RECHECK_INTERVAL_SECONDS, self._check, target, key)
+            self._reactor.callLater(PROBE_INTERVAL_SECONDS, self._probe, target, key)
             return
-        self._pending_checks.discard(key)
+        self._pending_probes.discard(key)
         if found is TargetCheck.ENDED:
             self.target_ended(target, found.value, self._reactor.seconds())
 
-    def _clear_proved(self) -> None:
+    def _clear_confirmed(self) -> None:
         """Clear the requests whose targets are now known to have survived them."""
         now = self._reactor.seconds()
-        for answer in self._fresh.take_proved(now):
+        for answer in self._unconfirmed_answers.take_proved(now):
             self._clear(answer, now)
-        self._proof_timer = None
-        if len(self._fresh):
-            self._proof_timer = self._reactor.callLater(
-                CLEARANCE_INTERVAL_SECONDS, self._clear_proved
+        self._confirmation_timer = None
+        if len(self._unconfirmed_answers):
+            self._confirmation_timer = self._reactor.callLater(
+                CONFIRMATION_INTERVAL_SECONDS, self._clear_confirmed
             )
 
     def _clear(self, answer: FreshAnswer, now: float) -> None:
-        if self._news.note(WholeAnswer(answer.fingerprint, answer.at), now):
-            self._broadcast_soon()
+        if self._report_exchange.note(WholeAnswer(answer.fingerprint, answer.at), now):
+            self._send_soon()
 
     def _note_ends(self, ends: list[TargetEnd], now: float) -> None:
         for end in ends:
             self._requests.count_end(now)
-            self._news.note(end, now)
+            self._report_exchange.note(end, now)
         if ends:
-            self._broadcast_soon()
+            self._send_soon()
 
     def _forget_old(self, now: float) -> None:
         oldest = now - END_REVOCABLE_SECONDS
--- a/src/primrosescale/process/entry/target_restarts.py
+++ b/src/primrosescale/process/entry/target_restarts.py
@@ -25,9 +25,9 @@
 
     Parameters
     ----------
-    caller : TargetCaller
+    target_client : TargetCaller
         Holds the requests that are under way.
-    directory : PartDirectory
+    prefix_index : PartDirectory
         Records which targets have which prompt parts cached.
     parts : EntryParts
         Collaborators of the router.
@@ -37,13 +37,13 @@
 
     def __init__(
         self,
-        caller: TargetCaller,
-        directory: PartDirectory,
+        target_client: TargetCaller,
+        prefix_index: PartDirectory,
         parts: EntryParts,
         on_end: Callable[[TargetIncarnation], None],
     ) -> None:
-        self._caller = caller
-        self._directory = directory
+        self._target_client = target_client
+        self._prefix_index = prefix_index
         self._on_end = on_end
         self._reactor: Any = parts.reactor
         self._log = parts.log
@@ -78,7 +78,7 @@
         for begun in known:
             # Also without a former incarnation: a target that was forgotten in the
             # meantime may still have requests under way.
-            self._caller.end_former(begun.present)
+            self._target_client.end_former(begun.present)
             if begun.former is not None:
-                self._directory.forget_target(begun.former)
+                self._prefix_index.forget_target(begun.former)
                 self._on_end(begun.former)
--- a/tests/entry/test_entry_router.py
+++ b/tests/entry/test_entry_router.py
@@ -282,7 +282,7 @@
         for _ in range(4):
             yield self.ask(text())
         yield deferLater(reactor, 0.15, lambda: None)
-        limit = self.router._caller._rest_limit
+        limit = self.router._target_client._rest_limit
         self.assertTrue(limit.allows(0.1, reactor.seconds()))
         for script in self.scripts.values():
             script.faults.append(EngineFault.RESET)
@@ -789,7 +789,7 @@
         parts = (PromptPart("tariffs", 500),)
         caches.answer("m1", HeldParts(parts, SECOND - 1))
         caches.answer("m2", HeldParts(parts, THIRD))
-        directory, now = self.router._directory, reactor.seconds()
+        directory, now = self.router._prefix_index, reactor.seconds()
         self.assertEqual(0, directory.held(self.life("m1"), parts, now))
         self.assertEqual(SECOND, self.life("m1").started_at)
         self.assertEqual(1, len(directory))
--- a/tests/entry/test_harm_watch.py
+++ b/tests/entry/test_harm_watch.py
@@ -24,9 +24,9 @@
 from primrosescale.process.entry.harm_news import MOST_IN_MESSAGE
 from primrosescale.process.entry.harm_news import TIMES_TOLD
 from primrosescale.process.entry.harm_news import HarmNews
-from primrosescale.process.entry.harm_watch import CHECK_DELAY_SECONDS
-from primrosescale.process.entry.harm_watch import CLEARANCE_INTERVAL_SECONDS
-from primrosescale.process.entry.harm_watch import RECHECK_INTERVAL_SECONDS
+from primrosescale.process.entry.harm_watch import PROBE_DELAY_SECONDS
+from primrosescale.process.entry.harm_watch import CONFIRMATION_INTERVAL_SECONDS
+from primrosescale.process.entry.harm_watch import PROBE_INTERVAL_SECONDS
 from primrosescale.process.entry.harm_watch import EntryHarmWatch
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.process.entry.target_list import TargetList
@@ -88,7 +88,7 @@
         state = self.targets.state(name)
         incoming = incoming or self.request
         self.watch.answer_lost(incoming, state, self.clock.seconds())
-        self.clock.advance(CHECK_DELAY_SECONDS)
+        self.clock.advance(PROBE_DELAY_SECONDS)
 
     def find(self, found):
         """Answer the last check."""
@@ -191,7 +191,7 @@
             self.answer(name)
             self.clock.advance(0.05)
             self.watch.unreached(self.targets.state(name), self.clock.seconds())
-            self.clock.advance(CHECK_DELAY_SECONDS)
+            self.clock.advance(PROBE_DELAY_SECONDS)
             self.find(TargetCheck.ENDED)
         self.assertEqual(ANSWERED_ENDS, self.ends())
         self.assertGreater(self.held_for(), 0)
@@ -208,7 +208,7 @@
         self.clock.advance(PROOF_SECONDS)
         self.assertIsNone(self.requests.last_answer(self.request.fingerprint))
         self.heard("t1", 0.0)
-        self.clock.advance(CLEARANCE_INTERVAL_SECONDS)
+        self.clock.advance(CONFIRMATION_INTERVAL_SECONDS)
         self.assertIsNotNone(self.requests.last_answer(self.request.fingerprint))
         self.gone("t1")
         self.assertEqual(0, self.ends())
@@ -216,13 +216,13 @@
     def test_an_answer_counts_once_an_end_would_be_known(self):
         self.answer("t1")
         self.clock.advance(LONGEST_WAIT)
-        self.clock.advance(CLEARANCE_INTERVAL_SECONDS)
+        self.clock.advance(CONFIRMATION_INTERVAL_SECONDS)
         self.assertIsNotNone(self.requests.last_answer(self.request.fingerprint))
 
     def test_nothing_is_proved_on_and_on(self):
         self.answer("t1")
         self.clock.advance(LONGEST_WAIT)
-        self.clock.advance(CLEARANCE_INTERVAL_SECONDS)
+        self.clock.advance(CONFIRMATION_INTERVAL_SECONDS)
         self.assertEqual([], self.clock.getDelayedCalls())
 
     def test_many_lost_answers_of_one_target_take_one_check(self):
@@ -242,9 +242,9 @@
         self.lose("t1")
         for _ in range(30):
             self.find(TargetCheck.UNKNOWN)
-            self.clock.advance(RECHECK_INTERVAL_SECONDS)
+            self.clock.advance(PROBE_INTERVAL_SECONDS)
         self.assertLessEqual(
-            len(self.caller.checks), 2 + WAIT_SECONDS / RECHECK_INTERVAL_SECONDS
+            len(self.caller.checks), 2 + WAIT_SECONDS / PROBE_INTERVAL_SECONDS
         )
         self.assertEqual(0, self.ends())
 
@@ -284,7 +284,7 @@
         self.answer("t4")
         self.clock.advance(PROOF_SECONDS)
         self.heard("t4", 0.0)
-        self.clock.advance(CLEARANCE_INTERVAL_SECONDS)
+        self.clock.advance(CONFIRMATION_INTERVAL_SECONDS)
         self.assertEqual(1, len(self.log.of(Event.REQUEST_CLEARED)))
         self.assertEqual(0.0, self.held_for())
 
