--- a/src/primrosescale/process/entry/target_list.py
+++ b/src/primrosescale/process/entry/target_list.py
@@ -73,7 +73,7 @@
         "_generation",
         "_known",
         "_on_incarnation",
-        "_statements",
+        "_self_reports",
         "_unreadable",
     )
 
@@ -88,7 +88,7 @@
         self._evacuated: frozenset[str] = frozenset()
         self._known: dict[str, TargetState] = {}
         self._forget_at: dict[str, float] = {}
-        self._statements = KeptStatements()
+        self._self_reports = KeptStatements()
         # Targets whose entries were removed without a prior drain, with the time until
         # which they may still run.
         self._delisted: dict[str, tuple[TargetState, float]] = {}
@@ -209,15 +209,15 @@
         if target.name in self._unreadable and told_by != STORE:
             # Only a readable entry in the store restores the target.
             return False
-        told = target.incarnation
+        reported = target.incarnation
         known = self._known.get(target.name) or self._unreadable.get(target.name)
-        if known is not None and told.started_at is not None:
-            if told.is_followed_by(known.incarnation):
+        if known is not None and reported.started_at is not None:
+            if reported.is_followed_by(known.incarnation):
                 return False
         self._forget_at.pop(target.name, None)
         self._delisted.pop(target.name, None)
         self._restore_readable(target.name)
-        if known is None or known.incarnation.is_followed_by(told):
+        if known is None or known.incarnation.is_followed_by(reported):
             self._add_incarnation(target, known, now, told_by)
             return True
         before = known.target
@@ -233,8 +233,8 @@
         now: float,
         told_by: str,
     ) -> None:
-        said = self._statements.take_back(target.incarnation)
-        self._known[target.name] = state = TargetState(target, now, said)
+        self_reports = self._self_reports.take_back(target.incarnation)
+        self._known[target.name] = state = TargetState(target, now, self_reports)
         self._apply_evacuation(state, now)
         self._generation += 1
         if self._on_incarnation is not None:
@@ -346,5 +346,5 @@
     def _forget(self, name: str, now: float) -> TargetIncarnation:
         """Forget a target except for its own statements about itself."""
         state = self._known.pop(name, None) or self._unreadable.pop(name)
-        self._statements.keep(state.incarnation, state.statements, now)
+        self._self_reports.keep(state.incarnation, state.statements, now)
         return state.incarnation
