--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -139,7 +139,7 @@
         parts: EntryParts,
     ) -> None:
         self._settings = settings
-        self._parts = parts
+        self._dependencies = parts
         self._reactor = parts.reactor
         self._log = parts.log
         self._metrics = parts.metrics
@@ -153,12 +153,12 @@
         targets = TargetList(settings.drain, restarts.incarnation_started)
         self._evacuations = Evacuations(self._domains_evacuated)
         self._shares = RouterShares(settings.name)
-        self._cold = ColdTargets(settings.cold, self._shares, self._service)
-        self._room = TargetRoom(self._cold)
-        self._leaving = LeavingNews(targets, parts.log)
-        self._harmful = HarmfulRequests(settings.harm)
-        harm_news = HarmNews(self._harmful, parts.log)
-        self._news = RouterNews(
+        self._cold_targets = ColdTargets(settings.cold, self._shares, self._service)
+        self._availability = TargetRoom(self._cold_targets)
+        self._leaving_exchange = LeavingNews(targets, parts.log)
+        self._harmful_requests = HarmfulRequests(settings.harm)
+        harm_reports = HarmNews(self._harmful_requests, parts.log)
+        self._state_exchange = RouterNews(
             settings.name,
             incarnation,
             targets,
@@ -166,28 +166,30 @@
             freshness,
             settings.domain,
             settings.news,
-            harm_news,
+            harm_reports,
             self._evacuations,
-            self._leaving,
+            self._leaving_exchange,
+        )
+        self._registry = RouterRegistry(
+            settings, incarnation, self._state_exchange, parts
         )
-        self._registry = RouterRegistry(settings, incarnation, self._news, parts)
         shares = CacheShares(
             settings.name,
             targets,
             self._prefix_index,
-            lambda: self._news.others,
-            self._news.find,
+            lambda: self._state_exchange.others,
+            self._state_exchange.find,
         )
-        self._exchange = NewsExchange(
-            self._news,
+        self._exchange_protocol = NewsExchange(
+            self._state_exchange,
             self._version,
             self._is_store_lost,
             lambda: self._knowledge.listed.revision,
             parts,
             shares,
         )
-        self._learning = CacheLearning(
-            shares, self._exchange, targets, self._prefix_index, parts
+        self._cache_discovery = CacheLearning(
+            shares, self._exchange_protocol, targets, self._prefix_index, parts
         )
         self._knowledge = Knowledge(
             settings,
@@ -196,20 +198,22 @@
             freshness,
             targets,
             self._registry,
-            lambda: self._news.asks_often(self._now()),
+            lambda: self._state_exchange.asks_often(self._now()),
             self._evacuations,
         )
-        self._harm = EntryHarmWatch(
-            self._harmful,
-            harm_news,
+        self._harm_monitor = EntryHarmWatch(
+            self._harmful_requests,
+            harm_reports,
             targets,
             self._target_client,
             parts,
-            self._exchange.tell_soon,
+            self._exchange_protocol.tell_soon,
         )
         self._budgets: dict[str, RepeatBudget] = {}
-        self._gate = Gate(self._knowledge.freshness, settings.certain_for, parts.rng)
-        self._tools = ForwardTools(
+        self._resolver = Gate(
+            self._knowledge.freshness, settings.certain_for, parts.rng
+        )
+        self._forwarding = ForwardTools(
             settings=settings.forward,
             clock=parts.reactor,
             rng=parts.rng,
@@ -218,9 +222,9 @@
                 settings.choice,
                 self._prefix_index,
                 parts.rng,
-                lambda: self._news.age(self._now()),
-                lambda: self._news.is_relayed,
-                self._room,
+                lambda: self._state_exchange.age(self._now()),
+                lambda: self._state_exchange.is_relayed,
+                self._availability,
                 targets.unlisted_of,
                 self._shares.own_tokens,
             ),
@@ -228,12 +232,12 @@
             states_of=targets.of_service,
             budget_of=self._budget_of,
             routers=self._routers,
-            parts_changed=self._exchange.tell_soon,
-            start_hop=self._start_hop,
+            parts_changed=self._exchange_protocol.tell_soon,
+            start_hop=self._start_span,
             silence_judged=self._silence_judged,
-            statement_made=self._statement_made,
-            harm=self._harm,
-            room=self._room,
+            statement_made=self._self_report_received,
+            harm=self._harm_monitor,
+            room=self._availability,
             regions=settings.regions,
         )
         self._tracing: Tracing | None = None
@@ -285,7 +289,7 @@
         self._listen_for_callers(settings.callers)
         links = settings.links
         self._ports[links] = self._reactor.listenUDP(
-            links.port, self._exchange, links.address
+            links.port, self._exchange_protocol, links.address
         )
         self._registry.start(self.bound[links])
         self._hold_until = self._now() + MAX_START_WAIT_SECONDS
@@ -311,7 +315,7 @@
         if self._calls:
             self._log.emit(Event.STOP_CUT, requests=len(self._calls))
         self._knowledge.stop()
-        self._exchange.stop()
+        self._exchange_protocol.stop()
         yield self._registry.stop()
         self._close()
         self._log.emit(Event.PROCESS_STOPPED, took=round(self._now() - began, 2))
@@ -326,7 +330,7 @@
             logged.
         """
         try:
-            settings = self._parts.reread()
+            settings = self._dependencies.reread()
         except PrimrosescaleError as error:
             if is_asked or str(error) != self._settings_error:
                 self._log.emit(Event.SETTINGS_REFUSED, detail=str(error))
@@ -345,11 +349,11 @@
         if is_changed:
             self._settings = settings
             self._knowledge.configure(settings)
-            self._gate.configure(settings.certain_for)
-            self._tools.configure(settings.forward, settings.choice)
-            self._tools.regions = settings.regions
-            self._harmful.configure(settings.harm)
-            self._cold.configure(settings.cold)
+            self._resolver.configure(settings.certain_for)
+            self._forwarding.configure(settings.forward, settings.choice)
+            self._forwarding.regions = settings.regions
+            self._harmful_requests.configure(settings.harm)
+            self._cold_targets.configure(settings.cold)
             self._budgets.clear()
         if is_asked or is_changed:
             self._log.emit(Event.SETTINGS_RELOADED, is_changed=is_changed)
@@ -358,7 +362,7 @@
         """Stop timers and close all ports, after a planned stop or without one."""
         cancel_timer(self._housekeeping)
         # Otherwise its rounds would continue without a port to send from.
-        self._exchange.stop()
+        self._exchange_protocol.stop()
         for port in self._ports.values():
             port.stopListening()
         self._ports.clear()
@@ -381,18 +385,20 @@
     def _serve(self, request: EntryRequest) -> None:
         now = self._now()
         headers: Any = request.requestHeaders
-        head = self._parts.codec.caller_head(request.method, request.uri, headers)
+        head = self._dependencies.codec.caller_head(
+            request.method, request.uri, headers
+        )
         body = request.content.getvalue()
-        judged = self._gate.judge(head, body, self._knowledge.table, now)
+        judged = self._resolver.judge(head, body, self._knowledge.table, now)
         if len(self._calls) >= self._settings.most_requests:
             judged = Refusal.ROUTER_FULL
         sink = self._sink(request, head.request_id)
         if isinstance(judged, Refusal):
             forward = self._settings.forward
-            sink.refuse(judged, forward.come_back_after(judged, self._parts.rng))
+            sink.refuse(judged, forward.come_back_after(judged, self._dependencies.rng))
             self._log_refused(judged, head, now)
             return
-        call = ForwardedCall(judged, sink, self._tools, self._ended)
+        call = ForwardedCall(judged, sink, self._forwarding, self._call_ended)
         self._calls.add(call)
         request.attach_call(call)
         sink.apply_backpressure(call)
@@ -402,7 +408,7 @@
         """Refuse a request that is too large; see `EntryHandler.too_large`."""
         self._sink(request, "").refuse(Refusal.TOO_LARGE, None)
         headers: Any = request.requestHeaders
-        head = self._parts.codec.caller_head(b"", b"", headers)
+        head = self._dependencies.codec.caller_head(b"", b"", headers)
         self._log_refused(Refusal.TOO_LARGE, head, self._now())
 
     def _sink(self, request: EntryRequest, request_id: str) -> CallerResponse:
@@ -410,7 +416,9 @@
             refusal: Refusal,
             retry_after: float | None,
         ) -> list[tuple[bytes, bytes]]:
-            return self._parts.codec.refusal_headers(refusal, request_id, retry_after)
+            return self._dependencies.codec.refusal_headers(
+                refusal, request_id, retry_after
+            )
 
         return CallerResponse(request, self, headers)
 
@@ -428,7 +436,7 @@
             knowledge_age=self._knowledge.rounded_age(now),
         )
 
-    def _ended(self, call: ForwardedCall, outcome: str) -> None:
+    def _call_ended(self, call: ForwardedCall, outcome: str) -> None:
         self._calls.discard(call)
         now = self._now()
         self._metrics.ended(call, outcome, now)
@@ -484,11 +492,11 @@
             verdict=silence.verdict.value,
         )
 
-    def _statement_made(
+    def _self_report_received(
         self, request: IncomingRequest, state: TargetState, head: AnswerHead
     ) -> None:
         if head.is_leaving:
-            self._leaving.note(state.incarnation)
+            self._leaving_exchange.note(state.incarnation)
         self._log.emit(
             Event.TARGET_SAID,
             target=state.target.name,
@@ -499,26 +507,26 @@
             told_by=TARGET,
         )
 
-    def _start_hop(self, name: str, traceparent: str) -> Hop:
+    def _start_span(self, name: str, traceparent: str) -> Hop:
         """Start a hop of a trace; tracing is imported for the first traced request."""
         if not traceparent:
             return NO_HOP
         if self._tracing is None:
             from primrosescale.process.tracing import Tracing  # noqa: PLC0415
 
-            self._tracing = Tracing(self._log, 0.0, self._parts.rng)
+            self._tracing = Tracing(self._log, 0.0, self._dependencies.rng)
         return self._tracing.start(name, traceparent, may_begin=False)
 
     def _target_ended(self, former: TargetIncarnation) -> None:
-        self._harm.target_ended(former, STARTED_AGAIN, self._now())
+        self._harm_monitor.target_ended(former, STARTED_AGAIN, self._now())
 
-    def _domains_evacuated(self, told: EvacuationList, now: float) -> None:
-        self._knowledge.targets.evacuate(told.domains, now)
+    def _domains_evacuated(self, evacuation_list: EvacuationList, now: float) -> None:
+        self._knowledge.targets.evacuate(evacuation_list.domains, now)
         self._log.emit(
             Event.DOMAINS_EVACUATED,
-            domains=sorted(told.domains),
-            revision=told.revision,
-            told_by=told.told_by,
+            domains=sorted(evacuation_list.domains),
+            revision=evacuation_list.revision,
+            told_by=evacuation_list.told_by,
         )
 
     def _budget_of(self, service: str) -> RepeatBudget:
@@ -535,7 +543,7 @@
         """Divide the rates that all routers share among the routers listed now."""
         if self._registry.routers is None:
             return
-        others = {router.name for router in self._news.others}
+        others = {router.name for router in self._state_exchange.others}
         names = frozenset({self._settings.name, *others})
         self._shares.list_routers(names, now, was_listed=self._registry.was_listed)
 
@@ -563,15 +571,19 @@
         self._registry.forget_silent(now)
         self._list_routers(now)
         self._knowledge.look_after(
-            self._news.newest_version(now), self._news.newest_list(), now
+            self._state_exchange.newest_version(now),
+            self._state_exchange.newest_list(),
+            now,
         )
         for incarnation in self._knowledge.listed.forget_gone(now):
             self._prefix_index.forget_target(incarnation)
-            self._harm.target_ended(incarnation, ENTRY_GONE, now)
+            self._harm_monitor.target_ended(incarnation, ENTRY_GONE, now)
             self._target_client.forget(incarnation.name)
-            self._cold.forget(incarnation.name)
+            self._cold_targets.forget(incarnation.name)
         self._log_readiness(now)
-        dropped = self._parts.writer.take_dropped() if self._parts.writer else 0
+        dropped = (
+            self._dependencies.writer.take_dropped() if self._dependencies.writer else 0
+        )
         if dropped:
             self._lines_dropped += dropped
             self._log.emit(Event.LOG_DROPPED, lines=dropped)
@@ -587,11 +599,11 @@
                 LIST_POLL_SECONDS, self._on_first_read, patience - LIST_POLL_SECONDS
             )
             return
-        if not self._settings.reads_caches or self._news.is_relayed:
-            self._learning.skip()
+        if not self._settings.reads_caches or self._state_exchange.is_relayed:
+            self._cache_discovery.skip()
             self._serve_held_requests()
             return
-        self._learning.start(self._has_cache, self._serve_held_requests)
+        self._cache_discovery.start(self._has_cache, self._serve_held_requests)
 
     def _update_cache_limits(self) -> None:
         """Set the cache size of each target, whenever it may have changed."""
@@ -613,7 +625,7 @@
         """Return whether the store is lost here while other routers still reach it."""
         if self._knowledge.lost_for(now) < STORE_LOST_SECONDS:
             return False
-        return self._news.others_reach_store(now)
+        return self._state_exchange.others_reach_store(now)
 
     def _unready_reason(self, now: float) -> str:
         if self._is_stopping:
@@ -646,31 +658,32 @@
         now = self._now()
         table = self._knowledge.table
         age = self._knowledge.freshness.age(now)
-        rank = self._news.relay_rank(now)
-        standings = Counter(
-            self._room.standing(state, now) for state in self._knowledge.targets.states
+        rank = self._state_exchange.relay_rank(now)
+        conditions = Counter(
+            self._availability.standing(state, now)
+            for state in self._knowledge.targets.states
         )
         values: dict[str, float] = {
             "version": 0 if table is None else table.version,
             "knowledge_age_seconds": -1.0 if age is None else age,
             "targets": len(self._knowledge.targets),
             "cold_targets": sum(
-                self._cold.is_cold(state, now)
+                self._cold_targets.is_cold(state, now)
                 for state in self._knowledge.targets.states
             ),
-            "leaving_targets": standings[Standing.LEAVING],
-            "resting_targets": standings[Standing.RESTING],
-            "suspect_targets": standings[Standing.SUSPECT],
+            "leaving_targets": conditions[Standing.LEAVING],
+            "resting_targets": conditions[Standing.RESTING],
+            "suspect_targets": conditions[Standing.SUSPECT],
             "evacuated_domains": len(self._evacuations.domains),
             "caller_connections": self._factory.open_channels,
             "requests_under_way": len(self._calls),
-            "peers": self._news.heard_lately(now),
-            "news_bytes": self._exchange.bytes_out,
-            "news_age_seconds": self._news.age(now),
+            "peers": self._state_exchange.heard_lately(now),
+            "news_bytes": self._exchange_protocol.bytes_out,
+            "news_age_seconds": self._state_exchange.age(now),
             "relay_rank": -1.0 if rank is None else rank,
             "store_calls": self._knowledge.store_calls,
-            "requests_held_back": len(self._harmful.held(now)),
-            "requests_suspected": len(self._harmful),
+            "requests_held_back": len(self._harmful_requests.held(now)),
+            "requests_suspected": len(self._harmful_requests),
             "is_ready": float(self.is_ready),
             "log_lines_dropped": self._lines_dropped,
         }
@@ -683,7 +696,7 @@
         )
 
     def _listen_for_callers(self, endpoint: Endpoint) -> None:
-        early = self._parts.early
+        early = self._dependencies.early
         if early is None:
             self._listen(endpoint, self._factory)
             return
--- a/src/primrosescale/process/entry/harm_watch.py
+++ b/src/primrosescale/process/entry/harm_watch.py
@@ -226,8 +226,12 @@
 
     def _probe(self, target: TargetIncarnation, key: int) -> None:
         now = self._reactor.seconds()
-        if self._lost_answers.is_waiting(key, now) or self._unconfirmed_answers.has_any(key):
-            self._target_client.check(target, lambda found: self._probed(target, key, found))
+        if self._lost_answers.is_waiting(key, now) or self._unconfirmed_answers.has_any(
+            key
+        ):
+            self._target_client.check(
+                target, lambda found: self._probed(target, key, found)
+            )
         else:
             self._pending_probes.discard(key)
 
--- a/src/primrosescale/process/entry/target_caller.py
+++ b/src/primrosescale/process/entry/target_caller.py
@@ -247,7 +247,7 @@
         Connections to it.
     """
 
-    __slots__ = ("failed_at", "incarnation", "pool", "in_flight")
+    __slots__ = ("failed_at", "in_flight", "incarnation", "pool")
 
     def __init__(self, incarnation: TargetIncarnation, pool: ChannelPool) -> None:
         self.incarnation = incarnation
@@ -281,7 +281,9 @@
     def send(self, sending: Sending, observer: RunObserver) -> Run:
         """Send a request; see `TargetCaller.send`."""
         state = self._state(sending.target)
-        in_flight_request = InFlightHttpRequest(sending, observer, self._codec, state, self._reactor)
+        in_flight_request = InFlightHttpRequest(
+            sending, observer, self._codec, state, self._reactor
+        )
         in_flight_request.start()
         return in_flight_request
 
@@ -384,7 +386,9 @@
     def _drop_ended(self, target: str) -> None:
         """Discard closed incarnations without requests under way."""
         states = self._states.get(target, ())
-        left = [state for state in states if state.in_flight or not state.pool.is_closed]
+        left = [
+            state for state in states if state.in_flight or not state.pool.is_closed
+        ]
         if left:
             self._states[target] = left
         else:
--- a/tests/entry/test_entry_router.py
+++ b/tests/entry/test_entry_router.py
@@ -311,10 +311,12 @@
         entry = {"address": "127.0.0.1", "port": 9, "domain": "a"}
         self.store.write("routers", "r2", entry)
         yield self.start()
-        yield self.eventually(lambda: bool(self.router._news.others))
+        yield self.eventually(lambda: bool(self.router._state_exchange.others))
         self.router._close()
         # A round that goes on after the port is closed ends in a logged error.
-        yield deferLater(reactor, 2 * self.router._news.interval, lambda: None)
+        yield deferLater(
+            reactor, 2 * self.router._state_exchange.interval, lambda: None
+        )
 
     @inlineCallbacks
     def test_the_line_of_a_request_holds_the_status_that_was_passed_on(self):
@@ -465,9 +467,11 @@
         other = RouterNews("r2", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
         other.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
         now = reactor.seconds()
-        self.router._news.put(OtherRouter("r2", Endpoint("127.0.0.1", 1)), now)
+        self.router._state_exchange.put(
+            OtherRouter("r2", Endpoint("127.0.0.1", 1)), now
+        )
         [(_, message)] = other.compose(2, reactor.seconds())
-        self.router._news.take(message, 1, reactor.seconds())
+        self.router._state_exchange.take(message, 1, reactor.seconds())
         yield self.eventually(lambda: self.router._version() == 2)
 
     @inlineCallbacks
@@ -484,8 +488,8 @@
         self.assertTrue(caller.data.startswith(b"HTTP/1.1 503"))
         [wait] = re.findall(rb"Retry-After: (\d+)", caller.data)
         self.assertTrue(45 <= int(wait) <= 135)
-        self.assertIs(choice, self.router._tools.chooser._settings)
-        self.assertIs(forward, self.router._tools.settings)
+        self.assertIs(choice, self.router._forwarding.chooser._settings)
+        self.assertIs(forward, self.router._forwarding.settings)
 
     @inlineCallbacks
     def test_targets_that_went_while_the_watch_rested_are_held_for_less(self):
@@ -531,10 +535,12 @@
         other = RouterNews("r2", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
         other.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
         now = reactor.seconds()
-        self.router._news.put(OtherRouter("r2", Endpoint("127.0.0.1", 1)), now)
+        self.router._state_exchange.put(
+            OtherRouter("r2", Endpoint("127.0.0.1", 1)), now
+        )
         revision = self.drain_unheard("m1")
         [(_, message)] = other.compose(1, reactor.seconds(), list_revision=revision)
-        self.router._news.take(message, 1, reactor.seconds())
+        self.router._state_exchange.take(message, 1, reactor.seconds())
         yield self.eventually(lambda: self.knows_leaving("m1"))
         self.assertIn("WATCH_RENEWED", [name for name, _ in self.events])
 
@@ -767,12 +773,14 @@
         other = RouterNews("r2", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
         other.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
         now = reactor.seconds()
-        self.router._news.put(OtherRouter("r2", Endpoint("127.0.0.1", 1)), now)
+        self.router._state_exchange.put(
+            OtherRouter("r2", Endpoint("127.0.0.1", 1)), now
+        )
         self.store.faults.is_deaf = True
         revision = self.restart("m1", "model")
         self.store.faults.is_deaf = False
         [(_, message)] = other.compose(1, reactor.seconds(), list_revision=revision)
-        self.router._news.take(message, 1, reactor.seconds())
+        self.router._state_exchange.take(message, 1, reactor.seconds())
         yield self.eventually(lambda: self.life("m1").started_at == SECOND)
 
     @inlineCallbacks
--- a/tests/entry/test_harm_watch.py
+++ b/tests/entry/test_harm_watch.py
@@ -24,8 +24,8 @@
 from primrosescale.process.entry.harm_news import MOST_IN_MESSAGE
 from primrosescale.process.entry.harm_news import TIMES_TOLD
 from primrosescale.process.entry.harm_news import HarmNews
-from primrosescale.process.entry.harm_watch import PROBE_DELAY_SECONDS
 from primrosescale.process.entry.harm_watch import CONFIRMATION_INTERVAL_SECONDS
+from primrosescale.process.entry.harm_watch import PROBE_DELAY_SECONDS
 from primrosescale.process.entry.harm_watch import PROBE_INTERVAL_SECONDS
 from primrosescale.process.entry.harm_watch import EntryHarmWatch
 from primrosescale.process.entry.target_keys import target_key
--- a/tests/entry/test_harmful_requests.py
+++ b/tests/entry/test_harmful_requests.py
@@ -164,7 +164,7 @@
     def settled(self):
         """Wait until all routers serve and hear each other."""
         for _ in range(500):
-            others = [len(router._news.others) for router in self.routers]
+            others = [len(router._state_exchange.others) for router in self.routers]
             if all(r.is_ready for r in self.routers) and min(others) == ROUTERS - 1:
                 return
             yield deferLater(reactor, 0.01, lambda: None)
