--- a/src/primrosescale/process/entry/caller_site.py
+++ b/src/primrosescale/process/entry/caller_site.py
@@ -263,7 +263,7 @@
         self._request.finish()
 
     def break_off(self) -> None:
-        """Terminate the response as incomplete; see `CallerSink.break_off`."""
+        """Abort the response; see `CallerSink.break_off`."""
         if self._request.is_disconnected:
             return
         self._unregister_producer()
@@ -469,7 +469,7 @@
         """
 
     def close_idle(self) -> None:
-        """Close the connections that have no request under way."""
+        """Close the connections that have no request in flight."""
         for channel in list(self._channels):
             if channel.is_idle:
                 channel.loseConnection()
--- a/src/primrosescale/process/entry/codec.py
+++ b/src/primrosescale/process/entry/codec.py
@@ -157,7 +157,7 @@
 
     @abstractmethod
     def router(self, stored: StoredObject) -> OtherRouter:
-        """Decode the record of another entry router.
+        """Decode the record of a peer router.
 
         Parameters
         ----------
--- a/src/primrosescale/process/entry/entry_metrics.py
+++ b/src/primrosescale/process/entry/entry_metrics.py
@@ -199,7 +199,7 @@
         self._restarts.inc()
 
     def target_ended(self) -> None:
-        """Count a target that has ended with requests of this router under way."""
+        """Count a target that has ended with requests of this router in flight."""
         self._ends.inc()
 
     def record_refused(self, kind: str) -> None:
--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -1,8 +1,8 @@
 """The entry router: accepts callers' HTTP requests and forwards them to targets.
 
 It is used on platforms where routers connect to targets directly. `EntryRouter` wires
-the parts together and decides when the process is ready, when it sends callers to other
-routers, and how it stops. Which target a request goes to is decided in
+the parts together and decides when the process is ready, when it sends callers to its
+peers, and how it stops. Which target a request goes to is decided in
 `primrosescale.request`.
 """
 
@@ -102,8 +102,8 @@
 # the caches.
 LIST_POLL_SECONDS = 0.005
 MAX_LIST_WAIT_SECONDS = 0.05
-# A router that has not reached the store for this long, while others still reach it,
-# sends its callers to other routers. The load balancer needs up to 3 s to move them,
+# A router that has not reached the store for this long, while its peers still reach it,
+# sends its callers to them. The load balancer needs up to 3 s to move them,
 # and keys may be accepted for 5 s. In an outage that affects all routers, they notice
 # it up to 2 s apart.
 STORE_LOST_SECONDS = 1.0
@@ -300,7 +300,7 @@
 
     @inlineCallbacks
     def stop(self) -> Generator[Any, Any, None]:
-        """Stop after the requests under way have ended, as far as the time allows."""
+        """Stop after the requests in flight have ended, as far as the time allows."""
         began = self._now()
         self._is_stopping = True
         self._log.emit(Event.PROCESS_STOPPING, under_way=len(self._calls))
@@ -622,7 +622,7 @@
         return service is not None and bool(service.cache_tokens)
 
     def _is_isolated(self, now: float) -> bool:
-        """Return whether the store is lost here while other routers still reach it."""
+        """Return whether the store is lost here while its peers still reach it."""
         if self._knowledge.lost_for(now) < STORE_LOST_SECONDS:
             return False
         return self._state_exchange.others_reach_store(now)
--- a/src/primrosescale/process/entry/entry_settings.py
+++ b/src/primrosescale/process/entry/entry_settings.py
@@ -35,7 +35,7 @@
     metrics : Endpoint | None
         Address on which metrics are served; None for no metrics.
     links : Endpoint
-        Address on which other routers connect.
+        Address on which peer routers connect.
     reads_caches : bool
         Whether to read the prompt caches of model engines at start-up.
     drain : float
@@ -51,17 +51,17 @@
     most_requests : int
         Maximum number of concurrent requests; more are refused.
     repeats : RepeatBounds
-        Retry budget for all routers together.
+        Limits of the retry budget that all routers share.
     forward : ForwardSettings
-        Timeouts and retry delays of requests.
+        Timeouts and delays in forwarding requests.
     choice : ChoiceSettings
         Weights used in choosing a target.
     news : NewsSettings
-        How routers exchange their state.
+        Settings of the state exchange between routers.
     harm : HarmSettings
-        When a request under which targets end is held back.
+        When a request that ends targets while they run it is held back.
     cold : ColdSettings
-        How much load recently started targets may get.
+        How much load cold targets, those that have just started, may get.
     regions : dict[str, str]
         The region of each failure domain.
     """
--- a/src/primrosescale/process/entry/harm_watch.py
+++ b/src/primrosescale/process/entry/harm_watch.py
@@ -1,13 +1,13 @@
 """Detects which targets have ended, to find the requests that end targets.
 
-A lost response alone proves little, and neither does a complete response whose target
-ends just afterwards. Further evidence decides:
+A lost answer alone proves little, and neither does a complete answer whose target ends
+just afterwards. Further evidence decides:
 
 - A refused new connection shows that the target has ended. An accepted one shows
   nothing, because the next process may listen at the same address.
-- A response to a request that was sent later shows that the target still runs, if
+- An answer to a request that was sent later shows that the target still runs, if
   every start of a target has its own id.
-- A response by another target at the same address shows that the target has ended.
+- An answer by another target at the same address shows that the target has ended.
 - Otherwise, the list of targets shows it some seconds later.
 """
 
@@ -41,12 +41,13 @@
     from primrosescale.request.target_incarnation import TargetIncarnation
     from primrosescale.request.target_state import TargetState
 
-# All connections of a target that ends are lost within a few milliseconds.
+# Delay before a probe: all connections of a target that ends are lost within a few
+# milliseconds.
 PROBE_DELAY_SECONDS = 0.01
-# An inconclusive check is repeated as long as lost responses are unexplained.
+# An inconclusive probe is repeated as long as lost answers are unexplained.
 PROBE_INTERVAL_SECONDS = 1.0
-# Interval at which complete responses are examined for later proof that their target
-# survived them.
+# Interval at which complete answers are checked for later confirmation that their
+# target survived the request.
 CONFIRMATION_INTERVAL_SECONDS = 0.25
 # Logged as the evidence when another target listens at the address.
 REPLACED = "another in its place"
@@ -63,7 +64,7 @@
     requests : HarmfulRequests
         Evaluates the reports of all routers.
     news : HarmNews
-        Reports to other routers.
+        Exchanges reports with peer routers.
     targets : TargetList
         The known targets and their states.
     target_client : TargetCaller
@@ -71,7 +72,7 @@
     parts : EntryParts
         Collaborators of the router.
     tell_soon : Callable[[], None]
-        Requests an update to other routers before the next regular round.
+        Requests an update to peer routers before the next regular round.
     """
 
     def __init__(
@@ -95,7 +96,7 @@
         self._lost_answers = LostAnswers()
         self._unconfirmed_answers = FreshAnswers()
         self._confirmation_timer: Timer | None = None
-        # Targets that are being checked by opening a connection, by short name.
+        # Targets that are being probed by opening a connection, by short name.
         self._pending_probes: set[int] = set()
         # When this router detected the end of targets, by short name, in seconds.
         self._ended_at: dict[int, float] = {}
@@ -107,7 +108,7 @@
         return self._requests.held_for(request.fingerprint, now)
 
     def sent(self, request: IncomingRequest, now: float) -> None:
-        """Keep other routers from sending a suspect too; see `HarmWatch.sent`."""
+        """Keep peer routers from trying a suspect too; see `HarmWatch.sent`."""
         if not self._requests.may_hold:
             return
         if self._report_exchange.note(LoneTry(request.fingerprint, now), now):
@@ -116,7 +117,7 @@
     def answer_lost(
         self, request: IncomingRequest, state: TargetState, now: float
     ) -> None:
-        """Check whether the target has ended; see `HarmWatch.answer_lost`."""
+        """Probe whether the target has ended; see `HarmWatch.answer_lost`."""
         target = state.incarnation
         if state.target.is_draining or not self._targets.is_listed(target.name):
             # It was expected to end, so its end is no evidence against a request.
@@ -162,7 +163,7 @@
             self.target_ended(state.incarnation, REPLACED, now)
 
     def unreached(self, state: TargetState, now: float) -> None:
-        """Check whether the target has ended; see `HarmWatch.unreached`."""
+        """Probe whether the target has ended; see `HarmWatch.unreached`."""
         if not state.target.is_draining:
             target = state.incarnation
             self._probe_soon(target, target_key(*target))
@@ -196,7 +197,7 @@
         self._note_ends(ends, now)
 
     def _on_peer_end(self, end: TargetEnd, now: float) -> None:
-        """Handle the report of another router that a target ended under a request.
+        """Handle the report of a peer that a target ended while running a request.
 
         This router detects by itself that its own requests there were lost. Only for
         requests that were answered just before the end is the report needed.
@@ -208,7 +209,7 @@
     ) -> list[TargetEnd]:
         """Return ends for the requests that a target answered just before its end.
 
-        Earlier responses clear their requests. Each response is considered once.
+        Earlier answers clear their requests. Each answer is considered once.
         """
         ends = []
         for answer in self._unconfirmed_answers.take_at(key):
@@ -244,7 +245,7 @@
             self.target_ended(target, found.value, self._reactor.seconds())
 
     def _clear_confirmed(self) -> None:
-        """Clear the requests whose targets are now known to have survived them."""
+        """Clear the requests whose targets are confirmed to have survived them."""
         now = self._reactor.seconds()
         for answer in self._unconfirmed_answers.take_proved(now):
             self._clear(answer, now)
--- a/src/primrosescale/process/entry/target_caller.py
+++ b/src/primrosescale/process/entry/target_caller.py
@@ -1,6 +1,6 @@
 """Sends requests to targets over HTTP/1.1 with a pool for each incarnation.
 
-When a target restarts, requests under way at its former incarnation are ended.
+When a target restarts, requests in flight at its former incarnation are aborted.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 class _BodyReceiver(Protocol):
-    """Passes the body of a response to its run."""
+    """Passes the body of a response to its request."""
 
     def __init__(self, in_flight_request: InFlightHttpRequest) -> None:
         self._in_flight_request = in_flight_request
@@ -96,7 +96,7 @@
 
     def start(self) -> None:
         """Send the request on an idle connection, or open a new one."""
-        self._state.in_flight.add(self)
+        self._state.runs.add(self)
         channel = None
         if not self._sending.needs_new_connection:
             channel = self._state.pool.idle(self._clock.seconds())
@@ -229,7 +229,7 @@
 
     def _end(self) -> None:
         self._is_over = True
-        self._state.in_flight.discard(self)
+        self._state.runs.discard(self)
 
     def _abort(self) -> None:
         if self._channel is not None:
@@ -247,12 +247,12 @@
         Connections to it.
     """
 
-    __slots__ = ("failed_at", "in_flight", "incarnation", "pool")
+    __slots__ = ("failed_at", "incarnation", "pool", "runs")
 
     def __init__(self, incarnation: TargetIncarnation, pool: ChannelPool) -> None:
         self.incarnation = incarnation
         self.pool = pool
-        self.in_flight: set[InFlightHttpRequest] = set()
+        self.runs: set[InFlightHttpRequest] = set()
         # When a connection last failed or was lost, in seconds; infinite for never.
         self.failed_at = math.inf
 
@@ -272,7 +272,7 @@
         self._reactor = reactor
         self._codec = codec
         # By name of the target, the newest incarnation last. Former ones are kept
-        # while requests are under way there.
+        # while requests are in flight there.
         self._states: dict[str, list[_IncarnationState]] = {}
         # Shared by all targets: idle connections are rarely dropped by one target
         # alone, rather by something in front of them.
@@ -290,7 +290,7 @@
     def check(
         self, target: TargetIncarnation, on_check: Callable[[TargetCheck], None]
     ) -> None:
-        """Check whether a target accepts connections; see `TargetCaller.check`."""
+        """Probe whether a target accepts connections; see `TargetCaller.check`."""
         for state in self._states.get(target.name, ()):
             if state.incarnation == target:
                 self._probe(state.pool, on_check)
@@ -312,7 +312,7 @@
         pool.open().addCallbacks(opened, not_opened)
 
     def end_former(self, present: TargetIncarnation) -> None:
-        """End requests at former incarnations; see `TargetCaller.end_former`."""
+        """Abort requests at former incarnations; see `TargetCaller.end_former`."""
         former = [
             state
             for state in self._states.get(present.name, ())
@@ -325,7 +325,7 @@
             # A request that is spared now runs at the present incarnation and ends
             # with it.
             failed_at, state.failed_at = state.failed_at, math.inf
-            for in_flight_request in list(state.in_flight):
+            for in_flight_request in list(state.runs):
                 in_flight_request.target_ended(failed_at)
         self._drop_ended(present.name)
 
@@ -384,11 +384,9 @@
                     self._rest_limit.forget(source)
 
     def _drop_ended(self, target: str) -> None:
-        """Discard closed incarnations without requests under way."""
+        """Discard closed incarnations without requests in flight."""
         states = self._states.get(target, ())
-        left = [
-            state for state in states if state.in_flight or not state.pool.is_closed
-        ]
+        left = [state for state in states if state.runs or not state.pool.is_closed]
         if left:
             self._states[target] = left
         else:
--- a/src/primrosescale/process/entry/target_restarts.py
+++ b/src/primrosescale/process/entry/target_restarts.py
@@ -26,9 +26,9 @@
     Parameters
     ----------
     target_client : TargetCaller
-        Holds the requests that are under way.
+        Holds the requests that are in flight.
     prefix_index : PartDirectory
-        Records which targets have which prompt parts cached.
+        Prefix cache index of this router.
     parts : EntryParts
         Collaborators of the router.
     on_end : Callable[[TargetIncarnation], None]
@@ -77,7 +77,7 @@
         known, self._pending = self._pending, []
         for begun in known:
             # Also without a former incarnation: a target that was forgotten in the
-            # meantime may still have requests under way.
+            # meantime may still have requests in flight.
             self._target_client.end_former(begun.present)
             if begun.former is not None:
                 self._prefix_index.forget_target(begun.former)
