--- a/tests/entry/test_entry_router.py
+++ b/tests/entry/test_entry_router.py
@@ -143,7 +143,7 @@
         return [a for n in names or self.scripts for a in self.scripts[n].arrivals]
 
     @inlineCallbacks
-    def test_a_request_comes_back_whole_with_what_the_router_sets(self):
+    def test_a_request_is_forwarded_and_answered_with_the_router_s_headers(self):
         yield self.start()
         body = b"x" * 3000
         caller = yield self.ask(
@@ -169,7 +169,7 @@
         self.assertTrue(caller.data.startswith(b"HTTP/1.1 200"), caller.data)
 
     @inlineCallbacks
-    def test_early_requests_wait_for_what_the_engines_hold_but_not_for_long(self):
+    def test_early_requests_wait_a_bounded_time_for_engine_caches(self):
         config = configuration()
         config["services"][1]["engine"]["kv_cache_tokens"] = 1000
         for is_silent in (False, True):
@@ -190,7 +190,7 @@
                 script.arrivals.clear()
 
     @inlineCallbacks
-    def test_one_of_many_routers_does_not_ask_engines_what_they_hold(self):
+    def test_one_of_many_routers_does_not_read_engine_caches(self):
         config = configuration()
         config["services"][1]["engine"]["kv_cache_tokens"] = 1000
         self.store.write("config", "main", config)
@@ -225,7 +225,7 @@
         self.assertIn("status 500", {s["attributes"]["outcome"] for s in targets})
 
     @inlineCallbacks
-    def test_a_request_that_is_not_traced_hands_its_context_on(self):
+    def test_an_untraced_request_forwards_its_trace_context(self):
         yield self.start()
         context = b"00-%b-%b-00" % (b"ab" * 16, b"cd" * 8)
         yield self.ask(text(headers=b"traceparent: %b\r\n" % context))
@@ -239,7 +239,7 @@
         self.assertNotIn("SPAN", [event for event, _ in self.events])
 
     @inlineCallbacks
-    def test_of_many_engines_only_some_are_asked_what_they_hold(self):
+    def test_of_many_engines_only_a_bounded_number_is_read(self):
         config = configuration()
         config["services"][1]["engine"]["kv_cache_tokens"] = 1000
         self.store.write("config", "main", config)
@@ -290,7 +290,7 @@
         self.assertFalse(limit.allows(0.1, reactor.seconds()))
 
     @inlineCallbacks
-    def test_lines_of_lost_answers_tell_which_requests_asked_for_the_same(self):
+    def test_log_lines_of_lost_answers_identify_equal_requests(self):
         yield self.start()
         asked = ((b"r1", b"one"), (b"r2", b"one"), (b"r3", b"two"))
         for rid, body in asked:
@@ -345,7 +345,7 @@
         self.assertEqual([], self.arrivals())
 
     @inlineCallbacks
-    def test_each_fault_of_a_target_of_an_idempotent_request_is_made_good(self):
+    def test_an_idempotent_request_survives_each_fault_of_a_target(self):
         yield self.start()
         faults = [
             fault
@@ -366,7 +366,7 @@
             self.assertTrue(caller.data.endswith(b"done"), fault)
 
     @inlineCallbacks
-    def test_a_request_that_may_run_once_is_sent_once_whatever_happens(self):
+    def test_a_request_that_may_run_once_is_sent_once_under_each_fault(self):
         yield self.start()
         for fault, status in (
             (EngineFault.FAIL, b"500"),
@@ -386,7 +386,7 @@
             self.assertTrue(caller.data.startswith(b"HTTP/1.1 " + status), caller.data)
 
     @inlineCallbacks
-    def test_an_answer_without_length_is_whole_by_an_orderly_close(self):
+    def test_an_answer_without_length_is_complete_after_an_orderly_close(self):
         yield self.start()
         for name in ("p1", "p2"):
             self.scripts[name].faults = [EngineFault.NO_LENGTH]
@@ -396,7 +396,7 @@
         self.assertIn(b"done", caller.data)
 
     @inlineCallbacks
-    def test_an_extra_answer_reaches_nobody(self):
+    def test_an_extra_answer_reaches_no_caller(self):
         yield self.start()
         for name in ("p1", "p2"):
             self.scripts[name].faults = [EngineFault.EXTRA_ANSWER]
@@ -406,7 +406,7 @@
             self.assertIn(b"n%d" % turn, caller.data)
 
     @inlineCallbacks
-    def test_a_broken_stream_goes_on_elsewhere_in_one_answer(self):
+    def test_a_lost_stream_is_resumed_at_another_target_in_one_answer(self):
         yield self.start()
         for name in ("m1", "m2"):
             self.scripts[name].faults = [EngineFault.CUT]
@@ -422,7 +422,7 @@
         self.assertEqual(1, caller.data.count(b"Response-Signature"))
 
     @inlineCallbacks
-    def test_a_stream_that_may_not_go_on_never_looks_whole(self):
+    def test_a_stream_that_is_not_resumable_is_aborted_visibly(self):
         yield self.start()
         for name in ("m1", "m2"):
             self.scripts[name].faults = [EngineFault.CUT]
@@ -434,7 +434,7 @@
         self.assertEqual(1, len(self.arrivals()))
 
     @inlineCallbacks
-    def test_a_caller_that_leaves_stops_the_work_at_once(self):
+    def test_a_disconnecting_caller_cancels_the_request_at_its_target(self):
         yield self.start()
         for name in ("m1", "m2"):
             self.scripts[name].events = 1000
@@ -446,7 +446,7 @@
         yield self.eventually(lambda: self.arrivals()[0].is_left)
 
     @inlineCallbacks
-    def test_a_withdrawn_key_and_a_new_version_are_in_force_at_once(self):
+    def test_a_revoked_key_and_a_new_version_take_effect_immediately(self):
         yield self.start()
         yield self.ask(text())
         self.store.write("config", "main", configuration(2, keys=("k2",)))
@@ -460,7 +460,7 @@
         self.assertIn("TABLE_REFUSED", [name for name, _ in self.events])
 
     @inlineCallbacks
-    def test_a_newer_version_in_another_router_s_news_is_asked_for(self):
+    def test_a_newer_version_reported_by_a_peer_is_read(self):
         yield self.start()
         self.store.faults.is_deaf = True
         self.store.write("config", "main", configuration(2, keys=("k2",)))
@@ -492,7 +492,7 @@
         self.assertIs(forward, self.router._forwarding.settings)
 
     @inlineCallbacks
-    def test_targets_that_went_while_the_watch_rested_are_held_for_less(self):
+    def test_targets_removed_while_the_watch_paused_are_kept_for_less_time(self):
         yield self.start()
         handler = self.router._knowledge.listed
         handler._rest = 0.6
@@ -521,7 +521,7 @@
         return self.router._knowledge.targets.state(name).target.is_draining
 
     @inlineCallbacks
-    def test_a_watch_that_went_unanswered_in_an_outage_is_asked_anew_after_it(self):
+    def test_a_watch_unanswered_in_an_outage_is_renewed_after_it(self):
         yield self.start_with_waiting_watch()
         self.store.faults.all_calls = StoreFault.BUSY
         yield self.eventually(lambda: "STORE_LOST" in [n for n, _ in self.events])
@@ -530,7 +530,7 @@
         yield self.eventually(lambda: self.knows_leaving("m1"))
 
     @inlineCallbacks
-    def test_a_change_of_the_list_that_another_router_tells_of_is_asked_for(self):
+    def test_a_list_change_reported_by_a_peer_is_read(self):
         yield self.start_with_waiting_watch()
         other = RouterNews("r2", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
         other.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
@@ -545,7 +545,7 @@
         self.assertIn("WATCH_RENEWED", [name for name, _ in self.events])
 
     @inlineCallbacks
-    def test_a_version_that_cannot_be_read_changes_nothing(self):
+    def test_an_unreadable_version_changes_nothing(self):
         yield self.start()
         self.store.write("config", "main", {"version": 9, "routes": 3})
         yield deferLater(reactor, 0.1, lambda: None)
@@ -579,7 +579,7 @@
         self.assertTrue(caller.data.startswith(b"HTTP/1.1 200"))
 
     @inlineCallbacks
-    def test_a_leaving_target_gets_no_more_requests(self):
+    def test_a_draining_target_gets_no_more_requests(self):
         yield self.start()
         entry = target_entry("portal", f"{LOOPBACK}:1", state="draining")
         self.store.write("servers", "p1", entry)
@@ -590,7 +590,7 @@
         self.assertEqual(4, len(self.arrivals("p2")))
 
     @inlineCallbacks
-    def test_an_entry_that_becomes_unreadable_ends_new_work_and_cuts_none(self):
+    def test_an_unreadable_entry_stops_new_requests_and_aborts_none(self):
         for name in ("m1", "m2"):
             self.scripts[name].events = 60
             self.scripts[name].gap = 0.01
@@ -611,7 +611,7 @@
         self.assertIn("TARGET_REFUSED", [name for name, _ in self.events])
 
     @inlineCallbacks
-    def test_no_entry_ends_the_watch_of_targets(self):
+    def test_no_malformed_entry_stops_the_watch_of_targets(self):
         yield self.start()
         for number, odd in enumerate((float("inf"), 10**400, [[[]]], None, {"a": 1})):
             entry = target_entry("portal", f"{LOOPBACK}:1", slots=odd)
@@ -668,14 +668,14 @@
         self.assertNotIn("STOP_CUT", [name for name, _ in self.events])
 
     @inlineCallbacks
-    def test_more_requests_than_memory_allows_are_told_to_come_back(self):
+    def test_requests_over_the_limit_are_refused(self):
         yield self.start(most_requests=0)
         caller = yield self.ask(text(), b"")
         self.assertTrue(caller.data.startswith(b"HTTP/1.1 503"), caller.data)
         self.assertEqual([], self.arrivals())
 
     @inlineCallbacks
-    def test_a_changed_settings_file_is_taken_in_and_a_bad_one_is_not(self):
+    def test_a_changed_settings_file_is_applied_and_an_invalid_one_is_not(self):
         yield self.start()
         self.settings = replace(
             self.settings, drain=1.0, callers=Endpoint("127.0.0.9", 1)
@@ -703,7 +703,7 @@
         return self.router._knowledge.targets.state(name).incarnation
 
     @inlineCallbacks
-    def test_after_a_restart_a_request_that_may_run_once_is_cut_at_once(self):
+    def test_after_a_restart_a_request_that_may_run_once_fails_immediately(self):
         yield self.start()
         for name in ("p1", "p2"):
             self.scripts[name].faults = [EngineFault.SILENT]
@@ -732,7 +732,7 @@
         self.assertIn(b"target_restarts_total 1.0", self.router._metrics.text())
 
     @inlineCallbacks
-    def test_after_a_restart_one_that_may_be_repeated_goes_to_the_new_address(self):
+    def test_after_a_restart_an_idempotent_request_goes_to_the_new_address(self):
         self.store.remove("servers", "p2")
         self.scripts["p1"].faults = [EngineFault.SILENT]
         moved = self.listen("p1")
@@ -751,7 +751,7 @@
         self.assertEqual((1, 2), (len(self.arrivals("p1")), len(moved.arrivals)))
 
     @inlineCallbacks
-    def test_after_a_restart_a_stream_goes_on_at_the_new_life(self):
+    def test_after_a_restart_a_stream_is_resumed_at_the_new_incarnation(self):
         self.store.remove("servers", "m2")
         script = self.scripts["m1"]
         script.events, script.gap = 12, 0.05
@@ -768,7 +768,7 @@
         self.assertIn(names.LAST_EVENT.lower(), second.headers)
 
     @inlineCallbacks
-    def test_a_restart_that_another_router_knows_first_is_asked_for(self):
+    def test_a_restart_reported_by_a_peer_is_read(self):
         yield self.start_with_waiting_watch()
         other = RouterNews("r2", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
         other.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
@@ -784,7 +784,7 @@
         yield self.eventually(lambda: self.life("m1").started_at == SECOND)
 
     @inlineCallbacks
-    def test_what_a_target_says_it_holds_counts_for_the_life_that_says_it(self):
+    def test_reported_cache_contents_count_for_the_reporting_incarnation(self):
         config = configuration()
         config["services"][1]["engine"]["kv_cache_tokens"] = 1000
         self.store.write("config", "main", config)
@@ -817,7 +817,7 @@
         self.assertFalse(self.knows_leaving("m2"))
 
     @inlineCallbacks
-    def test_metrics_and_log_tell_what_became_of_a_request(self):
+    def test_metrics_and_log_report_the_outcome_of_a_request(self):
         yield self.start()
         yield self.ask(text(rid=b"abc"))
         yield self.eventually(lambda: "REQUEST_ENDED" in [n for n, _ in self.events])
--- a/tests/entry/test_failure_text.py
+++ b/tests/entry/test_failure_text.py
@@ -11,7 +11,7 @@
 
 
 class FailureTextTest(TestCase):
-    def test_wrapped_causes_are_told_in_order(self):
+    def test_wrapped_causes_are_listed_in_order(self):
         inner = Failure(ConnectionDone("closed"))
         cut = Failure(ResponseFailed([inner, Failure(ValueError("half a chunk"))]))
         told = failure_text(cut)
@@ -19,5 +19,5 @@
         self.assertTrue(told.endswith("; ValueError: half a chunk"), told)
         self.assertNotIn("Failure", told)
 
-    def test_a_cause_without_words_is_told_by_its_kind(self):
+    def test_a_cause_without_message_is_shown_by_its_type(self):
         self.assertEqual("KeyError", failure_text(KeyError()))
--- a/tests/entry/test_harm_fleet.py
+++ b/tests/entry/test_harm_fleet.py
@@ -57,7 +57,7 @@
             fleet = self.fleet(4, 5, 30.0, seed)
             self.check_after(fleet, self.harm(fleet, 1, 0.1), 120)
 
-    def test_many_of_them_at_once(self):
+    def test_many_harmful_requests_at_once(self):
         for seed in range(5):
             fleet = self.fleet(4, 12, 30.0, seed)
             self.check_after(fleet, self.harm(fleet, 20, 0.4), 60)
@@ -83,7 +83,7 @@
                 self.assertTrue(router.requests.held(fleet.clock.seconds()))
             self.check(fleet, [name])
 
-    def test_a_router_that_was_cut_off_holds_it_back_once_it_hears_others(self):
+    def test_a_partitioned_router_holds_it_back_once_reconnected(self):
         fleet = self.fleet(4, 8, 20.0, 4)
         alone = fleet.routers[0]
         names = [router.name for router in fleet.routers[1:]]
@@ -95,7 +95,7 @@
         fleet.run(CONTACT_SECONDS)
         self.assertTrue(alone.requests.held(fleet.clock.seconds()))
 
-    def test_targets_that_end_for_reasons_of_their_own_hold_nothing_back(self):
+    def test_unrelated_ends_of_targets_hold_no_request_back(self):
         for seed in range(3):
             fleet = self.fleet(4, 8, 60.0, seed)
             for _ in range(40):
--- a/tests/entry/test_harm_watch.py
+++ b/tests/entry/test_harm_watch.py
@@ -60,7 +60,7 @@
         return [said for each, said in self.lines if each is event]
 
 
-class HarmWatchTest(TestCase):
+class HarmMonitorTest(TestCase):
     def setUp(self):
         super().setUp()
         self.clock = Clock()
@@ -125,7 +125,7 @@
             incarnation = self.targets.state(name).incarnation
             self.watch.target_ended(incarnation, "entry gone", self.clock.seconds())
 
-    def test_a_lost_answer_of_a_target_that_lives_says_nothing(self):
+    def test_a_lost_answer_of_a_running_target_is_no_evidence(self):
         for name in NAMES:
             self.lose(name)
             self.find(TargetCheck.CONNECTED)
@@ -142,14 +142,14 @@
         self.gone("t1")
         self.assertEqual(1, self.ends())
 
-    def test_nor_does_an_answer_to_what_was_sent_before(self):
+    def test_an_answer_to_an_earlier_request_does_not_show_it_either(self):
         self.lose("t1")
         self.clock.advance(0.1)
         self.heard("t1", 0.5)
         self.gone("t1")
         self.assertEqual(1, self.ends())
 
-    def test_nor_does_an_answer_where_starts_are_told_beside_the_name(self):
+    def test_an_answer_does_not_show_it_where_incarnations_share_a_name(self):
         self.targets.put(target("t1", started_at=1), START)
         self.lose("t1")
         self.clock.advance(0.1)
@@ -157,7 +157,7 @@
         self.gone("t1")
         self.assertEqual(1, self.ends())
 
-    def test_another_one_in_its_place_shows_that_it_has_ended(self):
+    def test_an_answer_by_another_target_shows_that_it_has_ended(self):
         for name in ("t1", "t2", "t3"):
             self.lose(name)
             self.find(TargetCheck.CONNECTED)
@@ -183,7 +183,7 @@
         state.heard(self.clock.seconds())
         self.watch.answered(self.request, state, self.clock.seconds())
 
-    def test_targets_that_end_just_after_their_answers_end_under_it(self):
+    def test_ends_just_after_an_answer_count_against_the_request(self):
         for _ in range(200):
             # Targets do not end often otherwise.
             self.requests.count_answer(START)
@@ -196,14 +196,14 @@
         self.assertEqual(ANSWERED_ENDS, self.ends())
         self.assertGreater(self.held_for(), 0)
 
-    def test_one_that_ends_long_after_an_answer_does_not_end_under_it(self):
+    def test_an_end_long_after_an_answer_does_not_count(self):
         self.answer("t1")
         self.clock.advance(PROOF_SECONDS)
         self.lose("t1", request(body=b"another"))
         self.find(TargetCheck.ENDED)
         self.assertEqual(0, self.ends())
 
-    def test_an_answer_counts_once_its_target_is_heard_from_later(self):
+    def test_an_answer_is_confirmed_by_later_data_from_its_target(self):
         self.answer("t1")
         self.clock.advance(PROOF_SECONDS)
         self.assertIsNone(self.requests.last_answer(self.request.fingerprint))
@@ -213,32 +213,32 @@
         self.gone("t1")
         self.assertEqual(0, self.ends())
 
-    def test_an_answer_counts_once_an_end_would_be_known(self):
+    def test_an_answer_is_confirmed_once_an_end_would_be_known(self):
         self.answer("t1")
         self.clock.advance(LONGEST_WAIT)
         self.clock.advance(CONFIRMATION_INTERVAL_SECONDS)
         self.assertIsNotNone(self.requests.last_answer(self.request.fingerprint))
 
-    def test_nothing_is_proved_on_and_on(self):
+    def test_no_timer_remains_after_confirmation(self):
         self.answer("t1")
         self.clock.advance(LONGEST_WAIT)
         self.clock.advance(CONFIRMATION_INTERVAL_SECONDS)
         self.assertEqual([], self.clock.getDelayedCalls())
 
-    def test_many_lost_answers_of_one_target_take_one_check(self):
+    def test_many_lost_answers_of_one_target_take_one_probe(self):
         for number in range(20):
             self.lose("t1", request(body=b"%d" % number))
         self.assertEqual(1, len(self.caller.checks))
         self.find(TargetCheck.ENDED)
         self.assertEqual(20, len(self.requests))
 
-    def test_one_that_is_noticed_after_the_end_counts_too(self):
+    def test_an_answer_lost_after_the_end_counts_too(self):
         self.lose("t1", request(body=b"another"))
         self.find(TargetCheck.ENDED)
         self.lose("t1")
         self.assertEqual(1, self.ends())
 
-    def test_without_an_answer_it_is_checked_again_for_a_while(self):
+    def test_an_inconclusive_probe_is_repeated_for_a_bounded_time(self):
         self.lose("t1")
         for _ in range(30):
             self.find(TargetCheck.UNKNOWN)
@@ -248,14 +248,14 @@
         )
         self.assertEqual(0, self.ends())
 
-    def test_an_entry_that_goes_shows_it_too(self):
+    def test_a_removed_entry_shows_the_end_too(self):
         self.lose("t1")
         self.find(TargetCheck.UNKNOWN)
         incarnation = self.targets.state("t1").incarnation
         self.watch.target_ended(incarnation, "entry gone", self.clock.seconds())
         self.assertEqual(1, self.ends())
 
-    def test_targets_that_leave_end_under_nobody(self):
+    def test_the_end_of_a_leaving_target_counts_against_no_request(self):
         leaving = replace(self.targets.state("t1").target, is_draining=True)
         self.targets.put(leaving, START)
         self.targets.remove("t2", START)
@@ -263,7 +263,7 @@
             self.lose(name)
         self.assertEqual([], self.caller.checks)
 
-    def test_a_target_that_is_heard_soon_after_has_not_ended(self):
+    def test_a_target_that_sends_data_soon_afterwards_has_not_ended(self):
         self.end("t1", "t2", "t3")
         self.assertGreater(self.held_for(), 0)
         self.clock.advance(0.5)
@@ -271,13 +271,13 @@
         self.assertEqual(2, self.ends())
         self.assertEqual(0.0, self.held_for())
 
-    def test_what_it_sent_before_its_end_is_no_sign_of_life(self):
+    def test_data_sent_before_the_end_does_not_revoke_it(self):
         self.end("t1")
         self.clock.advance(0.1)
         self.heard("t1", 0.05)
         self.assertEqual(1, self.ends())
 
-    def test_it_says_when_a_request_is_held_back_and_when_no_more(self):
+    def test_holding_back_and_clearing_a_request_are_logged(self):
         self.end("t1", "t2", "t3")
         [said] = self.log.of(Event.REQUEST_HELD_BACK)
         self.assertEqual((3, ""), (said["ends"], said["told_by"]))
@@ -289,7 +289,7 @@
         self.assertEqual(0.0, self.held_for())
 
 
-class HarmNewsTest(TestCase):
+class HarmReportExchangeTest(TestCase):
     def setUp(self):
         super().setUp()
         self.log = Log()
@@ -314,7 +314,7 @@
             held=list(held) or None,
         )
 
-    def test_each_end_is_told_some_times(self):
+    def test_each_end_is_sent_a_fixed_number_of_times(self):
         self.assertTrue(self.news.note(TargetEnd(1, 7, START), START))
         self.assertFalse(self.news.note(TargetEnd(1, 7, START), START))
         self.assertTrue(self.news.is_urgent)
@@ -330,7 +330,7 @@
         self.assertEqual(MOST_IN_MESSAGE, len(told))
         self.assertEqual(99, told[0].fingerprint)
 
-    def test_what_is_told_is_taken_in_elsewhere(self):
+    def test_received_ends_are_applied(self):
         for number in (7, 8, 9):
             self.news.note(TargetEnd(1, number, START), START)
         other = self.new()
@@ -338,7 +338,7 @@
         self.assertEqual([1], other._requests.held(START))
         self.assertEqual("r2", self.log.of(Event.REQUEST_HELD_BACK)[-1]["told_by"])
 
-    def test_what_is_held_back_is_told_again_and_again(self):
+    def test_held_back_requests_are_sent_repeatedly(self):
         for number in (7, 8, 9):
             self.news.note(TargetEnd(1, number, START), START)
         other = self.new()
@@ -350,7 +350,7 @@
         other.take(self.message(held=held), {}, later)
         self.assertEqual([1], other._requests.held(later))
 
-    def test_others_do_not_try_a_suspect_besides(self):
+    def test_peers_do_not_try_a_suspect_at_the_same_time(self):
         other = self.new()
         # Ends of another request explain these.
         for number in (7, 8, 9, 10):
@@ -366,7 +366,7 @@
         self.assertEqual(0.0, held_for(1, START + TRY_SECONDS))
         self.assertFalse(self.news.note(LoneTry(3, START), START))
 
-    def test_a_target_that_was_heard_since_has_not_ended(self):
+    def test_an_end_is_ignored_if_the_target_sent_data_since(self):
         targets = TargetList(2.0)
         targets.put(target("t1"), START)
         state = targets.state("t1")
@@ -379,7 +379,7 @@
         self.news.take(self.message([told]), states, START + 12)
         self.assertEqual(1, self.news._requests.ends_under(1))
 
-    def test_who_has_answered_a_request_vouches_for_it(self):
+    def test_a_router_that_answered_the_request_reports_it_after_an_end(self):
         answered = self.new()
         answered.note(WholeAnswer(1, START - 5), START)
         end = TargetEnd(1, 7, START)
@@ -430,7 +430,7 @@
         self.desk = Desk([target("p1", "portal"), target("p2", "portal")])
         self.watch = self.desk.tools.harm = HoldingWatch()
 
-    def test_one_that_is_held_back_is_refused_at_once_with_the_time(self):
+    def test_a_held_back_request_is_refused_with_its_remaining_time(self):
         self.watch.is_holding = True
         call, sink = self.desk.call(request())
         self.assertEqual((Refusal.HELD_BACK, 120.0), (sink.refusal, sink.retry_after))
@@ -438,21 +438,21 @@
         self.assertEqual(["refused: held_back"], self.desk.ended)
         self.assertTrue(call.is_suspect)
 
-    def test_one_that_was_lost_is_not_repeated_once_it_is_held_back(self):
+    def test_a_lost_request_is_not_retried_once_held_back(self):
         _, sink = self.desk.call(request())
         self.watch.is_holding = True
         self.desk.caller.last.observer.run_cut("closed")
         self.assertEqual(1, len(self.desk.caller.runs))
         self.assertEqual(Refusal.CUT, sink.refusal)
 
-    def test_one_that_was_not_sent_goes_nowhere_else(self):
+    def test_a_declined_request_is_not_retried_once_held_back(self):
         _, sink = self.desk.call(request())
         self.watch.is_holding = True
         self.desk.caller.last.observer.run_head(head(503, is_not_run=True))
         self.assertEqual(Refusal.HELD_BACK, sink.refusal)
         self.assertEqual(120.0, sink.retry_after)
 
-    def test_another_target_in_its_place_is_told_and_not_taken_for_it(self):
+    def test_an_answer_by_another_target_is_reported_as_a_replacement(self):
         self.desk.call(request(LOOKUP))
         state = self.desk.state(self.desk.caller.last.name)
         self.desk.pass_time(0.2)
@@ -460,7 +460,7 @@
         self.assertEqual([f"{state.target.name} replaced"], self.watch.lost)
         self.assertEqual(START, state.heard_at)
 
-    def test_the_target_of_each_lost_answer_is_told(self):
+    def test_each_lost_answer_is_reported_with_its_target(self):
         self.desk.call(request())
         self.assertEqual(["r1"], self.watch.out)
         first = self.desk.caller.last
@@ -469,7 +469,7 @@
         self.desk.caller.last.answer(body=b"done")
         self.assertEqual(["r1"], self.watch.whole)
 
-    def test_a_stream_goes_on_nowhere_once_it_is_held_back(self):
+    def test_a_stream_is_not_resumed_once_held_back(self):
         self.desk.states += Desk([target("m1"), target("m2")]).states
         _, sink = self.desk.call(request(STREAM))
         run = self.desk.caller.last
@@ -480,7 +480,7 @@
         self.assertEqual(1, len(self.desk.caller.runs))
         self.assertTrue(sink.is_broken)
 
-    def test_a_target_s_own_failure_is_no_whole_answer(self):
+    def test_an_error_status_of_the_target_is_no_complete_answer(self):
         self.desk.call(request(replace(LOOKUP, max_targets=1)))
         self.desk.caller.last.answer(500)
         self.assertEqual([], self.watch.whole)
--- a/tests/entry/test_harmful_requests.py
+++ b/tests/entry/test_harmful_requests.py
@@ -179,13 +179,13 @@
             whole = yield self.ask(router, path, b"another of the same caller")
             self.assertIn(b"HTTP/1.1 200", whole)
 
-    def test_a_stream_that_is_sent_again_by_its_caller(self):
+    def test_a_stream_that_its_caller_retries(self):
         return self.check(b"/draft/x")
 
-    def test_a_stream_that_may_go_on_elsewhere(self):
+    def test_a_resumable_stream(self):
         return self.check(b"/story/x")
 
-    def test_a_request_that_may_be_repeated(self):
+    def test_an_idempotent_request(self):
         return self.check(b"/plain/x")
 
     def test_a_request_that_may_run_once(self):
--- a/tests/entry/test_log_writer.py
+++ b/tests/entry/test_log_writer.py
@@ -20,7 +20,7 @@
 
 
 class FailureObserverTest(TestCase):
-    def test_failures_of_the_library_are_numbered_events(self):
+    def test_failures_logged_by_twisted_become_numbered_events(self):
         told = []
         log = EventLog("r1")
         log.emit = lambda event, **said: told.append((event, said))
@@ -55,11 +55,11 @@
             except BlockingIOError:
                 return text
 
-    def test_a_line_is_json_without_the_library_s_own_fields(self):
+    def test_a_line_is_json_without_the_fields_of_eliot(self):
         self.line(Event.REQUEST_ENDED, request="r1")
         self.assertEqual({"number": 202, "request": "r1"}, json.loads(self.read()))
 
-    def test_lines_over_the_rate_are_counted_and_left_out(self):
+    def test_lines_over_the_rate_limit_are_dropped_and_counted(self):
         for _ in range(int(MAX_BURST_LINES) + 50):
             self.line(Event.REQUEST_ENDED)
             self.read()
@@ -69,13 +69,13 @@
         self.line(Event.REQUEST_ENDED)
         self.assertEqual(1, self.read().count(b"\n"))
 
-    def test_lines_about_the_process_are_not_left_out_for_their_rate(self):
+    def test_lines_about_the_process_are_exempt_from_the_rate_limit(self):
         for _ in range(int(MAX_BURST_LINES) + 50):
             self.line(Event.READINESS_CHANGED)
             self.read()
         self.assertEqual(0, self.log.take_dropped())
 
-    def test_a_reader_that_stops_costs_bounded_memory_and_no_wait(self):
+    def test_a_stalled_reader_costs_bounded_memory_and_never_blocks(self):
         for _ in range(400):
             self.line(Event.READINESS_CHANGED, text="x" * 4000)
         self.assertTrue(self.log.take_dropped() > 0)
--- a/tests/entry/test_restart.py
+++ b/tests/entry/test_restart.py
@@ -38,7 +38,7 @@
 WANTED = prompt(("tariffs", 9000), ("chat", 20))
 
 
-class ListTest(TestCase):
+class IncarnationOrderTest(TestCase):
     """Which of two lives is the present one."""
 
     def setUp(self):
@@ -50,7 +50,7 @@
     def state(self):
         return self.targets.state("m1")
 
-    def test_a_later_start_is_a_new_life_and_is_told_once(self):
+    def test_a_later_start_is_a_new_incarnation_and_is_reported_once(self):
         before, generation = self.state(), self.targets.generation
         self.assertTrue(self.targets.put(target("m1", started_at=SECOND), START))
         self.assertIsNot(before, self.state())
@@ -65,14 +65,14 @@
             self.told,
         )
 
-    def test_the_same_start_is_the_same_life_wherever_it_listens(self):
+    def test_the_same_start_is_the_same_incarnation_at_any_address(self):
         before = self.state()
         moved = target("m1", started_at=FIRST, endpoint=Endpoint("127.0.0.1", 1))
         self.assertTrue(self.targets.put(moved, START))
         self.assertIs(before, self.state())
         self.assertEqual(moved, self.state().target)
 
-    def test_an_earlier_start_is_old_news(self):
+    def test_a_report_with_an_earlier_start_is_ignored(self):
         self.targets.put(target("m1", started_at=SECOND), START)
         before = self.state()
         old = target(
@@ -86,7 +86,7 @@
         self.assertFalse(self.state().target.is_draining)
         self.assertEqual(target("m1").endpoint, self.state().target.endpoint)
 
-    def test_an_earlier_start_brings_back_nothing_that_is_gone(self):
+    def test_an_earlier_start_does_not_restore_a_removed_target(self):
         self.targets.put(target("m1", started_at=SECOND), START)
         self.targets.put(target("m2"), START)
         self.targets.remove("m1", START)
@@ -95,7 +95,7 @@
         self.assertEqual(["m2"], names)
         self.assertEqual([life("m1", SECOND)], self.targets.forget_gone(START + 2))
 
-    def test_where_nothing_is_told_the_known_start_stays(self):
+    def test_a_report_without_start_keeps_the_known_one(self):
         before = self.state()
         self.targets.put(target("m1", is_draining=True), START)
         self.assertIs(before, self.state())
@@ -103,7 +103,7 @@
         self.assertEqual(FIRST, before.target.started_at)
         self.assertFalse(self.targets.put(target("m1", started_at=FIRST - 1), START))
 
-    def test_without_any_start_all_is_as_before(self):
+    def test_without_any_start_the_state_is_kept(self):
         self.targets.put(target("m2"), START)
         before = self.targets.state("m2")
         before.sent(START)
@@ -111,20 +111,20 @@
         self.targets.put(target("m2", is_draining=True), START)
         self.assertIs(before, self.targets.state("m2"))
 
-    def test_the_first_start_that_is_told_is_of_a_new_life(self):
+    def test_the_first_reported_start_is_a_new_incarnation(self):
         self.targets.put(target("m2"), START)
         before = self.targets.state("m2")
         self.targets.put(target("m2", started_at=FIRST), START)
         self.assertIsNot(before, self.targets.state("m2"))
 
-    def test_the_end_of_the_former_entry_does_not_take_the_new_life_away(self):
+    def test_removing_the_former_entry_keeps_the_new_incarnation(self):
         self.targets.put(target("m1", started_at=FIRST, is_draining=True), START)
         self.targets.remove("m1", START)
         self.targets.put(target("m1", started_at=SECOND), START)
         self.assertEqual([], self.targets.forget_gone(START + 60))
         self.assertIsNotNone(self.state())
 
-    def test_a_new_life_that_the_store_has_not_listed_yet_outlives_a_leave(self):
+    def test_an_unlisted_incarnation_outlives_the_removal_of_the_former_entry(self):
         self.targets.put(target("m1", started_at=FIRST, is_draining=True), START)
         self.targets.put(target("m1", started_at=SECOND), START, told_by="target")
         self.targets.remove("m1", START)
@@ -133,7 +133,7 @@
         self.assertEqual([], self.targets.forget_gone(START + 60))
 
 
-class BeliefTest(TestCase):
+class FormerStateTest(TestCase):
     """Each belief about the former life, one test each."""
 
     def setUp(self):
@@ -156,7 +156,7 @@
         choice = self.choose()
         return choice.state.target.name, choice.held
 
-    def test_cached_parts(self):
+    def test_cached_prompt_parts(self):
         self.parts.note_own(self.former.incarnation, WANTED.parts, START)
         self.assertEqual(("m1", 9020), self.held_where())
         state = self.restart()
@@ -164,7 +164,7 @@
         choice = self.choose()
         self.assertEqual((0, None), (choice.held, choice.fetch_from))
 
-    def test_the_size_of_its_memory(self):
+    def test_the_size_of_its_cache(self):
         self.parts.limit(self.former.incarnation, 100)
         state = self.restart()
         for part in ("a", "b"):
@@ -175,7 +175,7 @@
         ]
         self.assertEqual([90, 90], held)
 
-    def test_what_is_told_others_of_its_parts(self):
+    def test_pending_updates_to_peers_about_its_cache(self):
         self.parts.note_own(self.former.incarnation, WANTED.parts, START)
         self.parts.take_news()
         self.parts.note_own(self.former.incarnation, WANTED.parts, START)
@@ -207,11 +207,11 @@
         state = self.restart()
         self.assertEqual((0.0, 0.0), state.outcomes(START))
 
-    def test_outcomes_that_others_tell(self):
+    def test_outcomes_reported_by_peers(self):
         self.former.hear_outcomes("r2", 0.0, 9.0, START + 9)
         self.assertEqual(0.0, self.restart().failure_share(START))
 
-    def test_the_pause_after_failing_to_reach_it(self):
+    def test_the_pause_after_failed_connections(self):
         for step in range(4):
             self.former.unreachable(START + 5 * step)
         later = START + 15
@@ -230,7 +230,7 @@
         self.targets.put(target("m1", started_at=SECOND), later)
         self.assertEqual(0.0, self.targets.state("m1").silence(later))
 
-    def test_callers_that_hold_its_answers_up(self):
+    def test_callers_that_pause_reading_its_answers(self):
         self.former.sent(START)
         self.former.held_up()
         state = self.restart()
@@ -241,7 +241,7 @@
         self.targets.put(target("m1", started_at=FIRST, is_draining=True), START)
         self.assertFalse(self.restart().target.is_draining)
 
-    def test_warming(self):
+    def test_warm_up(self):
         state = self.restart(warming_for=3.0)
         self.assertEqual(3.0, state.target.warming_for)
         self.targets.put(target("m1", started_at=THIRD), START)
@@ -285,26 +285,26 @@
         other.news.take(decode(encode(message)), 1, START)
 
 
-class NewsOfAnotherLifeTest(TestCase):
-    def test_of_the_same_life_all_is_believed(self):
+class PeerUpdateTest(TestCase):
+    def test_a_report_on_the_same_incarnation_is_applied(self):
         a, b = Side("a", FIRST), Side("b", FIRST)
         a.work()
         a.tell(b)
         self.assertEqual((1.0, True, 9000), b.beliefs())
 
-    def test_of_a_former_life_nothing_is_believed(self):
+    def test_a_report_on_a_former_incarnation_is_ignored(self):
         a, b = Side("a", FIRST), Side("b", SECOND)
         a.work()
         a.tell(b)
         self.assertEqual((0.0, False, 0), b.beliefs())
 
-    def test_of_a_later_life_nothing_is_believed_of_the_one_known_here(self):
+    def test_a_report_on_a_later_incarnation_is_ignored(self):
         a, b = Side("a", SECOND), Side("b", FIRST)
         a.work()
         a.tell(b)
         self.assertEqual((0.0, False, 0), b.beliefs())
 
-    def test_news_told_before_a_restart_is_gone_after_it(self):
+    def test_reports_from_before_a_restart_are_gone_after_it(self):
         a, b = Side("a", FIRST), Side("b", FIRST)
         a.work()
         a.tell(b)
@@ -318,7 +318,7 @@
         a.tell(b)
         self.assertEqual((1.0, True, 9000), b.beliefs())
 
-    def test_a_start_costs_no_byte(self):
+    def test_a_start_time_costs_no_bytes_on_the_wire(self):
         sizes = []
         for started_at in (None, FIRST):
             side = Side("a", started_at)
@@ -335,7 +335,7 @@
 PORTAL_ALONE = PORTAL[:1]
 
 
-class RestartOfACallTest(TestCase):
+class RestartDuringCallTest(TestCase):
     """What becomes of a request whose target starts again."""
 
     def lives(self, desk):
@@ -343,7 +343,7 @@
 
     # Between choice and sending
 
-    def test_what_was_not_sent_goes_to_the_new_life_too(self):
+    def test_an_unsent_request_goes_to_the_new_incarnation_too(self):
         for route in (CONFIRMATION, LOOKUP):
             desk = Desk(PORTAL_ALONE, extra=0.0)
             desk.caller.opening = {"p1"}
@@ -356,7 +356,7 @@
 
     # Between sending and head
 
-    def test_one_that_may_run_once_is_not_sent_again_nor_called_not_run(self):
+    def test_a_request_that_may_run_once_is_not_retried_nor_reported_as_not_run(self):
         for targets in (PORTAL_ALONE, PORTAL):
             desk = Desk(targets)
             _, sink = desk.call(request(CONFIRMATION))
@@ -366,13 +366,13 @@
             self.assertFalse(sink.refusal.is_not_run)
             self.assertIsNone(sink.retry_after)
 
-    def test_a_stream_that_may_run_once_is_not_sent_again(self):
+    def test_a_stream_that_may_run_once_is_not_retried(self):
         desk = Desk(MODEL)
         _, sink = desk.call(request(FRAGILE_STREAM, deadline=START + 12))
         desk.restart(desk.caller.last.name, SECOND)
         self.assertEqual((1, Refusal.CUT), (len(desk.caller.runs), sink.refusal))
 
-    def test_the_new_life_s_word_that_it_did_not_run_it_promises_nothing(self):
+    def test_a_decline_by_the_new_incarnation_does_not_mean_not_run(self):
         desk = Desk(PORTAL_ALONE)
         _, sink = desk.call(request(LOOKUP))
         desk.restart("p1", SECOND)
@@ -380,7 +380,7 @@
         self.assertEqual(Refusal.CUT, sink.refusal)
         self.assertFalse(sink.refusal.is_not_run)
 
-    def test_one_that_may_be_repeated_goes_on_at_the_new_life(self):
+    def test_an_idempotent_request_is_retried_at_the_new_incarnation(self):
         desk = Desk(PORTAL_ALONE)
         _, sink = desk.call(request(LOOKUP))
         desk.restart("p1", SECOND)
@@ -388,7 +388,7 @@
         self.assertEqual(b"ok", sink.body)
         self.assertEqual([life("p1", FIRST), life("p1", SECOND)], self.lives(desk))
 
-    def test_it_goes_on_within_the_budget_only(self):
+    def test_it_is_retried_within_the_retry_budget_only(self):
         desk = Desk(PORTAL, extra=0.0)
         _, sink = desk.call(request(LOOKUP))
         desk.restart(desk.caller.last.name, SECOND)
@@ -396,7 +396,7 @@
 
     # Midway in a stream
 
-    def test_a_stream_goes_on_after_its_last_whole_event(self):
+    def test_a_stream_is_resumed_after_its_last_complete_event(self):
         for targets in (ALONE, MODEL):
             desk = Desk(targets)
             _, sink = desk.call(request(STREAM, deadline=START + 12))
@@ -415,7 +415,7 @@
             self.assertEqual(event(1) + event(2) + event(3), sink.body)
             self.assertTrue(sink.is_finished)
 
-    def test_a_stream_that_may_not_go_on_is_broken_off(self):
+    def test_a_stream_that_is_not_resumable_is_aborted(self):
         desk = Desk(MODEL)
         _, sink = desk.call(request(FRAGILE_STREAM, deadline=START + 12))
         run = desk.caller.last
@@ -425,7 +425,7 @@
         self.assertTrue(sink.is_broken)
         self.assertEqual(1, len(desk.caller.runs))
 
-    def test_a_late_answer_of_the_former_life_reaches_nobody(self):
+    def test_a_late_answer_of_the_former_incarnation_is_discarded(self):
         desk = Desk(PORTAL_ALONE)
         _, sink = desk.call(request(LOOKUP))
         first = desk.caller.last
@@ -437,7 +437,7 @@
 
     # While it leaves, and twice
 
-    def test_a_target_that_starts_again_while_it_leaves_gets_new_work(self):
+    def test_a_target_that_restarts_while_draining_gets_new_requests(self):
         desk = Desk(PORTAL_ALONE)
         _, sink = desk.call(request(LOOKUP))
         _, once = desk.call(request(CONFIRMATION))
@@ -448,7 +448,7 @@
         desk.caller.last.answer(200, b"ok")
         self.assertEqual(b"ok", sink.body)
 
-    def test_each_life_counts_towards_the_number_of_targets(self):
+    def test_each_incarnation_counts_towards_the_maximum_of_targets(self):
         desk = Desk(PORTAL_ALONE)
         _, sink = desk.call(request(LOOKUP))
         desk.restart("p1", SECOND)
@@ -457,7 +457,7 @@
         self.assertEqual(2, len(desk.caller.runs))
         self.assertEqual(Refusal.CUT, sink.refusal)
 
-    def test_after_two_restarts_within_a_second_only_the_last_life_serves(self):
+    def test_after_two_restarts_within_a_second_only_the_last_incarnation_serves(self):
         desk = Desk(ALONE)
         route = replace(STREAM, max_targets=3)
         _, sink = desk.call(request(route, deadline=START + 12))
@@ -478,7 +478,7 @@
         third.observer.run_done()
         self.assertEqual(event(1) + event(2), sink.body)
 
-    def test_a_request_leaves_no_count_behind_at_either_life(self):
+    def test_a_request_leaves_no_count_at_either_incarnation(self):
         for route, targets in ((LOOKUP, PORTAL), (CONFIRMATION, PORTAL)):
             desk = Desk(targets)
             desk.call(request(route))
@@ -492,7 +492,7 @@
 
     # With a successor on trial
 
-    def test_a_successor_takes_over_when_the_silent_target_starts_again(self):
+    def test_a_hedge_takes_over_when_the_silent_target_restarts(self):
         desk, sink, silent, successor = self.on_trial()
         desk.restart(silent.name, SECOND)
         self.assertTrue(silent.is_cancelled)
@@ -502,7 +502,7 @@
         self.assertEqual(event(1) + event(2), sink.body)
         self.assertEqual(2, len(desk.caller.runs))
 
-    def test_the_silent_target_goes_on_when_its_successor_starts_again(self):
+    def test_the_silent_target_continues_when_the_hedge_s_target_restarts(self):
         desk, sink, silent, successor = self.on_trial()
         desk.restart(successor.name, SECOND)
         self.assertFalse(silent.is_cancelled)
--- a/tests/entry/test_restart_transport.py
+++ b/tests/entry/test_restart_transport.py
@@ -131,7 +131,7 @@
         return channel
 
     @inlineCallbacks
-    def test_what_was_sent_may_have_run(self):
+    def test_a_sent_request_is_reported_as_lost(self):
         heard = self.send()
         channel = yield self.arrived()
         self.caller.end_former(life("p1", SECOND))
@@ -140,7 +140,7 @@
         yield self.eventually(lambda: channel.is_closed)
 
     @inlineCallbacks
-    def test_what_was_being_answered_ends_there(self):
+    def test_a_partly_answered_request_is_reported_as_lost(self):
         heard = self.send()
         channel = yield self.arrived()
         channel.transport.write(ANSWER[:-1])
@@ -151,7 +151,7 @@
         self.assertEqual(["sent", "head", "data", "cut"], heard.said)
 
     @inlineCallbacks
-    def test_what_waits_for_a_connection_was_not_sent(self):
+    def test_a_request_waiting_for_a_connection_is_reported_as_not_sent(self):
         heard = self.send()
         self.caller.end_former(life("p1", SECOND))
         self.assertEqual(["not sent"], heard.said)
@@ -165,7 +165,7 @@
         return self.servers[0].channels
 
     @inlineCallbacks
-    def test_the_present_life_and_other_targets_are_left_alone(self):
+    def test_the_current_incarnation_and_other_targets_are_unaffected(self):
         heard = self.send(SECOND)
         channel = yield self.arrived()
         for present in (life("p1", SECOND), life("p1", FIRST), life("p1")):
@@ -175,7 +175,7 @@
         yield self.eventually(lambda: "done" in heard.said)
 
     @inlineCallbacks
-    def test_a_kept_connection_is_not_used_for_another_life(self):
+    def test_an_idle_connection_is_not_used_for_another_incarnation(self):
         kept = yield self.keep_one()
         # Also before it is told that the former life has ended.
         self.send(SECOND)
@@ -184,13 +184,13 @@
         yield self.eventually(lambda: kept.is_closed)
 
     @inlineCallbacks
-    def test_kept_connections_of_a_former_life_are_closed(self):
+    def test_idle_connections_of_a_former_incarnation_are_closed(self):
         kept = yield self.keep_one()
         self.caller.end_former(life("p1", SECOND))
         yield self.eventually(lambda: kept.is_closed)
 
     @inlineCallbacks
-    def test_a_new_life_at_another_address_is_called_there(self):
+    def test_a_new_incarnation_at_another_address_is_called_there(self):
         yield self.keep_one()
         self.caller.end_former(life("p1", SECOND))
         self.send(SECOND, server=1)
@@ -198,13 +198,13 @@
         self.assertEqual(1, len(self.servers[0].channels))
 
     @inlineCallbacks
-    def test_the_same_life_at_another_address_is_called_there(self):
+    def test_the_same_incarnation_at_another_address_is_called_there(self):
         yield self.keep_one()
         self.send(FIRST, server=1)
         yield self.arrived(server=1)
 
     @inlineCallbacks
-    def test_an_answer_that_ends_after_its_target_was_forgotten_keeps_nothing(self):
+    def test_an_answer_completed_after_its_target_was_forgotten_keeps_no_state(self):
         heard = self.send()
         channel = yield self.arrived()
         self.caller.forget("p1")
@@ -215,7 +215,7 @@
         self.assertEqual({}, self.caller._states)
 
     @inlineCallbacks
-    def test_a_former_life_ends_also_when_its_target_was_forgotten_meanwhile(self):
+    def test_a_former_incarnation_ends_also_if_its_target_was_forgotten(self):
         heard = self.send()
         yield self.arrived()
         self.caller.forget("p1")
@@ -223,7 +223,7 @@
         self.assertEqual(["sent", "cut"], heard.said)
 
     @inlineCallbacks
-    def test_what_was_sent_after_the_former_life_failed_is_at_the_new_one(self):
+    def test_a_request_sent_after_a_connection_failure_is_kept(self):
         lost = self.send(is_new=True)
         first = yield self.arrived()
         first.transport.abortConnection()
@@ -236,7 +236,7 @@
         yield self.eventually(lambda: second.is_closed)
 
     @inlineCallbacks
-    def test_what_was_sent_before_the_former_life_failed_ends(self):
+    def test_a_request_sent_before_a_connection_failure_is_aborted(self):
         early = self.send(is_new=True)
         yield self.arrived()
         lost = self.send(is_new=True)
@@ -247,7 +247,7 @@
         self.assertEqual(["sent", "cut"], early.said)
 
     @inlineCallbacks
-    def test_what_was_spared_once_ends_with_the_life_that_it_is_at(self):
+    def test_a_request_kept_once_is_aborted_with_the_next_incarnation(self):
         lost = self.send(is_new=True)
         first = yield self.arrived()
         first.transport.abortConnection()
@@ -260,7 +260,7 @@
         self.assertEqual(["sent", "cut"], heard.said)
 
     @inlineCallbacks
-    def test_what_a_former_life_taught_of_resting_goes_with_it(self):
+    def test_idle_limits_learned_from_a_former_incarnation_are_discarded(self):
         kept = yield self.keep_one()
         yield deferLater(reactor, 0.15, lambda: None)
         heard = self.send()
