--- a/tests/entry/test_entry_router.py
+++ b/tests/entry/test_entry_router.py
@@ -1,4 +1,4 @@
-"""The whole path over loopback sockets: callers, router, store and targets."""
+"""An entry router between callers, store and targets, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -43,16 +43,16 @@
 from support.live import DeploymentRunTest
 from support.live import LiveTest
 
-# Starts as targets tell them.
+# Start times as targets report them, in Unix milliseconds.
 FIRST, SECOND, THIRD = 1_790_000_000_123, 1_790_000_000_124, 1_790_000_003_000
 
 
-# More than tell each other all.
+# So many that they exchange state through relays.
 MANY_ROUTERS = 40
 
 
-class SilentCaches(CacheReader):
-    """Engines that tell what they hold when the test says so."""
+class ManualCacheReader(CacheReader):
+    """Reader of engine caches whose results the test supplies."""
 
     def __init__(self):
         self.readings = []
@@ -89,9 +89,9 @@
 
     def engine(self, name, service, **fields):
         script = self.scripts[name] = self.listen(name, **fields)
-        self.put_entry(name, service, script, FIRST)
+        self.write_entry(name, service, script, FIRST)
 
-    def put_entry(self, name, service, script, born, **fields):
+    def write_entry(self, name, service, script, born, **fields):
         """Write a target's entry; return its revision."""
         address = self.addresses[id(script)]
         entry = target_entry(service, address, slots=8, born=born)
@@ -123,13 +123,13 @@
             if test():
                 return
             yield deferLater(reactor, 0.01, lambda: None)
-        self.fail("it never came true")
+        self.fail("condition not met within 5 s")
 
     @inlineCallbacks
     def connect(self, endpoint=None):
         endpoint = self.router.bound[endpoint or self.settings.callers]
-        way = TCP4ClientEndpoint(reactor, endpoint.address, endpoint.port)
-        caller = yield connectProtocol(way, Caller())
+        client = TCP4ClientEndpoint(reactor, endpoint.address, endpoint.port)
+        caller = yield connectProtocol(client, Caller())
         return caller
 
     @inlineCallbacks
@@ -152,7 +152,7 @@
         self.assertTrue(caller.data.startswith(b"HTTP/1.1 200"))
         self.assertIn(b"Primrosescale-Response-Signature", caller.data)
         [arrival] = self.arrivals()
-        self.assertEqual((b"POST", b"/once/a?b=1", body), self.said(arrival))
+        self.assertEqual((b"POST", b"/once/a?b=1", body), self.request_of(arrival))
         self.assertEqual(b"bakery", arrival.headers[b"primrosescale-tenant"])
         self.assertNotIn(b"kv-from", arrival.headers)
         self.assertNotIn(b"authorization", arrival.headers)
@@ -161,8 +161,8 @@
     @inlineCallbacks
     def test_callers_who_connect_while_it_is_loaded_are_served(self):
         early = open_listener(Endpoint(LOOPBACK, 0))
-        way = TCP4ClientEndpoint(reactor, *early.getsockname())
-        caller = yield connectProtocol(way, Caller())
+        client = TCP4ClientEndpoint(reactor, *early.getsockname())
+        caller = yield connectProtocol(client, Caller())
         caller.transport.write(text())
         yield self.start(early=early)
         yield caller.answered(b"done")
@@ -174,7 +174,7 @@
         config["services"][1]["engine"]["kv_cache_tokens"] = 1000
         for is_silent in (False, True):
             self.store.write("config", "main", config)
-            caches = SilentCaches()
+            caches = ManualCacheReader()
             yield self.start(reads_caches=True, caches=caches)
             caller = yield self.connect()
             caller.transport.write(text(b"/story/x", method=b"POST", body=b"b"))
@@ -197,7 +197,7 @@
         for number in range(MANY_ROUTERS):
             entry = {"address": "127.0.0.1", "port": 9, "domain": str(number % 3)}
             self.store.write("routers", f"r{number + 2}", entry)
-        caches = SilentCaches()
+        caches = ManualCacheReader()
         yield self.start(reads_caches=True, caches=caches)
         caller = yield self.ask(text(b"/story/x", method=b"POST", body=b"b"), b"id: 4")
         self.assertIn(b"id: 4", caller.data)
@@ -246,13 +246,13 @@
         for number in range(MOST_READ + 30):
             entry = target_entry("model", f"{LOOPBACK}:1")
             self.store.write("servers", f"x{number}", entry)
-        caches = SilentCaches()
+        caches = ManualCacheReader()
         yield self.start(reads_caches=True, caches=caches)
         yield self.eventually(lambda: bool(caches.readings))
         asked = len(caches.readings)
         self.assertEqual(MOST_READ, asked)
 
-    def said(self, arrival):
+    def request_of(self, arrival):
         return arrival.method, arrival.path, arrival.body
 
     @inlineCallbacks
@@ -313,7 +313,7 @@
         yield self.start()
         yield self.eventually(lambda: bool(self.router._state_exchange.others))
         self.router._close()
-        # A round that goes on after the port is closed ends in a logged error.
+        # A round that continues after the port is closed ends in a logged error.
         yield deferLater(
             reactor, 2 * self.router._state_exchange.interval, lambda: None
         )
@@ -356,7 +356,7 @@
             for name in ("p1", "p2"):
                 self.scripts[name].arrivals.clear()
                 self.scripts[name].faults = [fault]
-            # The one that answers second has used its fault up before.
+            # The target that was tried second has consumed its fault already.
             caller = yield self.ask(text())
             if len(self.arrivals("p1", "p2")) == 2:
                 caller = yield self.ask(text(rid=b"r2"))
@@ -464,13 +464,13 @@
         yield self.start()
         self.store.faults.is_deaf = True
         self.store.write("config", "main", configuration(2, keys=("k2",)))
-        other = RouterNews("r2", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
-        other.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
+        peer = RouterNews("r2", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
+        peer.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
         now = reactor.seconds()
         self.router._state_exchange.put(
             OtherRouter("r2", Endpoint("127.0.0.1", 1)), now
         )
-        [(_, message)] = other.compose(2, reactor.seconds())
+        [(_, message)] = peer.compose(2, reactor.seconds())
         self.router._state_exchange.take(message, 1, reactor.seconds())
         yield self.eventually(lambda: self.router._version() == 2)
 
@@ -504,44 +504,44 @@
         self.assertEqual(names, [incarnation.name for incarnation in gone])
 
     @inlineCallbacks
-    def start_with_waiting_watch(self):
-        """Start a router whose question about targets is at the store."""
+    def start_with_pending_watch(self):
+        """Start a router whose watch of targets is pending at the store."""
         yield self.start(targets_wait=60.0)
         yield self.eventually(lambda: self.store.waiting("servers"))
 
-    def drain_unheard(self, name):
-        """Have a target leave without the watch that waits hearing of it."""
+    def drain_without_notification(self, name):
+        """Drain a target without notifying the pending watch; return the revision."""
         self.store.faults.is_deaf = True
         entry = target_entry("model", f"{LOOPBACK}:1", state="draining")
         revision = self.store.write("servers", name, entry)
         self.store.faults.is_deaf = False
         return revision
 
-    def knows_leaving(self, name):
+    def knows_as_draining(self, name):
         return self.router._knowledge.targets.state(name).target.is_draining
 
     @inlineCallbacks
     def test_a_watch_unanswered_in_an_outage_is_renewed_after_it(self):
-        yield self.start_with_waiting_watch()
+        yield self.start_with_pending_watch()
         self.store.faults.all_calls = StoreFault.BUSY
         yield self.eventually(lambda: "STORE_LOST" in [n for n, _ in self.events])
-        self.drain_unheard("m1")
+        self.drain_without_notification("m1")
         self.store.faults.all_calls = None
-        yield self.eventually(lambda: self.knows_leaving("m1"))
+        yield self.eventually(lambda: self.knows_as_draining("m1"))
 
     @inlineCallbacks
     def test_a_list_change_reported_by_a_peer_is_read(self):
-        yield self.start_with_waiting_watch()
-        other = RouterNews("r2", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
-        other.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
+        yield self.start_with_pending_watch()
+        peer = RouterNews("r2", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
+        peer.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
         now = reactor.seconds()
         self.router._state_exchange.put(
             OtherRouter("r2", Endpoint("127.0.0.1", 1)), now
         )
-        revision = self.drain_unheard("m1")
-        [(_, message)] = other.compose(1, reactor.seconds(), list_revision=revision)
+        revision = self.drain_without_notification("m1")
+        [(_, message)] = peer.compose(1, reactor.seconds(), list_revision=revision)
         self.router._state_exchange.take(message, 1, reactor.seconds())
-        yield self.eventually(lambda: self.knows_leaving("m1"))
+        yield self.eventually(lambda: self.knows_as_draining("m1"))
         self.assertIn("WATCH_RENEWED", [name for name, _ in self.events])
 
     @inlineCallbacks
@@ -599,7 +599,7 @@
         caller = yield self.connect()
         caller.transport.write(story)
         yield caller.until(lambda c: b"id: 2" in c.data)
-        busy, other = ("m1", "m2") if self.arrivals("m1") else ("m2", "m1")
+        busy, peer = ("m1", "m2") if self.arrivals("m1") else ("m2", "m1")
         self.store.write("servers", busy, {"service": "model", "state": "ready"})
         yield deferLater(reactor, 0.1, lambda: None)
         for turn in range(3):
@@ -607,7 +607,7 @@
             yield self.ask(again, b"0\r\n\r\n")
         yield caller.until(lambda c: c.data.endswith(b"0\r\n\r\n"))
         self.assertIn(b"id: 60", caller.data)
-        self.assertEqual((1, 3), (len(self.arrivals(busy)), len(self.arrivals(other))))
+        self.assertEqual((1, 3), (len(self.arrivals(busy)), len(self.arrivals(peer))))
         self.assertIn("TARGET_REFUSED", [name for name, _ in self.events])
 
     @inlineCallbacks
@@ -694,12 +694,12 @@
         self.assertTrue(caller.data.startswith(b"HTTP/1.1 200"))
 
     def restart(self, name, service, *, script=None, born=SECOND, **fields):
-        """Write the entry of a target that has started again; return its revision."""
-        return self.put_entry(
+        """Write the entry of a target that has restarted; return its revision."""
+        return self.write_entry(
             name, service, script or self.scripts[name], born, **fields
         )
 
-    def life(self, name):
+    def incarnation(self, name):
         return self.router._knowledge.targets.state(name).incarnation
 
     @inlineCallbacks
@@ -744,7 +744,7 @@
         yield caller.answered(b"done")
         self.assertTrue(caller.data.startswith(b"HTTP/1.1 200"), caller.data)
         self.assertEqual((1, 1), (len(self.arrivals("p1")), len(moved.arrivals)))
-        # An entry of the former life that comes late brings it back to nobody.
+        # A delayed entry of the former incarnation does not restore it.
         self.restart("p1", "portal", born=FIRST)
         yield deferLater(reactor, 0.1, lambda: None)
         yield self.ask(text(rid=b"r2"))
@@ -769,9 +769,9 @@
 
     @inlineCallbacks
     def test_a_restart_reported_by_a_peer_is_read(self):
-        yield self.start_with_waiting_watch()
-        other = RouterNews("r2", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
-        other.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
+        yield self.start_with_pending_watch()
+        peer = RouterNews("r2", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
+        peer.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
         now = reactor.seconds()
         self.router._state_exchange.put(
             OtherRouter("r2", Endpoint("127.0.0.1", 1)), now
@@ -779,9 +779,9 @@
         self.store.faults.is_deaf = True
         revision = self.restart("m1", "model")
         self.store.faults.is_deaf = False
-        [(_, message)] = other.compose(1, reactor.seconds(), list_revision=revision)
+        [(_, message)] = peer.compose(1, reactor.seconds(), list_revision=revision)
         self.router._state_exchange.take(message, 1, reactor.seconds())
-        yield self.eventually(lambda: self.life("m1").started_at == SECOND)
+        yield self.eventually(lambda: self.incarnation("m1").started_at == SECOND)
 
     @inlineCallbacks
     def test_reported_cache_contents_count_for_the_reporting_incarnation(self):
@@ -790,31 +790,31 @@
         self.store.write("config", "main", config)
         self.restart("m1", "model")
         self.restart("m2", "model", born=FIRST, state="draining")
-        caches = SilentCaches()
+        caches = ManualCacheReader()
         yield self.start(reads_caches=True, caches=caches)
         yield self.eventually(lambda: len(caches.readings) == 2)
-        self.assertTrue(self.knows_leaving("m2"))
+        self.assertTrue(self.knows_as_draining("m2"))
         parts = (PromptPart("tariffs", 500),)
         caches.answer("m1", HeldParts(parts, SECOND - 1))
         caches.answer("m2", HeldParts(parts, THIRD))
         directory, now = self.router._prefix_index, reactor.seconds()
-        self.assertEqual(0, directory.held(self.life("m1"), parts, now))
-        self.assertEqual(SECOND, self.life("m1").started_at)
+        self.assertEqual(0, directory.held(self.incarnation("m1"), parts, now))
+        self.assertEqual(SECOND, self.incarnation("m1").started_at)
         self.assertEqual(1, len(directory))
         not_read = [s["target"] for e, s in self.events if e == "CACHE_NOT_READ"]
         self.assertEqual(["m1"], not_read)
-        self.assertFalse(self.knows_leaving("m2"))
-        self.assertEqual(500, directory.held(self.life("m2"), parts, now))
-        self.assertEqual(THIRD, self.life("m2").started_at)
-        told = [said for event, said in self.events if event == "TARGET_RESTARTED"]
+        self.assertFalse(self.knows_as_draining("m2"))
+        self.assertEqual(500, directory.held(self.incarnation("m2"), parts, now))
+        self.assertEqual(THIRD, self.incarnation("m2").started_at)
+        restarts = [said for event, said in self.events if event == "TARGET_RESTARTED"]
         self.assertEqual(
-            [("m2", "target")], [(s["target"], s["told_by"]) for s in told]
+            [("m2", "target")], [(s["target"], s["told_by"]) for s in restarts]
         )
-        # The store, which lags, tells of the former life still.
+        # The store lags and still lists the former incarnation.
         self.restart("m2", "model", state="draining")
         yield deferLater(reactor, 0.1, lambda: None)
-        self.assertEqual(THIRD, self.life("m2").started_at)
-        self.assertFalse(self.knows_leaving("m2"))
+        self.assertEqual(THIRD, self.incarnation("m2").started_at)
+        self.assertFalse(self.knows_as_draining("m2"))
 
     @inlineCallbacks
     def test_metrics_and_log_report_the_outcome_of_a_request(self):
--- a/tests/entry/test_failure_text.py
+++ b/tests/entry/test_failure_text.py
@@ -1,4 +1,4 @@
-"""Failures of twisted's client in words for a log line."""
+"""Formatting of failures of twisted's HTTP client for log lines."""
 
 from __future__ import annotations
 
--- a/tests/entry/test_harm_fleet.py
+++ b/tests/entry/test_harm_fleet.py
@@ -1,8 +1,8 @@
-"""Harmful requests before fleets of several sizes, on a virtual clock.
+"""Harmful requests at fleets of several sizes, simulated on a virtual clock.
 
-The promise: a request that ends each target that begins to run it reaches no more
-than three after the third end and the time in which routers hear of each other; and
-requests of other callers that were beside it are served.
+A request that ends each target that begins to run it must reach at most three targets
+once the third one has ended and routers have had time to exchange their reports.
+Requests of other callers that ran beside it must be served.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from support.harm_fleet import HARMFUL
 from support.harm_fleet import HarmFleet
 
-CONTACT_SECONDS = 3.0
-ENOUGH_ENDS = 3
-MOST_MORE = 3
-# So many routers at the most tell all others here; more go by relays.
-RELAYED = NewsSettings(most_direct=6)
+PROPAGATION_SECONDS = 3.0
+MAX_ENDS_BEFORE_HOLD = 3
+MAX_ARRIVALS_AFTERWARDS = 3
+# A larger fleet than this exchanges state through relays.
+RELAYED_SETTINGS = NewsSettings(most_direct=6)
 PER_HUNDRED_THOUSAND = 100_000
 
 
@@ -32,14 +32,14 @@
     def harm(self, fleet, bodies, rate):
         names = [b"%d" % number for number in range(bodies)]
         for name in names:
-            fleet.harm_again_and_again(name, rate)
+            fleet.send_harmful_repeatedly(name, rate)
         return names
 
     def check(self, fleet, names):
         for name in names:
             self.assertIn(HARMFUL + name, fleet.ends)
-            more = fleet.sent_after(name, ENOUGH_ENDS, CONTACT_SECONDS)
-            self.assertThat(more, LessThan(MOST_MORE + 1))
+            more = fleet.arrivals_after(name, MAX_ENDS_BEFORE_HOLD, PROPAGATION_SECONDS)
+            self.assertThat(more, LessThan(MAX_ARRIVALS_AFTERWARDS + 1))
 
     def test_one_request_that_comes_often(self):
         for seed in range(5):
@@ -64,7 +64,7 @@
 
     def test_routers_that_hear_of_each_other_by_relays(self):
         for seed in range(2):
-            fleet = self.fleet(18, 10, 50.0, seed, settings=RELAYED)
+            fleet = self.fleet(18, 10, 50.0, seed, settings=RELAYED_SETTINGS)
             self.assertTrue(fleet.routers[0].news.is_relayed)
             self.check_after(fleet, self.harm(fleet, 2, 2.0), 30)
 
@@ -73,13 +73,13 @@
         self.check(fleet, names)
 
     def test_a_router_that_starts_again_holds_it_back_within_seconds(self):
-        for settings in (None, RELAYED):
+        for settings in (None, RELAYED_SETTINGS):
             fleet = self.fleet(9, 8, 20.0, 3, settings=settings)
             [name] = self.harm(fleet, 1, 2.0)
             fleet.run(20)
             for number, router in enumerate(fleet.routers):
                 fleet.restart(router, 2 + number)
-                fleet.run(CONTACT_SECONDS)
+                fleet.run(PROPAGATION_SECONDS)
                 self.assertTrue(router.requests.held(fleet.clock.seconds()))
             self.check(fleet, [name])
 
@@ -92,7 +92,7 @@
         self.harm(fleet, 1, 2.0)
         fleet.run(10)
         fleet.cuts.clear()
-        fleet.run(CONTACT_SECONDS)
+        fleet.run(PROPAGATION_SECONDS)
         self.assertTrue(alone.requests.held(fleet.clock.seconds()))
 
     def test_unrelated_ends_of_targets_hold_no_request_back(self):
--- a/tests/entry/test_harm_watch.py
+++ b/tests/entry/test_harm_watch.py
@@ -1,4 +1,4 @@
-"""What a router makes of lost answers, and what it tells others of them."""
+"""Detection of harmful requests by one router, and its reports to peers."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 from primrosescale.request.lost_answers import WAIT_SECONDS
 
 NAMES = tuple(f"t{number}" for number in range(1, 8))
-# Targets that may end just after they answered a request until it is held back.
+# Ends just after a complete answer that it takes until the request is held back.
 ANSWERED_ENDS = 6
 
 
@@ -66,7 +66,7 @@
         self.clock = Clock()
         self.clock.advance(START)
         self.log = Log()
-        self.told = 0
+        self.sent_soon = 0
         self.caller = FakeCaller()
         self.targets = TargetList(2.0)
         for name in NAMES:
@@ -82,7 +82,7 @@
         self.request = request(body=b"some content")
 
     def tell_soon(self):
-        self.told += 1
+        self.sent_soon += 1
 
     def lose(self, name, incoming=None):
         state = self.targets.state(name)
@@ -91,7 +91,7 @@
         self.clock.advance(PROBE_DELAY_SECONDS)
 
     def find(self, found):
-        """Answer the last check."""
+        """Complete the last probe."""
         self.caller.checks[-1][1](found)
 
     def ends(self):
@@ -110,12 +110,12 @@
         self.assertEqual(0, self.ends())
         self.find(TargetCheck.ENDED)
         self.assertEqual(1, self.ends())
-        self.assertEqual(1, self.told)
+        self.assertEqual(1, self.sent_soon)
         [said] = self.log.of(Event.TARGET_ENDED)
         self.assertEqual(("t1", 1), (said["target"], said["on_board"]))
 
     def heard(self, name, after):
-        """Have an answer come to a request that was sent some time ago."""
+        """Receive an answer to a request that was sent some time ago."""
         now = self.clock.seconds()
         self.targets.state(name).heard(now)
         self.watch.heard(self.targets.state(name), now - after, now)
@@ -185,7 +185,7 @@
 
     def test_ends_just_after_an_answer_count_against_the_request(self):
         for _ in range(200):
-            # Targets do not end often otherwise.
+            # Many answers, so that targets rarely end for other reasons.
             self.requests.count_answer(START)
         for name in NAMES[:ANSWERED_ENDS]:
             self.answer(name)
@@ -318,17 +318,17 @@
         self.assertTrue(self.news.note(TargetEnd(1, 7, START), START))
         self.assertFalse(self.news.note(TargetEnd(1, 7, START), START))
         self.assertTrue(self.news.is_urgent)
-        told = [self.news.ends(START + 0.25 * turn) for turn in range(6)]
-        self.assertEqual(TIMES_TOLD, sum(map(len, told)))
-        self.assertEqual([0, 250, 500], [e.age_ms for each in told for e in each])
+        sent = [self.news.ends(START + 0.25 * turn) for turn in range(6)]
+        self.assertEqual(TIMES_TOLD, sum(map(len, sent)))
+        self.assertEqual([0, 250, 500], [e.age_ms for each in sent for e in each])
         self.assertFalse(self.news.is_urgent)
 
     def test_messages_stay_small_and_the_newest_goes_first(self):
         for number in range(100):
             self.news.note(TargetEnd(number, 7, START), START)
-        told = self.news.ends(START)
-        self.assertEqual(MOST_IN_MESSAGE, len(told))
-        self.assertEqual(99, told[0].fingerprint)
+        sent = self.news.ends(START)
+        self.assertEqual(MOST_IN_MESSAGE, len(sent))
+        self.assertEqual(99, sent[0].fingerprint)
 
     def test_received_ends_are_applied(self):
         for number in (7, 8, 9):
@@ -352,7 +352,7 @@
 
     def test_peers_do_not_try_a_suspect_at_the_same_time(self):
         other = self.new()
-        # Ends of another request explain these.
+        # Each of these ends is also explained by another request.
         for number in (7, 8, 9, 10):
             for each in (self.news, other):
                 each.note(TargetEnd(2, number, START), START)
@@ -373,10 +373,10 @@
         key = target_key(*state.incarnation)
         states = {key: state}
         state.heard(START + 10)
-        told = wire.EndNews(1, 1000, key)
-        self.news.take(self.message([told]), states, START + 10)
+        sent = wire.EndNews(1, 1000, key)
+        self.news.take(self.message([sent]), states, START + 10)
         self.assertEqual(0, self.news._requests.ends_under(1))
-        self.news.take(self.message([told]), states, START + 12)
+        self.news.take(self.message([sent]), states, START + 12)
         self.assertEqual(1, self.news._requests.ends_under(1))
 
     def test_a_router_that_answered_the_request_reports_it_after_an_end(self):
@@ -384,17 +384,17 @@
         answered.note(WholeAnswer(1, START - 5), START)
         end = TargetEnd(1, 7, START)
         answered.take(self.message([wire.EndNews(1, 0, 7)]), {}, START)
-        told = answered.ends(START)
+        sent = answered.ends(START)
         self.news.note(end, START)
-        self.news.take(self.message(told), {}, START)
+        self.news.take(self.message(sent), {}, START)
         self.assertEqual(WholeAnswer(1, START - 5), self.news._requests.last_answer(1))
         for number in (8, 9):
             self.news.note(TargetEnd(1, number, START), START)
         self.assertEqual([], self.news._requests.held(START))
 
 
-class HoldingWatch(HarmWatch):
-    """Holds everything back once told to."""
+class StubHarmMonitor(HarmWatch):
+    """Records calls, and holds every request back once switched on."""
 
     def __init__(self):
         self.is_holding = False
@@ -428,7 +428,7 @@
     def setUp(self):
         super().setUp()
         self.desk = Desk([target("p1", "portal"), target("p2", "portal")])
-        self.watch = self.desk.tools.harm = HoldingWatch()
+        self.watch = self.desk.tools.harm = StubHarmMonitor()
 
     def test_a_held_back_request_is_refused_with_its_remaining_time(self):
         self.watch.is_holding = True
--- a/tests/entry/test_harmful_requests.py
+++ b/tests/entry/test_harmful_requests.py
@@ -1,19 +1,13 @@
-"""A request that ends each target that begins to run it.
+"""A request that ends each target that begins to run it, over loopback sockets.
 
-What was seen: model engines ended one after the other, 25 in 80 s on a service of
-five, and each took the requests of a dozen other callers with it. Under each of
-them was a request for the same, sent again and again under ids of its own and by
-four routers.
+Guards against a crash loop: a caller retries one request with new ids through four
+routers, each target that runs it ends, and each end aborts the requests of a dozen
+other callers. The platform starts a new target some seconds later. In one incident, 25
+engines of a service of five ended within 80 s.
 
-How it came about: its caller repeats it wherever it is let in, and the platform
-starts a new engine some seconds after one has ended.
-
-Cause: routers remembered what became of targets, never under which request, and
-told each other nothing of it. So each arrival was a request like any other.
-
-What proved it: here, over sockets, with four routers that know nothing of each
-other but their news, the same request reaches a target at each arrival. Line 202
-tells that the requests have one fingerprint.
+It occurs if routers record the failures of targets but not the request that was running
+at the time, or do not share such records. Requests with equal content have the same
+fingerprint, which event 202 of the log contains.
 """
 
 from __future__ import annotations
@@ -41,22 +35,23 @@
 ROUTERS = 4
 TARGETS = 5
 HARMFUL = b"ends what runs it"
-# From the beginning of the work to the end of the target, in the middle of its answer.
+# Time from the arrival of the request to the end of the target, in the middle of its
+# answer.
 WORK_SECONDS = 0.05
 ANSWER_SECONDS = 0.2
 EVENTS = 4
-# Until another target starts in its place, and until its entry is gone.
+# Time until a replacement starts, and until the entry of the ended target is removed.
 START_SECONDS = 0.3
-LAPSE_SECONDS = 1.5
-# Targets that may end before a request is known for what it is, the seconds that
-# routers have to learn it from each other, and how often it may be sent after that.
-ENOUGH_ENDS = 3
-CONTACT_SECONDS = 3.0
-MOST_MORE = 3
+ENTRY_REMOVAL_SECONDS = 1.5
+# Targets that may end before the request must be held back, the seconds that routers
+# have to exchange their reports, and how often it may reach a target after that.
+MAX_ENDS_BEFORE_HOLD = 3
+PROPAGATION_SECONDS = 3.0
+MAX_ARRIVALS_AFTERWARDS = 3
 
 
 class WorkingTarget:
-    """A target that listens, and the processes that run there one after another."""
+    """A listening target and its successive processes."""
 
     def __init__(self, test, service):
         self.service = service
@@ -119,22 +114,22 @@
             reactor.callLater(WORK_SECONDS, self.end, target, incarnation, arrival.body)
 
     def end(self, target, incarnation, body):
-        """Have a target end in the middle of its answer, if it has not ended."""
+        """End a target in the middle of its answer, unless it has ended already."""
         if target.incarnation == incarnation:
             self.ends.append((reactor.seconds(), body))
             target.incarnation += 1
             self.replace(target)
 
     def replace(self, target):
-        """Have the next process listen elsewhere."""
+        """Start the next process at another address."""
         target.port.stopListening()
         target.engine.restart(None)
         name = target.script.name
-        reactor.callLater(LAPSE_SECONDS, self.store.remove, "servers", name)
+        reactor.callLater(ENTRY_REMOVAL_SECONDS, self.store.remove, "servers", name)
         reactor.callLater(START_SECONDS, self.start_target, target.service)
 
     def ask(self, router, path, body):
-        """Send a request under an id of its own; return the raw answer."""
+        """Send a request with a new id; return the raw answer."""
         self.asked += 1
         headers = b"Connection: close\r\n"
         rid = b"r%d" % self.asked
@@ -143,8 +138,8 @@
         )
 
     @inlineCallbacks
-    def ask_in_turn(self, path, body, seconds):
-        """Send the same request to one router after the other for a while."""
+    def ask_routers_in_turn(self, path, body, seconds):
+        """Send the same request to the routers in turn for some seconds."""
         until = reactor.seconds() + seconds
         answers = []
         while reactor.seconds() < until:
@@ -153,16 +148,16 @@
             yield deferLater(reactor, 0.1, lambda: None)
         return answers
 
-    def sent_after_contact(self, body):
-        """Return how often it was sent once all routers should have known."""
+    def arrivals_after_propagation(self, body):
+        """Return how often a request arrived once all routers should hold it back."""
         ends = [at for at, ended_by in self.ends if ended_by == body]
-        self.assertThat(ENOUGH_ENDS - 1, LessThan(len(ends)))
-        known_at = ends[ENOUGH_ENDS - 1] + CONTACT_SECONDS
+        self.assertThat(MAX_ENDS_BEFORE_HOLD - 1, LessThan(len(ends)))
+        known_at = ends[MAX_ENDS_BEFORE_HOLD - 1] + PROPAGATION_SECONDS
         return sum(at > known_at and sent == body for at, sent in self.arrivals)
 
     @inlineCallbacks
     def settled(self):
-        """Wait until all routers serve and hear each other."""
+        """Wait until all routers are ready and list each other."""
         for _ in range(500):
             others = [len(router._state_exchange.others) for router in self.routers]
             if all(r.is_ready for r in self.routers) and min(others) == ROUTERS - 1:
@@ -173,8 +168,11 @@
     @inlineCallbacks
     def check(self, path):
         yield self.settled()
-        yield self.ask_in_turn(path, HARMFUL, CONTACT_SECONDS + 4.0)
-        self.assertThat(self.sent_after_contact(HARMFUL), LessThan(MOST_MORE + 1))
+        yield self.ask_routers_in_turn(path, HARMFUL, PROPAGATION_SECONDS + 4.0)
+        self.assertThat(
+            self.arrivals_after_propagation(HARMFUL),
+            LessThan(MAX_ARRIVALS_AFTERWARDS + 1),
+        )
         for router in self.routers:
             whole = yield self.ask(router, path, b"another of the same caller")
             self.assertIn(b"HTTP/1.1 200", whole)
--- a/tests/entry/test_log_writer.py
+++ b/tests/entry/test_log_writer.py
@@ -1,4 +1,4 @@
-"""Log lines stay bounded and never block."""
+"""The log writer bounds rate and memory and never blocks."""
 
 from __future__ import annotations
 
--- a/tests/entry/test_restart.py
+++ b/tests/entry/test_restart.py
@@ -1,4 +1,4 @@
-"""A target that starts again under its name: what is left of its former life."""
+"""State and requests of a target's former incarnation after it has restarted."""
 
 from __future__ import annotations
 
@@ -33,18 +33,18 @@
 from primrosescale.request.target_choice import TargetChooser
 from primrosescale.request.target_state import LoadReport
 
-# Starts as targets tell them, in the order of a target's lives.
+# Start times as targets report them, in the order of the incarnations.
 FIRST, SECOND, THIRD = 1_790_000_000_123, 1_790_000_000_124, 1_790_000_003_000
 WANTED = prompt(("tariffs", 9000), ("chat", 20))
 
 
 class IncarnationOrderTest(TestCase):
-    """Which of two lives is the present one."""
+    """Which of two incarnations is the current one."""
 
     def setUp(self):
         super().setUp()
-        self.told = []
-        self.targets = TargetList(2.0, self.told.append)
+        self.starts = []
+        self.targets = TargetList(2.0, self.starts.append)
         self.targets.put(target("m1", started_at=FIRST), START)
 
     def state(self):
@@ -62,7 +62,7 @@
                 IncarnationStart(former, None, "store"),
                 IncarnationStart(present, former, "store"),
             ],
-            self.told,
+            self.starts,
         )
 
     def test_the_same_start_is_the_same_incarnation_at_any_address(self):
@@ -134,7 +134,7 @@
 
 
 class FormerStateTest(TestCase):
-    """Each belief about the former life, one test each."""
+    """Each kind of state about the former incarnation, one test each."""
 
     def setUp(self):
         super().setUp()
@@ -152,13 +152,13 @@
     def choose(self):
         return self.chooser.choose(list(self.targets.states), (), WANTED, START)
 
-    def held_where(self):
+    def chosen_and_held(self):
         choice = self.choose()
         return choice.state.target.name, choice.held
 
     def test_cached_prompt_parts(self):
         self.parts.note_own(self.former.incarnation, WANTED.parts, START)
-        self.assertEqual(("m1", 9020), self.held_where())
+        self.assertEqual(("m1", 9020), self.chosen_and_held())
         state = self.restart()
         self.assertEqual(0, self.parts.held(state.incarnation, WANTED.parts, START))
         choice = self.choose()
@@ -186,7 +186,7 @@
         self.former.sent(START)
         state = self.restart()
         self.assertEqual(0, state.own_running)
-        # What ends there is not counted off here.
+        # The end of a request there does not decrease the count here.
         state.sent(START)
         self.former.ended()
         self.assertEqual(1, state.own_running)
@@ -219,7 +219,7 @@
         self.targets.put(target("m1", started_at=SECOND), later)
         state = self.targets.state("m1")
         self.assertFalse(state.is_avoided(later))
-        # Nor is a first failure taken for the next of many.
+        # And a first failure does not continue the earlier backoff.
         state.unreachable(later)
         self.assertFalse(state.is_paused(later + 0.6))
 
@@ -248,23 +248,23 @@
         self.assertEqual(0.0, self.targets.state("m1").target.warming_for)
 
 
-class Side:
-    """A router that tells others its news."""
+class PeerSetup:
+    """The state of one router that exchanges updates with a peer."""
 
     def __init__(self, name, started_at):
         self.targets = TargetList(2.0)
         self.parts = PartDirectory()
         self.news = RouterNews(name, 1, self.targets, self.parts, Freshness(5.0))
-        self.know(started_at)
+        self.put_target(started_at)
         for number, other in enumerate(("a", "b")):
             endpoint = Endpoint("127.0.0.1", 7000 + number)
             self.news.put(OtherRouter(other, endpoint), START)
 
-    def know(self, started_at):
+    def put_target(self, started_at):
         self.targets.put(target("m1", started_at=started_at), START)
 
-    def work(self):
-        """Have something to tell of the target as it is known here."""
+    def make_reports(self):
+        """Create reports on the target as it is known here."""
         state = self.targets.state("m1")
         state.sent(START)
         for _ in range(4):
@@ -272,7 +272,7 @@
         state.failed(START)
         self.parts.note_own(state.incarnation, WANTED.parts, START)
 
-    def beliefs(self):
+    def applied_reports(self):
         state = self.targets.state("m1")
         return (
             state.load(START),
@@ -280,52 +280,52 @@
             self.parts.held(state.incarnation, WANTED.parts, START),
         )
 
-    def tell(self, other):
+    def send_update(self, other):
         [(_, message)] = self.news.compose(1, START)
         other.news.take(decode(encode(message)), 1, START)
 
 
 class PeerUpdateTest(TestCase):
     def test_a_report_on_the_same_incarnation_is_applied(self):
-        a, b = Side("a", FIRST), Side("b", FIRST)
-        a.work()
-        a.tell(b)
-        self.assertEqual((1.0, True, 9000), b.beliefs())
+        a, b = PeerSetup("a", FIRST), PeerSetup("b", FIRST)
+        a.make_reports()
+        a.send_update(b)
+        self.assertEqual((1.0, True, 9000), b.applied_reports())
 
     def test_a_report_on_a_former_incarnation_is_ignored(self):
-        a, b = Side("a", FIRST), Side("b", SECOND)
-        a.work()
-        a.tell(b)
-        self.assertEqual((0.0, False, 0), b.beliefs())
+        a, b = PeerSetup("a", FIRST), PeerSetup("b", SECOND)
+        a.make_reports()
+        a.send_update(b)
+        self.assertEqual((0.0, False, 0), b.applied_reports())
 
     def test_a_report_on_a_later_incarnation_is_ignored(self):
-        a, b = Side("a", SECOND), Side("b", FIRST)
-        a.work()
-        a.tell(b)
-        self.assertEqual((0.0, False, 0), b.beliefs())
+        a, b = PeerSetup("a", SECOND), PeerSetup("b", FIRST)
+        a.make_reports()
+        a.send_update(b)
+        self.assertEqual((0.0, False, 0), b.applied_reports())
 
     def test_reports_from_before_a_restart_are_gone_after_it(self):
-        a, b = Side("a", FIRST), Side("b", FIRST)
-        a.work()
-        a.tell(b)
-        b.know(SECOND)
-        self.assertEqual((0.0, False, 0), b.beliefs())
-        # The other router tells on until it has learned of the restart too.
-        a.tell(b)
-        self.assertEqual((0.0, False, 0), b.beliefs())
-        a.know(SECOND)
-        a.work()
-        a.tell(b)
-        self.assertEqual((1.0, True, 9000), b.beliefs())
+        a, b = PeerSetup("a", FIRST), PeerSetup("b", FIRST)
+        a.make_reports()
+        a.send_update(b)
+        b.put_target(SECOND)
+        self.assertEqual((0.0, False, 0), b.applied_reports())
+        # The peer continues to report until it has detected the restart too.
+        a.send_update(b)
+        self.assertEqual((0.0, False, 0), b.applied_reports())
+        a.put_target(SECOND)
+        a.make_reports()
+        a.send_update(b)
+        self.assertEqual((1.0, True, 9000), b.applied_reports())
 
     def test_a_start_time_costs_no_bytes_on_the_wire(self):
         sizes = []
         for started_at in (None, FIRST):
-            side = Side("a", started_at)
-            side.work()
+            side = PeerSetup("a", started_at)
+            side.make_reports()
             [(_, message)] = side.news.compose(1, START)
             sizes.append(len(encode(message)))
-        # A hash of 32 bits takes up to 5 bytes; each is told twice here.
+        # A 32-bit hash takes up to 5 bytes, and each is sent twice here.
         self.assertAlmostEqual(sizes[0], sizes[1], delta=2)
 
 
@@ -336,12 +336,12 @@
 
 
 class RestartDuringCallTest(TestCase):
-    """What becomes of a request whose target starts again."""
+    """Requests whose target restarts at various stages."""
 
-    def lives(self, desk):
+    def incarnations(self, desk):
         return [run.sending.target.incarnation for run in desk.caller.runs]
 
-    # Between choice and sending
+    # Restart before the request is sent
 
     def test_an_unsent_request_goes_to_the_new_incarnation_too(self):
         for route in (CONFIRMATION, LOOKUP):
@@ -350,11 +350,13 @@
             _, sink = desk.call(request(route))
             desk.caller.opening = set()
             desk.restart("p1", SECOND)
-            self.assertEqual([life("p1", FIRST), life("p1", SECOND)], self.lives(desk))
+            self.assertEqual(
+                [life("p1", FIRST), life("p1", SECOND)], self.incarnations(desk)
+            )
             desk.caller.last.answer(200, b"ok")
             self.assertEqual(b"ok", sink.body)
 
-    # Between sending and head
+    # Restart after sending, before the head of the answer
 
     def test_a_request_that_may_run_once_is_not_retried_nor_reported_as_not_run(self):
         for targets in (PORTAL_ALONE, PORTAL):
@@ -386,7 +388,9 @@
         desk.restart("p1", SECOND)
         desk.caller.last.answer(200, b"ok")
         self.assertEqual(b"ok", sink.body)
-        self.assertEqual([life("p1", FIRST), life("p1", SECOND)], self.lives(desk))
+        self.assertEqual(
+            [life("p1", FIRST), life("p1", SECOND)], self.incarnations(desk)
+        )
 
     def test_it_is_retried_within_the_retry_budget_only(self):
         desk = Desk(PORTAL, extra=0.0)
@@ -394,7 +398,7 @@
         desk.restart(desk.caller.last.name, SECOND)
         self.assertEqual((1, Refusal.CUT), (len(desk.caller.runs), sink.refusal))
 
-    # Midway in a stream
+    # Restart during a stream
 
     def test_a_stream_is_resumed_after_its_last_complete_event(self):
         for targets in (ALONE, MODEL):
@@ -407,7 +411,7 @@
             second = desk.caller.last
             self.assertEqual(2, second.sending.resume_after)
             second.observer.run_head(head())
-            # What the former life still says reaches nobody.
+            # Further data from the former incarnation is discarded.
             first.observer.run_data(event(3)[4:] + event(4))
             first.observer.run_done()
             second.observer.run_data(event(3))
@@ -435,7 +439,7 @@
         desk.caller.last.answer(200, b"ok")
         self.assertEqual(b"ok", sink.body)
 
-    # While it leaves, and twice
+    # Restart while draining, and repeated restarts
 
     def test_a_target_that_restarts_while_draining_gets_new_requests(self):
         desk = Desk(PORTAL_ALONE)
@@ -469,7 +473,7 @@
         second = desk.caller.last
         desk.restart("m1", THIRD)
         expected = [life("m1", start) for start in (FIRST, SECOND, THIRD)]
-        self.assertEqual(expected, self.lives(desk))
+        self.assertEqual(expected, self.incarnations(desk))
         second.observer.run_head(head())
         second.observer.run_data(event(2) + event(3))
         third = desk.caller.last
@@ -490,33 +494,33 @@
             self.assertEqual([0] * 3, counts)
             self.assertEqual([], desk.clock.getDelayedCalls())
 
-    # With a successor on trial
+    # Restart during a hedged attempt
 
     def test_a_hedge_takes_over_when_the_silent_target_restarts(self):
-        desk, sink, silent, successor = self.on_trial()
+        desk, sink, silent, hedge = self.call_with_hedge()
         desk.restart(silent.name, SECOND)
         self.assertTrue(silent.is_cancelled)
-        successor.observer.run_head(head())
-        successor.observer.run_data(event(2))
-        successor.observer.run_done()
+        hedge.observer.run_head(head())
+        hedge.observer.run_data(event(2))
+        hedge.observer.run_done()
         self.assertEqual(event(1) + event(2), sink.body)
         self.assertEqual(2, len(desk.caller.runs))
 
     def test_the_silent_target_continues_when_the_hedge_s_target_restarts(self):
-        desk, sink, silent, successor = self.on_trial()
-        desk.restart(successor.name, SECOND)
+        desk, sink, silent, hedge = self.call_with_hedge()
+        desk.restart(hedge.name, SECOND)
         self.assertFalse(silent.is_cancelled)
         silent.observer.run_data(event(2))
         silent.observer.run_done()
         self.assertEqual(event(1) + event(2), sink.body)
 
-    def on_trial(self):
+    def call_with_hedge(self):
         desk = Desk(MODEL)
         _, sink = desk.call(request(STREAM, deadline=START + 12))
         silent = desk.caller.last
         silent.observer.run_head(head())
         silent.observer.run_data(event(1))
         desk.pass_time(0.5)
-        successor = desk.caller.last
-        self.assertIsNot(silent, successor)
-        return desk, sink, silent, successor
+        hedge = desk.caller.last
+        self.assertIsNot(silent, hedge)
+        return desk, sink, silent, hedge
--- a/tests/entry/test_restart_in_place.py
+++ b/tests/entry/test_restart_in_place.py
@@ -1,17 +1,12 @@
-"""A harmful request whose target is started again where it was.
+"""A harmful request whose target is restarted at the same address.
 
-What was seen: a request that ends each target was held back as long as the next
-target listened elsewhere. Where a supervisor started it again at the same address at
-once, the request went on to reach targets, fifty times in twenty seconds.
+Guards against taking an accepted probe connection as proof that the target has not
+ended: when a supervisor restarts the target immediately at the same address, the next
+process accepts the connection. A connection shows that something listens at an address,
+not which process. In one incident, the request reached targets fifty times in twenty
+seconds, and neither the removed entry nor the later start time corrected it.
 
-How it came about: after a lost answer the router opened a connection, it was taken
-by the next process, and the router went by it as a sign that the target had not
-ended. Neither the entry that went nor the later start that was told found anybody.
-
-Cause: a connection says that somebody listens at an address, never who.
-
-What proved it: here, over sockets, with each way in which a target may come back.
-The same request arrives at targets after all routers should know it.
+The tests cover each way in which a target may return.
 """
 
 from __future__ import annotations
@@ -23,14 +18,14 @@
 from entry.test_harmful_requests import HarmfulRequestTest
 from support.entry_site import LOOPBACK
 
-# Until the entry of the target that ended is gone, and that of the next one is there.
-LAPSE_SECONDS = 1.0
-LISTED_SECONDS = 3.0
+# Time until the entry of the ended target is removed, and until the next one is listed.
+ENTRY_REMOVAL_SECONDS = 1.0
+ENTRY_LISTED_SECONDS = 3.0
 FIRST_START = 1_790_000_000_000
 
 
-class _Closing(Protocol):
-    """Takes a connection and resets it as soon as something comes."""
+class _ResettingProtocol(Protocol):
+    """Accepts a connection and resets it when data arrives."""
 
     def dataReceived(self, data):
         self.transport.abortConnection()
@@ -38,11 +33,11 @@
 
 class _Proxy(ServerFactory):
     noisy = False
-    protocol = _Closing
+    protocol = _ResettingProtocol
 
 
 class InPlaceTest(HarmfulRequestTest):
-    """The next process listens at the same address at once, under another id."""
+    """The next process listens immediately at the same address, with a new id."""
 
     def replace(self, target):
         self.begin_next(target)
@@ -51,9 +46,9 @@
         name = target.script.name
         target.script.name = self.next_name()
         target.engine.restart(None)
-        reactor.callLater(LAPSE_SECONDS, self.store.remove, "servers", name)
+        reactor.callLater(ENTRY_REMOVAL_SECONDS, self.store.remove, "servers", name)
         reactor.callLater(
-            LISTED_SECONDS,
+            ENTRY_LISTED_SECONDS,
             self.store.write,
             "servers",
             target.script.name,
@@ -62,7 +57,7 @@
 
 
 class SameNameTest(HarmfulRequestTest):
-    """The next process has the same id and address, and tells a later start."""
+    """The next process has the same id and address, and reports a later start."""
 
     def first_entry(self, target):
         return target.entry(born=FIRST_START)
@@ -71,7 +66,7 @@
         start = FIRST_START + target.incarnation
         target.engine.restart(start)
         reactor.callLater(
-            LAPSE_SECONDS,
+            ENTRY_REMOVAL_SECONDS,
             self.store.write,
             "servers",
             target.script.name,
@@ -104,32 +99,32 @@
 
 
 class ProxyTest(ListensAgainTest):
-    """A proxy takes connections for a target that is not there, and resets them."""
+    """A proxy accepts connections for an absent target, and resets them."""
 
     pause = 0.5
 
     def replace(self, target):
         target.port.stopListening()
         target.engine.restart(None)
-        reactor.callLater(0, self.stand_in, target)
+        reactor.callLater(0, self.listen_as_proxy, target)
 
-    def stand_in(self, target):
+    def listen_as_proxy(self, target):
         proxy = reactor.listenTCP(target.number, _Proxy(), interface=LOOPBACK)
         self.addCleanup(proxy.stopListening)
-        reactor.callLater(self.pause, self.give_way, target, proxy)
+        reactor.callLater(self.pause, self.replace_proxy, target, proxy)
 
-    def give_way(self, target, proxy):
+    def replace_proxy(self, target, proxy):
         closed = proxy.stopListening()
         closed.addCallback(lambda _: self.listen_again(target))
 
 
 class AnswersFirstTest(HarmfulRequestTest):
-    """A target answers whole at once and ends just after, each time."""
+    """Each target answers completely and ends immediately afterwards."""
 
     def arrived(self, target, arrival):
         target.script.delay = target.script.gap = 0.0
         super().arrived(target, arrival)
 
 
-# Loaded on their own already.
+# Otherwise the imported tests would also run as part of this module.
 del HarmfulRequestTest
--- a/tests/entry/test_restart_transport.py
+++ b/tests/entry/test_restart_transport.py
@@ -1,4 +1,4 @@
-"""Connections to a target that starts again, over loopback sockets."""
+"""Connections to a target that restarts, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Server(Protocol):
-    """Answers when the test says so."""
+    """Server connection that answers when the test requests it."""
 
     def connectionMade(self):
         self.data = b""
@@ -45,31 +45,31 @@
         self.transport.write(ANSWER)
 
 
-class Heard(RunObserver):
-    """Notes what becomes of a request."""
+class RecordingObserver(RunObserver):
+    """Records the progress of a request."""
 
     def __init__(self):
-        self.said = []
+        self.calls = []
         self.detail = ""
 
     def run_sent(self):
-        self.said.append("sent")
+        self.calls.append("sent")
 
     def run_not_sent(self, detail):
-        self.said.append("not sent")
+        self.calls.append("not sent")
         self.detail = detail
 
     def run_head(self, head):
-        self.said.append("head")
+        self.calls.append("head")
 
     def run_data(self, data):
-        self.said.append("data")
+        self.calls.append("data")
 
     def run_done(self):
-        self.said.append("done")
+        self.calls.append("done")
 
     def run_cut(self, detail):
-        self.said.append("cut")
+        self.calls.append("cut")
         self.detail = detail
 
 
@@ -91,7 +91,7 @@
         return server
 
     def send(self, started_at=FIRST, *, server=0, endpoint=None, is_new=False):
-        heard = Heard()
+        observer = RecordingObserver()
         endpoint = endpoint or self.servers[server].endpoint
         sending = Sending(
             request=request(CONFIRMATION if is_new else LOOKUP, headers=HOST),
@@ -101,8 +101,8 @@
             fetch_from=None,
             needs_new_connection=is_new,
         )
-        heard.run = self.caller.send(sending, heard)
-        return heard
+        observer.run = self.caller.send(sending, observer)
+        return observer
 
     @inlineCallbacks
     def eventually(self, test):
@@ -110,7 +110,7 @@
             if test():
                 return
             yield deferLater(reactor, 0.01, lambda: None)
-        self.fail("it never came true")
+        self.fail("condition not met within 3 s")
 
     @inlineCallbacks
     def arrived(self, server=0, place=0):
@@ -121,42 +121,42 @@
         return channels[place]
 
     @inlineCallbacks
-    def keep_one(self, started_at=FIRST):
-        """Leave an idle connection to a life of the target."""
-        heard = self.send(started_at)
+    def leave_idle_connection(self, started_at=FIRST):
+        """Leave an idle connection to an incarnation of the target."""
+        observer = self.send(started_at)
         channel = yield self.arrived()
         channel.answer()
-        yield self.eventually(lambda: "done" in heard.said)
+        yield self.eventually(lambda: "done" in observer.calls)
         yield deferLater(reactor, 0.03, lambda: None)
         return channel
 
     @inlineCallbacks
     def test_a_sent_request_is_reported_as_lost(self):
-        heard = self.send()
+        observer = self.send()
         channel = yield self.arrived()
         self.caller.end_former(life("p1", SECOND))
-        self.assertEqual(["sent", "cut"], heard.said)
-        self.assertIn("started again", heard.detail)
+        self.assertEqual(["sent", "cut"], observer.calls)
+        self.assertIn("started again", observer.detail)
         yield self.eventually(lambda: channel.is_closed)
 
     @inlineCallbacks
     def test_a_partly_answered_request_is_reported_as_lost(self):
-        heard = self.send()
+        observer = self.send()
         channel = yield self.arrived()
         channel.transport.write(ANSWER[:-1])
-        yield self.eventually(lambda: "data" in heard.said)
+        yield self.eventually(lambda: "data" in observer.calls)
         self.caller.end_former(life("p1", SECOND))
         channel.transport.write(ANSWER[-1:])
         yield deferLater(reactor, 0.05, lambda: None)
-        self.assertEqual(["sent", "head", "data", "cut"], heard.said)
+        self.assertEqual(["sent", "head", "data", "cut"], observer.calls)
 
     @inlineCallbacks
     def test_a_request_waiting_for_a_connection_is_reported_as_not_sent(self):
-        heard = self.send()
+        observer = self.send()
         self.caller.end_former(life("p1", SECOND))
-        self.assertEqual(["not sent"], heard.said)
+        self.assertEqual(["not sent"], observer.calls)
         yield deferLater(reactor, 0.05, lambda: None)
-        self.assertEqual(["not sent"], heard.said)
+        self.assertEqual(["not sent"], observer.calls)
         self.assertEqual(
             [b""] * len(self.channels()), [c.data for c in self.channels()]
         )
@@ -166,32 +166,32 @@
 
     @inlineCallbacks
     def test_the_current_incarnation_and_other_targets_are_unaffected(self):
-        heard = self.send(SECOND)
+        observer = self.send(SECOND)
         channel = yield self.arrived()
         for present in (life("p1", SECOND), life("p1", FIRST), life("p1")):
             self.caller.end_former(present)
         self.caller.end_former(life("p2", THIRD))
         channel.answer()
-        yield self.eventually(lambda: "done" in heard.said)
+        yield self.eventually(lambda: "done" in observer.calls)
 
     @inlineCallbacks
     def test_an_idle_connection_is_not_used_for_another_incarnation(self):
-        kept = yield self.keep_one()
-        # Also before it is told that the former life has ended.
+        idle = yield self.leave_idle_connection()
+        # Also before the end of the former incarnation is reported.
         self.send(SECOND)
         yield self.arrived(place=1)
-        self.assertEqual(1, kept.data.count(b"\r\n\r\n"))
-        yield self.eventually(lambda: kept.is_closed)
+        self.assertEqual(1, idle.data.count(b"\r\n\r\n"))
+        yield self.eventually(lambda: idle.is_closed)
 
     @inlineCallbacks
     def test_idle_connections_of_a_former_incarnation_are_closed(self):
-        kept = yield self.keep_one()
+        idle = yield self.leave_idle_connection()
         self.caller.end_former(life("p1", SECOND))
-        yield self.eventually(lambda: kept.is_closed)
+        yield self.eventually(lambda: idle.is_closed)
 
     @inlineCallbacks
     def test_a_new_incarnation_at_another_address_is_called_there(self):
-        yield self.keep_one()
+        yield self.leave_idle_connection()
         self.caller.end_former(life("p1", SECOND))
         self.send(SECOND, server=1)
         yield self.arrived(server=1)
@@ -199,40 +199,40 @@
 
     @inlineCallbacks
     def test_the_same_incarnation_at_another_address_is_called_there(self):
-        yield self.keep_one()
+        yield self.leave_idle_connection()
         self.send(FIRST, server=1)
         yield self.arrived(server=1)
 
     @inlineCallbacks
     def test_an_answer_completed_after_its_target_was_forgotten_keeps_no_state(self):
-        heard = self.send()
+        observer = self.send()
         channel = yield self.arrived()
         self.caller.forget("p1")
         channel.answer()
-        yield self.eventually(lambda: "done" in heard.said)
+        yield self.eventually(lambda: "done" in observer.calls)
         yield self.eventually(lambda: channel.is_closed)
         self.caller.sweep(reactor.seconds())
         self.assertEqual({}, self.caller._states)
 
     @inlineCallbacks
     def test_a_former_incarnation_ends_also_if_its_target_was_forgotten(self):
-        heard = self.send()
+        observer = self.send()
         yield self.arrived()
         self.caller.forget("p1")
         self.caller.end_former(life("p1", SECOND))
-        self.assertEqual(["sent", "cut"], heard.said)
+        self.assertEqual(["sent", "cut"], observer.calls)
 
     @inlineCallbacks
     def test_a_request_sent_after_a_connection_failure_is_kept(self):
         lost = self.send(is_new=True)
         first = yield self.arrived()
         first.transport.abortConnection()
-        yield self.eventually(lambda: "cut" in lost.said)
-        heard = self.send(is_new=True)
+        yield self.eventually(lambda: "cut" in lost.calls)
+        observer = self.send(is_new=True)
         second = yield self.arrived(place=1)
         self.caller.end_former(life("p1", SECOND))
         second.answer()
-        yield self.eventually(lambda: "done" in heard.said)
+        yield self.eventually(lambda: "done" in observer.calls)
         yield self.eventually(lambda: second.is_closed)
 
     @inlineCallbacks
@@ -242,31 +242,31 @@
         lost = self.send(is_new=True)
         second = yield self.arrived(place=1)
         second.transport.abortConnection()
-        yield self.eventually(lambda: "cut" in lost.said)
+        yield self.eventually(lambda: "cut" in lost.calls)
         self.caller.end_former(life("p1", SECOND))
-        self.assertEqual(["sent", "cut"], early.said)
+        self.assertEqual(["sent", "cut"], early.calls)
 
     @inlineCallbacks
     def test_a_request_kept_once_is_aborted_with_the_next_incarnation(self):
         lost = self.send(is_new=True)
         first = yield self.arrived()
         first.transport.abortConnection()
-        yield self.eventually(lambda: "cut" in lost.said)
-        heard = self.send(is_new=True)
+        yield self.eventually(lambda: "cut" in lost.calls)
+        observer = self.send(is_new=True)
         yield self.arrived(place=1)
         self.caller.end_former(life("p1", SECOND))
-        self.assertEqual(["sent"], heard.said)
+        self.assertEqual(["sent"], observer.calls)
         self.caller.end_former(life("p1", THIRD))
-        self.assertEqual(["sent", "cut"], heard.said)
+        self.assertEqual(["sent", "cut"], observer.calls)
 
     @inlineCallbacks
     def test_idle_limits_learned_from_a_former_incarnation_are_discarded(self):
-        kept = yield self.keep_one()
+        idle = yield self.leave_idle_connection()
         yield deferLater(reactor, 0.15, lambda: None)
-        heard = self.send()
-        yield self.eventually(lambda: kept.data.count(b"\r\n\r\n") == 2)
-        kept.transport.abortConnection()
-        yield self.eventually(lambda: "cut" in heard.said)
+        observer = self.send()
+        yield self.eventually(lambda: idle.data.count(b"\r\n\r\n") == 2)
+        idle.transport.abortConnection()
+        yield self.eventually(lambda: "cut" in observer.calls)
         limit = self.caller._rest_limit
         self.assertFalse(limit.allows(0.1, reactor.seconds()))
         self.caller.end_former(life("p1", SECOND))
--- a/tests/support/entry_site.py
+++ b/tests/support/entry_site.py
@@ -1,4 +1,4 @@
-"""Entry routers over loopback sockets, and what they are given to work with."""
+"""Settings, configuration and collaborators of entry routers on loopback sockets."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Caller(Protocol):
-    """A raw connection to the router."""
+    """A raw caller connection to the router."""
 
     def __init__(self):
         self.data = b""
@@ -38,35 +38,35 @@
 
     def dataReceived(self, data):
         self.data += data
-        self._look()
+        self._check_waiting()
 
     def connectionLost(self, reason=None):
         self.is_closed = True
-        self._look()
+        self._check_waiting()
 
     def until(self, test):
         done = Deferred()
         self._waiting.append((test, done))
-        self._look()
+        self._check_waiting()
         return done
 
-    def _look(self):
+    def _check_waiting(self):
         for item in list(self._waiting):
             if item[0](self):
                 self._waiting.remove(item)
                 item[1].callback(self)
 
     def answered(self, ending=b""):
-        """Wait for an answer that ends with some bytes, or the close."""
+        """Wait for an answer that ends with given bytes, or for the close."""
         return self.until(lambda c: c.is_closed or (c.data and c.data.endswith(ending)))
 
 
 @inlineCallbacks
 def ask(router, request):
-    """Send a request on a connection of its own that it closes; return the answer."""
+    """Send a request that closes its own new connection; return the raw answer."""
     bound = router.bound[router._settings.callers]
-    way = TCP4ClientEndpoint(reactor, bound.address, bound.port)
-    caller = yield connectProtocol(way, Caller())
+    client = TCP4ClientEndpoint(reactor, bound.address, bound.port)
+    caller = yield connectProtocol(client, Caller())
     caller.transport.write(request)
     yield caller.until(lambda c: c.is_closed)
     return caller.data
@@ -119,7 +119,7 @@
 
 
 def target_entry(service, address, **fields):
-    """Return a target's entry with all fields that it must have."""
+    """Return a target's entry with all required fields."""
     return {
         "service": service,
         "address": address,
@@ -131,11 +131,11 @@
 
 
 def router_settings(name="r1", **fields):
-    """Return settings of a router whose ports the system chooses."""
+    """Return settings of a router with ports chosen by the system."""
     values = {
         "name": name,
         "domain": "a",
-        # Addresses of their own, since the system chooses all ports.
+        # Distinct addresses, because the port is 0 in all of them.
         "callers": Endpoint("127.0.0.2", 0),
         "readiness": Endpoint("127.0.0.3", 0),
         "metrics": Endpoint("127.0.0.4", 0),
@@ -152,7 +152,7 @@
 
 
 def router_watches(targets_wait=0.3):
-    """Return what a router follows in the store, with short waits."""
+    """Return the store prefixes that a router watches, with short waits."""
     return EntryWatches(
         configuration=WatchedPrefix(
             records.CONFIGURATION, 0.3, reads_after_failure=True
@@ -163,7 +163,7 @@
 
 
 def router_parts(store, name, events, reread, *, caches=None, early=None):
-    """Return what a router is built with; its events go to a list."""
+    """Return the collaborators of a router; its events are appended to a list."""
     log = EventLog(name)
     log.emit = lambda event, **said: events.append((event.name, said))
     return EntryParts(
--- a/tests/support/harm_fleet.py
+++ b/tests/support/harm_fleet.py
@@ -1,10 +1,9 @@
-"""Entry routers before targets that end under some requests, on one clock.
+"""Simulation of entry routers and targets that end under some requests, on one clock.
 
-The pattern it plays: requests that end what runs them come again and again, at any
-router and under new ids, among those of many other callers. A target that ends takes
-all that it has in hand with it; another one starts in its place some seconds later.
-Routers are the product's own choice, attempts, news and watch; sockets, targets and
-callers are stand-ins.
+Harmful requests arrive repeatedly at any router and with new ids, among those of many
+other callers. A target that ends aborts all its requests, and a replacement starts some
+seconds later. The target choice, attempts, state exchange and harm monitor of the
+routers are the real ones; sockets, targets and callers are simulated.
 """
 
 from __future__ import annotations
@@ -38,15 +37,15 @@
 from support.router_fleet import FleetRouter
 
 HARMFUL = b"harmful "
-# Seconds of work after which a target ends, at the least and the most.
+# Minimum and maximum time for which a target runs a harmful request before it ends.
 ENDS_AFTER = (0.05, 0.4)
-# The same after an answer.
+# The same where it answers the request first.
 ENDS_AFTER_ANSWER = (0.03, 0.1)
-# Seconds until the entry of a target that has ended is gone, and until another
-# target starts in its place.
-LAPSE_SECONDS = 3.3
+# Seconds until the entry of an ended target is removed, and until a replacement
+# starts.
+ENTRY_REMOVAL_SECONDS = 3.3
 START_SECONDS = (2.5, 4.5)
-# Seconds that the work on other requests takes in the mean.
+# Mean duration of other requests in seconds.
 WORK_SECONDS = 0.7
 DEADLINE_SECONDS = 6.0
 ROUTE = Route(
@@ -67,7 +66,7 @@
 
 
 class Sink(CallerSink):
-    """A caller that keeps what it was told at last."""
+    """A caller that records the result."""
 
     def __init__(self):
         self.refusal = None
@@ -90,7 +89,7 @@
 
 
 class WorkingTarget:
-    """A target: what it has in hand."""
+    """A target and its requests in flight."""
 
     def __init__(self, name):
         self.name = name
@@ -187,7 +186,7 @@
 
 
 class HarmRouter(FleetRouter):
-    """A router with all that decides about its requests."""
+    """A router with all parts that decide about its requests."""
 
     def _build_news(self, incarnation):
         self.events = self.fleet.events
@@ -238,16 +237,17 @@
 
 
 class HarmFleet(Fleet):
-    """Routers, targets that end, and callers.
+    """Routers, targets that may end, and callers.
 
     Parameters
     ----------
     routers, targets : int
-        How many.
+        Number of routers and of targets.
     rate : float
-        Harmless requests a second, of which a share has one popular content.
+        Harmless requests per second; a share of them has one of three common
+        contents.
     seed : int
-        Of all chance.
+        Seed of all random choices.
     """
 
     router_class = HarmRouter
@@ -263,7 +263,7 @@
         self.popular_share = 0.1
         self.refused_harmless = 0
         self.harmless = 0
-        # Whether harmful requests are answered whole before their target ends.
+        # Whether harmful requests are answered completely before their target ends.
         self.answers_first = False
         super().__init__(routers, targets, domains, rate, seed, settings=settings)
 
@@ -273,12 +273,12 @@
         super().add_target(name, number, delay)
 
     def begin(self):
-        """Let harmless callers come, once targets are listed."""
+        """Start harmless requests, once targets are listed."""
         self.run(1.0)
-        self._harmless()
+        self._send_harmless()
 
-    def _harmless(self):
-        self.clock.callLater(self.rng.expovariate(self.rate), self._harmless)
+    def _send_harmless(self):
+        self.clock.callLater(self.rng.expovariate(self.rate), self._send_harmless)
         self.harmless += 1
         if self.rng.random() < self.popular_share:
             body = b"popular %d" % self.rng.randrange(3)
@@ -292,7 +292,7 @@
         if outcome == "refused: held_back":
             self.refused_harmless += 1
         elif outcome != "answered" and attempt == 1:
-            # Its caller tries once more, as a new request.
+            # The caller retries once, as a new request.
             request = call.request
             self.clock.callLater(
                 self.rng.uniform(0.1, 0.5),
@@ -302,11 +302,11 @@
                 lambda *ended: self._harmless_ended(*ended, attempt=2),
             )
 
-    def harm_again_and_again(self, body, rate, organisation="org-0"):
-        """Have a harmful request come from now on."""
+    def send_harmful_repeatedly(self, body, rate, organisation="org-0"):
+        """Send a harmful request repeatedly from now on."""
         self.clock.callLater(
             self.rng.expovariate(rate),
-            self.harm_again_and_again,
+            self.send_harmful_repeatedly,
             body,
             rate,
             organisation,
@@ -314,7 +314,7 @@
         self.ask(HARMFUL + body, organisation, lambda *_: None)
 
     def ask(self, body, organisation, ended):
-        """Send a request to a router that is up."""
+        """Send a request to a random running router."""
         router = self.rng.choice([each for each in self.routers if each.is_up])
         now = self.clock.seconds()
         self.ids += 1
@@ -337,7 +337,7 @@
         ForwardedCall(request, Sink(), router.tools, ended).start(now)
 
     def arrived(self, run):
-        """Have a target begin to work."""
+        """Start a request at its target."""
         target = run.target
         if not target.is_up:
             run.cut()
@@ -356,7 +356,7 @@
             self.clock.callLater(self.rng.expovariate(1 / WORK_SECONDS), run.done)
 
     def end_target(self, target, body=b""):
-        """Have a target end with all that it has in hand."""
+        """End a target together with all its requests in flight."""
         if not target.is_up:
             return
         target.is_up = False
@@ -366,21 +366,21 @@
                 self.ends.setdefault(harmful, []).append(self.clock.seconds())
         for run in on_board:
             self.clock.callLater(LINK_SECONDS, run.cut)
-        self.clock.callLater(LAPSE_SECONDS, self._lapse, target.name)
+        self.clock.callLater(ENTRY_REMOVAL_SECONDS, self._remove_entry, target.name)
         self.clock.callLater(self.rng.uniform(*START_SECONDS), self._start_another)
 
-    def _lapse(self, name):
+    def _remove_entry(self, name):
         for router in self.routers:
             self._delist(router, name)
 
     def _start_another(self):
         self.add_target(f"target-{self.next_number}", self.next_number)
 
-    def sent_after(self, body, ends, seconds):
+    def arrivals_after(self, body, ends, seconds):
         """Return how often a harmful request arrived after some ends and seconds.
 
-        Those of routers that have run for so many seconds count: one that has just
-        started hears of it meanwhile.
+        Only arrivals from routers that have run for that many seconds count, because
+        a router that has just started is still receiving the reports.
         """
         times = self.ends.get(HARMFUL + body, [])
         if len(times) < ends:
--- a/tests/support/router_site.py
+++ b/tests/support/router_site.py
@@ -1,4 +1,4 @@
-"""Tests of routers with a store and plain targets over loopback sockets."""
+"""Base class of tests with routers, a store and targets on loopback sockets."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RouterSiteTest(LiveTest):
-    """A store with a configuration, and whatever routers and targets a test starts."""
+    """Provides a store with a configuration; tests start routers and targets."""
 
     run_tests_with = DeploymentRunTest.make_factory(timeout=60.0)
 
@@ -35,7 +35,7 @@
         self.asked = 0
 
     def start_target(self, script, **fields):
-        """Have a plain target listen and be listed; return its entry."""
+        """Start a portal target, list it in the store and return its entry."""
         port = reactor.listenTCP(0, UsersEngine(script), interface=LOOPBACK)
         self.addCleanup(port.stopListening)
         address = f"{LOOPBACK}:{port.getHost().port}"
@@ -52,7 +52,7 @@
         return router
 
     def knows(self, router, targets):
-        """Tell whether a router is ready and knows so many targets."""
+        """Return whether a router is ready and knows a given number of targets."""
         return router.is_ready and len(router._knowledge.targets) == targets
 
     @inlineCallbacks
@@ -61,10 +61,10 @@
             if test():
                 return
             yield deferLater(reactor, 0.01, lambda: None)
-        self.fail("it did not come about")
+        self.fail("condition not met within 8 s")
 
     def ask(self, router):
-        """Send a plain request of a name of its own; return the answer."""
+        """Send a plain request with a new id; return the raw answer."""
         self.asked += 1
         headers = b"Connection: close\r\n"
         return ask(router, text(headers=headers, rid=b"r%d" % self.asked))
