--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -103,9 +103,9 @@
 LIST_POLL_SECONDS = 0.005
 MAX_LIST_WAIT_SECONDS = 0.05
 # A router that has not reached the store for this long, while its peers still reach it,
-# sends its callers to them. The load balancer needs up to 3 s to move them,
-# and keys may be accepted for 5 s. In an outage that affects all routers, they notice
-# it up to 2 s apart.
+# sends its callers to them. The load balancer needs up to 3 s to move the callers, and
+# keys may be accepted for 5 s. In an outage that affects all routers, they notice it up
+# to 2 s apart.
 STORE_LOST_SECONDS = 1.0
 # The settings file is polled because it may change without a signal. Reading its 2 KB
 # takes 0.1 ms.
@@ -320,19 +320,19 @@
         self._close()
         self._log.emit(Event.PROCESS_STOPPED, took=round(self._now() - began, 2))
 
-    def reload(self, *, is_asked: bool = True) -> None:
+    def reload(self, *, is_requested: bool = True) -> None:
         """Read the settings file again; an invalid file changes nothing.
 
         Parameters
         ----------
-        is_asked : bool
+        is_requested : bool
             Whether a reload was requested. If not, only changes and new errors are
             logged.
         """
         try:
             settings = self._dependencies.reread()
         except PrimrosescaleError as error:
-            if is_asked or str(error) != self._settings_error:
+            if is_requested or str(error) != self._settings_error:
                 self._log.emit(Event.SETTINGS_REFUSED, detail=str(error))
             self._settings_error = str(error)
             return
@@ -355,7 +355,7 @@
             self._harmful_requests.configure(settings.harm)
             self._cold_targets.configure(settings.cold)
             self._budgets.clear()
-        if is_asked or is_changed:
+        if is_requested or is_changed:
             self._log.emit(Event.SETTINGS_RELOADED, is_changed=is_changed)
 
     def _close(self) -> None:
@@ -377,8 +377,8 @@
     def _serve_held_requests(self) -> None:
         """Serve the requests that arrived before the store had been read."""
         self._hold_until = 0.0
-        early, self._held_requests = self._held_requests, []
-        for request in early:
+        waiting, self._held_requests = self._held_requests, []
+        for request in waiting:
             if not request.is_disconnected:
                 self._serve(request)
 
@@ -389,16 +389,18 @@
             request.method, request.uri, headers
         )
         body = request.content.getvalue()
-        judged = self._resolver.judge(head, body, self._knowledge.table, now)
+        resolved = self._resolver.judge(head, body, self._knowledge.table, now)
         if len(self._calls) >= self._settings.most_requests:
-            judged = Refusal.ROUTER_FULL
+            resolved = Refusal.ROUTER_FULL
         sink = self._sink(request, head.request_id)
-        if isinstance(judged, Refusal):
+        if isinstance(resolved, Refusal):
             forward = self._settings.forward
-            sink.refuse(judged, forward.come_back_after(judged, self._dependencies.rng))
-            self._log_refused(judged, head, now)
+            sink.refuse(
+                resolved, forward.come_back_after(resolved, self._dependencies.rng)
+            )
+            self._log_refused(resolved, head, now)
             return
-        call = ForwardedCall(judged, sink, self._forwarding, self._call_ended)
+        call = ForwardedCall(resolved, sink, self._forwarding, self._call_ended)
         self._calls.add(call)
         request.attach_call(call)
         sink.apply_backpressure(call)
@@ -508,7 +510,7 @@
         )
 
     def _start_span(self, name: str, traceparent: str) -> Hop:
-        """Start a hop of a trace; tracing is imported for the first traced request."""
+        """Start a span; tracing is imported for the first traced request."""
         if not traceparent:
             return NO_HOP
         if self._tracing is None:
@@ -539,7 +541,7 @@
         listed = self._registry.routers
         return ASSUMED_ROUTERS if listed is None else listed
 
-    def _list_routers(self, now: float) -> None:
+    def _set_routers(self, now: float) -> None:
         """Divide the rates that all routers share among the routers listed now."""
         if self._registry.routers is None:
             return
@@ -566,10 +568,10 @@
         self._target_client.sweep(now)
         if now >= self._next_reread_at:
             self._next_reread_at = now + REREAD_SECONDS
-            self.reload(is_asked=False)
+            self.reload(is_requested=False)
         self._update_cache_limits()
         self._registry.forget_silent(now)
-        self._list_routers(now)
+        self._set_routers(now)
         self._knowledge.look_after(
             self._state_exchange.newest_version(now),
             self._state_exchange.newest_list(),
@@ -588,15 +590,15 @@
             self._lines_dropped += dropped
             self._log.emit(Event.LOG_DROPPED, lines=dropped)
 
-    def _on_first_read(self, patience: float = MAX_LIST_WAIT_SECONDS) -> None:
+    def _on_first_read(self, max_wait: float = MAX_LIST_WAIT_SECONDS) -> None:
         """Read the caches of engines once routes and targets have been read.
 
         The number of routers decides whether caches are read. Their list is requested
         together with that of the targets, so it is awaited for a short time.
         """
-        if self._registry.routers is None and patience > 0:
+        if self._registry.routers is None and max_wait > 0:
             self._reactor.callLater(
-                LIST_POLL_SECONDS, self._on_first_read, patience - LIST_POLL_SECONDS
+                LIST_POLL_SECONDS, self._on_first_read, max_wait - LIST_POLL_SECONDS
             )
             return
         if not self._settings.reads_caches or self._state_exchange.is_relayed:
@@ -622,7 +624,7 @@
         return service is not None and bool(service.cache_tokens)
 
     def _is_isolated(self, now: float) -> bool:
-        """Return whether the store is lost here while its peers still reach it."""
+        """Return whether the store is lost here while peers still reach it."""
         if self._knowledge.lost_for(now) < STORE_LOST_SECONDS:
             return False
         return self._state_exchange.others_reach_store(now)
--- a/src/primrosescale/process/entry/target_list.py
+++ b/src/primrosescale/process/entry/target_list.py
@@ -296,14 +296,14 @@
             self._known[name] = state
             self._generation += 1
 
-    def remove(self, name: str, gone_at: float) -> bool:
+    def remove(self, name: str, removed_at: float) -> bool:
         """Record that the entry of a target was removed.
 
         Parameters
         ----------
         name : str
             Name of the target.
-        gone_at : float
+        removed_at : float
             Earliest time at which the entry may have been removed, in seconds.
 
         Returns
@@ -314,10 +314,10 @@
         known = self._known.get(name)
         if known is None or name in self._forget_at:
             return False
-        held_until = gone_at
+        held_until = removed_at
         if not known.is_leaving:
             held_until += self._drain * RETENTION_SHARE
-            self._delisted[name] = (known, gone_at + RUNS_ON_SECONDS)
+            self._delisted[name] = (known, removed_at + RUNS_ON_SECONDS)
         self._forget_at[name] = held_until
         return True
 
@@ -344,7 +344,7 @@
         return [self._forget(name, now) for name in gone]
 
     def _forget(self, name: str, now: float) -> TargetIncarnation:
-        """Forget a target except for its own statements about itself."""
+        """Forget a target except for its self-reports."""
         state = self._known.pop(name, None) or self._unreadable.pop(name)
         self._self_reports.keep(state.incarnation, state.statements, now)
         return state.incarnation
--- a/src/primrosescale/process/entry/target_restarts.py
+++ b/src/primrosescale/process/entry/target_restarts.py
@@ -50,35 +50,35 @@
         self._metrics = parts.metrics
         self._pending: list[IncarnationStart] = []
 
-    def incarnation_started(self, begun: IncarnationStart) -> None:
+    def incarnation_started(self, start: IncarnationStart) -> None:
         """Handle an incarnation of a target that has become known.
 
         Parameters
         ----------
-        begun : IncarnationStart
+        start : IncarnationStart
             The incarnation, with the one that it replaces.
         """
-        if begun.former is not None:
+        if start.former is not None:
             self._metrics.target_restarted()
             self._log.emit(
                 Event.TARGET_RESTARTED,
-                target=begun.present.name,
-                started_at=begun.present.started_at,
-                former=begun.former.started_at,
-                told_by=begun.told_by,
+                target=start.present.name,
+                started_at=start.present.started_at,
+                former=start.former.started_at,
+                told_by=start.told_by,
             )
         if not self._pending:
             # Deferred until the whole list has been read, so that a request ended at
             # one target is not repeated at another that has ended too.
             self._reactor.callLater(0, self._end_former)
-        self._pending.append(begun)
+        self._pending.append(start)
 
     def _end_former(self) -> None:
         known, self._pending = self._pending, []
-        for begun in known:
+        for start in known:
             # Also without a former incarnation: a target that was forgotten in the
             # meantime may still have requests in flight.
-            self._target_client.end_former(begun.present)
-            if begun.former is not None:
-                self._prefix_index.forget_target(begun.former)
-                self._on_end(begun.former)
+            self._target_client.end_former(start.present)
+            if start.former is not None:
+                self._prefix_index.forget_target(start.former)
+                self._on_end(start.former)
