--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -1,4 +1,10 @@
-"""The router on a platform where it calls its targets itself."""
+"""The entry router: accepts callers' HTTP requests and forwards them to targets.
+
+It is used on platforms where routers connect to targets directly. `EntryRouter` wires
+the parts together and decides when the process is ready, when it sends callers to its
+peers, and how it stops. Which target a request goes to is decided in
+`primrosescale.request`.
+"""
 
 from __future__ import annotations
 
@@ -18,8 +24,8 @@
 from primrosescale.exceptions import PrimrosescaleError
 from primrosescale.process.entry.cache_learning import CacheLearning
 from primrosescale.process.entry.cache_shares import CacheShares
-from primrosescale.process.entry.caller_site import FIRST_LIMITS
-from primrosescale.process.entry.caller_site import CallerConnection
+from primrosescale.process.entry.caller_site import DEFAULT_LIMITS
+from primrosescale.process.entry.caller_site import CallerResponse
 from primrosescale.process.entry.caller_site import EntryFactory
 from primrosescale.process.entry.caller_site import EntryHandler
 from primrosescale.process.entry.harm_news import HarmNews
@@ -33,7 +39,7 @@
 from primrosescale.process.entry.target_list import TARGET
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.process.entry.target_restarts import TargetRestarts
-from primrosescale.process.entry.text_site import Text
+from primrosescale.process.entry.text_site import TextResponse
 from primrosescale.process.entry.text_site import TextSite
 from primrosescale.process.events import Event
 from primrosescale.process.incarnation import new_incarnation
@@ -81,46 +87,49 @@
 PLAIN = b"text/plain"
 METRICS_TYPE = b"text/plain; version=0.0.4"
 HOUSEKEEPING_SECONDS = 0.25
-# The balancer asks once a second and takes a router out after two misses; a
-# new connection may still come a little later.
-STILL_CHOSEN_SECONDS = 2.6
-# Routers that are taken to share the budget of repeats before the list came.
-UNLISTED_ROUTERS = 8
-# A request that comes before the store has been read waits this long: reading
-# takes some 10 ms, and 0.25 s while the store is slow.
-START_PATIENCE = 0.5
-# Many routers learn nothing of caches at their start: what they send where is at
-# its home by hash already.
-# The list of routers tells which holds. It normally comes within the 4 ms that the
-# store takes to answer; callers do not wait for it longer than for caches.
-LIST_PAUSE = 0.005
-LIST_PATIENCE = 0.05
-# A router that alone has not reached the store for this long sends its callers
-# to others. The balancer needs up to 3 s to move them, and keys may be relied
-# on for 5 s; in an outage for all, routers notice up to 2 s apart.
-LOST_SECONDS = 1.0
-# The settings file may change without a signal; reading its 2 KB takes 0.1 ms.
+# The load balancer polls once a second and removes a router after two failed checks.
+# New connections may still arrive shortly afterwards.
+BALANCER_REMOVAL_SECONDS = 2.6
+# Number of routers assumed to share the retry budget until their list has been read.
+ASSUMED_ROUTERS = 8
+# A request that arrives before the store has been read waits up to this long. Reading
+# takes about 10 ms, and 0.25 s while the store is slow.
+MAX_START_WAIT_SECONDS = 0.5
+# Where many routers share a deployment, each skips reading the caches of engines at
+# its start, because it sends prompts to the target that their hash selects anyway.
+# Whether this applies follows from the list of routers, which normally arrives within
+# the 4 ms that the store takes to answer. Callers do not wait for it longer than for
+# the caches.
+LIST_POLL_SECONDS = 0.005
+MAX_LIST_WAIT_SECONDS = 0.05
+# A router that has not reached the store for this long, while its peers still reach it,
+# sends its callers to them. The load balancer needs up to 3 s to move the callers, and
+# keys may be accepted for 5 s. In an outage that affects all routers, they notice it up
+# to 2 s apart.
+STORE_LOST_SECONDS = 1.0
+# The settings file is polled because it may change without a signal. Reading its 2 KB
+# takes 0.1 ms.
 REREAD_SECONDS = 2.0
-# Left before SIGKILL for closing connections.
+# Reserved before SIGKILL for closing connections.
 STOP_MARGIN_SECONDS = 0.5
 
 
-# What shows that a target has ended, besides a refused connection.
-GONE = "entry gone"
+# Evidence that a target has ended, other than a refused connection, for the log.
+ENTRY_GONE = "entry gone"
 STARTED_AGAIN = "started again"
 
 
 class EntryRouter(EntryHandler):
-    """Accepts callers' requests and sends them to targets.
+    """Accepts callers' requests and forwards them to targets.
 
     Parameters
     ----------
     settings : EntrySettings
-        Its settings.
+        Settings of the router.
     watches : EntryWatches
-        What it follows in the store.
+        Store prefixes that it watches.
     parts : EntryParts
-        What it is built with.
+        Its collaborators.
     """
 
     def __init__(
@@ -130,55 +139,57 @@
         parts: EntryParts,
     ) -> None:
         self._settings = settings
-        self._parts = parts
+        self._dependencies = parts
         self._reactor = parts.reactor
         self._log = parts.log
         self._metrics = parts.metrics
         incarnation = new_incarnation()
         freshness = Freshness(settings.revoke)
-        self._caller = HttpTargetCaller(parts.reactor, parts.codec)
-        self._directory = PartDirectory()
+        self._target_client = HttpTargetCaller(parts.reactor, parts.codec)
+        self._prefix_index = PartDirectory()
         restarts = TargetRestarts(
-            self._caller, self._directory, parts, self._target_ended
+            self._target_client, self._prefix_index, parts, self._target_ended
         )
-        targets = TargetList(settings.drain, restarts.began)
+        targets = TargetList(settings.drain, restarts.incarnation_started)
         self._evacuations = Evacuations(self._domains_evacuated)
         self._shares = RouterShares(settings.name)
-        self._cold = ColdTargets(settings.cold, self._shares, self._service)
-        self._room = TargetRoom(self._cold)
-        self._leaving = LeavingNews(targets, parts.log)
-        self._harmful = HarmfulRequests(settings.harm)
-        harm_news = HarmNews(self._harmful, parts.log)
-        self._news = RouterNews(
+        self._cold_targets = ColdTargets(settings.cold, self._shares, self._service)
+        self._availability = TargetRoom(self._cold_targets)
+        self._leaving_exchange = LeavingNews(targets, parts.log)
+        self._harmful_requests = HarmfulRequests(settings.harm)
+        harm_reports = HarmNews(self._harmful_requests, parts.log)
+        self._state_exchange = RouterNews(
             settings.name,
             incarnation,
             targets,
-            self._directory,
+            self._prefix_index,
             freshness,
             settings.domain,
             settings.news,
-            harm_news,
+            harm_reports,
             self._evacuations,
-            self._leaving,
+            self._leaving_exchange,
+        )
+        self._registry = RouterRegistry(
+            settings, incarnation, self._state_exchange, parts
         )
-        self._registry = RouterRegistry(settings, incarnation, self._news, parts)
         shares = CacheShares(
             settings.name,
             targets,
-            self._directory,
-            lambda: self._news.others,
-            self._news.find,
+            self._prefix_index,
+            lambda: self._state_exchange.others,
+            self._state_exchange.find,
         )
-        self._exchange = NewsExchange(
-            self._news,
+        self._exchange_protocol = NewsExchange(
+            self._state_exchange,
             self._version,
             self._is_store_lost,
             lambda: self._knowledge.listed.revision,
             parts,
             shares,
         )
-        self._learning = CacheLearning(
-            shares, self._exchange, targets, self._directory, parts
+        self._cache_discovery = CacheLearning(
+            shares, self._exchange_protocol, targets, self._prefix_index, parts
         )
         self._knowledge = Knowledge(
             settings,
@@ -187,44 +198,46 @@
             freshness,
             targets,
             self._registry,
-            lambda: self._news.asks_often(self._now()),
+            lambda: self._state_exchange.asks_often(self._now()),
             self._evacuations,
         )
-        self._harm = EntryHarmWatch(
-            self._harmful,
-            harm_news,
+        self._harm_monitor = EntryHarmWatch(
+            self._harmful_requests,
+            harm_reports,
             targets,
-            self._caller,
+            self._target_client,
             parts,
-            self._exchange.tell_soon,
+            self._exchange_protocol.tell_soon,
         )
         self._budgets: dict[str, RepeatBudget] = {}
-        self._gate = Gate(self._knowledge.freshness, settings.certain_for, parts.rng)
-        self._tools = ForwardTools(
+        self._resolver = Gate(
+            self._knowledge.freshness, settings.certain_for, parts.rng
+        )
+        self._forwarding = ForwardTools(
             settings=settings.forward,
             clock=parts.reactor,
             rng=parts.rng,
-            caller=self._caller,
+            caller=self._target_client,
             chooser=TargetChooser(
                 settings.choice,
-                self._directory,
+                self._prefix_index,
                 parts.rng,
-                lambda: self._news.age(self._now()),
-                lambda: self._news.is_relayed,
-                self._room,
+                lambda: self._state_exchange.age(self._now()),
+                lambda: self._state_exchange.is_relayed,
+                self._availability,
                 targets.unlisted_of,
                 self._shares.own_tokens,
             ),
-            parts=self._directory,
+            parts=self._prefix_index,
             states_of=targets.of_service,
             budget_of=self._budget_of,
             routers=self._routers,
-            parts_changed=self._exchange.tell_soon,
-            start_hop=self._start_hop,
+            parts_changed=self._exchange_protocol.tell_soon,
+            start_hop=self._start_span,
             silence_judged=self._silence_judged,
-            statement_made=self._statement_made,
-            harm=self._harm,
-            room=self._room,
+            statement_made=self._self_report_received,
+            harm=self._harm_monitor,
+            room=self._availability,
             regions=settings.regions,
         )
         self._tracing: Tracing | None = None
@@ -232,42 +245,43 @@
         self._calls: set[ForwardedCall] = set()
         self._ports: dict[Endpoint, Any] = {}
         self._is_stopping = False
-        self._early: list[EntryRequest] = []
-        self._patient_until = 0.0
+        self._held_requests: list[EntryRequest] = []
+        self._hold_until = 0.0
         self._was_ready = False
         self._housekeeping: Timer | None = None
         self._lines_dropped = 0
-        self._settings_fault = ""
-        # Version and list of targets by which the directory was last limited.
-        self._limited = (0, 0)
-        self._reread_at = self._now() + REREAD_SECONDS
+        self._settings_error = ""
+        # Configuration version and target list generation for which the targets' cache
+        # limits were last set.
+        self._limits_applied_for = (0, 0)
+        self._next_reread_at = self._now() + REREAD_SECONDS
 
     @property
     def limits(self) -> CallerLimits:
-        """Return the limits in force."""
+        """Return the limits on connections and requests that are in force."""
         table = self._knowledge.table
-        return FIRST_LIMITS if table is None else table.limits
+        return DEFAULT_LIMITS if table is None else table.limits
 
     @property
     def bound(self) -> dict[Endpoint, Endpoint]:
-        """Return where it listens, by the endpoints of the settings."""
+        """Return the actual addresses it listens on, by the configured endpoints."""
         hosts = {wanted: port.getHost() for wanted, port in self._ports.items()}
         return {
             wanted: Endpoint(host.host, host.port) for wanted, host in hosts.items()
         }
 
     @property
-    def sends_callers_away(self) -> bool:
-        """Tell whether connections are to end with their next answer."""
-        return self._is_stopping or self._is_cut_off(self._now())
+    def closes_connections(self) -> bool:
+        """Return whether connections are to be closed after their next response."""
+        return self._is_stopping or self._is_isolated(self._now())
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether callers should be sent here."""
+        """Return whether the load balancer should send callers to this router."""
         return not self._unready_reason(self._now())
 
     def start(self) -> None:
-        """Listen, and follow the store."""
+        """Start listening and watching the store."""
         settings = self._settings
         self._listen(settings.readiness, TextSite(self._readiness))
         if settings.metrics is not None:
@@ -275,54 +289,55 @@
         self._listen_for_callers(settings.callers)
         links = settings.links
         self._ports[links] = self._reactor.listenUDP(
-            links.port, self._exchange, links.address
+            links.port, self._exchange_protocol, links.address
         )
         self._registry.start(self.bound[links])
-        self._patient_until = self._now() + START_PATIENCE
-        self._reactor.callLater(START_PATIENCE, self._serve_early)
-        self._knowledge.start(self._learned)
-        self._keep_house()
+        self._hold_until = self._now() + MAX_START_WAIT_SECONDS
+        self._reactor.callLater(MAX_START_WAIT_SECONDS, self._serve_held_requests)
+        self._knowledge.start(self._on_first_read)
+        self._run_housekeeping()
         self._log.emit(Event.PROCESS_STARTED, host=settings.name)
 
     @inlineCallbacks
     def stop(self) -> Generator[Any, Any, None]:
-        """Stop without cutting a request, as far as the time allows."""
+        """Stop after the requests in flight have ended, as far as the time allows."""
         began = self._now()
         self._is_stopping = True
         self._log.emit(Event.PROCESS_STOPPING, under_way=len(self._calls))
         latest = began + self._settings.stop_within - STOP_MARGIN_SECONDS
-        yield self._pause(STILL_CHOSEN_SECONDS)
+        yield self._sleep(BALANCER_REMOVAL_SECONDS)
         self._ports.pop(self._settings.callers).stopListening()
         while self._now() < latest:
             self._factory.close_idle()
             if not self._calls and not self._factory.open_channels:
                 break
-            yield self._pause(0.05)
+            yield self._sleep(0.05)
         if self._calls:
             self._log.emit(Event.STOP_CUT, requests=len(self._calls))
         self._knowledge.stop()
-        self._exchange.stop()
+        self._exchange_protocol.stop()
         yield self._registry.stop()
         self._close()
         self._log.emit(Event.PROCESS_STOPPED, took=round(self._now() - began, 2))
 
-    def reload(self, *, is_asked: bool = True) -> None:
-        """Take in the settings file anew; a bad one changes nothing.
+    def reload(self, *, is_requested: bool = True) -> None:
+        """Read the settings file again; an invalid file changes nothing.
 
         Parameters
         ----------
-        is_asked : bool
-            Whether somebody asked; otherwise only news is logged.
+        is_requested : bool
+            Whether a reload was requested. If not, only changes and new errors are
+            logged.
         """
         try:
-            settings = self._parts.reread()
+            settings = self._dependencies.reread()
         except PrimrosescaleError as error:
-            if is_asked or str(error) != self._settings_fault:
+            if is_requested or str(error) != self._settings_error:
                 self._log.emit(Event.SETTINGS_REFUSED, detail=str(error))
-            self._settings_fault = str(error)
+            self._settings_error = str(error)
             return
-        self._settings_fault = ""
-        # It goes on listening where it does; other addresses need a restart.
+        self._settings_error = ""
+        # The listening addresses stay; changing them requires a restart.
         settings = replace(
             settings,
             callers=self._settings.callers,
@@ -334,74 +349,80 @@
         if is_changed:
             self._settings = settings
             self._knowledge.configure(settings)
-            self._gate.configure(settings.certain_for)
-            self._tools.configure(settings.forward, settings.choice)
-            self._tools.regions = settings.regions
-            self._harmful.configure(settings.harm)
-            self._cold.configure(settings.cold)
+            self._resolver.configure(settings.certain_for)
+            self._forwarding.configure(settings.forward, settings.choice)
+            self._forwarding.regions = settings.regions
+            self._harmful_requests.configure(settings.harm)
+            self._cold_targets.configure(settings.cold)
             self._budgets.clear()
-        if is_asked or is_changed:
+        if is_requested or is_changed:
             self._log.emit(Event.SETTINGS_RELOADED, is_changed=is_changed)
 
     def _close(self) -> None:
-        """Let go of everything, whether or not the stop was planned."""
+        """Stop timers and close all ports, after a planned stop or without one."""
         cancel_timer(self._housekeeping)
-        # Its rounds would go on without a port to send from.
-        self._exchange.stop()
+        # Otherwise its rounds would continue without a port to send from.
+        self._exchange_protocol.stop()
         for port in self._ports.values():
             port.stopListening()
         self._ports.clear()
 
     def handle(self, request: EntryRequest) -> None:
         """Answer or forward a request; see `EntryHandler.handle`."""
-        if self._now() >= self._patient_until:
+        if self._now() >= self._hold_until:
             self._serve(request)
         else:
-            self._early.append(request)
-
-    def _serve_early(self) -> None:
-        """Serve the requests that came before the first knowledge."""
-        self._patient_until = 0.0
-        early, self._early = self._early, []
-        for request in early:
-            if not request.is_gone:
+            self._held_requests.append(request)
+
+    def _serve_held_requests(self) -> None:
+        """Serve the requests that arrived before the store had been read."""
+        self._hold_until = 0.0
+        waiting, self._held_requests = self._held_requests, []
+        for request in waiting:
+            if not request.is_disconnected:
                 self._serve(request)
 
     def _serve(self, request: EntryRequest) -> None:
         now = self._now()
         headers: Any = request.requestHeaders
-        head = self._parts.codec.caller_head(request.method, request.uri, headers)
+        head = self._dependencies.codec.caller_head(
+            request.method, request.uri, headers
+        )
         body = request.content.getvalue()
-        judged = self._gate.judge(head, body, self._knowledge.table, now)
+        resolved = self._resolver.judge(head, body, self._knowledge.table, now)
         if len(self._calls) >= self._settings.most_requests:
-            judged = Refusal.ROUTER_FULL
+            resolved = Refusal.ROUTER_FULL
         sink = self._sink(request, head.request_id)
-        if isinstance(judged, Refusal):
+        if isinstance(resolved, Refusal):
             forward = self._settings.forward
-            sink.refuse(judged, forward.come_back_after(judged, self._parts.rng))
-            self._log_refused(judged, head, now)
+            sink.refuse(
+                resolved, forward.come_back_after(resolved, self._dependencies.rng)
+            )
+            self._log_refused(resolved, head, now)
             return
-        call = ForwardedCall(judged, sink, self._tools, self._ended)
+        call = ForwardedCall(resolved, sink, self._forwarding, self._call_ended)
         self._calls.add(call)
-        request.answered_by(call)
-        sink.paced_by(call)
+        request.attach_call(call)
+        sink.apply_backpressure(call)
         call.start(now)
 
     def too_large(self, request: EntryRequest) -> None:
-        """Answer a request that is too large; see `EntryHandler.too_large`."""
+        """Refuse a request that is too large; see `EntryHandler.too_large`."""
         self._sink(request, "").refuse(Refusal.TOO_LARGE, None)
         headers: Any = request.requestHeaders
-        head = self._parts.codec.caller_head(b"", b"", headers)
+        head = self._dependencies.codec.caller_head(b"", b"", headers)
         self._log_refused(Refusal.TOO_LARGE, head, self._now())
 
-    def _sink(self, request: EntryRequest, request_id: str) -> CallerConnection:
+    def _sink(self, request: EntryRequest, request_id: str) -> CallerResponse:
         def headers(
             refusal: Refusal,
             retry_after: float | None,
         ) -> list[tuple[bytes, bytes]]:
-            return self._parts.codec.refusal_headers(refusal, request_id, retry_after)
+            return self._dependencies.codec.refusal_headers(
+                refusal, request_id, retry_after
+            )
 
-        return CallerConnection(request, self, headers)
+        return CallerResponse(request, self, headers)
 
     def _log_refused(self, refusal: Refusal, head: CallerHead, now: float) -> None:
         self._metrics.refused(refusal.name.lower())
@@ -417,7 +438,7 @@
             knowledge_age=self._knowledge.rounded_age(now),
         )
 
-    def _ended(self, call: ForwardedCall, outcome: str) -> None:
+    def _call_ended(self, call: ForwardedCall, outcome: str) -> None:
         self._calls.discard(call)
         now = self._now()
         self._metrics.ended(call, outcome, now)
@@ -446,7 +467,7 @@
                     "until": round((item.ended_at or now) - request.received_at, 3),
                     "load": item.load,
                     "mean": item.mean,
-                    "load_age": _told_age(item.load_age),
+                    "load_age": _rounded_load_age(item.load_age),
                     "cached_tokens": item.held,
                     "is_home": item.is_home,
                     "passed_cold": item.passed_cold,
@@ -473,11 +494,11 @@
             verdict=silence.verdict.value,
         )
 
-    def _statement_made(
+    def _self_report_received(
         self, request: IncomingRequest, state: TargetState, head: AnswerHead
     ) -> None:
         if head.is_leaving:
-            self._leaving.note(state.incarnation)
+            self._leaving_exchange.note(state.incarnation)
         self._log.emit(
             Event.TARGET_SAID,
             target=state.target.name,
@@ -488,26 +509,26 @@
             told_by=TARGET,
         )
 
-    def _start_hop(self, name: str, traceparent: str) -> Hop:
-        """Start a hop; the library for it is loaded for the first traced one."""
+    def _start_span(self, name: str, traceparent: str) -> Hop:
+        """Start a span; tracing is imported for the first traced request."""
         if not traceparent:
             return NO_HOP
         if self._tracing is None:
             from primrosescale.process.tracing import Tracing  # noqa: PLC0415
 
-            self._tracing = Tracing(self._log, 0.0, self._parts.rng)
+            self._tracing = Tracing(self._log, 0.0, self._dependencies.rng)
         return self._tracing.start(name, traceparent, may_begin=False)
 
     def _target_ended(self, former: TargetIncarnation) -> None:
-        self._harm.target_ended(former, STARTED_AGAIN, self._now())
+        self._harm_monitor.target_ended(former, STARTED_AGAIN, self._now())
 
-    def _domains_evacuated(self, told: EvacuationList, now: float) -> None:
-        self._knowledge.targets.evacuate(told.domains, now)
+    def _domains_evacuated(self, evacuation_list: EvacuationList, now: float) -> None:
+        self._knowledge.targets.evacuate(evacuation_list.domains, now)
         self._log.emit(
             Event.DOMAINS_EVACUATED,
-            domains=sorted(told.domains),
-            revision=told.revision,
-            told_by=told.told_by,
+            domains=sorted(evacuation_list.domains),
+            revision=evacuation_list.revision,
+            told_by=evacuation_list.told_by,
         )
 
     def _budget_of(self, service: str) -> RepeatBudget:
@@ -518,13 +539,13 @@
 
     def _routers(self) -> int:
         listed = self._registry.routers
-        return UNLISTED_ROUTERS if listed is None else listed
+        return ASSUMED_ROUTERS if listed is None else listed
 
-    def _list_routers(self, now: float) -> None:
-        """Have rates that all routers share divided among those listed now."""
+    def _set_routers(self, now: float) -> None:
+        """Divide the rates that all routers share among the routers listed now."""
         if self._registry.routers is None:
             return
-        others = {router.name for router in self._news.others}
+        others = {router.name for router in self._state_exchange.others}
         names = frozenset({self._settings.name, *others})
         self._shares.list_routers(names, now, was_listed=self._registry.was_listed)
 
@@ -539,77 +560,83 @@
         table = self._knowledge.table
         return 0 if table is None else table.version
 
-    def _keep_house(self) -> None:
+    def _run_housekeeping(self) -> None:
         now = self._now()
         self._housekeeping = self._reactor.callLater(
-            HOUSEKEEPING_SECONDS, self._keep_house
+            HOUSEKEEPING_SECONDS, self._run_housekeeping
         )
-        self._caller.sweep(now)
-        if now >= self._reread_at:
-            self._reread_at = now + REREAD_SECONDS
-            self.reload(is_asked=False)
-        self._limit_caches()
+        self._target_client.sweep(now)
+        if now >= self._next_reread_at:
+            self._next_reread_at = now + REREAD_SECONDS
+            self.reload(is_requested=False)
+        self._update_cache_limits()
         self._registry.forget_silent(now)
-        self._list_routers(now)
+        self._set_routers(now)
         self._knowledge.look_after(
-            self._news.newest_version(now), self._news.newest_list(), now
+            self._state_exchange.newest_version(now),
+            self._state_exchange.newest_list(),
+            now,
         )
         for incarnation in self._knowledge.listed.forget_gone(now):
-            self._directory.forget_target(incarnation)
-            self._harm.target_ended(incarnation, GONE, now)
-            self._caller.forget(incarnation.name)
-            self._cold.forget(incarnation.name)
-        self._note_readiness(now)
-        dropped = self._parts.writer.take_dropped() if self._parts.writer else 0
+            self._prefix_index.forget_target(incarnation)
+            self._harm_monitor.target_ended(incarnation, ENTRY_GONE, now)
+            self._target_client.forget(incarnation.name)
+            self._cold_targets.forget(incarnation.name)
+        self._log_readiness(now)
+        dropped = (
+            self._dependencies.writer.take_dropped() if self._dependencies.writer else 0
+        )
         if dropped:
             self._lines_dropped += dropped
             self._log.emit(Event.LOG_DROPPED, lines=dropped)
 
-    def _learned(self, patience: float = LIST_PATIENCE) -> None:
-        """Take in that routes and targets are known for the first time.
+    def _on_first_read(self, max_wait: float = MAX_LIST_WAIT_SECONDS) -> None:
+        """Read the caches of engines once routes and targets have been read.
 
-        How many routers there are decides whether caches are read; their list
-        was asked for together with that of the targets.
+        The number of routers decides whether caches are read. Their list is requested
+        together with that of the targets, so it is awaited for a short time.
         """
-        if self._registry.routers is None and patience > 0:
-            self._reactor.callLater(LIST_PAUSE, self._learned, patience - LIST_PAUSE)
+        if self._registry.routers is None and max_wait > 0:
+            self._reactor.callLater(
+                LIST_POLL_SECONDS, self._on_first_read, max_wait - LIST_POLL_SECONDS
+            )
             return
-        if not self._settings.reads_caches or self._news.is_relayed:
-            self._learning.skip()
-            self._serve_early()
+        if not self._settings.reads_caches or self._state_exchange.is_relayed:
+            self._cache_discovery.skip()
+            self._serve_held_requests()
             return
-        self._learning.start(self._has_cache, self._serve_early)
+        self._cache_discovery.start(self._has_cache, self._serve_held_requests)
 
-    def _limit_caches(self) -> None:
-        """Take in how much each target holds, whenever that may have changed."""
+    def _update_cache_limits(self) -> None:
+        """Set the cache size of each target, whenever it may have changed."""
         table = self._knowledge.table
         seen = (self._version(), self._knowledge.targets.generation)
-        if table is None or seen == self._limited:
+        if table is None or seen == self._limits_applied_for:
             return
-        self._limited = seen
+        self._limits_applied_for = seen
         for state in self._knowledge.targets.states:
             service = table.service(state.target.service)
             if service is not None:
-                self._directory.limit(state.incarnation, service.cache_tokens)
+                self._prefix_index.limit(state.incarnation, service.cache_tokens)
 
     def _has_cache(self, target: ServingTarget) -> bool:
         service = self._service(target.service)
         return service is not None and bool(service.cache_tokens)
 
-    def _is_cut_off(self, now: float) -> bool:
-        """Tell whether callers are better served by other routers."""
-        if self._knowledge.lost_for(now) < LOST_SECONDS:
+    def _is_isolated(self, now: float) -> bool:
+        """Return whether the store is lost here while peers still reach it."""
+        if self._knowledge.lost_for(now) < STORE_LOST_SECONDS:
             return False
-        return self._news.others_reach_store(now)
+        return self._state_exchange.others_reach_store(now)
 
     def _unready_reason(self, now: float) -> str:
         if self._is_stopping:
             return "stopping"
-        if self._is_cut_off(now):
+        if self._is_isolated(now):
             return "cut off from the store"
         return self._knowledge.missing(now)
 
-    def _note_readiness(self, now: float) -> None:
+    def _log_readiness(self, now: float) -> None:
         if self.is_ready == self._was_ready:
             return
         self._was_ready = not self._was_ready
@@ -620,44 +647,45 @@
             knowledge_age=self._knowledge.rounded_age(now),
         )
 
-    def _readiness(self) -> Text:
+    def _readiness(self) -> TextResponse:
         if self.is_ready:
-            return Text(OK, PLAIN, b"ready\n")
-        return Text(UNAVAILABLE, PLAIN, b"not ready\n")
+            return TextResponse(OK, PLAIN, b"ready\n")
+        return TextResponse(UNAVAILABLE, PLAIN, b"not ready\n")
 
-    def _metrics_text(self) -> Text:
+    def _metrics_text(self) -> TextResponse:
         self._refresh_gauges()
-        return Text(OK, METRICS_TYPE, self._metrics.text())
+        return TextResponse(OK, METRICS_TYPE, self._metrics.text())
 
     def _refresh_gauges(self) -> None:
         now = self._now()
         table = self._knowledge.table
         age = self._knowledge.freshness.age(now)
-        rank = self._news.relay_rank(now)
-        standings = Counter(
-            self._room.standing(state, now) for state in self._knowledge.targets.states
+        rank = self._state_exchange.relay_rank(now)
+        conditions = Counter(
+            self._availability.standing(state, now)
+            for state in self._knowledge.targets.states
         )
         values: dict[str, float] = {
             "version": 0 if table is None else table.version,
             "knowledge_age_seconds": -1.0 if age is None else age,
             "targets": len(self._knowledge.targets),
             "cold_targets": sum(
-                self._cold.is_cold(state, now)
+                self._cold_targets.is_cold(state, now)
                 for state in self._knowledge.targets.states
             ),
-            "leaving_targets": standings[Standing.LEAVING],
-            "resting_targets": standings[Standing.RESTING],
-            "suspect_targets": standings[Standing.SUSPECT],
+            "leaving_targets": conditions[Standing.LEAVING],
+            "resting_targets": conditions[Standing.RESTING],
+            "suspect_targets": conditions[Standing.SUSPECT],
             "evacuated_domains": len(self._evacuations.domains),
             "caller_connections": self._factory.open_channels,
             "requests_under_way": len(self._calls),
-            "peers": self._news.heard_lately(now),
-            "news_bytes": self._exchange.bytes_out,
-            "news_age_seconds": self._news.age(now),
+            "peers": self._state_exchange.heard_lately(now),
+            "news_bytes": self._exchange_protocol.bytes_out,
+            "news_age_seconds": self._state_exchange.age(now),
             "relay_rank": -1.0 if rank is None else rank,
             "store_calls": self._knowledge.store_calls,
-            "requests_held_back": len(self._harmful.held(now)),
-            "requests_suspected": len(self._harmful),
+            "requests_held_back": len(self._harmful_requests.held(now)),
+            "requests_suspected": len(self._harmful_requests),
             "is_ready": float(self.is_ready),
             "log_lines_dropped": self._lines_dropped,
         }
@@ -670,17 +698,17 @@
         )
 
     def _listen_for_callers(self, endpoint: Endpoint) -> None:
-        early = self._parts.early
+        early = self._dependencies.early
         if early is None:
             self._listen(endpoint, self._factory)
             return
         self._ports[endpoint] = self._reactor.adoptStreamPort(
             early.fileno(), socket.AF_INET, self._factory
         )
-        # The reactor listens on a copy.
+        # The reactor listens on a duplicate of the descriptor.
         early.close()
 
-    def _pause(self, seconds: float) -> Deferred[None]:
+    def _sleep(self, seconds: float) -> Deferred[None]:
         result: Deferred[None] = Deferred()
         self._reactor.callLater(seconds, result.callback, None)
         return result
@@ -689,6 +717,6 @@
         return float(self._reactor.seconds())
 
 
-def _told_age(seconds: float) -> float | None:
-    """Return an age as the log has it; None where nothing was ever heard."""
+def _rounded_load_age(seconds: float) -> float | None:
+    """Return a load age rounded for the log; None if no load was ever reported."""
     return round(seconds, 2) if math.isfinite(seconds) else None
--- a/src/primrosescale/process/entry/harm_watch.py
+++ b/src/primrosescale/process/entry/harm_watch.py
@@ -1,11 +1,14 @@
-"""Finds out which targets ended, and so which requests are harmful.
-
-An answer that was lost says little, and so does a whole one whose target ends just
-after. A new connection that is refused says that the target has ended; one that is
-taken says nothing, since the next process may listen at the same address. An answer
-to a request that was sent later says that it lives, as long as a start has an id of
-its own; that another target answers in its place says that it has ended. What cannot
-be told so is told by the list of targets some seconds later.
+"""Detects which targets have ended, to find the requests that end targets.
+
+A lost answer alone proves little, and neither does a complete answer whose target ends
+just afterwards. Further evidence decides:
+
+- A refused new connection shows that the target has ended. An accepted one shows
+  nothing, because the next process may listen at the same address.
+- An answer to a request that was sent later shows that the target still runs, if
+  every start of a target has its own id.
+- An answer by another target at the same address shows that the target has ended.
+- Otherwise, the list of targets shows it some seconds later.
 """
 
 from __future__ import annotations
@@ -38,36 +41,38 @@
     from primrosescale.request.target_incarnation import TargetIncarnation
     from primrosescale.request.target_state import TargetState
 
-# The connections of a target that ends are lost within some milliseconds.
-CHECK_PAUSE = 0.01
-# A check that brought no answer is made again, as long as lost answers wait.
-RECHECK_PAUSE = 1.0
-# Between two looks at which whole answers have been proved by now.
-PROOF_PAUSE = 0.25
-# How it shows that another target listens at the address of one.
+# Delay before a probe: all connections of a target that ends are lost within a few
+# milliseconds.
+PROBE_DELAY_SECONDS = 0.01
+# An inconclusive probe is repeated as long as lost answers are unexplained.
+PROBE_INTERVAL_SECONDS = 1.0
+# Interval at which complete answers are checked for later confirmation that their
+# target survived the request.
+CONFIRMATION_INTERVAL_SECONDS = 0.25
+# Logged as the evidence when another target listens at the address.
 REPLACED = "another in its place"
-# A target that sends so soon after its end has not ended; later it may have started
-# again under its name before the list tells it.
-STILL_LIVES_SECONDS = 1.0
+# A target that sends something within this time of its detected end has not ended.
+# Later it may have restarted under its name before the list of targets shows it.
+END_REVOCABLE_SECONDS = 1.0
 
 
 class EntryHarmWatch(HarmWatch):
-    """Watches the requests of one entry router.
+    """Detects harmful requests among those of one entry router.
 
     Parameters
     ----------
     requests : HarmfulRequests
-        What all reports amount to.
+        Evaluates the reports of all routers.
     news : HarmNews
-        Tells other routers.
+        Exchanges reports with peer routers.
     targets : TargetList
-        Targets and their states.
-    caller : TargetCaller
+        The known targets and their states.
+    target_client : TargetCaller
         Opens connections to targets.
     parts : EntryParts
-        What the router is built with.
+        Collaborators of the router.
     tell_soon : Callable[[], None]
-        Has other routers told without waiting for the next round.
+        Requests an update to peer routers before the next regular round.
     """
 
     def __init__(
@@ -75,104 +80,108 @@
         requests: HarmfulRequests,
         news: HarmNews,
         targets: TargetList,
-        caller: TargetCaller,
+        target_client: TargetCaller,
         parts: EntryParts,
         tell_soon: Callable[[], None],
     ) -> None:
         self._requests = requests
-        self._news = news
+        self._report_exchange = news
         self._targets = targets
-        self._caller = caller
+        self._target_client = target_client
         self._reactor: Any = parts.reactor
         self._log = parts.log
         self._metrics = parts.metrics
-        self._tell_soon = tell_soon
-        news.on_end = self._told_of_end
-        self._lost = LostAnswers()
-        self._fresh = FreshAnswers()
-        self._proving: Timer | None = None
-        # Targets that a connection is being opened to.
-        self._checking: set[int] = set()
-        # When targets were seen to end here, by their short names.
-        self._ended: dict[int, float] = {}
+        self._send_soon = tell_soon
+        news.on_end = self._on_peer_end
+        self._lost_answers = LostAnswers()
+        self._unconfirmed_answers = FreshAnswers()
+        self._confirmation_timer: Timer | None = None
+        # Targets that are being probed by opening a connection, by short name.
+        self._pending_probes: set[int] = set()
+        # When this router detected the end of targets, by short name, in seconds.
+        self._ended_at: dict[int, float] = {}
 
     def held_for(self, request: IncomingRequest, now: float) -> float:
-        """Return how long it is held back; see `HarmWatch.held_for`."""
+        """Return how long a request is held back; see `HarmWatch.held_for`."""
         if not self._requests.may_hold:
             return 0.0
         return self._requests.held_for(request.fingerprint, now)
 
     def sent(self, request: IncomingRequest, now: float) -> None:
-        """Have others not try it besides; see `HarmWatch.sent`."""
+        """Keep peer routers from trying a suspect too; see `HarmWatch.sent`."""
         if not self._requests.may_hold:
             return
-        if self._news.note(LoneTry(request.fingerprint, now), now):
-            self._tell_soon()
+        if self._report_exchange.note(LoneTry(request.fingerprint, now), now):
+            self._send_soon()
 
     def answer_lost(
         self, request: IncomingRequest, state: TargetState, now: float
     ) -> None:
-        """See whether the target has ended; see `HarmWatch.answer_lost`."""
+        """Probe whether the target has ended; see `HarmWatch.answer_lost`."""
         target = state.incarnation
         if state.target.is_draining or not self._targets.is_listed(target.name):
-            # Its end is no surprise, whatever it was working on.
+            # It was expected to end, so its end is no evidence against a request.
             return
         key = target_key(*target)
         fingerprint = request.fingerprint
-        if self._lost.has_ended(key, now):
+        if self._lost_answers.has_ended(key, now):
             self._note_ends([TargetEnd(fingerprint, key, now)], now)
         else:
-            self._lost.lost(fingerprint, key, now)
-            self._check_soon(target, key)
+            self._lost_answers.lost(fingerprint, key, now)
+            self._probe_soon(target, key)
 
     def answered(
         self, request: IncomingRequest, state: TargetState, now: float
     ) -> None:
-        """Have it clear the request once it is proved; see `HarmWatch.answered`."""
+        """Clear the request once its target survived; see `HarmWatch.answered`."""
         self._requests.count_answer(now)
         key = target_key(*state.incarnation)
-        self._fresh.add(FreshAnswer(request.fingerprint, key, now, state))
-        if self._proving is None:
-            self._proving = self._reactor.callLater(PROOF_PAUSE, self._prove)
+        self._unconfirmed_answers.add(FreshAnswer(request.fingerprint, key, now, state))
+        if self._confirmation_timer is None:
+            self._confirmation_timer = self._reactor.callLater(
+                CONFIRMATION_INTERVAL_SECONDS, self._clear_confirmed
+            )
 
     def heard(self, state: TargetState, sent_at: float, now: float) -> None:
-        """Take in that the target lives; see `HarmWatch.heard`."""
-        if not state.incarnation.is_named_by_id or not (self._ended or len(self._lost)):
+        """Record that the target is running; see `HarmWatch.heard`."""
+        if not state.incarnation.is_named_by_id or not (
+            self._ended_at or len(self._lost_answers)
+        ):
             return
         key = target_key(*state.incarnation)
-        self._lost.lived(key, sent_at)
-        ended_at = self._ended.get(key)
+        self._lost_answers.lived(key, sent_at)
+        ended_at = self._ended_at.get(key)
         if ended_at is None:
             return
-        if BUFFERED_SECONDS < now - ended_at < STILL_LIVES_SECONDS:
-            self._ended.pop(key)
+        if BUFFERED_SECONDS < now - ended_at < END_REVOCABLE_SECONDS:
+            self._ended_at.pop(key)
             self._requests.target_lives(key)
 
     def replaced(self, state: TargetState, now: float) -> None:
-        """Take in that the target has ended; see `HarmWatch.replaced`."""
+        """Record that the target has ended; see `HarmWatch.replaced`."""
         if not state.target.is_draining:
             self.target_ended(state.incarnation, REPLACED, now)
 
     def unreached(self, state: TargetState, now: float) -> None:
-        """See whether the target has ended; see `HarmWatch.unreached`."""
+        """Probe whether the target has ended; see `HarmWatch.unreached`."""
         if not state.target.is_draining:
             target = state.incarnation
-            self._check_soon(target, target_key(*target))
+            self._probe_soon(target, target_key(*target))
 
     def target_ended(self, target: TargetIncarnation, how: str, now: float) -> None:
-        """Take in that an incarnation of a target has ended.
+        """Record that an incarnation of a target has ended.
 
         Parameters
         ----------
         target : TargetIncarnation
             The incarnation.
         how : str
-            What showed it.
+            The evidence, for the log.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         key = target_key(*target)
-        lost = self._lost.ended(key, now)
+        lost = self._lost_answers.ended(key, now)
         ends = [TargetEnd(each, key, at) for each, at in lost.items()]
         lost_at = min(lost.values(), default=None)
         answered = self._answered_before_end(key, lost_at, now)
@@ -184,23 +193,26 @@
             Event.TARGET_ENDED, target=target.name, on_board=len(ends), how=how
         )
         self._forget_old(now)
-        self._ended[key] = now
+        self._ended_at[key] = now
         self._note_ends(ends, now)
 
-    def _told_of_end(self, end: TargetEnd, now: float) -> None:
-        """Take in that another router lost an answer when a target ended.
+    def _on_peer_end(self, end: TargetEnd, now: float) -> None:
+        """Handle the report of a peer that a target ended while running a request.
 
-        What this router had on board there it finds out itself; a whole answer just
-        before is the only one that nothing else would remind it of.
+        This router detects by itself that its own requests there were lost. Only for
+        requests that were answered just before the end is the report needed.
         """
         self._note_ends(self._answered_before_end(end.target, end.at, now), now)
 
     def _answered_before_end(
         self, key: int, lost_at: float | None, now: float
     ) -> list[TargetEnd]:
-        """Return the requests that a target answered just before it ended, once."""
+        """Return ends for the requests that a target answered just before its end.
+
+        Earlier answers clear their requests. Each answer is considered once.
+        """
         ends = []
-        for answer in self._fresh.take_at(key):
+        for answer in self._unconfirmed_answers.take_at(key):
             if answer.is_just_before(lost_at):
                 end = TargetEnd(answer.fingerprint, key, answer.at, was_answered=True)
                 ends.append(end)
@@ -208,46 +220,52 @@
                 self._clear(answer, now)
         return ends
 
-    def _check_soon(self, target: TargetIncarnation, key: int) -> None:
-        if key not in self._checking:
-            self._checking.add(key)
-            self._reactor.callLater(CHECK_PAUSE, self._check, target, key)
+    def _probe_soon(self, target: TargetIncarnation, key: int) -> None:
+        if key not in self._pending_probes:
+            self._pending_probes.add(key)
+            self._reactor.callLater(PROBE_DELAY_SECONDS, self._probe, target, key)
 
-    def _check(self, target: TargetIncarnation, key: int) -> None:
+    def _probe(self, target: TargetIncarnation, key: int) -> None:
         now = self._reactor.seconds()
-        if self._lost.is_waiting(key, now) or self._fresh.has_any(key):
-            self._caller.check(target, lambda found: self._checked(target, key, found))
+        if self._lost_answers.is_waiting(key, now) or self._unconfirmed_answers.has_any(
+            key
+        ):
+            self._target_client.check(
+                target, lambda found: self._probed(target, key, found)
+            )
         else:
-            self._checking.discard(key)
+            self._pending_probes.discard(key)
 
-    def _checked(self, target: TargetIncarnation, key: int, found: TargetCheck) -> None:
+    def _probed(self, target: TargetIncarnation, key: int, found: TargetCheck) -> None:
         if found is TargetCheck.UNKNOWN:
-            self._reactor.callLater(RECHECK_PAUSE, self._check, target, key)
+            self._reactor.callLater(PROBE_INTERVAL_SECONDS, self._probe, target, key)
             return
-        self._checking.discard(key)
+        self._pending_probes.discard(key)
         if found is TargetCheck.ENDED:
             self.target_ended(target, found.value, self._reactor.seconds())
 
-    def _prove(self) -> None:
-        """Take in whole answers that prove something by now."""
+    def _clear_confirmed(self) -> None:
+        """Clear the requests whose targets are confirmed to have survived them."""
         now = self._reactor.seconds()
-        for answer in self._fresh.take_proved(now):
+        for answer in self._unconfirmed_answers.take_proved(now):
             self._clear(answer, now)
-        self._proving = None
-        if len(self._fresh):
-            self._proving = self._reactor.callLater(PROOF_PAUSE, self._prove)
+        self._confirmation_timer = None
+        if len(self._unconfirmed_answers):
+            self._confirmation_timer = self._reactor.callLater(
+                CONFIRMATION_INTERVAL_SECONDS, self._clear_confirmed
+            )
 
     def _clear(self, answer: FreshAnswer, now: float) -> None:
-        if self._news.note(WholeAnswer(answer.fingerprint, answer.at), now):
-            self._tell_soon()
+        if self._report_exchange.note(WholeAnswer(answer.fingerprint, answer.at), now):
+            self._send_soon()
 
     def _note_ends(self, ends: list[TargetEnd], now: float) -> None:
         for end in ends:
             self._requests.count_end(now)
-            self._news.note(end, now)
+            self._report_exchange.note(end, now)
         if ends:
-            self._tell_soon()
+            self._send_soon()
 
     def _forget_old(self, now: float) -> None:
-        oldest = now - STILL_LIVES_SECONDS
-        self._ended = {key: at for key, at in self._ended.items() if at >= oldest}
+        oldest = now - END_REVOCABLE_SECONDS
+        self._ended_at = {key: at for key, at in self._ended_at.items() if at >= oldest}
--- a/src/primrosescale/process/entry/target_caller.py
+++ b/src/primrosescale/process/entry/target_caller.py
@@ -1,4 +1,7 @@
-"""Sends requests to targets over HTTP."""
+"""Sends requests to targets over HTTP/1.1 with a pool for each incarnation.
+
+When a target restarts, requests in flight at its former incarnation are aborted.
+"""
 
 from __future__ import annotations
 
@@ -35,40 +38,40 @@
     from primrosescale.request.direct_port import Sending
     from primrosescale.request.serving_target import ServingTarget
 
-# A connection inside a region opens in some milliseconds; a lost opening
-# packet is sent again by the kernel after 1 s, which is too late to wait for.
-CONNECT_TIMEOUT = 0.4
+# A connection within a region opens in a few milliseconds. The kernel retransmits a
+# lost SYN only after 1 s, which is too late to wait for.
+CONNECT_TIMEOUT_SECONDS = 0.4
 STARTED_AGAIN = "target started again"
 
 
-class _Body(Protocol):
-    """Hands the body of an answer to its run."""
+class _BodyReceiver(Protocol):
+    """Passes the body of a response to its request."""
 
-    def __init__(self, run: HttpRun) -> None:
-        self._run = run
+    def __init__(self, in_flight_request: InFlightHttpRequest) -> None:
+        self._in_flight_request = in_flight_request
 
     def dataReceived(self, data: bytes) -> None:
-        """Hand bytes on."""
-        self._run.body_data(data)
+        """Pass on received bytes."""
+        self._in_flight_request.body_data(data)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Tell a whole answer from a cut one."""
-        self._run.body_ended(reason)
+        """Report the end of the body, complete or not."""
+        self._in_flight_request.body_ended(reason)
 
 
-class HttpRun(Run):
-    """A request at one target over HTTP.
+class InFlightHttpRequest(Run):
+    """A request that is sent to one target over HTTP.
 
     Parameters
     ----------
     sending : Sending
         The request.
     observer : RunObserver
-        Told of what becomes of it.
+        Notified of its progress and result.
     codec : EntryCodec
-        Translates headers.
-    life : _Life
-        The life of the target that it goes to.
+        Converts headers.
+    state : _IncarnationState
+        Connections and requests of the incarnation that it goes to.
     clock : Any
         Source of time.
     """
@@ -78,13 +81,13 @@
         sending: Sending,
         observer: RunObserver,
         codec: EntryCodec,
-        life: _Life,
+        state: _IncarnationState,
         clock: Any,
     ) -> None:
         self._sending = sending
         self._observer = observer
         self._codec = codec
-        self._life = life
+        self._state = state
         self._clock = clock
         self._opening: Deferred[TargetChannel] | None = None
         self._channel: TargetChannel | None = None
@@ -92,19 +95,19 @@
         self._is_paused = False
 
     def start(self) -> None:
-        """Send on an idle connection or open one."""
-        self._life.runs.add(self)
+        """Send the request on an idle connection, or open a new one."""
+        self._state.runs.add(self)
         channel = None
         if not self._sending.needs_new_connection:
-            channel = self._life.pool.idle(self._clock.seconds())
+            channel = self._state.pool.idle(self._clock.seconds())
         if channel is not None:
             self._send(channel)
             return
-        self._opening = self._life.pool.open()
+        self._opening = self._state.pool.open()
         self._opening.addCallbacks(self._opened, self._not_opened)
 
     def cancel(self) -> None:
-        """End it at once; see `Run.cancel`."""
+        """Abort the request; see `Run.cancel`."""
         if self._is_over:
             return
         self._end()
@@ -114,13 +117,13 @@
             self._opening.cancel()
 
     def target_ended(self, failed_at: float) -> None:
-        """Take in that the life of the target that it goes to has ended.
+        """Handle the end of the incarnation that the request was sent to.
 
         Parameters
         ----------
         failed_at : float
-            When that life was seen to fail, in seconds. A connection that was
-            opened later leads to the life after it, as far as can be told.
+            When a connection to that incarnation last failed, in seconds. A connection
+            opened later presumably leads to the next incarnation.
         """
         if self._is_over:
             return
@@ -134,41 +137,42 @@
             self._observer.run_not_sent(STARTED_AGAIN)
 
     def pause(self) -> None:
-        """Take no more bytes; see `Run.pause`."""
+        """Stop reading the response; see `Run.pause`."""
         self._is_paused = True
         if self._channel is not None and not self._is_over:
             transport: Any = self._channel.transport
             transport.pauseProducing()
 
     def resume(self) -> None:
-        """Take bytes again; see `Run.resume`."""
+        """Resume reading the response; see `Run.resume`."""
         self._is_paused = False
         if self._channel is not None and not self._is_over:
             transport: Any = self._channel.transport
             transport.resumeProducing()
 
     def body_data(self, data: bytes) -> None:
-        """Hand bytes of the body on."""
+        """Pass on bytes of the body."""
         if not self._is_over:
             self._observer.run_data(data)
 
     def body_ended(self, reason: Failure) -> None:
-        """Take in the end of the body."""
+        """Handle the end of the body."""
         if self._is_over:
             return
         self._end()
         channel = self._channel
         is_whole = bool(reason.check(ResponseDone))
         if reason.check(PotentialDataLoss) and channel is not None:
-            # The body ends with the connection: whole only by orderly close.
+            # The body is delimited by the end of the connection: it is complete only
+            # after an orderly close.
             is_whole = not channel.was_reset
         if not is_whole:
-            self._life.failed_at = self._clock.seconds()
+            self._state.failed_at = self._clock.seconds()
             self._abort()
             self._observer.run_cut(failure_text(reason))
             return
         if channel is not None:
-            self._life.pool.give_back(channel, self._clock.seconds())
+            self._state.pool.give_back(channel, self._clock.seconds())
         self._observer.run_done()
 
     def _opened(self, channel: TargetChannel) -> None:
@@ -181,7 +185,7 @@
     def _not_opened(self, failure: Failure) -> None:
         self._opening = None
         if not self._is_over:
-            self._life.failed_at = self._clock.seconds()
+            self._state.failed_at = self._clock.seconds()
             self._end()
             self._observer.run_not_sent(failure_text(failure))
 
@@ -189,7 +193,7 @@
         self._channel = channel
         request = self._sending.request
         headers = self._codec.target_headers(self._sending)
-        made = Request._construct(  # noqa: SLF001 - the only way past a second pool
+        made = Request._construct(  # noqa: SLF001 - the only way to bypass twisted's own pool
             request.method,
             request.path,
             headers,
@@ -208,37 +212,37 @@
         head = self._codec.answer_head(response.code, response.headers, length)
         self._observer.run_head(head)
         if not self._is_over:
-            response.deliverBody(_Body(self))
+            response.deliverBody(_BodyReceiver(self))
         if self._is_paused:
-            # Twisted reads on when the body is asked for.
+            # Twisted resumes reading when the body is requested.
             self.pause()
 
     def _failed(self, failure: Failure) -> None:
         if self._is_over:
             return
-        self._life.failed_at = self._clock.seconds()
+        self._state.failed_at = self._clock.seconds()
         self._end()
         if self._channel is not None:
-            self._life.pool.lost(self._channel, self._clock.seconds())
+            self._state.pool.lost(self._channel, self._clock.seconds())
         self._abort()
         self._observer.run_cut(failure_text(failure))
 
     def _end(self) -> None:
         self._is_over = True
-        self._life.runs.discard(self)
+        self._state.runs.discard(self)
 
     def _abort(self) -> None:
         if self._channel is not None:
             self._channel.abort_now()
 
 
-class _Life:
-    """Connections to one life of a target, and the requests there.
+class _IncarnationState:
+    """Connections to one incarnation of a target, and the requests sent there.
 
     Parameters
     ----------
     incarnation : TargetIncarnation
-        The life.
+        The incarnation.
     pool : ChannelPool
         Connections to it.
     """
@@ -248,53 +252,56 @@
     def __init__(self, incarnation: TargetIncarnation, pool: ChannelPool) -> None:
         self.incarnation = incarnation
         self.pool = pool
-        self.runs: set[HttpRun] = set()
-        # When a connection last failed or broke, in seconds; infinite for never.
+        self.runs: set[InFlightHttpRequest] = set()
+        # When a connection last failed or was lost, in seconds; infinite for never.
         self.failed_at = math.inf
 
 
 class HttpTargetCaller(TargetCaller):
-    """Sends requests to targets over HTTP, with a pool for each life of one.
+    """Sends requests to targets, with a connection pool for each incarnation.
 
     Parameters
     ----------
     reactor : Any
         Twisted's reactor.
     codec : EntryCodec
-        Translates headers.
+        Converts headers.
     """
 
     def __init__(self, reactor: Any, codec: EntryCodec) -> None:
         self._reactor = reactor
         self._codec = codec
-        # By name of the target, the newest last. Former ones are kept while
-        # requests are under way there.
-        self._lives: dict[str, list[_Life]] = {}
-        # One for all targets: what drops connections is seldom one of them.
+        # By name of the target, the newest incarnation last. Former ones are kept
+        # while requests are in flight there.
+        self._states: dict[str, list[_IncarnationState]] = {}
+        # Shared by all targets: idle connections are rarely dropped by one target
+        # alone, rather by something in front of them.
         self._rest_limit = RestLimit()
 
     def send(self, sending: Sending, observer: RunObserver) -> Run:
         """Send a request; see `TargetCaller.send`."""
-        life = self._life(sending.target)
-        run = HttpRun(sending, observer, self._codec, life, self._reactor)
-        run.start()
-        return run
+        state = self._state(sending.target)
+        in_flight_request = InFlightHttpRequest(
+            sending, observer, self._codec, state, self._reactor
+        )
+        in_flight_request.start()
+        return in_flight_request
 
     def check(
         self, target: TargetIncarnation, on_check: Callable[[TargetCheck], None]
     ) -> None:
-        """See whether a target takes connections; see `TargetCaller.check`."""
-        for life in self._lives.get(target.name, ()):
-            if life.incarnation == target:
-                self._check(life.pool, on_check)
+        """Probe whether a target accepts connections; see `TargetCaller.check`."""
+        for state in self._states.get(target.name, ()):
+            if state.incarnation == target:
+                self._probe(state.pool, on_check)
                 return
         on_check(TargetCheck.UNKNOWN)
 
-    def _check(
+    def _probe(
         self, pool: ChannelPool, on_check: Callable[[TargetCheck], None]
     ) -> None:
         def opened(channel: TargetChannel) -> None:
-            # The next request needs one in place of the connection that was lost.
+            # Kept for the next request, in place of the connection that was lost.
             pool.give_back(channel, self._reactor.seconds())
             on_check(TargetCheck.CONNECTED)
 
@@ -305,52 +312,53 @@
         pool.open().addCallbacks(opened, not_opened)
 
     def end_former(self, present: TargetIncarnation) -> None:
-        """End what is under way at former lives; see `TargetCaller.end_former`."""
+        """Abort requests at former incarnations; see `TargetCaller.end_former`."""
         former = [
-            life
-            for life in self._lives.get(present.name, ())
-            if life.incarnation.is_followed_by(present)
+            state
+            for state in self._states.get(present.name, ())
+            if state.incarnation.is_followed_by(present)
         ]
-        for life in former:
-            life.pool.close()
-        self._unlearn_former(present)
-        for life in former:
-            # What is spared now is at the present life and ends with it.
-            failed_at, life.failed_at = life.failed_at, math.inf
-            for run in list(life.runs):
-                run.target_ended(failed_at)
+        for state in former:
+            state.pool.close()
+        self._forget_former_rest_limits(present)
+        for state in former:
+            # A request that is spared now runs at the present incarnation and ends
+            # with it.
+            failed_at, state.failed_at = state.failed_at, math.inf
+            for in_flight_request in list(state.runs):
+                in_flight_request.target_ended(failed_at)
         self._drop_ended(present.name)
 
     def sweep(self, now: float) -> None:
-        """Close idle connections that are too old.
+        """Close idle connections that are too old to be reused.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
-        for target, lives in list(self._lives.items()):
-            for life in lives:
-                life.pool.sweep(now)
-            if lives[0].pool.is_closed:
+        for target, states in list(self._states.items()):
+            for state in states:
+                state.pool.sweep(now)
+            if states[0].pool.is_closed:
                 self._drop_ended(target)
 
     def forget(self, target: str) -> None:
-        """Close the idle connections of a target that is gone.
+        """Close the idle connections of a target that has been forgotten.
 
         Parameters
         ----------
         target : str
-            Its name.
+            Name of the target.
         """
-        for life in self._lives.get(target, ()):
-            life.pool.close()
+        for state in self._states.get(target, ()):
+            state.pool.close()
         self._drop_ended(target)
 
-    def _life(self, target: ServingTarget) -> _Life:
-        lives = self._lives.setdefault(target.name, [])
-        if lives:
-            last = lives[-1]
+    def _state(self, target: ServingTarget) -> _IncarnationState:
+        states = self._states.setdefault(target.name, [])
+        if states:
+            last = states[-1]
             is_same = last.incarnation == target.incarnation
             if is_same and last.pool.endpoint == target.endpoint:
                 if not last.pool.is_closed:
@@ -360,26 +368,26 @@
         pool = ChannelPool(
             self._reactor,
             target.endpoint,
-            CONNECT_TIMEOUT,
+            CONNECT_TIMEOUT_SECONDS,
             self._rest_limit,
             target.incarnation,
         )
-        life = _Life(target.incarnation, pool)
-        self._lives.setdefault(target.name, []).append(life)
-        return life
+        state = _IncarnationState(target.incarnation, pool)
+        self._states.setdefault(target.name, []).append(state)
+        return state
 
-    def _unlearn_former(self, present: TargetIncarnation) -> None:
-        """Forget what connections to former lives taught of resting."""
+    def _forget_former_rest_limits(self, present: TargetIncarnation) -> None:
+        """Discard idle limits that were learned from former incarnations."""
         for source in self._rest_limit.sources:
             if isinstance(source, TargetIncarnation) and source.name == present.name:
                 if source.is_followed_by(present):
                     self._rest_limit.forget(source)
 
     def _drop_ended(self, target: str) -> None:
-        """Forget closed lives at which nothing is under way."""
-        lives = self._lives.get(target, ())
-        left = [life for life in lives if life.runs or not life.pool.is_closed]
+        """Discard closed incarnations without requests in flight."""
+        states = self._states.get(target, ())
+        left = [state for state in states if state.runs or not state.pool.is_closed]
         if left:
-            self._lives[target] = left
+            self._states[target] = left
         else:
-            self._lives.pop(target, None)
+            self._states.pop(target, None)
--- a/src/primrosescale/process/entry/target_restarts.py
+++ b/src/primrosescale/process/entry/target_restarts.py
@@ -1,4 +1,4 @@
-"""What follows when a target has started again under its name."""
+"""Ends the requests at former incarnations of a target that has restarted."""
 
 from __future__ import annotations
 
@@ -11,73 +11,74 @@
     from collections.abc import Callable
 
     from primrosescale.process.entry.entry_parts import EntryParts
-    from primrosescale.process.entry.target_list import BegunIncarnation
+    from primrosescale.process.entry.target_list import IncarnationStart
     from primrosescale.request.direct_port import TargetCaller
     from primrosescale.request.part_directory import PartDirectory
     from primrosescale.request.target_incarnation import TargetIncarnation
 
 
 class TargetRestarts:
-    """Ends what is under way at former incarnations of targets, and says so.
+    """Ends requests at former incarnations of targets, and logs the restarts.
 
-    What is known of an incarnation is found under that one alone, so nothing here has
-    to be reset for a new one to begin with nothing.
+    All state is keyed by incarnation. Therefore nothing has to be reset here for a
+    new incarnation to start empty.
 
     Parameters
     ----------
-    caller : TargetCaller
-        Has the requests that are under way.
-    directory : PartDirectory
-        Where parts of prompts are cached.
+    target_client : TargetCaller
+        Holds the requests that are in flight.
+    prefix_index : PartDirectory
+        Prefix cache index of this router.
     parts : EntryParts
-        What the router is built with.
+        Collaborators of the router.
     on_end : Callable[[TargetIncarnation], None]
-        Told of each former incarnation, after what was under way there.
+        Called with each former incarnation, after its requests have been ended.
     """
 
     def __init__(
         self,
-        caller: TargetCaller,
-        directory: PartDirectory,
+        target_client: TargetCaller,
+        prefix_index: PartDirectory,
         parts: EntryParts,
         on_end: Callable[[TargetIncarnation], None],
     ) -> None:
-        self._caller = caller
-        self._directory = directory
+        self._target_client = target_client
+        self._prefix_index = prefix_index
         self._on_end = on_end
         self._reactor: Any = parts.reactor
         self._log = parts.log
         self._metrics = parts.metrics
-        self._begun: list[BegunIncarnation] = []
+        self._pending: list[IncarnationStart] = []
 
-    def began(self, begun: BegunIncarnation) -> None:
-        """Take in that an incarnation of a target became known.
+    def incarnation_started(self, start: IncarnationStart) -> None:
+        """Handle an incarnation of a target that has become known.
 
         Parameters
         ----------
-        begun : BegunIncarnation
-            The incarnation, and the one that it replaces.
+        start : IncarnationStart
+            The incarnation, with the one that it replaces.
         """
-        if begun.former is not None:
+        if start.former is not None:
             self._metrics.target_restarted()
             self._log.emit(
                 Event.TARGET_RESTARTED,
-                target=begun.present.name,
-                started_at=begun.present.started_at,
-                former=begun.former.started_at,
-                told_by=begun.told_by,
+                target=start.present.name,
+                started_at=start.present.started_at,
+                former=start.former.started_at,
+                told_by=start.told_by,
             )
-        if not self._begun:
-            # Once the whole list is known, so that what ends at one target
-            # does not go to another that has ended too.
+        if not self._pending:
+            # Deferred until the whole list has been read, so that a request ended at
+            # one target is not repeated at another that has ended too.
             self._reactor.callLater(0, self._end_former)
-        self._begun.append(begun)
+        self._pending.append(start)
 
     def _end_former(self) -> None:
-        known, self._begun = self._begun, []
-        for begun in known:
-            # A target that was forgotten meanwhile may have requests too.
-            self._caller.end_former(begun.present)
-            if begun.former is not None:
-                self._directory.forget_target(begun.former)
-                self._on_end(begun.former)
+        known, self._pending = self._pending, []
+        for start in known:
+            # Also without a former incarnation: a target that was forgotten in the
+            # meantime may still have requests in flight.
+            self._target_client.end_former(start.present)
+            if start.former is not None:
+                self._prefix_index.forget_target(start.former)
+                self._on_end(start.former)
--- a/tests/entry/test_entry_router.py
+++ b/tests/entry/test_entry_router.py
@@ -1,4 +1,4 @@
-"""The whole path over loopback sockets: callers, router, store and targets."""
+"""An entry router between callers, store and targets, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -43,16 +43,16 @@
 from support.live import DeploymentRunTest
 from support.live import LiveTest
 
-# Starts as targets tell them.
+# Start times as targets report them, in Unix milliseconds.
 FIRST, SECOND, THIRD = 1_790_000_000_123, 1_790_000_000_124, 1_790_000_003_000
 
 
-# More than tell each other all.
+# So many that they exchange state through relays.
 MANY_ROUTERS = 40
 
 
-class SilentCaches(CacheReader):
-    """Engines that tell what they hold when the test says so."""
+class ManualCacheReader(CacheReader):
+    """Reader of engine caches whose results the test supplies."""
 
     def __init__(self):
         self.readings = []
@@ -89,9 +89,9 @@
 
     def engine(self, name, service, **fields):
         script = self.scripts[name] = self.listen(name, **fields)
-        self.put_entry(name, service, script, FIRST)
+        self.write_entry(name, service, script, FIRST)
 
-    def put_entry(self, name, service, script, born, **fields):
+    def write_entry(self, name, service, script, born, **fields):
         """Write a target's entry; return its revision."""
         address = self.addresses[id(script)]
         entry = target_entry(service, address, slots=8, born=born)
@@ -123,13 +123,13 @@
             if test():
                 return
             yield deferLater(reactor, 0.01, lambda: None)
-        self.fail("it never came true")
+        self.fail("condition not met within 5 s")
 
     @inlineCallbacks
     def connect(self, endpoint=None):
         endpoint = self.router.bound[endpoint or self.settings.callers]
-        way = TCP4ClientEndpoint(reactor, endpoint.address, endpoint.port)
-        caller = yield connectProtocol(way, Caller())
+        client = TCP4ClientEndpoint(reactor, endpoint.address, endpoint.port)
+        caller = yield connectProtocol(client, Caller())
         return caller
 
     @inlineCallbacks
@@ -143,7 +143,7 @@
         return [a for n in names or self.scripts for a in self.scripts[n].arrivals]
 
     @inlineCallbacks
-    def test_a_request_comes_back_whole_with_what_the_router_sets(self):
+    def test_a_request_is_forwarded_and_answered_with_the_router_s_headers(self):
         yield self.start()
         body = b"x" * 3000
         caller = yield self.ask(
@@ -152,7 +152,7 @@
         self.assertTrue(caller.data.startswith(b"HTTP/1.1 200"))
         self.assertIn(b"Primrosescale-Response-Signature", caller.data)
         [arrival] = self.arrivals()
-        self.assertEqual((b"POST", b"/once/a?b=1", body), self.said(arrival))
+        self.assertEqual((b"POST", b"/once/a?b=1", body), self.request_of(arrival))
         self.assertEqual(b"bakery", arrival.headers[b"primrosescale-tenant"])
         self.assertNotIn(b"kv-from", arrival.headers)
         self.assertNotIn(b"authorization", arrival.headers)
@@ -161,20 +161,20 @@
     @inlineCallbacks
     def test_callers_who_connect_while_it_is_loaded_are_served(self):
         early = open_listener(Endpoint(LOOPBACK, 0))
-        way = TCP4ClientEndpoint(reactor, *early.getsockname())
-        caller = yield connectProtocol(way, Caller())
+        client = TCP4ClientEndpoint(reactor, *early.getsockname())
+        caller = yield connectProtocol(client, Caller())
         caller.transport.write(text())
         yield self.start(early=early)
         yield caller.answered(b"done")
         self.assertTrue(caller.data.startswith(b"HTTP/1.1 200"), caller.data)
 
     @inlineCallbacks
-    def test_early_requests_wait_for_what_the_engines_hold_but_not_for_long(self):
+    def test_early_requests_wait_a_bounded_time_for_engine_caches(self):
         config = configuration()
         config["services"][1]["engine"]["kv_cache_tokens"] = 1000
         for is_silent in (False, True):
             self.store.write("config", "main", config)
-            caches = SilentCaches()
+            caches = ManualCacheReader()
             yield self.start(reads_caches=True, caches=caches)
             caller = yield self.connect()
             caller.transport.write(text(b"/story/x", method=b"POST", body=b"b"))
@@ -190,14 +190,14 @@
                 script.arrivals.clear()
 
     @inlineCallbacks
-    def test_one_of_many_routers_does_not_ask_engines_what_they_hold(self):
+    def test_one_of_many_routers_does_not_read_engine_caches(self):
         config = configuration()
         config["services"][1]["engine"]["kv_cache_tokens"] = 1000
         self.store.write("config", "main", config)
         for number in range(MANY_ROUTERS):
             entry = {"address": "127.0.0.1", "port": 9, "domain": str(number % 3)}
             self.store.write("routers", f"r{number + 2}", entry)
-        caches = SilentCaches()
+        caches = ManualCacheReader()
         yield self.start(reads_caches=True, caches=caches)
         caller = yield self.ask(text(b"/story/x", method=b"POST", body=b"b"), b"id: 4")
         self.assertIn(b"id: 4", caller.data)
@@ -225,7 +225,7 @@
         self.assertIn("status 500", {s["attributes"]["outcome"] for s in targets})
 
     @inlineCallbacks
-    def test_a_request_that_is_not_traced_hands_its_context_on(self):
+    def test_an_untraced_request_forwards_its_trace_context(self):
         yield self.start()
         context = b"00-%b-%b-00" % (b"ab" * 16, b"cd" * 8)
         yield self.ask(text(headers=b"traceparent: %b\r\n" % context))
@@ -239,20 +239,20 @@
         self.assertNotIn("SPAN", [event for event, _ in self.events])
 
     @inlineCallbacks
-    def test_of_many_engines_only_some_are_asked_what_they_hold(self):
+    def test_of_many_engines_only_a_bounded_number_is_read(self):
         config = configuration()
         config["services"][1]["engine"]["kv_cache_tokens"] = 1000
         self.store.write("config", "main", config)
         for number in range(MOST_READ + 30):
             entry = target_entry("model", f"{LOOPBACK}:1")
             self.store.write("servers", f"x{number}", entry)
-        caches = SilentCaches()
+        caches = ManualCacheReader()
         yield self.start(reads_caches=True, caches=caches)
         yield self.eventually(lambda: bool(caches.readings))
         asked = len(caches.readings)
         self.assertEqual(MOST_READ, asked)
 
-    def said(self, arrival):
+    def request_of(self, arrival):
         return arrival.method, arrival.path, arrival.body
 
     @inlineCallbacks
@@ -282,7 +282,7 @@
         for _ in range(4):
             yield self.ask(text())
         yield deferLater(reactor, 0.15, lambda: None)
-        limit = self.router._caller._rest_limit
+        limit = self.router._target_client._rest_limit
         self.assertTrue(limit.allows(0.1, reactor.seconds()))
         for script in self.scripts.values():
             script.faults.append(EngineFault.RESET)
@@ -290,7 +290,7 @@
         self.assertFalse(limit.allows(0.1, reactor.seconds()))
 
     @inlineCallbacks
-    def test_lines_of_lost_answers_tell_which_requests_asked_for_the_same(self):
+    def test_log_lines_of_lost_answers_identify_equal_requests(self):
         yield self.start()
         asked = ((b"r1", b"one"), (b"r2", b"one"), (b"r3", b"two"))
         for rid, body in asked:
@@ -311,10 +311,12 @@
         entry = {"address": "127.0.0.1", "port": 9, "domain": "a"}
         self.store.write("routers", "r2", entry)
         yield self.start()
-        yield self.eventually(lambda: bool(self.router._news.others))
+        yield self.eventually(lambda: bool(self.router._state_exchange.others))
         self.router._close()
-        # A round that goes on after the port is closed ends in a logged error.
-        yield deferLater(reactor, 2 * self.router._news.interval, lambda: None)
+        # A round that continues after the port is closed ends in a logged error.
+        yield deferLater(
+            reactor, 2 * self.router._state_exchange.interval, lambda: None
+        )
 
     @inlineCallbacks
     def test_the_line_of_a_request_holds_the_status_that_was_passed_on(self):
@@ -343,7 +345,7 @@
         self.assertEqual([], self.arrivals())
 
     @inlineCallbacks
-    def test_each_fault_of_a_target_of_an_idempotent_request_is_made_good(self):
+    def test_an_idempotent_request_survives_each_fault_of_a_target(self):
         yield self.start()
         faults = [
             fault
@@ -354,7 +356,7 @@
             for name in ("p1", "p2"):
                 self.scripts[name].arrivals.clear()
                 self.scripts[name].faults = [fault]
-            # The one that answers second has used its fault up before.
+            # The target that was tried second has consumed its fault already.
             caller = yield self.ask(text())
             if len(self.arrivals("p1", "p2")) == 2:
                 caller = yield self.ask(text(rid=b"r2"))
@@ -364,7 +366,7 @@
             self.assertTrue(caller.data.endswith(b"done"), fault)
 
     @inlineCallbacks
-    def test_a_request_that_may_run_once_is_sent_once_whatever_happens(self):
+    def test_a_request_that_may_run_once_is_sent_once_under_each_fault(self):
         yield self.start()
         for fault, status in (
             (EngineFault.FAIL, b"500"),
@@ -384,7 +386,7 @@
             self.assertTrue(caller.data.startswith(b"HTTP/1.1 " + status), caller.data)
 
     @inlineCallbacks
-    def test_an_answer_without_length_is_whole_by_an_orderly_close(self):
+    def test_an_answer_without_length_is_complete_after_an_orderly_close(self):
         yield self.start()
         for name in ("p1", "p2"):
             self.scripts[name].faults = [EngineFault.NO_LENGTH]
@@ -394,7 +396,7 @@
         self.assertIn(b"done", caller.data)
 
     @inlineCallbacks
-    def test_an_extra_answer_reaches_nobody(self):
+    def test_an_extra_answer_reaches_no_caller(self):
         yield self.start()
         for name in ("p1", "p2"):
             self.scripts[name].faults = [EngineFault.EXTRA_ANSWER]
@@ -404,7 +406,7 @@
             self.assertIn(b"n%d" % turn, caller.data)
 
     @inlineCallbacks
-    def test_a_broken_stream_goes_on_elsewhere_in_one_answer(self):
+    def test_a_lost_stream_is_resumed_at_another_target_in_one_answer(self):
         yield self.start()
         for name in ("m1", "m2"):
             self.scripts[name].faults = [EngineFault.CUT]
@@ -420,7 +422,7 @@
         self.assertEqual(1, caller.data.count(b"Response-Signature"))
 
     @inlineCallbacks
-    def test_a_stream_that_may_not_go_on_never_looks_whole(self):
+    def test_a_stream_that_is_not_resumable_is_aborted_visibly(self):
         yield self.start()
         for name in ("m1", "m2"):
             self.scripts[name].faults = [EngineFault.CUT]
@@ -432,7 +434,7 @@
         self.assertEqual(1, len(self.arrivals()))
 
     @inlineCallbacks
-    def test_a_caller_that_leaves_stops_the_work_at_once(self):
+    def test_a_disconnecting_caller_cancels_the_request_at_its_target(self):
         yield self.start()
         for name in ("m1", "m2"):
             self.scripts[name].events = 1000
@@ -444,7 +446,7 @@
         yield self.eventually(lambda: self.arrivals()[0].is_left)
 
     @inlineCallbacks
-    def test_a_withdrawn_key_and_a_new_version_are_in_force_at_once(self):
+    def test_a_revoked_key_and_a_new_version_take_effect_immediately(self):
         yield self.start()
         yield self.ask(text())
         self.store.write("config", "main", configuration(2, keys=("k2",)))
@@ -458,16 +460,18 @@
         self.assertIn("TABLE_REFUSED", [name for name, _ in self.events])
 
     @inlineCallbacks
-    def test_a_newer_version_in_another_router_s_news_is_asked_for(self):
+    def test_a_newer_version_reported_by_a_peer_is_read(self):
         yield self.start()
         self.store.faults.is_deaf = True
         self.store.write("config", "main", configuration(2, keys=("k2",)))
-        other = RouterNews("r2", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
-        other.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
+        peer = RouterNews("r2", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
+        peer.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
         now = reactor.seconds()
-        self.router._news.put(OtherRouter("r2", Endpoint("127.0.0.1", 1)), now)
-        [(_, message)] = other.compose(2, reactor.seconds())
-        self.router._news.take(message, 1, reactor.seconds())
+        self.router._state_exchange.put(
+            OtherRouter("r2", Endpoint("127.0.0.1", 1)), now
+        )
+        [(_, message)] = peer.compose(2, reactor.seconds())
+        self.router._state_exchange.take(message, 1, reactor.seconds())
         yield self.eventually(lambda: self.router._version() == 2)
 
     @inlineCallbacks
@@ -484,11 +488,11 @@
         self.assertTrue(caller.data.startswith(b"HTTP/1.1 503"))
         [wait] = re.findall(rb"Retry-After: (\d+)", caller.data)
         self.assertTrue(45 <= int(wait) <= 135)
-        self.assertIs(choice, self.router._tools.chooser._settings)
-        self.assertIs(forward, self.router._tools.settings)
+        self.assertIs(choice, self.router._forwarding.chooser._settings)
+        self.assertIs(forward, self.router._forwarding.settings)
 
     @inlineCallbacks
-    def test_targets_that_went_while_the_watch_rested_are_held_for_less(self):
+    def test_targets_removed_while_the_watch_paused_are_kept_for_less_time(self):
         yield self.start()
         handler = self.router._knowledge.listed
         handler._rest = 0.6
@@ -500,46 +504,48 @@
         self.assertEqual(names, [incarnation.name for incarnation in gone])
 
     @inlineCallbacks
-    def start_with_waiting_watch(self):
-        """Start a router whose question about targets is at the store."""
+    def start_with_pending_watch(self):
+        """Start a router whose watch of targets is pending at the store."""
         yield self.start(targets_wait=60.0)
         yield self.eventually(lambda: self.store.waiting("servers"))
 
-    def drain_unheard(self, name):
-        """Have a target leave without the watch that waits hearing of it."""
+    def drain_without_notification(self, name):
+        """Drain a target without notifying the pending watch; return the revision."""
         self.store.faults.is_deaf = True
         entry = target_entry("model", f"{LOOPBACK}:1", state="draining")
         revision = self.store.write("servers", name, entry)
         self.store.faults.is_deaf = False
         return revision
 
-    def knows_leaving(self, name):
+    def knows_as_draining(self, name):
         return self.router._knowledge.targets.state(name).target.is_draining
 
     @inlineCallbacks
-    def test_a_watch_that_went_unanswered_in_an_outage_is_asked_anew_after_it(self):
-        yield self.start_with_waiting_watch()
+    def test_a_watch_unanswered_in_an_outage_is_renewed_after_it(self):
+        yield self.start_with_pending_watch()
         self.store.faults.all_calls = StoreFault.BUSY
         yield self.eventually(lambda: "STORE_LOST" in [n for n, _ in self.events])
-        self.drain_unheard("m1")
+        self.drain_without_notification("m1")
         self.store.faults.all_calls = None
-        yield self.eventually(lambda: self.knows_leaving("m1"))
+        yield self.eventually(lambda: self.knows_as_draining("m1"))
 
     @inlineCallbacks
-    def test_a_change_of_the_list_that_another_router_tells_of_is_asked_for(self):
-        yield self.start_with_waiting_watch()
-        other = RouterNews("r2", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
-        other.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
+    def test_a_list_change_reported_by_a_peer_is_read(self):
+        yield self.start_with_pending_watch()
+        peer = RouterNews("r2", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
+        peer.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
         now = reactor.seconds()
-        self.router._news.put(OtherRouter("r2", Endpoint("127.0.0.1", 1)), now)
-        revision = self.drain_unheard("m1")
-        [(_, message)] = other.compose(1, reactor.seconds(), list_revision=revision)
-        self.router._news.take(message, 1, reactor.seconds())
-        yield self.eventually(lambda: self.knows_leaving("m1"))
+        self.router._state_exchange.put(
+            OtherRouter("r2", Endpoint("127.0.0.1", 1)), now
+        )
+        revision = self.drain_without_notification("m1")
+        [(_, message)] = peer.compose(1, reactor.seconds(), list_revision=revision)
+        self.router._state_exchange.take(message, 1, reactor.seconds())
+        yield self.eventually(lambda: self.knows_as_draining("m1"))
         self.assertIn("WATCH_RENEWED", [name for name, _ in self.events])
 
     @inlineCallbacks
-    def test_a_version_that_cannot_be_read_changes_nothing(self):
+    def test_an_unreadable_version_changes_nothing(self):
         yield self.start()
         self.store.write("config", "main", {"version": 9, "routes": 3})
         yield deferLater(reactor, 0.1, lambda: None)
@@ -573,7 +579,7 @@
         self.assertTrue(caller.data.startswith(b"HTTP/1.1 200"))
 
     @inlineCallbacks
-    def test_a_leaving_target_gets_no_more_requests(self):
+    def test_a_draining_target_gets_no_more_requests(self):
         yield self.start()
         entry = target_entry("portal", f"{LOOPBACK}:1", state="draining")
         self.store.write("servers", "p1", entry)
@@ -584,7 +590,7 @@
         self.assertEqual(4, len(self.arrivals("p2")))
 
     @inlineCallbacks
-    def test_an_entry_that_becomes_unreadable_ends_new_work_and_cuts_none(self):
+    def test_an_unreadable_entry_stops_new_requests_and_aborts_none(self):
         for name in ("m1", "m2"):
             self.scripts[name].events = 60
             self.scripts[name].gap = 0.01
@@ -593,7 +599,7 @@
         caller = yield self.connect()
         caller.transport.write(story)
         yield caller.until(lambda c: b"id: 2" in c.data)
-        busy, other = ("m1", "m2") if self.arrivals("m1") else ("m2", "m1")
+        busy, peer = ("m1", "m2") if self.arrivals("m1") else ("m2", "m1")
         self.store.write("servers", busy, {"service": "model", "state": "ready"})
         yield deferLater(reactor, 0.1, lambda: None)
         for turn in range(3):
@@ -601,11 +607,11 @@
             yield self.ask(again, b"0\r\n\r\n")
         yield caller.until(lambda c: c.data.endswith(b"0\r\n\r\n"))
         self.assertIn(b"id: 60", caller.data)
-        self.assertEqual((1, 3), (len(self.arrivals(busy)), len(self.arrivals(other))))
+        self.assertEqual((1, 3), (len(self.arrivals(busy)), len(self.arrivals(peer))))
         self.assertIn("TARGET_REFUSED", [name for name, _ in self.events])
 
     @inlineCallbacks
-    def test_no_entry_ends_the_watch_of_targets(self):
+    def test_no_malformed_entry_stops_the_watch_of_targets(self):
         yield self.start()
         for number, odd in enumerate((float("inf"), 10**400, [[[]]], None, {"a": 1})):
             entry = target_entry("portal", f"{LOOPBACK}:1", slots=odd)
@@ -662,14 +668,14 @@
         self.assertNotIn("STOP_CUT", [name for name, _ in self.events])
 
     @inlineCallbacks
-    def test_more_requests_than_memory_allows_are_told_to_come_back(self):
+    def test_requests_over_the_limit_are_refused(self):
         yield self.start(most_requests=0)
         caller = yield self.ask(text(), b"")
         self.assertTrue(caller.data.startswith(b"HTTP/1.1 503"), caller.data)
         self.assertEqual([], self.arrivals())
 
     @inlineCallbacks
-    def test_a_changed_settings_file_is_taken_in_and_a_bad_one_is_not(self):
+    def test_a_changed_settings_file_is_applied_and_an_invalid_one_is_not(self):
         yield self.start()
         self.settings = replace(
             self.settings, drain=1.0, callers=Endpoint("127.0.0.9", 1)
@@ -688,16 +694,16 @@
         self.assertTrue(caller.data.startswith(b"HTTP/1.1 200"))
 
     def restart(self, name, service, *, script=None, born=SECOND, **fields):
-        """Write the entry of a target that has started again; return its revision."""
-        return self.put_entry(
+        """Write the entry of a target that has restarted; return its revision."""
+        return self.write_entry(
             name, service, script or self.scripts[name], born, **fields
         )
 
-    def life(self, name):
+    def incarnation(self, name):
         return self.router._knowledge.targets.state(name).incarnation
 
     @inlineCallbacks
-    def test_after_a_restart_a_request_that_may_run_once_is_cut_at_once(self):
+    def test_after_a_restart_a_request_that_may_run_once_fails_immediately(self):
         yield self.start()
         for name in ("p1", "p2"):
             self.scripts[name].faults = [EngineFault.SILENT]
@@ -726,7 +732,7 @@
         self.assertIn(b"target_restarts_total 1.0", self.router._metrics.text())
 
     @inlineCallbacks
-    def test_after_a_restart_one_that_may_be_repeated_goes_to_the_new_address(self):
+    def test_after_a_restart_an_idempotent_request_goes_to_the_new_address(self):
         self.store.remove("servers", "p2")
         self.scripts["p1"].faults = [EngineFault.SILENT]
         moved = self.listen("p1")
@@ -738,14 +744,14 @@
         yield caller.answered(b"done")
         self.assertTrue(caller.data.startswith(b"HTTP/1.1 200"), caller.data)
         self.assertEqual((1, 1), (len(self.arrivals("p1")), len(moved.arrivals)))
-        # An entry of the former life that comes late brings it back to nobody.
+        # A delayed entry of the former incarnation does not restore it.
         self.restart("p1", "portal", born=FIRST)
         yield deferLater(reactor, 0.1, lambda: None)
         yield self.ask(text(rid=b"r2"))
         self.assertEqual((1, 2), (len(self.arrivals("p1")), len(moved.arrivals)))
 
     @inlineCallbacks
-    def test_after_a_restart_a_stream_goes_on_at_the_new_life(self):
+    def test_after_a_restart_a_stream_is_resumed_at_the_new_incarnation(self):
         self.store.remove("servers", "m2")
         script = self.scripts["m1"]
         script.events, script.gap = 12, 0.05
@@ -762,54 +768,56 @@
         self.assertIn(names.LAST_EVENT.lower(), second.headers)
 
     @inlineCallbacks
-    def test_a_restart_that_another_router_knows_first_is_asked_for(self):
-        yield self.start_with_waiting_watch()
-        other = RouterNews("r2", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
-        other.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
+    def test_a_restart_reported_by_a_peer_is_read(self):
+        yield self.start_with_pending_watch()
+        peer = RouterNews("r2", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
+        peer.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
         now = reactor.seconds()
-        self.router._news.put(OtherRouter("r2", Endpoint("127.0.0.1", 1)), now)
+        self.router._state_exchange.put(
+            OtherRouter("r2", Endpoint("127.0.0.1", 1)), now
+        )
         self.store.faults.is_deaf = True
         revision = self.restart("m1", "model")
         self.store.faults.is_deaf = False
-        [(_, message)] = other.compose(1, reactor.seconds(), list_revision=revision)
-        self.router._news.take(message, 1, reactor.seconds())
-        yield self.eventually(lambda: self.life("m1").started_at == SECOND)
+        [(_, message)] = peer.compose(1, reactor.seconds(), list_revision=revision)
+        self.router._state_exchange.take(message, 1, reactor.seconds())
+        yield self.eventually(lambda: self.incarnation("m1").started_at == SECOND)
 
     @inlineCallbacks
-    def test_what_a_target_says_it_holds_counts_for_the_life_that_says_it(self):
+    def test_reported_cache_contents_count_for_the_reporting_incarnation(self):
         config = configuration()
         config["services"][1]["engine"]["kv_cache_tokens"] = 1000
         self.store.write("config", "main", config)
         self.restart("m1", "model")
         self.restart("m2", "model", born=FIRST, state="draining")
-        caches = SilentCaches()
+        caches = ManualCacheReader()
         yield self.start(reads_caches=True, caches=caches)
         yield self.eventually(lambda: len(caches.readings) == 2)
-        self.assertTrue(self.knows_leaving("m2"))
+        self.assertTrue(self.knows_as_draining("m2"))
         parts = (PromptPart("tariffs", 500),)
         caches.answer("m1", HeldParts(parts, SECOND - 1))
         caches.answer("m2", HeldParts(parts, THIRD))
-        directory, now = self.router._directory, reactor.seconds()
-        self.assertEqual(0, directory.held(self.life("m1"), parts, now))
-        self.assertEqual(SECOND, self.life("m1").started_at)
+        directory, now = self.router._prefix_index, reactor.seconds()
+        self.assertEqual(0, directory.held(self.incarnation("m1"), parts, now))
+        self.assertEqual(SECOND, self.incarnation("m1").started_at)
         self.assertEqual(1, len(directory))
         not_read = [s["target"] for e, s in self.events if e == "CACHE_NOT_READ"]
         self.assertEqual(["m1"], not_read)
-        self.assertFalse(self.knows_leaving("m2"))
-        self.assertEqual(500, directory.held(self.life("m2"), parts, now))
-        self.assertEqual(THIRD, self.life("m2").started_at)
-        told = [said for event, said in self.events if event == "TARGET_RESTARTED"]
+        self.assertFalse(self.knows_as_draining("m2"))
+        self.assertEqual(500, directory.held(self.incarnation("m2"), parts, now))
+        self.assertEqual(THIRD, self.incarnation("m2").started_at)
+        restarts = [said for event, said in self.events if event == "TARGET_RESTARTED"]
         self.assertEqual(
-            [("m2", "target")], [(s["target"], s["told_by"]) for s in told]
+            [("m2", "target")], [(s["target"], s["told_by"]) for s in restarts]
         )
-        # The store, which lags, tells of the former life still.
+        # The store lags and still lists the former incarnation.
         self.restart("m2", "model", state="draining")
         yield deferLater(reactor, 0.1, lambda: None)
-        self.assertEqual(THIRD, self.life("m2").started_at)
-        self.assertFalse(self.knows_leaving("m2"))
+        self.assertEqual(THIRD, self.incarnation("m2").started_at)
+        self.assertFalse(self.knows_as_draining("m2"))
 
     @inlineCallbacks
-    def test_metrics_and_log_tell_what_became_of_a_request(self):
+    def test_metrics_and_log_report_the_outcome_of_a_request(self):
         yield self.start()
         yield self.ask(text(rid=b"abc"))
         yield self.eventually(lambda: "REQUEST_ENDED" in [n for n, _ in self.events])
