--- a/src/primrosescale/request/forwarded_call.py
+++ b/src/primrosescale/request/forwarded_call.py
@@ -142,13 +142,13 @@
         """Handle that the caller has closed its connection."""
         if self._is_over:
             return
-        self._active.close_all("caller disconnected", self._now())
+        self._active.close_all("caller left", self._now())
         self._end("caller_gone")
 
     def pause(self) -> None:
         """Stop reading from the target until `resume`."""
         self._is_paused = True
-        self._drop_hedge("not needed: the caller reads slowly", self._now())
+        self._drop_hedge("not needed: the caller is slow", self._now())
         if self._active.primary is not None:
             self._active.primary.pause()
 
@@ -273,16 +273,16 @@
             self._may_have_run = True
             self._active.promote_hedge("silent", now)
         else:
-            self._drop_hedge("not needed: the first target answered", now)
+            self._drop_hedge("not needed: the target before went on", now)
 
     def _fault_of(self, head: AnswerHead) -> str:
         """Return why an answer cannot belong to this request; empty if it can."""
         if head.request_id != self._request.request_id:
-            return "answer to another request"
+            return "answer of another request"
         if _is_success(head):
-            return "" if head.is_receipted else "no receipt header"
+            return "" if head.is_receipted else "no receipt"
         if self._relay.is_stream:
-            return f"status {head.status} instead of the rest of the stream"
+            return f"status {head.status} in place of the rest"
         return ""
 
     # Choice of targets
@@ -663,7 +663,7 @@
             primary.state.unreachable(now)
         else:
             primary.state.failed(now)
-        self._active.drop_hedge("also silent", now)
+        self._active.drop_hedge("silent too", now)
         self._start_hedge(choice, now)
 
     def _report_silence(
