--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -19,7 +19,7 @@
 from primrosescale.process.membership.load_sums import DomainSums
 from primrosescale.process.membership.load_sums import FleetSums
 from primrosescale.process.membership.load_sums import SumSettings
-from primrosescale.request.admission import Admission
+from primrosescale.request.admission import AdmissionController
 from primrosescale.request.admission import AdmissionSettings
 from primrosescale.request.candidates import Locality
 from primrosescale.request.candidates import ServiceTargets
@@ -27,7 +27,7 @@
 from primrosescale.request.fair_queue import QueuedCall
 from primrosescale.request.load_bound import BoundSettings
 from primrosescale.request.load_bound import LoadBound
-from primrosescale.request.rate_limit import OrganisationLimiter
+from primrosescale.request.rate_limit import OrganisationRateLimiter
 from primrosescale.request.rate_limit import RateSettings
 from primrosescale.request.target_health import HealthSettings
 from primrosescale.request.target_health import TargetHealth
@@ -64,7 +64,7 @@
     bound = LoadBound(BoundSettings(floor=10**9, slow_start=0), 0.0)
     health = TargetHealth(HealthSettings())
     settings = AdmissionSettings(slots=16, queue_limit=10**6, rate_default=1e9)
-    admission = Admission(settings, bound, health)
+    admission = AdmissionController(settings, bound, health)
     for number in range(queued):
         admission.offer(QueuedCall(f"o{number % 50}", 1, 5, 10, 1e9, None), 0.0)
     admission.start_next(0.0)
@@ -165,7 +165,7 @@
         summary = domain.summary(0.0)
         summary.domain = f"d{name}"
         fleet.hear(summary, 0.0)
-    limiter = OrganisationLimiter(RateSettings())
+    limiter = OrganisationRateLimiter(RateSettings())
     reply = wire.HeartbeatReply(
         1,
         [wire.ServiceMean("model-3", 12_345_678, 1000, 900)],
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -19,7 +19,7 @@
 from primrosescale.request.directory import ChatDirectory
 from primrosescale.request.load_bound import BoundSettings
 from primrosescale.request.load_bound import LoadBound
-from primrosescale.request.load_bound import MeanView
+from primrosescale.request.load_bound import ServiceLoad
 from primrosescale.request.work import WorkEstimator
 from primrosescale.request.work import WorkSettings
 from primrosescale.standin.engine import PrefixCache
@@ -143,7 +143,7 @@
             engine.reports.append(engine.load)
         total = sum(engine.reports[0] for engine in engines)
         for engine in engines:
-            view = MeanView(total, len(engines), engine.reports[0], self.now)
+            view = ServiceLoad(total, len(engines), engine.reports[0], self.now)
             engine.bound.hear(view)
             self.lagged[engine.name] = engine.reports[0]
         if self.now > WARM:
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -85,8 +85,8 @@
 indexes = [SealedIndex(f's{{k}}', segment(2000)) for k in range({count} // 2000)]
 """,
     "meters": """
-from primrosescale.request.rate_limit import OrganisationLimiter, RateSettings
-limiter = OrganisationLimiter(RateSettings(meters=10**6))
+from primrosescale.request.rate_limit import OrganisationRateLimiter, RateSettings
+limiter = OrganisationRateLimiter(RateSettings(meters=10**6))
 for n in range({count}):
     limiter.admit(f'organisation-{{n:05d}}', 50.0, 1.0)
 """,
--- a/src/primrosescale/process/daemons/agent.py
+++ b/src/primrosescale/process/daemons/agent.py
@@ -47,9 +47,9 @@
     from primrosescale.process.transport.engine_port import EnginePort
     from primrosescale.process.transport.platform import Platform
     from primrosescale.request.agent_call import AgentCall
-    from primrosescale.request.call_names import CallName
+    from primrosescale.request.call_names import CallId
     from primrosescale.request.hop import Hop
-    from primrosescale.request.load_bound import MeanView
+    from primrosescale.request.load_bound import ServiceLoad
     from primrosescale.version.exceptions import HeadError
     from primrosescale.version.head import VersionHead
     from primrosescale.version.view import VersionView
@@ -156,7 +156,7 @@
         )
         self._was_closed = False
         self._sources = LinkSources()
-        self._hops: dict[CallName, Hop] = {}
+        self._hops: dict[CallId, Hop] = {}
         self._state = MemberState.READY
         self._port: Any = None
         self._loops: list[Any] = []
@@ -257,7 +257,7 @@
             self._core.health.failure_share,
         )
 
-    def hear_mean(self, view: MeanView) -> None:
+    def hear_mean(self, view: ServiceLoad) -> None:
         """Take in the mean; see `HeartbeatHost.hear_mean`."""
         self._core.bound.hear(view)
 
@@ -311,11 +311,11 @@
             reason = "" if failure is None else wire.Reason(failure.reason).name
             hop.end(answered=is_answered, reason=reason)
 
-    def refused(self, name: CallName, reason: wire.Reason) -> None:
+    def refused(self, name: CallId, reason: wire.Reason) -> None:
         """Count a call that was refused."""
         self._tools.metrics.count(Metric.REFUSED)
 
-    def duplicate(self, name: CallName) -> None:
+    def duplicate(self, name: CallId) -> None:
         """Log a copy of a known call."""
         self._tools.metrics.count(Metric.DUPLICATES)
         self._log(Event.AGENT_DUPLICATE, router=name.router, call=name.number)
@@ -392,7 +392,7 @@
     @inlineCallbacks
     def _hand_over(self) -> Generator[Any, Any, None]:
         """Give the hottest chats' cache to those who serve them next."""
-        chats = self._core.directory.hottest(
+        chats = self._core.directory.most_recent(
             self._settings.process.name,
             self._own.hand_over,
         )
--- a/src/primrosescale/process/daemons/router.py
+++ b/src/primrosescale/process/daemons/router.py
@@ -40,11 +40,11 @@
 from primrosescale.process.transport.quiet_site import QuietSite
 from primrosescale.request.attempts import AttemptPlan
 from primrosescale.request.backoff import Backoff
-from primrosescale.request.call_table import CallObserver
+from primrosescale.request.call_table import CallTableListener
 from primrosescale.request.call_table import CallTable
 from primrosescale.request.candidates import Locality
 from primrosescale.request.claim import claim_key
-from primrosescale.request.rate_limit import OrganisationLimiter
+from primrosescale.request.rate_limit import OrganisationRateLimiter
 from primrosescale.request.retry_budget import RetryBudgets
 from primrosescale.request.routed_call import RoutedCall
 from primrosescale.request.target_loads import TargetLoads
@@ -86,7 +86,7 @@
         self.began = began
 
 
-class Router(LinkHandler, CallGate, CallObserver, ControlObserver, VersionObserver):
+class Router(LinkHandler, CallGate, CallTableListener, ControlObserver, VersionObserver):
     """One router process.
 
     Parameters
@@ -112,7 +112,7 @@
             self,
             needs_organisations=True,
         )
-        self._limiter = OrganisationLimiter(settings.rates)
+        self._limiter = OrganisationRateLimiter(settings.rates)
         self._loads = TargetLoads()
         self._budgets = RetryBudgets(settings.retry)
         self._sources = LinkSources()
@@ -364,20 +364,20 @@
         call.start()
 
     def find_target(self, service: str, name: str) -> Target | None:
-        """Return a usable target; see `CallObserver.find_target`."""
+        """Return a usable target; see `CallTableListener.find_target`."""
         return self._members.find_target(service, name, self.now())
 
     def suspect(self, target: Target) -> None:
-        """Avoid a target for a while; see `CallObserver.suspect`."""
+        """Avoid a target for a while; see `CallTableListener.suspect`."""
         self._members.suspect(target.name, self.now())
         self._log(Event.TARGET_SUSPECT, target=target.name)
 
-    def load_heard(self, target: Target, load: int) -> None:
-        """Take in a target's load; see `CallObserver.load_heard`."""
+    def load_reported(self, target: Target, load: int) -> None:
+        """Take in a target's load; see `CallTableListener.load_reported`."""
         self._loads.hear(target.name, load, self.now())
 
     def call_ended(self, call: RoutedCall, report: CallReport) -> None:
-        """Take in the end of a call; see `CallObserver.call_ended`."""
+        """Take in the end of a call; see `CallTableListener.call_ended`."""
         kept = self._under_way.pop(call, None)
         if kept is None:
             return
--- a/src/primrosescale/process/daemons/router_control.py
+++ b/src/primrosescale/process/daemons/router_control.py
@@ -26,7 +26,7 @@
 from primrosescale.process.membership.load_sums import DomainSums
 from primrosescale.process.membership.load_sums import FleetSums
 from primrosescale.process.membership.order import first_in_order
-from primrosescale.request.rate_limit import Demand
+from primrosescale.request.rate_limit import DemandRate
 from primrosescale.version.exceptions import HeadError
 from primrosescale.version.head import NO_HEAD
 from primrosescale.version.head import VersionHead
@@ -44,7 +44,7 @@
     from primrosescale.process.membership.members import Member
     from primrosescale.process.membership.members import Members
     from primrosescale.process.transport.platform import Platform
-    from primrosescale.request.rate_limit import OrganisationLimiter
+    from primrosescale.request.rate_limit import OrganisationRateLimiter
 
 HEAD_KEY = "config/head"
 WATCH_WAIT = 20.0
@@ -124,7 +124,7 @@
         Hosts.
     keeper : VersionKeeper
         Versions.
-    limiter : OrganisationLimiter
+    limiter : OrganisationRateLimiter
         Limits of organisations.
     platform : Platform
         The platform's service.
@@ -146,7 +146,7 @@
         settings: SumSettings,
         members: Members,
         keeper: VersionKeeper,
-        limiter: OrganisationLimiter,
+        limiter: OrganisationRateLimiter,
         platform: Platform,
         pool: LinkPool,
         sources: LinkSources,
@@ -425,8 +425,8 @@
         for notice in reply.notices:
             self._take_notice(notice, now)
         for rate in reply.rates:
-            total = Demand(rate.organisation, rate.demand_permille / PERMILLE)
-            self._limiter.hear_total(total, now)
+            total = DemandRate(rate.organisation, rate.demand_permille / PERMILLE)
+            self._limiter.update_total(total, now)
         if reply.means:
             self._means = reply.means
             self._means_at = now
@@ -468,8 +468,8 @@
         self._domains_at = now
         self._heard_at = now
         for rate in self._fleet.rates(now):
-            total = Demand(rate.organisation, rate.demand_permille / PERMILLE)
-            self._limiter.hear_total(total, now)
+            total = DemandRate(rate.organisation, rate.demand_permille / PERMILLE)
+            self._limiter.update_total(total, now)
         message = wire.DomainSums(summary, to_wire(self._keeper.head))
         for domain in self._members.domains():
             others = self._aggregators(domain)
--- a/src/primrosescale/process/ledger/ledger_bucket.py
+++ b/src/primrosescale/process/ledger/ledger_bucket.py
@@ -22,7 +22,7 @@
 from primrosescale.process.exceptions import ProcessError
 
 FORMAT = 1
-KEY_SIZE = 16
+DIGEST_BYTES = 16
 LAYOUT_KEY = f"ledger/v{FORMAT}/layout"
 MILLISECONDS = 1000
 
@@ -208,7 +208,7 @@
 
     def __len__(self) -> int:
         """Return the number of keys."""
-        return len(self._keys) // KEY_SIZE
+        return len(self._keys) // DIGEST_BYTES
 
     def holds(self, key: bytes) -> bool:
         """Tell whether a key is in the segment.
@@ -227,7 +227,7 @@
         return position < len(self) and self._key_at(position) == key
 
     def _key_at(self, position: int) -> bytes:
-        return self._keys[position * KEY_SIZE : (position + 1) * KEY_SIZE]
+        return self._keys[position * DIGEST_BYTES : (position + 1) * DIGEST_BYTES]
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/primrosescale/process/membership/heartbeat.py
+++ b/src/primrosescale/process/membership/heartbeat.py
@@ -13,7 +13,7 @@
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.process.configuration.wire_head import from_wire
 from primrosescale.process.membership.order import first_in_order
-from primrosescale.request.load_bound import MeanView
+from primrosescale.request.load_bound import ServiceLoad
 
 if TYPE_CHECKING:
     from primrosescale.clock import Clock
@@ -58,12 +58,12 @@
         """Return the agent's current state."""
 
     @abstractmethod
-    def hear_mean(self, view: MeanView) -> None:
+    def hear_mean(self, view: ServiceLoad) -> None:
         """Update the mean load of the agent's service.
 
         Parameters
         ----------
-        view : MeanView
+        view : ServiceLoad
             Mean load of the service.
         """
 
@@ -212,15 +212,15 @@
         if message.targets:
             self._agent.hear_targets(message.targets)
 
-    def _pair_with_own_load(self, mean: wire.ServiceMean, now: float) -> MeanView:
+    def _pair_with_own_load(self, mean: wire.ServiceMean, now: float) -> ServiceLoad:
         """Pair the mean load with this agent's load at the time of the reports."""
         age = mean.age_ms / MILLISECONDS
         intervals_ago = 1 + round(age / self._settings.interval)
         index = max(0, len(self._reported_loads) - 1 - intervals_ago)
-        return MeanView(
+        return ServiceLoad(
             load=mean.load,
             targets=mean.targets,
-            own_then=self._reported_loads[index],
+            own_load=self._reported_loads[index],
             heard_at=now - age,
         )
 
--- a/src/primrosescale/request/admission.py
+++ b/src/primrosescale/request/admission.py
@@ -92,7 +92,7 @@
         return self.kind is VerdictKind.ADMITTED
 
 
-class Admission(Generic[T]):
+class AdmissionController(Generic[T]):
     """Admits calls within the load bound and starts them in fair order.
 
     Parameters
--- a/src/primrosescale/request/agent_call.py
+++ b/src/primrosescale/request/agent_call.py
@@ -28,7 +28,7 @@
 
     from primrosescale.clock import Timer
     from primrosescale.connection.link import Link
-    from primrosescale.request.call_names import CallName
+    from primrosescale.request.call_names import CallId
     from primrosescale.request.claim import Claim
     from primrosescale.request.fair_queue import QueuedCall
     from primrosescale.request.target_port import TargetRun
@@ -82,7 +82,7 @@
 
     Parameters
     ----------
-    name : CallName
+    name : CallId
         Identifier of the call.
     call : wire.Call
         The call as received from the router.
@@ -128,7 +128,7 @@
 
     def __init__(
         self,
-        name: CallName,
+        name: CallId,
         call: wire.Call,
         link: Link,
         deadline: float,
@@ -162,7 +162,7 @@
         self.first_byte_at = 0.0
 
     @property
-    def name(self) -> CallName:
+    def name(self) -> CallId:
         """Return the identifier of the call."""
         return self._name
 
@@ -248,7 +248,7 @@
         if self._phase is not CallPhase.ENDED:
             self._run = run
 
-    def enter_running(self) -> None:
+    def mark_running(self) -> None:
         """Record that the call may have run from now on."""
         self._phase = CallPhase.RUNNING
 
--- a/src/primrosescale/request/call_names.py
+++ b/src/primrosescale/request/call_names.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallName:
+class CallId:
     """Identifier of a call.
 
     Parameters
@@ -29,7 +29,7 @@
     number: int
 
 
-class NameState(Enum):
+class CallIdState(Enum):
     """State of an identifier: not seen yet, call received, or call forbidden."""
 
     FRESH = "fresh"
@@ -41,11 +41,11 @@
 class _IdRecord:
     """State of an identifier and the time in seconds at which it expires."""
 
-    state: NameState
+    state: CallIdState
     until: float
 
 
-class CallNames:
+class CallIdRegistry:
     """Bounded record of call identifiers.
 
     Parameters
@@ -59,8 +59,8 @@
     def __init__(self, keep: float, limit: int) -> None:
         self._keep = keep
         self._limit = limit
-        self._records: dict[CallName, _IdRecord] = {}
-        self._ids_by_expiry: dict[int, list[CallName]] = {}
+        self._records: dict[CallId, _IdRecord] = {}
+        self._ids_by_expiry: dict[int, list[CallId]] = {}
 
     def __len__(self) -> int:
         """Return the number of recorded identifiers."""
@@ -71,47 +71,47 @@
         """Return whether the limit has been reached."""
         return len(self._records) >= self._limit
 
-    def state(self, call_id: CallName) -> NameState:
+    def state(self, call_id: CallId) -> CallIdState:
         """Return the state of an identifier.
 
         Parameters
         ----------
-        call_id : CallName
+        call_id : CallId
             The identifier.
 
         Returns
         -------
-        NameState
-            `NameState.FRESH` for an identifier that is not recorded.
+        CallIdState
+            `CallIdState.FRESH` for an identifier that is not recorded.
         """
         record = self._records.get(call_id)
-        return NameState.FRESH if record is None else record.state
+        return CallIdState.FRESH if record is None else record.state
 
-    def take(self, call_id: CallName, deadline: float) -> None:
+    def take(self, call_id: CallId, deadline: float) -> None:
         """Record that a call has arrived.
 
         Parameters
         ----------
-        call_id : CallName
+        call_id : CallId
             Identifier of the call.
         deadline : float
             Time at which its caller stops waiting, in seconds.
         """
-        self._put(call_id, NameState.TAKEN, deadline)
+        self._put(call_id, CallIdState.TAKEN, deadline)
 
-    def bar(self, call_id: CallName, deadline: float) -> None:
+    def bar(self, call_id: CallId, deadline: float) -> None:
         """Record that a call must never run.
 
         Parameters
         ----------
-        call_id : CallName
+        call_id : CallId
             Identifier of the call.
         deadline : float
             Time at which its caller stops waiting, in seconds.
         """
-        self._put(call_id, NameState.BARRED, deadline)
+        self._put(call_id, CallIdState.BARRED, deadline)
 
-    def forget_old(self, now: float) -> int:
+    def remove_expired(self, now: float) -> int:
         """Remove expired identifiers.
 
         Parameters
@@ -133,7 +133,7 @@
                     removed += 1
         return removed
 
-    def _put(self, call_id: CallName, state: NameState, deadline: float) -> None:
+    def _put(self, call_id: CallId, state: CallIdState, deadline: float) -> None:
         until = deadline + self._keep
         self._records[call_id] = _IdRecord(state, until)
         self._ids_by_expiry.setdefault(math.ceil(until), []).append(call_id)
--- a/src/primrosescale/request/call_table.py
+++ b/src/primrosescale/request/call_table.py
@@ -32,7 +32,7 @@
 )
 
 
-class CallObserver(ABC):
+class CallTableListener(ABC):
     """Looks up targets and is notified of their load and of ended calls."""
 
     @abstractmethod
@@ -44,7 +44,7 @@
         """Mark a target that could not be reached as suspect."""
 
     @abstractmethod
-    def load_heard(self, target: Target, load: int) -> None:
+    def load_reported(self, target: Target, load: int) -> None:
         """Record a target's reported load."""
 
     @abstractmethod
@@ -61,7 +61,7 @@
         This router's incarnation.
     pool : LinkPool
         Connections to agents.
-    listener : CallObserver
+    listener : CallTableListener
         Looks up targets and is notified of ended calls.
     """
 
@@ -69,7 +69,7 @@
         self,
         incarnation: int,
         pool: LinkPool,
-        listener: CallObserver,
+        listener: CallTableListener,
     ) -> None:
         self._incarnation = incarnation
         self._pool = pool
@@ -118,9 +118,9 @@
         """Mark a target that could not be reached as suspect."""
         self._listener.suspect(target)
 
-    def load_heard(self, target: Target, load: int) -> None:
+    def load_reported(self, target: Target, load: int) -> None:
         """Record a target's reported load."""
-        self._listener.load_heard(target, load)
+        self._listener.load_reported(target, load)
 
     def call_ended(self, call: RoutedCall, report: CallReport) -> None:
         """Handle the end of a call."""
--- a/src/primrosescale/request/claim.py
+++ b/src/primrosescale/request/claim.py
@@ -19,7 +19,7 @@
     from primrosescale.connection.wire.ttypes import ClaimReply
     from primrosescale.connection.wire.ttypes import StoredAnswer
 
-KEY_SIZE = 16
+DIGEST_BYTES = 16
 SEPARATOR = b"\0"
 
 
@@ -64,7 +64,7 @@
         Digest of 16 bytes.
     """
     parts = SEPARATOR.join(part.encode() for part in (service, organisation, key))
-    return blake2b(parts, digest_size=KEY_SIZE).digest()
+    return blake2b(parts, digest_size=DIGEST_BYTES).digest()
 
 
 def request_fingerprint(method: str, path: str, body: bytes) -> bytes:
@@ -84,7 +84,7 @@
     bytes
         Digest of 16 bytes.
     """
-    digest = blake2b(digest_size=KEY_SIZE)
+    digest = blake2b(digest_size=DIGEST_BYTES)
     for part in (method.encode(), path.encode(), body):
         digest.update(part + SEPARATOR)
     return digest.digest()
--- a/src/primrosescale/request/directory.py
+++ b/src/primrosescale/request/directory.py
@@ -98,7 +98,7 @@
         """
         self._records.pop(chat, None)
 
-    def hottest(self, target_name: str, count: int) -> list[str]:
+    def most_recent(self, target_name: str, count: int) -> list[str]:
         """Return the chats that a target served most recently.
 
         Parameters
--- a/src/primrosescale/request/load_bound.py
+++ b/src/primrosescale/request/load_bound.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MeanView:
+class ServiceLoad:
     """Load of a service as last reported to an agent.
 
     Parameters
@@ -60,7 +60,7 @@
         Outstanding work units on all targets, including this one.
     targets : int
         Number of targets that the load is spread over.
-    own_then : int
+    own_load : int
         This target's part of that load when it was summed.
     heard_at : float
         Time to which the report applies, in seconds.
@@ -68,7 +68,7 @@
 
     load: int
     targets: int
-    own_then: int
+    own_load: int
     heard_at: float
 
 
@@ -86,12 +86,12 @@
     def __init__(self, settings: BoundSettings, started_at: float) -> None:
         self._settings = settings
         self._started_at = started_at
-        self._view: MeanView | None = None
+        self._view: ServiceLoad | None = None
         self._multiple = settings.multiple
         self._floor = settings.floor
 
     @property
-    def view(self) -> MeanView | None:
+    def view(self) -> ServiceLoad | None:
         """Return the latest report of the service's load."""
         return self._view
 
@@ -108,12 +108,12 @@
         self._multiple = multiple
         self._floor = floor
 
-    def hear(self, view: MeanView) -> None:
+    def hear(self, view: ServiceLoad) -> None:
         """Store a report of the service's load; older and empty ones are ignored.
 
         Parameters
         ----------
-        view : MeanView
+        view : ServiceLoad
             The report.
         """
         if view.targets < 1:
@@ -150,7 +150,7 @@
         multiple = max(1.0, self._multiple * self._settings.margin)
         age = now - view.heard_at
         if age <= self._settings.stale_after:
-            total = max(0, view.load - view.own_then) + own + work
+            total = max(0, view.load - view.own_load) + own + work
             cap = multiple * total / view.targets
         else:
             cap = multiple * view.load / view.targets
--- a/src/primrosescale/request/rate_limit.py
+++ b/src/primrosescale/request/rate_limit.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Demand:
+class DemandRate:
     """Demand of one organisation.
 
     Parameters
@@ -87,7 +87,7 @@
         return float(self.demand * 0.5 ** (elapsed / DEMAND_HALF_LIFE_SECONDS))
 
 
-class OrganisationLimiter:
+class OrganisationRateLimiter:
     """A router's rate limiter for organisations.
 
     Parameters
@@ -136,7 +136,7 @@
             return 0.0
         return (1.0 - meter.tokens) / allowed
 
-    def reports(self, routers: int, now: float) -> list[Demand]:
+    def reports(self, routers: int, now: float) -> list[DemandRate]:
         """Return the demands to report, and drop meters of idle organisations.
 
         Parameters
@@ -148,11 +148,11 @@
 
         Returns
         -------
-        list[Demand]
+        list[DemandRate]
             One for each organisation near its limit.
         """
         share = self._settings.report_share / max(1, routers)
-        found: list[Demand] = []
+        found: list[DemandRate] = []
         for name, meter in list(self._meters.items()):
             rate = meter.demand_at(now)
             if (
@@ -161,15 +161,15 @@
             ):
                 del self._meters[name]
             elif rate >= meter.limit * share:
-                found.append(Demand(name, rate))
+                found.append(DemandRate(name, rate))
         return found
 
-    def hear_total(self, total: Demand, now: float) -> None:
+    def update_total(self, total: DemandRate, now: float) -> None:
         """Record the total demand of an organisation over all routers.
 
         Parameters
         ----------
-        total : Demand
+        total : DemandRate
             The total demand.
         now : float
             Current time in seconds.
--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -184,7 +184,7 @@
         """
 
     @abstractmethod
-    def load_heard(self, target: Target, load: int) -> None:
+    def load_reported(self, target: Target, load: int) -> None:
         """Record a target's load, reported with an answer or a refusal.
 
         Parameters
@@ -311,7 +311,7 @@
         self._cancel_attempt()
         self._end(Outcome.UNKNOWN, Reason.CANCELLED)
 
-    def caller_drained(self) -> None:
+    def caller_ready(self) -> None:
         """Resume acknowledging the answer because the caller accepts bytes again."""
         self._give_credit()
 
@@ -341,7 +341,7 @@
         if self._is_done:
             return
         if isinstance(message, FINAL_MESSAGES) and self._target is not None:
-            self._context.load_heard(self._target, message.load)
+            self._context.load_reported(self._target, message.load)
         try:
             self._dispatch(message)
         except AnswerCutError as error:
--- a/src/primrosescale/request/target_port.py
+++ b/src/primrosescale/request/target_port.py
@@ -81,7 +81,7 @@
         """Resume reading the answer."""
 
 
-class TargetPort(ABC):
+class LocalTargetClient(ABC):
     """Client of an agent's target."""
 
     @abstractmethod
--- a/src/primrosescale/request/work.py
+++ b/src/primrosescale/request/work.py
@@ -102,7 +102,7 @@
         self._expected_output += LEARNING_RATE * (output - self._expected_output)
 
 
-def tokens_of(size: int) -> int:
+def estimate_tokens(size: int) -> int:
     """Estimate the number of tokens of a text from its size.
 
     Parameters
--- a/tests/process/test_seeded_bugs.py
+++ b/tests/process/test_seeded_bugs.py
@@ -15,7 +15,7 @@
 from primrosescale.process.daemons.agent_core import AgentCore
 from primrosescale.process.ledger import claim_writer
 from primrosescale.process.ledger.ledger_bucket import Decision
-from primrosescale.request.admission import Admission
+from primrosescale.request.admission import AdmissionController
 from primrosescale.request.agent_call import AgentCall
 from primrosescale.request.answer_check import AnswerCheck
 from primrosescale.request.attempts import AttemptPlan
@@ -133,7 +133,7 @@
         with (
             mock.patch.object(RoutedCall, "_resumed", resumed),
             mock.patch(
-                "primrosescale.request.call_names.CallNames.take", _record_nothing
+                "primrosescale.request.call_names.CallIdRegistry.take", _record_nothing
             ),
             mock.patch.object(AgentCore, "_start", _start_unclaimed),
         ):
@@ -141,7 +141,7 @@
         self.assert_found("once", world.faults())
 
     def test_work_admitted_after_leaving(self):
-        with mock.patch.object(Admission, "drain", lambda admission: None):
+        with mock.patch.object(AdmissionController, "drain", lambda admission: None):
             world = World(agents=1)
             world.stop_agent("a1")
             world.submit("r1", "late")
--- a/tests/request/test_admission.py
+++ b/tests/request/test_admission.py
@@ -5,7 +5,7 @@
 from testtools import TestCase
 
 from primrosescale.connection.wire.ttypes import Reason
-from primrosescale.request.admission import Admission
+from primrosescale.request.admission import AdmissionController
 from primrosescale.request.admission import AdmissionSettings
 from primrosescale.request.fair_queue import FairQueue
 from primrosescale.request.fair_queue import QueuedCall
@@ -27,7 +27,7 @@
         queue_limit=queue_limit,
         rate_default=rate,
     )
-    return Admission(settings, bound, TargetHealth(HealthSettings()))
+    return AdmissionController(settings, bound, TargetHealth(HealthSettings()))
 
 
 class FairQueueTest(TestCase):
--- a/tests/request/test_rate_limit.py
+++ b/tests/request/test_rate_limit.py
@@ -5,8 +5,8 @@
 from testtools import TestCase
 
 from primrosescale.request.directory import ChatDirectory
-from primrosescale.request.rate_limit import Demand
-from primrosescale.request.rate_limit import OrganisationLimiter
+from primrosescale.request.rate_limit import DemandRate
+from primrosescale.request.rate_limit import OrganisationRateLimiter
 from primrosescale.request.rate_limit import RateSettings
 from primrosescale.request.work import WorkEstimator
 from primrosescale.request.work import WorkSettings
@@ -34,28 +34,28 @@
             reports = [r for item in limiters for r in item.reports(len(limiters), now)]
             total = sum(report.rate for report in reports)
             for item in limiters:
-                item.hear_total(Demand("o", total), now)
+                item.update_total(DemandRate("o", total), now)
         now += step
     return admitted, refused
 
 
 class OrganisationLimiterTest(TestCase):
     def test_one_router_enforces_the_limit(self):
-        admitted, _ = drive([OrganisationLimiter(RateSettings())], 100.0, 10.0, 60.0)
+        admitted, _ = drive([OrganisationRateLimiter(RateSettings())], 100.0, 10.0, 60.0)
         self.assertTrue(550 <= admitted <= 700, admitted)
 
     def test_many_routers_enforce_the_limit_together(self):
-        limiters = [OrganisationLimiter(RateSettings()) for _ in range(20)]
+        limiters = [OrganisationRateLimiter(RateSettings()) for _ in range(20)]
         admitted, _ = drive(limiters, 400.0, 50.0, 60.0)
         self.assertTrue(2400 <= admitted <= 4200, admitted)
 
     def test_an_organisation_under_its_limit_is_never_refused(self):
-        limiters = [OrganisationLimiter(RateSettings()) for _ in range(5)]
+        limiters = [OrganisationRateLimiter(RateSettings()) for _ in range(5)]
         _, refused = drive(limiters, 20.0, 50.0, 60.0)
         self.assertEqual(0, refused)
 
     def test_only_organisations_near_their_limit_are_reported(self):
-        limiter = OrganisationLimiter(RateSettings())
+        limiter = OrganisationRateLimiter(RateSettings())
         for number in range(1000):
             limiter.admit(f"idle{number}", 100.0, 0.0)
         for number in range(200):
@@ -64,14 +64,14 @@
         self.assertEqual(["busy"], names)
 
     def test_idle_meters_are_dropped(self):
-        limiter = OrganisationLimiter(RateSettings())
+        limiter = OrganisationRateLimiter(RateSettings())
         for number in range(1000):
             limiter.admit(f"o{number}", 100.0, 0.0)
         limiter.reports(10, 100.0)
         self.assertEqual(0, len(limiter))
 
     def test_the_wait_ends_when_a_token_is_available(self):
-        limiter = OrganisationLimiter(RateSettings(burst=1.0))
+        limiter = OrganisationRateLimiter(RateSettings(burst=1.0))
         limiter.admit("o", 1.0, 0.0)
         wait = limiter.admit("o", 1.0, 0.0)
         self.assertTrue(0.9 < wait <= 1.0)
@@ -95,7 +95,7 @@
         directory = ChatDirectory(limit=9, keep=100.0)
         for number, name in enumerate("abab"):
             directory.served(f"c{number}", name, 10, float(number))
-        self.assertEqual(["c3", "c1"], directory.hottest("b", 5))
+        self.assertEqual(["c3", "c1"], directory.most_recent("b", 5))
 
 
 class WorkEstimatorTest(TestCase):
