--- a/benchmarks/rest_use.py
+++ b/benchmarks/rest_use.py
@@ -22,7 +22,7 @@
 sys.path.insert(0, str(pathlib.Path(__file__).resolve().parent.parent / "src"))
 
 from primrosescale.request.direct_port import AnswerHead
-from primrosescale.request.target_statements import TargetStatements
+from primrosescale.request.target_statements import TargetSelfReports
 
 TARGETS = 4
 SLOTS = 8
@@ -65,7 +65,7 @@
     """What one router knows of one target."""
 
     def __init__(self, uses, rng):
-        self.statements = TargetStatements()
+        self.statements = TargetSelfReports()
         self.running = 0
         self._uses = uses
         self._rng = rng
--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -188,7 +188,7 @@
         slots=reader.whole("slots", MOST_SLOTS),
         is_draining=STATES[state],
         # Time for which a target that has just started is still slow.
-        warming_for=reader.number_or("cold_remaining_ms", 0, LONGEST_TIME)
+        warm_up_seconds=reader.number_or("cold_remaining_ms", 0, LONGEST_TIME)
         * MILLISECOND,
         started_at=reader.whole("born") if reader.has("born") else None,
     )
--- a/src/primrosescale/process/administration/administration.py
+++ b/src/primrosescale/process/administration/administration.py
@@ -50,7 +50,7 @@
 APPROVER = "approver"
 OPERATOR = "operator"
 READER = "reader"
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 MAX_WRITE_ATTEMPTS = 40
 WRITE_RETRY_SECONDS = 0.25
 MAX_HISTORY = 50
@@ -434,7 +434,7 @@
         """Return a bundle's creation time; a retry gets the stored one."""
         draft = build_tree(bundle, head.version + 1, head.digest, operator.name, 0)
         key = f"config/drafts/{draft.digest}"
-        now_ms = int(self._wall_clock() * MILLISECONDS)
+        now_ms = int(self._wall_clock() * MILLISECONDS_PER_SECOND)
         found = yield self._platform.get(key)
         if found is not None:
             return int(found.value)
@@ -489,7 +489,7 @@
     def _write_audit_entry(
         self, who: str, act: str, digest: str
     ) -> Generator[Any, Any, None]:
-        now_ms = int(self._wall_clock() * MILLISECONDS)
+        now_ms = int(self._wall_clock() * MILLISECONDS_PER_SECOND)
         entry = {"at_ms": now_ms, "who": who, "act": act, "digest": digest}
         key = f"{AUDIT_PREFIX}{now_ms:015d}-{secrets.token_hex(4)}"
         try:
--- a/src/primrosescale/process/daemons/agent_core.py
+++ b/src/primrosescale/process/daemons/agent_core.py
@@ -41,7 +41,7 @@
     from primrosescale.request.claim import Ledger
     from primrosescale.request.target_port import LocalTargetClient
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 TOKEN_SIZE = 16
 FIRST_SERVER_ERROR = 500
 
@@ -233,7 +233,7 @@
             # A copy of a call that is known: the first copy's answer counts.
             self._observer.duplicate(name)
             return
-        deadline = now + message.deadline_ms / MILLISECONDS
+        deadline = now + message.deadline_ms / MILLISECONDS_PER_SECOND
         if self._names.is_full or self._answer_bytes > self._settings.answer_memory:
             self._refuse(link, name, Reason.MEMORY_FULL, retry_after=1.0)
             return
@@ -334,7 +334,7 @@
                 number=name.number,
                 outcome=Outcome.NOT_RUN,
                 reason=reason,
-                retry_after_ms=int(retry_after * MILLISECONDS),
+                retry_after_ms=int(retry_after * MILLISECONDS_PER_SECOND),
                 place=place,
                 detail=detail,
                 load=self._load(),
@@ -485,7 +485,7 @@
         if self._names.state(name) is CallIdState.TAKEN:
             self._answer_unknown(link, name, Reason.ANSWER_EVICTED)
             return
-        if message.age_ms / MILLISECONDS > self._settings.name_keep:
+        if message.age_ms / MILLISECONDS_PER_SECOND > self._settings.name_keep:
             self._answer_unknown(link, name, Reason.ANSWER_EVICTED)
             return
         self._names.bar(name, now + self._settings.name_keep)
--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_learning.py
@@ -27,7 +27,7 @@
     from primrosescale.process.entry.entry_parts import EntryParts
     from primrosescale.process.entry.router_exchange import NewsExchange
     from primrosescale.process.entry.target_list import TargetList
-    from primrosescale.request.part_directory import PartDirectory
+    from primrosescale.request.part_directory import PrefixCacheIndex
     from primrosescale.request.serving_target import ServingTarget
 
 # Engines report their cache contents within 20-40 ms, other routers within 10 ms; one
@@ -61,7 +61,7 @@
         Sends to other routers.
     targets : TargetList
         Targets and their states.
-    directory : PartDirectory
+    directory : PrefixCacheIndex
         Where prompt parts are cached.
     parts : EntryParts
         Collaborators of the router.
@@ -72,7 +72,7 @@
         shares: CacheShares,
         exchange: NewsExchange,
         targets: TargetList,
-        directory: PartDirectory,
+        directory: PrefixCacheIndex,
         parts: EntryParts,
     ) -> None:
         self._shares = shares
@@ -189,7 +189,7 @@
                 state.target,
                 started_at=incarnation.started_at,
                 is_draining=False,
-                warming_for=0.0,
+                warm_up_seconds=0.0,
             )
             self._targets.put(begun, now, told_by=TARGET)
         elif state is None or state.incarnation != incarnation:
--- a/src/primrosescale/process/entry/cache_shares.py
+++ b/src/primrosescale/process/entry/cache_shares.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from primrosescale.connection.wire import ttypes as wire
-from primrosescale.process.entry.load_codec import MILLISECONDS
+from primrosescale.process.entry.load_codec import MILLISECONDS_PER_SECOND
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.process.membership.order import first_in_order
 from primrosescale.request.part_directory import PartUse
@@ -24,7 +24,7 @@
 
     from primrosescale.process.entry.other_router import OtherRouter
     from primrosescale.process.entry.target_list import TargetList
-    from primrosescale.request.part_directory import PartDirectory
+    from primrosescale.request.part_directory import PrefixCacheIndex
     from primrosescale.request.target_state import TargetState
 
 # Bounds the datagram to a size that no link fragments: a prompt part takes 18 bytes.
@@ -40,7 +40,7 @@
         This router.
     targets : TargetList
         Targets and their states.
-    parts : PartDirectory
+    parts : PrefixCacheIndex
         Where prompt parts are cached.
     others : Callable[[], Sequence[OtherRouter]]
         Returns the other routers that are listed.
@@ -65,7 +65,7 @@
         self,
         name: str,
         targets: TargetList,
-        parts: PartDirectory,
+        parts: PrefixCacheIndex,
         others: Callable[[], Sequence[OtherRouter]],
         find: Callable[[str], OtherRouter | None],
     ) -> None:
@@ -187,7 +187,7 @@
         reported = {cache.target: cache.parts for cache in message.caches}
         for state in self._targets.states:
             for part in reported.get(target_key(*state.incarnation), ()):
-                used_at = now - part.age_ms / MILLISECONDS
+                used_at = now - part.age_ms / MILLISECONDS_PER_SECOND
                 self._parts.note(
                     PartUse(part.part, state.incarnation, part.tokens, used_at)
                 )
@@ -229,5 +229,5 @@
 
 
 def _cached_part(use: PartUse, now: float) -> wire.CachedPart:
-    age_ms = max(0, round((now - use.used_at) * MILLISECONDS))
+    age_ms = max(0, round((now - use.used_at) * MILLISECONDS_PER_SECOND))
     return wire.CachedPart(use.part, use.tokens, age_ms)
--- a/src/primrosescale/process/entry/entry_metrics.py
+++ b/src/primrosescale/process/entry/entry_metrics.py
@@ -10,7 +10,7 @@
 from prometheus_client import Histogram
 from prometheus_client.exposition import generate_latest
 
-from primrosescale.request.target_choice import OLD_NEWS
+from primrosescale.request.target_choice import STALE_LOAD_SECONDS
 
 if TYPE_CHECKING:
     from primrosescale.request.forwarded_call import ForwardedCall
@@ -181,7 +181,7 @@
                 self._prompts.labels(
                     "home" if attempt.is_home else "elsewhere",
                     bool(attempt.fetched_from),
-                    attempt.load_age > OLD_NEWS,
+                    attempt.load_age > STALE_LOAD_SECONDS,
                 ).inc()
 
     def silence_judged(self, silence: Silence) -> None:
--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -54,12 +54,12 @@
 from primrosescale.request.gate import Gate
 from primrosescale.request.harmful_requests import HarmfulRequests
 from primrosescale.request.hop import NO_HOP
-from primrosescale.request.part_directory import PartDirectory
+from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.repeat_budget import RepeatBudget
 from primrosescale.request.router_shares import RouterShares
 from primrosescale.request.target_choice import TargetChooser
-from primrosescale.request.target_room import Standing
-from primrosescale.request.target_room import TargetRoom
+from primrosescale.request.target_room import TargetCondition
+from primrosescale.request.target_room import TargetAvailability
 
 if TYPE_CHECKING:
     from collections.abc import Generator
@@ -146,7 +146,7 @@
         incarnation = new_incarnation()
         freshness = Freshness(settings.revoke)
         self._target_client = HttpTargetCaller(parts.reactor, parts.codec)
-        self._prefix_index = PartDirectory()
+        self._prefix_index = PrefixCacheIndex()
         restarts = TargetRestarts(
             self._target_client, self._prefix_index, parts, self._target_ended
         )
@@ -154,7 +154,7 @@
         self._evacuations = Evacuations(self._domains_evacuated)
         self._shares = RouterShares(settings.name)
         self._cold_targets = ColdTargets(settings.cold, self._shares, self._service)
-        self._availability = TargetRoom(self._cold_targets)
+        self._availability = TargetAvailability(self._cold_targets)
         self._leaving_exchange = LeavingNews(targets, parts.log)
         self._harmful_requests = HarmfulRequests(settings.harm)
         harm_reports = HarmNews(self._harmful_requests, parts.log)
@@ -226,7 +226,7 @@
                 lambda: self._state_exchange.is_relayed,
                 self._availability,
                 targets.unlisted_of,
-                self._shares.own_tokens,
+                self._shares.own_permits,
             ),
             parts=self._prefix_index,
             states_of=targets.of_service,
@@ -547,7 +547,7 @@
             return
         others = {router.name for router in self._state_exchange.others}
         names = frozenset({self._settings.name, *others})
-        self._shares.list_routers(names, now, was_listed=self._registry.was_listed)
+        self._shares.set_routers(names, now, was_listed=self._registry.was_listed)
 
     def _service(self, name: str) -> Service | None:
         table = self._knowledge.table
@@ -662,7 +662,7 @@
         age = self._knowledge.freshness.age(now)
         rank = self._state_exchange.relay_rank(now)
         conditions = Counter(
-            self._availability.standing(state, now)
+            self._availability.condition(state, now)
             for state in self._knowledge.targets.states
         )
         values: dict[str, float] = {
@@ -673,9 +673,9 @@
                 self._cold_targets.is_cold(state, now)
                 for state in self._knowledge.targets.states
             ),
-            "leaving_targets": conditions[Standing.LEAVING],
-            "resting_targets": conditions[Standing.RESTING],
-            "suspect_targets": conditions[Standing.SUSPECT],
+            "leaving_targets": conditions[TargetCondition.LEAVING],
+            "resting_targets": conditions[TargetCondition.RESTING],
+            "suspect_targets": conditions[TargetCondition.SUSPECT],
             "evacuated_domains": len(self._evacuations.domains),
             "caller_connections": self._factory.open_channels,
             "requests_under_way": len(self._calls),
--- a/src/primrosescale/process/entry/harm_news.py
+++ b/src/primrosescale/process/entry/harm_news.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from primrosescale.connection.wire import ttypes as wire
-from primrosescale.process.entry.load_codec import MILLISECONDS
+from primrosescale.process.entry.load_codec import MILLISECONDS_PER_SECOND
 from primrosescale.process.events import Event
 from primrosescale.request.content_fingerprint import fingerprint_text
 from primrosescale.request.harm_reports import HarmReport
@@ -167,7 +167,7 @@
             Present time in seconds.
         """
         for report in self._reports_in(message):
-            at = now - max(0, report.age_ms) / MILLISECONDS
+            at = now - max(0, report.age_ms) / MILLISECONDS_PER_SECOND
             if report.target is None:
                 kind = LoneTry if report.is_try else WholeAnswer
                 self._apply(kind(report.fingerprint, at), message.origin, now)
@@ -215,7 +215,7 @@
 
 
 def _end_report(item: HarmReport, now: float) -> wire.EndNews:
-    age = max(0, round((now - item.at) * MILLISECONDS))
+    age = max(0, round((now - item.at) * MILLISECONDS_PER_SECOND))
     if isinstance(item, TargetEnd):
         was_answered = item.was_answered or None
         return wire.EndNews(
--- a/src/primrosescale/process/entry/harm_watch.py
+++ b/src/primrosescale/process/entry/harm_watch.py
@@ -144,7 +144,7 @@
 
     def heard(self, state: TargetState, sent_at: float, now: float) -> None:
         """Record that the target is running; see `HarmWatch.heard`."""
-        if not state.incarnation.is_named_by_id or not (
+        if not state.incarnation.has_unique_name or not (
             self._ended_at or len(self._lost_answers)
         ):
             return
--- a/src/primrosescale/process/entry/leaving_news.py
+++ b/src/primrosescale/process/entry/leaving_news.py
@@ -96,7 +96,7 @@
         """
         for key in leaving:
             state = states.get(key)
-            if state is not None and state.statements.hear_leaving(now):
+            if state is not None and state.statements.set_leaving(now):
                 self.note(state.incarnation)
                 self._log.emit(
                     Event.TARGET_SAID,
--- a/src/primrosescale/process/entry/load_codec.py
+++ b/src/primrosescale/process/entry/load_codec.py
@@ -35,7 +35,7 @@
 # Bytes of a message without loads and prompt parts.
 TYPICAL_HEADER_BYTES = 50
 PERCENT = 100
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 
 
 class LoadCodec:
@@ -148,7 +148,7 @@
         keys = sorted(named, key=lambda key: -named[key])[:MAX_SUMMED_TARGETS]
         message.targets = [_target_sum(key, named[key], loads) for key in keys]
         message.targets_digest = self._keys.digest
-        message.age_ms = round((now - loads.known_at) * MILLISECONDS)
+        message.age_ms = round((now - loads.known_at) * MILLISECONDS_PER_SECOND)
         message.routers = loads.routers
         message.store_lost = not loads.reaches_store
 
@@ -168,7 +168,7 @@
             None if it is in the order of a list of targets that is not the one known
             here.
         """
-        known_at = now - (message.age_ms or 0) / MILLISECONDS
+        known_at = now - (message.age_ms or 0) / MILLISECONDS_PER_SECOND
         routers = 1 if message.routers is None else message.routers
         loads = LoadSum(known_at, routers, reaches_store=not message.store_lost)
         if message.running is not None:
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -15,7 +15,7 @@
 
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.connection.wire.ttypes import NewsScope
-from primrosescale.process.entry.load_codec import MILLISECONDS
+from primrosescale.process.entry.load_codec import MILLISECONDS_PER_SECOND
 from primrosescale.process.entry.load_codec import LoadCodec
 from primrosescale.process.entry.news_paths import NewsPaths
 from primrosescale.process.entry.news_paths import NewsSettings
@@ -36,7 +36,7 @@
     from primrosescale.process.entry.target_list import TargetList
     from primrosescale.request.evacuations import Evacuations
     from primrosescale.request.freshness import Freshness
-    from primrosescale.request.part_directory import PartDirectory
+    from primrosescale.request.part_directory import PrefixCacheIndex
 
 # Bounds the datagram to a size that no link fragments.
 MAX_PARTS = 36
@@ -73,7 +73,7 @@
         Number of this incarnation of the process.
     targets : TargetList
         Targets and their states.
-    parts : PartDirectory
+    parts : PrefixCacheIndex
         Where prompt parts are cached.
     freshness : Freshness
         Age of the configuration known here.
@@ -95,7 +95,7 @@
         name: str,
         incarnation: int,
         targets: TargetList,
-        parts: PartDirectory,
+        parts: PrefixCacheIndex,
         freshness: Freshness,
         domain: str = "",
         settings: NewsSettings | None = None,
@@ -144,7 +144,7 @@
     @property
     def is_urgent(self) -> bool:
         """Return whether something should be sent before the next round."""
-        if not self._topology.is_relayed or self._parts.has_unexpected:
+        if not self._topology.is_relayed or self._parts.has_away_from_home:
             return True
         return self._harm is not None and self._harm.is_urgent
 
@@ -424,7 +424,7 @@
             self._leaving.to_send() if self._leaving else [],
         )
         is_relayed = self._topology.is_relayed
-        take_uses = self._parts.take_unexpected if is_relayed else self._parts.take_news
+        take_uses = self._parts.take_away_from_home if is_relayed else self._parts.take_updates
         parts = [_part_update(use, now) for use in take_uses()]
         ends = self._harm.ends(now) if self._harm else []
         held = self._harm.held(now) if self._harm and not is_urgent else []
@@ -473,7 +473,7 @@
             header.list_revision,
         )
         evacuations = self._evacuations
-        if evacuations is not None and evacuations.is_news:
+        if evacuations is not None and evacuations.is_worth_sharing:
             message.evacuated = sorted(evacuations.domains)
             message.evacuated_revision = evacuations.revision
         message.leaving = header.leaving or None
@@ -557,7 +557,7 @@
             return
         replied_to = peer.sent_at.get(message.heard)
         if replied_to is not None:
-            age = message.knowledge_age_ms / MILLISECONDS
+            age = message.knowledge_age_ms / MILLISECONDS_PER_SECOND
             self._freshness.answered(replied_to - age)
 
     def _apply_evacuations(self, message: wire.RouterNews, now: float) -> None:
@@ -595,18 +595,18 @@
         for key in before.union(loads.running):
             state = states.get(key)
             if state is not None:
-                state.hear_router(origin, loads.running.get(key, 0), fresh_until)
+                state.set_peer_requests(origin, loads.running.get(key, 0), fresh_until)
         for key, (good, bad) in loads.outcomes.items():
             state = states.get(key)
             if state is not None:
-                state.hear_outcomes(origin, good, bad, fresh_until)
+                state.set_peer_outcomes(origin, good, bad, fresh_until)
 
     def _apply_parts(self, message: wire.RouterNews, now: float) -> None:
         states = self._codec.keys.states
         for item in message.parts:
             state = states.get(item.target)
             if state is not None:
-                used_at = now - item.age_ms / MILLISECONDS
+                used_at = now - item.age_ms / MILLISECONDS_PER_SECOND
                 use = PartUse(
                     item.part,
                     state.incarnation,
@@ -648,4 +648,4 @@
 
 
 def _milliseconds(seconds: float) -> int:
-    return max(0, round(seconds * MILLISECONDS))
+    return max(0, round(seconds * MILLISECONDS_PER_SECOND))
--- a/src/primrosescale/process/entry/target_list.py
+++ b/src/primrosescale/process/entry/target_list.py
@@ -16,9 +16,9 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from primrosescale.request.target_state import RUNS_ON_SECONDS
+from primrosescale.request.target_state import ASSUMED_DRAIN_SECONDS
 from primrosescale.request.target_state import TargetState
-from primrosescale.request.target_statements import KeptStatements
+from primrosescale.request.target_statements import RetainedSelfReports
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -88,7 +88,7 @@
         self._evacuated: frozenset[str] = frozenset()
         self._known: dict[str, TargetState] = {}
         self._forget_at: dict[str, float] = {}
-        self._self_reports = KeptStatements()
+        self._self_reports = RetainedSelfReports()
         # Targets whose entries were removed without a prior drain, with the time until
         # which they may still run.
         self._delisted: dict[str, tuple[TargetState, float]] = {}
@@ -221,8 +221,8 @@
             self._add_incarnation(target, known, now, told_by)
             return True
         before = known.target
-        known.relist(target)
-        known.told_cold(target.warming_for, now)
+        known.update_entry(target)
+        known.set_cold_for(target.warm_up_seconds, now)
         self._apply_evacuation(known, now)
         return known.target != before
 
@@ -317,7 +317,7 @@
         held_until = removed_at
         if not known.is_leaving:
             held_until += self._drain * RETENTION_SHARE
-            self._delisted[name] = (known, removed_at + RUNS_ON_SECONDS)
+            self._delisted[name] = (known, removed_at + ASSUMED_DRAIN_SECONDS)
         self._forget_at[name] = held_until
         return True
 
--- a/src/primrosescale/process/entry/target_list_sync.py
+++ b/src/primrosescale/process/entry/target_list_sync.py
@@ -159,8 +159,8 @@
         if known is None or known[0] != revision:
             self._first_seen[target.name] = (revision, now)
             return target
-        left = max(0.0, target.warming_for - (now - known[1]))
-        return replace(target, warming_for=left)
+        left = max(0.0, target.warm_up_seconds - (now - known[1]))
+        return replace(target, warm_up_seconds=left)
 
     def _remove(self, name: str, now: float) -> None:
         self._first_seen.pop(name, None)
--- a/src/primrosescale/process/entry/target_restarts.py
+++ b/src/primrosescale/process/entry/target_restarts.py
@@ -13,7 +13,7 @@
     from primrosescale.process.entry.entry_parts import EntryParts
     from primrosescale.process.entry.target_list import IncarnationStart
     from primrosescale.request.direct_port import TargetCaller
-    from primrosescale.request.part_directory import PartDirectory
+    from primrosescale.request.part_directory import PrefixCacheIndex
     from primrosescale.request.target_incarnation import TargetIncarnation
 
 
@@ -27,7 +27,7 @@
     ----------
     target_client : TargetCaller
         Holds the requests that are in flight.
-    prefix_index : PartDirectory
+    prefix_index : PrefixCacheIndex
         Prefix cache index of this router.
     parts : EntryParts
         Collaborators of the router.
@@ -38,7 +38,7 @@
     def __init__(
         self,
         target_client: TargetCaller,
-        prefix_index: PartDirectory,
+        prefix_index: PrefixCacheIndex,
         parts: EntryParts,
         on_end: Callable[[TargetIncarnation], None],
     ) -> None:
--- a/src/primrosescale/process/ledger/ledger_bucket.py
+++ b/src/primrosescale/process/ledger/ledger_bucket.py
@@ -24,7 +24,7 @@
 FORMAT = 1
 DIGEST_BYTES = 16
 LAYOUT_KEY = f"ledger/v{FORMAT}/layout"
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 
 
 class LedgerFormatError(ProcessError):
--- a/src/primrosescale/process/membership/heartbeat.py
+++ b/src/primrosescale/process/membership/heartbeat.py
@@ -22,7 +22,7 @@
     from primrosescale.process.membership.load_sums import SumSettings
     from primrosescale.version.head import VersionHead
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 MAX_MISSED_HEARTBEATS = 2
 AVOID_SECONDS = 10.0
 MAX_LOADS_KEPT = 8
@@ -176,7 +176,7 @@
             load=state.load,
             state=state.state,
             version=state.version,
-            error_permille=int(state.error_share * MILLISECONDS),
+            error_permille=int(state.error_share * MILLISECONDS_PER_SECOND),
             list_version=self._list_version,
         )
         connecting = self._pool.get(endpoint)
@@ -214,7 +214,7 @@
 
     def _pair_with_own_load(self, mean: wire.ServiceMean, now: float) -> ServiceLoad:
         """Pair the mean load with this agent's load at the time of the reports."""
-        age = mean.age_ms / MILLISECONDS
+        age = mean.age_ms / MILLISECONDS_PER_SECOND
         intervals_ago = 1 + round(age / self._settings.interval)
         index = max(0, len(self._reported_loads) - 1 - intervals_ago)
         return ServiceLoad(
--- a/src/primrosescale/process/membership/load_sums.py
+++ b/src/primrosescale/process/membership/load_sums.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 MAX_LAGGARDS = 20
 AGGREGATORS = 2
 OVERDUE_INTERVALS = 1.5
@@ -398,7 +398,7 @@
             if is_recent and known.routers > report.routers:
                 return
         self._reports[report.domain] = report
-        self._received_at[report.domain] = now - report.age_ms / MILLISECONDS
+        self._received_at[report.domain] = now - report.age_ms / MILLISECONDS_PER_SECOND
 
     def domains(self, now: float) -> list[wire.DomainReport]:
         """Return the reports that are still valid, with their age.
@@ -417,7 +417,7 @@
         for name, report in self._reports.items():
             age = now - self._received_at[name]
             if age <= self._settings.report_keep:
-                report.age_ms = int(age * MILLISECONDS)
+                report.age_ms = int(age * MILLISECONDS_PER_SECOND)
                 found.append(report)
         return found
 
--- a/src/primrosescale/request/agent_call.py
+++ b/src/primrosescale/request/agent_call.py
@@ -33,7 +33,7 @@
     from primrosescale.request.fair_queue import QueuedCall
     from primrosescale.request.target_port import TargetRun
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 RETRY_AFTER_HEADER = "retry-after"
 
 
@@ -320,7 +320,7 @@
             number=self._name.number,
             outcome=outcome,
             reason=reason,
-            retry_after_ms=int(retry_after * MILLISECONDS),
+            retry_after_ms=int(retry_after * MILLISECONDS_PER_SECOND),
             place="",
             detail=detail,
             load=self._load(),
--- a/src/primrosescale/request/cold_targets.py
+++ b/src/primrosescale/request/cold_targets.py
@@ -167,7 +167,7 @@
         if warm_in <= 0:
             return 0.0
         tokens = self._settings.tokens(service)
-        own = self._shares.own_tokens(state.target.name, tokens, now)
+        own = self._shares.own_permits(state.target.name, tokens, now)
         sent = self._recently_sent(state.target.name, now)
         if len(sent) < own:
             return 0.0
--- a/src/primrosescale/request/evacuations.py
+++ b/src/primrosescale/request/evacuations.py
@@ -59,7 +59,7 @@
         return self._known.revision
 
     @property
-    def is_news(self) -> bool:
+    def is_worth_sharing(self) -> bool:
         """Return whether the list is worth reporting: some domain was ever in it."""
         return self._has_had_any
 
--- a/src/primrosescale/request/forward_tools.py
+++ b/src/primrosescale/request/forward_tools.py
@@ -11,7 +11,7 @@
 from primrosescale.ini.options import option
 from primrosescale.request.harm_watch import Unwatched
 from primrosescale.request.hop import UntracedHop
-from primrosescale.request.target_room import TargetRoom
+from primrosescale.request.target_room import TargetAvailability
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -25,7 +25,7 @@
     from primrosescale.request.harm_watch import HarmWatch
     from primrosescale.request.hop import Hop
     from primrosescale.request.incoming import IncomingRequest
-    from primrosescale.request.part_directory import PartDirectory
+    from primrosescale.request.part_directory import PrefixCacheIndex
     from primrosescale.request.repeat_budget import RepeatBudget
     from primrosescale.request.silence import Silence
     from primrosescale.request.target_choice import ChoiceSettings
@@ -152,7 +152,7 @@
         Sends requests to targets.
     chooser : TargetChooser
         Chooses targets.
-    parts : PartDirectory
+    parts : PrefixCacheIndex
         Index of the parts of prompts that each target has cached.
     states_of : Callable[[str], list[TargetState]]
         Returns the targets of a service.
@@ -172,7 +172,7 @@
         such as that it is leaving, cold or wants a pause.
     harm : HarmWatch
         Detects requests that crash targets.
-    room : TargetRoom
+    room : TargetAvailability
         Determines whether a target is available for requests.
     regions : Mapping[str, str]
         The region of each failure domain.
@@ -183,7 +183,7 @@
     rng: Random
     caller: TargetCaller
     chooser: TargetChooser
-    parts: PartDirectory
+    parts: PrefixCacheIndex
     states_of: Callable[[str], list[TargetState]]
     budget_of: Callable[[str], RepeatBudget]
     routers: Callable[[], int]
@@ -194,7 +194,7 @@
         _ignore_self_report
     )
     harm: HarmWatch = field(default_factory=Unwatched)
-    room: TargetRoom = field(default_factory=TargetRoom)
+    room: TargetAvailability = field(default_factory=TargetAvailability)
     regions: Mapping[str, str] = field(default_factory=dict)
 
     def configure(self, settings: ForwardSettings, choice: ChoiceSettings) -> None:
--- a/src/primrosescale/request/forwarded_call.py
+++ b/src/primrosescale/request/forwarded_call.py
@@ -170,7 +170,7 @@
         self._tools.harm.sent(self._request, now)
         prompt = self._request.prompt
         if prompt is not None:
-            is_new = self._tools.parts.note_own(
+            is_new = self._tools.parts.record_own_request(
                 attempt.incarnation,
                 prompt.parts,
                 now,
@@ -679,7 +679,7 @@
             target=attempt.name,
             silent_for=attempt.state.silence(now),
             waited=now - self._waiting_since,
-            others=tools.chooser.count_open(states, self._tried.excluded(states), now),
+            others=tools.chooser.count_available(states, self._tried.excluded(states), now),
             verdict=verdict,
         )
         tools.silence_judged(self._request, silence)
--- a/src/primrosescale/request/fresh_answers.py
+++ b/src/primrosescale/request/fresh_answers.py
@@ -56,7 +56,7 @@
         bool
             Whether the target was alive later, or its end would be known by now.
         """
-        is_identified = self.state.incarnation.is_named_by_id
+        is_identified = self.state.incarnation.has_unique_name
         if is_identified and self.state.heard_at >= self.at + PROOF_SECONDS:
             return True
         return now - self.at >= LONGEST_WAIT
--- a/src/primrosescale/request/part_directory.py
+++ b/src/primrosescale/request/part_directory.py
@@ -109,7 +109,7 @@
         return held, known is None
 
 
-class PartDirectory:
+class PrefixCacheIndex:
     """Records which incarnation of a target holds which parts, and their last use."""
 
     __slots__ = (
@@ -171,11 +171,11 @@
         return holder.note(use, self._capacity.get(use.target, 0))
 
     @property
-    def has_unexpected(self) -> bool:
+    def has_away_from_home(self) -> bool:
         """Return whether a prompt to be reported went elsewhere than to its home."""
         return bool(self._away_from_home)
 
-    def note_own(
+    def record_own_request(
         self,
         target: TargetIncarnation,
         parts: Sequence[PromptPart],
@@ -231,7 +231,7 @@
             use_with_prefix = replace(use, before=before)
             self._away_from_home[(use.part, use.target)] = use_with_prefix
 
-    def take_news(self) -> list[PartUse]:
+    def take_updates(self) -> list[PartUse]:
         """Return the uses recorded since the last call but one.
 
         Each use is reported twice, since datagrams are sometimes lost and a lost one
@@ -247,7 +247,7 @@
         self._away_from_home.clear()
         return list({**previous, **current}.values())
 
-    def take_unexpected(self) -> list[PartUse]:
+    def take_away_from_home(self) -> list[PartUse]:
         """Return the prompts that went elsewhere than to their homes.
 
         Each is reported once, since the report reaches peer routers by two paths,
--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -38,7 +38,7 @@
     from primrosescale.request.call_request import CallRequest
     from primrosescale.request.candidates import Target
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 FINAL_MESSAGES = (wire.Answer, wire.AnswerEnd, wire.CallFailed)
 
 
@@ -442,7 +442,7 @@
             path=request.path,
             headers=request.headers,
             body=request.body,
-            deadline_ms=int(remaining * MILLISECONDS),
+            deadline_ms=int(remaining * MILLISECONDS_PER_SECOND),
             prompt_tokens=request.prompt_tokens,
             output_tokens=request.output_tokens,
             priority=request.priority,
@@ -498,7 +498,7 @@
                 number=self._attempt_number,
                 offset=self._answer_check.offset,
                 target_incarnation=self._target_incarnation,
-                age_ms=int(age * MILLISECONDS),
+                age_ms=int(age * MILLISECONDS_PER_SECOND),
             ),
         )
 
@@ -598,7 +598,7 @@
     return AttemptFailure(
         Outcome(message.outcome),
         Reason(message.reason),
-        retry_after=message.retry_after_ms / MILLISECONDS,
+        retry_after=message.retry_after_ms / MILLISECONDS_PER_SECOND,
         place=message.place,
         detail=message.detail,
     )
--- a/src/primrosescale/request/target_attempt.py
+++ b/src/primrosescale/request/target_attempt.py
@@ -284,7 +284,7 @@
         self._record.ended_at = now
         self._hop.end(target=self.name, outcome=outcome)
         if self._is_paused:
-            self._state.read_again(now)
+            self._state.resume_reading(now)
         self._state.ended()
         if self._run is not None and not is_whole:
             self._run.cancel()
@@ -309,7 +309,7 @@
         if self._is_over or not self._is_paused:
             return
         self._is_paused = False
-        self._state.read_again(now)
+        self._state.resume_reading(now)
         if self._run is not None:
             self._run.resume()
 
--- a/src/primrosescale/request/target_choice.py
+++ b/src/primrosescale/request/target_choice.py
@@ -26,7 +26,7 @@
 from primrosescale.request.prompt_homes import expected_source
 from primrosescale.request.prompt_homes import home_of
 from primrosescale.request.prompt_homes import shared_tokens
-from primrosescale.request.target_room import TargetRoom
+from primrosescale.request.target_room import TargetAvailability
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -35,7 +35,7 @@
     from random import Random
 
     from primrosescale.request.incoming import Prompt
-    from primrosescale.request.part_directory import PartDirectory
+    from primrosescale.request.part_directory import PrefixCacheIndex
     from primrosescale.request.target_incarnation import TargetIncarnation
     from primrosescale.request.target_state import TargetState
 
@@ -48,7 +48,7 @@
 TIE_BREAK_REQUESTS = 0.01
 # Age of peer routers' state updates, in seconds, beyond which the target that is
 # best by them would be chosen by all routers at once.
-OLD_NEWS = 0.7
+STALE_LOAD_SECONDS = 0.7
 # Targets sampled at random in that case; with more, the best of them would again be
 # the same for many routers.
 SAMPLED_TARGETS = 2
@@ -180,7 +180,7 @@
     @property
     def is_stale(self) -> bool:
         """Return whether state updates are too old to choose the best target by."""
-        return self.age > OLD_NEWS
+        return self.age > STALE_LOAD_SECONDS
 
     def of(self, state: TargetState) -> float:
         """Return the load of a target, in requests."""
@@ -194,7 +194,7 @@
     ----------
     settings : ChoiceSettings
         Weights.
-    parts : PartDirectory
+    parts : PrefixCacheIndex
         Where parts of prompts are cached.
     rng : Random
         Random source for ties and samples.
@@ -204,7 +204,7 @@
     relies_on_homes : Callable[[], bool]
         Returns whether there are so many routers that they report to each other
         only prompts that are elsewhere than at their homes.
-    room : TargetRoom | None
+    room : TargetAvailability | None
         Decides which targets may be sent a request now; None where requests never
         have to wait for a target.
     unlisted_of : Callable[[str], Sequence[TargetState]]
@@ -217,11 +217,11 @@
     def __init__(
         self,
         settings: ChoiceSettings,
-        parts: PartDirectory,
+        parts: PrefixCacheIndex,
         rng: Random,
         news_age: Callable[[], float] | None = None,
         relies_on_homes: Callable[[], bool] = lambda: False,
-        room: TargetRoom | None = None,
+        room: TargetAvailability | None = None,
         unlisted_of: Callable[[str], Sequence[TargetState]] = lambda _: (),
         own_share: Callable[[str, int, float], int] = lambda _, requests, __: requests,
     ) -> None:
@@ -230,7 +230,7 @@
         self._rng = rng
         self._news_age = news_age
         self._relies_on_homes = relies_on_homes
-        self._room = room or TargetRoom()
+        self._room = room or TargetAvailability()
         self._unlisted_of = unlisted_of
         self._own_share = own_share
 
@@ -244,7 +244,7 @@
         """
         self._settings = settings
 
-    def count_open(
+    def count_available(
         self,
         states: Sequence[TargetState],
         tried: Collection[TargetIncarnation],
--- a/src/primrosescale/request/target_incarnation.py
+++ b/src/primrosescale/request/target_incarnation.py
@@ -26,7 +26,7 @@
     started_at: int | None = None
 
     @property
-    def is_named_by_id(self) -> bool:
+    def has_unique_name(self) -> bool:
         """Return whether the name alone identifies it, as no start is reported."""
         return self.started_at is None
 
--- a/src/primrosescale/request/target_room.py
+++ b/src/primrosescale/request/target_room.py
@@ -18,7 +18,7 @@
     from primrosescale.request.target_state import TargetState
 
 
-class Standing(Enum):
+class TargetCondition(Enum):
     """Whether a target may be sent requests; the first member that applies counts."""
 
     LEAVING = "leaving"
@@ -49,7 +49,7 @@
     resting: int
 
 
-class TargetRoom:
+class TargetAvailability:
     """Decides whether targets may be sent requests, and if not, when.
 
     Parameters
@@ -63,7 +63,7 @@
     def __init__(self, cold: ColdTargets | None = None) -> None:
         self._cold = cold
 
-    def standing(self, state: TargetState, now: float) -> Standing:
+    def condition(self, state: TargetState, now: float) -> TargetCondition:
         """Return the condition of a target.
 
         Parameters
@@ -75,18 +75,18 @@
 
         Returns
         -------
-        Standing
+        TargetCondition
             Its condition.
         """
         if state.is_leaving:
-            return Standing.LEAVING
+            return TargetCondition.LEAVING
         if not state.takes_work:
-            return Standing.EVACUATED
+            return TargetCondition.EVACUATED
         if state.statements.is_resting(now):
-            return Standing.RESTING
+            return TargetCondition.RESTING
         if self._cold is not None and self._cold.is_cold(state, now):
-            return Standing.COLD
-        return Standing.SUSPECT if state.is_avoided(now) else Standing.READY
+            return TargetCondition.COLD
+        return TargetCondition.SUSPECT if state.is_avoided(now) else TargetCondition.READY
 
     def open(self, states: Sequence[TargetState], now: float) -> AvailableTargets:
         """Return which of some targets may be sent a request now.
--- a/src/primrosescale/request/target_state.py
+++ b/src/primrosescale/request/target_state.py
@@ -15,7 +15,7 @@
 
 from primrosescale.request.decaying_outcomes import DecayingOutcomes
 from primrosescale.request.reported_counts import ReportedCounts
-from primrosescale.request.target_statements import TargetStatements
+from primrosescale.request.target_statements import TargetSelfReports
 
 if TYPE_CHECKING:
     from primrosescale.request.direct_port import AnswerHead
@@ -39,7 +39,7 @@
 SILENT_SECONDS = 0.45
 # A target is assumed to run for this long, completing its requests, after it reported
 # in an answer that it is leaving, or after its entry vanished without notice.
-RUNS_ON_SECONDS = 3.0
+ASSUMED_DRAIN_SECONDS = 3.0
 # A target whose entry is gone is assumed to have crashed, and to have lost its
 # requests, when its share of failures is at least this.
 CRASHED_FAILURE_SHARE = 0.25
@@ -80,7 +80,7 @@
         The target.
     now : float
         Current time in seconds.
-    statements : TargetStatements | None
+    statements : TargetSelfReports | None
         What this incarnation reported of itself while it was listed earlier.
     """
 
@@ -111,10 +111,10 @@
         self,
         target: ServingTarget,
         now: float,
-        statements: TargetStatements | None = None,
+        statements: TargetSelfReports | None = None,
     ) -> None:
         self._target = target
-        self._statements = statements or TargetStatements()
+        self._statements = statements or TargetSelfReports()
         self._incarnation = target.incarnation
         self._listed_at = now
         self._own_requests = 0
@@ -131,7 +131,7 @@
         self._last_received_at = now
         self._awaiting_since = now
         self._evacuated_at: float | None = None
-        self._cold_until = now + target.warming_for
+        self._cold_until = now + target.warm_up_seconds
         # When it may have become reachable again; it is assumed to be cold from then.
         self._assumed_cold_from = -math.inf
 
@@ -188,7 +188,7 @@
         """
         if self._target.is_draining:
             return True
-        return now - self._statements.leaving_since < RUNS_ON_SECONDS
+        return now - self._statements.leaving_since < ASSUMED_DRAIN_SECONDS
 
     def seems_alive(self, now: float) -> bool:
         """Return whether nothing suggests that it has crashed.
@@ -208,7 +208,7 @@
         )
 
     @property
-    def statements(self) -> TargetStatements:
+    def statements(self) -> TargetSelfReports:
         """Return what it reported of itself in its answers."""
         return self._statements
 
@@ -217,7 +217,7 @@
         """Return how many requests it can run at once; at least 1."""
         return max(1, self._report.slots or self._target.slots)
 
-    def relist(self, target: ServingTarget) -> None:
+    def update_entry(self, target: ServingTarget) -> None:
         """Replace the entry of the target by a changed one.
 
         Parameters
@@ -263,7 +263,7 @@
         """
         self._assumed_cold_from = max(self._assumed_cold_from, now)
 
-    def told_cold(self, cold_for: float, now: float) -> None:
+    def set_cold_for(self, cold_for: float, now: float) -> None:
         """Set how long it stays cold according to its entry.
 
         Parameters
@@ -336,7 +336,7 @@
         """
         self._paused_reads += 1
 
-    def read_again(self, now: float) -> None:
+    def resume_reading(self, now: float) -> None:
         """Record that reading one of its paused answers has resumed.
 
         Parameters
@@ -396,7 +396,7 @@
         self._reported_at = now
         self._own_at_report = self._own_requests
 
-    def hear_router(self, router: str, running: int, fresh_until: float) -> None:
+    def set_peer_requests(self, router: str, running: int, fresh_until: float) -> None:
         """Set how many requests a peer router has at it.
 
         Parameters
@@ -410,7 +410,7 @@
         """
         self._peer_requests.put(router, running, fresh_until)
 
-    def hear_outcomes(
+    def set_peer_outcomes(
         self, router: str, good: float, bad: float, fresh_until: float
     ) -> None:
         """Set the recent outcomes that a peer router reports.
--- a/src/primrosescale/request/target_statements.py
+++ b/src/primrosescale/request/target_statements.py
@@ -28,7 +28,7 @@
 ALLOWED_PER_ANSWER = 2
 
 
-class TargetStatements:
+class TargetSelfReports:
     """What one incarnation of a target has reported of itself.
 
     After a requested pause it gets one request, and two more for each that it answers,
@@ -71,7 +71,7 @@
         """Return whether its requests are limited by a present or recent pause."""
         return self._allowance is not None
 
-    def hear_leaving(self, now: float) -> bool:
+    def set_leaving(self, now: float) -> bool:
         """Record that it reported leaving, to this or to a peer router.
 
         Parameters
@@ -171,7 +171,7 @@
         """
         if head.cold_for is not None:
             self._cold_until = now + head.cold_for
-        is_new = head.is_leaving and self.hear_leaving(now)
+        is_new = head.is_leaving and self.set_leaving(now)
         if head.rest is not None:
             is_new = is_new or now >= self._pause_until
             self._pause_until = max(self._pause_until, now + head.rest)
@@ -189,7 +189,7 @@
             self._allowance = None
 
 
-class KeptStatements:
+class RetainedSelfReports:
     """Self-reports of targets that are not listed at present, by incarnation.
 
     An entry may expire and be written again while its target keeps running.
@@ -198,14 +198,14 @@
     __slots__ = ("_kept",)
 
     def __init__(self) -> None:
-        self._kept: dict[TargetIncarnation, TargetStatements] = {}
+        self._kept: dict[TargetIncarnation, TargetSelfReports] = {}
 
     def __len__(self) -> int:
         """Return for how many targets they are kept."""
         return len(self._kept)
 
     def keep(
-        self, incarnation: TargetIncarnation, statements: TargetStatements, now: float
+        self, incarnation: TargetIncarnation, statements: TargetSelfReports, now: float
     ) -> None:
         """Keep what a target reported whose entry is gone.
 
@@ -213,7 +213,7 @@
         ----------
         incarnation : TargetIncarnation
             The target's incarnation.
-        statements : TargetStatements
+        statements : TargetSelfReports
             What it reported.
         now : float
             Current time in seconds.
@@ -224,7 +224,7 @@
         if len(self._kept) > MAX_RETAINED:
             del self._kept[next(iter(self._kept))]
 
-    def take_back(self, incarnation: TargetIncarnation) -> TargetStatements:
+    def take_back(self, incarnation: TargetIncarnation) -> TargetSelfReports:
         """Remove and return what a target reported that is listed again.
 
         Parameters
@@ -234,7 +234,7 @@
 
         Returns
         -------
-        TargetStatements
+        TargetSelfReports
             Its self-reports; empty for one of which none are kept.
         """
-        return self._kept.pop(incarnation, None) or TargetStatements()
+        return self._kept.pop(incarnation, None) or TargetSelfReports()
--- a/tests/entry/fakes.py
+++ b/tests/entry/fakes.py
@@ -18,7 +18,7 @@
 from primrosescale.request.incoming import IncomingRequest
 from primrosescale.request.incoming import Prompt
 from primrosescale.request.incoming import PromptPart
-from primrosescale.request.part_directory import PartDirectory
+from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.repeat_budget import RepeatBounds
 from primrosescale.request.repeat_budget import RepeatBudget
 from primrosescale.request.serving_target import ServingTarget
@@ -233,7 +233,7 @@
         self.clock.advance(START)
         rng = random.Random(7)
         self.states = [TargetState(item, START) for item in targets]
-        self.parts = PartDirectory()
+        self.parts = PrefixCacheIndex()
         self.caller = FakeCaller()
         self.budget = RepeatBudget(RepeatBounds(0.2, 10.0, extra))
         self.parts_told = 0
--- a/tests/entry/test_cache_shares.py
+++ b/tests/entry/test_cache_shares.py
@@ -31,7 +31,7 @@
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.incoming import PromptPart
-from primrosescale.request.part_directory import PartDirectory
+from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.part_directory import PartUse
 from support.router_fleet import START as FLEET_START
 from support.router_fleet import ExchangeParts
@@ -185,7 +185,7 @@
 class SharesTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.targets, self.parts = TargetList(2.0), PartDirectory()
+        self.targets, self.parts = TargetList(2.0), PrefixCacheIndex()
         self.others = [OtherRouter("b", Endpoint("127.0.0.1", 7001))]
         self.shares = self.sharing("a", lambda: self.others)
         for number in range(8):
@@ -247,7 +247,7 @@
 
     def test_parts_of_a_single_chat_are_not_reported(self):
         parts = prompt(("tariffs", 9000), ("chat", 10)).parts
-        self.parts.note_own(self.own_target, parts, START)
+        self.parts.record_own_request(self.own_target, parts, START)
         self.shares.share_read(START)
         [(_, message)] = self.request()
         [cache] = message.caches
--- a/tests/entry/test_entry_router.py
+++ b/tests/entry/test_entry_router.py
@@ -26,7 +26,7 @@
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.freshness import Freshness
 from primrosescale.request.incoming import PromptPart
-from primrosescale.request.part_directory import PartDirectory
+from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.standin.users_engine import EngineFault
 from primrosescale.standin.users_engine import EngineScript
 from primrosescale.standin.users_engine import UsersEngine
@@ -464,7 +464,7 @@
         yield self.start()
         self.store.faults.is_deaf = True
         self.store.write("config", "main", configuration(2, keys=("k2",)))
-        peer = RouterNews("r2", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
+        peer = RouterNews("r2", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0))
         peer.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
         now = reactor.seconds()
         self.router._state_exchange.put(
@@ -532,7 +532,7 @@
     @inlineCallbacks
     def test_a_list_change_reported_by_a_peer_is_read(self):
         yield self.start_with_pending_watch()
-        peer = RouterNews("r2", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
+        peer = RouterNews("r2", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0))
         peer.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
         now = reactor.seconds()
         self.router._state_exchange.put(
@@ -770,7 +770,7 @@
     @inlineCallbacks
     def test_a_restart_reported_by_a_peer_is_read(self):
         yield self.start_with_pending_watch()
-        peer = RouterNews("r2", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
+        peer = RouterNews("r2", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0))
         peer.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
         now = reactor.seconds()
         self.router._state_exchange.put(
--- a/tests/entry/test_evacuations.py
+++ b/tests/entry/test_evacuations.py
@@ -38,7 +38,7 @@
 from primrosescale.request.evacuations import EvacuationList
 from primrosescale.request.evacuations import Evacuations
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.part_directory import PartDirectory
+from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.part_directory import PartUse
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.standin.users_engine import EngineScript
@@ -84,10 +84,10 @@
 
     def test_nothing_is_reported_where_nothing_was_ever_evacuated(self):
         self.known.take(listed(revision=5), START)
-        self.assertFalse(self.known.is_news)
+        self.assertFalse(self.known.is_worth_sharing)
         self.known.take(listed("a", revision=6), START)
         self.known.take(listed(revision=7), START)
-        self.assertTrue(self.known.is_news)
+        self.assertTrue(self.known.is_worth_sharing)
 
 
 class EvacuatedTargetListTest(TestCase):
@@ -245,7 +245,7 @@
             name,
             1,
             TargetList(2.0),
-            PartDirectory(),
+            PrefixCacheIndex(),
             Freshness(5.0),
             domain,
             settings,
@@ -295,7 +295,7 @@
     def test_a_router_that_follows_none_neither_reports_nor_applies_any(self):
         sides = self.sides(2)
         sides["r0"].evacuations.take(listed("a", revision=5), START)
-        unaware = RouterNews("r1", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
+        unaware = RouterNews("r1", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0))
         unaware.put(OtherRouter("r0", Endpoint(LOOPBACK, 1), "x"), START)
         [(_, message)] = sides["r0"].news.compose(1, START)
         self.assertTrue(unaware.take(decode(encode(message)), 1, START))
--- a/tests/entry/test_foreign_entries.py
+++ b/tests/entry/test_foreign_entries.py
@@ -38,7 +38,7 @@
 from primrosescale.process.transport.platform import StoredObject
 from primrosescale.process.transport.platform import WatchResult
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.part_directory import PartDirectory
+from primrosescale.request.part_directory import PrefixCacheIndex
 from support.drawn import drawn
 from support.foreign import CONFIGURATION
 from support.foreign import ROUTER
@@ -376,7 +376,7 @@
         self.log = Log()
         self.announced = []
         self.news = RouterNews(
-            "r-0", 1, TargetList(2.0), PartDirectory(), Freshness(5.0)
+            "r-0", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0)
         )
         parts = SimpleNamespace(
             reactor=self.clock,
--- a/tests/entry/test_leaving_answers.py
+++ b/tests/entry/test_leaving_answers.py
@@ -34,7 +34,7 @@
 from primrosescale.process.events import EventLog
 from primrosescale.request.direct_port import Refusal
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.part_directory import PartDirectory
+from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.standin.users_engine import EngineScript
 from support.entry_site import LOOPBACK
 from support.router_site import RouterSiteTest
@@ -128,7 +128,7 @@
             name,
             1,
             self.targets,
-            PartDirectory(),
+            PrefixCacheIndex(),
             Freshness(5.0),
             "x",
             settings,
--- a/tests/entry/test_news_relays.py
+++ b/tests/entry/test_news_relays.py
@@ -17,7 +17,7 @@
 from primrosescale.process.entry.news_paths import NewsSettings
 from primrosescale.process.entry.router_news import SILENT_REMOVAL_SECONDS
 from primrosescale.process.entry.target_keys import target_key
-from primrosescale.request.target_choice import OLD_NEWS
+from primrosescale.request.target_choice import STALE_LOAD_SECONDS
 from support.drawn import drawn
 from support.router_fleet import Fleet
 
@@ -91,7 +91,7 @@
         wanted = prompt(("terms", 500), ("tariffs", 9000), ("chat", 10)).parts
         for router in (self.members("domain-0")[0], self.relays("domain-1")[0]):
             state = router.targets.state(TARGET)
-            router.parts.note_own(state.incarnation, wanted, self.now())
+            router.parts.record_own_request(state.incarnation, wanted, self.now())
             router.exchange.tell_soon()
         self.fleet.run(1.0)
         for router in self.fleet.routers:
@@ -102,7 +102,7 @@
         [member, *_] = self.members("domain-0")
         wanted = prompt(("tariffs", 9000), ("chat", 10)).parts
         life = member.targets.state(TARGET).incarnation
-        member.parts.note_own(life, wanted, self.now(), is_expected=True)
+        member.parts.record_own_request(life, wanted, self.now(), is_expected=True)
         self.assertFalse(member.news.is_urgent)
         self.fleet.run(1.0)
         self.assertEqual(0, self.fleet.routers[1].parts.held(life, wanted, self.now()))
@@ -183,7 +183,7 @@
         self.send(alone)
         self.fleet.run(3.0)
         self.assertEqual(1.0, self.seen(alone))
-        self.assertGreater(alone.news.age(self.now()), OLD_NEWS)
+        self.assertGreater(alone.news.age(self.now()), STALE_LOAD_SECONDS)
         self.assertEqual(0, alone.news.heard_lately(self.now()))
         self.assertTrue(alone.news.asks_often(self.now()))
 
--- a/tests/entry/test_prompt_homes.py
+++ b/tests/entry/test_prompt_homes.py
@@ -9,7 +9,7 @@
 from entry.fakes import START
 from entry.fakes import prompt
 from entry.fakes import target
-from primrosescale.request.part_directory import PartDirectory
+from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.part_directory import PartUse
 from primrosescale.request.prompt_homes import ESTABLISHED_SECONDS
 from primrosescale.request.prompt_homes import SETTLED_SECONDS
@@ -82,7 +82,7 @@
 class ChoiceByHomesTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.parts = PartDirectory()
+        self.parts = PrefixCacheIndex()
         self.states = [TargetState(target(f"m{n}"), START) for n in range(TARGETS)]
         self.home = home_of(WANTED, self.states)
 
@@ -153,7 +153,7 @@
         self.states = [
             TargetState(target(f"m{number}"), START) for number in range(TARGETS)
         ]
-        self.parts = PartDirectory()
+        self.parts = PrefixCacheIndex()
         for state in self.states:
             self.parts.note(PartUse("terms", state.incarnation, 500, START))
 
@@ -163,9 +163,9 @@
         for number in range(self.ROUTERS):
             chooser = TargetChooser(ChoiceSettings(), self.parts, random.Random(number))
             busy = self.states[number % TARGETS]
-            busy.hear_router("other", 1, START + 1)
+            busy.set_peer_requests("other", 1, START + 1)
             names.add(chooser.choose(self.states, (), wanted, START).state.target.name)
-            busy.hear_router("other", 0, START + 1)
+            busy.set_peer_requests("other", 0, START + 1)
         return names
 
     def test_all_routers_send_a_new_remainder_to_one_target(self):
--- a/tests/entry/test_restart.py
+++ b/tests/entry/test_restart.py
@@ -28,7 +28,7 @@
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.direct_port import Refusal
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.part_directory import PartDirectory
+from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
 from primrosescale.request.target_state import LoadReport
@@ -142,7 +142,7 @@
         for name in ("m1", "m2", "m3"):
             self.targets.put(target(name, started_at=FIRST), START)
         self.former = self.targets.state("m1")
-        self.parts = PartDirectory()
+        self.parts = PrefixCacheIndex()
         self.chooser = TargetChooser(ChoiceSettings(), self.parts, random.Random(3))
 
     def restart(self, **fields):
@@ -157,7 +157,7 @@
         return choice.state.target.name, choice.held
 
     def test_cached_prompt_parts(self):
-        self.parts.note_own(self.former.incarnation, WANTED.parts, START)
+        self.parts.record_own_request(self.former.incarnation, WANTED.parts, START)
         self.assertEqual(("m1", 9020), self.chosen_and_held())
         state = self.restart()
         self.assertEqual(0, self.parts.held(state.incarnation, WANTED.parts, START))
@@ -168,7 +168,7 @@
         self.parts.limit(self.former.incarnation, 100)
         state = self.restart()
         for part in ("a", "b"):
-            self.parts.note_own(state.incarnation, prompt((part, 90)).parts, START)
+            self.parts.record_own_request(state.incarnation, prompt((part, 90)).parts, START)
         held = [
             self.parts.held(state.incarnation, prompt((part, 90)).parts, START)
             for part in ("a", "b")
@@ -176,11 +176,11 @@
         self.assertEqual([90, 90], held)
 
     def test_pending_updates_to_peers_about_its_cache(self):
-        self.parts.note_own(self.former.incarnation, WANTED.parts, START)
-        self.parts.take_news()
-        self.parts.note_own(self.former.incarnation, WANTED.parts, START)
+        self.parts.record_own_request(self.former.incarnation, WANTED.parts, START)
+        self.parts.take_updates()
+        self.parts.record_own_request(self.former.incarnation, WANTED.parts, START)
         self.parts.forget_target(self.former.incarnation)
-        self.assertEqual([], self.parts.take_news())
+        self.assertEqual([], self.parts.take_updates())
 
     def test_requests_of_this_router(self):
         self.former.sent(START)
@@ -198,7 +198,7 @@
         self.assertEqual(8, state.slots)
 
     def test_requests_of_other_routers(self):
-        self.former.hear_router("r2", 7, START + 9)
+        self.former.set_peer_requests("r2", 7, START + 9)
         self.assertEqual(0.0, self.restart().load(START))
 
     def test_outcomes(self):
@@ -208,7 +208,7 @@
         self.assertEqual((0.0, 0.0), state.outcomes(START))
 
     def test_outcomes_reported_by_peers(self):
-        self.former.hear_outcomes("r2", 0.0, 9.0, START + 9)
+        self.former.set_peer_outcomes("r2", 0.0, 9.0, START + 9)
         self.assertEqual(0.0, self.restart().failure_share(START))
 
     def test_the_pause_after_failed_connections(self):
@@ -242,10 +242,10 @@
         self.assertFalse(self.restart().target.is_draining)
 
     def test_warm_up(self):
-        state = self.restart(warming_for=3.0)
-        self.assertEqual(3.0, state.target.warming_for)
+        state = self.restart(warm_up_seconds=3.0)
+        self.assertEqual(3.0, state.target.warm_up_seconds)
         self.targets.put(target("m1", started_at=THIRD), START)
-        self.assertEqual(0.0, self.targets.state("m1").target.warming_for)
+        self.assertEqual(0.0, self.targets.state("m1").target.warm_up_seconds)
 
 
 class PeerSetup:
@@ -253,7 +253,7 @@
 
     def __init__(self, name, started_at):
         self.targets = TargetList(2.0)
-        self.parts = PartDirectory()
+        self.parts = PrefixCacheIndex()
         self.news = RouterNews(name, 1, self.targets, self.parts, Freshness(5.0))
         self.put_target(started_at)
         for number, other in enumerate(("a", "b")):
@@ -270,7 +270,7 @@
         for _ in range(4):
             state.succeeded(START)
         state.failed(START)
-        self.parts.note_own(state.incarnation, WANTED.parts, START)
+        self.parts.record_own_request(state.incarnation, WANTED.parts, START)
 
     def applied_reports(self):
         state = self.targets.state("m1")
@@ -446,7 +446,7 @@
         _, sink = desk.call(request(LOOKUP))
         _, once = desk.call(request(CONFIRMATION))
         leaving = target("p1", "portal", started_at=FIRST, is_draining=True)
-        desk.state("p1").relist(leaving)
+        desk.state("p1").update_entry(leaving)
         desk.restart("p1", SECOND)
         self.assertEqual(Refusal.CUT, once.refusal)
         desk.caller.last.answer(200, b"ok")
--- a/tests/entry/test_router_news.py
+++ b/tests/entry/test_router_news.py
@@ -20,7 +20,7 @@
 from primrosescale.process.entry.router_news import RouterNews
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.part_directory import PartDirectory
+from primrosescale.request.part_directory import PrefixCacheIndex
 
 MAX_DATAGRAM_BYTES = 1400
 
@@ -28,7 +28,7 @@
 class ExchangingRouter:
     def __init__(self, name, incarnation=1, settings=None):
         self.targets = TargetList(2.0)
-        self.parts = PartDirectory()
+        self.parts = PrefixCacheIndex()
         self.fresh = Freshness(5.0)
         self.news = RouterNews(
             name,
@@ -61,7 +61,7 @@
     def test_loads_and_prompt_parts_are_sent(self):
         self.a.targets.state("m1").sent(START)
         parts = prompt(("tariffs", 9000), ("chat", 10)).parts
-        self.a.parts.note_own(life("m3"), parts, START)
+        self.a.parts.record_own_request(life("m3"), parts, START)
         self.assertTrue(self.b.news.take(self.a.message(), 1, START))
         self.assertEqual(1.0, self.b.targets.state("m1").load(START))
         self.assertEqual(9000, self.b.parts.held(life("m3"), parts, START))
@@ -144,7 +144,7 @@
 
     def test_a_datagram_is_not_fragmented(self):
         many = [(f"{number:016x}", 100) for number in range(200)]
-        self.a.parts.note_own(life("m1"), prompt(*many).parts, START)
+        self.a.parts.record_own_request(life("m1"), prompt(*many).parts, START)
         for number in range(1, 6):
             self.a.targets.state(f"m{number}").sent(START)
         message = self.a.message()
--- a/tests/entry/test_shrinking_fleet.py
+++ b/tests/entry/test_shrinking_fleet.py
@@ -18,7 +18,7 @@
 from entry.fakes import head
 from entry.fakes import target
 from primrosescale.process.entry.target_list import TargetList
-from primrosescale.request.part_directory import PartDirectory
+from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
 from support.router_fleet import SERVICE
@@ -44,7 +44,7 @@
             self.targets.put(target(f"m{number}"), START)
         self.chooser = TargetChooser(
             ChoiceSettings(),
-            PartDirectory(),
+            PrefixCacheIndex(),
             random.Random(3),
             unlisted_of=self.targets.unlisted_of,
             own_share=lambda *_: 1,
--- a/tests/entry/test_target_choice.py
+++ b/tests/entry/test_target_choice.py
@@ -11,7 +11,7 @@
 from entry.fakes import prompt
 from entry.fakes import target
 from primrosescale.request.part_directory import MAX_USE_AGE_SECONDS
-from primrosescale.request.part_directory import PartDirectory
+from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.part_directory import PartUse
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
@@ -22,7 +22,7 @@
 class ChoiceTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.parts = PartDirectory()
+        self.parts = PrefixCacheIndex()
         self.chooser = TargetChooser(ChoiceSettings(), self.parts, random.Random(3))
         self.states = [TargetState(target(f"m{n}"), START) for n in range(1, 6)]
 
@@ -40,7 +40,7 @@
 
     def test_routers_without_knowledge_choose_the_same_target(self):
         wanted = prompt(("tariffs", 10000), ("chat", 900))
-        other = TargetChooser(ChoiceSettings(), PartDirectory(), random.Random(99))
+        other = TargetChooser(ChoiceSettings(), PrefixCacheIndex(), random.Random(99))
         alike = other.choose(self.states, (), wanted, START).state.target.name
         self.assertEqual(alike, self.choose(wanted).state.target.name)
 
@@ -69,7 +69,7 @@
         for _ in range(200):
             choice = self.choose(wanted)
             choice.state.sent(START)
-            self.parts.note_own(choice.state.incarnation, wanted.parts, START)
+            self.parts.record_own_request(choice.state.incarnation, wanted.parts, START)
             loads = [state.load(START) for state in self.states]
             mean = sum(loads) / len(loads)
             self.assertTrue(max(loads) <= 2 * mean + 3, loads)
@@ -79,14 +79,14 @@
         wanted = prompt(("tariffs", 10000), ("chat", 900))
         routers = []
         for number in range(23):
-            parts = PartDirectory()
+            parts = PrefixCacheIndex()
             parts.note(PartUse("tariffs", life("m1"), 10000, START))
             chooser = TargetChooser(ChoiceSettings(), parts, random.Random(number))
             states = [TargetState(target(name), START) for name in names]
             routers.append((chooser, states))
         for state in (s for _, states in routers for s in states):
             # Six requests are at every target, as reported by one more router.
-            state.hear_router("others", 6, START + 99)
+            state.set_peer_requests("others", 6, START + 99)
         total = dict.fromkeys(names, 6)
         over = 0
         for step in range(300):
@@ -106,12 +106,12 @@
             for other, (_, theirs) in enumerate(routers):
                 if other != number:
                     for mine, their in zip(states, theirs, strict=True):
-                        mine.hear_router(str(other), their.own_running, now + 99)
+                        mine.set_peer_requests(str(other), their.own_running, now + 99)
 
     def test_a_leaving_target_gets_nothing_but_its_cache_is_copied(self):
         self.parts.note(PartUse("tariffs", life("m4"), 10000, START))
         leaving = target("m4", is_draining=True)
-        self.state("m4").relist(leaving)
+        self.state("m4").update_entry(leaving)
         choice = self.choose(prompt(("tariffs", 10000), ("chat", 900)))
         self.assertNotEqual("m4", choice.state.target.name)
         self.assertEqual("m4", choice.fetch_from.target.name)
@@ -166,7 +166,7 @@
 
 class PartDirectoryTest(TestCase):
     def test_the_least_recently_used_part_is_dropped_when_the_cache_is_full(self):
-        parts = PartDirectory()
+        parts = PrefixCacheIndex()
         parts.limit(life("m1"), 6000)
         for turn, name in enumerate(("a", "b", "a", "c")):
             parts.note(PartUse(name, life("m1"), 2500, START + turn))
@@ -178,20 +178,20 @@
         self.assertEqual(["a", "c"], held)
 
     def test_a_gone_target_holds_nothing(self):
-        parts = PartDirectory()
+        parts = PrefixCacheIndex()
         parts.note(PartUse("a", life("m1"), 100, START))
         parts.forget_target(life("m1"))
         self.assertEqual(0, parts.held(life("m1"), prompt(("a", 100)).parts, START))
 
     def test_a_part_of_one_chat_alone_is_not_reported(self):
-        parts = PartDirectory()
+        parts = PrefixCacheIndex()
         self.assertTrue(
-            parts.note_own(life("m1"), prompt(("a", 9), ("own", 1)).parts, START)
+            parts.record_own_request(life("m1"), prompt(("a", 9), ("own", 1)).parts, START)
         )
         for expected in (["a"], ["a"], []):
-            self.assertEqual(expected, [use.part for use in parts.take_news()])
+            self.assertEqual(expected, [use.part for use in parts.take_updates()])
         self.assertFalse(
-            parts.note_own(life("m1"), prompt(("a", 9), ("x", 1)).parts, START)
+            parts.record_own_request(life("m1"), prompt(("a", 9), ("x", 1)).parts, START)
         )
 
 
@@ -207,17 +207,17 @@
         self.assertEqual(1 + 3.0, self.state.load(START + 0.5))
 
     def test_counts_of_routers_apply_until_they_expire(self):
-        self.state.hear_router("r2", 4, START + 1)
-        self.state.hear_router("r3", 2, START + 1)
-        self.state.hear_router("r2", 3, START + 1)
+        self.state.set_peer_requests("r2", 4, START + 1)
+        self.state.set_peer_requests("r3", 2, START + 1)
+        self.state.set_peer_requests("r2", 3, START + 1)
         self.assertEqual(5.0, self.state.load(START))
         self.assertEqual(0.0, self.state.load(START + 1.1))
 
     def test_of_two_routers_counts_the_older_expires_first(self):
-        self.state.hear_router("r2", 4, START + 1)
-        self.state.hear_router("r3", 2, START + 5)
+        self.state.set_peer_requests("r2", 4, START + 1)
+        self.state.set_peer_requests("r3", 2, START + 5)
         self.assertEqual(2.0, self.state.load(START + 1.1))
-        self.state.hear_router("r2", 1, START + 3)
+        self.state.set_peer_requests("r2", 1, START + 3)
         self.assertEqual(3.0, self.state.load(START + 2.9))
         self.assertEqual(2.0, self.state.load(START + 3.1))
         self.assertEqual(0.0, self.state.load(START + 5.1))
@@ -232,6 +232,6 @@
         self.assertFalse(self.state.is_paused(START + 1.9))
 
     def test_outcomes_reported_by_others_count(self):
-        self.state.hear_outcomes("r2", 1.0, 7.0, START + 1)
+        self.state.set_peer_outcomes("r2", 1.0, 7.0, START + 1)
         self.assertTrue(self.state.failure_share(START) > 0.5)
         self.assertEqual(0.0, self.state.failure_share(START + 2))
--- a/tests/request/test_cold_targets.py
+++ b/tests/request/test_cold_targets.py
@@ -29,7 +29,7 @@
 from primrosescale.request.router_shares import RouterShares
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
-from primrosescale.request.target_room import TargetRoom
+from primrosescale.request.target_room import TargetAvailability
 from primrosescale.request.target_state import TargetState
 from primrosescale.version.routing_table import Service
 
@@ -60,7 +60,7 @@
         self.name = name
         self.shares = RouterShares(name)
         self.cold = ColdTargets(BOUND, self.shares, SERVICES.get)
-        self.shares.list_routers(listed, now, was_listed=was_listed)
+        self.shares.set_routers(listed, now, was_listed=was_listed)
 
 
 class ColdFleet:
@@ -76,7 +76,7 @@
             name: Router(name, self.listed, self.now) for name in sorted(self.listed)
         }
         self.states = [
-            TargetState(target(f"m{n}", warming_for=600.0), START)
+            TargetState(target(f"m{n}", warm_up_seconds=600.0), START)
             for n in range(targets)
         ]
         self.arrivals = defaultdict(list)
@@ -99,7 +99,7 @@
 
     def update_router_lists(self, listed, *receivers):
         for name in receivers:
-            self.routers[name].shares.list_routers(listed, self.now)
+            self.routers[name].shares.set_routers(listed, self.now)
 
     def max_per_second(self):
         """Return the maximum number of requests that one target got in any second."""
@@ -208,42 +208,42 @@
             listed = names(count)
             shares = [RouterShares(name) for name in sorted(listed)]
             for share in shares:
-                share.list_routers(listed, START, was_listed=True)
+                share.set_routers(listed, START, was_listed=True)
             for key in ("m1", "m2", "m3"):
-                owned = [share.own_tokens(key, 10, START) for share in shares]
+                owned = [share.own_permits(key, 10, START) for share in shares]
                 self.assertEqual(10, sum(owned))
 
     def test_a_gained_permit_is_used_only_once_others_know(self):
         share = RouterShares("r0")
-        share.list_routers(names(2), START, was_listed=True)
-        before = share.own_tokens("m1", 10, START)
-        share.list_routers(names(1), START + 9)
-        self.assertEqual(before, share.own_tokens("m1", 10, START + 9))
+        share.set_routers(names(2), START, was_listed=True)
+        before = share.own_permits("m1", 10, START)
+        share.set_routers(names(1), START + 9)
+        self.assertEqual(before, share.own_permits("m1", 10, START + 9))
         settled = START + 9 + SETTLING_SECONDS
-        self.assertEqual(10, share.own_tokens("m1", 10, settled))
+        self.assertEqual(10, share.own_permits("m1", 10, settled))
 
     def test_a_lost_permit_is_given_up_at_once(self):
         share = RouterShares("r0")
-        share.list_routers(names(1), START, was_listed=True)
-        share.list_routers(names(8), START + 9)
-        self.assertLess(share.own_tokens("m1", 10, START + 9), 6)
+        share.set_routers(names(1), START, was_listed=True)
+        share.set_routers(names(8), START + 9)
+        self.assertLess(share.own_permits("m1", 10, START + 9), 6)
 
     def test_a_list_that_goes_back_and_forth_adds_nothing(self):
         share = RouterShares("r0")
-        share.list_routers(names(8), START, was_listed=True)
-        least = share.own_tokens("m1", 10, START)
+        share.set_routers(names(8), START, was_listed=True)
+        least = share.own_permits("m1", 10, START)
         for step in range(20):
             now = START + step * 0.5
-            share.list_routers(names(1 if step % 2 else 8), now)
-            self.assertLessEqual(share.own_tokens("m1", 10, now), least)
+            share.set_routers(names(1 if step % 2 else 8), now)
+            self.assertLessEqual(share.own_permits("m1", 10, now), least)
 
     def test_a_new_router_has_nothing_before_the_others_know_it(self):
         share = RouterShares("r0")
-        self.assertEqual(0, share.own_tokens("m1", 10, START))
-        share.list_routers(names(1), START)
-        self.assertEqual(0, share.own_tokens("m1", 10, START))
+        self.assertEqual(0, share.own_permits("m1", 10, START))
+        share.set_routers(names(1), START)
+        self.assertEqual(0, share.own_permits("m1", 10, START))
         settled = START + SETTLING_SECONDS
-        self.assertEqual(10, share.own_tokens("m1", 10, settled))
+        self.assertEqual(10, share.own_permits("m1", 10, settled))
 
 
 class ColdSettingsTest(TestCase):
@@ -277,14 +277,14 @@
         return self.router.cold.is_cold(state, now)
 
     def test_cold_for_as_long_as_its_entry_says(self):
-        state = TargetState(target("m1", warming_for=2.0), START)
+        state = TargetState(target("m1", warm_up_seconds=2.0), START)
         self.assertTrue(self.is_cold(state, START + 1.9))
         self.assertFalse(self.is_cold(state, START + 2.0))
 
     def test_cold_again_at_any_time(self):
         state = TargetState(target("m1"), START)
         self.assertFalse(self.is_cold(state, START))
-        state.told_cold(1.5, START + 50)
+        state.set_cold_for(1.5, START + 50)
         self.assertTrue(self.is_cold(state, START + 51))
 
     def test_cold_after_its_domain_was_evacuated_before_any_entry_says_so(self):
@@ -305,7 +305,7 @@
         state = TargetState(target("m1"), START)
         state.evacuate(START)
         state.take_back(START + 9)
-        state.told_cold(0.0, START + 9.5)
+        state.set_cold_for(0.0, START + 9.5)
         self.assertTrue(self.is_cold(state, START + 10))
 
     # Guards against overloading a cold target once its entry is rewritten for another
@@ -335,7 +335,7 @@
         self.assertFalse(self.is_cold(state, START + 1))
 
     def test_targets_of_a_service_without_a_cold_rate_are_never_cold(self):
-        state = TargetState(target("p1", "portal", warming_for=9.0), START)
+        state = TargetState(target("p1", "portal", warm_up_seconds=9.0), START)
         self.assertFalse(self.is_cold(state, START))
         self.assertEqual(0, self.router.cold.wait(state, START))
         self.assertEqual([state], self.router.cold.open([state], START))
@@ -345,7 +345,7 @@
         state = TargetState(target("m1"), START)
         for _ in range(12):
             router.cold.sent(state, START + 1.0)
-        state.told_cold(3.0, START + 1.1)
+        state.set_cold_for(3.0, START + 1.1)
         self.assertNotEqual(0, router.cold.wait(state, START + 1.2))
         self.assertEqual([], router.cold.open([state], START + 1.2))
         self.assertEqual(0, router.cold.wait(state, START + 1.0 + WINDOW_SECONDS))
@@ -363,14 +363,14 @@
         router = Router(name, names(routers), START)
         tools = self.desk.tools
         self.cold = router.cold
-        tools.room = TargetRoom(router.cold)
+        tools.room = TargetAvailability(router.cold)
         tools.chooser = TargetChooser(
             ChoiceSettings(), self.desk.parts, tools.rng, room=tools.room
         )
 
     def make_cold(self, *targets, seconds=COLD_SECONDS):
         for name in targets:
-            self.desk.state(name).told_cold(seconds, self.desk.clock.seconds())
+            self.desk.state(name).set_cold_for(seconds, self.desk.clock.seconds())
 
     def count_sent_to(self, name):
         return sum(run.name == name for run in self.desk.caller.runs)
--- a/tests/request/test_target_statements.py
+++ b/tests/request/test_target_statements.py
@@ -15,8 +15,8 @@
 from entry.fakes import life
 from primrosescale.request.target_statements import MAX_RETAINED
 from primrosescale.request.target_statements import PROBE_AGAIN_SECONDS
-from primrosescale.request.target_statements import KeptStatements
-from primrosescale.request.target_statements import TargetStatements
+from primrosescale.request.target_statements import RetainedSelfReports
+from primrosescale.request.target_statements import TargetSelfReports
 
 START = 1000.0
 SLOTS = 64
@@ -31,7 +31,7 @@
     """Routers that were all asked for a pause at the same time, the worst case."""
 
     def __init__(self, routers):
-        self.routers = [TargetStatements() for _ in range(routers)]
+        self.routers = [TargetSelfReports() for _ in range(routers)]
         for statements in self.routers:
             statements.take(
                 head(503, is_not_run=True, rest=PAUSE_SECONDS), SLOTS, START
@@ -100,7 +100,7 @@
 class TargetStatementsTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.statements = TargetStatements()
+        self.statements = TargetSelfReports()
 
     def request_pause(self, seconds, now=START):
         return self.statements.take(
@@ -149,25 +149,25 @@
     """Self-reports of targets whose entries have expired."""
 
     def leaving(self):
-        statements = TargetStatements()
-        statements.hear_leaving(START)
+        statements = TargetSelfReports()
+        statements.set_leaving(START)
         return statements
 
     def test_they_are_given_back_once_for_that_incarnation_alone(self):
-        kept = KeptStatements()
+        kept = RetainedSelfReports()
         kept.keep(life("m1", 5), self.leaving(), START)
         self.assertFalse(kept.take_back(life("m1", 6)).is_leaving)
         self.assertTrue(kept.take_back(life("m1", 5)).is_leaving)
         self.assertFalse(kept.take_back(life("m1", 5)).is_leaving)
 
     def test_nothing_is_kept_of_targets_that_said_nothing(self):
-        kept = KeptStatements()
-        kept.keep(life("m1"), TargetStatements(), START)
+        kept = RetainedSelfReports()
+        kept.keep(life("m1"), TargetSelfReports(), START)
         self.assertEqual(0, len(kept))
 
     # Guards against memory that grows with each target that ever left.
     def test_the_oldest_are_dropped_first(self):
-        kept = KeptStatements()
+        kept = RetainedSelfReports()
         for number in range(MAX_RETAINED + 10):
             kept.keep(life(f"m{number}"), self.leaving(), START)
         self.assertEqual(MAX_RETAINED, len(kept))
