--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -29,7 +29,7 @@
 from primrosescale.process.entry.caller_site import EntryFactory
 from primrosescale.process.entry.caller_site import EntryHandler
 from primrosescale.process.entry.harm_news import HarmNews
-from primrosescale.process.entry.harm_watch import EntryHarmWatch
+from primrosescale.process.entry.harm_watch import EntryHarmMonitor
 from primrosescale.process.entry.knowledge import Knowledge
 from primrosescale.process.entry.leaving_news import LeavingNews
 from primrosescale.process.entry.router_exchange import NewsExchange
@@ -201,7 +201,7 @@
             lambda: self._state_exchange.asks_often(self._now()),
             self._evacuations,
         )
-        self._harm_monitor = EntryHarmWatch(
+        self._harm_monitor = EntryHarmMonitor(
             self._harmful_requests,
             harm_reports,
             targets,
--- a/src/primrosescale/process/entry/harm_news.py
+++ b/src/primrosescale/process/entry/harm_news.py
@@ -16,9 +16,9 @@
 from primrosescale.process.events import Event
 from primrosescale.request.content_fingerprint import fingerprint_text
 from primrosescale.request.harm_reports import HarmReport
-from primrosescale.request.harm_reports import LoneTry
+from primrosescale.request.harm_reports import SuspectTrial
 from primrosescale.request.harm_reports import TargetEnd
-from primrosescale.request.harm_reports import WholeAnswer
+from primrosescale.request.harm_reports import CompleteAnswer
 from primrosescale.request.lost_answers import BUFFERED_SECONDS
 
 if TYPE_CHECKING:
@@ -169,7 +169,7 @@
         for report in self._reports_in(message):
             at = now - max(0, report.age_ms) / MILLISECONDS_PER_SECOND
             if report.target is None:
-                kind = LoneTry if report.is_try else WholeAnswer
+                kind = SuspectTrial if report.is_try else CompleteAnswer
                 self._apply(kind(report.fingerprint, at), message.origin, now)
                 continue
             state = states.get(report.target)
@@ -188,12 +188,12 @@
         yield from message.held or ()
 
     def _apply(self, item: HarmReport, told_by: str, now: float) -> bool:
-        if isinstance(item, LoneTry):
-            return self._requests.take_try(item)
+        if isinstance(item, SuspectTrial):
+            return self._requests.record_trial(item)
         if isinstance(item, TargetEnd):
-            is_new = self._requests.take_end(item)
+            is_new = self._requests.record_end(item)
         else:
-            is_new = self._requests.take_answer(item)
+            is_new = self._requests.record_answer(item)
         if is_new:
             self._log_hold_change(item.fingerprint, told_by, now)
         return is_new
@@ -221,5 +221,5 @@
         return wire.EndNews(
             item.fingerprint, age, item.target, was_answered=was_answered
         )
-    is_try = isinstance(item, LoneTry) or None
+    is_try = isinstance(item, SuspectTrial) or None
     return wire.EndNews(item.fingerprint, age, is_try=is_try)
--- a/src/primrosescale/process/entry/harm_watch.py
+++ b/src/primrosescale/process/entry/harm_watch.py
@@ -21,10 +21,10 @@
 from primrosescale.request.direct_port import TargetCheck
 from primrosescale.request.fresh_answers import FreshAnswer
 from primrosescale.request.fresh_answers import FreshAnswers
-from primrosescale.request.harm_reports import LoneTry
+from primrosescale.request.harm_reports import SuspectTrial
 from primrosescale.request.harm_reports import TargetEnd
-from primrosescale.request.harm_reports import WholeAnswer
-from primrosescale.request.harm_watch import HarmWatch
+from primrosescale.request.harm_reports import CompleteAnswer
+from primrosescale.request.harm_watch import HarmMonitor
 from primrosescale.request.lost_answers import BUFFERED_SECONDS
 from primrosescale.request.lost_answers import LostAnswers
 
@@ -56,7 +56,7 @@
 END_REVOCABLE_SECONDS = 1.0
 
 
-class EntryHarmWatch(HarmWatch):
+class EntryHarmMonitor(HarmMonitor):
     """Detects harmful requests among those of one entry router.
 
     Parameters
@@ -102,22 +102,22 @@
         self._ended_at: dict[int, float] = {}
 
     def held_for(self, request: IncomingRequest, now: float) -> float:
-        """Return how long a request is held back; see `HarmWatch.held_for`."""
+        """Return how long a request is held back; see `HarmMonitor.held_for`."""
         if not self._requests.may_hold:
             return 0.0
         return self._requests.held_for(request.fingerprint, now)
 
     def sent(self, request: IncomingRequest, now: float) -> None:
-        """Keep peer routers from trying a suspect too; see `HarmWatch.sent`."""
+        """Keep peer routers from trying a suspect too; see `HarmMonitor.sent`."""
         if not self._requests.may_hold:
             return
-        if self._report_exchange.note(LoneTry(request.fingerprint, now), now):
+        if self._report_exchange.note(SuspectTrial(request.fingerprint, now), now):
             self._send_soon()
 
     def answer_lost(
         self, request: IncomingRequest, state: TargetState, now: float
     ) -> None:
-        """Probe whether the target has ended; see `HarmWatch.answer_lost`."""
+        """Probe whether the target has ended; see `HarmMonitor.answer_lost`."""
         target = state.incarnation
         if state.target.is_draining or not self._targets.is_listed(target.name):
             # It was expected to end, so its end is no evidence against a request.
@@ -133,7 +133,7 @@
     def answered(
         self, request: IncomingRequest, state: TargetState, now: float
     ) -> None:
-        """Clear the request once its target survived; see `HarmWatch.answered`."""
+        """Clear the request once its target survived; see `HarmMonitor.answered`."""
         self._requests.count_answer(now)
         key = target_key(*state.incarnation)
         self._unconfirmed_answers.add(FreshAnswer(request.fingerprint, key, now, state))
@@ -143,7 +143,7 @@
             )
 
     def heard(self, state: TargetState, sent_at: float, now: float) -> None:
-        """Record that the target is running; see `HarmWatch.heard`."""
+        """Record that the target is running; see `HarmMonitor.heard`."""
         if not state.incarnation.has_unique_name or not (
             self._ended_at or len(self._lost_answers)
         ):
@@ -155,15 +155,15 @@
             return
         if BUFFERED_SECONDS < now - ended_at < END_REVOCABLE_SECONDS:
             self._ended_at.pop(key)
-            self._requests.target_lives(key)
+            self._requests.retract_ends(key)
 
     def replaced(self, state: TargetState, now: float) -> None:
-        """Record that the target has ended; see `HarmWatch.replaced`."""
+        """Record that the target has ended; see `HarmMonitor.replaced`."""
         if not state.target.is_draining:
             self.target_ended(state.incarnation, REPLACED, now)
 
-    def unreached(self, state: TargetState, now: float) -> None:
-        """Probe whether the target has ended; see `HarmWatch.unreached`."""
+    def not_reached(self, state: TargetState, now: float) -> None:
+        """Probe whether the target has ended; see `HarmMonitor.not_reached`."""
         if not state.target.is_draining:
             target = state.incarnation
             self._probe_soon(target, target_key(*target))
@@ -256,7 +256,7 @@
             )
 
     def _clear(self, answer: FreshAnswer, now: float) -> None:
-        if self._report_exchange.note(WholeAnswer(answer.fingerprint, answer.at), now):
+        if self._report_exchange.note(CompleteAnswer(answer.fingerprint, answer.at), now):
             self._send_soon()
 
     def _note_ends(self, ends: list[TargetEnd], now: float) -> None:
--- a/src/primrosescale/request/forward_tools.py
+++ b/src/primrosescale/request/forward_tools.py
@@ -9,7 +9,7 @@
 from primrosescale.ini.options import COUNT
 from primrosescale.ini.options import SECONDS
 from primrosescale.ini.options import option
-from primrosescale.request.harm_watch import Unwatched
+from primrosescale.request.harm_watch import NoHarmMonitor
 from primrosescale.request.hop import UntracedHop
 from primrosescale.request.target_room import TargetAvailability
 
@@ -22,7 +22,7 @@
     from primrosescale.request.direct_port import AnswerHead
     from primrosescale.request.direct_port import Refusal
     from primrosescale.request.direct_port import TargetCaller
-    from primrosescale.request.harm_watch import HarmWatch
+    from primrosescale.request.harm_watch import HarmMonitor
     from primrosescale.request.hop import Hop
     from primrosescale.request.incoming import IncomingRequest
     from primrosescale.request.part_directory import PrefixCacheIndex
@@ -170,7 +170,7 @@
     statement_made : Callable[[IncomingRequest, TargetState, AnswerHead], None]
         Called when the answer to a request has a new self-report of its target,
         such as that it is leaving, cold or wants a pause.
-    harm : HarmWatch
+    harm : HarmMonitor
         Detects requests that crash targets.
     room : TargetAvailability
         Determines whether a target is available for requests.
@@ -193,7 +193,7 @@
     statement_made: Callable[[IncomingRequest, TargetState, AnswerHead], None] = (
         _ignore_self_report
     )
-    harm: HarmWatch = field(default_factory=Unwatched)
+    harm: HarmMonitor = field(default_factory=NoHarmMonitor)
     room: TargetAvailability = field(default_factory=TargetAvailability)
     regions: Mapping[str, str] = field(default_factory=dict)
 
--- a/src/primrosescale/request/forwarded_call.py
+++ b/src/primrosescale/request/forwarded_call.py
@@ -185,7 +185,7 @@
         """Try another target; see `AttemptListener.attempt_not_sent`."""
         now = self._now()
         attempt.state.unreachable(now)
-        self._tools.harm.unreached(attempt.state, now)
+        self._tools.harm.not_reached(attempt.state, now)
         attempt.close(f"not sent: {detail}", now)
         self._tried.not_sent(attempt.incarnation)
         was_primary = attempt is self._active.primary
--- a/src/primrosescale/request/harm_reports.py
+++ b/src/primrosescale/request/harm_reports.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeAnswer:
+class CompleteAnswer:
     """Reports that a request was answered completely.
 
     Parameters
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LoneTry:
+class SuspectTrial:
     """Reports that a suspect request was sent to a target as a trial.
 
     Parameters
@@ -59,4 +59,4 @@
     at: float
 
 
-HarmReport = TargetEnd | WholeAnswer | LoneTry
+HarmReport = TargetEnd | CompleteAnswer | SuspectTrial
--- a/src/primrosescale/request/harmful_requests.py
+++ b/src/primrosescale/request/harmful_requests.py
@@ -20,9 +20,9 @@
 from typing import TYPE_CHECKING
 
 from primrosescale.request.decaying_outcomes import DecayingOutcomes
-from primrosescale.request.harm_reports import LoneTry
+from primrosescale.request.harm_reports import SuspectTrial
 from primrosescale.request.harm_reports import TargetEnd
-from primrosescale.request.harm_reports import WholeAnswer
+from primrosescale.request.harm_reports import CompleteAnswer
 
 if TYPE_CHECKING:
     from primrosescale.request.harm_settings import HarmSettings
@@ -137,7 +137,7 @@
             if len(evidence.ends) >= settings.ends
         }
 
-    def take_end(self, end: TargetEnd) -> bool:
+    def record_end(self, end: TargetEnd) -> bool:
         """Record that a target ended while it ran a request.
 
         Parameters
@@ -164,12 +164,12 @@
             self._with_enough_ends.add(end.fingerprint)
         return True
 
-    def take_answer(self, answer: WholeAnswer) -> bool:
+    def record_answer(self, answer: CompleteAnswer) -> bool:
         """Clear a request of the ends before a complete answer.
 
         Parameters
         ----------
-        answer : WholeAnswer
+        answer : CompleteAnswer
             The answer.
 
         Returns
@@ -188,12 +188,12 @@
             self._drop_end(answer.fingerprint, evidence, target)
         return is_first or bool(cleared)
 
-    def take_try(self, tried: LoneTry) -> bool:
+    def record_trial(self, tried: SuspectTrial) -> bool:
         """Record that a suspect request was sent to a target as a trial.
 
         Parameters
         ----------
-        tried : LoneTry
+        tried : SuspectTrial
             The trial.
 
         Returns
@@ -224,7 +224,7 @@
         evidence = self._evidence.get(fingerprint)
         return evidence is not None and len(evidence.ends) >= self._needed(evidence)
 
-    def last_answer(self, fingerprint: int) -> WholeAnswer | None:
+    def last_answer(self, fingerprint: int) -> CompleteAnswer | None:
         """Return the last remembered complete answer to a request.
 
         Parameters
@@ -234,13 +234,13 @@
 
         Returns
         -------
-        WholeAnswer | None
+        CompleteAnswer | None
             The answer; None if none is remembered.
         """
         at = self._answered.get(fingerprint)
-        return None if at is None else WholeAnswer(fingerprint, at)
+        return None if at is None else CompleteAnswer(fingerprint, at)
 
-    def _remember_answer(self, answer: WholeAnswer) -> None:
+    def _remember_answer(self, answer: CompleteAnswer) -> None:
         before = self._answered.pop(answer.fingerprint, 0.0)
         self._answered[answer.fingerprint] = max(before, answer.at)
         if len(self._answered) > self._settings.answered:
@@ -266,7 +266,7 @@
         """
         self._outcomes.add_bad(now)
 
-    def target_lives(self, target: int) -> None:
+    def retract_ends(self, target: int) -> None:
         """Retract the ends of a target that was reported as ended but still runs.
 
         Parameters
--- a/tests/entry/test_harm_watch.py
+++ b/tests/entry/test_harm_watch.py
@@ -27,7 +27,7 @@
 from primrosescale.process.entry.harm_watch import CONFIRMATION_INTERVAL_SECONDS
 from primrosescale.process.entry.harm_watch import PROBE_DELAY_SECONDS
 from primrosescale.process.entry.harm_watch import PROBE_INTERVAL_SECONDS
-from primrosescale.process.entry.harm_watch import EntryHarmWatch
+from primrosescale.process.entry.harm_watch import EntryHarmMonitor
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.process.events import Event
@@ -35,11 +35,11 @@
 from primrosescale.request.direct_port import TargetCheck
 from primrosescale.request.fresh_answers import LONGEST_WAIT
 from primrosescale.request.fresh_answers import PROOF_SECONDS
-from primrosescale.request.harm_reports import LoneTry
+from primrosescale.request.harm_reports import SuspectTrial
 from primrosescale.request.harm_reports import TargetEnd
-from primrosescale.request.harm_reports import WholeAnswer
+from primrosescale.request.harm_reports import CompleteAnswer
 from primrosescale.request.harm_settings import HarmSettings
-from primrosescale.request.harm_watch import HarmWatch
+from primrosescale.request.harm_watch import HarmMonitor
 from primrosescale.request.harmful_requests import TRY_SECONDS
 from primrosescale.request.harmful_requests import HarmfulRequests
 from primrosescale.request.lost_answers import WAIT_SECONDS
@@ -76,7 +76,7 @@
         parts = SimpleNamespace(
             reactor=self.clock, log=self.log, metrics=EntryMetrics()
         )
-        self.watch = EntryHarmWatch(
+        self.watch = EntryHarmMonitor(
             self.requests, self.news, self.targets, self.caller, parts, self.tell_soon
         )
         self.request = request(body=b"some content")
@@ -190,7 +190,7 @@
         for name in NAMES[:ANSWERED_ENDS]:
             self.answer(name)
             self.clock.advance(0.05)
-            self.watch.unreached(self.targets.state(name), self.clock.seconds())
+            self.watch.not_reached(self.targets.state(name), self.clock.seconds())
             self.clock.advance(PROBE_DELAY_SECONDS)
             self.find(TargetCheck.ENDED)
         self.assertEqual(ANSWERED_ENDS, self.ends())
@@ -360,11 +360,11 @@
                     each.note(TargetEnd(1, number, START), START)
         held_for = other._requests.held_for
         self.assertEqual(0.0, held_for(1, START))
-        self.news.note(LoneTry(1, START), START)
+        self.news.note(SuspectTrial(1, START), START)
         other.take(self.message(self.news.ends(START)[:1]), {}, START)
         self.assertEqual(TRY_SECONDS, held_for(1, START))
         self.assertEqual(0.0, held_for(1, START + TRY_SECONDS))
-        self.assertFalse(self.news.note(LoneTry(3, START), START))
+        self.assertFalse(self.news.note(SuspectTrial(3, START), START))
 
     def test_an_end_is_ignored_if_the_target_sent_data_since(self):
         targets = TargetList(2.0)
@@ -381,19 +381,19 @@
 
     def test_a_router_that_answered_the_request_reports_it_after_an_end(self):
         answered = self.new()
-        answered.note(WholeAnswer(1, START - 5), START)
+        answered.note(CompleteAnswer(1, START - 5), START)
         end = TargetEnd(1, 7, START)
         answered.take(self.message([wire.EndNews(1, 0, 7)]), {}, START)
         sent = answered.ends(START)
         self.news.note(end, START)
         self.news.take(self.message(sent), {}, START)
-        self.assertEqual(WholeAnswer(1, START - 5), self.news._requests.last_answer(1))
+        self.assertEqual(CompleteAnswer(1, START - 5), self.news._requests.last_answer(1))
         for number in (8, 9):
             self.news.note(TargetEnd(1, number, START), START)
         self.assertEqual([], self.news._requests.held(START))
 
 
-class StubHarmMonitor(HarmWatch):
+class StubHarmMonitor(HarmMonitor):
     """Records calls, and holds every request back once switched on."""
 
     def __init__(self):
@@ -420,7 +420,7 @@
     def replaced(self, state, now):
         self.lost.append(f"{state.target.name} replaced")
 
-    def unreached(self, state, now):
+    def not_reached(self, state, now):
         pass
 
 
--- a/tests/support/harm_fleet.py
+++ b/tests/support/harm_fleet.py
@@ -13,7 +13,7 @@
 
 from primrosescale.process.entry.entry_metrics import EntryMetrics
 from primrosescale.process.entry.harm_news import HarmNews
-from primrosescale.process.entry.harm_watch import EntryHarmWatch
+from primrosescale.process.entry.harm_watch import EntryHarmMonitor
 from primrosescale.process.entry.router_news import RouterNews
 from primrosescale.request.direct_port import AnswerHead
 from primrosescale.request.direct_port import CallerSink
@@ -212,7 +212,7 @@
     def begin(self, incarnation):
         super().begin(incarnation)
         caller = VirtualCaller(self.fleet)
-        self.harm = EntryHarmWatch(
+        self.harm = EntryHarmMonitor(
             self.requests,
             self.harm_news,
             self.targets,
