--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -26,7 +26,7 @@
 from primrosescale.process.entry.store_watch import WatchedPrefix
 from primrosescale.process.events import EventLog
 from primrosescale.request.cold_targets import ColdSettings
-from primrosescale.request.repeat_budget import RepeatBounds
+from primrosescale.request.repeat_budget import SharedRetryLimits
 from primrosescale.request.target_choice import ChoiceSettings
 
 if TYPE_CHECKING:
@@ -210,12 +210,12 @@
         reads_caches=not host.is_first_start,
         drain=bounds.drain,
         revoke=bounds.revoke,
-        certain_for=CERTAIN_FOR,
+        not_found_max_age=CERTAIN_FOR,
         stop_within=bounds.stop,
         most_requests=host.memory_limit // BYTES_PER_REQUEST,
         choice=ChoiceSettings(load_multiple=LOAD_SHARE * bounds.load_multiple),
         cold=ColdSettings(over=bounds.cold_over, slack=bounds.cold_slack),
-        repeats=RepeatBounds(
+        repeats=SharedRetryLimits(
             bounds.repeat_ratio, bounds.repeat_window, bounds.repeat_extra
         ),
     )
--- a/src/primrosescale/platform/http_codec.py
+++ b/src/primrosescale/platform/http_codec.py
@@ -18,7 +18,7 @@
 
 if TYPE_CHECKING:
     from primrosescale.request.direct_port import Refusal
-    from primrosescale.request.direct_port import Sending
+    from primrosescale.request.direct_port import OutgoingRequest
 
 REQUEST_ID = b"Primrosescale-Request-Id"
 # How many milliseconds the sender of the request will wait.
@@ -101,7 +101,7 @@
             traceparent=_first(headers, TRACE_CONTEXT),
         )
 
-    def target_headers(self, sending: Sending) -> Headers:
+    def target_headers(self, sending: OutgoingRequest) -> Headers:
         """Return headers for a target; see `EntryCodec.target_headers`."""
         request = sending.request
         headers = Headers()
@@ -141,7 +141,7 @@
                 for value in values
             ),
             request_id=_first(headers, REQUEST_ID),
-            is_receipted=headers.hasHeader(RECEIPT),
+            has_receipt=headers.hasHeader(RECEIPT),
             is_not_run=headers.hasHeader(NOT_RUN),
             is_other_incarnation=status == OTHER_INCARNATION,
             load=_load(_first(headers, LOAD)),
--- a/src/primrosescale/process/daemons/agent.py
+++ b/src/primrosescale/process/daemons/agent.py
@@ -48,7 +48,7 @@
     from primrosescale.process.transport.platform import Platform
     from primrosescale.request.agent_call import AgentCall
     from primrosescale.request.call_names import CallId
-    from primrosescale.request.hop import Hop
+    from primrosescale.request.hop import TraceSpan
     from primrosescale.request.load_bound import ServiceLoad
     from primrosescale.version.exceptions import HeadError
     from primrosescale.version.head import VersionHead
@@ -156,7 +156,7 @@
         )
         self._was_closed = False
         self._sources = LinkSources()
-        self._hops: dict[CallId, Hop] = {}
+        self._hops: dict[CallId, TraceSpan] = {}
         self._state = MemberState.READY
         self._port: Any = None
         self._loops: list[Any] = []
--- a/src/primrosescale/process/daemons/router.py
+++ b/src/primrosescale/process/daemons/router.py
@@ -61,7 +61,7 @@
     from primrosescale.process.transport.problems import ProblemDocument
     from primrosescale.request.call_request import CallRequest
     from primrosescale.request.candidates import Target
-    from primrosescale.request.hop import Hop
+    from primrosescale.request.hop import TraceSpan
     from primrosescale.request.routed_call import CallReport
     from primrosescale.version.exceptions import HeadError
     from primrosescale.version.records import OrganisationRecord
@@ -80,7 +80,7 @@
 
     __slots__ = ("began", "hop", "view")
 
-    def __init__(self, view: VersionView, hop: Hop, began: float) -> None:
+    def __init__(self, view: VersionView, hop: TraceSpan, began: float) -> None:
         self.view = view
         self.hop = hop
         self.began = began
--- a/src/primrosescale/process/entry/caller_site.py
+++ b/src/primrosescale/process/entry/caller_site.py
@@ -262,8 +262,8 @@
         self._unregister_producer()
         self._request.finish()
 
-    def break_off(self) -> None:
-        """Abort the response; see `CallerSink.break_off`."""
+    def abort(self) -> None:
+        """Abort the response; see `CallerSink.abort`."""
         if self._request.is_disconnected:
             return
         self._unregister_producer()
--- a/src/primrosescale/process/entry/codec.py
+++ b/src/primrosescale/process/entry/codec.py
@@ -19,7 +19,7 @@
     from primrosescale.process.transport.platform import StoredObject
     from primrosescale.request.direct_port import AnswerHead
     from primrosescale.request.direct_port import Refusal
-    from primrosescale.request.direct_port import Sending
+    from primrosescale.request.direct_port import OutgoingRequest
     from primrosescale.request.gate import CallerHead
     from primrosescale.request.incoming import PromptPart
     from primrosescale.request.serving_target import ServingTarget
@@ -49,12 +49,12 @@
         """
 
     @abstractmethod
-    def target_headers(self, sending: Sending) -> Headers:
+    def target_headers(self, sending: OutgoingRequest) -> Headers:
         """Build the headers of a request to a target.
 
         Parameters
         ----------
-        sending : Sending
+        sending : OutgoingRequest
             The request to be sent.
 
         Returns
--- a/src/primrosescale/process/entry/entry_metrics.py
+++ b/src/primrosescale/process/entry/entry_metrics.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from primrosescale.request.forwarded_call import ForwardedCall
-    from primrosescale.request.silence import Silence
+    from primrosescale.request.silence import SilenceReport
 
 # Finest between 0.3 s and 1 s, where the latency objectives lie.
 LATENCY_BUCKETS_SECONDS = (
@@ -184,12 +184,12 @@
                     attempt.load_age > STALE_LOAD_SECONDS,
                 ).inc()
 
-    def silence_judged(self, silence: Silence) -> None:
+    def silence_judged(self, silence: SilenceReport) -> None:
         """Count a verdict on a silent target.
 
         Parameters
         ----------
-        silence : Silence
+        silence : SilenceReport
             The silence, with the verdict.
         """
         self._silences.labels(silence.verdict.name.lower()).inc()
--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -35,7 +35,7 @@
 from primrosescale.process.entry.router_exchange import NewsExchange
 from primrosescale.process.entry.router_exchange import RouterRegistry
 from primrosescale.process.entry.router_news import RouterNews
-from primrosescale.process.entry.target_caller import HttpTargetCaller
+from primrosescale.process.entry.target_caller import HttpTargetClient
 from primrosescale.process.entry.target_list import TARGET
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.process.entry.target_restarts import TargetRestarts
@@ -48,14 +48,14 @@
 from primrosescale.request.content_fingerprint import fingerprint_text
 from primrosescale.request.direct_port import Refusal
 from primrosescale.request.evacuations import Evacuations
-from primrosescale.request.forward_tools import ForwardTools
+from primrosescale.request.forward_tools import ForwardingContext
 from primrosescale.request.forwarded_call import ForwardedCall
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.gate import Gate
+from primrosescale.request.gate import RequestResolver
 from primrosescale.request.harmful_requests import HarmfulRequests
-from primrosescale.request.hop import NO_HOP
+from primrosescale.request.hop import NO_SPAN
 from primrosescale.request.part_directory import PrefixCacheIndex
-from primrosescale.request.repeat_budget import RepeatBudget
+from primrosescale.request.repeat_budget import SharedRetryBudget
 from primrosescale.request.router_shares import RouterShares
 from primrosescale.request.target_choice import TargetChooser
 from primrosescale.request.target_room import TargetCondition
@@ -73,10 +73,10 @@
     from primrosescale.request.direct_port import AnswerHead
     from primrosescale.request.evacuations import EvacuationList
     from primrosescale.request.gate import CallerHead
-    from primrosescale.request.hop import Hop
+    from primrosescale.request.hop import TraceSpan
     from primrosescale.request.incoming import IncomingRequest
     from primrosescale.request.serving_target import ServingTarget
-    from primrosescale.request.silence import Silence
+    from primrosescale.request.silence import SilenceReport
     from primrosescale.request.target_incarnation import TargetIncarnation
     from primrosescale.request.target_state import TargetState
     from primrosescale.version.routing_table import CallerLimits
@@ -145,7 +145,7 @@
         self._metrics = parts.metrics
         incarnation = new_incarnation()
         freshness = Freshness(settings.revoke)
-        self._target_client = HttpTargetCaller(parts.reactor, parts.codec)
+        self._target_client = HttpTargetClient(parts.reactor, parts.codec)
         self._prefix_index = PrefixCacheIndex()
         restarts = TargetRestarts(
             self._target_client, self._prefix_index, parts, self._target_ended
@@ -209,11 +209,11 @@
             parts,
             self._exchange_protocol.tell_soon,
         )
-        self._budgets: dict[str, RepeatBudget] = {}
-        self._resolver = Gate(
-            self._knowledge.freshness, settings.certain_for, parts.rng
+        self._budgets: dict[str, SharedRetryBudget] = {}
+        self._resolver = RequestResolver(
+            self._knowledge.freshness, settings.not_found_max_age, parts.rng
         )
-        self._forwarding = ForwardTools(
+        self._forwarding = ForwardingContext(
             settings=settings.forward,
             clock=parts.reactor,
             rng=parts.rng,
@@ -233,9 +233,9 @@
             budget_of=self._budget_of,
             routers=self._routers,
             parts_changed=self._exchange_protocol.tell_soon,
-            start_hop=self._start_span,
+            start_span=self._start_span,
             silence_judged=self._silence_judged,
-            statement_made=self._self_report_received,
+            self_report_received=self._self_report_received,
             harm=self._harm_monitor,
             room=self._availability,
             regions=settings.regions,
@@ -349,7 +349,7 @@
         if is_changed:
             self._settings = settings
             self._knowledge.configure(settings)
-            self._resolver.configure(settings.certain_for)
+            self._resolver.configure(settings.not_found_max_age)
             self._forwarding.configure(settings.forward, settings.choice)
             self._forwarding.regions = settings.regions
             self._harmful_requests.configure(settings.harm)
@@ -396,7 +396,7 @@
         if isinstance(resolved, Refusal):
             forward = self._settings.forward
             sink.refuse(
-                resolved, forward.come_back_after(resolved, self._dependencies.rng)
+                resolved, forward.retry_delay(resolved, self._dependencies.rng)
             )
             self._log_refused(resolved, head, now)
             return
@@ -482,7 +482,7 @@
             ],
         )
 
-    def _silence_judged(self, request: IncomingRequest, silence: Silence) -> None:
+    def _silence_judged(self, request: IncomingRequest, silence: SilenceReport) -> None:
         self._metrics.silence_judged(silence)
         self._log.emit(
             Event.SILENCE_JUDGED,
@@ -509,10 +509,10 @@
             told_by=TARGET,
         )
 
-    def _start_span(self, name: str, traceparent: str) -> Hop:
+    def _start_span(self, name: str, traceparent: str) -> TraceSpan:
         """Start a span; tracing is imported for the first traced request."""
         if not traceparent:
-            return NO_HOP
+            return NO_SPAN
         if self._tracing is None:
             from primrosescale.process.tracing import Tracing  # noqa: PLC0415
 
@@ -531,10 +531,10 @@
             told_by=evacuation_list.told_by,
         )
 
-    def _budget_of(self, service: str) -> RepeatBudget:
+    def _budget_of(self, service: str) -> SharedRetryBudget:
         budget = self._budgets.get(service)
         if budget is None:
-            budget = self._budgets[service] = RepeatBudget(self._settings.repeats)
+            budget = self._budgets[service] = SharedRetryBudget(self._settings.repeats)
         return budget
 
     def _routers(self) -> int:
--- a/src/primrosescale/process/entry/entry_settings.py
+++ b/src/primrosescale/process/entry/entry_settings.py
@@ -8,14 +8,14 @@
 
 from primrosescale.process.entry.news_paths import NewsSettings
 from primrosescale.request.cold_targets import ColdSettings
-from primrosescale.request.forward_tools import ForwardSettings
+from primrosescale.request.forward_tools import ForwardingSettings
 from primrosescale.request.harm_settings import HarmSettings
 from primrosescale.request.target_choice import ChoiceSettings
 
 if TYPE_CHECKING:
     from primrosescale.connection.endpoint import Endpoint
     from primrosescale.process.entry.store_watch import WatchedPrefix
-    from primrosescale.request.repeat_budget import RepeatBounds
+    from primrosescale.request.repeat_budget import SharedRetryLimits
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -42,7 +42,7 @@
         Seconds after which a draining target must receive no new requests.
     revoke : float
         Seconds within which a revoked key must stop being accepted.
-    certain_for : float
+    not_found_max_age : float
         Maximum age of the configuration, in seconds, at which a missing route or
         key is answered as unknown. With an older one it may have been added
         meanwhile.
@@ -50,9 +50,9 @@
         Seconds between SIGTERM and SIGKILL.
     most_requests : int
         Maximum number of concurrent requests; more are refused.
-    repeats : RepeatBounds
+    repeats : SharedRetryLimits
         Limits of the retry budget that all routers share.
-    forward : ForwardSettings
+    forward : ForwardingSettings
         Timeouts and delays in forwarding requests.
     choice : ChoiceSettings
         Weights used in choosing a target.
@@ -75,11 +75,11 @@
     reads_caches: bool
     drain: float
     revoke: float
-    certain_for: float
+    not_found_max_age: float
     stop_within: float
     most_requests: int
-    repeats: RepeatBounds
-    forward: ForwardSettings = field(default_factory=ForwardSettings)
+    repeats: SharedRetryLimits
+    forward: ForwardingSettings = field(default_factory=ForwardingSettings)
     choice: ChoiceSettings = field(default_factory=ChoiceSettings)
     news: NewsSettings = field(default_factory=NewsSettings)
     harm: HarmSettings = field(default_factory=HarmSettings)
--- a/src/primrosescale/process/entry/harm_news.py
+++ b/src/primrosescale/process/entry/harm_news.py
@@ -19,7 +19,7 @@
 from primrosescale.request.harm_reports import SuspectTrial
 from primrosescale.request.harm_reports import TargetEnd
 from primrosescale.request.harm_reports import CompleteAnswer
-from primrosescale.request.lost_answers import BUFFERED_SECONDS
+from primrosescale.request.lost_answers import MAX_BUFFERED_SECONDS
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -173,7 +173,7 @@
                 self._apply(kind(report.fingerprint, at), message.origin, now)
                 continue
             state = states.get(report.target)
-            if state is not None and state.heard_at > at + BUFFERED_SECONDS:
+            if state is not None and state.heard_at > at + MAX_BUFFERED_SECONDS:
                 # The target was only cut off from the reporting router and has not
                 # ended.
                 continue
--- a/src/primrosescale/process/entry/harm_watch.py
+++ b/src/primrosescale/process/entry/harm_watch.py
@@ -18,14 +18,14 @@
 
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.process.events import Event
-from primrosescale.request.direct_port import TargetCheck
-from primrosescale.request.fresh_answers import FreshAnswer
-from primrosescale.request.fresh_answers import FreshAnswers
+from primrosescale.request.direct_port import ProbeResult
+from primrosescale.request.fresh_answers import UnconfirmedAnswer
+from primrosescale.request.fresh_answers import UnconfirmedAnswers
 from primrosescale.request.harm_reports import SuspectTrial
 from primrosescale.request.harm_reports import TargetEnd
 from primrosescale.request.harm_reports import CompleteAnswer
 from primrosescale.request.harm_watch import HarmMonitor
-from primrosescale.request.lost_answers import BUFFERED_SECONDS
+from primrosescale.request.lost_answers import MAX_BUFFERED_SECONDS
 from primrosescale.request.lost_answers import LostAnswers
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
     from primrosescale.process.entry.entry_parts import EntryParts
     from primrosescale.process.entry.harm_news import HarmNews
     from primrosescale.process.entry.target_list import TargetList
-    from primrosescale.request.direct_port import TargetCaller
+    from primrosescale.request.direct_port import TargetClient
     from primrosescale.request.harmful_requests import HarmfulRequests
     from primrosescale.request.incoming import IncomingRequest
     from primrosescale.request.target_incarnation import TargetIncarnation
@@ -67,7 +67,7 @@
         Exchanges reports with peer routers.
     targets : TargetList
         The known targets and their states.
-    target_client : TargetCaller
+    target_client : TargetClient
         Opens connections to targets.
     parts : EntryParts
         Collaborators of the router.
@@ -80,7 +80,7 @@
         requests: HarmfulRequests,
         news: HarmNews,
         targets: TargetList,
-        target_client: TargetCaller,
+        target_client: TargetClient,
         parts: EntryParts,
         tell_soon: Callable[[], None],
     ) -> None:
@@ -94,7 +94,7 @@
         self._send_soon = tell_soon
         news.on_end = self._on_peer_end
         self._lost_answers = LostAnswers()
-        self._unconfirmed_answers = FreshAnswers()
+        self._unconfirmed_answers = UnconfirmedAnswers()
         self._confirmation_timer: Timer | None = None
         # Targets that are being probed by opening a connection, by short name.
         self._pending_probes: set[int] = set()
@@ -136,7 +136,7 @@
         """Clear the request once its target survived; see `HarmMonitor.answered`."""
         self._requests.count_answer(now)
         key = target_key(*state.incarnation)
-        self._unconfirmed_answers.add(FreshAnswer(request.fingerprint, key, now, state))
+        self._unconfirmed_answers.add(UnconfirmedAnswer(request.fingerprint, key, now, state))
         if self._confirmation_timer is None:
             self._confirmation_timer = self._reactor.callLater(
                 CONFIRMATION_INTERVAL_SECONDS, self._clear_confirmed
@@ -149,11 +149,11 @@
         ):
             return
         key = target_key(*state.incarnation)
-        self._lost_answers.lived(key, sent_at)
+        self._lost_answers.seen_alive(key, sent_at)
         ended_at = self._ended_at.get(key)
         if ended_at is None:
             return
-        if BUFFERED_SECONDS < now - ended_at < END_REVOCABLE_SECONDS:
+        if MAX_BUFFERED_SECONDS < now - ended_at < END_REVOCABLE_SECONDS:
             self._ended_at.pop(key)
             self._requests.retract_ends(key)
 
@@ -212,8 +212,8 @@
         Earlier answers clear their requests. Each answer is considered once.
         """
         ends = []
-        for answer in self._unconfirmed_answers.take_at(key):
-            if answer.is_just_before(lost_at):
+        for answer in self._unconfirmed_answers.take_from(key):
+            if answer.may_have_ended_target(lost_at):
                 end = TargetEnd(answer.fingerprint, key, answer.at, was_answered=True)
                 ends.append(end)
             else:
@@ -227,7 +227,7 @@
 
     def _probe(self, target: TargetIncarnation, key: int) -> None:
         now = self._reactor.seconds()
-        if self._lost_answers.is_waiting(key, now) or self._unconfirmed_answers.has_any(
+        if self._lost_answers.is_waiting(key, now) or self._unconfirmed_answers.has_from(
             key
         ):
             self._target_client.check(
@@ -236,18 +236,18 @@
         else:
             self._pending_probes.discard(key)
 
-    def _probed(self, target: TargetIncarnation, key: int, found: TargetCheck) -> None:
-        if found is TargetCheck.UNKNOWN:
+    def _probed(self, target: TargetIncarnation, key: int, found: ProbeResult) -> None:
+        if found is ProbeResult.UNKNOWN:
             self._reactor.callLater(PROBE_INTERVAL_SECONDS, self._probe, target, key)
             return
         self._pending_probes.discard(key)
-        if found is TargetCheck.ENDED:
+        if found is ProbeResult.ENDED:
             self.target_ended(target, found.value, self._reactor.seconds())
 
     def _clear_confirmed(self) -> None:
         """Clear the requests whose targets are confirmed to have survived them."""
         now = self._reactor.seconds()
-        for answer in self._unconfirmed_answers.take_proved(now):
+        for answer in self._unconfirmed_answers.take_confirmed(now):
             self._clear(answer, now)
         self._confirmation_timer = None
         if len(self._unconfirmed_answers):
@@ -255,7 +255,7 @@
                 CONFIRMATION_INTERVAL_SECONDS, self._clear_confirmed
             )
 
-    def _clear(self, answer: FreshAnswer, now: float) -> None:
+    def _clear(self, answer: UnconfirmedAnswer, now: float) -> None:
         if self._report_exchange.note(CompleteAnswer(answer.fingerprint, answer.at), now):
             self._send_soon()
 
--- a/src/primrosescale/process/entry/target_caller.py
+++ b/src/primrosescale/process/entry/target_caller.py
@@ -22,8 +22,8 @@
 from primrosescale.connection.target_channel import ChannelPool
 from primrosescale.process.transport.http_bodies import body_producer
 from primrosescale.request.direct_port import Run
-from primrosescale.request.direct_port import TargetCaller
-from primrosescale.request.direct_port import TargetCheck
+from primrosescale.request.direct_port import TargetClient
+from primrosescale.request.direct_port import ProbeResult
 from primrosescale.request.target_incarnation import TargetIncarnation
 
 if TYPE_CHECKING:
@@ -34,8 +34,8 @@
 
     from primrosescale.connection.target_channel import TargetChannel
     from primrosescale.process.entry.codec import EntryCodec
-    from primrosescale.request.direct_port import RunObserver
-    from primrosescale.request.direct_port import Sending
+    from primrosescale.request.direct_port import ResponseObserver
+    from primrosescale.request.direct_port import OutgoingRequest
     from primrosescale.request.serving_target import ServingTarget
 
 # A connection within a region opens in a few milliseconds. The kernel retransmits a
@@ -64,9 +64,9 @@
 
     Parameters
     ----------
-    sending : Sending
+    sending : OutgoingRequest
         The request.
-    observer : RunObserver
+    observer : ResponseObserver
         Notified of its progress and result.
     codec : EntryCodec
         Converts headers.
@@ -78,8 +78,8 @@
 
     def __init__(
         self,
-        sending: Sending,
-        observer: RunObserver,
+        sending: OutgoingRequest,
+        observer: ResponseObserver,
         codec: EntryCodec,
         state: _IncarnationState,
         clock: Any,
@@ -132,9 +132,9 @@
         is_sent = self._channel is not None
         self.cancel()
         if is_sent:
-            self._observer.run_cut(STARTED_AGAIN)
+            self._observer.response_lost(STARTED_AGAIN)
         else:
-            self._observer.run_not_sent(STARTED_AGAIN)
+            self._observer.request_not_sent(STARTED_AGAIN)
 
     def pause(self) -> None:
         """Stop reading the response; see `Run.pause`."""
@@ -153,7 +153,7 @@
     def body_data(self, data: bytes) -> None:
         """Pass on bytes of the body."""
         if not self._is_over:
-            self._observer.run_data(data)
+            self._observer.response_data(data)
 
     def body_ended(self, reason: Failure) -> None:
         """Handle the end of the body."""
@@ -169,11 +169,11 @@
         if not is_whole:
             self._state.failed_at = self._clock.seconds()
             self._abort()
-            self._observer.run_cut(failure_text(reason))
+            self._observer.response_lost(failure_text(reason))
             return
         if channel is not None:
             self._state.pool.give_back(channel, self._clock.seconds())
-        self._observer.run_done()
+        self._observer.response_done()
 
     def _opened(self, channel: TargetChannel) -> None:
         self._opening = None
@@ -187,7 +187,7 @@
         if not self._is_over:
             self._state.failed_at = self._clock.seconds()
             self._end()
-            self._observer.run_not_sent(failure_text(failure))
+            self._observer.request_not_sent(failure_text(failure))
 
     def _send(self, channel: TargetChannel) -> None:
         self._channel = channel
@@ -200,7 +200,7 @@
             body_producer(request.body or None),
             persistent=True,
         )
-        self._observer.run_sent()
+        self._observer.request_sent()
         answered = channel.begin(made)
         answered.addCallback(self._head)
         answered.addErrback(self._failed)
@@ -210,7 +210,7 @@
             return
         length = None if response.length is UNKNOWN_LENGTH else int(response.length)
         head = self._codec.answer_head(response.code, response.headers, length)
-        self._observer.run_head(head)
+        self._observer.response_head(head)
         if not self._is_over:
             response.deliverBody(_BodyReceiver(self))
         if self._is_paused:
@@ -225,7 +225,7 @@
         if self._channel is not None:
             self._state.pool.lost(self._channel, self._clock.seconds())
         self._abort()
-        self._observer.run_cut(failure_text(failure))
+        self._observer.response_lost(failure_text(failure))
 
     def _end(self) -> None:
         self._is_over = True
@@ -257,7 +257,7 @@
         self.failed_at = math.inf
 
 
-class HttpTargetCaller(TargetCaller):
+class HttpTargetClient(TargetClient):
     """Sends requests to targets, with a connection pool for each incarnation.
 
     Parameters
@@ -278,8 +278,8 @@
         # alone, rather by something in front of them.
         self._rest_limit = RestLimit()
 
-    def send(self, sending: Sending, observer: RunObserver) -> Run:
-        """Send a request; see `TargetCaller.send`."""
+    def send(self, sending: OutgoingRequest, observer: ResponseObserver) -> Run:
+        """Send a request; see `TargetClient.send`."""
         state = self._state(sending.target)
         in_flight_request = InFlightHttpRequest(
             sending, observer, self._codec, state, self._reactor
@@ -288,31 +288,31 @@
         return in_flight_request
 
     def check(
-        self, target: TargetIncarnation, on_check: Callable[[TargetCheck], None]
+        self, target: TargetIncarnation, on_check: Callable[[ProbeResult], None]
     ) -> None:
-        """Probe whether a target accepts connections; see `TargetCaller.check`."""
+        """Probe whether a target accepts connections; see `TargetClient.check`."""
         for state in self._states.get(target.name, ()):
             if state.incarnation == target:
                 self._probe(state.pool, on_check)
                 return
-        on_check(TargetCheck.UNKNOWN)
+        on_check(ProbeResult.UNKNOWN)
 
     def _probe(
-        self, pool: ChannelPool, on_check: Callable[[TargetCheck], None]
+        self, pool: ChannelPool, on_check: Callable[[ProbeResult], None]
     ) -> None:
         def opened(channel: TargetChannel) -> None:
             # Kept for the next request, in place of the connection that was lost.
             pool.give_back(channel, self._reactor.seconds())
-            on_check(TargetCheck.CONNECTED)
+            on_check(ProbeResult.CONNECTED)
 
         def not_opened(failure: Failure) -> None:
             is_refused = failure.check(ConnectionRefusedError)
-            on_check(TargetCheck.ENDED if is_refused else TargetCheck.UNKNOWN)
+            on_check(ProbeResult.ENDED if is_refused else ProbeResult.UNKNOWN)
 
         pool.open().addCallbacks(opened, not_opened)
 
-    def end_former(self, present: TargetIncarnation) -> None:
-        """Abort requests at former incarnations; see `TargetCaller.end_former`."""
+    def abort_former(self, present: TargetIncarnation) -> None:
+        """Abort requests at former incarnations; see `TargetClient.abort_former`."""
         former = [
             state
             for state in self._states.get(present.name, ())
--- a/src/primrosescale/process/entry/target_restarts.py
+++ b/src/primrosescale/process/entry/target_restarts.py
@@ -12,7 +12,7 @@
 
     from primrosescale.process.entry.entry_parts import EntryParts
     from primrosescale.process.entry.target_list import IncarnationStart
-    from primrosescale.request.direct_port import TargetCaller
+    from primrosescale.request.direct_port import TargetClient
     from primrosescale.request.part_directory import PrefixCacheIndex
     from primrosescale.request.target_incarnation import TargetIncarnation
 
@@ -25,7 +25,7 @@
 
     Parameters
     ----------
-    target_client : TargetCaller
+    target_client : TargetClient
         Holds the requests that are in flight.
     prefix_index : PrefixCacheIndex
         Prefix cache index of this router.
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        target_client: TargetCaller,
+        target_client: TargetClient,
         prefix_index: PrefixCacheIndex,
         parts: EntryParts,
         on_end: Callable[[TargetIncarnation], None],
@@ -78,7 +78,7 @@
         for start in known:
             # Also without a former incarnation: a target that was forgotten in the
             # meantime may still have requests in flight.
-            self._target_client.end_former(start.present)
+            self._target_client.abort_former(start.present)
             if start.former is not None:
                 self._prefix_index.forget_target(start.former)
                 self._on_end(start.former)
--- a/src/primrosescale/process/tracing.py
+++ b/src/primrosescale/process/tracing.py
@@ -14,9 +14,9 @@
 from opentelemetry.trace.propagation.tracecontext import TraceContextTextMapPropagator
 
 from primrosescale.process.events import Event
-from primrosescale.request.hop import NO_HOP
-from primrosescale.request.hop import Hop
-from primrosescale.request.hop import UntracedHop
+from primrosescale.request.hop import NO_SPAN
+from primrosescale.request.hop import TraceSpan
+from primrosescale.request.hop import UnrecordedSpan
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -76,7 +76,7 @@
         return SpanExportResult.SUCCESS
 
 
-class RecordedSpan(Hop):
+class RecordedSpan(TraceSpan):
     """Span of a traced request, recorded through OpenTelemetry.
 
     Parameters
@@ -95,11 +95,11 @@
 
     @property
     def traceparent(self) -> str:
-        """Return the trace context to send on; see `Hop.traceparent`."""
+        """Return the trace context to send on; see `TraceSpan.traceparent`."""
         return self._traceparent
 
     def end(self, **attributes: Any) -> None:
-        """End the span; see `Hop.end`."""
+        """End the span; see `TraceSpan.end`."""
         self._span.set_attributes(attributes)
         self._span.end()
 
@@ -125,7 +125,7 @@
         self._tracer = self._provider.get_tracer("primrosescale")
         self._propagator = TraceContextTextMapPropagator()
 
-    def start(self, name: str, traceparent: str, *, may_begin: bool) -> Hop:
+    def start(self, name: str, traceparent: str, *, may_begin: bool) -> TraceSpan:
         """Start a span if the request is traced.
 
         Parameters
@@ -139,15 +139,15 @@
 
         Returns
         -------
-        Hop
+        TraceSpan
             The span, which the caller ends; one that records nothing when the
             request is not traced.
         """
         if traceparent:
             if not _is_sampled(traceparent):
-                return UntracedHop(traceparent)
+                return UnrecordedSpan(traceparent)
         elif not may_begin or self._rng.random() >= self._share:
-            return NO_HOP
+            return NO_SPAN
         context = self._propagator.extract({HEADER: traceparent})
         span = self._tracer.start_span(name, context=context)
         carrier: dict[str, str] = {}
--- a/src/primrosescale/request/answer_relay.py
+++ b/src/primrosescale/request/answer_relay.py
@@ -128,9 +128,9 @@
         """End a complete answer."""
         self._sink.finish()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Abort the answer so that the caller sees that it is truncated."""
-        self._sink.break_off()
+        self._sink.abort()
 
     def refuse(self, refusal: Refusal, retry_after: float | None) -> None:
         """Send an answer of the router's own.
--- a/src/primrosescale/request/direct_port.py
+++ b/src/primrosescale/request/direct_port.py
@@ -1,6 +1,6 @@
 """Interfaces between the forwarding of a request and its transport.
 
-`TargetCaller` sends a request to a target and `RunObserver` receives its answer;
+`TargetClient` sends a request to a target and `ResponseObserver` receives its answer;
 `CallerSink` sends the answer to the caller. `Refusal` lists the answers that
 the router makes itself.
 """
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Sending:
+class OutgoingRequest:
     """A request as it is sent to one target.
 
     Parameters
@@ -66,7 +66,7 @@
         Headers to forward to the caller.
     request_id : str
         Id of the request that it answers; empty when it names none.
-    is_receipted : bool
+    has_receipt : bool
         Whether it has the target's receipt header.
     is_not_run : bool
         Whether the target states that it did not run the request.
@@ -89,7 +89,7 @@
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
     request_id: str
-    is_receipted: bool
+    has_receipt: bool
     is_not_run: bool
     is_other_incarnation: bool
     load: LoadReport | None
@@ -100,15 +100,15 @@
     is_rest_odd: bool = False
 
 
-class RunObserver(ABC):
+class ResponseObserver(ABC):
     """Receives the progress of a request at one target."""
 
     @abstractmethod
-    def run_sent(self) -> None:
+    def request_sent(self) -> None:
         """Handle that the request is being sent: from now on it may run."""
 
     @abstractmethod
-    def run_not_sent(self, detail: str) -> None:
+    def request_not_sent(self, detail: str) -> None:
         """Handle that nothing was sent.
 
         Parameters
@@ -118,7 +118,7 @@
         """
 
     @abstractmethod
-    def run_head(self, head: AnswerHead) -> None:
+    def response_head(self, head: AnswerHead) -> None:
         """Handle the status and headers of the answer.
 
         Parameters
@@ -128,7 +128,7 @@
         """
 
     @abstractmethod
-    def run_data(self, data: bytes) -> None:
+    def response_data(self, data: bytes) -> None:
         """Handle bytes of the answer body.
 
         Parameters
@@ -138,11 +138,11 @@
         """
 
     @abstractmethod
-    def run_done(self) -> None:
+    def response_done(self) -> None:
         """Handle that the answer is complete."""
 
     @abstractmethod
-    def run_cut(self, detail: str) -> None:
+    def response_lost(self, detail: str) -> None:
         """Handle that the answer was truncated or never arrived.
 
         Parameters
@@ -168,7 +168,7 @@
         """Read the answer again."""
 
 
-class TargetCheck(Enum):
+class ProbeResult(Enum):
     """Result of opening a connection to a target to see whether it is alive."""
 
     # The address accepts connections, perhaps for another incarnation or a proxy.
@@ -177,19 +177,19 @@
     UNKNOWN = "no answer"
 
 
-class TargetCaller(ABC):
+class TargetClient(ABC):
     """Sends requests to targets."""
 
     @abstractmethod
-    def send(self, sending: Sending, observer: RunObserver) -> Run:
+    def send(self, sending: OutgoingRequest, observer: ResponseObserver) -> Run:
         """Send a request.
 
         Parameters
         ----------
-        sending : Sending
+        sending : OutgoingRequest
             The request.
-        observer : RunObserver
-            Receives its progress. Only `run_sent` and `run_not_sent` may be called
+        observer : ResponseObserver
+            Receives its progress. Only `request_sent` and `request_not_sent` may be called
             before this returns.
 
         Returns
@@ -200,7 +200,7 @@
 
     @abstractmethod
     def check(
-        self, target: TargetIncarnation, on_check: Callable[[TargetCheck], None]
+        self, target: TargetIncarnation, on_check: Callable[[ProbeResult], None]
     ) -> None:
         """Check whether a target still accepts connections.
 
@@ -208,12 +208,12 @@
         ----------
         target : TargetIncarnation
             The incarnation, one that requests were sent to.
-        on_check : Callable[[TargetCheck], None]
+        on_check : Callable[[ProbeResult], None]
             Called once with the result, perhaps before this returns.
         """
 
     @abstractmethod
-    def end_former(self, present: TargetIncarnation) -> None:
+    def abort_former(self, present: TargetIncarnation) -> None:
         """Abort requests in flight at former incarnations of a target.
 
         Requests that were sent may have run; those not sent yet may be sent to any
@@ -291,7 +291,7 @@
         """End a complete answer."""
 
     @abstractmethod
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Abort the answer so that the caller sees that it is truncated."""
 
     @abstractmethod
--- a/src/primrosescale/request/forward_tools.py
+++ b/src/primrosescale/request/forward_tools.py
@@ -10,7 +10,7 @@
 from primrosescale.ini.options import SECONDS
 from primrosescale.ini.options import option
 from primrosescale.request.harm_watch import NoHarmMonitor
-from primrosescale.request.hop import UntracedHop
+from primrosescale.request.hop import UnrecordedSpan
 from primrosescale.request.target_room import TargetAvailability
 
 if TYPE_CHECKING:
@@ -21,13 +21,13 @@
     from primrosescale.clock import Clock
     from primrosescale.request.direct_port import AnswerHead
     from primrosescale.request.direct_port import Refusal
-    from primrosescale.request.direct_port import TargetCaller
+    from primrosescale.request.direct_port import TargetClient
     from primrosescale.request.harm_watch import HarmMonitor
-    from primrosescale.request.hop import Hop
+    from primrosescale.request.hop import TraceSpan
     from primrosescale.request.incoming import IncomingRequest
     from primrosescale.request.part_directory import PrefixCacheIndex
-    from primrosescale.request.repeat_budget import RepeatBudget
-    from primrosescale.request.silence import Silence
+    from primrosescale.request.repeat_budget import SharedRetryBudget
+    from primrosescale.request.silence import SilenceReport
     from primrosescale.request.target_choice import ChoiceSettings
     from primrosescale.request.target_choice import TargetChooser
     from primrosescale.request.target_state import TargetState
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ForwardSettings:
+class ForwardingSettings:
     """Timing of requests that the router forwards to targets itself."""
 
     shortest_time: float = option(
@@ -104,7 +104,7 @@
         0.4,
     )
 
-    def come_back_after(self, refusal: Refusal, rng: Random) -> float | None:
+    def retry_delay(self, refusal: Refusal, rng: Random) -> float | None:
         """Return the Retry-After time of a refusal, with random jitter.
 
         Parameters
@@ -124,7 +124,7 @@
         return self.retry_after * rng.uniform(*RETRY_AFTER_JITTER)
 
 
-def _ignore_silence(_: IncomingRequest, __: Silence) -> None:
+def _ignore_silence(_: IncomingRequest, __: SilenceReport) -> None:
     pass
 
 
@@ -132,23 +132,23 @@
     pass
 
 
-def _start_unrecorded(_: str, traceparent: str) -> Hop:
-    return UntracedHop(traceparent)
+def _start_unrecorded(_: str, traceparent: str) -> TraceSpan:
+    return UnrecordedSpan(traceparent)
 
 
 @dataclass(slots=True)
-class ForwardTools:
+class ForwardingContext:
     """Settings and collaborators that all forwarded calls of a router share.
 
     Parameters
     ----------
-    settings : ForwardSettings
+    settings : ForwardingSettings
         Timing settings.
     clock : Clock
         Source of time and timers.
     rng : Random
         Random generator.
-    caller : TargetCaller
+    caller : TargetClient
         Sends requests to targets.
     chooser : TargetChooser
         Chooses targets.
@@ -156,18 +156,18 @@
         Index of the parts of prompts that each target has cached.
     states_of : Callable[[str], list[TargetState]]
         Returns the targets of a service.
-    budget_of : Callable[[str], RepeatBudget]
+    budget_of : Callable[[str], SharedRetryBudget]
         Returns the retry budget of a service.
     routers : Callable[[], int]
         Returns how many routers share the budgets.
     parts_changed : Callable[[], None]
         Called when a part was sent to a target that was not known to have it.
-    start_hop : Callable[[str, str], Hop]
+    start_span : Callable[[str, str], TraceSpan]
         Starts a span, given its name and the trace context of the previous hop.
         It costs nothing for a request without a trace context.
-    silence_judged : Callable[[IncomingRequest, Silence], None]
+    silence_judged : Callable[[IncomingRequest, SilenceReport], None]
         Called with each decision about a silent target.
-    statement_made : Callable[[IncomingRequest, TargetState, AnswerHead], None]
+    self_report_received : Callable[[IncomingRequest, TargetState, AnswerHead], None]
         Called when the answer to a request has a new self-report of its target,
         such as that it is leaving, cold or wants a pause.
     harm : HarmMonitor
@@ -178,31 +178,31 @@
         The region of each failure domain.
     """
 
-    settings: ForwardSettings
+    settings: ForwardingSettings
     clock: Clock
     rng: Random
-    caller: TargetCaller
+    caller: TargetClient
     chooser: TargetChooser
     parts: PrefixCacheIndex
     states_of: Callable[[str], list[TargetState]]
-    budget_of: Callable[[str], RepeatBudget]
+    budget_of: Callable[[str], SharedRetryBudget]
     routers: Callable[[], int]
     parts_changed: Callable[[], None]
-    start_hop: Callable[[str, str], Hop] = _start_unrecorded
-    silence_judged: Callable[[IncomingRequest, Silence], None] = _ignore_silence
-    statement_made: Callable[[IncomingRequest, TargetState, AnswerHead], None] = (
+    start_span: Callable[[str, str], TraceSpan] = _start_unrecorded
+    silence_judged: Callable[[IncomingRequest, SilenceReport], None] = _ignore_silence
+    self_report_received: Callable[[IncomingRequest, TargetState, AnswerHead], None] = (
         _ignore_self_report
     )
     harm: HarmMonitor = field(default_factory=NoHarmMonitor)
     room: TargetAvailability = field(default_factory=TargetAvailability)
     regions: Mapping[str, str] = field(default_factory=dict)
 
-    def configure(self, settings: ForwardSettings, choice: ChoiceSettings) -> None:
+    def configure(self, settings: ForwardingSettings, choice: ChoiceSettings) -> None:
         """Apply changed settings, also to calls in progress.
 
         Parameters
         ----------
-        settings : ForwardSettings
+        settings : ForwardingSettings
             Timing settings.
         choice : ChoiceSettings
             Weights for choosing targets.
--- a/src/primrosescale/request/forwarded_call.py
+++ b/src/primrosescale/request/forwarded_call.py
@@ -22,8 +22,8 @@
 from primrosescale.request.answer_relay import AnswerRelay
 from primrosescale.request.attempt_pair import HedgedAttempts
 from primrosescale.request.direct_port import Refusal
-from primrosescale.request.direct_port import Sending
-from primrosescale.request.silence import Silence
+from primrosescale.request.direct_port import OutgoingRequest
+from primrosescale.request.silence import SilenceReport
 from primrosescale.request.silence import SilenceVerdict
 from primrosescale.request.silence import silence_timeout
 from primrosescale.request.target_attempt import AttemptListener
@@ -38,7 +38,7 @@
     from primrosescale.clock import Timer
     from primrosescale.request.direct_port import AnswerHead
     from primrosescale.request.direct_port import CallerSink
-    from primrosescale.request.forward_tools import ForwardTools
+    from primrosescale.request.forward_tools import ForwardingContext
     from primrosescale.request.incoming import IncomingRequest
     from primrosescale.request.target_choice import Choice
     from primrosescale.request.target_state import TargetState
@@ -59,7 +59,7 @@
         The request.
     sink : CallerSink
         Sends the answer to the caller.
-    tools : ForwardTools
+    tools : ForwardingContext
         Settings and collaborators that all calls share.
     on_end : Callable[[ForwardedCall, str], None]
         Called once at the end, with the outcome.
@@ -69,7 +69,7 @@
         self,
         request: IncomingRequest,
         sink: CallerSink,
-        tools: ForwardTools,
+        tools: ForwardingContext,
         on_end: Callable[[ForwardedCall, str], None],
     ) -> None:
         self._request = request
@@ -90,7 +90,7 @@
         self._waiting_since = request.received_at
         self._last_verdict: SilenceVerdict | None = None
         self._availability_timer: Timer | None = None
-        self._hop = tools.start_hop("router", request.traceparent)
+        self._hop = tools.start_span("router", request.traceparent)
 
     @property
     def request(self) -> IncomingRequest:
@@ -210,7 +210,7 @@
             self._handle_declined(attempt, head, now)
             return
         if attempt.state.answered(head, now):
-            self._tools.statement_made(self._request, attempt.state, head)
+            self._tools.self_report_received(self._request, attempt.state, head)
         self._tools.harm.heard(attempt.state, attempt.began_at, now)
         if head.is_not_run:
             self._handle_declined(attempt, head, now)
@@ -280,7 +280,7 @@
         if head.request_id != self._request.request_id:
             return "answer of another request"
         if _is_success(head):
-            return "" if head.is_receipted else "no receipt"
+            return "" if head.has_receipt else "no receipt"
         if self._relay.is_stream:
             return f"status {head.status} in place of the rest"
         return ""
@@ -322,7 +322,7 @@
     def _fail_all_paused(self, available_in: float) -> None:
         """Refuse it with a jittered Retry-After past the first requested pause."""
         refusal = Refusal.TARGETS_RESTING
-        spread = self._tools.settings.come_back_after(refusal, self._tools.rng) or 0.0
+        spread = self._tools.settings.retry_delay(refusal, self._tools.rng) or 0.0
         self._fail(refusal, available_in + spread)
 
     def _latest_start(self) -> float:
@@ -388,12 +388,12 @@
         )
         self._attempts.append(record)
         self._tried.attempted(choice.state.incarnation)
-        hop = self._tools.start_hop("target", self._hop.traceparent)
+        hop = self._tools.start_span("target", self._hop.traceparent)
         return TargetAttempt(self, choice.state, record, hop)
 
     def _begin(self, attempt: TargetAttempt, choice: Choice, now: float) -> None:
         source = choice.fetch_from
-        sending = Sending(
+        sending = OutgoingRequest(
             request=self._request,
             target=choice.state.target,
             time_left=self._request.give_up_at - now,
@@ -528,7 +528,7 @@
     def _fail(self, refusal: Refusal, retry_after: float | None = None) -> None:
         """End without an answer; state "not run" only if that is certain."""
         if self._relay.has_begun:
-            self._relay.break_off()
+            self._relay.abort()
             self._end(f"broken_off: {refusal.name.lower()}")
             return
         if self._may_have_run and refusal.is_not_run:
@@ -538,7 +538,7 @@
     def _refuse(self, refusal: Refusal, retry_after: float | None = None) -> None:
         tools = self._tools
         if retry_after is None:
-            retry_after = tools.settings.come_back_after(refusal, tools.rng)
+            retry_after = tools.settings.retry_delay(refusal, tools.rng)
         held_for = self._held_for(self._now())
         if held_for and refusal.is_not_run:
             # It would not be sent any sooner, whatever else prevented it.
@@ -675,7 +675,7 @@
         self._last_verdict = verdict
         tools = self._tools
         states = self._states()
-        silence = Silence(
+        silence = SilenceReport(
             target=attempt.name,
             silent_for=attempt.state.silence(now),
             waited=now - self._waiting_since,
--- a/src/primrosescale/request/fresh_answers.py
+++ b/src/primrosescale/request/fresh_answers.py
@@ -16,14 +16,14 @@
 
 # A target that sends something at least this many seconds after an answer was not
 # crashed by its request.
-PROOF_SECONDS = 0.25
+CONFIRMATION_SECONDS = 0.25
 # Seconds after which an answer is confirmed although the target has sent nothing
 # since: by then the entry of a target that had ended would have been removed.
-LONGEST_WAIT = 5.0
+MAX_UNCONFIRMED_SECONDS = 5.0
 MAX_UNCONFIRMED = 2048
 
 
-class FreshAnswer(NamedTuple):
+class UnconfirmedAnswer(NamedTuple):
     """A request that received a complete answer, and the target.
 
     Parameters
@@ -57,11 +57,11 @@
             Whether the target was alive later, or its end would be known by now.
         """
         is_identified = self.state.incarnation.has_unique_name
-        if is_identified and self.state.heard_at >= self.at + PROOF_SECONDS:
+        if is_identified and self.state.heard_at >= self.at + CONFIRMATION_SECONDS:
             return True
-        return now - self.at >= LONGEST_WAIT
+        return now - self.at >= MAX_UNCONFIRMED_SECONDS
 
-    def is_just_before(self, lost_at: float | None) -> bool:
+    def may_have_ended_target(self, lost_at: float | None) -> bool:
         """Tell whether its target, which has ended, ended just after the answer.
 
         Parameters
@@ -76,34 +76,34 @@
             Whether the request may have crashed the target.
         """
         last = self.state.heard_at if lost_at is None else lost_at
-        return last < self.at + PROOF_SECONDS
+        return last < self.at + CONFIRMATION_SECONDS
 
 
-class FreshAnswers:
+class UnconfirmedAnswers:
     """The most recent unconfirmed answers, the oldest first."""
 
     __slots__ = ("_answers",)
 
     def __init__(self) -> None:
-        self._answers: list[FreshAnswer] = []
+        self._answers: list[UnconfirmedAnswer] = []
 
     def __len__(self) -> int:
         """Return how many answers are unconfirmed."""
         return len(self._answers)
 
-    def add(self, answer: FreshAnswer) -> None:
+    def add(self, answer: UnconfirmedAnswer) -> None:
         """Add an answer; the oldest is dropped when there are too many.
 
         Parameters
         ----------
-        answer : FreshAnswer
+        answer : UnconfirmedAnswer
             The answer.
         """
         self._answers.append(answer)
         if len(self._answers) > MAX_UNCONFIRMED:
             del self._answers[0]
 
-    def take_proved(self, now: float) -> list[FreshAnswer]:
+    def take_confirmed(self, now: float) -> list[UnconfirmedAnswer]:
         """Remove and return the confirmed answers.
 
         Parameters
@@ -113,7 +113,7 @@
 
         Returns
         -------
-        list[FreshAnswer]
+        list[UnconfirmedAnswer]
             The answers, the oldest first.
         """
         confirmed = [answer for answer in self._answers if answer.is_confirmed(now)]
@@ -121,7 +121,7 @@
             self._answers = [a for a in self._answers if not a.is_confirmed(now)]
         return confirmed
 
-    def has_any(self, target: int) -> bool:
+    def has_from(self, target: int) -> bool:
         """Tell whether any answer of a target is unconfirmed.
 
         Parameters
@@ -136,7 +136,7 @@
         """
         return any(answer.target == target for answer in self._answers)
 
-    def take_at(self, target: int) -> list[FreshAnswer]:
+    def take_from(self, target: int) -> list[UnconfirmedAnswer]:
         """Remove and return the answers of a target that has ended.
 
         Parameters
@@ -146,7 +146,7 @@
 
         Returns
         -------
-        list[FreshAnswer]
+        list[UnconfirmedAnswer]
             The answers, the oldest first.
         """
         removed = [answer for answer in self._answers if answer.target == target]
--- a/src/primrosescale/request/gate.py
+++ b/src/primrosescale/request/gate.py
@@ -67,33 +67,33 @@
     traceparent: str = ""
 
 
-class Gate:
+class RequestResolver:
     """Accepts or refuses callers' requests.
 
     Parameters
     ----------
     freshness : Freshness
         Age of the known configuration.
-    certain_for : float
+    not_found_max_age : float
         Age in seconds up to which an unknown route or key is answered as such.
     rng : Random
         Random generator for routes that are split between several services.
     """
 
-    def __init__(self, freshness: Freshness, certain_for: float, rng: Random) -> None:
+    def __init__(self, freshness: Freshness, not_found_max_age: float, rng: Random) -> None:
         self._freshness = freshness
-        self._certain_for = certain_for
+        self._not_found_max_age = not_found_max_age
         self._rng = rng
 
-    def configure(self, certain_for: float) -> None:
+    def configure(self, not_found_max_age: float) -> None:
         """Apply a changed setting.
 
         Parameters
         ----------
-        certain_for : float
+        not_found_max_age : float
             Age in seconds up to which an unknown route or key is answered as such.
         """
-        self._certain_for = certain_for
+        self._not_found_max_age = not_found_max_age
 
     def judge(
         self,
@@ -161,7 +161,7 @@
 
     def _unless_outdated(self, refusal: Refusal, now: float) -> Refusal:
         age = self._freshness.age(now)
-        if age is None or age > self._certain_for:
+        if age is None or age > self._not_found_max_age:
             return Refusal.STALE
         return refusal
 
--- a/src/primrosescale/request/hop.py
+++ b/src/primrosescale/request/hop.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 
-class Hop(ABC):
+class TraceSpan(ABC):
     """One span of a request: its handling by one process or by one target."""
 
     @property
@@ -29,7 +29,7 @@
         """
 
 
-class UntracedHop(Hop):
+class UnrecordedSpan(TraceSpan):
     """A span that is not recorded here.
 
     Parameters
@@ -45,11 +45,11 @@
 
     @property
     def traceparent(self) -> str:
-        """Return the context of the previous hop; see `Hop.traceparent`."""
+        """Return the context of the previous hop; see `TraceSpan.traceparent`."""
         return self._traceparent
 
     def end(self, **attributes: Any) -> None:
-        """Do nothing; see `Hop.end`."""
+        """Do nothing; see `TraceSpan.end`."""
 
 
-NO_HOP = UntracedHop()
+NO_SPAN = UnrecordedSpan()
--- a/src/primrosescale/request/lost_answers.py
+++ b/src/primrosescale/request/lost_answers.py
@@ -11,7 +11,7 @@
 # entry of a target that has ended is removed after three heartbeats.
 WAIT_SECONDS = 8.0
 # Seconds after the end of a target for which bytes that it sent before are still read.
-BUFFERED_SECONDS = 0.2
+MAX_BUFFERED_SECONDS = 0.2
 # Maximum number of lost answers that wait at a target, and of ended targets that are
 # remembered for losses reported later.
 MAX_WAITING = 1024
@@ -105,7 +105,7 @@
             del self._ended[next(iter(self._ended))]
         return self._waiting.pop(target, {})
 
-    def lived(self, target: int, at: float) -> None:
+    def seen_alive(self, target: int, at: float) -> None:
         """Record that a target was alive at a time; earlier losses have other causes.
 
         Parameters
--- a/src/primrosescale/request/repeat_budget.py
+++ b/src/primrosescale/request/repeat_budget.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RepeatBounds:
+class SharedRetryLimits:
     """Limits on the retries of all routers together.
 
     Parameters
@@ -35,18 +35,18 @@
     extra: float
 
 
-class RepeatBudget:
+class SharedRetryBudget:
     """One router's share of the retry budget of one service.
 
     Parameters
     ----------
-    bounds : RepeatBounds
+    bounds : SharedRetryLimits
         The limits for all routers together.
     """
 
     __slots__ = ("_bounds", "_repeats", "_requests")
 
-    def __init__(self, bounds: RepeatBounds) -> None:
+    def __init__(self, bounds: SharedRetryLimits) -> None:
         self._bounds = bounds
         self._requests: deque[float] = deque()
         self._repeats: deque[float] = deque()
--- a/src/primrosescale/request/retry_after.py
+++ b/src/primrosescale/request/retry_after.py
@@ -16,7 +16,7 @@
 UNAVAILABLE = 503
 # Seconds. A longer pause is shortened to this: a target that asks for a year has made
 # a mistake and must be tried again eventually.
-LONGEST_REST = 600.0
+MAX_PAUSE_SECONDS = 600.0
 
 
 def asked_rest(status: int, values: Iterable[str]) -> float | None:
@@ -35,11 +35,11 @@
     Returns
     -------
     float | None
-        Seconds, at most `LONGEST_REST`; None when it requests no pause.
+        Seconds, at most `MAX_PAUSE_SECONDS`; None when it requests no pause.
     """
     if status != UNAVAILABLE:
         return None
-    return min(max(map(_seconds, values), default=0.0), LONGEST_REST) or None
+    return min(max(map(_seconds, values), default=0.0), MAX_PAUSE_SECONDS) or None
 
 
 def is_odd_rest(status: int, values: Sequence[str]) -> bool:
@@ -56,11 +56,11 @@
     -------
     bool
         True for several values, and for one that is not a number, is negative or is
-        longer than `LONGEST_REST`.
+        longer than `MAX_PAUSE_SECONDS`.
     """
     if status != UNAVAILABLE or not values:
         return False
-    return len(values) > 1 or not 0 <= _number(values[0]) <= LONGEST_REST
+    return len(values) > 1 or not 0 <= _number(values[0]) <= MAX_PAUSE_SECONDS
 
 
 def _seconds(text: str) -> float:
--- a/src/primrosescale/request/silence.py
+++ b/src/primrosescale/request/silence.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from primrosescale.request.forward_tools import ForwardSettings
+    from primrosescale.request.forward_tools import ForwardingSettings
     from primrosescale.request.incoming import IncomingRequest
 
 
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Silence:
+class SilenceReport:
     """A decision about a request at a silent target, for the log.
 
     Parameters
@@ -51,13 +51,13 @@
 
 
 def silence_timeout(
-    settings: ForwardSettings, request: IncomingRequest, *, has_begun: bool
+    settings: ForwardingSettings, request: IncomingRequest, *, has_begun: bool
 ) -> float:
     """Return how long a request waits for a target that sends data for others.
 
     Parameters
     ----------
-    settings : ForwardSettings
+    settings : ForwardingSettings
         Timing settings.
     request : IncomingRequest
         The request.
--- a/src/primrosescale/request/target_attempt.py
+++ b/src/primrosescale/request/target_attempt.py
@@ -7,16 +7,16 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from primrosescale.request.direct_port import RunObserver
+from primrosescale.request.direct_port import ResponseObserver
 from primrosescale.request.event_stream import EventSplitter
 
 if TYPE_CHECKING:
     from primrosescale.request.direct_port import AnswerHead
     from primrosescale.request.direct_port import Run
-    from primrosescale.request.direct_port import Sending
-    from primrosescale.request.direct_port import TargetCaller
+    from primrosescale.request.direct_port import OutgoingRequest
+    from primrosescale.request.direct_port import TargetClient
     from primrosescale.request.event_stream import StreamEvent
-    from primrosescale.request.hop import Hop
+    from primrosescale.request.hop import TraceSpan
     from primrosescale.request.target_incarnation import TargetIncarnation
     from primrosescale.request.target_state import TargetState
 
@@ -151,7 +151,7 @@
         """
 
 
-class TargetAttempt(RunObserver):
+class TargetAttempt(ResponseObserver):
     """One attempt of a request at one target.
 
     Parameters
@@ -162,7 +162,7 @@
         What is known of the target.
     record : AttemptRecord
         Its record for the log.
-    hop : Hop
+    hop : TraceSpan
         Its span.
     """
 
@@ -186,7 +186,7 @@
         listener: AttemptListener,
         state: TargetState,
         record: AttemptRecord,
-        hop: Hop,
+        hop: TraceSpan,
     ) -> None:
         self._listener = listener
         self._state = state
@@ -246,14 +246,14 @@
         """Return how many bytes of the body are buffered."""
         return self._buffered_bytes
 
-    def begin(self, caller: TargetCaller, sending: Sending, now: float) -> None:
+    def begin(self, caller: TargetClient, sending: OutgoingRequest, now: float) -> None:
         """Send the request.
 
         Parameters
         ----------
-        caller : TargetCaller
+        caller : TargetClient
             Sends requests to targets.
-        sending : Sending
+        sending : OutgoingRequest
             The request.
         now : float
             Present time in seconds.
@@ -350,19 +350,19 @@
         """
         return self._splitter.feed(data)
 
-    def run_sent(self) -> None:
-        """Report that it is being sent; see `RunObserver.run_sent`."""
+    def request_sent(self) -> None:
+        """Report that it is being sent; see `ResponseObserver.request_sent`."""
         self._was_sent = True
         if not self._is_over:
             self._listener.attempt_sent(self)
 
-    def run_not_sent(self, detail: str) -> None:
-        """Report that nothing was sent; see `RunObserver.run_not_sent`."""
+    def request_not_sent(self, detail: str) -> None:
+        """Report that nothing was sent; see `ResponseObserver.request_not_sent`."""
         if not self._is_over:
             self._listener.attempt_not_sent(self, detail)
 
-    def run_head(self, head: AnswerHead) -> None:
-        """Report the status and headers; see `RunObserver.run_head`."""
+    def response_head(self, head: AnswerHead) -> None:
+        """Report the status and headers; see `ResponseObserver.response_head`."""
         if self._is_over:
             return
         self._record.said_leaving = head.is_leaving
@@ -370,17 +370,17 @@
         self._record.is_rest_odd = head.is_rest_odd
         self._listener.attempt_head(self, head)
 
-    def run_data(self, data: bytes) -> None:
-        """Report bytes of the body; see `RunObserver.run_data`."""
+    def response_data(self, data: bytes) -> None:
+        """Report bytes of the body; see `ResponseObserver.response_data`."""
         if not self._is_over:
             self._listener.attempt_data(self, data)
 
-    def run_done(self) -> None:
-        """Report that the answer is complete; see `RunObserver.run_done`."""
+    def response_done(self) -> None:
+        """Report that the answer is complete; see `ResponseObserver.response_done`."""
         if not self._is_over:
             self._listener.attempt_done(self)
 
-    def run_cut(self, detail: str) -> None:
-        """Report that the answer was truncated; see `RunObserver.run_cut`."""
+    def response_lost(self, detail: str) -> None:
+        """Report that the answer was truncated; see `ResponseObserver.response_lost`."""
         if not self._is_over:
             self._listener.attempt_cut(self, detail)
--- a/tests/entry/fakes.py
+++ b/tests/entry/fakes.py
@@ -11,16 +11,16 @@
 from primrosescale.request.direct_port import AnswerHead
 from primrosescale.request.direct_port import CallerSink
 from primrosescale.request.direct_port import Run
-from primrosescale.request.direct_port import TargetCaller
-from primrosescale.request.forward_tools import ForwardSettings
-from primrosescale.request.forward_tools import ForwardTools
+from primrosescale.request.direct_port import TargetClient
+from primrosescale.request.forward_tools import ForwardingSettings
+from primrosescale.request.forward_tools import ForwardingContext
 from primrosescale.request.forwarded_call import ForwardedCall
 from primrosescale.request.incoming import IncomingRequest
 from primrosescale.request.incoming import Prompt
 from primrosescale.request.incoming import PromptPart
 from primrosescale.request.part_directory import PrefixCacheIndex
-from primrosescale.request.repeat_budget import RepeatBounds
-from primrosescale.request.repeat_budget import RepeatBudget
+from primrosescale.request.repeat_budget import SharedRetryLimits
+from primrosescale.request.repeat_budget import SharedRetryBudget
 from primrosescale.request.serving_target import ServingTarget
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
@@ -150,13 +150,13 @@
         self.is_paused = False
 
     def answer(self, status=200, body=b"", **fields):
-        self.observer.run_head(head(status, **fields))
+        self.observer.response_head(head(status, **fields))
         if body:
-            self.observer.run_data(body)
-        self.observer.run_done()
+            self.observer.response_data(body)
+        self.observer.response_done()
 
 
-class FakeCaller(TargetCaller):
+class FakeCaller(TargetClient):
     """Records what is sent.
 
     Targets named in `unreachable` refuse connections at once; connections to those in
@@ -173,26 +173,26 @@
         run = FakeRun(sending, observer)
         self.runs.append(run)
         if sending.target.name in self.unreachable:
-            observer.run_not_sent("refused")
+            observer.request_not_sent("refused")
         elif sending.target.name in self.opening:
             run.is_opening = True
         else:
-            observer.run_sent()
+            observer.request_sent()
         return run
 
     def check(self, target, on_check):
         self.checks.append((target, on_check))
 
-    def end_former(self, present):
+    def abort_former(self, present):
         """End runs as the transport does, with the same details."""
         for run in list(self.runs):
             former = run.sending.target.incarnation
             if former.name != present.name or not former.is_followed_by(present):
                 continue
             if run.is_opening:
-                run.observer.run_not_sent("target started again")
+                run.observer.request_not_sent("target started again")
             else:
-                run.observer.run_cut("target started again")
+                run.observer.response_lost("target started again")
 
     @property
     def last(self):
@@ -217,7 +217,7 @@
     def finish(self):
         self.is_finished = True
 
-    def break_off(self):
+    def abort(self):
         self.is_broken = True
 
     def refuse(self, refusal, retry_after):
@@ -235,12 +235,12 @@
         self.states = [TargetState(item, START) for item in targets]
         self.parts = PrefixCacheIndex()
         self.caller = FakeCaller()
-        self.budget = RepeatBudget(RepeatBounds(0.2, 10.0, extra))
+        self.budget = SharedRetryBudget(SharedRetryLimits(0.2, 10.0, extra))
         self.parts_told = 0
         self.ended = []
         self.silences = []
-        self.tools = ForwardTools(
-            settings=ForwardSettings(),
+        self.tools = ForwardingContext(
+            settings=ForwardingSettings(),
             clock=self.clock,
             rng=rng,
             caller=self.caller,
@@ -268,7 +268,7 @@
         present = replace(former, started_at=started_at, is_draining=False, **fields)
         self.states[index] = TargetState(present, self.clock.seconds())
         self.parts.forget_target(former.incarnation)
-        self.caller.end_former(present.incarnation)
+        self.caller.abort_former(present.incarnation)
 
     def call(self, incoming):
         sink = FakeSink()
--- a/tests/entry/test_allowed_regions.py
+++ b/tests/entry/test_allowed_regions.py
@@ -24,7 +24,7 @@
 from primrosescale.request.direct_port import Refusal
 from primrosescale.request.freshness import Freshness
 from primrosescale.request.gate import CallerHead
-from primrosescale.request.gate import Gate
+from primrosescale.request.gate import RequestResolver
 from primrosescale.request.part_directory import PartUse
 from primrosescale.version.routing_table import Organisation
 from primrosescale.version.routing_table import RoutingTable
@@ -57,7 +57,7 @@
             last_event=None,
             headers=(),
         )
-        judged = Gate(freshness, 3.0, random.Random(1)).judge(caller, b"", table, START)
+        judged = RequestResolver(freshness, 3.0, random.Random(1)).judge(caller, b"", table, START)
         return judged.allowed_regions
 
     def test_regions_of_route_and_organisation_both_apply(self):
@@ -119,16 +119,16 @@
 
     def test_repeats_go_to_allowed_targets_only(self):
         _, sink = self.desk.call(request(LOOKUP, allowed_regions=SOUTH))
-        self.desk.caller.last.observer.run_cut("reset")
+        self.desk.caller.last.observer.response_lost("reset")
         self.assertEqual(1, len(self.desk.caller.runs))
         self.assertIs(Refusal.CUT, sink.refusal)
 
     def test_a_resumed_stream_goes_to_allowed_targets_only(self):
         self.desk.call(request(STREAM, allowed_regions=NORTH))
         first = self.desk.caller.last
-        first.observer.run_head(head())
-        first.observer.run_data(event(1))
-        first.observer.run_cut("reset")
+        first.observer.response_head(head())
+        first.observer.response_data(event(1))
+        first.observer.response_lost("reset")
         names = {run.name for run in self.desk.caller.runs}
         self.assertEqual({"m1", "m2"}, names)
 
--- a/tests/entry/test_asked_rest.py
+++ b/tests/entry/test_asked_rest.py
@@ -49,7 +49,7 @@
         return harness.caller.runs[before:], sink
 
     def decline(self, run, rest=PAUSE_SECONDS):
-        run.observer.run_head(head(503, is_not_run=True, rest=rest))
+        run.observer.response_head(head(503, is_not_run=True, rest=rest))
 
     def pause_all(self, harness, route, rest=PAUSE_SECONDS):
         """Have all targets decline requests and request a pause."""
@@ -90,9 +90,9 @@
         [first], _ = self.send(harness, STREAM)
         self.decline(first)
         [run], _ = self.send(harness, STREAM)
-        run.observer.run_head(head())
-        run.observer.run_data(event(1))
-        run.observer.run_cut("reset")
+        run.observer.response_head(head())
+        run.observer.response_data(event(1))
+        run.observer.response_lost("reset")
         self.assertNotIn(harness.caller.last.name, {first.name, run.name})
 
     # Guards against delaying or sending requests while all targets are paused.
@@ -157,7 +157,7 @@
         harness = self.harness(LOOKUP)
         call, _ = harness.call(request(LOOKUP))
         run = harness.caller.last
-        run.observer.run_head(head(503, is_not_run=True, is_rest_odd=True))
+        run.observer.response_head(head(503, is_not_run=True, is_rest_odd=True))
         self.assertEqual([True, False], [a.is_rest_odd for a in call.attempts])
 
 
--- a/tests/entry/test_entry_router.py
+++ b/tests/entry/test_entry_router.py
@@ -479,7 +479,7 @@
         yield self.start()
         caller = yield self.ask(text(b"/none/x"), b"")
         self.assertTrue(caller.data.startswith(b"HTTP/1.1 404"))
-        changed = replace(self.settings, certain_for=-1.0)
+        changed = replace(self.settings, not_found_max_age=-1.0)
         forward = replace(changed.forward, retry_after=90.0)
         choice = replace(changed.choice, load_multiple=7.0)
         self.settings = replace(changed, forward=forward, choice=choice)
--- a/tests/entry/test_evacuations.py
+++ b/tests/entry/test_evacuations.py
@@ -184,12 +184,12 @@
     def test_a_request_that_runs_there_goes_on(self):
         _, sink = self.desk.call(request(STREAM))
         run = self.desk.caller.last
-        run.observer.run_head(head())
-        run.observer.run_data(event(1))
+        run.observer.response_head(head())
+        run.observer.response_data(event(1))
         self.evacuate("a", "b", "c")
         self.desk.pass_time(0.2)
-        run.observer.run_data(event(2))
-        run.observer.run_done()
+        run.observer.response_data(event(2))
+        run.observer.response_done()
         self.assertTrue(sink.is_finished)
         self.assertFalse(run.is_cancelled)
 
@@ -198,17 +198,17 @@
         first = self.desk.caller.last
         spared, closed = sorted({"p1", "p2", "p3"} - {first.name})
         self.evacuate("abc"[int(closed[1]) - 1])
-        first.observer.run_cut("reset")
+        first.observer.response_lost("reset")
         self.assertEqual(spared, self.desk.caller.last.name)
 
     def test_a_broken_stream_goes_on_at_no_evacuated_target(self):
         self.desk.call(request(STREAM))
         first = self.desk.caller.last
-        first.observer.run_head(head())
-        first.observer.run_data(event(1))
+        first.observer.response_head(head())
+        first.observer.response_data(event(1))
         others = sorted({"m1", "m2", "m3"} - {first.name})
         self.evacuate("abc"[int(others[0][1]) - 1])
-        first.observer.run_cut("reset")
+        first.observer.response_lost("reset")
         self.assertEqual(others[1], self.desk.caller.last.name)
         self.assertEqual(1, self.desk.caller.last.sending.resume_after)
 
--- a/tests/entry/test_forwarded_call.py
+++ b/tests/entry/test_forwarded_call.py
@@ -35,21 +35,21 @@
     def test_the_head_waits_for_the_whole_body(self):
         _, sink = self.harness.call(request())
         run = self.harness.caller.last
-        run.observer.run_head(head())
-        run.observer.run_data(b"half")
+        run.observer.response_head(head())
+        run.observer.response_data(b"half")
         self.assertIsNone(sink.head)
-        run.observer.run_cut("reset")
+        run.observer.response_lost("reset")
         self.harness.caller.last.answer(200, b"whole")
         self.assertEqual(b"whole", sink.body)
 
     def test_an_idempotent_request_goes_to_another_target_after_a_failure(self):
         for fail in (
-            lambda run: run.observer.run_cut("reset"),
-            lambda run: run.observer.run_head(head(500)),
-            lambda run: run.observer.run_head(head(request_id="other")),
-            lambda run: run.observer.run_head(head(is_receipted=False)),
-            lambda run: run.observer.run_head(head(503, is_not_run=True)),
-            lambda run: run.observer.run_head(head(421, is_other_incarnation=True)),
+            lambda run: run.observer.response_lost("reset"),
+            lambda run: run.observer.response_head(head(500)),
+            lambda run: run.observer.response_head(head(request_id="other")),
+            lambda run: run.observer.response_head(head(has_receipt=False)),
+            lambda run: run.observer.response_head(head(503, is_not_run=True)),
+            lambda run: run.observer.response_head(head(421, is_other_incarnation=True)),
         ):
             harness = Desk(PORTAL)
             _, sink = harness.call(request())
@@ -63,15 +63,15 @@
 
     def test_it_goes_to_no_more_targets_than_its_route_allows(self):
         _, sink = self.harness.call(request())
-        self.harness.caller.last.observer.run_cut("reset")
-        self.harness.caller.last.observer.run_cut("reset")
+        self.harness.caller.last.observer.response_lost("reset")
+        self.harness.caller.last.observer.response_lost("reset")
         self.assertEqual(2, len(self.harness.caller.runs))
         self.assertEqual(Refusal.CUT, sink.refusal)
         self.assertIsNone(sink.retry_after)
 
     def test_a_failure_of_the_last_target_is_relayed_unchanged(self):
         _, sink = self.harness.call(request())
-        self.harness.caller.last.observer.run_head(head(500))
+        self.harness.caller.last.observer.response_head(head(500))
         self.harness.caller.last.answer(500, b"broken")
         self.assertEqual((500, b"broken"), (sink.head.status, sink.body))
 
@@ -89,7 +89,7 @@
     def test_without_budget_nothing_is_sent_again(self):
         harness = Desk(PORTAL, extra=0.0)
         _, sink = harness.call(request())
-        harness.caller.last.observer.run_cut("reset")
+        harness.caller.last.observer.response_lost("reset")
         self.assertEqual(1, len(harness.caller.runs))
         self.assertEqual(Refusal.CUT, sink.refusal)
 
@@ -122,10 +122,10 @@
         call, sink = self.harness.call(request())
         run = self.harness.caller.last
         call.caller_gone()
-        run.observer.run_head(head())
-        run.observer.run_data(b"late")
-        run.observer.run_done()
-        run.observer.run_cut("late")
+        run.observer.response_head(head())
+        run.observer.response_data(b"late")
+        run.observer.response_done()
+        run.observer.response_lost("late")
         self.assertIsNone(sink.head)
         self.assertEqual(1, len(self.harness.ended))
 
@@ -155,9 +155,9 @@
 
     def test_it_is_never_sent_again_after_it_may_have_run(self):
         for fail, refusal in (
-            (lambda run: run.observer.run_cut("reset"), Refusal.CUT),
-            (lambda run: run.observer.run_head(head(request_id="x")), Refusal.CUT),
-            (lambda run: run.observer.run_head(head(is_receipted=False)), Refusal.CUT),
+            (lambda run: run.observer.response_lost("reset"), Refusal.CUT),
+            (lambda run: run.observer.response_head(head(request_id="x")), Refusal.CUT),
+            (lambda run: run.observer.response_head(head(has_receipt=False)), Refusal.CUT),
         ):
             harness = Desk(PORTAL)
             _, sink = harness.call(request(CONFIRMATION))
@@ -173,7 +173,7 @@
 
     def test_a_request_that_was_declined_is_reported_as_not_run(self):
         _, sink = self.harness.call(request(CONFIRMATION))
-        self.harness.caller.last.observer.run_head(head(503, is_not_run=True))
+        self.harness.caller.last.observer.response_head(head(503, is_not_run=True))
         self.assertEqual(Refusal.TARGETS_FULL, sink.refusal)
         self.assertTrue(sink.refusal.is_not_run)
         self.assertEqual(1, len(self.harness.caller.runs))
@@ -204,58 +204,58 @@
         self.run1 = self.harness.caller.last
 
     def test_events_are_relayed_as_they_arrive(self):
-        self.run1.observer.run_head(head())
+        self.run1.observer.response_head(head())
         self.assertEqual(200, self.sink.head.status)
-        self.run1.observer.run_data(event(1) + event(2)[:5])
+        self.run1.observer.response_data(event(1) + event(2)[:5])
         self.assertEqual(event(1), self.sink.body)
-        self.run1.observer.run_data(event(2)[5:])
+        self.run1.observer.response_data(event(2)[5:])
         self.assertEqual(event(1) + event(2), self.sink.body)
-        self.run1.observer.run_done()
+        self.run1.observer.response_done()
         self.assertTrue(self.sink.is_finished)
 
     def test_a_broken_stream_resumes_after_the_last_complete_event(self):
-        self.run1.observer.run_head(head(headers=((b"A", b"1"),)))
-        self.run1.observer.run_data(event(1) + event(2) + event(3)[:4])
-        self.run1.observer.run_cut("reset")
+        self.run1.observer.response_head(head(headers=((b"A", b"1"),)))
+        self.run1.observer.response_data(event(1) + event(2) + event(3)[:4])
+        self.run1.observer.response_lost("reset")
         run2 = self.harness.caller.last
         self.assertEqual(2, run2.sending.resume_after)
-        run2.observer.run_head(head(headers=((b"A", b"2"),)))
-        run2.observer.run_data(event(2) + event(3))
-        run2.observer.run_done()
+        run2.observer.response_head(head(headers=((b"A", b"2"),)))
+        run2.observer.response_data(event(2) + event(3))
+        run2.observer.response_done()
         self.assertEqual(event(1) + event(2) + event(3), self.sink.body)
         self.assertEqual(((b"A", b"1"),), self.sink.head.headers)
         self.assertTrue(self.sink.is_finished)
 
     def test_an_end_inside_an_event_counts_as_a_loss(self):
-        self.run1.observer.run_head(head())
-        self.run1.observer.run_data(event(1) + event(2)[:4])
-        self.run1.observer.run_done()
+        self.run1.observer.response_head(head())
+        self.run1.observer.response_data(event(1) + event(2)[:4])
+        self.run1.observer.response_done()
         self.assertFalse(self.sink.is_finished)
         self.assertEqual(1, self.harness.caller.last.sending.resume_after)
 
     def test_the_silent_target_is_cancelled_with_the_head_of_the_next(self):
-        self.run1.observer.run_head(head())
-        self.run1.observer.run_data(event(1))
+        self.run1.observer.response_head(head())
+        self.run1.observer.response_data(event(1))
         self.until(lambda: len(self.harness.caller.runs) == 2)
         self.assertEqual(1, self.harness.caller.last.sending.resume_after)
         self.harness.pass_time(1.0)
         self.assertFalse(self.run1.is_cancelled)
-        self.harness.caller.last.observer.run_head(head())
+        self.harness.caller.last.observer.response_head(head())
         self.assertTrue(self.run1.is_cancelled)
 
     def test_a_stream_that_cannot_resume_is_aborted(self):
-        self.run1.observer.run_head(head())
-        self.run1.observer.run_data(event(1))
-        self.run1.observer.run_cut("reset")
-        self.harness.caller.last.observer.run_cut("reset")
+        self.run1.observer.response_head(head())
+        self.run1.observer.response_data(event(1))
+        self.run1.observer.response_lost("reset")
+        self.harness.caller.last.observer.response_lost("reset")
         self.assertTrue(self.sink.is_broken)
         self.assertFalse(self.sink.is_finished)
 
     def test_a_failure_instead_of_the_rest_aborts_it(self):
-        self.run1.observer.run_head(head())
-        self.run1.observer.run_data(event(1))
-        self.run1.observer.run_cut("reset")
-        self.harness.caller.last.observer.run_head(head(500))
+        self.run1.observer.response_head(head())
+        self.run1.observer.response_data(event(1))
+        self.run1.observer.response_lost("reset")
+        self.harness.caller.last.observer.response_head(head(500))
         self.assertTrue(self.sink.is_broken)
         self.assertEqual(event(1), self.sink.body)
 
@@ -290,12 +290,12 @@
         harness = Desk(MODEL)
         harness.call(request(STREAM, deadline=1012.0))
         first = harness.caller.last
-        first.observer.run_head(head())
-        first.observer.run_data(event(1))
+        first.observer.response_head(head())
+        first.observer.response_data(event(1))
         harness.pass_time(0.5)
         second = harness.caller.last
         self.assertNotEqual(first.name, second.name)
-        second.observer.run_head(head())
+        second.observer.response_head(head())
         self.assertTrue(first.is_cancelled)
         self.assertTrue(harness.state(first.name).is_paused(harness.clock.seconds()))
 
@@ -320,12 +320,12 @@
         hanging = harness.caller.last
         harness.call(request(STREAM, deadline=1012.0))
         working = harness.caller.last
-        hanging.observer.run_head(head())
-        hanging.observer.run_data(event(1))
-        working.observer.run_head(head())
+        hanging.observer.response_head(head())
+        hanging.observer.response_data(event(1))
+        working.observer.response_head(head())
         for number in range(1, 21):
             harness.pass_time(0.05)
-            working.observer.run_data(event(number))
+            working.observer.response_data(event(number))
         self.assertFalse(hanging.is_cancelled)
 
     def test_a_silent_target_gets_no_new_requests_while_others_can_take_them(self):
@@ -363,7 +363,7 @@
         harness = Desk(MODEL[:1])
         harness.call(request(FRAGILE_STREAM, deadline=1012.0))
         self.assertFalse(harness.caller.last.sending.needs_new_connection)
-        harness.caller.last.observer.run_cut("reset")
+        harness.caller.last.observer.response_lost("reset")
         harness.pass_time(0.2)
         harness.call(request(FRAGILE_STREAM, deadline=1012.0))
         self.assertTrue(harness.caller.last.sending.needs_new_connection)
@@ -376,16 +376,16 @@
         harness = Desk(MODEL)
         _, sink = harness.call(request(FRAGILE_STREAM, deadline=1012.0))
         run = harness.caller.last
-        run.observer.run_head(head())
-        run.observer.run_data(event(1))
-        run.observer.run_cut("reset")
+        run.observer.response_head(head())
+        run.observer.response_data(event(1))
+        run.observer.response_lost("reset")
         self.assertTrue(sink.is_broken)
         self.assertEqual(1, len(harness.caller.runs))
 
     def test_lost_before_its_first_event_it_is_not_sent_again(self):
         harness = Desk(MODEL)
         _, sink = harness.call(request(FRAGILE_STREAM, deadline=1012.0))
-        harness.caller.last.observer.run_cut("reset")
+        harness.caller.last.observer.response_lost("reset")
         self.assertEqual(Refusal.CUT, sink.refusal)
         self.assertEqual(1, len(harness.caller.runs))
 
@@ -399,10 +399,10 @@
             if step == 0:
                 run.answer(200, b"x")
             elif step == 1:
-                run.observer.run_cut("reset")
-                harness.caller.last.observer.run_cut("reset")
+                run.observer.response_lost("reset")
+                harness.caller.last.observer.response_lost("reset")
             elif step == 2:
-                run.observer.run_head(head(503, is_not_run=True))
+                run.observer.response_head(head(503, is_not_run=True))
                 harness.caller.last.answer(200, b"x")
             else:
                 harness.pass_time(2.0)
--- a/tests/entry/test_harm_watch.py
+++ b/tests/entry/test_harm_watch.py
@@ -32,9 +32,9 @@
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.process.events import Event
 from primrosescale.request.direct_port import Refusal
-from primrosescale.request.direct_port import TargetCheck
-from primrosescale.request.fresh_answers import LONGEST_WAIT
-from primrosescale.request.fresh_answers import PROOF_SECONDS
+from primrosescale.request.direct_port import ProbeResult
+from primrosescale.request.fresh_answers import MAX_UNCONFIRMED_SECONDS
+from primrosescale.request.fresh_answers import CONFIRMATION_SECONDS
 from primrosescale.request.harm_reports import SuspectTrial
 from primrosescale.request.harm_reports import TargetEnd
 from primrosescale.request.harm_reports import CompleteAnswer
@@ -100,7 +100,7 @@
     def end(self, *names):
         for name in names:
             self.lose(name)
-            self.find(TargetCheck.ENDED)
+            self.find(ProbeResult.ENDED)
 
     def held_for(self):
         return self.watch.held_for(self.request, self.clock.seconds())
@@ -108,7 +108,7 @@
     def test_a_refused_connection_shows_that_the_target_has_ended(self):
         self.lose("t1")
         self.assertEqual(0, self.ends())
-        self.find(TargetCheck.ENDED)
+        self.find(ProbeResult.ENDED)
         self.assertEqual(1, self.ends())
         self.assertEqual(1, self.sent_soon)
         [said] = self.log.of(Event.TARGET_ENDED)
@@ -128,7 +128,7 @@
     def test_a_lost_answer_of_a_running_target_is_no_evidence(self):
         for name in NAMES:
             self.lose(name)
-            self.find(TargetCheck.CONNECTED)
+            self.find(ProbeResult.CONNECTED)
             self.clock.advance(0.1)
             self.heard(name, 0.05)
         self.gone(*NAMES)
@@ -137,7 +137,7 @@
 
     def test_a_connection_alone_does_not_show_that_it_lives(self):
         self.lose("t1")
-        self.find(TargetCheck.CONNECTED)
+        self.find(ProbeResult.CONNECTED)
         self.clock.advance(3.0)
         self.gone("t1")
         self.assertEqual(1, self.ends())
@@ -160,7 +160,7 @@
     def test_an_answer_by_another_target_shows_that_it_has_ended(self):
         for name in ("t1", "t2", "t3"):
             self.lose(name)
-            self.find(TargetCheck.CONNECTED)
+            self.find(ProbeResult.CONNECTED)
             self.watch.replaced(self.targets.state(name), self.clock.seconds())
         self.assertEqual(3, self.ends())
         self.assertGreater(self.held_for(), 0)
@@ -171,11 +171,11 @@
 
     def test_a_later_loss_at_the_same_target_is_checked_too(self):
         self.lose("t1", request(body=b"another"))
-        self.find(TargetCheck.CONNECTED)
+        self.find(ProbeResult.CONNECTED)
         self.clock.advance(1.0)
         self.lose("t1")
         self.assertEqual(2, len(self.caller.checks))
-        self.find(TargetCheck.ENDED)
+        self.find(ProbeResult.ENDED)
         self.assertEqual(1, self.ends())
 
     def answer(self, name):
@@ -192,20 +192,20 @@
             self.clock.advance(0.05)
             self.watch.not_reached(self.targets.state(name), self.clock.seconds())
             self.clock.advance(PROBE_DELAY_SECONDS)
-            self.find(TargetCheck.ENDED)
+            self.find(ProbeResult.ENDED)
         self.assertEqual(ANSWERED_ENDS, self.ends())
         self.assertGreater(self.held_for(), 0)
 
     def test_an_end_long_after_an_answer_does_not_count(self):
         self.answer("t1")
-        self.clock.advance(PROOF_SECONDS)
+        self.clock.advance(CONFIRMATION_SECONDS)
         self.lose("t1", request(body=b"another"))
-        self.find(TargetCheck.ENDED)
+        self.find(ProbeResult.ENDED)
         self.assertEqual(0, self.ends())
 
     def test_an_answer_is_confirmed_by_later_data_from_its_target(self):
         self.answer("t1")
-        self.clock.advance(PROOF_SECONDS)
+        self.clock.advance(CONFIRMATION_SECONDS)
         self.assertIsNone(self.requests.last_answer(self.request.fingerprint))
         self.heard("t1", 0.0)
         self.clock.advance(CONFIRMATION_INTERVAL_SECONDS)
@@ -215,13 +215,13 @@
 
     def test_an_answer_is_confirmed_once_an_end_would_be_known(self):
         self.answer("t1")
-        self.clock.advance(LONGEST_WAIT)
+        self.clock.advance(MAX_UNCONFIRMED_SECONDS)
         self.clock.advance(CONFIRMATION_INTERVAL_SECONDS)
         self.assertIsNotNone(self.requests.last_answer(self.request.fingerprint))
 
     def test_no_timer_remains_after_confirmation(self):
         self.answer("t1")
-        self.clock.advance(LONGEST_WAIT)
+        self.clock.advance(MAX_UNCONFIRMED_SECONDS)
         self.clock.advance(CONFIRMATION_INTERVAL_SECONDS)
         self.assertEqual([], self.clock.getDelayedCalls())
 
@@ -229,19 +229,19 @@
         for number in range(20):
             self.lose("t1", request(body=b"%d" % number))
         self.assertEqual(1, len(self.caller.checks))
-        self.find(TargetCheck.ENDED)
+        self.find(ProbeResult.ENDED)
         self.assertEqual(20, len(self.requests))
 
     def test_an_answer_lost_after_the_end_counts_too(self):
         self.lose("t1", request(body=b"another"))
-        self.find(TargetCheck.ENDED)
+        self.find(ProbeResult.ENDED)
         self.lose("t1")
         self.assertEqual(1, self.ends())
 
     def test_an_inconclusive_probe_is_repeated_for_a_bounded_time(self):
         self.lose("t1")
         for _ in range(30):
-            self.find(TargetCheck.UNKNOWN)
+            self.find(ProbeResult.UNKNOWN)
             self.clock.advance(PROBE_INTERVAL_SECONDS)
         self.assertLessEqual(
             len(self.caller.checks), 2 + WAIT_SECONDS / PROBE_INTERVAL_SECONDS
@@ -250,7 +250,7 @@
 
     def test_a_removed_entry_shows_the_end_too(self):
         self.lose("t1")
-        self.find(TargetCheck.UNKNOWN)
+        self.find(ProbeResult.UNKNOWN)
         incarnation = self.targets.state("t1").incarnation
         self.watch.target_ended(incarnation, "entry gone", self.clock.seconds())
         self.assertEqual(1, self.ends())
@@ -282,7 +282,7 @@
         [said] = self.log.of(Event.REQUEST_HELD_BACK)
         self.assertEqual((3, ""), (said["ends"], said["told_by"]))
         self.answer("t4")
-        self.clock.advance(PROOF_SECONDS)
+        self.clock.advance(CONFIRMATION_SECONDS)
         self.heard("t4", 0.0)
         self.clock.advance(CONFIRMATION_INTERVAL_SECONDS)
         self.assertEqual(1, len(self.log.of(Event.REQUEST_CLEARED)))
@@ -441,14 +441,14 @@
     def test_a_lost_request_is_not_retried_once_held_back(self):
         _, sink = self.desk.call(request())
         self.watch.is_holding = True
-        self.desk.caller.last.observer.run_cut("closed")
+        self.desk.caller.last.observer.response_lost("closed")
         self.assertEqual(1, len(self.desk.caller.runs))
         self.assertEqual(Refusal.CUT, sink.refusal)
 
     def test_a_declined_request_is_not_retried_once_held_back(self):
         _, sink = self.desk.call(request())
         self.watch.is_holding = True
-        self.desk.caller.last.observer.run_head(head(503, is_not_run=True))
+        self.desk.caller.last.observer.response_head(head(503, is_not_run=True))
         self.assertEqual(Refusal.HELD_BACK, sink.refusal)
         self.assertEqual(120.0, sink.retry_after)
 
@@ -464,7 +464,7 @@
         self.desk.call(request())
         self.assertEqual(["r1"], self.watch.out)
         first = self.desk.caller.last
-        first.observer.run_cut("closed")
+        first.observer.response_lost("closed")
         self.assertEqual([first.name], self.watch.lost)
         self.desk.caller.last.answer(body=b"done")
         self.assertEqual(["r1"], self.watch.whole)
@@ -473,10 +473,10 @@
         self.desk.states += Desk([target("m1"), target("m2")]).states
         _, sink = self.desk.call(request(STREAM))
         run = self.desk.caller.last
-        run.observer.run_head(head())
-        run.observer.run_data(event(1))
+        run.observer.response_head(head())
+        run.observer.response_data(event(1))
         self.watch.is_holding = True
-        run.observer.run_cut("closed")
+        run.observer.response_lost("closed")
         self.assertEqual(1, len(self.desk.caller.runs))
         self.assertTrue(sink.is_broken)
 
--- a/tests/entry/test_leaving_answers.py
+++ b/tests/entry/test_leaving_answers.py
@@ -54,7 +54,7 @@
         """Let the target of a request announce that it leaves; return its name."""
         harness.call(request(route))
         run = harness.caller.last
-        run.observer.run_head(head(status, is_leaving=True, **fields))
+        run.observer.response_head(head(status, is_leaving=True, **fields))
         return run.name
 
     def sent_to(self, harness, route, count=20):
@@ -85,9 +85,9 @@
         left = self.leave(harness, STREAM)
         harness.call(request(STREAM, now=harness.clock.seconds()))
         run = harness.caller.last
-        run.observer.run_head(head())
-        run.observer.run_data(event(1))
-        run.observer.run_cut("reset")
+        run.observer.response_head(head())
+        run.observer.response_data(event(1))
+        run.observer.response_lost("reset")
         self.assertNotIn(harness.caller.last.name, {left, run.name})
 
     # Guards against applying the self-report of another incarnation.
--- a/tests/entry/test_restart.py
+++ b/tests/entry/test_restart.py
@@ -378,7 +378,7 @@
         desk = Desk(PORTAL_ALONE)
         _, sink = desk.call(request(LOOKUP))
         desk.restart("p1", SECOND)
-        desk.caller.last.observer.run_head(head(503, is_not_run=True))
+        desk.caller.last.observer.response_head(head(503, is_not_run=True))
         self.assertEqual(Refusal.CUT, sink.refusal)
         self.assertFalse(sink.refusal.is_not_run)
 
@@ -405,17 +405,17 @@
             desk = Desk(targets)
             _, sink = desk.call(request(STREAM, deadline=START + 12))
             first = desk.caller.last
-            first.observer.run_head(head())
-            first.observer.run_data(event(1) + event(2) + event(3)[:4])
+            first.observer.response_head(head())
+            first.observer.response_data(event(1) + event(2) + event(3)[:4])
             desk.restart(first.name, SECOND)
             second = desk.caller.last
             self.assertEqual(2, second.sending.resume_after)
-            second.observer.run_head(head())
+            second.observer.response_head(head())
             # Further data from the former incarnation is discarded.
-            first.observer.run_data(event(3)[4:] + event(4))
-            first.observer.run_done()
-            second.observer.run_data(event(3))
-            second.observer.run_done()
+            first.observer.response_data(event(3)[4:] + event(4))
+            first.observer.response_done()
+            second.observer.response_data(event(3))
+            second.observer.response_done()
             self.assertEqual(event(1) + event(2) + event(3), sink.body)
             self.assertTrue(sink.is_finished)
 
@@ -423,8 +423,8 @@
         desk = Desk(MODEL)
         _, sink = desk.call(request(FRAGILE_STREAM, deadline=START + 12))
         run = desk.caller.last
-        run.observer.run_head(head())
-        run.observer.run_data(event(1))
+        run.observer.response_head(head())
+        run.observer.response_data(event(1))
         desk.restart(run.name, SECOND)
         self.assertTrue(sink.is_broken)
         self.assertEqual(1, len(desk.caller.runs))
@@ -466,20 +466,20 @@
         route = replace(STREAM, max_targets=3)
         _, sink = desk.call(request(route, deadline=START + 12))
         first = desk.caller.last
-        first.observer.run_head(head())
-        first.observer.run_data(event(1))
+        first.observer.response_head(head())
+        first.observer.response_data(event(1))
         desk.restart("m1", SECOND)
         desk.pass_time(0.2)
         second = desk.caller.last
         desk.restart("m1", THIRD)
         expected = [life("m1", start) for start in (FIRST, SECOND, THIRD)]
         self.assertEqual(expected, self.incarnations(desk))
-        second.observer.run_head(head())
-        second.observer.run_data(event(2) + event(3))
+        second.observer.response_head(head())
+        second.observer.response_data(event(2) + event(3))
         third = desk.caller.last
-        third.observer.run_head(head())
-        third.observer.run_data(event(2))
-        third.observer.run_done()
+        third.observer.response_head(head())
+        third.observer.response_data(event(2))
+        third.observer.response_done()
         self.assertEqual(event(1) + event(2), sink.body)
 
     def test_a_request_leaves_no_count_at_either_incarnation(self):
@@ -500,9 +500,9 @@
         desk, sink, silent, hedge = self.call_with_hedge()
         desk.restart(silent.name, SECOND)
         self.assertTrue(silent.is_cancelled)
-        hedge.observer.run_head(head())
-        hedge.observer.run_data(event(2))
-        hedge.observer.run_done()
+        hedge.observer.response_head(head())
+        hedge.observer.response_data(event(2))
+        hedge.observer.response_done()
         self.assertEqual(event(1) + event(2), sink.body)
         self.assertEqual(2, len(desk.caller.runs))
 
@@ -510,16 +510,16 @@
         desk, sink, silent, hedge = self.call_with_hedge()
         desk.restart(hedge.name, SECOND)
         self.assertFalse(silent.is_cancelled)
-        silent.observer.run_data(event(2))
-        silent.observer.run_done()
+        silent.observer.response_data(event(2))
+        silent.observer.response_done()
         self.assertEqual(event(1) + event(2), sink.body)
 
     def call_with_hedge(self):
         desk = Desk(MODEL)
         _, sink = desk.call(request(STREAM, deadline=START + 12))
         silent = desk.caller.last
-        silent.observer.run_head(head())
-        silent.observer.run_data(event(1))
+        silent.observer.response_head(head())
+        silent.observer.response_data(event(1))
         desk.pass_time(0.5)
         hedge = desk.caller.last
         self.assertIsNot(silent, hedge)
--- a/tests/entry/test_restart_transport.py
+++ b/tests/entry/test_restart_transport.py
@@ -15,9 +15,9 @@
 from entry.fakes import target
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.platform.http_codec import PlatformCodec
-from primrosescale.process.entry.target_caller import HttpTargetCaller
-from primrosescale.request.direct_port import RunObserver
-from primrosescale.request.direct_port import Sending
+from primrosescale.process.entry.target_caller import HttpTargetClient
+from primrosescale.request.direct_port import ResponseObserver
+from primrosescale.request.direct_port import OutgoingRequest
 from support.live import DeploymentRunTest
 from support.live import LiveTest
 
@@ -45,30 +45,30 @@
         self.transport.write(ANSWER)
 
 
-class RecordingObserver(RunObserver):
+class RecordingObserver(ResponseObserver):
     """Records the progress of a request."""
 
     def __init__(self):
         self.calls = []
         self.detail = ""
 
-    def run_sent(self):
+    def request_sent(self):
         self.calls.append("sent")
 
-    def run_not_sent(self, detail):
+    def request_not_sent(self, detail):
         self.calls.append("not sent")
         self.detail = detail
 
-    def run_head(self, head):
+    def response_head(self, head):
         self.calls.append("head")
 
-    def run_data(self, data):
+    def response_data(self, data):
         self.calls.append("data")
 
-    def run_done(self):
+    def response_done(self):
         self.calls.append("done")
 
-    def run_cut(self, detail):
+    def response_lost(self, detail):
         self.calls.append("cut")
         self.detail = detail
 
@@ -78,7 +78,7 @@
 
     def setUp(self):
         super().setUp()
-        self.caller = HttpTargetCaller(reactor, PlatformCodec())
+        self.caller = HttpTargetClient(reactor, PlatformCodec())
         self.addCleanup(self.caller.forget, "p1")
         self.servers = [self.listen(), self.listen()]
 
@@ -93,7 +93,7 @@
     def send(self, started_at=FIRST, *, server=0, endpoint=None, is_new=False):
         observer = RecordingObserver()
         endpoint = endpoint or self.servers[server].endpoint
-        sending = Sending(
+        sending = OutgoingRequest(
             request=request(CONFIRMATION if is_new else LOOKUP, headers=HOST),
             target=target("p1", "portal", started_at=started_at, endpoint=endpoint),
             time_left=5.0,
@@ -134,7 +134,7 @@
     def test_a_sent_request_is_reported_as_lost(self):
         observer = self.send()
         channel = yield self.arrived()
-        self.caller.end_former(life("p1", SECOND))
+        self.caller.abort_former(life("p1", SECOND))
         self.assertEqual(["sent", "cut"], observer.calls)
         self.assertIn("started again", observer.detail)
         yield self.eventually(lambda: channel.is_closed)
@@ -145,7 +145,7 @@
         channel = yield self.arrived()
         channel.transport.write(ANSWER[:-1])
         yield self.eventually(lambda: "data" in observer.calls)
-        self.caller.end_former(life("p1", SECOND))
+        self.caller.abort_former(life("p1", SECOND))
         channel.transport.write(ANSWER[-1:])
         yield deferLater(reactor, 0.05, lambda: None)
         self.assertEqual(["sent", "head", "data", "cut"], observer.calls)
@@ -153,7 +153,7 @@
     @inlineCallbacks
     def test_a_request_waiting_for_a_connection_is_reported_as_not_sent(self):
         observer = self.send()
-        self.caller.end_former(life("p1", SECOND))
+        self.caller.abort_former(life("p1", SECOND))
         self.assertEqual(["not sent"], observer.calls)
         yield deferLater(reactor, 0.05, lambda: None)
         self.assertEqual(["not sent"], observer.calls)
@@ -169,8 +169,8 @@
         observer = self.send(SECOND)
         channel = yield self.arrived()
         for present in (life("p1", SECOND), life("p1", FIRST), life("p1")):
-            self.caller.end_former(present)
-        self.caller.end_former(life("p2", THIRD))
+            self.caller.abort_former(present)
+        self.caller.abort_former(life("p2", THIRD))
         channel.answer()
         yield self.eventually(lambda: "done" in observer.calls)
 
@@ -186,13 +186,13 @@
     @inlineCallbacks
     def test_idle_connections_of_a_former_incarnation_are_closed(self):
         idle = yield self.leave_idle_connection()
-        self.caller.end_former(life("p1", SECOND))
+        self.caller.abort_former(life("p1", SECOND))
         yield self.eventually(lambda: idle.is_closed)
 
     @inlineCallbacks
     def test_a_new_incarnation_at_another_address_is_called_there(self):
         yield self.leave_idle_connection()
-        self.caller.end_former(life("p1", SECOND))
+        self.caller.abort_former(life("p1", SECOND))
         self.send(SECOND, server=1)
         yield self.arrived(server=1)
         self.assertEqual(1, len(self.servers[0].channels))
@@ -219,7 +219,7 @@
         observer = self.send()
         yield self.arrived()
         self.caller.forget("p1")
-        self.caller.end_former(life("p1", SECOND))
+        self.caller.abort_former(life("p1", SECOND))
         self.assertEqual(["sent", "cut"], observer.calls)
 
     @inlineCallbacks
@@ -230,7 +230,7 @@
         yield self.eventually(lambda: "cut" in lost.calls)
         observer = self.send(is_new=True)
         second = yield self.arrived(place=1)
-        self.caller.end_former(life("p1", SECOND))
+        self.caller.abort_former(life("p1", SECOND))
         second.answer()
         yield self.eventually(lambda: "done" in observer.calls)
         yield self.eventually(lambda: second.is_closed)
@@ -243,7 +243,7 @@
         second = yield self.arrived(place=1)
         second.transport.abortConnection()
         yield self.eventually(lambda: "cut" in lost.calls)
-        self.caller.end_former(life("p1", SECOND))
+        self.caller.abort_former(life("p1", SECOND))
         self.assertEqual(["sent", "cut"], early.calls)
 
     @inlineCallbacks
@@ -254,9 +254,9 @@
         yield self.eventually(lambda: "cut" in lost.calls)
         observer = self.send(is_new=True)
         yield self.arrived(place=1)
-        self.caller.end_former(life("p1", SECOND))
+        self.caller.abort_former(life("p1", SECOND))
         self.assertEqual(["sent"], observer.calls)
-        self.caller.end_former(life("p1", THIRD))
+        self.caller.abort_former(life("p1", THIRD))
         self.assertEqual(["sent", "cut"], observer.calls)
 
     @inlineCallbacks
@@ -269,5 +269,5 @@
         yield self.eventually(lambda: "cut" in observer.calls)
         limit = self.caller._rest_limit
         self.assertFalse(limit.allows(0.1, reactor.seconds()))
-        self.caller.end_former(life("p1", SECOND))
+        self.caller.abort_former(life("p1", SECOND))
         self.assertTrue(limit.allows(0.1, reactor.seconds()))
--- a/tests/entry/test_rules_of_knowledge.py
+++ b/tests/entry/test_rules_of_knowledge.py
@@ -17,9 +17,9 @@
 from primrosescale.request.event_stream import EventSplitter
 from primrosescale.request.freshness import Freshness
 from primrosescale.request.gate import CallerHead
-from primrosescale.request.gate import Gate
-from primrosescale.request.repeat_budget import RepeatBounds
-from primrosescale.request.repeat_budget import RepeatBudget
+from primrosescale.request.gate import RequestResolver
+from primrosescale.request.repeat_budget import SharedRetryLimits
+from primrosescale.request.repeat_budget import SharedRetryBudget
 from primrosescale.version.routing_table import CallerLimits
 from primrosescale.version.routing_table import Organisation
 from primrosescale.version.routing_table import RoutingTable
@@ -70,7 +70,7 @@
         super().setUp()
         self.fresh = Freshness(5.0)
         self.fresh.answered(START)
-        self.gate = Gate(self.fresh, 2.0, random.Random(1))
+        self.gate = RequestResolver(self.fresh, 2.0, random.Random(1))
 
     def judge(self, now=START + 1, known=None, **fields):
         known = table() if known is None else known
@@ -134,14 +134,14 @@
 
 class BudgetTest(TestCase):
     def test_routers_share_the_bound(self):
-        budget = RepeatBudget(RepeatBounds(0.2, 10.0, 40.0))
+        budget = SharedRetryBudget(SharedRetryLimits(0.2, 10.0, 40.0))
         for _ in range(50):
             budget.requested(START)
         spent = sum(budget.spend(4, START) for _ in range(100))
         self.assertEqual(int(0.8 * (0.2 * 50 + 40 / 4)), spent)
 
     def test_the_window_slides(self):
-        budget = RepeatBudget(RepeatBounds(0.0, 10.0, 5.0))
+        budget = SharedRetryBudget(SharedRetryLimits(0.0, 10.0, 5.0))
         self.assertTrue(all(budget.spend(1, START) for _ in range(4)))
         self.assertFalse(budget.spend(1, START + 9.9))
         self.assertTrue(budget.spend(1, START + 10.1))
--- a/tests/entry/test_silent_target.py
+++ b/tests/entry/test_silent_target.py
@@ -38,8 +38,8 @@
     """Return a run that has sent its first event, and its caller."""
     _, sink = harness.call(request(route, deadline=1012.0))
     run = harness.caller.last
-    run.observer.run_head(head())
-    run.observer.run_data(event(1))
+    run.observer.response_head(head())
+    run.observer.response_data(event(1))
     return run, sink
 
 
@@ -51,8 +51,8 @@
         run, sink = begun_stream(harness)
         harness.pass_time(2.0)
         self.assertFalse(sink.is_broken)
-        run.observer.run_data(event(2))
-        run.observer.run_done()
+        run.observer.response_data(event(2))
+        run.observer.response_done()
         self.assertEqual(event(1) + event(2), sink.body)
         self.assertTrue(sink.is_finished)
 
@@ -60,10 +60,10 @@
         harness = Desk(MODEL[:2])
         run, sink = begun_stream(harness)
         harness.pass_time(0.5)
-        harness.caller.last.observer.run_head(head(503, is_not_run=True))
+        harness.caller.last.observer.response_head(head(503, is_not_run=True))
         self.assertFalse(sink.is_broken)
-        run.observer.run_data(event(2))
-        run.observer.run_done()
+        run.observer.response_data(event(2))
+        run.observer.response_done()
         self.assertEqual(event(1) + event(2), sink.body)
         self.assertTrue(sink.is_finished)
 
@@ -84,55 +84,55 @@
         self.harness = Desk(MODEL)
         self.call, self.sink = self.harness.call(request(STREAM, deadline=1012.0))
         self.first = self.harness.caller.last
-        self.first.observer.run_head(head())
-        self.first.observer.run_data(event(1))
+        self.first.observer.response_head(head())
+        self.first.observer.response_data(event(1))
         self.harness.pass_time(0.46)
         self.second = self.harness.caller.last
         self.assertNotEqual(self.first.name, self.second.name)
 
     def test_the_first_to_respond_serves_the_stream(self):
-        self.first.observer.run_data(event(2))
+        self.first.observer.response_data(event(2))
         self.assertTrue(self.second.is_cancelled)
-        self.second.observer.run_head(head())
-        self.second.observer.run_data(event(2) + event(3))
-        self.first.observer.run_data(event(3))
-        self.first.observer.run_done()
+        self.second.observer.response_head(head())
+        self.second.observer.response_data(event(2) + event(3))
+        self.first.observer.response_data(event(3))
+        self.first.observer.response_done()
         self.check_whole(3)
 
     def test_the_first_is_ignored_once_the_next_has_begun(self):
-        self.second.observer.run_head(head())
-        self.first.observer.run_data(event(2) + event(3))
-        self.first.observer.run_done()
+        self.second.observer.response_head(head())
+        self.first.observer.response_data(event(2) + event(3))
+        self.first.observer.response_done()
         self.assertEqual(event(1), self.sink.body)
-        self.second.observer.run_data(event(2) + event(3))
-        self.second.observer.run_done()
+        self.second.observer.response_data(event(2) + event(3))
+        self.second.observer.response_done()
         self.check_whole(3)
 
     def test_a_hedge_that_fails_costs_nothing(self):
         for fail in (
-            lambda run: run.observer.run_cut("reset"),
-            lambda run: run.observer.run_head(head(500)),
-            lambda run: run.observer.run_head(head(404)),
-            lambda run: run.observer.run_head(head(request_id="other")),
-            lambda run: run.observer.run_head(head(is_receipted=False)),
-            lambda run: run.observer.run_head(head(421, is_other_incarnation=True)),
+            lambda run: run.observer.response_lost("reset"),
+            lambda run: run.observer.response_head(head(500)),
+            lambda run: run.observer.response_head(head(404)),
+            lambda run: run.observer.response_head(head(request_id="other")),
+            lambda run: run.observer.response_head(head(has_receipt=False)),
+            lambda run: run.observer.response_head(head(421, is_other_incarnation=True)),
         ):
             harness = Desk(MODEL)
             first, sink = begun_stream(harness)
             harness.pass_time(0.46)
             fail(harness.caller.last)
             harness.pass_time(1.0)
-            first.observer.run_data(event(2))
-            first.observer.run_done()
+            first.observer.response_data(event(2))
+            first.observer.response_done()
             self.assertEqual(event(1) + event(2), sink.body)
             self.assertTrue(sink.is_finished)
 
     def test_a_loss_of_the_first_leaves_the_hedge_in_its_place(self):
-        self.first.observer.run_cut("reset")
+        self.first.observer.response_lost("reset")
         self.assertEqual(2, len(self.harness.caller.runs))
-        self.second.observer.run_head(head())
-        self.second.observer.run_data(event(2))
-        self.second.observer.run_done()
+        self.second.observer.response_head(head())
+        self.second.observer.response_data(event(2))
+        self.second.observer.response_done()
         self.check_whole(2)
 
     def test_a_hedge_that_is_silent_does_not_end_the_first(self):
@@ -140,8 +140,8 @@
         first, sink = begun_stream(harness)
         harness.pass_time(3.0)
         self.assertEqual(2, len(harness.caller.runs))
-        first.observer.run_data(event(2))
-        first.observer.run_done()
+        first.observer.response_data(event(2))
+        first.observer.response_done()
         self.assertEqual(event(1) + event(2), sink.body)
         self.assertTrue(sink.is_finished)
         self.assertTrue(harness.caller.last.is_cancelled)
@@ -154,7 +154,7 @@
         second, third = harness.caller.runs[1:]
         self.assertTrue(second.is_cancelled)
         self.assertFalse(first.is_cancelled)
-        third.observer.run_head(head())
+        third.observer.response_head(head())
         self.assertTrue(first.is_cancelled)
 
     def test_a_hedge_uses_a_new_connection(self):
@@ -163,20 +163,20 @@
 
     def test_a_hedge_that_declines_late_costs_nothing(self):
         self.harness.pass_time(0.6)
-        self.second.observer.run_head(head(503, is_not_run=True))
-        self.first.observer.run_data(event(2))
-        self.first.observer.run_done()
+        self.second.observer.response_head(head(503, is_not_run=True))
+        self.first.observer.response_data(event(2))
+        self.first.observer.response_done()
         self.check_whole(2)
 
     def test_a_target_whose_hedge_was_not_needed_can_be_used_again(self):
-        self.first.observer.run_data(event(2))
-        self.first.observer.run_cut("reset")
+        self.first.observer.response_data(event(2))
+        self.first.observer.response_lost("reset")
         third = self.harness.caller.last
         self.assertEqual(self.second.name, third.name)
         self.assertEqual(2, third.sending.resume_after)
-        third.observer.run_head(head())
-        third.observer.run_data(event(3))
-        third.observer.run_done()
+        third.observer.response_head(head())
+        third.observer.response_data(event(3))
+        third.observer.response_done()
         self.check_whole(3)
 
     def test_a_caller_that_disconnects_cancels_both(self):
@@ -204,9 +204,9 @@
         if first.name == "m2":
             harness.caller.unreachable = {"m1"}
         harness.pass_time(0.46)
-        harness.caller.last.observer.run_head(head())
-        harness.caller.last.observer.run_data(event(2))
-        harness.caller.last.observer.run_done()
+        harness.caller.last.observer.response_head(head())
+        harness.caller.last.observer.response_data(event(2))
+        harness.caller.last.observer.response_done()
         self.assertEqual(event(1) + event(2), sink.body)
         self.assertTrue(sink.is_finished)
 
@@ -216,8 +216,8 @@
         harness.caller.unreachable = {s.target.name for s in harness.states}
         harness.pass_time(3.0)
         self.assertFalse(sink.is_broken)
-        first.observer.run_data(event(2))
-        first.observer.run_done()
+        first.observer.response_data(event(2))
+        first.observer.response_done()
         self.assertTrue(sink.is_finished)
 
     def test_a_target_that_is_listed_later_takes_over(self):
@@ -228,10 +228,10 @@
         harness.pass_time(0.5)
         second = harness.caller.last
         self.assertEqual("m2", second.name)
-        second.observer.run_head(head())
+        second.observer.response_head(head())
         self.assertTrue(first.is_cancelled)
-        second.observer.run_data(event(2))
-        second.observer.run_done()
+        second.observer.response_data(event(2))
+        second.observer.response_done()
         self.assertEqual(event(1) + event(2), sink.body)
 
     def test_no_budget_is_spent_without_another_target(self):
@@ -256,23 +256,23 @@
         harness = Desk(MODEL)
         call, sink = harness.call(request(STREAM, deadline=1012.0))
         run = harness.caller.last
-        run.observer.run_head(head())
-        run.observer.run_data(event(1))
+        run.observer.response_head(head())
+        run.observer.response_data(event(1))
         call.pause()
         harness.pass_time(3.0)
         self.assertEqual(1, len(harness.caller.runs))
         self.assertFalse(harness.state(run.name).is_avoided(harness.clock.seconds()))
         call.resume()
-        run.observer.run_data(event(2))
-        run.observer.run_done()
+        run.observer.response_data(event(2))
+        run.observer.response_done()
         self.assertEqual(event(1) + event(2), sink.body)
 
     def test_silence_is_measured_from_the_end_of_a_pause(self):
         harness = Desk(MODEL)
         call, _ = harness.call(request(STREAM, deadline=1012.0))
         run = harness.caller.last
-        run.observer.run_head(head())
-        run.observer.run_data(event(1))
+        run.observer.response_head(head())
+        run.observer.response_data(event(1))
         call.pause()
         harness.pass_time(1.0)
         call.resume()
@@ -285,8 +285,8 @@
         harness = Desk(MODEL)
         call, _ = harness.call(request(STREAM, deadline=1012.0))
         first = harness.caller.last
-        first.observer.run_head(head())
-        first.observer.run_data(event(1))
+        first.observer.response_head(head())
+        first.observer.response_data(event(1))
         harness.pass_time(0.46)
         call.pause()
         self.assertTrue(harness.caller.last.is_cancelled)
@@ -296,9 +296,9 @@
     def test_a_slow_caller_paces_the_one_that_replaces_a_lost_one(self):
         harness = Desk(MODEL)
         call, _ = harness.call(request(STREAM, deadline=1012.0))
-        harness.caller.last.observer.run_head(head())
+        harness.caller.last.observer.response_head(head())
         call.pause()
-        harness.caller.last.observer.run_cut("reset")
+        harness.caller.last.observer.response_lost("reset")
         self.assertTrue(harness.caller.last.is_paused)
 
 
@@ -314,23 +314,23 @@
         self.second = self.harness.caller.last
 
     def test_a_head_of_the_first_ends_the_hedge(self):
-        self.first.observer.run_head(head())
+        self.first.observer.response_head(head())
         self.assertTrue(self.second.is_cancelled)
         self.harness.pass_time(0.4)
         self.assertFalse(self.first.is_cancelled)
 
     def test_the_first_answer_counts_and_nothing_is_mixed_into_it(self):
-        self.second.observer.run_head(head(404))
-        self.first.observer.run_head(head())
-        self.first.observer.run_data(event(1))
-        self.second.observer.run_data(b"not found")
-        self.second.observer.run_done()
+        self.second.observer.response_head(head(404))
+        self.first.observer.response_head(head())
+        self.first.observer.response_data(event(1))
+        self.second.observer.response_data(b"not found")
+        self.second.observer.response_done()
         self.assertEqual((404, b"not found"), (self.sink.head.status, self.sink.body))
         self.assertTrue(self.first.is_cancelled)
 
     def test_both_declined_is_not_run(self):
-        self.first.observer.run_head(head(503, is_not_run=True))
-        self.second.observer.run_head(head(503, is_not_run=True))
+        self.first.observer.response_head(head(503, is_not_run=True))
+        self.second.observer.response_head(head(503, is_not_run=True))
         self.assertTrue(self.sink.refusal.is_not_run)
 
 
@@ -353,9 +353,9 @@
         ):
             harness.call(request(route, deadline=1012.0))
             first = harness.caller.last
-            first.observer.run_sent()
+            first.observer.request_sent()
             harness.pass_time(0.39)
-            first.observer.run_cut("reset")
+            first.observer.response_lost("reset")
             second = harness.caller.last
             harness.pass_time(0.3)
             self.assertEqual([first, second], harness.caller.runs)
@@ -364,10 +364,10 @@
         harness = ManualHarness(3)
         harness.call(request(replace(LOOKUP, timeout=0.6)))
         first = harness.caller.last
-        first.observer.run_sent()
+        first.observer.request_sent()
         harness.pass_time(0.31)
         self.assertEqual(2, len(harness.caller.runs))
-        first.observer.run_cut("reset")
+        first.observer.response_lost("reset")
         harness.pass_time(0.27)
         self.assertEqual(2, len(harness.caller.runs))
 
@@ -393,7 +393,7 @@
         harness = ManualHarness(2)
         _, sink = harness.call(request(LOOKUP))
         first = harness.caller.last
-        first.observer.run_sent()
+        first.observer.request_sent()
         harness.pass_time(0.41)
         self.assertEqual(2, len(harness.caller.runs))
         first.answer(500, b"broken")
@@ -402,7 +402,7 @@
     def test_an_error_instead_of_the_rest_aborts_a_stream(self):
         harness = Desk(MODEL)
         run, sink = begun_stream(harness)
-        run.observer.run_cut("reset")
+        run.observer.response_lost("reset")
         harness.caller.last.answer(404)
         self.assertFalse(sink.is_finished)
         self.assertTrue(sink.is_broken)
@@ -525,9 +525,9 @@
             return
         if is_reached:
             run.is_sent = True
-            run.observer.run_sent()
+            run.observer.request_sent()
         else:
-            run.observer.run_not_sent("refused")
+            run.observer.request_not_sent("refused")
 
 
 class ManualHarness(Desk):
@@ -566,33 +566,33 @@
         observer = self._run.observer
         if chance < 0.53:
             self._run.is_ended = True
-            observer.run_cut("reset")
+            observer.response_lost("reset")
         elif not self._has_head:
             self._begin(observer)
         elif self._is_plain:
             self._continue_plain(observer)
         elif self._next > LAST_EVENT:
             self._run.is_ended = True
-            observer.run_done()
+            observer.response_done()
         else:
             number, self._next = self._next, self._next + 1
-            observer.run_data(event(number))
+            observer.response_data(event(number))
 
     def _begin(self, observer):
         chance = self._rng.random()
         self._has_head = True
         if chance < 0.12:
             self.has_declined = self._run.is_ended = True
-            observer.run_head(head(503, is_not_run=True))
+            observer.response_head(head(503, is_not_run=True))
         elif chance < 0.2:
             self._is_plain = True
-            observer.run_head(head(self._rng.choice((404, 500))))
+            observer.response_head(head(self._rng.choice((404, 500))))
         else:
-            observer.run_head(head())
+            observer.response_head(head())
 
     def _continue_plain(self, observer):
         if self._rng.random() < 0.5:
-            observer.run_data(self._run.name.encode() + b"!")
+            observer.response_data(self._run.name.encode() + b"!")
         else:
             self._run.is_ended = True
-            observer.run_done()
+            observer.response_done()
--- a/tests/request/test_cold_targets.py
+++ b/tests/request/test_cold_targets.py
@@ -24,7 +24,7 @@
 from primrosescale.request.cold_targets import ColdSettings
 from primrosescale.request.cold_targets import ColdTargets
 from primrosescale.request.direct_port import Refusal
-from primrosescale.request.forward_tools import ForwardSettings
+from primrosescale.request.forward_tools import ForwardingSettings
 from primrosescale.request.router_shares import SETTLING_SECONDS
 from primrosescale.request.router_shares import RouterShares
 from primrosescale.request.target_choice import ChoiceSettings
@@ -386,7 +386,7 @@
         self.make_cold("m1", "m2")
         for _ in range(40):
             self.desk.call(request(STREAM))
-            self.desk.caller.last.observer.run_cut("reset")
+            self.desk.caller.last.observer.response_lost("reset")
         for name in ("m1", "m2"):
             self.assertLessEqual(self.count_sent_to(name), RATE)
 
@@ -436,12 +436,12 @@
     def test_a_target_reports_itself_as_cold(self):
         self.desk.call(request(STREAM))
         run = self.desk.caller.last
-        run.observer.run_head(head(cold_for=2.0))
+        run.observer.response_head(head(cold_for=2.0))
         now = self.desk.clock.seconds()
         self.assertTrue(self.cold.is_cold(self.desk.state(run.name), now))
 
     def test_without_patience_it_is_refused_where_it_could_have_waited(self):
-        self.desk.tools.settings = ForwardSettings(cold_patience=0.0)
+        self.desk.tools.settings = ForwardingSettings(cold_patience=0.0)
         self.count_for("stranger", 3)
         self.make_cold("m1", "m2", seconds=0.1)
         _, sink = self.desk.call(request(STREAM))
--- a/tests/request/test_lost_answers.py
+++ b/tests/request/test_lost_answers.py
@@ -36,14 +36,14 @@
 
     def test_answers_of_a_target_that_is_alive_are_dropped(self):
         self.lost.lost(1, 7, NOW)
-        self.lost.lived(7, NOW + 0.1)
+        self.lost.seen_alive(7, NOW + 0.1)
         self.assertFalse(self.lost.is_waiting(7, NOW))
         self.assertEqual({}, self.lost.ended(7, NOW))
 
     def test_only_answers_lost_before_a_sign_of_life_are_dropped(self):
         self.lost.lost(1, 7, NOW)
         self.lost.lost(2, 7, NOW + 1)
-        self.lost.lived(7, NOW + 0.5)
+        self.lost.seen_alive(7, NOW + 0.5)
         self.assertEqual({2: NOW + 1}, self.lost.ended(7, NOW + 1))
 
     def test_lost_answers_expire(self):
--- a/tests/support/entry_site.py
+++ b/tests/support/entry_site.py
@@ -23,7 +23,7 @@
 from primrosescale.process.entry.entry_settings import EntryWatches
 from primrosescale.process.entry.store_watch import WatchedPrefix
 from primrosescale.process.events import EventLog
-from primrosescale.request.repeat_budget import RepeatBounds
+from primrosescale.request.repeat_budget import SharedRetryLimits
 
 LOOPBACK = "127.0.0.1"
 
@@ -146,7 +146,7 @@
         "certain_for": 3.5,
         "stop_within": 8.0,
         "most_requests": 100,
-        "repeats": RepeatBounds(0.2, 10.0, 50.0),
+        "repeats": SharedRetryLimits(0.2, 10.0, 50.0),
     }
     return EntrySettings(**{**values, **fields})
 
--- a/tests/support/harm_fleet.py
+++ b/tests/support/harm_fleet.py
@@ -18,16 +18,16 @@
 from primrosescale.request.direct_port import AnswerHead
 from primrosescale.request.direct_port import CallerSink
 from primrosescale.request.direct_port import Run
-from primrosescale.request.direct_port import TargetCaller
-from primrosescale.request.direct_port import TargetCheck
-from primrosescale.request.forward_tools import ForwardSettings
-from primrosescale.request.forward_tools import ForwardTools
+from primrosescale.request.direct_port import TargetClient
+from primrosescale.request.direct_port import ProbeResult
+from primrosescale.request.forward_tools import ForwardingSettings
+from primrosescale.request.forward_tools import ForwardingContext
 from primrosescale.request.forwarded_call import ForwardedCall
 from primrosescale.request.harm_settings import HarmSettings
 from primrosescale.request.harmful_requests import HarmfulRequests
 from primrosescale.request.incoming import IncomingRequest
-from primrosescale.request.repeat_budget import RepeatBounds
-from primrosescale.request.repeat_budget import RepeatBudget
+from primrosescale.request.repeat_budget import SharedRetryLimits
+from primrosescale.request.repeat_budget import SharedRetryBudget
 from primrosescale.version.routing_table import Repeatability
 from primrosescale.version.routing_table import Route
 from primrosescale.version.routing_table import WeightedService
@@ -81,7 +81,7 @@
     def finish(self):
         self.is_whole = True
 
-    def break_off(self):
+    def abort(self):
         pass
 
     def refuse(self, refusal, retry_after):
@@ -112,13 +112,13 @@
         if not self.target.is_up:
             self.fleet.clock.callLater(LINK_SECONDS, self._not_sent)
             return
-        self.observer.run_sent()
+        self.observer.request_sent()
         self.fleet.clock.callLater(LINK_SECONDS, self._arrive)
 
     def _not_sent(self):
         if not self.is_over:
             self.is_over = True
-            self.observer.run_not_sent("refused")
+            self.observer.request_not_sent("refused")
 
     def _arrive(self):
         if not self.is_over:
@@ -130,25 +130,25 @@
         self.is_over = True
         self.target.runs.pop(self, None)
         request = self.sending.request
-        self.observer.run_head(
+        self.observer.response_head(
             AnswerHead(
                 status=200,
                 headers=(),
                 request_id=request.request_id,
-                is_receipted=True,
+                has_receipt=True,
                 is_not_run=False,
                 is_other_incarnation=False,
                 load=None,
                 length=4,
             )
         )
-        self.observer.run_data(b"done")
-        self.observer.run_done()
+        self.observer.response_data(b"done")
+        self.observer.response_done()
 
     def cut(self):
         if not self.is_over:
             self.is_over = True
-            self.observer.run_cut("connection closed")
+            self.observer.response_lost("connection closed")
 
     def cancel(self):
         self.is_over = True
@@ -162,7 +162,7 @@
         pass
 
 
-class VirtualCaller(TargetCaller):
+class VirtualCaller(TargetClient):
     """Sends requests of one router to the fleet's targets."""
 
     def __init__(self, fleet):
@@ -179,9 +179,9 @@
 
     def _checked(self, target, on_check):
         is_up = self._fleet.working[target.name].is_up
-        on_check(TargetCheck.CONNECTED if is_up else TargetCheck.ENDED)
+        on_check(ProbeResult.CONNECTED if is_up else ProbeResult.ENDED)
 
-    def end_former(self, present):
+    def abort_former(self, present):
         pass
 
 
@@ -220,9 +220,9 @@
             self._watch_parts,
             self.exchange.tell_soon,
         )
-        budget = RepeatBudget(RepeatBounds(0.2, 10.0, 60.0))
-        self.tools = ForwardTools(
-            settings=ForwardSettings(),
+        budget = SharedRetryBudget(SharedRetryLimits(0.2, 10.0, 60.0))
+        self.tools = ForwardingContext(
+            settings=ForwardingSettings(),
             clock=self.fleet.clock,
             rng=self.fleet.rng,
             caller=caller,
