--- a/benchmarks/choice_cost.py
+++ b/benchmarks/choice_cost.py
@@ -72,7 +72,7 @@
             random.Random(SEED),
             lambda: 0.3,
             room=TargetAvailability(cold),
-            unlisted_of=self.targets.unlisted_of,
+            recently_delisted=self.targets.recently_delisted,
         )
         parts = (PromptPart("tariffs", 10_000), PromptPart("chat", 900))
         self.prompt = Prompt(parts, 10_900, 100, "m")
--- a/benchmarks/entry_news.py
+++ b/benchmarks/entry_news.py
@@ -8,8 +8,8 @@
 
 from primrosescale.connection.codec import encode
 from primrosescale.connection.endpoint import Endpoint
-from primrosescale.process.entry.other_router import OtherRouter
-from primrosescale.process.entry.router_news import RouterNews
+from primrosescale.process.entry.other_router import PeerRouter
+from primrosescale.process.entry.router_news import StateExchange
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.freshness import Freshness
 from primrosescale.request.incoming import Prompt
@@ -57,12 +57,12 @@
         self.rng = random.Random(5)
         self.targets = TargetList(2.0)
         self.parts = PrefixCacheIndex()
-        self.news = RouterNews("r0", 1, self.targets, self.parts, Freshness(5.0))
+        self.news = StateExchange("r0", 1, self.targets, self.parts, Freshness(5.0))
         for number in range(TARGETS):
             self.targets.put(listed(number, FIRST_START + number), START)
         for number in range(1, routers):
             endpoint = Endpoint("127.0.0.1", 7000 + number)
-            self.news.put(OtherRouter(f"r{number}", endpoint), START)
+            self.news.put(PeerRouter(f"r{number}", endpoint), START)
 
     def work(self, now):
         for state in self.targets.states:
--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -17,10 +17,10 @@
 from primrosescale.platform.object_platform import ObjectPlatform
 from primrosescale.process.entry.codec import RecordDecoder
 from primrosescale.process.entry.entry_metrics import EntryMetrics
-from primrosescale.process.entry.entry_parts import EntryParts
+from primrosescale.process.entry.entry_parts import EntryDependencies
 from primrosescale.process.entry.entry_router import EntryRouter
 from primrosescale.process.entry.entry_settings import EntrySettings
-from primrosescale.process.entry.entry_settings import EntryWatches
+from primrosescale.process.entry.entry_settings import WatchedPrefixes
 from primrosescale.process.entry.log_writer import FailureObserver
 from primrosescale.process.entry.log_writer import LogWriter
 from primrosescale.process.entry.store_watch import WatchedPrefix
@@ -34,7 +34,7 @@
     from collections.abc import Collection
     from random import Random
 
-    from primrosescale.process.entry.other_router import OtherRouter
+    from primrosescale.process.entry.other_router import PeerRouter
     from primrosescale.process.transport.platform import StoredObject
     from primrosescale.request.serving_target import ServingTarget
     from primrosescale.version.routing_table import RoutingTable
@@ -98,7 +98,7 @@
         """Return a target; see `RecordDecoder.target`."""
         return records.decode_target(stored)
 
-    def router(self, stored: StoredObject) -> OtherRouter:
+    def router(self, stored: StoredObject) -> PeerRouter:
         """Return an entry router; see `RecordDecoder.router`."""
         return records.decode_router(stored)
 
@@ -140,7 +140,7 @@
     writer.install()
     log = EventLog(host.name)
     FailureObserver(log).install()
-    parts = EntryParts(
+    parts = EntryDependencies(
         reactor=reactor,
         platform=ObjectPlatform(reactor, host.store, STORE_TIMEOUT),
         codec=PlatformCodec(),
@@ -153,7 +153,7 @@
         caches=EngineCaches(reactor),
         early=early,
     )
-    watches = EntryWatches(
+    watches = WatchedPrefixes(
         configuration=WatchedPrefix(
             records.CONFIGURATION,
             CONFIGURATION_WAIT,
@@ -212,7 +212,7 @@
         revoke=bounds.revoke,
         not_found_max_age=CERTAIN_FOR,
         stop_within=bounds.stop,
-        most_requests=host.memory_limit // BYTES_PER_REQUEST,
+        max_requests=host.memory_limit // BYTES_PER_REQUEST,
         choice=ChoiceSettings(load_multiple=LOAD_SHARE * bounds.load_multiple),
         cold=ColdSettings(over=bounds.cold_over, slack=bounds.cold_slack),
         repeats=SharedRetryLimits(
--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -8,7 +8,7 @@
 from primrosescale.platform.field_reader import FieldReader
 from primrosescale.platform.field_reader import record_name
 from primrosescale.platform.host_settings import MILLISECOND
-from primrosescale.process.entry.other_router import OtherRouter
+from primrosescale.process.entry.other_router import PeerRouter
 from primrosescale.request.serving_target import ServingTarget
 from primrosescale.version.routing_table import CallerLimits
 from primrosescale.version.routing_table import Organisation
@@ -194,7 +194,7 @@
     )
 
 
-def decode_router(stored: StoredObject) -> OtherRouter:
+def decode_router(stored: StoredObject) -> PeerRouter:
     """Return the entry router that an entry of the list of routers tells of.
 
     Parameters
@@ -204,7 +204,7 @@
 
     Returns
     -------
-    OtherRouter
+    PeerRouter
         The router.
 
     Raises
@@ -215,7 +215,7 @@
     reader = FieldReader.of(stored, REMEDY_ROUTER)
     endpoint = Endpoint(reader.address("address"), reader.port("port"))
     domain = reader.text_or("domain", "")
-    return OtherRouter(record_name(stored, REMEDY_ROUTER), endpoint, domain)
+    return PeerRouter(record_name(stored, REMEDY_ROUTER), endpoint, domain)
 
 
 def _route(item: FieldReader, regions: Collection[str]) -> Route:
--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_learning.py
@@ -22,10 +22,10 @@
 
     from twisted.python.failure import Failure
 
-    from primrosescale.process.entry.cache_shares import CacheShares
-    from primrosescale.process.entry.codec import HeldParts
-    from primrosescale.process.entry.entry_parts import EntryParts
-    from primrosescale.process.entry.router_exchange import NewsExchange
+    from primrosescale.process.entry.cache_shares import CacheOwnership
+    from primrosescale.process.entry.codec import EngineCacheContents
+    from primrosescale.process.entry.entry_parts import EntryDependencies
+    from primrosescale.process.entry.router_exchange import StateExchangeProtocol
     from primrosescale.process.entry.target_list import TargetList
     from primrosescale.request.part_directory import PrefixCacheIndex
     from primrosescale.request.serving_target import ServingTarget
@@ -47,33 +47,33 @@
 RETRY_PAUSES_SECONDS = (0.3, 0.6, 1.2)
 # Reporting its cache delays an engine's work, and each answer takes a connection. For
 # the remaining engines, requests go to the targets chosen by hash order.
-MOST_READ = 96
+MAX_ENGINES_READ = 96
 
 
-class CacheLearning:
+class CacheDiscovery:
     """Reads the caches of this router's share of engines; asks peers for the rest.
 
     Parameters
     ----------
-    shares : CacheShares
+    shares : CacheOwnership
         Which targets this router reads.
-    exchange : NewsExchange
+    exchange : StateExchangeProtocol
         Sends to other routers.
     targets : TargetList
         Targets and their states.
     directory : PrefixCacheIndex
         Where prompt parts are cached.
-    parts : EntryParts
+    parts : EntryDependencies
         Collaborators of the router.
     """
 
     def __init__(
         self,
-        shares: CacheShares,
-        exchange: NewsExchange,
+        shares: CacheOwnership,
+        exchange: StateExchangeProtocol,
         targets: TargetList,
         directory: PrefixCacheIndex,
-        parts: EntryParts,
+        parts: EntryDependencies,
     ) -> None:
         self._shares = shares
         self._exchange = exchange
@@ -110,8 +110,8 @@
             for state in self._shares.own_targets()
             if has_cache(state.target)
         ]
-        if len(own) > MOST_READ:
-            own = self._rng.sample(own, MOST_READ)
+        if len(own) > MAX_ENGINES_READ:
+            own = self._rng.sample(own, MAX_ENGINES_READ)
         read = DeferredList([self._read(target) for target in own])
         read.addCallback(lambda _: self._finish_own_share())
         self._exchange.request_caches()
@@ -175,7 +175,7 @@
             self._record_contents, failed, callbackArgs=(target,)
         )
 
-    def _record_contents(self, held: HeldParts, target: ServingTarget) -> None:
+    def _record_contents(self, held: EngineCacheContents, target: ServingTarget) -> None:
         """Record what a target reported; it may be of another incarnation."""
         now = self._reactor.seconds()
         incarnation = target.incarnation
--- a/src/primrosescale/process/entry/cache_shares.py
+++ b/src/primrosescale/process/entry/cache_shares.py
@@ -22,7 +22,7 @@
     from collections.abc import Callable
     from collections.abc import Sequence
 
-    from primrosescale.process.entry.other_router import OtherRouter
+    from primrosescale.process.entry.other_router import PeerRouter
     from primrosescale.process.entry.target_list import TargetList
     from primrosescale.request.part_directory import PrefixCacheIndex
     from primrosescale.request.target_state import TargetState
@@ -31,7 +31,7 @@
 MAX_PARTS_PER_ANSWER = 60
 
 
-class CacheShares:
+class CacheOwnership:
     """Requests and answers of one router about the cache contents of targets.
 
     Parameters
@@ -42,9 +42,9 @@
         Targets and their states.
     parts : PrefixCacheIndex
         Where prompt parts are cached.
-    others : Callable[[], Sequence[OtherRouter]]
+    others : Callable[[], Sequence[PeerRouter]]
         Returns the other routers that are listed.
-    find : Callable[[str], OtherRouter | None]
+    find : Callable[[str], PeerRouter | None]
         Returns a router by name that is listed, or was until recently: a router that
         is stopped removes its entry, and after its restart sends requests some seconds
         before the others see its new entry.
@@ -66,8 +66,8 @@
         name: str,
         targets: TargetList,
         parts: PrefixCacheIndex,
-        others: Callable[[], Sequence[OtherRouter]],
-        find: Callable[[str], OtherRouter | None],
+        others: Callable[[], Sequence[PeerRouter]],
+        find: Callable[[str], PeerRouter | None],
     ) -> None:
         self._name = name
         self._targets = targets
@@ -84,7 +84,7 @@
         return 1 + len(self._others())
 
     @property
-    def unanswered(self) -> list[OtherRouter]:
+    def unanswered(self) -> list[PeerRouter]:
         """Return the listed routers that have not answered yet."""
         return [item for item in self._others() if item.name not in self._answered]
 
@@ -133,7 +133,7 @@
 
     def receive_request(
         self, message: wire.CacheQuestion, now: float
-    ) -> list[tuple[OtherRouter, wire.CacheAnswer]]:
+    ) -> list[tuple[PeerRouter, wire.CacheAnswer]]:
         """Process a request of another router that has started.
 
         Parameters
@@ -145,7 +145,7 @@
 
         Returns
         -------
-        list[tuple[OtherRouter, wire.CacheAnswer]]
+        list[tuple[PeerRouter, wire.CacheAnswer]]
             The answer; empty, with the answer sent later, if this router has just
             started itself, and empty for a router that was never listed.
         """
@@ -154,7 +154,7 @@
         self._pending_requesters.add(message.origin)
         return self._pending_answers(now) if self._is_own_share_read else []
 
-    def share_read(self, now: float) -> list[tuple[OtherRouter, wire.CacheAnswer]]:
+    def share_read(self, now: float) -> list[tuple[PeerRouter, wire.CacheAnswer]]:
         """Record that this router has read its own share.
 
         Parameters
@@ -164,7 +164,7 @@
 
         Returns
         -------
-        list[tuple[OtherRouter, wire.CacheAnswer]]
+        list[tuple[PeerRouter, wire.CacheAnswer]]
             Answers to the routers that have asked meanwhile.
         """
         self._is_own_share_read = True
@@ -194,7 +194,7 @@
 
     def _pending_answers(
         self, now: float
-    ) -> list[tuple[OtherRouter, wire.CacheAnswer]]:
+    ) -> list[tuple[PeerRouter, wire.CacheAnswer]]:
         found = [self._find(name) for name in sorted(self._pending_requesters)]
         askers = [router for router in found if router is not None]
         self._pending_requesters.clear()
--- a/src/primrosescale/process/entry/codec.py
+++ b/src/primrosescale/process/entry/codec.py
@@ -15,7 +15,7 @@
     from twisted.internet.defer import Deferred
     from twisted.web.http_headers import Headers
 
-    from primrosescale.process.entry.other_router import OtherRouter
+    from primrosescale.process.entry.other_router import PeerRouter
     from primrosescale.process.transport.platform import StoredObject
     from primrosescale.request.direct_port import AnswerHead
     from primrosescale.request.direct_port import Refusal
@@ -156,7 +156,7 @@
         """
 
     @abstractmethod
-    def router(self, stored: StoredObject) -> OtherRouter:
+    def router(self, stored: StoredObject) -> PeerRouter:
         """Decode the record of a peer router.
 
         Parameters
@@ -166,7 +166,7 @@
 
         Returns
         -------
-        OtherRouter
+        PeerRouter
             The router.
 
         Raises
@@ -177,7 +177,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldParts:
+class EngineCacheContents:
     """Prompt parts that a model engine reports as cached.
 
     Parameters
@@ -197,7 +197,7 @@
     """Reads from model engines which prompt parts they have cached."""
 
     @abstractmethod
-    def read(self, target: ServingTarget) -> Deferred[HeldParts]:
+    def read(self, target: ServingTarget) -> Deferred[EngineCacheContents]:
         """Read the cached parts of one engine.
 
         Parameters
@@ -207,7 +207,7 @@
 
         Returns
         -------
-        Deferred[HeldParts]
+        Deferred[EngineCacheContents]
             The cached parts and the incarnation that holds them; fails with a
             `PrimrosescaleError`.
         """
--- a/src/primrosescale/process/entry/entry_parts.py
+++ b/src/primrosescale/process/entry/entry_parts.py
@@ -20,7 +20,7 @@
     from primrosescale.process.transport.platform import Platform
 
 
-class EntryParts:
+class EntryDependencies:
     """Collaborators of an entry router; its settings are passed separately.
 
     Parameters
--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -22,19 +22,19 @@
 from primrosescale.connection.early_listener import BACKLOG
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.exceptions import PrimrosescaleError
-from primrosescale.process.entry.cache_learning import CacheLearning
-from primrosescale.process.entry.cache_shares import CacheShares
+from primrosescale.process.entry.cache_learning import CacheDiscovery
+from primrosescale.process.entry.cache_shares import CacheOwnership
 from primrosescale.process.entry.caller_site import DEFAULT_LIMITS
 from primrosescale.process.entry.caller_site import CallerResponse
 from primrosescale.process.entry.caller_site import EntryFactory
 from primrosescale.process.entry.caller_site import EntryHandler
-from primrosescale.process.entry.harm_news import HarmNews
+from primrosescale.process.entry.harm_news import HarmReportExchange
 from primrosescale.process.entry.harm_watch import EntryHarmMonitor
-from primrosescale.process.entry.knowledge import Knowledge
-from primrosescale.process.entry.leaving_news import LeavingNews
-from primrosescale.process.entry.router_exchange import NewsExchange
+from primrosescale.process.entry.knowledge import StoreState
+from primrosescale.process.entry.leaving_news import LeavingTargetExchange
+from primrosescale.process.entry.router_exchange import StateExchangeProtocol
 from primrosescale.process.entry.router_exchange import RouterRegistry
-from primrosescale.process.entry.router_news import RouterNews
+from primrosescale.process.entry.router_news import StateExchange
 from primrosescale.process.entry.target_caller import HttpTargetClient
 from primrosescale.process.entry.target_list import TARGET
 from primrosescale.process.entry.target_list import TargetList
@@ -66,9 +66,9 @@
 
     from primrosescale.clock import Timer
     from primrosescale.process.entry.caller_site import EntryRequest
-    from primrosescale.process.entry.entry_parts import EntryParts
+    from primrosescale.process.entry.entry_parts import EntryDependencies
     from primrosescale.process.entry.entry_settings import EntrySettings
-    from primrosescale.process.entry.entry_settings import EntryWatches
+    from primrosescale.process.entry.entry_settings import WatchedPrefixes
     from primrosescale.process.tracing import Tracing
     from primrosescale.request.direct_port import AnswerHead
     from primrosescale.request.evacuations import EvacuationList
@@ -126,17 +126,17 @@
     ----------
     settings : EntrySettings
         Settings of the router.
-    watches : EntryWatches
+    watches : WatchedPrefixes
         Store prefixes that it watches.
-    parts : EntryParts
+    parts : EntryDependencies
         Its collaborators.
     """
 
     def __init__(
         self,
         settings: EntrySettings,
-        watches: EntryWatches,
-        parts: EntryParts,
+        watches: WatchedPrefixes,
+        parts: EntryDependencies,
     ) -> None:
         self._settings = settings
         self._dependencies = parts
@@ -155,10 +155,10 @@
         self._shares = RouterShares(settings.name)
         self._cold_targets = ColdTargets(settings.cold, self._shares, self._service)
         self._availability = TargetAvailability(self._cold_targets)
-        self._leaving_exchange = LeavingNews(targets, parts.log)
+        self._leaving_exchange = LeavingTargetExchange(targets, parts.log)
         self._harmful_requests = HarmfulRequests(settings.harm)
-        harm_reports = HarmNews(self._harmful_requests, parts.log)
-        self._state_exchange = RouterNews(
+        harm_reports = HarmReportExchange(self._harmful_requests, parts.log)
+        self._state_exchange = StateExchange(
             settings.name,
             incarnation,
             targets,
@@ -173,32 +173,32 @@
         self._registry = RouterRegistry(
             settings, incarnation, self._state_exchange, parts
         )
-        shares = CacheShares(
+        shares = CacheOwnership(
             settings.name,
             targets,
             self._prefix_index,
             lambda: self._state_exchange.others,
             self._state_exchange.find,
         )
-        self._exchange_protocol = NewsExchange(
+        self._exchange_protocol = StateExchangeProtocol(
             self._state_exchange,
             self._version,
             self._is_store_lost,
-            lambda: self._knowledge.listed.revision,
+            lambda: self._store_state.listed.revision,
             parts,
             shares,
         )
-        self._cache_discovery = CacheLearning(
+        self._cache_discovery = CacheDiscovery(
             shares, self._exchange_protocol, targets, self._prefix_index, parts
         )
-        self._knowledge = Knowledge(
+        self._store_state = StoreState(
             settings,
             watches,
             parts,
             freshness,
             targets,
             self._registry,
-            lambda: self._state_exchange.asks_often(self._now()),
+            lambda: self._state_exchange.polls_store(self._now()),
             self._evacuations,
         )
         self._harm_monitor = EntryHarmMonitor(
@@ -207,11 +207,11 @@
             targets,
             self._target_client,
             parts,
-            self._exchange_protocol.tell_soon,
+            self._exchange_protocol.send_soon,
         )
         self._budgets: dict[str, SharedRetryBudget] = {}
         self._resolver = RequestResolver(
-            self._knowledge.freshness, settings.not_found_max_age, parts.rng
+            self._store_state.freshness, settings.not_found_max_age, parts.rng
         )
         self._forwarding = ForwardingContext(
             settings=settings.forward,
@@ -225,14 +225,14 @@
                 lambda: self._state_exchange.age(self._now()),
                 lambda: self._state_exchange.is_relayed,
                 self._availability,
-                targets.unlisted_of,
+                targets.recently_delisted,
                 self._shares.own_permits,
             ),
             parts=self._prefix_index,
             states_of=targets.of_service,
             budget_of=self._budget_of,
             routers=self._routers,
-            parts_changed=self._exchange_protocol.tell_soon,
+            parts_changed=self._exchange_protocol.send_soon,
             start_span=self._start_span,
             silence_judged=self._silence_judged,
             self_report_received=self._self_report_received,
@@ -259,7 +259,7 @@
     @property
     def limits(self) -> CallerLimits:
         """Return the limits on connections and requests that are in force."""
-        table = self._knowledge.table
+        table = self._store_state.table
         return DEFAULT_LIMITS if table is None else table.limits
 
     @property
@@ -294,7 +294,7 @@
         self._registry.start(self.bound[links])
         self._hold_until = self._now() + MAX_START_WAIT_SECONDS
         self._reactor.callLater(MAX_START_WAIT_SECONDS, self._serve_held_requests)
-        self._knowledge.start(self._on_first_read)
+        self._store_state.start(self._on_first_read)
         self._run_housekeeping()
         self._log.emit(Event.PROCESS_STARTED, host=settings.name)
 
@@ -314,7 +314,7 @@
             yield self._sleep(0.05)
         if self._calls:
             self._log.emit(Event.STOP_CUT, requests=len(self._calls))
-        self._knowledge.stop()
+        self._store_state.stop()
         self._exchange_protocol.stop()
         yield self._registry.stop()
         self._close()
@@ -348,7 +348,7 @@
         is_changed = settings != self._settings
         if is_changed:
             self._settings = settings
-            self._knowledge.configure(settings)
+            self._store_state.configure(settings)
             self._resolver.configure(settings.not_found_max_age)
             self._forwarding.configure(settings.forward, settings.choice)
             self._forwarding.regions = settings.regions
@@ -389,8 +389,8 @@
             request.method, request.uri, headers
         )
         body = request.content.getvalue()
-        resolved = self._resolver.judge(head, body, self._knowledge.table, now)
-        if len(self._calls) >= self._settings.most_requests:
+        resolved = self._resolver.judge(head, body, self._store_state.table, now)
+        if len(self._calls) >= self._settings.max_requests:
             resolved = Refusal.ROUTER_FULL
         sink = self._sink(request, head.request_id)
         if isinstance(resolved, Refusal):
@@ -426,7 +426,7 @@
 
     def _log_refused(self, refusal: Refusal, head: CallerHead, now: float) -> None:
         self._metrics.refused(refusal.name.lower())
-        table = self._knowledge.table
+        table = self._store_state.table
         self._log.emit(
             Event.REQUEST_ENDED,
             request=head.request_id,
@@ -435,7 +435,7 @@
             has_key=bool(head.key),
             outcome=f"refused: {refusal.name.lower()}",
             version=None if table is None else table.version,
-            knowledge_age=self._knowledge.rounded_age(now),
+            knowledge_age=self._store_state.rounded_age(now),
         )
 
     def _call_ended(self, call: ForwardedCall, outcome: str) -> None:
@@ -451,7 +451,7 @@
             service=request.service,
             organisation=request.organisation,
             version=request.version,
-            knowledge_age=self._knowledge.rounded_age(now),
+            knowledge_age=self._store_state.rounded_age(now),
             outcome=outcome,
             status=call.status,
             fingerprint=(
@@ -523,7 +523,7 @@
         self._harm_monitor.target_ended(former, STARTED_AGAIN, self._now())
 
     def _domains_evacuated(self, evacuation_list: EvacuationList, now: float) -> None:
-        self._knowledge.targets.evacuate(evacuation_list.domains, now)
+        self._store_state.targets.evacuate(evacuation_list.domains, now)
         self._log.emit(
             Event.DOMAINS_EVACUATED,
             domains=sorted(evacuation_list.domains),
@@ -550,14 +550,14 @@
         self._shares.set_routers(names, now, was_listed=self._registry.was_listed)
 
     def _service(self, name: str) -> Service | None:
-        table = self._knowledge.table
+        table = self._store_state.table
         return None if table is None else table.service(name)
 
     def _is_store_lost(self) -> bool:
-        return self._knowledge.lost_for(self._now()) > 0
+        return self._store_state.lost_for(self._now()) > 0
 
     def _version(self) -> int:
-        table = self._knowledge.table
+        table = self._store_state.table
         return 0 if table is None else table.version
 
     def _run_housekeeping(self) -> None:
@@ -570,14 +570,14 @@
             self._next_reread_at = now + REREAD_SECONDS
             self.reload(is_requested=False)
         self._update_cache_limits()
-        self._registry.forget_silent(now)
+        self._registry.remove_silent(now)
         self._set_routers(now)
-        self._knowledge.look_after(
+        self._store_state.look_after(
             self._state_exchange.newest_version(now),
-            self._state_exchange.newest_list(),
+            self._state_exchange.newest_list_revision(),
             now,
         )
-        for incarnation in self._knowledge.listed.forget_gone(now):
+        for incarnation in self._store_state.listed.forget_expired(now):
             self._prefix_index.forget_target(incarnation)
             self._harm_monitor.target_ended(incarnation, ENTRY_GONE, now)
             self._target_client.forget(incarnation.name)
@@ -609,12 +609,12 @@
 
     def _update_cache_limits(self) -> None:
         """Set the cache size of each target, whenever it may have changed."""
-        table = self._knowledge.table
-        seen = (self._version(), self._knowledge.targets.generation)
+        table = self._store_state.table
+        seen = (self._version(), self._store_state.targets.generation)
         if table is None or seen == self._limits_applied_for:
             return
         self._limits_applied_for = seen
-        for state in self._knowledge.targets.states:
+        for state in self._store_state.targets.states:
             service = table.service(state.target.service)
             if service is not None:
                 self._prefix_index.limit(state.incarnation, service.cache_tokens)
@@ -625,16 +625,16 @@
 
     def _is_isolated(self, now: float) -> bool:
         """Return whether the store is lost here while peers still reach it."""
-        if self._knowledge.lost_for(now) < STORE_LOST_SECONDS:
+        if self._store_state.lost_for(now) < STORE_LOST_SECONDS:
             return False
-        return self._state_exchange.others_reach_store(now)
+        return self._state_exchange.peers_reach_store(now)
 
     def _unready_reason(self, now: float) -> str:
         if self._is_stopping:
             return "stopping"
         if self._is_isolated(now):
             return "cut off from the store"
-        return self._knowledge.missing(now)
+        return self._store_state.missing(now)
 
     def _log_readiness(self, now: float) -> None:
         if self.is_ready == self._was_ready:
@@ -644,7 +644,7 @@
             Event.READINESS_CHANGED,
             is_ready=self._was_ready,
             reason=self._unready_reason(now),
-            knowledge_age=self._knowledge.rounded_age(now),
+            knowledge_age=self._store_state.rounded_age(now),
         )
 
     def _readiness(self) -> TextResponse:
@@ -658,20 +658,20 @@
 
     def _refresh_gauges(self) -> None:
         now = self._now()
-        table = self._knowledge.table
-        age = self._knowledge.freshness.age(now)
+        table = self._store_state.table
+        age = self._store_state.freshness.age(now)
         rank = self._state_exchange.relay_rank(now)
         conditions = Counter(
             self._availability.condition(state, now)
-            for state in self._knowledge.targets.states
+            for state in self._store_state.targets.states
         )
         values: dict[str, float] = {
             "version": 0 if table is None else table.version,
             "knowledge_age_seconds": -1.0 if age is None else age,
-            "targets": len(self._knowledge.targets),
+            "targets": len(self._store_state.targets),
             "cold_targets": sum(
                 self._cold_targets.is_cold(state, now)
-                for state in self._knowledge.targets.states
+                for state in self._store_state.targets.states
             ),
             "leaving_targets": conditions[TargetCondition.LEAVING],
             "resting_targets": conditions[TargetCondition.RESTING],
@@ -683,7 +683,7 @@
             "news_bytes": self._exchange_protocol.bytes_out,
             "news_age_seconds": self._state_exchange.age(now),
             "relay_rank": -1.0 if rank is None else rank,
-            "store_calls": self._knowledge.store_calls,
+            "store_calls": self._store_state.store_calls,
             "requests_held_back": len(self._harmful_requests.held(now)),
             "requests_suspected": len(self._harmful_requests),
             "is_ready": float(self.is_ready),
--- a/src/primrosescale/process/entry/entry_settings.py
+++ b/src/primrosescale/process/entry/entry_settings.py
@@ -6,7 +6,7 @@
 from dataclasses import field
 from typing import TYPE_CHECKING
 
-from primrosescale.process.entry.news_paths import NewsSettings
+from primrosescale.process.entry.news_paths import StateExchangeSettings
 from primrosescale.request.cold_targets import ColdSettings
 from primrosescale.request.forward_tools import ForwardingSettings
 from primrosescale.request.harm_settings import HarmSettings
@@ -48,7 +48,7 @@
         meanwhile.
     stop_within : float
         Seconds between SIGTERM and SIGKILL.
-    most_requests : int
+    max_requests : int
         Maximum number of concurrent requests; more are refused.
     repeats : SharedRetryLimits
         Limits of the retry budget that all routers share.
@@ -56,7 +56,7 @@
         Timeouts and delays in forwarding requests.
     choice : ChoiceSettings
         Weights used in choosing a target.
-    news : NewsSettings
+    news : StateExchangeSettings
         Settings of the state exchange between routers.
     harm : HarmSettings
         When a request that ends targets while they run it is held back.
@@ -77,18 +77,18 @@
     revoke: float
     not_found_max_age: float
     stop_within: float
-    most_requests: int
+    max_requests: int
     repeats: SharedRetryLimits
     forward: ForwardingSettings = field(default_factory=ForwardingSettings)
     choice: ChoiceSettings = field(default_factory=ChoiceSettings)
-    news: NewsSettings = field(default_factory=NewsSettings)
+    news: StateExchangeSettings = field(default_factory=StateExchangeSettings)
     harm: HarmSettings = field(default_factory=HarmSettings)
     cold: ColdSettings = field(default_factory=ColdSettings)
     regions: dict[str, str] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class EntryWatches:
+class WatchedPrefixes:
     """Store prefixes that an entry router watches.
 
     Parameters
--- a/src/primrosescale/process/entry/evacuation_list_sync.py
+++ b/src/primrosescale/process/entry/evacuation_list_sync.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from primrosescale.process.entry.store_watch import WatchHandler
+from primrosescale.process.entry.store_watch import WatchListener
 from primrosescale.process.entry.target_list import STORE
 from primrosescale.request.evacuations import EvacuationList
 
@@ -16,7 +16,7 @@
     from primrosescale.request.evacuations import Evacuations
 
 
-class EvacuationListSync(WatchHandler):
+class EvacuationListSync(WatchListener):
     """Applies entries of the store's list of evacuations to `Evacuations`.
 
     Only an entry's name matters: it is the evacuated domain, whatever the entry holds.
@@ -53,14 +53,14 @@
         return self._is_complete
 
     def replaced(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Apply the whole list; see `WatchHandler.replaced`."""
+        """Apply the whole list; see `WatchListener.replaced`."""
         self._listed = {item.name for item in objects if not item.is_deleted}
         self._apply()
         self._is_complete = True
         self._on_list()
 
     def changed(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Apply changed entries; see `WatchHandler.changed`."""
+        """Apply changed entries; see `WatchListener.changed`."""
         for stored in objects:
             if stored.is_deleted:
                 self._listed.discard(stored.name)
--- a/src/primrosescale/process/entry/harm_news.py
+++ b/src/primrosescale/process/entry/harm_news.py
@@ -31,14 +31,14 @@
 
 # How often each report is sent. One datagram in a thousand is lost, and three in a
 # hundred on a bad link.
-TIMES_TOLD = 3
+SENDS_PER_REPORT = 3
 # Reports that wait to be sent; the oldest are dropped.
 MAX_PENDING_REPORTS = 512
 # Reports in one message, at 20 bytes each.
-MOST_IN_MESSAGE = 12
-MOST_HELD_IN_MESSAGE = 8
+MAX_REPORTS_PER_MESSAGE = 12
+MAX_HELD_PER_MESSAGE = 8
 # Seconds between two messages with ends because of which requests are held back.
-HELD_INTERVAL = 1.0
+HELD_INTERVAL_SECONDS = 1.0
 
 
 class _PendingReport:
@@ -48,10 +48,10 @@
 
     def __init__(self, item: HarmReport) -> None:
         self.item = item
-        self.times_left = TIMES_TOLD
+        self.times_left = SENDS_PER_REPORT
 
 
-class HarmNews:
+class HarmReportExchange:
     """Sends reports on ends of targets to other routers and applies theirs.
 
     Parameters
@@ -75,7 +75,7 @@
     @property
     def is_urgent(self) -> bool:
         """Return whether there is a report that has not been sent yet."""
-        return bool(self._pending) and self._pending[0].times_left == TIMES_TOLD
+        return bool(self._pending) and self._pending[0].times_left == SENDS_PER_REPORT
 
     def note(self, item: HarmReport, now: float) -> bool:
         """Record what this router has observed, and queue it for other routers.
@@ -120,7 +120,7 @@
         list[wire.EndNews]
             A few of all; each is returned several times.
         """
-        count = min(MOST_IN_MESSAGE, len(self._pending))
+        count = min(MAX_REPORTS_PER_MESSAGE, len(self._pending))
         sent = [self._pending.popleft() for _ in range(count)]
         for each in sent:
             each.times_left -= 1
@@ -141,7 +141,7 @@
         list[wire.EndNews]
             The next few of all in turn, once a second.
         """
-        if now - self._held_at < HELD_INTERVAL:
+        if now - self._held_at < HELD_INTERVAL_SECONDS:
             return []
         self._held_at = now
         held = self._requests.held(now)
@@ -149,7 +149,7 @@
         if not self._held_queue:
             for fingerprint in held:
                 self._held_queue.extend(self._requests.proof(fingerprint))
-        count = min(MOST_HELD_IN_MESSAGE, len(self._held_queue))
+        count = min(MAX_HELD_PER_MESSAGE, len(self._held_queue))
         return [_end_report(self._held_queue.popleft(), now) for _ in range(count)]
 
     def take(
--- a/src/primrosescale/process/entry/harm_watch.py
+++ b/src/primrosescale/process/entry/harm_watch.py
@@ -32,8 +32,8 @@
     from collections.abc import Callable
 
     from primrosescale.clock import Timer
-    from primrosescale.process.entry.entry_parts import EntryParts
-    from primrosescale.process.entry.harm_news import HarmNews
+    from primrosescale.process.entry.entry_parts import EntryDependencies
+    from primrosescale.process.entry.harm_news import HarmReportExchange
     from primrosescale.process.entry.target_list import TargetList
     from primrosescale.request.direct_port import TargetClient
     from primrosescale.request.harmful_requests import HarmfulRequests
@@ -63,26 +63,26 @@
     ----------
     requests : HarmfulRequests
         Evaluates the reports of all routers.
-    news : HarmNews
+    news : HarmReportExchange
         Exchanges reports with peer routers.
     targets : TargetList
         The known targets and their states.
     target_client : TargetClient
         Opens connections to targets.
-    parts : EntryParts
+    parts : EntryDependencies
         Collaborators of the router.
-    tell_soon : Callable[[], None]
+    send_soon : Callable[[], None]
         Requests an update to peer routers before the next regular round.
     """
 
     def __init__(
         self,
         requests: HarmfulRequests,
-        news: HarmNews,
+        news: HarmReportExchange,
         targets: TargetList,
         target_client: TargetClient,
-        parts: EntryParts,
-        tell_soon: Callable[[], None],
+        parts: EntryDependencies,
+        send_soon: Callable[[], None],
     ) -> None:
         self._requests = requests
         self._report_exchange = news
@@ -91,7 +91,7 @@
         self._reactor: Any = parts.reactor
         self._log = parts.log
         self._metrics = parts.metrics
-        self._send_soon = tell_soon
+        self._send_soon = send_soon
         news.on_end = self._on_peer_end
         self._lost_answers = LostAnswers()
         self._unconfirmed_answers = UnconfirmedAnswers()
--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -14,7 +14,7 @@
 from primrosescale.process.entry.refused_records import RefusedRecords
 from primrosescale.process.entry.store_connection import StoreConnection
 from primrosescale.process.entry.store_watch import StoreWatch
-from primrosescale.process.entry.store_watch import WatchHandler
+from primrosescale.process.entry.store_watch import WatchListener
 from primrosescale.process.entry.target_list_sync import TargetListSync
 from primrosescale.process.events import Event
 from primrosescale.process.exceptions import PlatformError
@@ -25,9 +25,9 @@
 
     from twisted.python.failure import Failure
 
-    from primrosescale.process.entry.entry_parts import EntryParts
+    from primrosescale.process.entry.entry_parts import EntryDependencies
     from primrosescale.process.entry.entry_settings import EntrySettings
-    from primrosescale.process.entry.entry_settings import EntryWatches
+    from primrosescale.process.entry.entry_settings import WatchedPrefixes
     from primrosescale.process.entry.store_watch import WatchedPrefix
     from primrosescale.process.entry.target_list import TargetList
     from primrosescale.process.transport.platform import StoredObject
@@ -82,16 +82,16 @@
         self._since = None
 
 
-class _ConfigurationHandler(WatchHandler):
+class _ConfigurationHandler(WatchListener):
     """Adopts the newest version that can be decoded."""
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        knowledge: StoreState,
         connection: StoreConnection,
         prefix: str,
     ) -> None:
-        self._knowledge = knowledge
+        self._store_state = knowledge
         self._connection = connection
         self._prefix = prefix
 
@@ -109,34 +109,34 @@
 
     def _apply(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
         if self._connection.record_success():
-            self._knowledge.renew_watches()
+            self._store_state.renew_watches()
         for stored in objects:
             # The store returns all objects whose names begin with the prefix.
             is_other = not self._prefix.endswith("/") and stored.key != self._prefix
             if not stored.is_deleted and not is_other:
-                self._knowledge.adopt(stored, asked_at)
-        if not self._knowledge.is_behind:
-            self._knowledge.freshness.answered(asked_at)
+                self._store_state.adopt(stored, asked_at)
+        if not self._store_state.is_behind:
+            self._store_state.freshness.answered(asked_at)
 
 
-class Knowledge:
+class StoreState:
     """The newest configuration and the list of targets, as read from the store.
 
     Parameters
     ----------
     settings : EntrySettings
         Settings of the router.
-    watches : EntryWatches
+    watches : WatchedPrefixes
         Prefixes to watch.
-    parts : EntryParts
+    parts : EntryDependencies
         Collaborators of the router.
     freshness : Freshness
         Age of the configuration known here.
     targets : TargetList
         Targets and their states.
-    routers : WatchHandler
+    routers : WatchListener
         Follows the list of routers.
-    asks_often : Callable[[], bool]
+    polls_store : Callable[[], bool]
         Returns whether this router polls the store on behalf of others too.
     evacuations : Evacuations | None
         Failure domains that get no requests; None if evacuations are not followed.
@@ -145,12 +145,12 @@
     def __init__(
         self,
         settings: EntrySettings,
-        watches: EntryWatches,
-        parts: EntryParts,
+        watches: WatchedPrefixes,
+        parts: EntryDependencies,
         freshness: Freshness,
         targets: TargetList,
-        routers: WatchHandler,
-        asks_often: Callable[[], bool],
+        routers: WatchListener,
+        polls_store: Callable[[], bool],
         evacuations: Evacuations | None = None,
     ) -> None:
         self._reactor = parts.reactor
@@ -180,7 +180,7 @@
         self._handler = _ConfigurationHandler(
             self, self._connection, watches.configuration.prefix
         )
-        self._asks_often = asks_often
+        self._asks_often = polls_store
         self._polled_at: float | None = None
         self._is_polling = False
         self._reported_version = 0
@@ -272,20 +272,20 @@
             running = watch.run()
             running.addErrback(self._log_fault)
 
-    def look_after(self, newest_version: int, newest_list: int, now: float) -> None:
+    def look_after(self, newest_version: int, newest_list_revision: int, now: float) -> None:
         """Poll the store if others know more or the last answer is too old.
 
         Parameters
         ----------
         newest_version : int
             Newest version that another router reports.
-        newest_list : int
+        newest_list_revision : int
             Newest change of the list of targets that another router reports, as the
             store's revision.
         now : float
             Present time in seconds.
         """
-        self._check_target_list(newest_list, now)
+        self._check_target_list(newest_list_revision, now)
         is_due = self._is_old(now) or self._is_outdated(newest_version, now)
         if not is_due or self._is_store_lost():
             # While the store does not answer, the watch polls it repeatedly.
@@ -305,7 +305,7 @@
             watch.renew()
 
     def _follow_lists(
-        self, watched: WatchedPrefix, handler: WatchHandler
+        self, watched: WatchedPrefix, handler: WatchListener
     ) -> StoreWatch:
         """Watch a prefix, but leave polling an unavailable store to the main watch."""
         return self._follow(watched, handler, defers_polling=self._is_store_lost)
@@ -313,7 +313,7 @@
     def _follow(
         self,
         watched: WatchedPrefix,
-        handler: WatchHandler,
+        handler: WatchListener,
         wait: Callable[[], float] | None = None,
         defers_polling: Callable[[], bool] = lambda: False,
     ) -> StoreWatch:
--- a/src/primrosescale/process/entry/leaving_news.py
+++ b/src/primrosescale/process/entry/leaving_news.py
@@ -26,7 +26,7 @@
 MAX_REMEMBERED_TARGETS = 1000
 
 
-class LeavingNews:
+class LeavingTargetExchange:
     """Sends other routers the targets that announced that they leave; applies theirs.
 
     Each router sends all that it knows for as long as it knows it, including what it
--- a/src/primrosescale/process/entry/news_paths.py
+++ b/src/primrosescale/process/entry/news_paths.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NewsSettings:
+class StateExchangeSettings:
     """Limits and intervals of the exchange of state between routers."""
 
     most_direct: int = option(
@@ -74,7 +74,7 @@
         self.suspected_until = -math.inf
 
 
-class NewsPaths:
+class RelayTopology:
     """Relays of all failure domains, and the routers that one router talks to.
 
     Parameters
@@ -83,11 +83,11 @@
         This router.
     domain : str
         Its failure domain.
-    settings : NewsSettings
+    settings : StateExchangeSettings
         Limits and intervals.
     """
 
-    def __init__(self, name: str, domain: str, settings: NewsSettings) -> None:
+    def __init__(self, name: str, domain: str, settings: StateExchangeSettings) -> None:
         self._name = name
         self._domain = domain
         self._settings = settings
--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -23,8 +23,8 @@
     from collections.abc import Iterator
 
     from primrosescale.connection.wire import ttypes as wire
-    from primrosescale.process.entry.news_paths import NewsPaths
-    from primrosescale.process.entry.news_paths import NewsSettings
+    from primrosescale.process.entry.news_paths import RelayTopology
+    from primrosescale.process.entry.news_paths import StateExchangeSettings
 
 # Prompt parts that wait to be forwarded; the oldest are dropped, each of which costs
 # one prompt that is prefilled once more.
@@ -177,20 +177,20 @@
     return [each.item for each in queued if each.origin != name]
 
 
-class NewsRelay:
+class StateRelay:
     """Load of other routers: by router, by domain and in total.
 
     Parameters
     ----------
     name : str
         This router.
-    topology : NewsPaths
+    topology : RelayTopology
         Who exchanges updates with whom.
-    settings : NewsSettings
+    settings : StateExchangeSettings
         Limits and intervals.
     """
 
-    def __init__(self, name: str, topology: NewsPaths, settings: NewsSettings) -> None:
+    def __init__(self, name: str, topology: RelayTopology, settings: StateExchangeSettings) -> None:
         self._name = name
         self._topology = topology
         self._settings = settings
--- a/src/primrosescale/process/entry/other_router.py
+++ b/src/primrosescale/process/entry/other_router.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OtherRouter:
+class PeerRouter:
     """Another router as listed in the store.
 
     Parameters
@@ -37,7 +37,7 @@
 
     Parameters
     ----------
-    router : OtherRouter
+    router : PeerRouter
         Its entry in the store.
     now : float
         Present time in seconds.
@@ -57,7 +57,7 @@
         "version",
     )
 
-    def __init__(self, router: OtherRouter, now: float) -> None:
+    def __init__(self, router: PeerRouter, now: float) -> None:
         self.router = router
         self.listed_at = now
         self.incarnation = 0
--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_exchange.py
@@ -17,7 +17,7 @@
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.process.entry.refused_records import RecordKind
 from primrosescale.process.entry.refused_records import RefusedRecords
-from primrosescale.process.entry.store_watch import WatchHandler
+from primrosescale.process.entry.store_watch import WatchListener
 from primrosescale.process.events import Event
 from primrosescale.process.exceptions import PlatformError
 from primrosescale.process.exceptions import UnreadableRecordError
@@ -32,11 +32,11 @@
     from primrosescale.clock import Timer
     from primrosescale.connection.codec import Message
     from primrosescale.connection.endpoint import Endpoint
-    from primrosescale.process.entry.cache_shares import CacheShares
-    from primrosescale.process.entry.entry_parts import EntryParts
+    from primrosescale.process.entry.cache_shares import CacheOwnership
+    from primrosescale.process.entry.entry_parts import EntryDependencies
     from primrosescale.process.entry.entry_settings import EntrySettings
-    from primrosescale.process.entry.other_router import OtherRouter
-    from primrosescale.process.entry.router_news import RouterNews
+    from primrosescale.process.entry.other_router import PeerRouter
+    from primrosescale.process.entry.router_news import StateExchange
     from primrosescale.process.transport.platform import StoredObject
 
 # Where a prompt part went is sent almost at once, together with everything else that
@@ -45,12 +45,12 @@
 ANNOUNCE_RETRY_SECONDS = 0.5
 
 
-class NewsExchange(DatagramProtocol):
+class StateExchangeProtocol(DatagramProtocol):
     """Sends this router's state updates in rounds and receives those of other routers.
 
     Parameters
     ----------
-    exchange : RouterNews
+    exchange : StateExchange
         Composes and applies updates.
     version : Callable[[], int]
         Returns the version in force here; 0 for none.
@@ -58,20 +58,20 @@
         Returns whether the store did not answer the last request.
     list_revision : Callable[[], int]
         Returns the newest change of the target list that is known here.
-    parts : EntryParts
+    parts : EntryDependencies
         Collaborators of the router.
-    shares : CacheShares
+    shares : CacheOwnership
         Requests and answers about the cache contents of targets.
     """
 
     def __init__(
         self,
-        exchange: RouterNews,
+        exchange: StateExchange,
         version: Callable[[], int],
         is_store_lost: Callable[[], bool],
         list_revision: Callable[[], int],
-        parts: EntryParts,
-        shares: CacheShares,
+        parts: EntryDependencies,
+        shares: CacheOwnership,
     ) -> None:
         self._exchange = exchange
         self._shares = shares
@@ -101,7 +101,7 @@
         cancel_timer(self._timer)
         cancel_timer(self._urgent_timer)
 
-    def tell_soon(self) -> None:
+    def send_soon(self) -> None:
         """Send urgent state within milliseconds, without waiting for the next round."""
         if (
             self._urgent_timer is None
@@ -188,7 +188,7 @@
         )
         self._write_all(messages)
 
-    def _write_all(self, messages: Sequence[tuple[OtherRouter, Message]]) -> None:
+    def _write_all(self, messages: Sequence[tuple[PeerRouter, Message]]) -> None:
         transport: Any = self.transport
         for router, message in messages:
             frame = encode(message)
@@ -203,7 +203,7 @@
             self._bytes_out += len(frame)
 
 
-class RouterRegistry(WatchHandler):
+class RouterRegistry(WatchListener):
     """Keeps this router's entry in the store and follows the entries of the others.
 
     Parameters
@@ -212,9 +212,9 @@
         Settings of the router.
     incarnation : int
         Number of this incarnation of the process.
-    exchange : RouterNews
+    exchange : StateExchange
         Notified of changes of the list of other routers.
-    parts : EntryParts
+    parts : EntryDependencies
         Collaborators of the router.
     """
 
@@ -222,8 +222,8 @@
         self,
         settings: EntrySettings,
         incarnation: int,
-        exchange: RouterNews,
-        parts: EntryParts,
+        exchange: StateExchange,
+        parts: EntryDependencies,
     ) -> None:
         self._settings = settings
         self._incarnation = incarnation
@@ -272,7 +272,7 @@
             self._parts.log.emit(Event.ANNOUNCE_FAILED, detail=str(error))
 
     def replaced(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Apply the whole list; see `WatchHandler.replaced`."""
+        """Apply the whole list; see `WatchListener.replaced`."""
         names = {stored.name for stored in objects if not stored.is_deleted}
         if not self._has_list:
             self._was_listed = self._settings.name in names
@@ -287,13 +287,13 @@
             self._announce()
 
     def changed(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Apply changed entries; see `WatchHandler.changed`."""
+        """Apply changed entries; see `WatchListener.changed`."""
         for stored in objects:
             self._apply(stored)
             if stored.is_deleted and stored.name == self._settings.name:
                 self._announce()
 
-    def forget_silent(self, now: float) -> None:
+    def remove_silent(self, now: float) -> None:
         """Remove the entries of routers that have been silent for long.
 
         Parameters
@@ -301,7 +301,7 @@
         now : float
             Present time in seconds.
         """
-        if not self._exchange.asks_often(now):
+        if not self._exchange.polls_store(now):
             return
         for name in self._exchange.silent_routers(now):
             self._exchange.remove(name)
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -17,9 +17,9 @@
 from primrosescale.connection.wire.ttypes import NewsScope
 from primrosescale.process.entry.load_codec import MILLISECONDS_PER_SECOND
 from primrosescale.process.entry.load_codec import LoadCodec
-from primrosescale.process.entry.news_paths import NewsPaths
-from primrosescale.process.entry.news_paths import NewsSettings
-from primrosescale.process.entry.news_relay import NewsRelay
+from primrosescale.process.entry.news_paths import RelayTopology
+from primrosescale.process.entry.news_paths import StateExchangeSettings
+from primrosescale.process.entry.news_relay import StateRelay
 from primrosescale.process.entry.other_router import PeerState
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.request.evacuations import EvacuationList
@@ -28,11 +28,11 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from primrosescale.process.entry.harm_news import HarmNews
-    from primrosescale.process.entry.leaving_news import LeavingNews
+    from primrosescale.process.entry.harm_news import HarmReportExchange
+    from primrosescale.process.entry.leaving_news import LeavingTargetExchange
     from primrosescale.process.entry.load_sum import LoadSum
     from primrosescale.process.entry.news_relay import RelayedUpdate
-    from primrosescale.process.entry.other_router import OtherRouter
+    from primrosescale.process.entry.other_router import PeerRouter
     from primrosescale.process.entry.target_list import TargetList
     from primrosescale.request.evacuations import Evacuations
     from primrosescale.request.freshness import Freshness
@@ -62,7 +62,7 @@
 RELAYED_ORIGIN = "relays"
 
 
-class RouterNews:
+class StateExchange:
     """Composes state updates for other routers and applies theirs.
 
     Parameters
@@ -79,14 +79,14 @@
         Age of the configuration known here.
     domain : str
         Failure domain of this router.
-    settings : NewsSettings | None
+    settings : StateExchangeSettings | None
         Limits and intervals; None for the defaults.
-    harm : HarmNews | None
+    harm : HarmReportExchange | None
         Exchange of reports on targets that ended while they ran requests; None for
         none.
     evacuations : Evacuations | None
         Failure domains that get no requests; None if evacuations are not followed.
-    leaving : LeavingNews | None
+    leaving : LeavingTargetExchange | None
         Exchange of targets that announced that they leave; None for none.
     """
 
@@ -98,12 +98,12 @@
         parts: PrefixCacheIndex,
         freshness: Freshness,
         domain: str = "",
-        settings: NewsSettings | None = None,
-        harm: HarmNews | None = None,
+        settings: StateExchangeSettings | None = None,
+        harm: HarmReportExchange | None = None,
         evacuations: Evacuations | None = None,
-        leaving: LeavingNews | None = None,
+        leaving: LeavingTargetExchange | None = None,
     ) -> None:
-        settings = settings or NewsSettings()
+        settings = settings or StateExchangeSettings()
         self._harm = harm
         self._evacuations = evacuations
         self._leaving = leaving
@@ -114,9 +114,9 @@
         self._freshness = freshness
         self._codec = LoadCodec(targets)
         self._peers: dict[str, PeerState] = {}
-        self._former: dict[str, OtherRouter] = {}
-        self._topology = NewsPaths(name, domain, settings)
-        self._relay = NewsRelay(name, self._topology, settings)
+        self._former: dict[str, PeerRouter] = {}
+        self._topology = RelayTopology(name, domain, settings)
+        self._relay = StateRelay(name, self._topology, settings)
         self._sequence = 0
         self._round_messages = 0
         # Time of the oldest load received from relays, and the targets that it covers.
@@ -149,7 +149,7 @@
         return self._harm is not None and self._harm.is_urgent
 
     @property
-    def others(self) -> list[OtherRouter]:
+    def others(self) -> list[PeerRouter]:
         """Return the other routers that the store lists."""
         return [peer.router for peer in self._peers.values()]
 
@@ -216,7 +216,7 @@
             return self._relay.others(now).routers
         return len(self._recent_peers(now))
 
-    def others_reach_store(self, now: float) -> bool:
+    def peers_reach_store(self, now: float) -> bool:
         """Return whether callers are better served by other routers during an outage.
 
         Parameters
@@ -250,7 +250,7 @@
         """
         return max((peer.version for peer in self._recent_peers(now)), default=0)
 
-    def newest_list(self) -> int:
+    def newest_list_revision(self) -> int:
         """Return the newest change of the target list that other routers reported.
 
         Returns
@@ -260,7 +260,7 @@
         """
         return max((peer.list_revision for peer in self._peers.values()), default=0)
 
-    def asks_often(self, now: float) -> bool:
+    def polls_store(self, now: float) -> bool:
         """Return whether this router is one of the few that poll the store often.
 
         The others rely on the answers that these get. Which routers poll follows from
@@ -335,12 +335,12 @@
         peer = self._peers[name]
         return max(peer.listed_at, peer.received_at or 0.0)
 
-    def put(self, router: OtherRouter, now: float) -> None:
+    def put(self, router: PeerRouter, now: float) -> None:
         """Add another router of the list, or replace its entry.
 
         Parameters
         ----------
-        router : OtherRouter
+        router : PeerRouter
             The router; this router itself is ignored.
         now : float
             Present time in seconds.
@@ -370,7 +370,7 @@
         if len(self._former) > MAX_FORMER_ROUTERS:
             del self._former[next(iter(self._former))]
 
-    def find(self, name: str) -> OtherRouter | None:
+    def find(self, name: str) -> PeerRouter | None:
         """Return another router that is listed, or was until recently.
 
         Parameters
@@ -380,7 +380,7 @@
 
         Returns
         -------
-        OtherRouter | None
+        PeerRouter | None
             Its present or last entry.
         """
         peer = self._peers.get(name)
@@ -394,7 +394,7 @@
         is_store_lost: bool = False,
         list_revision: int = 0,
         is_urgent: bool = False,
-    ) -> list[tuple[OtherRouter, wire.RouterNews]]:
+    ) -> list[tuple[PeerRouter, wire.RouterNews]]:
         """Return the updates to send to other routers now.
 
         Parameters
@@ -413,7 +413,7 @@
 
         Returns
         -------
-        list[tuple[OtherRouter, wire.RouterNews]]
+        list[tuple[PeerRouter, wire.RouterNews]]
             Messages, each for one router.
         """
         header = _RoundHeader(
@@ -485,7 +485,7 @@
         header: _RoundHeader,
         held: list[wire.EndNews],
         now: float,
-    ) -> tuple[OtherRouter, wire.RouterNews]:
+    ) -> tuple[PeerRouter, wire.RouterNews]:
         """Return the message for an update by relays."""
         peer = self._peers[item.name]
         message = self._new_message(peer, header, now)
--- a/src/primrosescale/process/entry/store_watch.py
+++ b/src/primrosescale/process/entry/store_watch.py
@@ -41,7 +41,7 @@
 MIN_WAIT_SHARE = 0.6
 
 
-class WatchHandler(ABC):
+class WatchListener(ABC):
     """Receives the results of a watch."""
 
     @abstractmethod
@@ -116,7 +116,7 @@
         The store.
     watched : WatchedPrefix
         What to watch.
-    handler : WatchHandler
+    handler : WatchListener
         Receives the results.
     reactor : Any
         Twisted's reactor.
@@ -137,7 +137,7 @@
         self,
         platform: Platform,
         watched: WatchedPrefix,
-        handler: WatchHandler,
+        handler: WatchListener,
         reactor: Any,
         rng: Random,
         on_fault: Callable[[Failure], None],
--- a/src/primrosescale/process/entry/target_list.py
+++ b/src/primrosescale/process/entry/target_list.py
@@ -170,7 +170,7 @@
             return listed
         return found
 
-    def unlisted_of(self, service: str) -> list[TargetState]:
+    def recently_delisted(self, service: str) -> list[TargetState]:
         """Return the targets of a service that lost their entry but may still run.
 
         Parameters
@@ -321,7 +321,7 @@
         self._forget_at[name] = held_until
         return True
 
-    def forget_gone(self, now: float) -> list[TargetIncarnation]:
+    def forget_expired(self, now: float) -> list[TargetIncarnation]:
         """Forget targets whose retention time has passed.
 
         Parameters
--- a/src/primrosescale/process/entry/target_list_sync.py
+++ b/src/primrosescale/process/entry/target_list_sync.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from primrosescale.process.entry.store_connection import StoreConnection
-from primrosescale.process.entry.store_watch import WatchHandler
+from primrosescale.process.entry.store_watch import WatchListener
 from primrosescale.process.events import Event
 from primrosescale.process.exceptions import UnreadableRecordError
 
@@ -23,7 +23,7 @@
     from primrosescale.request.target_incarnation import TargetIncarnation
 
 
-class TargetListSync(WatchHandler):
+class TargetListSync(WatchListener):
     """Applies entries of the store's list of targets to a `TargetList`.
 
     Parameters
@@ -78,7 +78,7 @@
         return self._revision
 
     def replaced(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Apply the whole list; see `WatchHandler.replaced`."""
+        """Apply the whole list; see `WatchListener.replaced`."""
         self._connection.record_success()
         now = self._now()
         listed = [item for item in objects if not item.is_deleted]
@@ -93,7 +93,7 @@
         self._on_list()
 
     def changed(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Apply changed entries; see `WatchHandler.changed`."""
+        """Apply changed entries; see `WatchListener.changed`."""
         self._connection.record_success()
         now = self._now()
         for stored in objects:
@@ -105,10 +105,10 @@
                 self._apply(stored, now)
 
     def failed(self, error: PlatformError) -> None:
-        """Record a failed request to the store; see `WatchHandler.failed`."""
+        """Record a failed request to the store; see `WatchListener.failed`."""
         self._connection.record_failure(error)
 
-    def forget_gone(self, now: float) -> list[TargetIncarnation]:
+    def forget_expired(self, now: float) -> list[TargetIncarnation]:
         """Forget targets whose entry has not returned.
 
         Parameters
@@ -121,7 +121,7 @@
         list[TargetIncarnation]
             Their last known incarnations.
         """
-        gone = self._targets.forget_gone(now)
+        gone = self._targets.forget_expired(now)
         for incarnation in gone:
             self._log.emit(Event.TARGET_FORGOTTEN, target=incarnation.name)
         return gone
--- a/src/primrosescale/process/entry/target_restarts.py
+++ b/src/primrosescale/process/entry/target_restarts.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from primrosescale.process.entry.entry_parts import EntryParts
+    from primrosescale.process.entry.entry_parts import EntryDependencies
     from primrosescale.process.entry.target_list import IncarnationStart
     from primrosescale.request.direct_port import TargetClient
     from primrosescale.request.part_directory import PrefixCacheIndex
@@ -29,7 +29,7 @@
         Holds the requests that are in flight.
     prefix_index : PrefixCacheIndex
         Prefix cache index of this router.
-    parts : EntryParts
+    parts : EntryDependencies
         Collaborators of the router.
     on_end : Callable[[TargetIncarnation], None]
         Called with each former incarnation, after its requests have been ended.
@@ -39,7 +39,7 @@
         self,
         target_client: TargetClient,
         prefix_index: PrefixCacheIndex,
-        parts: EntryParts,
+        parts: EntryDependencies,
         on_end: Callable[[TargetIncarnation], None],
     ) -> None:
         self._target_client = target_client
--- a/src/primrosescale/request/harmful_requests.py
+++ b/src/primrosescale/request/harmful_requests.py
@@ -37,7 +37,7 @@
 CHANCE_HALF_LIFE_SECONDS = 10.0
 PRIOR_ANSWERS = 100.0
 # Time within which a trial shows whether its target ends.
-TRY_SECONDS = 2.0
+TRIAL_SECONDS = 2.0
 # Factor by which more ends are required for a request that was answered completely.
 ANSWERED_MULTIPLE = 2
 # Additional ends required where targets ended just after answering it completely.
@@ -295,7 +295,7 @@
         evidence = self._evidence.get(fingerprint)
         if evidence is None or len(evidence.ends) < self._needed(evidence):
             return 0.0
-        until = evidence.trial_at + TRY_SECONDS
+        until = evidence.trial_at + TRIAL_SECONDS
         if self._is_explained_by_widespread_ends(evidence, now):
             return 0.0
         if self._is_sufficient(fingerprint, evidence, now):
--- a/src/primrosescale/request/target_choice.py
+++ b/src/primrosescale/request/target_choice.py
@@ -207,7 +207,7 @@
     room : TargetAvailability | None
         Decides which targets may be sent a request now; None where requests never
         have to wait for a target.
-    unlisted_of : Callable[[str], Sequence[TargetState]]
+    recently_delisted : Callable[[str], Sequence[TargetState]]
         Returns targets of a service whose entries are gone and that may still run.
     own_share : Callable[[str, int, float], int]
         Returns this router's share of the requests that all routers together may
@@ -222,7 +222,7 @@
         news_age: Callable[[], float] | None = None,
         relies_on_homes: Callable[[], bool] = lambda: False,
         room: TargetAvailability | None = None,
-        unlisted_of: Callable[[str], Sequence[TargetState]] = lambda _: (),
+        recently_delisted: Callable[[str], Sequence[TargetState]] = lambda _: (),
         own_share: Callable[[str, int, float], int] = lambda _, requests, __: requests,
     ) -> None:
         self._settings = settings
@@ -231,7 +231,7 @@
         self._news_age = news_age
         self._relies_on_homes = relies_on_homes
         self._room = room or TargetAvailability()
-        self._unlisted_of = unlisted_of
+        self._recently_delisted = recently_delisted
         self._own_share = own_share
 
     def configure(self, settings: ChoiceSettings) -> None:
@@ -355,7 +355,7 @@
         departing = []
         if len(serving) < len(states):
             departing = [state for state in states if state.is_departing(now)]
-        for state in self._unlisted_of(states[0].target.service):
+        for state in self._recently_delisted(states[0].target.service):
             if state.seems_alive(now) and not any(state is item for item in serving):
                 departing.append(state)
         return departing
--- a/tests/entry/fakes.py
+++ b/tests/entry/fakes.py
@@ -225,7 +225,7 @@
         self.retry_after = retry_after
 
 
-class Desk:
+class ForwardingHarness:
     """A router's forwarding objects with fakes around them, on a virtual clock."""
 
     def __init__(self, targets, *, extra=20.0, choice=None):
@@ -236,7 +236,7 @@
         self.parts = PrefixCacheIndex()
         self.caller = FakeCaller()
         self.budget = SharedRetryBudget(SharedRetryLimits(0.2, 10.0, extra))
-        self.parts_told = 0
+        self.parts_reports = 0
         self.ended = []
         self.silences = []
         self.tools = ForwardingContext(
@@ -256,7 +256,7 @@
         )
 
     def _parts_changed(self):
-        self.parts_told += 1
+        self.parts_reports += 1
 
     def state(self, name):
         return next(s for s in self.states if s.target.name == name)
--- a/tests/entry/test_allowed_regions.py
+++ b/tests/entry/test_allowed_regions.py
@@ -11,7 +11,7 @@
 from entry.fakes import LOOKUP
 from entry.fakes import START
 from entry.fakes import STREAM
-from entry.fakes import Desk
+from entry.fakes import ForwardingHarness
 from entry.fakes import event
 from entry.fakes import head
 from entry.fakes import life
@@ -109,7 +109,7 @@
             for kind, service in (("p", "portal"), ("m", "model"))
             for n, domain in enumerate("abc", 1)
         ]
-        self.desk = Desk([*targets, target("m9", domain="unknown")])
+        self.desk = ForwardingHarness([*targets, target("m9", domain="unknown")])
         self.desk.tools.regions = REGIONS
 
     def test_requests_go_to_allowed_targets_only(self):
--- a/tests/entry/test_asked_rest.py
+++ b/tests/entry/test_asked_rest.py
@@ -19,13 +19,13 @@
 from entry.fakes import FRAGILE_STREAM
 from entry.fakes import LOOKUP
 from entry.fakes import STREAM
-from entry.fakes import Desk
+from entry.fakes import ForwardingHarness
 from entry.fakes import event
 from entry.fakes import head
 from entry.fakes import request
 from entry.fakes import target
 from primrosescale.standin.users_engine import EngineScript
-from support.router_site import RouterSiteTest
+from support.router_site import LoopbackRouterTest
 
 # Seconds after the answer from which on requests in the pause are counted.
 PAUSE_BEGINS_SECONDS = 0.5
@@ -39,7 +39,7 @@
 
     def harness(self, route, count=3):
         service = route.services[0].service
-        return Desk([target(f"m{n}", service) for n in range(1, count + 1)])
+        return ForwardingHarness([target(f"m{n}", service) for n in range(1, count + 1)])
 
     def send(self, harness, route, **fields):
         """Send one request; return the runs that it started, and the sink."""
@@ -161,7 +161,7 @@
         self.assertEqual([True, False], [a.is_rest_odd for a in call.attempts])
 
 
-class PausedFleetTest(RouterSiteTest):
+class PausedFleetTest(LoopbackRouterTest):
     """Routers, a store and targets over sockets, under continuous requests."""
 
     def setUp(self):
--- a/tests/entry/test_cache_shares.py
+++ b/tests/entry/test_cache_shares.py
@@ -22,12 +22,12 @@
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.process.entry.cache_learning import EXTRA_READS
 from primrosescale.process.entry.cache_learning import MAX_WAIT_SECONDS
-from primrosescale.process.entry.cache_learning import CacheLearning
+from primrosescale.process.entry.cache_learning import CacheDiscovery
 from primrosescale.process.entry.cache_shares import MAX_PARTS_PER_ANSWER
-from primrosescale.process.entry.cache_shares import CacheShares
+from primrosescale.process.entry.cache_shares import CacheOwnership
 from primrosescale.process.entry.codec import CacheReader
-from primrosescale.process.entry.codec import HeldParts
-from primrosescale.process.entry.other_router import OtherRouter
+from primrosescale.process.entry.codec import EngineCacheContents
+from primrosescale.process.entry.other_router import PeerRouter
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.incoming import PromptPart
@@ -55,7 +55,7 @@
         held = self.fleet.engines[target.name].cache.items()
         parts = tuple(PromptPart(name, tokens) for name, tokens in held)
         answer = Deferred()
-        held_parts = HeldParts(parts, target.started_at)
+        held_parts = EngineCacheContents(parts, target.started_at)
         self.fleet.clock.callLater(READ_SECONDS, answer.callback, held_parts)
         return answer
 
@@ -80,7 +80,7 @@
         parts = ExchangeParts(self.fleet.clock)
         parts.caches = self.engines
         parts.rng = random.Random(1)
-        learning = CacheLearning(
+        learning = CacheDiscovery(
             router.shares, router.exchange, router.targets, router.parts, parts
         )
         began = self.fleet.clock.seconds()
@@ -186,7 +186,7 @@
     def setUp(self):
         super().setUp()
         self.targets, self.parts = TargetList(2.0), PrefixCacheIndex()
-        self.others = [OtherRouter("b", Endpoint("127.0.0.1", 7001))]
+        self.others = [PeerRouter("b", Endpoint("127.0.0.1", 7001))]
         self.shares = self.sharing("a", lambda: self.others)
         for number in range(8):
             self.targets.put(target(f"m{number}"), START)
@@ -196,7 +196,7 @@
         def find(wanted):
             return {router.name: router for router in others()}.get(wanted)
 
-        return CacheShares(name, self.targets, self.parts, others, find)
+        return CacheOwnership(name, self.targets, self.parts, others, find)
 
     def request(self, origin="b", now=START):
         return self.shares.receive_request(wire.CacheQuestion(origin), now)
@@ -210,7 +210,7 @@
         return self.parts.held(life(name), prompt((part, 9000)).parts, START)
 
     def test_each_target_is_the_share_of_one_router(self):
-        first = OtherRouter("a", Endpoint("127.0.0.1", 7000))
+        first = PeerRouter("a", Endpoint("127.0.0.1", 7000))
         other = self.sharing("b", lambda: [first])
         own_targets = [state.target.name for state in self.shares.own_targets()]
         theirs = [state.target.name for state in other.own_targets()]
--- a/tests/entry/test_entry_router.py
+++ b/tests/entry/test_entry_router.py
@@ -17,12 +17,12 @@
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.platform import http_codec as names
 from primrosescale.platform.exceptions import BootFileError
-from primrosescale.process.entry.cache_learning import MOST_READ
+from primrosescale.process.entry.cache_learning import MAX_ENGINES_READ
 from primrosescale.process.entry.codec import CacheReader
-from primrosescale.process.entry.codec import HeldParts
+from primrosescale.process.entry.codec import EngineCacheContents
 from primrosescale.process.entry.entry_router import EntryRouter
-from primrosescale.process.entry.other_router import OtherRouter
-from primrosescale.process.entry.router_news import RouterNews
+from primrosescale.process.entry.other_router import PeerRouter
+from primrosescale.process.entry.router_news import StateExchange
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.freshness import Freshness
 from primrosescale.request.incoming import PromptPart
@@ -35,7 +35,7 @@
 from support.entry_site import LOOPBACK
 from support.entry_site import Caller
 from support.entry_site import configuration
-from support.entry_site import router_parts
+from support.entry_site import router_dependencies
 from support.entry_site import router_settings
 from support.entry_site import router_watches
 from support.entry_site import target_entry
@@ -102,7 +102,7 @@
         endpoint = self.serve(self.store)
         self.settings = router_settings(**fields)
         self.events = []
-        self.parts = router_parts(
+        self.parts = router_dependencies(
             endpoint,
             "r1",
             self.events,
@@ -182,7 +182,7 @@
             self.assertEqual([], self.arrivals())
             if not is_silent:
                 for reading in caches.readings:
-                    reading.callback(HeldParts(()))
+                    reading.callback(EngineCacheContents(()))
             yield caller.answered(b"0\r\n\r\n")
             self.assertIn(b"id: 4", caller.data)
             self.router._close()
@@ -243,14 +243,14 @@
         config = configuration()
         config["services"][1]["engine"]["kv_cache_tokens"] = 1000
         self.store.write("config", "main", config)
-        for number in range(MOST_READ + 30):
+        for number in range(MAX_ENGINES_READ + 30):
             entry = target_entry("model", f"{LOOPBACK}:1")
             self.store.write("servers", f"x{number}", entry)
         caches = ManualCacheReader()
         yield self.start(reads_caches=True, caches=caches)
         yield self.eventually(lambda: bool(caches.readings))
         asked = len(caches.readings)
-        self.assertEqual(MOST_READ, asked)
+        self.assertEqual(MAX_ENGINES_READ, asked)
 
     def request_of(self, arrival):
         return arrival.method, arrival.path, arrival.body
@@ -464,11 +464,11 @@
         yield self.start()
         self.store.faults.is_deaf = True
         self.store.write("config", "main", configuration(2, keys=("k2",)))
-        peer = RouterNews("r2", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0))
-        peer.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
+        peer = StateExchange("r2", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0))
+        peer.put(PeerRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
         now = reactor.seconds()
         self.router._state_exchange.put(
-            OtherRouter("r2", Endpoint("127.0.0.1", 1)), now
+            PeerRouter("r2", Endpoint("127.0.0.1", 1)), now
         )
         [(_, message)] = peer.compose(2, reactor.seconds())
         self.router._state_exchange.take(message, 1, reactor.seconds())
@@ -494,13 +494,13 @@
     @inlineCallbacks
     def test_targets_removed_while_the_watch_paused_are_kept_for_less_time(self):
         yield self.start()
-        handler = self.router._knowledge.listed
+        handler = self.router._store_state.listed
         handler._rest = 0.6
         names = [state.target.name for state in handler._targets.states]
         now = reactor.seconds()
         handler.replaced((), now)
-        self.assertEqual([], handler.forget_gone(now + 0.9))
-        gone = handler.forget_gone(now + 1.1)
+        self.assertEqual([], handler.forget_expired(now + 0.9))
+        gone = handler.forget_expired(now + 1.1)
         self.assertEqual(names, [incarnation.name for incarnation in gone])
 
     @inlineCallbacks
@@ -518,7 +518,7 @@
         return revision
 
     def knows_as_draining(self, name):
-        return self.router._knowledge.targets.state(name).target.is_draining
+        return self.router._store_state.targets.state(name).target.is_draining
 
     @inlineCallbacks
     def test_a_watch_unanswered_in_an_outage_is_renewed_after_it(self):
@@ -532,11 +532,11 @@
     @inlineCallbacks
     def test_a_list_change_reported_by_a_peer_is_read(self):
         yield self.start_with_pending_watch()
-        peer = RouterNews("r2", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0))
-        peer.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
+        peer = StateExchange("r2", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0))
+        peer.put(PeerRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
         now = reactor.seconds()
         self.router._state_exchange.put(
-            OtherRouter("r2", Endpoint("127.0.0.1", 1)), now
+            PeerRouter("r2", Endpoint("127.0.0.1", 1)), now
         )
         revision = self.drain_without_notification("m1")
         [(_, message)] = peer.compose(1, reactor.seconds(), list_revision=revision)
@@ -620,7 +620,7 @@
             self.engine(f"p{number + 3}", "portal")
             yield self.eventually(
                 lambda name=f"p{number + 3}": (
-                    self.router._knowledge.targets.state(name) is not None
+                    self.router._store_state.targets.state(name) is not None
                 )
             )
         self.assertNotIn("LOOP_FAILED", [name for name, _ in self.events])
@@ -669,7 +669,7 @@
 
     @inlineCallbacks
     def test_requests_over_the_limit_are_refused(self):
-        yield self.start(most_requests=0)
+        yield self.start(max_requests=0)
         caller = yield self.ask(text(), b"")
         self.assertTrue(caller.data.startswith(b"HTTP/1.1 503"), caller.data)
         self.assertEqual([], self.arrivals())
@@ -700,7 +700,7 @@
         )
 
     def incarnation(self, name):
-        return self.router._knowledge.targets.state(name).incarnation
+        return self.router._store_state.targets.state(name).incarnation
 
     @inlineCallbacks
     def test_after_a_restart_a_request_that_may_run_once_fails_immediately(self):
@@ -770,11 +770,11 @@
     @inlineCallbacks
     def test_a_restart_reported_by_a_peer_is_read(self):
         yield self.start_with_pending_watch()
-        peer = RouterNews("r2", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0))
-        peer.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
+        peer = StateExchange("r2", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0))
+        peer.put(PeerRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
         now = reactor.seconds()
         self.router._state_exchange.put(
-            OtherRouter("r2", Endpoint("127.0.0.1", 1)), now
+            PeerRouter("r2", Endpoint("127.0.0.1", 1)), now
         )
         self.store.faults.is_deaf = True
         revision = self.restart("m1", "model")
@@ -795,8 +795,8 @@
         yield self.eventually(lambda: len(caches.readings) == 2)
         self.assertTrue(self.knows_as_draining("m2"))
         parts = (PromptPart("tariffs", 500),)
-        caches.answer("m1", HeldParts(parts, SECOND - 1))
-        caches.answer("m2", HeldParts(parts, THIRD))
+        caches.answer("m1", EngineCacheContents(parts, SECOND - 1))
+        caches.answer("m2", EngineCacheContents(parts, THIRD))
         directory, now = self.router._prefix_index, reactor.seconds()
         self.assertEqual(0, directory.held(self.incarnation("m1"), parts, now))
         self.assertEqual(SECOND, self.incarnation("m1").started_at)
--- a/tests/entry/test_evacuations.py
+++ b/tests/entry/test_evacuations.py
@@ -18,7 +18,7 @@
 from entry.fakes import LOOKUP
 from entry.fakes import START
 from entry.fakes import STREAM
-from entry.fakes import Desk
+from entry.fakes import ForwardingHarness
 from entry.fakes import event
 from entry.fakes import head
 from entry.fakes import life
@@ -29,9 +29,9 @@
 from primrosescale.connection.codec import encode
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.platform import records
-from primrosescale.process.entry.news_paths import NewsSettings
-from primrosescale.process.entry.other_router import OtherRouter
-from primrosescale.process.entry.router_news import RouterNews
+from primrosescale.process.entry.news_paths import StateExchangeSettings
+from primrosescale.process.entry.other_router import PeerRouter
+from primrosescale.process.entry.router_news import StateExchange
 from primrosescale.process.entry.store_watch import WatchedPrefix
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.direct_port import Refusal
@@ -44,7 +44,7 @@
 from primrosescale.standin.users_engine import EngineScript
 from support.entry_site import LOOPBACK
 from support.entry_site import router_watches
-from support.router_site import RouterSiteTest
+from support.router_site import LoopbackRouterTest
 
 # Time within which routers that reach the store must apply an evacuation.
 APPLIED_WITHIN_SECONDS = 1.0
@@ -146,7 +146,7 @@
             for n, domain in enumerate("abc", 1)
         ]
         models = [target(f"m{n}", domain=domain) for n, domain in enumerate("abc", 1)]
-        self.desk = Desk([*plain, *models])
+        self.desk = ForwardingHarness([*plain, *models])
 
     def evacuate(self, *domains):
         now = self.desk.clock.seconds()
@@ -241,7 +241,7 @@
     def __init__(self, name, others, settings=None, domain="x"):
         self.name = name
         self.evacuations = Evacuations(lambda *_: None)
-        self.news = RouterNews(
+        self.news = StateExchange(
             name,
             1,
             TargetList(2.0),
@@ -253,7 +253,7 @@
         )
         for number, other in enumerate(others):
             endpoint = Endpoint(LOOPBACK, 7000 + number)
-            self.news.put(OtherRouter(other, endpoint, "x"), START)
+            self.news.put(PeerRouter(other, endpoint, "x"), START)
 
 
 class EvacuationNewsTest(TestCase):
@@ -286,7 +286,7 @@
 
     def test_relays_pass_it_on_to_all(self):
         for count in (4, 40, 68):
-            sides = self.sides(count, NewsSettings(most_direct=2))
+            sides = self.sides(count, StateExchangeSettings(most_direct=2))
             sides["r1"].evacuations.take(listed("a", "b", revision=5), START)
             self.rounds(sides, 6)
             known = [sorted(s.evacuations.domains) for s in sides.values()]
@@ -295,15 +295,15 @@
     def test_a_router_that_follows_none_neither_reports_nor_applies_any(self):
         sides = self.sides(2)
         sides["r0"].evacuations.take(listed("a", revision=5), START)
-        unaware = RouterNews("r1", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0))
-        unaware.put(OtherRouter("r0", Endpoint(LOOPBACK, 1), "x"), START)
+        unaware = StateExchange("r1", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0))
+        unaware.put(PeerRouter("r0", Endpoint(LOOPBACK, 1), "x"), START)
         [(_, message)] = sides["r0"].news.compose(1, START)
         self.assertTrue(unaware.take(decode(encode(message)), 1, START))
         [(_, message)] = unaware.compose(1, START)
         self.assertIsNone(message.evacuated_revision)
 
 
-class EvacuationTest(RouterSiteTest):
+class EvacuationTest(LoopbackRouterTest):
     """Routers, a store and targets of two domains over sockets."""
 
     def setUp(self):
--- a/tests/entry/test_foreign_entries.py
+++ b/tests/entry/test_foreign_entries.py
@@ -20,17 +20,17 @@
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.platform.entry import PlatformRecords
 from primrosescale.process.entry.entry_metrics import EntryMetrics
-from primrosescale.process.entry.entry_settings import EntryWatches
-from primrosescale.process.entry.knowledge import Knowledge
+from primrosescale.process.entry.entry_settings import WatchedPrefixes
+from primrosescale.process.entry.knowledge import StoreState
 from primrosescale.process.entry.log_writer import LogWriter
 from primrosescale.process.entry.refused_records import RecordKind
 from primrosescale.process.entry.refused_records import RefusedRecords
 from primrosescale.process.entry.router_exchange import RouterRegistry
-from primrosescale.process.entry.router_news import RouterNews
+from primrosescale.process.entry.router_news import StateExchange
 from primrosescale.process.entry.store_watch import FAULT_PAUSE_SECONDS
 from primrosescale.process.entry.store_watch import StoreWatch
 from primrosescale.process.entry.store_watch import WatchedPrefix
-from primrosescale.process.entry.store_watch import WatchHandler
+from primrosescale.process.entry.store_watch import WatchListener
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.process.entry.target_list_sync import TargetListSync
 from primrosescale.process.events import Event
@@ -137,16 +137,16 @@
         self.assertIs(state, self.targets.state("i-1"))
         listed = [details["target"] for details in self.log.of(Event.TARGET_LISTED)]
         self.assertEqual(["i-1", "i-2", "i-1"], listed)
-        self.assertEqual([], self.listed.forget_gone(self.now + DRAIN_SECONDS))
+        self.assertEqual([], self.listed.forget_expired(self.now + DRAIN_SECONDS))
 
     def test_one_that_stays_unreadable_is_forgotten(self):
         state = self.targets.state("i-1")
         self.change(entry("i-1", UNREADABLE, 2))
         self.now += DRAIN_SECONDS
         self.assertEqual(
-            [life("i-1", TARGET["born"])], self.listed.forget_gone(self.now)
+            [life("i-1", TARGET["born"])], self.listed.forget_expired(self.now)
         )
-        self.assertEqual([], self.listed.forget_gone(self.now))
+        self.assertEqual([], self.listed.forget_expired(self.now))
         self.change(entry("i-1", TARGET, 3))
         self.assertEqual(["i-1", "i-2"], self.usable())
         self.assertIsNot(state, self.targets.state("i-1"))
@@ -231,7 +231,7 @@
         self.log.lines.clear()
 
 
-class RaisingHandler(WatchHandler):
+class RaisingHandler(WatchListener):
     """Handler that raises unexpected exceptions, once each."""
 
     def __init__(self, faults):
@@ -328,12 +328,12 @@
             log=self.log,
             metrics=EntryMetrics(),
         )
-        watches = EntryWatches(
+        watches = WatchedPrefixes(
             configuration=WatchedPrefix("config/main", 1.5),
             targets=WatchedPrefix("servers/", 8.0),
             routers=WatchedPrefix("routers/", 20.0),
         )
-        self.knowledge = Knowledge(
+        self.knowledge = StoreState(
             SimpleNamespace(revoke=5.0, drain=2.0),
             watches,
             parts,
@@ -375,7 +375,7 @@
         self.clock = Clock()
         self.log = Log()
         self.announced = []
-        self.news = RouterNews(
+        self.news = StateExchange(
             "r-0", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0)
         )
         parts = SimpleNamespace(
--- a/tests/entry/test_forwarded_call.py
+++ b/tests/entry/test_forwarded_call.py
@@ -8,7 +8,7 @@
 from entry.fakes import FRAGILE_STREAM
 from entry.fakes import LOOKUP
 from entry.fakes import STREAM
-from entry.fakes import Desk
+from entry.fakes import ForwardingHarness
 from entry.fakes import event
 from entry.fakes import head
 from entry.fakes import request
@@ -23,7 +23,7 @@
 class PlainCallTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.harness = Desk(PORTAL)
+        self.harness = ForwardingHarness(PORTAL)
 
     def test_a_complete_answer_is_relayed(self):
         call, sink = self.harness.call(request())
@@ -51,7 +51,7 @@
             lambda run: run.observer.response_head(head(503, is_not_run=True)),
             lambda run: run.observer.response_head(head(421, is_other_incarnation=True)),
         ):
-            harness = Desk(PORTAL)
+            harness = ForwardingHarness(PORTAL)
             _, sink = harness.call(request())
             first = harness.caller.last
             fail(first)
@@ -87,14 +87,14 @@
         self.assertEqual(b"ok", sink.body)
 
     def test_without_budget_nothing_is_sent_again(self):
-        harness = Desk(PORTAL, extra=0.0)
+        harness = ForwardingHarness(PORTAL, extra=0.0)
         _, sink = harness.call(request())
         harness.caller.last.observer.response_lost("reset")
         self.assertEqual(1, len(harness.caller.runs))
         self.assertEqual(Refusal.CUT, sink.refusal)
 
     def test_it_times_out_after_the_route_s_timeout(self):
-        harness = Desk(PORTAL, extra=0.0)
+        harness = ForwardingHarness(PORTAL, extra=0.0)
         _, sink = harness.call(request())
         harness.pass_time(0.79)
         self.assertIsNone(sink.refusal)
@@ -130,12 +130,12 @@
         self.assertEqual(1, len(self.harness.ended))
 
     def test_no_target_at_all_is_refused_as_not_run(self):
-        _, sink = Desk([]).call(request())
+        _, sink = ForwardingHarness([]).call(request())
         self.assertEqual(Refusal.NO_TARGET, sink.refusal)
         self.assertIsNotNone(sink.retry_after)
 
     def test_unreachable_targets_cost_no_budget(self):
-        harness = Desk(PORTAL, extra=0.0)
+        harness = ForwardingHarness(PORTAL, extra=0.0)
         harness.caller.unreachable = {"p1", "p2"}
         _, sink = harness.call(request())
         harness.caller.last.answer(200, b"ok")
@@ -147,7 +147,7 @@
 
     def setUp(self):
         super().setUp()
-        self.harness = Desk(PORTAL)
+        self.harness = ForwardingHarness(PORTAL)
 
     def test_it_gets_a_new_connection(self):
         self.harness.call(request(CONFIRMATION))
@@ -159,7 +159,7 @@
             (lambda run: run.observer.response_head(head(request_id="x")), Refusal.CUT),
             (lambda run: run.observer.response_head(head(has_receipt=False)), Refusal.CUT),
         ):
-            harness = Desk(PORTAL)
+            harness = ForwardingHarness(PORTAL)
             _, sink = harness.call(request(CONFIRMATION))
             fail(harness.caller.last)
             self.assertEqual(1, len(harness.caller.runs))
@@ -199,7 +199,7 @@
 class StreamTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.harness = Desk(MODEL)
+        self.harness = ForwardingHarness(MODEL)
         self.call, self.sink = self.harness.call(request(STREAM, deadline=1012.0))
         self.run1 = self.harness.caller.last
 
@@ -262,7 +262,7 @@
     def test_the_target_of_prompt_parts_is_recorded_and_reported(self):
         incarnation = self.run1.sending.target.incarnation
         self.assertEqual(520, self.harness.parts.held(incarnation, self.parts(), 1000))
-        self.assertEqual(1, self.harness.parts_told)
+        self.assertEqual(1, self.harness.parts_reports)
 
     def test_a_slow_caller_paces_the_target(self):
         self.call.pause()
@@ -287,7 +287,7 @@
     """Targets that are unreachable, hang or are slow."""
 
     def test_a_stream_leaves_a_target_silent_to_all_within_the_pause(self):
-        harness = Desk(MODEL)
+        harness = ForwardingHarness(MODEL)
         harness.call(request(STREAM, deadline=1012.0))
         first = harness.caller.last
         first.observer.response_head(head())
@@ -304,7 +304,7 @@
             (STREAM, SilenceVerdict.ANOTHER_ASKED, 2),
             (FRAGILE_STREAM, SilenceVerdict.MAY_NOT_REPEAT, 0),
         ):
-            harness = Desk(MODEL)
+            harness = ForwardingHarness(MODEL)
             harness.call(request(route, deadline=1012.0))
             harness.pass_time(0.5)
             (silence,) = harness.silences
@@ -315,7 +315,7 @@
             self.assertAlmostEqual(0.45, silence.waited, delta=0.02)
 
     def test_a_target_that_responds_to_others_is_waited_for_longer(self):
-        harness = Desk(MODEL[:1])
+        harness = ForwardingHarness(MODEL[:1])
         harness.call(request(STREAM, deadline=1012.0))
         hanging = harness.caller.last
         harness.call(request(STREAM, deadline=1012.0))
@@ -329,7 +329,7 @@
         self.assertFalse(hanging.is_cancelled)
 
     def test_a_silent_target_gets_no_new_requests_while_others_can_take_them(self):
-        harness = Desk(MODEL)
+        harness = ForwardingHarness(MODEL)
         harness.call(request(FRAGILE_STREAM, deadline=1012.0))
         silent = harness.caller.last.name
         harness.pass_time(0.5)
@@ -338,7 +338,7 @@
             self.assertNotEqual(silent, harness.caller.last.name)
 
     def test_a_hanging_target_counts_as_failed_before_its_requests_time_out(self):
-        harness = Desk(MODEL)
+        harness = ForwardingHarness(MODEL)
         _, sink = harness.call(request(FRAGILE_STREAM, deadline=1012.0))
         name = harness.caller.last.name
         harness.state(name).heard(harness.clock.seconds() + 1.25)
@@ -350,7 +350,7 @@
         self.assertIsNone(sink.refusal)
 
     def test_a_late_first_byte_counts_as_half_a_failure(self):
-        harness = Desk(PORTAL)
+        harness = ForwardingHarness(PORTAL)
         harness.call(request())
         name = harness.caller.last.name
         harness.pass_time(0.35)
@@ -360,7 +360,7 @@
         self.assertAlmostEqual(0.5, bad)
 
     def test_a_stream_that_may_be_sent_once_avoids_a_stale_connection(self):
-        harness = Desk(MODEL[:1])
+        harness = ForwardingHarness(MODEL[:1])
         harness.call(request(FRAGILE_STREAM, deadline=1012.0))
         self.assertFalse(harness.caller.last.sending.needs_new_connection)
         harness.caller.last.observer.response_lost("reset")
@@ -373,7 +373,7 @@
     """A stream that may not be resumed."""
 
     def test_it_is_aborted_when_its_answer_is_lost(self):
-        harness = Desk(MODEL)
+        harness = ForwardingHarness(MODEL)
         _, sink = harness.call(request(FRAGILE_STREAM, deadline=1012.0))
         run = harness.caller.last
         run.observer.response_head(head())
@@ -383,7 +383,7 @@
         self.assertEqual(1, len(harness.caller.runs))
 
     def test_lost_before_its_first_event_it_is_not_sent_again(self):
-        harness = Desk(MODEL)
+        harness = ForwardingHarness(MODEL)
         _, sink = harness.call(request(FRAGILE_STREAM, deadline=1012.0))
         harness.caller.last.observer.response_lost("reset")
         self.assertEqual(Refusal.CUT, sink.refusal)
@@ -392,7 +392,7 @@
 
 class LoadAccountingTest(TestCase):
     def test_loads_return_to_zero_whatever_happens(self):
-        harness = Desk(PORTAL)
+        harness = ForwardingHarness(PORTAL)
         for step in range(4):
             _, _ = harness.call(request(LOOKUP, request_id="r1"))
             run = harness.caller.last
--- a/tests/entry/test_harm_fleet.py
+++ b/tests/entry/test_harm_fleet.py
@@ -10,7 +10,7 @@
 from testtools import TestCase
 from testtools.matchers import LessThan
 
-from primrosescale.process.entry.news_paths import NewsSettings
+from primrosescale.process.entry.news_paths import StateExchangeSettings
 from support.harm_fleet import HARMFUL
 from support.harm_fleet import HarmFleet
 
@@ -18,7 +18,7 @@
 MAX_ENDS_BEFORE_HOLD = 3
 MAX_ARRIVALS_AFTERWARDS = 3
 # A larger fleet than this exchanges state through relays.
-RELAYED_SETTINGS = NewsSettings(most_direct=6)
+RELAYED_SETTINGS = StateExchangeSettings(most_direct=6)
 PER_HUNDRED_THOUSAND = 100_000
 
 
--- a/tests/entry/test_harm_watch.py
+++ b/tests/entry/test_harm_watch.py
@@ -11,7 +11,7 @@
 from entry.fakes import LOOKUP
 from entry.fakes import START
 from entry.fakes import STREAM
-from entry.fakes import Desk
+from entry.fakes import ForwardingHarness
 from entry.fakes import FakeCaller
 from entry.fakes import event
 from entry.fakes import head
@@ -19,11 +19,11 @@
 from entry.fakes import target
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.process.entry.entry_metrics import EntryMetrics
-from primrosescale.process.entry.harm_news import HELD_INTERVAL
-from primrosescale.process.entry.harm_news import MOST_HELD_IN_MESSAGE
-from primrosescale.process.entry.harm_news import MOST_IN_MESSAGE
-from primrosescale.process.entry.harm_news import TIMES_TOLD
-from primrosescale.process.entry.harm_news import HarmNews
+from primrosescale.process.entry.harm_news import HELD_INTERVAL_SECONDS
+from primrosescale.process.entry.harm_news import MAX_HELD_PER_MESSAGE
+from primrosescale.process.entry.harm_news import MAX_REPORTS_PER_MESSAGE
+from primrosescale.process.entry.harm_news import SENDS_PER_REPORT
+from primrosescale.process.entry.harm_news import HarmReportExchange
 from primrosescale.process.entry.harm_watch import CONFIRMATION_INTERVAL_SECONDS
 from primrosescale.process.entry.harm_watch import PROBE_DELAY_SECONDS
 from primrosescale.process.entry.harm_watch import PROBE_INTERVAL_SECONDS
@@ -40,7 +40,7 @@
 from primrosescale.request.harm_reports import CompleteAnswer
 from primrosescale.request.harm_settings import HarmSettings
 from primrosescale.request.harm_watch import HarmMonitor
-from primrosescale.request.harmful_requests import TRY_SECONDS
+from primrosescale.request.harmful_requests import TRIAL_SECONDS
 from primrosescale.request.harmful_requests import HarmfulRequests
 from primrosescale.request.lost_answers import WAIT_SECONDS
 
@@ -72,16 +72,16 @@
         for name in NAMES:
             self.targets.put(target(name), START)
         self.requests = HarmfulRequests(HarmSettings())
-        self.news = HarmNews(self.requests, self.log)
+        self.news = HarmReportExchange(self.requests, self.log)
         parts = SimpleNamespace(
             reactor=self.clock, log=self.log, metrics=EntryMetrics()
         )
         self.watch = EntryHarmMonitor(
-            self.requests, self.news, self.targets, self.caller, parts, self.tell_soon
+            self.requests, self.news, self.targets, self.caller, parts, self.send_soon
         )
         self.request = request(body=b"some content")
 
-    def tell_soon(self):
+    def send_soon(self):
         self.sent_soon += 1
 
     def lose(self, name, incoming=None):
@@ -296,7 +296,7 @@
         self.news = self.new()
 
     def new(self):
-        return HarmNews(HarmfulRequests(HarmSettings()), self.log)
+        return HarmReportExchange(HarmfulRequests(HarmSettings()), self.log)
 
     def message(self, ends=(), held=()):
         return wire.RouterNews(
@@ -319,7 +319,7 @@
         self.assertFalse(self.news.note(TargetEnd(1, 7, START), START))
         self.assertTrue(self.news.is_urgent)
         sent = [self.news.ends(START + 0.25 * turn) for turn in range(6)]
-        self.assertEqual(TIMES_TOLD, sum(map(len, sent)))
+        self.assertEqual(SENDS_PER_REPORT, sum(map(len, sent)))
         self.assertEqual([0, 250, 500], [e.age_ms for each in sent for e in each])
         self.assertFalse(self.news.is_urgent)
 
@@ -327,7 +327,7 @@
         for number in range(100):
             self.news.note(TargetEnd(number, 7, START), START)
         sent = self.news.ends(START)
-        self.assertEqual(MOST_IN_MESSAGE, len(sent))
+        self.assertEqual(MAX_REPORTS_PER_MESSAGE, len(sent))
         self.assertEqual(99, sent[0].fingerprint)
 
     def test_received_ends_are_applied(self):
@@ -344,9 +344,9 @@
         other = self.new()
         later = START + 60
         held = self.news.held(later)
-        self.assertLessEqual(len(held), MOST_HELD_IN_MESSAGE)
-        self.assertEqual([], self.news.held(later + HELD_INTERVAL / 2))
-        self.assertNotEqual([], self.news.held(later + HELD_INTERVAL))
+        self.assertLessEqual(len(held), MAX_HELD_PER_MESSAGE)
+        self.assertEqual([], self.news.held(later + HELD_INTERVAL_SECONDS / 2))
+        self.assertNotEqual([], self.news.held(later + HELD_INTERVAL_SECONDS))
         other.take(self.message(held=held), {}, later)
         self.assertEqual([1], other._requests.held(later))
 
@@ -362,8 +362,8 @@
         self.assertEqual(0.0, held_for(1, START))
         self.news.note(SuspectTrial(1, START), START)
         other.take(self.message(self.news.ends(START)[:1]), {}, START)
-        self.assertEqual(TRY_SECONDS, held_for(1, START))
-        self.assertEqual(0.0, held_for(1, START + TRY_SECONDS))
+        self.assertEqual(TRIAL_SECONDS, held_for(1, START))
+        self.assertEqual(0.0, held_for(1, START + TRIAL_SECONDS))
         self.assertFalse(self.news.note(SuspectTrial(3, START), START))
 
     def test_an_end_is_ignored_if_the_target_sent_data_since(self):
@@ -427,7 +427,7 @@
 class HeldBackCallTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.desk = Desk([target("p1", "portal"), target("p2", "portal")])
+        self.desk = ForwardingHarness([target("p1", "portal"), target("p2", "portal")])
         self.watch = self.desk.tools.harm = StubHarmMonitor()
 
     def test_a_held_back_request_is_refused_with_its_remaining_time(self):
@@ -470,7 +470,7 @@
         self.assertEqual(["r1"], self.watch.whole)
 
     def test_a_stream_is_not_resumed_once_held_back(self):
-        self.desk.states += Desk([target("m1"), target("m2")]).states
+        self.desk.states += ForwardingHarness([target("m1"), target("m2")]).states
         _, sink = self.desk.call(request(STREAM))
         run = self.desk.caller.last
         run.observer.response_head(head())
--- a/tests/entry/test_knowledge.py
+++ b/tests/entry/test_knowledge.py
@@ -13,11 +13,11 @@
 from twisted.internet.task import Clock
 
 from primrosescale.process.entry.entry_metrics import EntryMetrics
-from primrosescale.process.entry.entry_settings import EntryWatches
+from primrosescale.process.entry.entry_settings import WatchedPrefixes
 from primrosescale.process.entry.knowledge import LIST_ARRIVAL_SECONDS
 from primrosescale.process.entry.knowledge import POLL_PAUSE_SECONDS
 from primrosescale.process.entry.knowledge import VERSION_ARRIVAL_SECONDS
-from primrosescale.process.entry.knowledge import Knowledge
+from primrosescale.process.entry.knowledge import StoreState
 from primrosescale.process.entry.store_watch import MIN_PAUSE_SECONDS
 from primrosescale.process.entry.store_watch import WatchedPrefix
 from primrosescale.process.entry.target_list import TargetList
@@ -73,12 +73,12 @@
                 emit=lambda event, **details: self.events.append(event)
             ),
         )
-        watches = EntryWatches(
+        watches = WatchedPrefixes(
             configuration=WatchedPrefix("versions/", 1.5, reads_after_failure=True),
             targets=WatchedPrefix("targets/", 8.0, rest=REST),
             routers=WatchedPrefix("routers/", 20.0),
         )
-        self.knowledge = Knowledge(
+        self.knowledge = StoreState(
             SimpleNamespace(revoke=5.0, drain=2.0),
             watches,
             parts,
--- a/tests/entry/test_leaving_answers.py
+++ b/tests/entry/test_leaving_answers.py
@@ -17,7 +17,7 @@
 from entry.fakes import LOOKUP
 from entry.fakes import START
 from entry.fakes import STREAM
-from entry.fakes import Desk
+from entry.fakes import ForwardingHarness
 from entry.fakes import event
 from entry.fakes import head
 from entry.fakes import request
@@ -25,10 +25,10 @@
 from primrosescale.connection.codec import decode
 from primrosescale.connection.codec import encode
 from primrosescale.connection.endpoint import Endpoint
-from primrosescale.process.entry.leaving_news import LeavingNews
-from primrosescale.process.entry.news_paths import NewsSettings
-from primrosescale.process.entry.other_router import OtherRouter
-from primrosescale.process.entry.router_news import RouterNews
+from primrosescale.process.entry.leaving_news import LeavingTargetExchange
+from primrosescale.process.entry.news_paths import StateExchangeSettings
+from primrosescale.process.entry.other_router import PeerRouter
+from primrosescale.process.entry.router_news import StateExchange
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.process.events import Event
 from primrosescale.process.events import EventLog
@@ -37,7 +37,7 @@
 from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.standin.users_engine import EngineScript
 from support.entry_site import LOOPBACK
-from support.router_site import RouterSiteTest
+from support.router_site import LoopbackRouterTest
 
 # Seconds after which a leaving target must get no new requests; the routers' setting.
 DRAIN = 0.5
@@ -48,7 +48,7 @@
 
     def harness(self, route, count=3):
         service = route.services[0].service
-        return Desk([target(f"m{n}", service) for n in range(1, count + 1)])
+        return ForwardingHarness([target(f"m{n}", service) for n in range(1, count + 1)])
 
     def leave(self, harness, route, status=200, **fields):
         """Let the target of a request announce that it leaves; return its name."""
@@ -123,8 +123,8 @@
         self.events = []
         log = EventLog(name)
         log.emit = lambda event, **fields: self.events.append((event, fields))
-        self.leaving_exchange = LeavingNews(self.targets, log)
-        self.news = RouterNews(
+        self.leaving_exchange = LeavingTargetExchange(self.targets, log)
+        self.news = StateExchange(
             name,
             1,
             self.targets,
@@ -136,7 +136,7 @@
         )
         for number, other in enumerate(names):
             endpoint = Endpoint(LOOPBACK, 7000 + number)
-            self.news.put(OtherRouter(other, endpoint, "x"), START)
+            self.news.put(PeerRouter(other, endpoint, "x"), START)
 
     def receive_leaving(self, name, now=START):
         """Process an answer in which a target announces that it leaves."""
@@ -180,7 +180,7 @@
             (30, None, 1),
             (68, None, 6),
             (300, None, 6),
-            (40, NewsSettings(most_direct=2), 6),
+            (40, StateExchangeSettings(most_direct=2), 6),
         ):
             routers_by_name = self.routers_by_name(count, settings)
             routers_by_name["r1"].receive_leaving("m3")
@@ -230,7 +230,7 @@
         self.assertIn("m199", routers_by_name["r1"].leaving)
 
 
-class LeavingTargetTest(RouterSiteTest):
+class LeavingTargetTest(LoopbackRouterTest):
     """A router, a store and two targets over sockets."""
 
     def setUp(self):
--- a/tests/entry/test_news_relays.py
+++ b/tests/entry/test_news_relays.py
@@ -14,7 +14,7 @@
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.connection.wire.ttypes import NewsScope
 from primrosescale.process.entry.news_paths import SUSPICION_SECONDS
-from primrosescale.process.entry.news_paths import NewsSettings
+from primrosescale.process.entry.news_paths import StateExchangeSettings
 from primrosescale.process.entry.router_news import SILENT_REMOVAL_SECONDS
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.request.target_choice import STALE_LOAD_SECONDS
@@ -22,7 +22,7 @@
 from support.router_fleet import Fleet
 
 ROUTERS, TARGETS, DOMAINS = 18, 10, 3
-SETTINGS = NewsSettings(most_direct=6)
+SETTINGS = StateExchangeSettings(most_direct=6)
 # A relay is considered lost after a second of silence; then another one is used.
 TAKEOVER_SECONDS = 2.0
 TARGET = "target-3"
@@ -92,7 +92,7 @@
         for router in (self.members("domain-0")[0], self.relays("domain-1")[0]):
             state = router.targets.state(TARGET)
             router.parts.record_own_request(state.incarnation, wanted, self.now())
-            router.exchange.tell_soon()
+            router.exchange.send_soon()
         self.fleet.run(1.0)
         for router in self.fleet.routers:
             life = router.targets.state(TARGET).incarnation
@@ -185,7 +185,7 @@
         self.assertEqual(1.0, self.seen(alone))
         self.assertGreater(alone.news.age(self.now()), STALE_LOAD_SECONDS)
         self.assertEqual(0, alone.news.heard_lately(self.now()))
-        self.assertTrue(alone.news.asks_often(self.now()))
+        self.assertTrue(alone.news.polls_store(self.now()))
 
     def test_loads_stay_recent_for_all_others_meanwhile(self):
         self.fleet.lose(self.relays("domain-0")[0])
--- a/tests/entry/test_restart.py
+++ b/tests/entry/test_restart.py
@@ -12,7 +12,7 @@
 from entry.fakes import LOOKUP
 from entry.fakes import START
 from entry.fakes import STREAM
-from entry.fakes import Desk
+from entry.fakes import ForwardingHarness
 from entry.fakes import event
 from entry.fakes import head
 from entry.fakes import life
@@ -22,8 +22,8 @@
 from primrosescale.connection.codec import decode
 from primrosescale.connection.codec import encode
 from primrosescale.connection.endpoint import Endpoint
-from primrosescale.process.entry.other_router import OtherRouter
-from primrosescale.process.entry.router_news import RouterNews
+from primrosescale.process.entry.other_router import PeerRouter
+from primrosescale.process.entry.router_news import StateExchange
 from primrosescale.process.entry.target_list import IncarnationStart
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.direct_port import Refusal
@@ -93,7 +93,7 @@
         self.targets.put(target("m1", started_at=FIRST), START)
         names = [state.target.name for state in self.targets.of_service("model")]
         self.assertEqual(["m2"], names)
-        self.assertEqual([life("m1", SECOND)], self.targets.forget_gone(START + 2))
+        self.assertEqual([life("m1", SECOND)], self.targets.forget_expired(START + 2))
 
     def test_a_report_without_start_keeps_the_known_one(self):
         before = self.state()
@@ -121,16 +121,16 @@
         self.targets.put(target("m1", started_at=FIRST, is_draining=True), START)
         self.targets.remove("m1", START)
         self.targets.put(target("m1", started_at=SECOND), START)
-        self.assertEqual([], self.targets.forget_gone(START + 60))
+        self.assertEqual([], self.targets.forget_expired(START + 60))
         self.assertIsNotNone(self.state())
 
     def test_an_unlisted_incarnation_outlives_the_removal_of_the_former_entry(self):
         self.targets.put(target("m1", started_at=FIRST, is_draining=True), START)
         self.targets.put(target("m1", started_at=SECOND), START, told_by="target")
         self.targets.remove("m1", START)
-        self.assertEqual([], self.targets.forget_gone(START + 1.5))
+        self.assertEqual([], self.targets.forget_expired(START + 1.5))
         self.targets.put(target("m1", started_at=SECOND), START + 1.5)
-        self.assertEqual([], self.targets.forget_gone(START + 60))
+        self.assertEqual([], self.targets.forget_expired(START + 60))
 
 
 class FormerStateTest(TestCase):
@@ -254,11 +254,11 @@
     def __init__(self, name, started_at):
         self.targets = TargetList(2.0)
         self.parts = PrefixCacheIndex()
-        self.news = RouterNews(name, 1, self.targets, self.parts, Freshness(5.0))
+        self.news = StateExchange(name, 1, self.targets, self.parts, Freshness(5.0))
         self.put_target(started_at)
         for number, other in enumerate(("a", "b")):
             endpoint = Endpoint("127.0.0.1", 7000 + number)
-            self.news.put(OtherRouter(other, endpoint), START)
+            self.news.put(PeerRouter(other, endpoint), START)
 
     def put_target(self, started_at):
         self.targets.put(target("m1", started_at=started_at), START)
@@ -345,7 +345,7 @@
 
     def test_an_unsent_request_goes_to_the_new_incarnation_too(self):
         for route in (CONFIRMATION, LOOKUP):
-            desk = Desk(PORTAL_ALONE, extra=0.0)
+            desk = ForwardingHarness(PORTAL_ALONE, extra=0.0)
             desk.caller.opening = {"p1"}
             _, sink = desk.call(request(route))
             desk.caller.opening = set()
@@ -360,7 +360,7 @@
 
     def test_a_request_that_may_run_once_is_not_retried_nor_reported_as_not_run(self):
         for targets in (PORTAL_ALONE, PORTAL):
-            desk = Desk(targets)
+            desk = ForwardingHarness(targets)
             _, sink = desk.call(request(CONFIRMATION))
             desk.restart(desk.caller.last.name, SECOND)
             self.assertEqual(1, len(desk.caller.runs))
@@ -369,13 +369,13 @@
             self.assertIsNone(sink.retry_after)
 
     def test_a_stream_that_may_run_once_is_not_retried(self):
-        desk = Desk(MODEL)
+        desk = ForwardingHarness(MODEL)
         _, sink = desk.call(request(FRAGILE_STREAM, deadline=START + 12))
         desk.restart(desk.caller.last.name, SECOND)
         self.assertEqual((1, Refusal.CUT), (len(desk.caller.runs), sink.refusal))
 
     def test_a_decline_by_the_new_incarnation_does_not_mean_not_run(self):
-        desk = Desk(PORTAL_ALONE)
+        desk = ForwardingHarness(PORTAL_ALONE)
         _, sink = desk.call(request(LOOKUP))
         desk.restart("p1", SECOND)
         desk.caller.last.observer.response_head(head(503, is_not_run=True))
@@ -383,7 +383,7 @@
         self.assertFalse(sink.refusal.is_not_run)
 
     def test_an_idempotent_request_is_retried_at_the_new_incarnation(self):
-        desk = Desk(PORTAL_ALONE)
+        desk = ForwardingHarness(PORTAL_ALONE)
         _, sink = desk.call(request(LOOKUP))
         desk.restart("p1", SECOND)
         desk.caller.last.answer(200, b"ok")
@@ -393,7 +393,7 @@
         )
 
     def test_it_is_retried_within_the_retry_budget_only(self):
-        desk = Desk(PORTAL, extra=0.0)
+        desk = ForwardingHarness(PORTAL, extra=0.0)
         _, sink = desk.call(request(LOOKUP))
         desk.restart(desk.caller.last.name, SECOND)
         self.assertEqual((1, Refusal.CUT), (len(desk.caller.runs), sink.refusal))
@@ -402,7 +402,7 @@
 
     def test_a_stream_is_resumed_after_its_last_complete_event(self):
         for targets in (ALONE, MODEL):
-            desk = Desk(targets)
+            desk = ForwardingHarness(targets)
             _, sink = desk.call(request(STREAM, deadline=START + 12))
             first = desk.caller.last
             first.observer.response_head(head())
@@ -420,7 +420,7 @@
             self.assertTrue(sink.is_finished)
 
     def test_a_stream_that_is_not_resumable_is_aborted(self):
-        desk = Desk(MODEL)
+        desk = ForwardingHarness(MODEL)
         _, sink = desk.call(request(FRAGILE_STREAM, deadline=START + 12))
         run = desk.caller.last
         run.observer.response_head(head())
@@ -430,7 +430,7 @@
         self.assertEqual(1, len(desk.caller.runs))
 
     def test_a_late_answer_of_the_former_incarnation_is_discarded(self):
-        desk = Desk(PORTAL_ALONE)
+        desk = ForwardingHarness(PORTAL_ALONE)
         _, sink = desk.call(request(LOOKUP))
         first = desk.caller.last
         desk.restart("p1", SECOND)
@@ -442,7 +442,7 @@
     # Restart while draining, and repeated restarts
 
     def test_a_target_that_restarts_while_draining_gets_new_requests(self):
-        desk = Desk(PORTAL_ALONE)
+        desk = ForwardingHarness(PORTAL_ALONE)
         _, sink = desk.call(request(LOOKUP))
         _, once = desk.call(request(CONFIRMATION))
         leaving = target("p1", "portal", started_at=FIRST, is_draining=True)
@@ -453,7 +453,7 @@
         self.assertEqual(b"ok", sink.body)
 
     def test_each_incarnation_counts_towards_the_maximum_of_targets(self):
-        desk = Desk(PORTAL_ALONE)
+        desk = ForwardingHarness(PORTAL_ALONE)
         _, sink = desk.call(request(LOOKUP))
         desk.restart("p1", SECOND)
         desk.pass_time(0.2)
@@ -462,7 +462,7 @@
         self.assertEqual(Refusal.CUT, sink.refusal)
 
     def test_after_two_restarts_within_a_second_only_the_last_incarnation_serves(self):
-        desk = Desk(ALONE)
+        desk = ForwardingHarness(ALONE)
         route = replace(STREAM, max_targets=3)
         _, sink = desk.call(request(route, deadline=START + 12))
         first = desk.caller.last
@@ -484,7 +484,7 @@
 
     def test_a_request_leaves_no_count_at_either_incarnation(self):
         for route, targets in ((LOOKUP, PORTAL), (CONFIRMATION, PORTAL)):
-            desk = Desk(targets)
+            desk = ForwardingHarness(targets)
             desk.call(request(route))
             former = desk.state(desk.caller.last.name)
             desk.restart(former.target.name, SECOND)
@@ -515,7 +515,7 @@
         self.assertEqual(event(1) + event(2), sink.body)
 
     def call_with_hedge(self):
-        desk = Desk(MODEL)
+        desk = ForwardingHarness(MODEL)
         _, sink = desk.call(request(STREAM, deadline=START + 12))
         silent = desk.caller.last
         silent.observer.response_head(head())
--- a/tests/entry/test_router_news.py
+++ b/tests/entry/test_router_news.py
@@ -11,13 +11,13 @@
 from primrosescale.connection.codec import decode
 from primrosescale.connection.codec import encode
 from primrosescale.connection.endpoint import Endpoint
-from primrosescale.process.entry.news_paths import NewsSettings
-from primrosescale.process.entry.other_router import OtherRouter
+from primrosescale.process.entry.news_paths import StateExchangeSettings
+from primrosescale.process.entry.other_router import PeerRouter
 from primrosescale.process.entry.router_news import DIRECT_BYTES_PER_SECOND
 from primrosescale.process.entry.router_news import MAX_FORMER_ROUTERS
 from primrosescale.process.entry.router_news import MAX_PARTS
 from primrosescale.process.entry.router_news import TYPICAL_DATAGRAM_BYTES
-from primrosescale.process.entry.router_news import RouterNews
+from primrosescale.process.entry.router_news import StateExchange
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.freshness import Freshness
 from primrosescale.request.part_directory import PrefixCacheIndex
@@ -30,7 +30,7 @@
         self.targets = TargetList(2.0)
         self.parts = PrefixCacheIndex()
         self.fresh = Freshness(5.0)
-        self.news = RouterNews(
+        self.news = StateExchange(
             name,
             incarnation,
             self.targets,
@@ -44,7 +44,7 @@
     def knows(self, *names, domains=1):
         for number, name in enumerate(names):
             endpoint = Endpoint("127.0.0.1", 7000 + number)
-            self.news.put(OtherRouter(name, endpoint, str(number % domains)), START)
+            self.news.put(PeerRouter(name, endpoint, str(number % domains)), START)
 
     def message(self, version=1, now=START):
         [(_, message)] = self.news.compose(version, now)
@@ -115,19 +115,19 @@
         self.assertAlmostEqual(10.0, self.a.fresh.age(START))
 
     def test_a_router_without_the_store_knows_whether_others_reach_it(self):
-        self.assertFalse(self.a.news.others_reach_store(START))
+        self.assertFalse(self.a.news.peers_reach_store(START))
         self.a.news.take(self.b.message(version=2), 1, START)
-        self.assertTrue(self.a.news.others_reach_store(START))
+        self.assertTrue(self.a.news.peers_reach_store(START))
 
     def test_an_outage_that_all_routers_see_is_not_one_router_s(self):
         [(_, message)] = self.b.news.compose(1, START, is_store_lost=True)
         self.a.news.take(message, 1, START)
-        self.assertFalse(self.a.news.others_reach_store(START))
+        self.assertFalse(self.a.news.peers_reach_store(START))
 
     def test_a_router_that_receives_no_more_updates_is_cut_off(self):
         [(_, message)] = self.b.news.compose(1, START, is_store_lost=True)
         self.a.news.take(message, 1, START)
-        self.assertTrue(self.a.news.others_reach_store(START + 4))
+        self.assertTrue(self.a.news.peers_reach_store(START + 4))
 
     def test_outcomes_of_a_router_whose_requests_fail_everywhere_are_ignored(self):
         for number in range(1, 6):
@@ -162,12 +162,12 @@
                     decode(encode(message)), 1, START
                 )
         polling = [
-            n for n, side in routers_by_name.items() if side.news.asks_often(START)
+            n for n, side in routers_by_name.items() if side.news.polls_store(START)
         ]
         self.assertEqual(4, len(polling))
         # When no updates of these arrive any more, every router polls.
         self.assertTrue(
-            all(s.news.asks_often(START + 9) for s in routers_by_name.values())
+            all(s.news.polls_store(START + 9) for s in routers_by_name.values())
         )
 
     def test_a_newer_version_of_another_router_is_noticed(self):
@@ -197,7 +197,7 @@
         self.assertEqual(0.0, self.b.targets.state("x80").load(START))
 
     def test_many_routers_get_updates_less_often(self):
-        direct = ExchangingRouter("a", settings=NewsSettings(most_direct=1000))
+        direct = ExchangingRouter("a", settings=StateExchangeSettings(most_direct=1000))
         direct.knows("a", "b")
         self.assertEqual(0.25, direct.news.interval)
         direct.knows(*(f"r{number}" for number in range(420)))
--- a/tests/entry/test_rules_of_knowledge.py
+++ b/tests/entry/test_rules_of_knowledge.py
@@ -160,14 +160,14 @@
     def test_a_gone_entry_is_avoided_at_once_and_forgotten_soon(self):
         self.targets.remove("m1", START)
         self.assertEqual(["m2"], self.names())
-        self.assertEqual([], self.targets.forget_gone(START + 1.5))
-        self.assertEqual([life("m1")], self.targets.forget_gone(START + 1.7))
+        self.assertEqual([], self.targets.forget_expired(START + 1.5))
+        self.assertEqual([life("m1")], self.targets.forget_expired(START + 1.7))
 
     def test_when_all_entries_lapse_the_targets_still_serve_for_a_while(self):
         self.targets.remove("m1", START)
         self.targets.remove("m2", START)
         self.assertEqual(["m1", "m2"], self.names())
-        self.targets.forget_gone(START + 1.7)
+        self.targets.forget_expired(START + 1.7)
         self.assertEqual([], self.names())
 
     def test_an_entry_that_comes_back_keeps_its_state(self):
@@ -175,12 +175,12 @@
         self.targets.remove("m1", START)
         self.targets.put(target("m1"), START + 1)
         self.assertIs(before, self.targets.state("m1"))
-        self.assertEqual([], self.targets.forget_gone(START + 10))
+        self.assertEqual([], self.targets.forget_expired(START + 10))
 
     def test_a_target_that_was_leaving_is_forgotten_at_once(self):
         self.targets.put(target("m1", is_draining=True), START)
         self.targets.remove("m1", START)
-        self.assertEqual([life("m1")], self.targets.forget_gone(START))
+        self.assertEqual([life("m1")], self.targets.forget_expired(START))
 
     def test_only_real_changes_count_as_changes(self):
         self.assertFalse(self.targets.put(target("m1"), START))
--- a/tests/entry/test_shrinking_fleet.py
+++ b/tests/entry/test_shrinking_fleet.py
@@ -46,14 +46,14 @@
             ChoiceSettings(),
             PrefixCacheIndex(),
             random.Random(3),
-            unlisted_of=self.targets.unlisted_of,
+            recently_delisted=self.targets.recently_delisted,
             own_share=lambda *_: 1,
         )
         for _ in range(10):
             self.targets.state("m1").sent(START)
 
     def choose(self, now=START):
-        self.targets.forget_gone(now)
+        self.targets.forget_expired(now)
         states = self.targets.of_service("model")
         return self.chooser.choose(states, (), None, now)
 
--- a/tests/entry/test_silent_target.py
+++ b/tests/entry/test_silent_target.py
@@ -19,7 +19,7 @@
 from entry.fakes import FRAGILE_STREAM
 from entry.fakes import LOOKUP
 from entry.fakes import STREAM
-from entry.fakes import Desk
+from entry.fakes import ForwardingHarness
 from entry.fakes import FakeCaller
 from entry.fakes import FakeRun
 from entry.fakes import event
@@ -47,7 +47,7 @@
     """There is no other target, or none that accepts the request."""
 
     def test_a_stream_stays_with_the_only_target(self):
-        harness = Desk(MODEL[:1])
+        harness = ForwardingHarness(MODEL[:1])
         run, sink = begun_stream(harness)
         harness.pass_time(2.0)
         self.assertFalse(sink.is_broken)
@@ -57,7 +57,7 @@
         self.assertTrue(sink.is_finished)
 
     def test_a_stream_continues_when_the_other_target_declines(self):
-        harness = Desk(MODEL[:2])
+        harness = ForwardingHarness(MODEL[:2])
         run, sink = begun_stream(harness)
         harness.pass_time(0.5)
         harness.caller.last.observer.response_head(head(503, is_not_run=True))
@@ -68,7 +68,7 @@
         self.assertTrue(sink.is_finished)
 
     def test_a_plain_request_stays_with_the_only_target(self):
-        harness = Desk(PORTAL[:1])
+        harness = ForwardingHarness(PORTAL[:1])
         _, sink = harness.call(request(LOOKUP))
         harness.pass_time(0.6)
         self.assertIsNone(sink.refusal)
@@ -81,7 +81,7 @@
 
     def setUp(self):
         super().setUp()
-        self.harness = Desk(MODEL)
+        self.harness = ForwardingHarness(MODEL)
         self.call, self.sink = self.harness.call(request(STREAM, deadline=1012.0))
         self.first = self.harness.caller.last
         self.first.observer.response_head(head())
@@ -117,7 +117,7 @@
             lambda run: run.observer.response_head(head(has_receipt=False)),
             lambda run: run.observer.response_head(head(421, is_other_incarnation=True)),
         ):
-            harness = Desk(MODEL)
+            harness = ForwardingHarness(MODEL)
             first, sink = begun_stream(harness)
             harness.pass_time(0.46)
             fail(harness.caller.last)
@@ -136,7 +136,7 @@
         self.check_whole(2)
 
     def test_a_hedge_that_is_silent_does_not_end_the_first(self):
-        harness = Desk(MODEL[:2])
+        harness = ForwardingHarness(MODEL[:2])
         first, sink = begun_stream(harness)
         harness.pass_time(3.0)
         self.assertEqual(2, len(harness.caller.runs))
@@ -147,7 +147,7 @@
         self.assertTrue(harness.caller.last.is_cancelled)
 
     def test_a_hedge_that_is_silent_to_all_is_replaced(self):
-        harness = Desk(MODEL)
+        harness = ForwardingHarness(MODEL)
         first, _ = begun_stream(harness, replace(STREAM, max_targets=3))
         harness.pass_time(1.0)
         self.assertEqual(3, len(harness.caller.runs))
@@ -197,7 +197,7 @@
     """Which target a hedge is sent to, and when."""
 
     def test_another_is_tried_at_once_when_one_cannot_be_reached(self):
-        harness = Desk(MODEL)
+        harness = ForwardingHarness(MODEL)
         first, sink = begun_stream(harness)
         names = [state.target.name for state in harness.states]
         harness.caller.unreachable = set(names) - {first.name, "m2"}
@@ -211,7 +211,7 @@
         self.assertTrue(sink.is_finished)
 
     def test_a_stream_stays_when_no_other_can_be_reached(self):
-        harness = Desk(MODEL)
+        harness = ForwardingHarness(MODEL)
         first, sink = begun_stream(harness)
         harness.caller.unreachable = {s.target.name for s in harness.states}
         harness.pass_time(3.0)
@@ -221,7 +221,7 @@
         self.assertTrue(sink.is_finished)
 
     def test_a_target_that_is_listed_later_takes_over(self):
-        harness = Desk(MODEL[:1])
+        harness = ForwardingHarness(MODEL[:1])
         first, sink = begun_stream(harness)
         harness.pass_time(1.0)
         harness.states.append(TargetState(MODEL[1], harness.clock.seconds()))
@@ -235,13 +235,13 @@
         self.assertEqual(event(1) + event(2), sink.body)
 
     def test_no_budget_is_spent_without_another_target(self):
-        harness = Desk(MODEL[:1])
+        harness = ForwardingHarness(MODEL[:1])
         begun_stream(harness)
         harness.pass_time(5.0)
         self.assertTrue(harness.budget.spend(1, harness.clock.seconds()))
 
     def test_a_long_silence_is_reported_once(self):
-        harness = Desk(MODEL[:1])
+        harness = ForwardingHarness(MODEL[:1])
         begun_stream(harness)
         harness.pass_time(5.0)
         self.assertEqual(1, len(harness.silences))
@@ -253,7 +253,7 @@
     """A target whose caller reads slowly does not count as silent."""
 
     def test_a_target_that_waits_for_the_caller_is_not_silent(self):
-        harness = Desk(MODEL)
+        harness = ForwardingHarness(MODEL)
         call, sink = harness.call(request(STREAM, deadline=1012.0))
         run = harness.caller.last
         run.observer.response_head(head())
@@ -268,7 +268,7 @@
         self.assertEqual(event(1) + event(2), sink.body)
 
     def test_silence_is_measured_from_the_end_of_a_pause(self):
-        harness = Desk(MODEL)
+        harness = ForwardingHarness(MODEL)
         call, _ = harness.call(request(STREAM, deadline=1012.0))
         run = harness.caller.last
         run.observer.response_head(head())
@@ -282,7 +282,7 @@
         self.assertEqual(2, len(harness.caller.runs))
 
     def test_a_caller_that_becomes_slow_ends_a_hedge(self):
-        harness = Desk(MODEL)
+        harness = ForwardingHarness(MODEL)
         call, _ = harness.call(request(STREAM, deadline=1012.0))
         first = harness.caller.last
         first.observer.response_head(head())
@@ -294,7 +294,7 @@
         self.assertFalse(first.is_cancelled)
 
     def test_a_slow_caller_paces_the_one_that_replaces_a_lost_one(self):
-        harness = Desk(MODEL)
+        harness = ForwardingHarness(MODEL)
         call, _ = harness.call(request(STREAM, deadline=1012.0))
         harness.caller.last.observer.response_head(head())
         call.pause()
@@ -307,7 +307,7 @@
 
     def setUp(self):
         super().setUp()
-        self.harness = Desk(MODEL)
+        self.harness = ForwardingHarness(MODEL)
         _, self.sink = self.harness.call(request(STREAM, deadline=1012.0))
         self.first = self.harness.caller.last
         self.harness.pass_time(0.46)
@@ -338,7 +338,7 @@
     """When a target counts as silent."""
 
     def test_data_for_others_delays_it_by_no_more_than_its_age(self):
-        harness = Desk(MODEL)
+        harness = ForwardingHarness(MODEL)
         begun_stream(harness)
         harness.clock.advance(0.003)
         harness.state(harness.caller.last.name).heard(harness.clock.seconds())
@@ -376,13 +376,13 @@
     """An answer in hand is not given up for an uncertain one."""
 
     def test_a_failure_is_relayed_when_there_is_no_other_target(self):
-        harness = Desk(PORTAL[:1])
+        harness = ForwardingHarness(PORTAL[:1])
         _, sink = harness.call(request(LOOKUP))
         harness.caller.last.answer(500, b"broken")
         self.assertEqual((500, b"broken"), (sink.head.status, sink.body))
 
     def test_a_failure_is_not_given_up_for_a_target_that_is_avoided(self):
-        harness = Desk(PORTAL)
+        harness = ForwardingHarness(PORTAL)
         _, sink = harness.call(request(LOOKUP))
         for state in harness.states:
             state.unreachable(harness.clock.seconds())
@@ -400,7 +400,7 @@
         self.assertEqual((500, b"broken"), (sink.head.status, sink.body))
 
     def test_an_error_instead_of_the_rest_aborts_a_stream(self):
-        harness = Desk(MODEL)
+        harness = ForwardingHarness(MODEL)
         run, sink = begun_stream(harness)
         run.observer.response_lost("reset")
         harness.caller.last.answer(404)
@@ -436,7 +436,7 @@
         if route.may_repeat:
             self._route = replace(route, max_targets=self._rng.randint(1, 3))
         service = "model" if route.is_stream else "portal"
-        self._harness = Desk(
+        self._harness = ForwardingHarness(
             [target(f"t{n + 1}", service) for n in range(seed % 4 + 1)]
         )
         self._harness.caller = RandomCaller(self._harness.clock, self._rng)
@@ -530,7 +530,7 @@
             run.observer.request_not_sent("refused")
 
 
-class ManualHarness(Desk):
+class ManualHarness(ForwardingHarness):
     """A harness whose connections open when the test reports it."""
 
     def __init__(self, count, service="portal"):
--- a/tests/request/test_cold_targets.py
+++ b/tests/request/test_cold_targets.py
@@ -15,7 +15,7 @@
 from entry.fakes import LOOKUP
 from entry.fakes import START
 from entry.fakes import STREAM
-from entry.fakes import Desk
+from entry.fakes import ForwardingHarness
 from entry.fakes import head
 from entry.fakes import request
 from entry.fakes import target
@@ -322,7 +322,7 @@
         targets = listed(target("m1"))
         targets.state("m1").answered(head(cold_for=9.0), START)
         targets.remove("m1", START)
-        targets.forget_gone(START + 5)
+        targets.forget_expired(START + 5)
         self.assertIsNone(targets.state("m1"))
         targets.put(target("m1"), START + 6)
         self.assertTrue(self.is_cold(targets.state("m1"), START + 8.9))
@@ -356,7 +356,7 @@
 
     def setUp(self):
         super().setUp()
-        self.desk = Desk([target(f"m{n}", slots=64) for n in (1, 2)])
+        self.desk = ForwardingHarness([target(f"m{n}", slots=64) for n in (1, 2)])
         self.count_for("r0", 1)
 
     def count_for(self, name, routers):
--- a/tests/support/entry_site.py
+++ b/tests/support/entry_site.py
@@ -18,9 +18,9 @@
 from primrosescale.platform.http_codec import PlatformCodec
 from primrosescale.platform.object_platform import ObjectPlatform
 from primrosescale.process.entry.entry_metrics import EntryMetrics
-from primrosescale.process.entry.entry_parts import EntryParts
+from primrosescale.process.entry.entry_parts import EntryDependencies
 from primrosescale.process.entry.entry_settings import EntrySettings
-from primrosescale.process.entry.entry_settings import EntryWatches
+from primrosescale.process.entry.entry_settings import WatchedPrefixes
 from primrosescale.process.entry.store_watch import WatchedPrefix
 from primrosescale.process.events import EventLog
 from primrosescale.request.repeat_budget import SharedRetryLimits
@@ -153,7 +153,7 @@
 
 def router_watches(targets_wait=0.3):
     """Return the store prefixes that a router watches, with short waits."""
-    return EntryWatches(
+    return WatchedPrefixes(
         configuration=WatchedPrefix(
             records.CONFIGURATION, 0.3, reads_after_failure=True
         ),
@@ -162,11 +162,11 @@
     )
 
 
-def router_parts(store, name, events, reread, *, caches=None, early=None):
+def router_dependencies(store, name, events, reread, *, caches=None, early=None):
     """Return the collaborators of a router; its events are appended to a list."""
     log = EventLog(name)
     log.emit = lambda event, **said: events.append((event.name, said))
-    return EntryParts(
+    return EntryDependencies(
         reactor=reactor,
         platform=ObjectPlatform(reactor, store, 0.5),
         codec=PlatformCodec(),
--- a/tests/support/harm_fleet.py
+++ b/tests/support/harm_fleet.py
@@ -12,9 +12,9 @@
 from types import SimpleNamespace
 
 from primrosescale.process.entry.entry_metrics import EntryMetrics
-from primrosescale.process.entry.harm_news import HarmNews
+from primrosescale.process.entry.harm_news import HarmReportExchange
 from primrosescale.process.entry.harm_watch import EntryHarmMonitor
-from primrosescale.process.entry.router_news import RouterNews
+from primrosescale.process.entry.router_news import StateExchange
 from primrosescale.request.direct_port import AnswerHead
 from primrosescale.request.direct_port import CallerSink
 from primrosescale.request.direct_port import Run
@@ -194,11 +194,11 @@
             emit=lambda event, **said: self.events.append((self.name, event, said))
         )
         self.requests = HarmfulRequests(self.fleet.harm_settings)
-        self.harm_news = HarmNews(self.requests, log)
+        self.harm_news = HarmReportExchange(self.requests, log)
         self._watch_parts = SimpleNamespace(
             reactor=self.fleet.clock, log=log, metrics=EntryMetrics()
         )
-        return RouterNews(
+        return StateExchange(
             self.name,
             incarnation,
             self.targets,
@@ -218,7 +218,7 @@
             self.targets,
             caller,
             self._watch_parts,
-            self.exchange.tell_soon,
+            self.exchange.send_soon,
         )
         budget = SharedRetryBudget(SharedRetryLimits(0.2, 10.0, 60.0))
         self.tools = ForwardingContext(
--- a/tests/support/router_fleet.py
+++ b/tests/support/router_fleet.py
@@ -15,10 +15,10 @@
 from collections import OrderedDict
 
 from primrosescale.connection.endpoint import Endpoint
-from primrosescale.process.entry.cache_shares import CacheShares
-from primrosescale.process.entry.other_router import OtherRouter
-from primrosescale.process.entry.router_exchange import NewsExchange
-from primrosescale.process.entry.router_news import RouterNews
+from primrosescale.process.entry.cache_shares import CacheOwnership
+from primrosescale.process.entry.other_router import PeerRouter
+from primrosescale.process.entry.router_exchange import StateExchangeProtocol
+from primrosescale.process.entry.router_news import StateExchange
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.freshness import Freshness
 from primrosescale.request.incoming import Prompt
@@ -204,14 +204,14 @@
         self.freshness = Freshness(5.0)
         self.router_shares = RouterShares(self.name)
         self.news = self._build_news(incarnation)
-        self.shares = CacheShares(
+        self.shares = CacheOwnership(
             self.name,
             self.targets,
             self.parts,
             lambda: self.news.others,
             self.news.find,
         )
-        self.exchange = NewsExchange(
+        self.exchange = StateExchangeProtocol(
             self.news,
             lambda: 1,
             lambda: False,
@@ -226,12 +226,12 @@
             random.Random(f"{self.number} {incarnation}"),
             lambda: self.news.age(clock.seconds()),
             lambda: self.news.is_relayed,
-            unlisted_of=self.targets.unlisted_of,
+            recently_delisted=self.targets.recently_delisted,
             own_share=self.router_shares.own_permits,
         )
 
     def _build_news(self, incarnation):
-        return RouterNews(
+        return StateExchange(
             self.name,
             incarnation,
             self.targets,
@@ -243,7 +243,7 @@
 
     def as_listed(self):
         endpoint = Endpoint("10.0.0.1", self.number)
-        return OtherRouter(self.name, endpoint, self.domain)
+        return PeerRouter(self.name, endpoint, self.domain)
 
 
 class Fleet:
@@ -327,7 +327,7 @@
 
     def _delist(self, router, name):
         router.targets.remove(name, 0.0)
-        for incarnation in router.targets.forget_gone(self.clock.seconds() + 9):
+        for incarnation in router.targets.forget_expired(self.clock.seconds() + 9):
             router.parts.forget_target(incarnation)
 
     def carry(self, sender, frame, number):
@@ -393,7 +393,7 @@
         if wanted is not None and router.parts.record_own_request(
             state.incarnation, wanted.parts, now, is_expected=choice.is_home
         ):
-            router.exchange.tell_soon()
+            router.exchange.send_soon()
         source = choice.fetch_from
         self.clock.callLater(
             LINK_SECONDS, self._arrive, router, state, kind, wanted, source
