--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -13,12 +13,12 @@
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.connection.wire.ttypes import MemberState
 from primrosescale.process.configuration.version_keeper import SectionSource
-from primrosescale.process.configuration.version_keeper import VersionKeeper
+from primrosescale.process.configuration.version_keeper import VersionManager
 from primrosescale.process.configuration.version_keeper import VersionObserver
 from primrosescale.process.membership.load_sums import AgentSums
 from primrosescale.process.membership.load_sums import DomainSums
 from primrosescale.process.membership.load_sums import FleetSums
-from primrosescale.process.membership.load_sums import SumSettings
+from primrosescale.process.membership.load_sums import LoadReportSettings
 from primrosescale.request.admission import AdmissionController
 from primrosescale.request.admission import AdmissionSettings
 from primrosescale.request.candidates import Locality
@@ -32,7 +32,7 @@
 from primrosescale.request.target_health import HealthSettings
 from primrosescale.request.target_health import TargetHealth
 from primrosescale.version.bundle import Bundle
-from primrosescale.version.head import HeadCheck
+from primrosescale.version.head import HeadVerifier
 from primrosescale.version.head import VersionHead
 from primrosescale.version.section import build_tree
 from support import save
@@ -109,7 +109,7 @@
         raise RuntimeError(detail)
 
 
-class Trusting(HeadCheck):
+class Trusting(HeadVerifier):
     def verify(self, head):
         pass
 
@@ -128,7 +128,7 @@
         f"[organisation org-{n:05d}]\nkey_hashes = {n:064x}\nteam = t\nweight = 2\n"
         for n in range(organisations)
     )
-    keeper = VersionKeeper(Trusting({}), Quiet(), needs_organisations=True)
+    keeper = VersionManager(Trusting({}), Quiet(), needs_organisations=True)
     trees = []
     for version in range(1, 12):
         changed = (
@@ -156,9 +156,9 @@
 def main():
     delta, apply_us, root = change_cost(14_000)
     rng = random.Random(1)
-    sums = AgentSums(SumSettings(), "r")
-    domain = DomainSums(SumSettings(), "d", "r")
-    fleet = FleetSums(SumSettings())
+    sums = AgentSums(LoadReportSettings(), "r")
+    domain = DomainSums(LoadReportSettings(), "d", "r")
+    fleet = FleetSums(LoadReportSettings())
     for number in range(52):
         domain.hear(report(number), 0.0)
     for name in range(8):
--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -12,7 +12,7 @@
 from primrosescale.request.serving_target import ServingTarget
 from primrosescale.version.routing_table import CallerLimits
 from primrosescale.version.routing_table import Organisation
-from primrosescale.version.routing_table import Repeatability
+from primrosescale.version.routing_table import RetryPolicy
 from primrosescale.version.routing_table import Route
 from primrosescale.version.routing_table import RoutingTable
 from primrosescale.version.routing_table import Service
@@ -30,9 +30,9 @@
 EVACUATIONS = "evacuations/"
 
 REPEATABILITY = {
-    "safe": Repeatability.IDEMPOTENT,
-    "unsafe": Repeatability.ONCE,
-    "streaming": Repeatability.STREAM,
+    "safe": RetryPolicy.IDEMPOTENT,
+    "unsafe": RetryPolicy.ONCE,
+    "streaming": RetryPolicy.STREAM,
 }
 # Limits for a version that names none; those of the users' deployments.
 DEFAULT_LIMITS: dict[str, float] = {
@@ -229,7 +229,7 @@
         host=item.text("host").lower(),
         path_prefix=prefix,
         services=_services(item),
-        repeatability=REPEATABILITY.get(item.text("kind"), Repeatability.ONCE),
+        retry_policy=REPEATABILITY.get(item.text("kind"), RetryPolicy.ONCE),
         is_resumable=item.flag_or("resume_streams", absent=False),
         # "sticky" only says that requests describe their prompts.
         has_prompt=item.flag_or("sticky", absent=False),
--- a/src/primrosescale/process/administration/administration.py
+++ b/src/primrosescale/process/administration/administration.py
@@ -27,11 +27,11 @@
 from primrosescale.version.head import NO_HEAD
 from primrosescale.version.head import VersionHead
 from primrosescale.version.records import ANY_TEAM
-from primrosescale.version.records import SCATTERED_KIND
+from primrosescale.version.records import SHARDED_KIND
 from primrosescale.version.section import Root
 from primrosescale.version.section import Section
 from primrosescale.version.section import build_tree
-from primrosescale.version.section import decode_group
+from primrosescale.version.section import decode_index
 from primrosescale.version.section import decode_leaf
 
 if TYPE_CHECKING:
@@ -39,9 +39,9 @@
     from collections.abc import Generator
 
     from primrosescale.clock import Clock
-    from primrosescale.process.configuration.version_keeper import VersionKeeper
+    from primrosescale.process.configuration.version_keeper import VersionManager
     from primrosescale.process.transport.platform import Platform
-    from primrosescale.version.head import HeadCheck
+    from primrosescale.version.head import HeadVerifier
     from primrosescale.version.records import OperatorRecord
 
 SIGN_OFF_PREFIX = "config/sign-offs/"
@@ -98,9 +98,9 @@
     ----------
     platform : Platform
         Object store for sections, sign-offs, the head and the audit trail.
-    keeper : VersionKeeper
+    keeper : VersionManager
         Cache of sections, so that known ones are not read again.
-    check : HeadCheck
+    check : HeadVerifier
         Verifies signatures of trusted approvers.
     clock : Clock
         Source of timers.
@@ -111,8 +111,8 @@
     def __init__(
         self,
         platform: Platform,
-        keeper: VersionKeeper,
-        check: HeadCheck,
+        keeper: VersionManager,
+        check: HeadVerifier,
         clock: Clock,
         wall_clock: Callable[[], float],
     ) -> None:
@@ -273,7 +273,7 @@
         root = yield self.root(digest)
         records = {}
         for branch in root.groups:
-            levels = 3 if branch.label == SCATTERED_KIND else 1
+            levels = 3 if branch.label == SHARDED_KIND else 1
             leaves = yield self._leaves(branch.digest, levels)
             for leaf in leaves:
                 records.update({text.name: text for text in decode_leaf(leaf)})
@@ -286,7 +286,7 @@
         if not levels:
             return [section]
         found: list[Section] = []
-        for branch in decode_group(section):
+        for branch in decode_index(section):
             part = yield self._leaves(branch.digest, levels - 1)
             found.extend(part)
         return found
--- a/src/primrosescale/process/configuration/version_keeper.py
+++ b/src/primrosescale/process/configuration/version_keeper.py
@@ -22,10 +22,10 @@
 from primrosescale.version.exceptions import HeadError
 from primrosescale.version.exceptions import SectionError
 from primrosescale.version.head import NO_HEAD
-from primrosescale.version.records import SCATTERED_KIND
+from primrosescale.version.records import SHARDED_KIND
 from primrosescale.version.section import Root
 from primrosescale.version.section import Section
-from primrosescale.version.section import decode_group
+from primrosescale.version.section import decode_index
 from primrosescale.version.section import decode_leaf
 from primrosescale.version.view import GroupView
 from primrosescale.version.view import VersionView
@@ -37,7 +37,7 @@
     from twisted.python.failure import Failure
 
     from primrosescale.ini.exceptions import Fault
-    from primrosescale.version.head import HeadCheck
+    from primrosescale.version.head import HeadVerifier
     from primrosescale.version.head import VersionHead
     from primrosescale.version.records import Record
     from primrosescale.version.section import Branch
@@ -111,7 +111,7 @@
         """
 
 
-class VersionKeeper:
+class VersionManager:
     """Pulls versions of the configuration and keeps one in force in a process.
 
     Sections of replaced versions are retained up to a limit, so that other
@@ -119,7 +119,7 @@
 
     Parameters
     ----------
-    check : HeadCheck
+    check : HeadVerifier
         Verifies announced heads and decides which are newer.
     observer : VersionObserver
         Notified of adopted, refused and failed versions.
@@ -129,7 +129,7 @@
 
     def __init__(
         self,
-        check: HeadCheck,
+        check: HeadVerifier,
         observer: VersionObserver,
         *,
         needs_organisations: bool,
@@ -247,12 +247,12 @@
             )
         groups: list[GroupView] = []
         for branch in root.groups:
-            if branch.label != SCATTERED_KIND:
+            if branch.label != SHARDED_KIND:
                 group = yield self._pull_group(branch, source, collected)
                 groups.append(group)
             elif self._needs_organisations:
                 index = yield self._pull_section(branch.digest, source, collected)
-                for part in decode_group(index):
+                for part in decode_index(index):
                     group = yield self._pull_group(
                         part, source, collected, is_deep=True
                     )
@@ -277,12 +277,12 @@
                 collected[digest] = self._sections[digest]
             return old
         section = yield self._pull_section(branch.digest, source, collected)
-        digests = [part.digest for part in decode_group(section)]
+        digests = [part.digest for part in decode_index(section)]
         indexes: list[str] = []
         if is_deep:
             indexes = digests
             subgroups = yield self._pull_sections(indexes, source, collected)
-            digests = [leaf.digest for sub in subgroups for leaf in decode_group(sub)]
+            digests = [leaf.digest for sub in subgroups for leaf in decode_index(sub)]
         sections = yield self._pull_sections(digests, source, collected)
         known = {} if old is None else old.leaves
         leaves = {
--- a/src/primrosescale/process/daemons/agent.py
+++ b/src/primrosescale/process/daemons/agent.py
@@ -14,7 +14,7 @@
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.connection.wire.ttypes import MemberState
 from primrosescale.process.configuration.section_sources import LinkSources
-from primrosescale.process.configuration.version_keeper import VersionKeeper
+from primrosescale.process.configuration.version_keeper import VersionManager
 from primrosescale.process.configuration.version_keeper import VersionObserver
 from primrosescale.process.daemons.agent_core import AgentCore
 from primrosescale.process.daemons.agent_core import AgentCoreSettings
@@ -30,11 +30,11 @@
 from primrosescale.process.ledger.remote_ledger import RemoteLedger
 from primrosescale.process.membership.heartbeat import AgentState
 from primrosescale.process.membership.heartbeat import Heartbeat
-from primrosescale.process.membership.heartbeat import HeartbeatHost
+from primrosescale.process.membership.heartbeat import HeartbeatAgent
 from primrosescale.process.metrics import Metric
 from primrosescale.process.settings import parse_endpoint
 from primrosescale.request.candidates import TargetRing
-from primrosescale.version.head import HeadCheck
+from primrosescale.version.head import HeadVerifier
 
 if TYPE_CHECKING:
     from collections.abc import Generator
@@ -65,7 +65,7 @@
 
 class Agent(
     LinkHandler,
-    HeartbeatHost,
+    HeartbeatAgent,
     AgentObserver,
     VersionObserver,
     OrderObserver,
@@ -135,8 +135,8 @@
             self,
             reactor,
         )
-        self._keeper = VersionKeeper(
-            HeadCheck(settings.approvers),
+        self._keeper = VersionManager(
+            HeadVerifier(settings.approvers),
             self,
             needs_organisations=False,
         )
@@ -168,7 +168,7 @@
         return self._core
 
     @property
-    def keeper(self) -> VersionKeeper:
+    def keeper(self) -> VersionManager:
         """Return its versions."""
         return self._keeper
 
@@ -249,7 +249,7 @@
         self._log(Event.PROCESS_STOPPED)
 
     def describe(self) -> AgentState:
-        """Return what the heartbeat says; see `HeartbeatHost.describe`."""
+        """Return what the heartbeat says; see `HeartbeatAgent.describe`."""
         return AgentState(
             self._core.admission.load,
             self._state,
@@ -257,16 +257,16 @@
             self._core.health.failure_share,
         )
 
-    def hear_mean(self, view: ServiceLoad) -> None:
-        """Take in the mean; see `HeartbeatHost.hear_mean`."""
+    def update_mean(self, view: ServiceLoad) -> None:
+        """Take in the mean; see `HeartbeatAgent.update_mean`."""
         self._core.bound.hear(view)
 
-    def hear_head(self, head: VersionHead, link: Link) -> None:
-        """Take in the head; see `HeartbeatHost.hear_head`."""
+    def update_head(self, head: VersionHead, link: Link) -> None:
+        """Take in the head; see `HeartbeatAgent.update_head`."""
         self._keeper.hear(head, self._sources.of(link))
 
-    def hear_targets(self, targets: list[wire.HostEntry]) -> None:
-        """Take in the targets; see `HeartbeatHost.hear_targets`."""
+    def set_known_targets(self, targets: list[wire.HostEntry]) -> None:
+        """Take in the targets; see `HeartbeatAgent.set_known_targets`."""
         self._successors = targets
 
     def link_ready(self, link: Link) -> None:
--- a/src/primrosescale/process/daemons/router.py
+++ b/src/primrosescale/process/daemons/router.py
@@ -18,7 +18,7 @@
 from primrosescale.process.administration.admin_resource import OperatorKeys
 from primrosescale.process.administration.administration import Administration
 from primrosescale.process.configuration.section_sources import LinkSources
-from primrosescale.process.configuration.version_keeper import VersionKeeper
+from primrosescale.process.configuration.version_keeper import VersionManager
 from primrosescale.process.configuration.version_keeper import VersionObserver
 from primrosescale.process.daemons.daemon import LinkFactory
 from primrosescale.process.daemons.daemon import Tools
@@ -30,7 +30,7 @@
 from primrosescale.process.ledger.ledger_bucket import bucket_of
 from primrosescale.process.membership.fleet_status import fleet_status
 from primrosescale.process.membership.members import Members
-from primrosescale.process.membership.order import first_in_order
+from primrosescale.process.membership.order import first_by_rendezvous
 from primrosescale.process.metrics import Metric
 from primrosescale.process.settings import parse_endpoint
 from primrosescale.process.transport.bounded_request import BoundedRequest
@@ -48,7 +48,7 @@
 from primrosescale.request.retry_budget import RetryBudgets
 from primrosescale.request.routed_call import RoutedCall
 from primrosescale.request.target_loads import TargetLoads
-from primrosescale.version.head import HeadCheck
+from primrosescale.version.head import HeadVerifier
 
 if TYPE_CHECKING:
     from collections.abc import Generator
@@ -107,8 +107,8 @@
         reactor = tools.reactor
         self._locality = Locality(process.region, process.domain)
         self._members = Members(settings.members, self._locality)
-        self._keeper = VersionKeeper(
-            HeadCheck(settings.approvers),
+        self._keeper = VersionManager(
+            HeadVerifier(settings.approvers),
             self,
             needs_organisations=True,
         )
@@ -164,7 +164,7 @@
         return self._members
 
     @property
-    def keeper(self) -> VersionKeeper:
+    def keeper(self) -> VersionManager:
         """Return its versions."""
         return self._keeper
 
@@ -318,7 +318,7 @@
         bucket = bucket_of(digest, self._settings.ledger.buckets)
         routers = self._members.routers("", self.now())
         names = [member.entry.name for member in routers]
-        first = first_in_order(names, f"bucket {bucket}", 1)
+        first = first_by_rendezvous(names, f"bucket {bucket}", 1)
         member = self._members.get(first[0]) if first else None
         return "" if member is None else str(member.endpoint)
 
@@ -461,7 +461,7 @@
         administration = Administration(
             self._platform,
             self._keeper,
-            HeadCheck(settings.approvers),
+            HeadVerifier(settings.approvers),
             self._tools.reactor,
             self._tools.wall_clock,
         )
--- a/src/primrosescale/process/daemons/router_control.py
+++ b/src/primrosescale/process/daemons/router_control.py
@@ -19,13 +19,13 @@
 from primrosescale.process.configuration.wire_head import from_wire
 from primrosescale.process.configuration.wire_head import to_wire
 from primrosescale.process.exceptions import PlatformError
-from primrosescale.process.membership.host_changes import CHANGES_LIMIT
+from primrosescale.process.membership.host_changes import MAX_CHANGES_PER_MESSAGE
 from primrosescale.process.membership.host_changes import HostChanges
-from primrosescale.process.membership.load_sums import AGGREGATORS
+from primrosescale.process.membership.load_sums import AGGREGATORS_PER_DOMAIN
 from primrosescale.process.membership.load_sums import AgentSums
 from primrosescale.process.membership.load_sums import DomainSums
 from primrosescale.process.membership.load_sums import FleetSums
-from primrosescale.process.membership.order import first_in_order
+from primrosescale.process.membership.order import first_by_rendezvous
 from primrosescale.request.rate_limit import DemandRate
 from primrosescale.version.exceptions import HeadError
 from primrosescale.version.head import NO_HEAD
@@ -39,8 +39,8 @@
     from primrosescale.connection.link import Link
     from primrosescale.connection.pool import LinkPool
     from primrosescale.process.configuration.section_sources import LinkSources
-    from primrosescale.process.configuration.version_keeper import VersionKeeper
-    from primrosescale.process.membership.load_sums import SumSettings
+    from primrosescale.process.configuration.version_keeper import VersionManager
+    from primrosescale.process.membership.load_sums import LoadReportSettings
     from primrosescale.process.membership.members import Member
     from primrosescale.process.membership.members import Members
     from primrosescale.process.transport.platform import Platform
@@ -118,11 +118,11 @@
     ----------
     identity : Identity
         Who this router is.
-    settings : SumSettings
+    settings : LoadReportSettings
         Times.
     members : Members
         Hosts.
-    keeper : VersionKeeper
+    keeper : VersionManager
         Versions.
     limiter : OrganisationRateLimiter
         Limits of organisations.
@@ -143,9 +143,9 @@
     def __init__(
         self,
         identity: Identity,
-        settings: SumSettings,
+        settings: LoadReportSettings,
         members: Members,
-        keeper: VersionKeeper,
+        keeper: VersionManager,
         limiter: OrganisationRateLimiter,
         platform: Platform,
         pool: LinkPool,
@@ -219,7 +219,7 @@
             yield deferLater(cast("Any", self._clock), self._settings.interval)
 
     @property
-    def means_age(self) -> float:
+    def load_report_age(self) -> float:
         """Return the seconds since the means were heard."""
         return self._clock.seconds() - self._means_at
 
@@ -254,7 +254,7 @@
             return
         now = self._clock.seconds()
         for notice in self._agents.expire(now):
-            self._members.take_notice(notice, now)
+            self._members.apply_notice(notice, now)
             self._observer.news(notice)
         self._members.tick(now)
         aggregators = self._aggregators(self._identity.domain)
@@ -326,7 +326,7 @@
         now = self._clock.seconds()
         notice = self._agents.hear(beat, now)
         if notice is not None:
-            self._members.take_notice(notice, now)
+            self._members.apply_notice(notice, now)
             self._observer.news(notice)
         version = self._members.list_version
         routers: list[wire.HostEntry] = []
@@ -369,7 +369,7 @@
         if entries is None:
             # The platform may be down, so what is known here goes along.
             known = report.list_version
-            entries = self._members.entries_after(known, CHANGES_LIMIT)
+            entries = self._members.entries_after(known, MAX_CHANGES_PER_MESSAGE)
         link.send(
             wire.PeerReply(
                 sequence=report.sequence,
@@ -421,7 +421,7 @@
             self._list_later(now)
         if reply.changes:
             version = reply.changes[-1].version
-            self._members.take_list(reply.changes, version, now, is_full=False)
+            self._members.apply_list(reply.changes, version, now, is_full=False)
         for notice in reply.notices:
             self._take_notice(notice, now)
         for rate in reply.rates:
@@ -455,8 +455,8 @@
         link.send(wire.SectionReply(message.digest, section is not None, data))
 
     def _take_notice(self, notice: wire.MemberNotice, now: float) -> None:
-        if self._agents.hear_notice(notice, now):
-            self._members.take_notice(notice, now)
+        if self._agents.accept_notice(notice, now):
+            self._members.apply_notice(notice, now)
 
     def _aggregate(self, now: float) -> None:
         """Sum up the domain and tell the aggregators of the others."""
@@ -493,7 +493,7 @@
     def _aggregators(self, domain: str) -> list[str]:
         now = self._clock.seconds()
         names = [member.entry.name for member in self._members.routers(domain, now)]
-        return first_in_order(names, AGGREGATOR_KEY, AGGREGATORS)
+        return first_by_rendezvous(names, AGGREGATOR_KEY, AGGREGATORS_PER_DOMAIN)
 
     def _send_to_router(self, name: str, message: Message) -> None:
         member = self._members.get(name)
@@ -546,7 +546,7 @@
         if found.is_full or found.entries:
             now = self._clock.seconds()
             entries = list(found.entries)
-            self._members.take_list(entries, found.version, now, is_full=found.is_full)
+            self._members.apply_list(entries, found.version, now, is_full=found.is_full)
             self._changes.take(entries, found.version, is_full=found.is_full)
 
     @inlineCallbacks
--- a/src/primrosescale/process/entry/cache_shares.py
+++ b/src/primrosescale/process/entry/cache_shares.py
@@ -15,7 +15,7 @@
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.process.entry.load_codec import MILLISECONDS_PER_SECOND
 from primrosescale.process.entry.target_keys import target_key
-from primrosescale.process.membership.order import first_in_order
+from primrosescale.process.membership.order import first_by_rendezvous
 from primrosescale.request.part_directory import PartUse
 
 if TYPE_CHECKING:
@@ -100,7 +100,7 @@
         return [
             state
             for state in self._targets.states
-            if first_in_order(names, state.target.name, 1) == [self._name]
+            if first_by_rendezvous(names, state.target.name, 1) == [self._name]
         ]
 
     def unanswered_targets(self) -> list[TargetState]:
@@ -117,9 +117,9 @@
         found = {
             state.target.name: state
             for state in self._targets.states
-            if first_in_order(names, state.target.name, 1)[0] in silent
+            if first_by_rendezvous(names, state.target.name, 1)[0] in silent
         }
-        return [found[name] for name in first_in_order(found, self._name, len(found))]
+        return [found[name] for name in first_by_rendezvous(found, self._name, len(found))]
 
     def new_request(self) -> wire.CacheQuestion:
         """Return the request to other routers after a start.
--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -43,7 +43,7 @@
 from primrosescale.process.entry.text_site import TextSite
 from primrosescale.process.events import Event
 from primrosescale.process.incarnation import new_incarnation
-from primrosescale.process.log_text import LOGGED_CHARACTERS
+from primrosescale.process.log_text import MAX_LOGGED_CHARACTERS
 from primrosescale.request.cold_targets import ColdTargets
 from primrosescale.request.content_fingerprint import fingerprint_text
 from primrosescale.request.direct_port import Refusal
@@ -430,8 +430,8 @@
         self._log.emit(
             Event.REQUEST_ENDED,
             request=head.request_id,
-            host=head.host[:LOGGED_CHARACTERS],
-            path=head.path.decode("latin-1")[:LOGGED_CHARACTERS],
+            host=head.host[:MAX_LOGGED_CHARACTERS],
+            path=head.path.decode("latin-1")[:MAX_LOGGED_CHARACTERS],
             has_key=bool(head.key),
             outcome=f"refused: {refusal.name.lower()}",
             version=None if table is None else table.version,
--- a/src/primrosescale/process/entry/news_paths.py
+++ b/src/primrosescale/process/entry/news_paths.py
@@ -17,7 +17,7 @@
 from primrosescale.ini.options import COUNT
 from primrosescale.ini.options import SECONDS
 from primrosescale.ini.options import option
-from primrosescale.process.membership.order import first_in_order
+from primrosescale.process.membership.order import first_by_rendezvous
 
 # A domain has at least two relays, so that one may be lost.
 MIN_RELAYS_PER_DOMAIN = 2
@@ -225,7 +225,7 @@
         str | None
             Its name; None if there is no other router in the domain.
         """
-        first = first_in_order(self.own_relays(now), self._name, 1)
+        first = first_by_rendezvous(self.own_relays(now), self._name, 1)
         return first[0] if first else None
 
     def peer_relays(self, now: float) -> list[str]:
@@ -289,7 +289,7 @@
         order = self._orders.get(domain)
         if order is None:
             names = self._domains[domain]
-            order = first_in_order(names, domain, len(names))
+            order = first_by_rendezvous(names, domain, len(names))
             self._orders[domain] = order
         count = max(
             MIN_RELAYS_PER_DOMAIN, -(-len(order) // self._settings.routers_a_relay)
--- a/src/primrosescale/process/entry/target_caller.py
+++ b/src/primrosescale/process/entry/target_caller.py
@@ -18,7 +18,7 @@
 from twisted.web.iweb import UNKNOWN_LENGTH
 
 from primrosescale.connection.failure_text import failure_text
-from primrosescale.connection.rest_limit import RestLimit
+from primrosescale.connection.rest_limit import IdleLimit
 from primrosescale.connection.target_channel import ChannelPool
 from primrosescale.process.transport.http_bodies import body_producer
 from primrosescale.request.direct_port import Run
@@ -276,7 +276,7 @@
         self._states: dict[str, list[_IncarnationState]] = {}
         # Shared by all targets: idle connections are rarely dropped by one target
         # alone, rather by something in front of them.
-        self._rest_limit = RestLimit()
+        self._rest_limit = IdleLimit()
 
     def send(self, sending: OutgoingRequest, observer: ResponseObserver) -> Run:
         """Send a request; see `TargetClient.send`."""
--- a/src/primrosescale/process/membership/flap_damper.py
+++ b/src/primrosescale/process/membership/flap_damper.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MemberSettings:
+class MembershipSettings:
     """Suspicion of hosts and damping of flapping targets."""
 
     suspect_for: float = option(
@@ -39,11 +39,11 @@
 
     Parameters
     ----------
-    settings : MemberSettings
+    settings : MembershipSettings
         Penalty, limit and half-life.
     """
 
-    def __init__(self, settings: MemberSettings) -> None:
+    def __init__(self, settings: MembershipSettings) -> None:
         self._settings = settings
         self._penalties: dict[str, float] = {}
         self._updated_at: dict[str, float] = {}
--- a/src/primrosescale/process/membership/fleet_status.py
+++ b/src/primrosescale/process/membership/fleet_status.py
@@ -7,13 +7,13 @@
 
 if TYPE_CHECKING:
     from primrosescale.connection.wire import ttypes as wire
-    from primrosescale.process.configuration.version_keeper import VersionKeeper
+    from primrosescale.process.configuration.version_keeper import VersionManager
     from primrosescale.process.daemons.router_control import RouterControl
 
 
 def fleet_status(
     router: str,
-    keeper: VersionKeeper,
+    keeper: VersionManager,
     control: RouterControl,
 ) -> dict[str, Any]:
     """Return the status of the fleet for the administration API.
@@ -22,7 +22,7 @@
     ----------
     router : str
         Name of the router that answers.
-    keeper : VersionKeeper
+    keeper : VersionManager
         Configuration versions of that router.
     control : RouterControl
         Control traffic of that router, which receives domain reports.
@@ -48,7 +48,7 @@
         "in_force_everywhere": bool(lowest) and min(lowest) >= keeper.version > 0,
         "lowest_version": min(lowest, default=0),
         "older_versions_in_use": keeper.retired,
-        "news_age": round(control.means_age, 3),
+        "news_age": round(control.load_report_age, 3),
         "domains": domains,
     }
 
--- a/src/primrosescale/process/membership/heartbeat.py
+++ b/src/primrosescale/process/membership/heartbeat.py
@@ -12,14 +12,14 @@
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.process.configuration.wire_head import from_wire
-from primrosescale.process.membership.order import first_in_order
+from primrosescale.process.membership.order import first_by_rendezvous
 from primrosescale.request.load_bound import ServiceLoad
 
 if TYPE_CHECKING:
     from primrosescale.clock import Clock
     from primrosescale.connection.link import Link
     from primrosescale.connection.pool import LinkPool
-    from primrosescale.process.membership.load_sums import SumSettings
+    from primrosescale.process.membership.load_sums import LoadReportSettings
     from primrosescale.version.head import VersionHead
 
 MILLISECONDS_PER_SECOND = 1000
@@ -50,7 +50,7 @@
     error_share: float
 
 
-class HeartbeatHost(ABC):
+class HeartbeatAgent(ABC):
     """Interface of the agent whose heartbeats are sent."""
 
     @abstractmethod
@@ -58,7 +58,7 @@
         """Return the agent's current state."""
 
     @abstractmethod
-    def hear_mean(self, view: ServiceLoad) -> None:
+    def update_mean(self, view: ServiceLoad) -> None:
         """Update the mean load of the agent's service.
 
         Parameters
@@ -68,7 +68,7 @@
         """
 
     @abstractmethod
-    def hear_head(self, head: VersionHead, link: Link) -> None:
+    def update_head(self, head: VersionHead, link: Link) -> None:
         """Handle the head of the accepted version.
 
         Parameters
@@ -80,7 +80,7 @@
         """
 
     @abstractmethod
-    def hear_targets(self, targets: list[wire.HostEntry]) -> None:
+    def set_known_targets(self, targets: list[wire.HostEntry]) -> None:
         """Set the targets of the service, which routers send to a leaving agent.
 
         Parameters
@@ -107,11 +107,11 @@
         Its incarnation.
     seeds : list[Endpoint]
         Routers to report to before the list of routers is received.
-    settings : SumSettings
+    settings : LoadReportSettings
         Heartbeat interval.
     pool : LinkPool
         Connections to routers.
-    host : HeartbeatHost
+    host : HeartbeatAgent
         The agent.
     clock : Clock
         Source of the current time.
@@ -123,9 +123,9 @@
         service: str,
         incarnation: int,
         seeds: list[Endpoint],
-        settings: SumSettings,
+        settings: LoadReportSettings,
         pool: LinkPool,
-        host: HeartbeatHost,
+        host: HeartbeatAgent,
         clock: Clock,
     ) -> None:
         self._agent_name = agent
@@ -150,14 +150,14 @@
         return self._current
 
     @property
-    def is_heard(self) -> bool:
+    def has_recent_reply(self) -> bool:
         """Return whether a router has answered one of the last heartbeats."""
         return self._sequence - self._answered_sequence <= MAX_MISSED_HEARTBEATS
 
     def beat(self) -> None:
         """Send a heartbeat; change the router when the last ones went unanswered."""
         now = self._clock.seconds()
-        if not self.is_heard and self._current is not None:
+        if not self.has_recent_reply and self._current is not None:
             self._avoided_until[self._current] = now + AVOID_SECONDS
             self._pool.drop(self._current, "router did not answer the last heartbeats")
             self._answered_sequence = self._sequence
@@ -200,17 +200,17 @@
         self._answered_sequence = max(self._answered_sequence, message.sequence)
         for mean in message.means:
             if mean.service_name == self._service:
-                self._agent.hear_mean(self._pair_with_own_load(mean, now))
+                self._agent.update_mean(self._pair_with_own_load(mean, now))
         head = message.head
         if head.version:
-            self._agent.hear_head(from_wire(head), link)
+            self._agent.update_head(from_wire(head), link)
         if message.routers:
             self._routers = [
                 Endpoint(entry.address, entry.port) for entry in message.routers
             ]
         self._list_version = message.list_version
         if message.targets:
-            self._agent.hear_targets(message.targets)
+            self._agent.set_known_targets(message.targets)
 
     def _pair_with_own_load(self, mean: wire.ServiceMean, now: float) -> ServiceLoad:
         """Pair the mean load with this agent's load at the time of the reports."""
@@ -230,7 +230,7 @@
         )
         choice = choice or self._routers or self._seeds
         by_name = {str(endpoint): endpoint for endpoint in choice}
-        first = first_in_order(by_name, self._agent_name, 1)
+        first = first_by_rendezvous(by_name, self._agent_name, 1)
         return by_name[first[0]] if first else None
 
     def _not_avoided(self, endpoints: list[Endpoint], now: float) -> list[Endpoint]:
--- a/src/primrosescale/process/membership/host_changes.py
+++ b/src/primrosescale/process/membership/host_changes.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from primrosescale.connection.wire import ttypes as wire
 
-CHANGES_LIMIT = 200
+MAX_CHANGES_PER_MESSAGE = 200
 MAX_CHANGES_KEPT = 4000
 
 
@@ -59,12 +59,12 @@
         Returns
         -------
         list[wire.HostEntry] | None
-            At most `CHANGES_LIMIT`; None when they are no longer retained.
+            At most `MAX_CHANGES_PER_MESSAGE`; None when they are no longer retained.
         """
         if version < self._complete_since:
             return None
         newer = [entry for entry in self._entries if entry.version > version]
-        return newer[:CHANGES_LIMIT]
+        return newer[:MAX_CHANGES_PER_MESSAGE]
 
     @property
     def version(self) -> int:
--- a/src/primrosescale/process/membership/load_sums.py
+++ b/src/primrosescale/process/membership/load_sums.py
@@ -18,19 +18,19 @@
 from primrosescale.ini.options import SECONDS
 from primrosescale.ini.options import option
 from primrosescale.process.membership.notice_board import MAX_NOTICES
-from primrosescale.process.membership.notice_board import NoticeBoard
+from primrosescale.process.membership.notice_board import PendingNotices
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
 MILLISECONDS_PER_SECOND = 1000
 MAX_LAGGARDS = 20
-AGGREGATORS = 2
+AGGREGATORS_PER_DOMAIN = 2
 OVERDUE_INTERVALS = 1.5
 
 
 @dataclass(frozen=True, slots=True)
-class SumSettings:
+class LoadReportSettings:
     """Intervals and time-outs of heartbeats and load reports."""
 
     interval: float = option(
@@ -70,17 +70,17 @@
 
     Parameters
     ----------
-    settings : SumSettings
+    settings : LoadReportSettings
         Intervals and time-outs.
     origin : str
         This router's name.
     """
 
-    def __init__(self, settings: SumSettings, origin: str) -> None:
+    def __init__(self, settings: LoadReportSettings, origin: str) -> None:
         self._settings = settings
         self._origin = origin
         self._agents: dict[str, _LastHeartbeat] = {}
-        self._pending_notices = NoticeBoard(settings.notice_keep)
+        self._pending_notices = PendingNotices(settings.notice_keep)
 
     def __len__(self) -> int:
         """Return the number of agents that report to this router."""
@@ -141,7 +141,7 @@
             notices.append(notice)
         return notices
 
-    def hear_notice(self, notice: wire.MemberNotice, now: float) -> bool:
+    def accept_notice(self, notice: wire.MemberNotice, now: float) -> bool:
         """Check a peer router's notice of an agent against this router's heartbeats.
 
         An agent that has fallen silent here and is ready at a peer now reports
@@ -263,7 +263,7 @@
 
     Parameters
     ----------
-    settings : SumSettings
+    settings : LoadReportSettings
         Intervals and time-outs.
     domain : str
         The domain.
@@ -271,13 +271,13 @@
         This router's name.
     """
 
-    def __init__(self, settings: SumSettings, domain: str, origin: str) -> None:
+    def __init__(self, settings: LoadReportSettings, domain: str, origin: str) -> None:
         self._settings = settings
         self._domain = domain
         self._origin = origin
         self._reports: dict[str, wire.PeerReport] = {}
         self._received_at: dict[str, float] = {}
-        self._pending_notices = NoticeBoard(settings.notice_keep)
+        self._pending_notices = PendingNotices(settings.notice_keep)
         self._sequence = 0
 
     def __len__(self) -> int:
@@ -368,11 +368,11 @@
 
     Parameters
     ----------
-    settings : SumSettings
+    settings : LoadReportSettings
         Intervals and time-outs.
     """
 
-    def __init__(self, settings: SumSettings) -> None:
+    def __init__(self, settings: LoadReportSettings) -> None:
         self._settings = settings
         self._reports: dict[str, wire.DomainReport] = {}
         self._received_at: dict[str, float] = {}
--- a/src/primrosescale/process/membership/members.py
+++ b/src/primrosescale/process/membership/members.py
@@ -22,7 +22,7 @@
 
     from primrosescale.connection.wire.ttypes import HostEntry
     from primrosescale.connection.wire.ttypes import MemberNotice
-    from primrosescale.process.membership.flap_damper import MemberSettings
+    from primrosescale.process.membership.flap_damper import MembershipSettings
     from primrosescale.request.candidates import Locality
 
 ROUTER_ROLE = "router"
@@ -57,13 +57,13 @@
 
     Parameters
     ----------
-    settings : MemberSettings
+    settings : MembershipSettings
         Suspicion of hosts and damping of flapping targets.
     locality : Locality
         Region and failure domain of this router.
     """
 
-    def __init__(self, settings: MemberSettings, locality: Locality) -> None:
+    def __init__(self, settings: MembershipSettings, locality: Locality) -> None:
         self._settings = settings
         self._locality = locality
         self._members: dict[str, Member] = {}
@@ -230,7 +230,7 @@
         found.sort(key=lambda target: members[target.name].suspect_until > now)
         return found
 
-    def take_list(
+    def apply_list(
         self,
         entries: Iterable[HostEntry],
         version: int,
@@ -267,7 +267,7 @@
         for service in changed_services:
             self._rebuild_targets(service, now)
 
-    def take_notice(self, notice: MemberNotice, now: float) -> None:
+    def apply_notice(self, notice: MemberNotice, now: float) -> None:
         """Apply a notice of an agent's state.
 
         Parameters
--- a/src/primrosescale/process/membership/notice_board.py
+++ b/src/primrosescale/process/membership/notice_board.py
@@ -10,7 +10,7 @@
 MAX_NOTICES = 200
 
 
-class NoticeBoard:
+class PendingNotices:
     """Retains the latest notice of each agent while it is to be forwarded.
 
     Parameters
--- a/src/primrosescale/version/head.py
+++ b/src/primrosescale/version/head.py
@@ -129,7 +129,7 @@
     return key.sign(signed_message(digest))
 
 
-class HeadCheck:
+class HeadVerifier:
     """Verifies heads and decides which of two is newer.
 
     Parameters
--- a/src/primrosescale/version/routing_table.py
+++ b/src/primrosescale/version/routing_table.py
@@ -15,7 +15,7 @@
     from collections.abc import Mapping
 
 
-class Repeatability(Enum):
+class RetryPolicy(Enum):
     """Whether a request may run more than once."""
 
     IDEMPOTENT = "idempotent"
@@ -53,7 +53,7 @@
         Prefix of the request's path.
     services : tuple[WeightedService, ...]
         Services that receive its requests.
-    repeatability : Repeatability
+    retry_policy : RetryPolicy
         Whether its requests may run more than once.
     is_resumable : bool
         Whether an interrupted stream may be resumed at another target.
@@ -79,7 +79,7 @@
     host: str
     path_prefix: str
     services: tuple[WeightedService, ...]
-    repeatability: Repeatability
+    retry_policy: RetryPolicy
     is_resumable: bool
     has_prompt: bool
     timeout: float
@@ -93,14 +93,14 @@
     @property
     def may_repeat(self) -> bool:
         """Tell whether a request that may have run may be retried."""
-        if self.repeatability is Repeatability.STREAM:
+        if self.retry_policy is RetryPolicy.STREAM:
             return self.is_resumable
-        return self.repeatability is Repeatability.IDEMPOTENT
+        return self.retry_policy is RetryPolicy.IDEMPOTENT
 
     @property
     def is_stream(self) -> bool:
         """Tell whether its answers are event streams."""
-        return self.repeatability is Repeatability.STREAM
+        return self.retry_policy is RetryPolicy.STREAM
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/src/primrosescale/version/section.py
+++ b/src/primrosescale/version/section.py
@@ -21,7 +21,7 @@
 
 from primrosescale.version.exceptions import SectionError
 from primrosescale.version.records import CLASS_BY_KIND
-from primrosescale.version.records import SCATTERED_KIND
+from primrosescale.version.records import SHARDED_KIND
 from primrosescale.version.records import OptionText
 from primrosescale.version.records import RecordName
 from primrosescale.version.records import RecordText
@@ -261,7 +261,7 @@
             )
             for label, subgroups in sharded.items()
         }
-        branches.append(Branch(SCATTERED_KIND, _add_index(groups, sections)))
+        branches.append(Branch(SHARDED_KIND, _add_index(groups, sections)))
     branches.sort(key=lambda branch: branch.label)
     root = Root(version, base, author, created_ms, tuple(branches))
     root_section = Section.of(root.encode())
@@ -323,14 +323,14 @@
     """
     name_hash = xxh3_64_intdigest(name.name.encode())
     leaf = f"{name_hash % FAN_OUT:x}"
-    if name.kind != SCATTERED_KIND:
+    if name.kind != SHARDED_KIND:
         return RecordLocation(name.kind, "", leaf)
     subgroup = f"{name_hash // FAN_OUT % FAN_OUT:x}"
     group = name_hash // FAN_OUT**2 % FAN_OUT
     return RecordLocation(f"{name.kind}-{group:x}", subgroup, leaf)
 
 
-def decode_group(section: Section) -> tuple[Branch, ...]:
+def decode_index(section: Section) -> tuple[Branch, ...]:
     """Decode the references of an index.
 
     Parameters
--- a/src/primrosescale/version/view.py
+++ b/src/primrosescale/version/view.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 from typing import TypeVar
 
-from primrosescale.version.records import SCATTERED_KIND
+from primrosescale.version.records import SHARDED_KIND
 from primrosescale.version.records import ModelRecord
 from primrosescale.version.records import OperatorRecord
 from primrosescale.version.records import OrganisationRecord
@@ -210,7 +210,7 @@
         OrganisationRecord | None
             The organisation; None when there is none of this name.
         """
-        location = locate_record(RecordName(SCATTERED_KIND, name))
+        location = locate_record(RecordName(SHARDED_KIND, name))
         group = self._groups.get(location.group)
         return None if group is None else group.organisations.get(name)
 
--- a/tests/adapter/test_translation.py
+++ b/tests/adapter/test_translation.py
@@ -27,7 +27,7 @@
 from primrosescale.request.direct_port import Refusal
 from primrosescale.request.direct_port import OutgoingRequest
 from primrosescale.request.retry_after import MAX_PAUSE_SECONDS
-from primrosescale.version.routing_table import Repeatability
+from primrosescale.version.routing_table import RetryPolicy
 
 SOURCE = Path(__file__).resolve().parent.parent.parent / "src/primrosescale"
 
@@ -92,7 +92,7 @@
         self.assertEqual((7, 12.0, 0.6, 0.8), self.times(table, route))
         self.assertTrue(route.may_repeat and route.has_prompt and route.is_stream)
         other = table.route("desk.example:80", "/q/")
-        self.assertEqual(Repeatability.ONCE, other.repeatability)
+        self.assertEqual(RetryPolicy.ONCE, other.retry_policy)
         self.assertEqual(["a", "b"], [item.service for item in other.services])
         self.assertEqual("bakery", table.organisation("k2").name)
         self.assertEqual(9, table.service("llm").cache_tokens)
--- a/tests/entry/fakes.py
+++ b/tests/entry/fakes.py
@@ -26,7 +26,7 @@
 from primrosescale.request.target_choice import TargetChooser
 from primrosescale.request.target_incarnation import TargetIncarnation
 from primrosescale.request.target_state import TargetState
-from primrosescale.version.routing_table import Repeatability
+from primrosescale.version.routing_table import RetryPolicy
 from primrosescale.version.routing_table import Route
 from primrosescale.version.routing_table import WeightedService
 
@@ -37,7 +37,7 @@
     host="desk.example",
     path_prefix="/stories/",
     services=(WeightedService("model", 1.0),),
-    repeatability=Repeatability.STREAM,
+    retry_policy=RetryPolicy.STREAM,
     is_resumable=True,
     has_prompt=True,
     timeout=12.0,
@@ -52,7 +52,7 @@
     name="lookup",
     path_prefix="/lookup/",
     services=(WeightedService("portal", 1.0),),
-    repeatability=Repeatability.IDEMPOTENT,
+    retry_policy=RetryPolicy.IDEMPOTENT,
     is_resumable=False,
     has_prompt=False,
     timeout=0.8,
@@ -63,7 +63,7 @@
     LOOKUP,
     name="confirmation",
     path_prefix="/confirm/",
-    repeatability=Repeatability.ONCE,
+    retry_policy=RetryPolicy.ONCE,
     max_targets=1,
 )
 FRAGILE_STREAM = replace(STREAM, name="drafts", is_resumable=False, max_targets=1)
--- a/tests/entry/test_foreign_entries.py
+++ b/tests/entry/test_foreign_entries.py
@@ -34,7 +34,7 @@
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.process.entry.target_list_sync import TargetListSync
 from primrosescale.process.events import Event
-from primrosescale.process.log_text import log_text
+from primrosescale.process.log_text import escape_for_log
 from primrosescale.process.transport.platform import StoredObject
 from primrosescale.process.transport.platform import WatchResult
 from primrosescale.request.freshness import Freshness
@@ -443,10 +443,10 @@
 
 class LogTest(TestCase):
     def test_foreign_text_is_escaped_and_truncated(self):
-        self.assertEqual("i-1", log_text("i-1"))
-        self.assertEqual("\\ud800\\r\\n", log_text("\ud800\r\n"))
-        self.assertEqual("x" * 80 + "...", log_text("x" * 81))
-        self.assertLess(len(log_text("\x00" * 80)), 90)
+        self.assertEqual("i-1", escape_for_log("i-1"))
+        self.assertEqual("\\ud800\\r\\n", escape_for_log("\ud800\r\n"))
+        self.assertEqual("x" * 80 + "...", escape_for_log("x" * 81))
+        self.assertLess(len(escape_for_log("\x00" * 80)), 90)
 
     def test_a_line_with_a_lone_surrogate_is_written(self):
         reading, writing = os.pipe()
--- a/tests/process/test_seeded_bugs.py
+++ b/tests/process/test_seeded_bugs.py
@@ -10,7 +10,7 @@
 from primrosescale.connection.wire.ttypes import ClaimState
 from primrosescale.connection.wire.ttypes import Outcome
 from primrosescale.connection.wire.ttypes import Reason
-from primrosescale.process.configuration.version_keeper import VersionKeeper
+from primrosescale.process.configuration.version_keeper import VersionManager
 from primrosescale.process.daemons.agent import Agent
 from primrosescale.process.daemons.agent_core import AgentCore
 from primrosescale.process.ledger import claim_writer
@@ -22,7 +22,7 @@
 from primrosescale.request.call_table import CallTable
 from primrosescale.request.load_bound import LoadBound
 from primrosescale.request.routed_call import RoutedCall
-from primrosescale.version.head import HeadCheck
+from primrosescale.version.head import HeadVerifier
 from support.cells import run_cell
 from support.faults import ANSWERS
 from support.world import World
@@ -170,7 +170,7 @@
         self.assert_found("end", world.faults())
 
     def test_a_version_that_reverts(self):
-        with mock.patch.object(HeadCheck, "is_newer", _any_other):
+        with mock.patch.object(HeadVerifier, "is_newer", _any_other):
             world = World()
             world.roll_out(2, "[organisation new]\nkey_hashes =\n")
             world.run(3)
@@ -179,7 +179,7 @@
             world.roll_out(3, "[organisation newer]\nkey_hashes =\n")
             world.run(5)
             world.network.thaw(world.owner("r2"))
-            self.assertIsInstance(old.keeper, VersionKeeper)
+            self.assertIsInstance(old.keeper, VersionManager)
             world.run(5)
         self.assert_found("version", world.faults())
 
--- a/tests/process/test_version_keeper.py
+++ b/tests/process/test_version_keeper.py
@@ -7,10 +7,10 @@
 from twisted.internet.defer import succeed
 
 from primrosescale.process.configuration.version_keeper import SectionSource
-from primrosescale.process.configuration.version_keeper import VersionKeeper
+from primrosescale.process.configuration.version_keeper import VersionManager
 from primrosescale.process.configuration.version_keeper import VersionObserver
 from primrosescale.version.bundle import Bundle
-from primrosescale.version.head import HeadCheck
+from primrosescale.version.head import HeadVerifier
 from primrosescale.version.head import VersionHead
 from primrosescale.version.head import sign
 from primrosescale.version.section import build_tree
@@ -70,8 +70,8 @@
         self.observer = RecordingObserver()
         public = SIGNING.public_key().public_bytes_raw()
         self.assertTrue(PUBLIC)
-        check = HeadCheck({"approver": public})
-        self.keeper = VersionKeeper(check, self.observer, needs_organisations=True)
+        check = HeadVerifier({"approver": public})
+        self.keeper = VersionManager(check, self.observer, needs_organisations=True)
 
     def test_a_version_is_pulled_and_put_in_force(self):
         tree, head = make_version(1)
@@ -165,8 +165,8 @@
     def test_agents_do_not_pull_organisations(self):
         tree, head = make_version(1)
         public = SIGNING.public_key().public_bytes_raw()
-        check = HeadCheck({"approver": public})
-        keeper = VersionKeeper(check, self.observer, needs_organisations=False)
+        check = HeadVerifier({"approver": public})
+        keeper = VersionManager(check, self.observer, needs_organisations=False)
         source = FakeSource(tree)
         keeper.hear(head, source)
         self.assertIn("chat", keeper.view.services)
--- a/tests/support/faults.py
+++ b/tests/support/faults.py
@@ -118,7 +118,7 @@
         members = world.routers["r1"].members
         incarnation = world.agents[agent].core.incarnation
         notice = wire.MemberNotice(agent, incarnation, MemberState.DOWN, "r9")
-        members.take_notice(notice, world.clock.seconds())
+        members.apply_notice(notice, world.clock.seconds())
 
 
 def target_leaves(world, agent):
--- a/tests/support/harm_fleet.py
+++ b/tests/support/harm_fleet.py
@@ -28,7 +28,7 @@
 from primrosescale.request.incoming import IncomingRequest
 from primrosescale.request.repeat_budget import SharedRetryLimits
 from primrosescale.request.repeat_budget import SharedRetryBudget
-from primrosescale.version.routing_table import Repeatability
+from primrosescale.version.routing_table import RetryPolicy
 from primrosescale.version.routing_table import Route
 from primrosescale.version.routing_table import WeightedService
 from support.router_fleet import LINK_SECONDS
@@ -53,7 +53,7 @@
     host="desk.example",
     path_prefix="/stories/",
     services=(WeightedService(SERVICE, 1.0),),
-    repeatability=Repeatability.IDEMPOTENT,
+    retry_policy=RetryPolicy.IDEMPOTENT,
     is_resumable=False,
     has_prompt=False,
     timeout=DEADLINE_SECONDS,
--- a/tests/support/history.py
+++ b/tests/support/history.py
@@ -7,7 +7,7 @@
 
 
 @dataclass
-class CallStory:
+class CallRecord:
     """A caller's request and what became of it."""
 
     name: str
@@ -34,7 +34,7 @@
     """One run of a request at a target."""
 
     target: str
-    agent_life: int
+    agent_incarnation: int
     call: str
     key: str
     at: float
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -32,7 +32,7 @@
 from primrosescale.version.head import sign
 from primrosescale.version.section import build_tree
 from support.history import Admission
-from support.history import CallStory
+from support.history import CallRecord
 from support.history import Checker
 from support.history import History
 from support.history import Run
@@ -570,7 +570,7 @@
         """Make a request through a router."""
         chosen = self.routers[router]
         now = self.clock.seconds()
-        story = CallStory(name, key, not key, now, now + timeout)
+        story = CallRecord(name, key, not key, now, now + timeout)
         story.router = chosen
         story.text = text or name
         self.history.submit(story)
