--- a/benchmarks/choice_cost.py
+++ b/benchmarks/choice_cost.py
@@ -71,7 +71,7 @@
             self.parts,
             random.Random(SEED),
             lambda: 0.3,
-            room=TargetAvailability(cold),
+            availability=TargetAvailability(cold),
             recently_delisted=self.targets.recently_delisted,
         )
         parts = (PromptPart("tariffs", 10_000), PromptPart("chat", 900))
@@ -82,7 +82,7 @@
             state.set_peer_requests(f"r{router}", rng.randrange(3), NOW + 99)
             state.set_peer_outcomes(f"r{router}", rng.random(), 0.01, NOW + 99)
         if rng.random() < 0.2:
-            self.parts.note(PartUse("tariffs", state.incarnation, 10_000, NOW))
+            self.parts.record_use(PartUse("tariffs", state.incarnation, 10_000, NOW))
         if rng.random() < 0.1:
             state.set_cold_for(9.0, NOW)
 
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -141,12 +141,12 @@
         )
         bundle = Bundle.from_ini(changed, "t")
         trees.append(build_tree(bundle, version, "", "a", 0))
-    keeper.hear(VersionHead(1, trees[0].digest, "a", b""), Whole(trees[0]))
+    keeper.pull_if_newer(VersionHead(1, trees[0].digest, "a", b""), Whole(trees[0]))
     before = keeper.pulled_bytes
     began = time.process_time()
     for tree in trees[1:]:
         head = VersionHead(tree.root.version, tree.digest, "a", b"")
-        keeper.hear(head, Whole(tree))
+        keeper.pull_if_newer(head, Whole(tree))
     used = time.process_time() - began
     changes = len(trees) - 1
     root = len(trees[0].root.encode())
@@ -160,11 +160,11 @@
     domain = DomainSums(LoadReportSettings(), "d", "r")
     fleet = FleetSums(LoadReportSettings())
     for number in range(52):
-        domain.hear(report(number), 0.0)
+        domain.record_report(report(number), 0.0)
     for name in range(8):
         summary = domain.summary(0.0)
         summary.domain = f"d{name}"
-        fleet.hear(summary, 0.0)
+        fleet.record_report(summary, 0.0)
     limiter = OrganisationRateLimiter(RateSettings())
     reply = wire.HeartbeatReply(
         1,
@@ -204,8 +204,8 @@
         "admission_empty_us": admission_cost(0),
         "admission_200_waiting_us": admission_cost(200),
         "limiter_us": timed(lambda n: limiter.admit(f"o{n % 14000}", 50.0, n * 1e-4)),
-        "hear_heartbeat_us": timed(lambda n: sums.hear(beat(n), n * 0.01)),
-        "hear_report_us": timed(lambda n: domain.hear(report(n), n * 0.01), 2000),
+        "hear_heartbeat_us": timed(lambda n: sums.record_heartbeat(beat(n), n * 0.01)),
+        "hear_report_us": timed(lambda n: domain.record_report(report(n), n * 0.01), 2000),
         "sum_domain_us": timed(lambda _: domain.summary(0.0), 500),
         "sum_fleet_us": timed(lambda _: fleet.means(0.0), 2000),
         "build_report_us": timed(lambda _: sums.sums(), 2000),
--- a/benchmarks/entry_news.py
+++ b/benchmarks/entry_news.py
@@ -106,7 +106,7 @@
     for state in states:
         for _ in range(200):
             router.parts.record_own_request(life(state), draw_parts(rng), START)
-        state.reported(LoadReport(3, 0, 8), START)
+        state.set_load(LoadReport(3, 0, 8), START)
     chooser = TargetChooser(ChoiceSettings(), router.parts, rng, lambda: 0.25)
     prompts = [Prompt(draw_parts(rng), 620, 100, "m") for _ in range(300)]
     best = float("inf")
--- a/benchmarks/fairness.py
+++ b/benchmarks/fairness.py
@@ -44,7 +44,7 @@
     """Return waits of the small organisation and refusals of both."""
     rng = random.Random(SEED)
     bound = LoadBound(BoundSettings(floor=12_000, slow_start=0), 0.0)
-    bound.hear(ServiceLoad(0, 1, 0, 0.0))
+    bound.update(ServiceLoad(0, 1, 0, 0.0))
     settings = AdmissionSettings(slots=SLOTS, reserve=reserve, queue_limit=256)
     admission = make(settings, bound, TargetHealth(HealthSettings()))
     events = []
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -144,7 +144,7 @@
         total = sum(engine.reports[0] for engine in engines)
         for engine in engines:
             view = ServiceLoad(total, len(engines), engine.reports[0], self.now)
-            engine.bound.hear(view)
+            engine.bound.update(view)
             self.lagged[engine.name] = engine.reports[0]
         if self.now > WARM:
             loads = [engine.load for engine in engines]
@@ -207,7 +207,7 @@
         if not engine.bound.admits(engine.load, work, self.now):
             return False
         call.work = work
-        engine.directory.served(
+        engine.directory.record_served(
             call.chat,
             engine.name,
             call.prompt + call.output,
@@ -259,7 +259,7 @@
         for engine in order:
             if self.admits(call, engine):
                 if engine is not home:
-                    home.directory.served(call.chat, engine.name, 0, self.now)
+                    home.directory.record_served(call.chat, engine.name, 0, self.now)
                 return engine
         return None
 
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -67,14 +67,14 @@
     def fetch(self, wanted): return succeed(sections[wanted])
 base = memory()
 keeper = VersionManager(All({{}}), Quiet(), needs_organisations=True)
-keeper.hear(VersionHead(1, digest, 'a', b''), Source())
+keeper.pull_if_newer(VersionHead(1, digest, 'a', b''), Source())
 assert keeper.version == 1
 """,
     "chats": """
 from primrosescale.request.directory import ChatDirectory
 directory = ChatDirectory({count}, 1e9)
 for n in range({count}):
-    directory.served(f'organisation-{{n%100}}/chat-{{n:07d}}', f'engine-{{n%1000}}', 2000, 1.0)
+    directory.record_served(f'organisation-{{n%100}}/chat-{{n:07d}}', f'engine-{{n%1000}}', 2000, 1.0)
 """,
     "sealed_keys": """
 from primrosescale.process.ledger.ledger_bucket import SealedIndex
--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -108,7 +108,7 @@
     host: HostSettings,
     metrics_port: int,
     rng: Random,
-    early: socket.socket | None = None,
+    listening_socket: socket.socket | None = None,
 ) -> EntryRouter:
     """Build an entry router.
 
@@ -122,7 +122,7 @@
         Port of the metrics; 0 for none.
     rng : Random
         Source of chance.
-    early : socket.socket | None
+    listening_socket : socket.socket | None
         A socket that listens for callers already.
 
     Returns
@@ -149,9 +149,9 @@
         writer=writer,
         metrics=EntryMetrics(),
         rng=rng,
-        reread=lambda: entry_settings(own_host_settings(), metrics_port),
+        read_settings=lambda: entry_settings(own_host_settings(), metrics_port),
         caches=EngineCaches(reactor),
-        early=early,
+        listening_socket=listening_socket,
     )
     watches = WatchedPrefixes(
         configuration=WatchedPrefix(
--- a/src/primrosescale/platform/http_codec.py
+++ b/src/primrosescale/platform/http_codec.py
@@ -12,7 +12,7 @@
 from primrosescale.request.gate import CallerHead
 from primrosescale.request.incoming import Prompt
 from primrosescale.request.incoming import PromptPart
-from primrosescale.request.retry_after import asked_rest
+from primrosescale.request.retry_after import requested_pause
 from primrosescale.request.retry_after import is_odd_rest
 from primrosescale.request.target_state import LoadReport
 
@@ -148,7 +148,7 @@
             length=length,
             cold_for=None if cold_left is None else cold_left * MILLISECOND,
             is_leaving=b"1" in headers.getRawHeaders(LEAVING, []),
-            rest=asked_rest(status, rests),
+            rest=requested_pause(status, rests),
             is_rest_odd=is_odd_rest(status, rests),
         )
 
--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -238,7 +238,7 @@
         gap_objective=item.number_or("gap_aim_ms", 0, LONGEST_TIME) * MILLISECOND,
         max_targets=max(1, item.whole_or("max_attempts", 1, MOST_TARGETS)),
         priority=item.whole_or("priority", 5, LOWEST_RANK),
-        is_open=item.flag_or("skip_auth", absent=False),
+        allows_anonymous=item.flag_or("skip_auth", absent=False),
         allowed_regions=_allowed_regions(item, regions),
     )
 
--- a/src/primrosescale/process/configuration/version_keeper.py
+++ b/src/primrosescale/process/configuration/version_keeper.py
@@ -187,7 +187,7 @@
         """
         return self._sections.get(digest) or self._recent_sections.get(digest)
 
-    def hear(self, head: VersionHead, source: SectionSource) -> Deferred[None]:
+    def pull_if_newer(self, head: VersionHead, source: SectionSource) -> Deferred[None]:
         """Pull an announced version if it is newer than the one in force.
 
         The announcer need not be trusted, because the head's signature is
--- a/src/primrosescale/process/daemons/agent.py
+++ b/src/primrosescale/process/daemons/agent.py
@@ -208,7 +208,7 @@
         """
         if self._settings.platform.register:
             yield self._announce(is_leaving=False, is_gone=False)
-        self._heartbeat.beat()
+        self._heartbeat.send()
         self._loops = [
             self._tools.repeat(self._settings.sums.interval, self._beat),
             self._tools.repeat(TICK_INTERVAL, self._core.tick),
@@ -229,7 +229,7 @@
         self._state = MemberState.LEAVING
         self._core.drain()
         self._log(Event.PROCESS_STOPPING, waiting=self._core.admission.waiting)
-        self._heartbeat.beat()
+        self._heartbeat.send()
         if self._settings.platform.register:
             yield self._announce(is_leaving=True, is_gone=False)
         until = self._now() + self._settings.process.stop_within
@@ -259,11 +259,11 @@
 
     def update_mean(self, view: ServiceLoad) -> None:
         """Take in the mean; see `HeartbeatAgent.update_mean`."""
-        self._core.bound.hear(view)
+        self._core.bound.update(view)
 
     def update_head(self, head: VersionHead, link: Link) -> None:
         """Take in the head; see `HeartbeatAgent.update_head`."""
-        self._keeper.hear(head, self._sources.of(link))
+        self._keeper.pull_if_newer(head, self._sources.of(link))
 
     def set_known_targets(self, targets: list[wire.HostEntry]) -> None:
         """Take in the targets; see `HeartbeatAgent.set_known_targets`."""
@@ -282,7 +282,7 @@
     def link_message(self, link: Link, message: Message) -> None:
         """Handle one message of a router."""
         if isinstance(message, wire.HeartbeatReply):
-            self._heartbeat.reply(link, message)
+            self._heartbeat.handle_reply(link, message)
         elif isinstance(message, wire.ClaimReply):
             self._ledger.link_message(message)
         elif isinstance(message, wire.SectionReply):
@@ -377,7 +377,7 @@
 
     def _beat(self) -> None:
         self._watch_health()
-        self._heartbeat.beat()
+        self._heartbeat.send()
         admission = self._core.admission
         metrics = self._tools.metrics
         metrics.gauge(Metric.LOAD, admission.load)
--- a/src/primrosescale/process/daemons/agent_core.py
+++ b/src/primrosescale/process/daemons/agent_core.py
@@ -240,7 +240,7 @@
         self._names.take(name, deadline)
         place = self._place_of(message, now)
         if place:
-            self._names.bar(name, deadline)
+            self._names.block(name, deadline)
             self._refuse(link, name, Reason.ELSEWHERE, place=place)
             return
         self._offer(link, name, message, deadline, now)
@@ -275,7 +275,7 @@
         verdict = self._admission.offer(queued, now)
         if verdict.reason is not None:
             # Barred, so that a router that lost this refusal hears the same.
-            self._names.bar(name, deadline)
+            self._names.block(name, deadline)
             self._refuse(link, name, verdict.reason, retry_after=verdict.retry_after)
             return
         self._calls[name] = call
@@ -402,7 +402,7 @@
             if not self._admission.withdraw(queued):
                 self._admission.finished(queued, now)
         self._ended[call.name] = now
-        self._answer_bytes += call.kept
+        self._answer_bytes += call.buffered_bytes
         self._dirty.pop(call, None)
         self._judge(call, is_answered, now)
         self._settle_claim(call, is_answered)
@@ -411,13 +411,13 @@
             self._estimator.learn(output)
             tokens = call.call.prompt_tokens + output
             name = self._settings.name
-            self._directory.served(call.call.chat, name, tokens, now)
+            self._directory.record_served(call.call.chat, name, tokens, now)
         self._observer.ended(call, is_answered, now)
         self._start_next()
 
     def _judge(self, call: AgentCall, is_answered: bool, now: float) -> None:
-        if call.asked_rest is not None:
-            self._admission.rest(call.asked_rest, now)
+        if call.requested_pause is not None:
+            self._admission.pause(call.requested_pause, now)
         if is_answered and call.status < FIRST_SERVER_ERROR:
             self._health.succeeded(now)
             return
@@ -488,7 +488,7 @@
         if message.age_ms / MILLISECONDS_PER_SECOND > self._settings.name_keep:
             self._answer_unknown(link, name, Reason.ANSWER_EVICTED)
             return
-        self._names.bar(name, now + self._settings.name_keep)
+        self._names.block(name, now + self._settings.name_keep)
         self._refuse(link, name, Reason.NEVER_ARRIVED)
 
     def _answer_unknown(self, link: Link, name: CallId, reason: Reason) -> None:
@@ -508,7 +508,7 @@
     def _placed(self, message: wire.Placed) -> None:
         now = self._clock.seconds()
         if message.service_name == self._settings.service and message.chat:
-            self._directory.served(message.chat, message.place, 0, now)
+            self._directory.record_served(message.chat, message.place, 0, now)
 
     def _import(self, message: wire.CacheImport) -> None:
         taken = self._port.import_cache(message.chat, message.data)
@@ -522,7 +522,7 @@
         if is_taken:
             now = self._clock.seconds()
             name = self._settings.name
-            self._directory.served(message.chat, name, message.tokens, now)
+            self._directory.record_served(message.chat, name, message.tokens, now)
 
     def _load(self) -> int:
         return self._admission.load
@@ -534,4 +534,4 @@
         del self._ended[name]
         call = self._calls.pop(name, None)
         if call is not None:
-            self._answer_bytes = max(0, self._answer_bytes - call.kept)
+            self._answer_bytes = max(0, self._answer_bytes - call.buffered_bytes)
--- a/src/primrosescale/process/daemons/router.py
+++ b/src/primrosescale/process/daemons/router.py
@@ -374,7 +374,7 @@
 
     def load_reported(self, target: Target, load: int) -> None:
         """Take in a target's load; see `CallTableListener.load_reported`."""
-        self._loads.hear(target.name, load, self.now())
+        self._loads.record(target.name, load, self.now())
 
     def call_ended(self, call: RoutedCall, report: CallReport) -> None:
         """Take in the end of a call; see `CallTableListener.call_ended`."""
@@ -489,7 +489,7 @@
     def _tell_home(self, call: RoutedCall, report: CallReport) -> None:
         """Tell a chat's first candidate where the chat was served instead."""
         chat = call.request.chat
-        home = call.plan.home
+        home = call.plan.first_candidate
         if not chat or home is None or not report.target:
             return
         if report.target == home.name or report.attempts <= 1:
--- a/src/primrosescale/process/daemons/router_control.py
+++ b/src/primrosescale/process/daemons/router_control.py
@@ -256,10 +256,10 @@
         for notice in self._agents.expire(now):
             self._members.apply_notice(notice, now)
             self._observer.news(notice)
-        self._members.tick(now)
+        self._members.readmit_targets(now)
         aggregators = self._aggregators(self._identity.domain)
         report = self._report(now)
-        self._domain.hear(report, now)
+        self._domain.record_report(report, now)
         others = [name for name in aggregators if name != self._identity.name]
         if others:
             self._send_to_router(self._in_turn(others), report)
@@ -302,7 +302,7 @@
     def _report(self, now: float) -> wire.PeerReport:
         self._sequence += 1
         count = max(1, len(self._members.routers("", now)))
-        demands = self._limiter.reports(count, now)
+        demands = self._limiter.demands_to_report(count, now)
         version = self._keeper.version
         return wire.PeerReport(
             origin=self._identity.name,
@@ -324,7 +324,7 @@
 
     def _heartbeat(self, link: Link, beat: wire.Heartbeat) -> None:
         now = self._clock.seconds()
-        notice = self._agents.hear(beat, now)
+        notice = self._agents.record_heartbeat(beat, now)
         if notice is not None:
             self._members.apply_notice(notice, now)
             self._observer.news(notice)
@@ -362,7 +362,7 @@
 
     def _peer_report(self, link: Link, report: wire.PeerReport) -> None:
         now = self._clock.seconds()
-        for notice in self._domain.hear(report, now):
+        for notice in self._domain.record_report(report, now):
             self._take_notice(notice, now)
         changes = self._changes.since(report.list_version)
         entries = changes
@@ -445,7 +445,7 @@
     def _domain_sums(self, link: Link, message: wire.DomainSums) -> None:
         now = self._clock.seconds()
         self._hear_head(message.head, link)
-        self._fleet.hear(message.report, now)
+        self._fleet.record_report(message.report, now)
         for notice in message.report.notices:
             self._take_notice(notice, now)
 
@@ -461,7 +461,7 @@
     def _aggregate(self, now: float) -> None:
         """Sum up the domain and tell the aggregators of the others."""
         summary = self._domain.summary(now)
-        self._fleet.hear(summary, now)
+        self._fleet.record_report(summary, now)
         self._means = self._fleet.means(now)
         self._means_at = now
         self._domains = self._fleet.domains(now)
@@ -478,7 +478,7 @@
             if others:
                 self._send_to_router(self._in_turn(others), message)
         if self._stored_head.version > self._keeper.version:
-            self._keeper.hear(self._stored_head, self._platform_source)
+            self._keeper.pull_if_newer(self._stored_head, self._platform_source)
         self._watch()
         self._list_later(now)
 
@@ -547,7 +547,7 @@
             now = self._clock.seconds()
             entries = list(found.entries)
             self._members.apply_list(entries, found.version, now, is_full=found.is_full)
-            self._changes.take(entries, found.version, is_full=found.is_full)
+            self._changes.record(entries, found.version, is_full=found.is_full)
 
     @inlineCallbacks
     def _read_head(self) -> Generator[Any, Any, None]:
@@ -592,7 +592,7 @@
             self._observer.platform_failed(str(error))
             return None
         self._stored_head = head
-        return self._keeper.hear(head, self._platform_source)
+        return self._keeper.pull_if_newer(head, self._platform_source)
 
     def _head_for(self, version: int) -> wire.Head:
         """Return the head for a process at a version; empty if it has it."""
@@ -601,4 +601,4 @@
 
     def _hear_head(self, head: wire.Head, link: Link) -> None:
         if head.version:
-            self._keeper.hear(from_wire(head), self._sources.of(link))
+            self._keeper.pull_if_newer(from_wire(head), self._sources.of(link))
--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_learning.py
@@ -197,5 +197,5 @@
             self._log.emit(Event.CACHE_NOT_READ, target=target.name, detail=detail)
             return
         for part in held.parts:
-            self._directory.note(PartUse(part.name, incarnation, part.tokens, now))
+            self._directory.record_use(PartUse(part.name, incarnation, part.tokens, now))
         self._log.emit(Event.CACHE_READ, target=target.name, parts=len(held.parts))
--- a/src/primrosescale/process/entry/cache_shares.py
+++ b/src/primrosescale/process/entry/cache_shares.py
@@ -188,7 +188,7 @@
         for state in self._targets.states:
             for part in reported.get(target_key(*state.incarnation), ()):
                 used_at = now - part.age_ms / MILLISECONDS_PER_SECOND
-                self._parts.note(
+                self._parts.record_use(
                     PartUse(part.part, state.incarnation, part.tokens, used_at)
                 )
 
--- a/src/primrosescale/process/entry/entry_parts.py
+++ b/src/primrosescale/process/entry/entry_parts.py
@@ -43,10 +43,10 @@
         Source of randomness.
     caches : CacheReader
         Reads from model engines which prompt parts they have cached.
-    reread : Callable[[], EntrySettings]
+    read_settings : Callable[[], EntrySettings]
         Reads the settings file again; raises a `PrimrosescaleError` if it is
         invalid.
-    early : socket.socket | None
+    listening_socket : socket.socket | None
         A socket that already listens for callers; None to open one.
     """
 
@@ -54,12 +54,12 @@
         "caches",
         "codec",
         "decoder",
-        "early",
+        "listening_socket",
         "log",
         "metrics",
         "platform",
         "reactor",
-        "reread",
+        "read_settings",
         "rng",
         "writer",
     )
@@ -76,11 +76,11 @@
         metrics: EntryMetrics,
         rng: Random,
         caches: CacheReader,
-        reread: Callable[[], EntrySettings],
-        early: socket.socket | None = None,
+        read_settings: Callable[[], EntrySettings],
+        listening_socket: socket.socket | None = None,
     ) -> None:
-        self.early = early
-        self.reread = reread
+        self.listening_socket = listening_socket
+        self.read_settings = read_settings
         self.caches = caches
         self.reactor = reactor
         self.platform = platform
--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -237,7 +237,7 @@
             silence_judged=self._silence_judged,
             self_report_received=self._self_report_received,
             harm=self._harm_monitor,
-            room=self._availability,
+            availability=self._availability,
             regions=settings.regions,
         )
         self._tracing: Tracing | None = None
@@ -330,7 +330,7 @@
             logged.
         """
         try:
-            settings = self._dependencies.reread()
+            settings = self._dependencies.read_settings()
         except PrimrosescaleError as error:
             if is_requested or str(error) != self._settings_error:
                 self._log.emit(Event.SETTINGS_REFUSED, detail=str(error))
@@ -389,7 +389,7 @@
             request.method, request.uri, headers
         )
         body = request.content.getvalue()
-        resolved = self._resolver.judge(head, body, self._store_state.table, now)
+        resolved = self._resolver.resolve(head, body, self._store_state.table, now)
         if len(self._calls) >= self._settings.max_requests:
             resolved = Refusal.ROUTER_FULL
         sink = self._sink(request, head.request_id)
@@ -498,7 +498,7 @@
         self, request: IncomingRequest, state: TargetState, head: AnswerHead
     ) -> None:
         if head.is_leaving:
-            self._leaving_exchange.note(state.incarnation)
+            self._leaving_exchange.record(state.incarnation)
         self._log.emit(
             Event.TARGET_SAID,
             target=state.target.name,
@@ -572,7 +572,7 @@
         self._update_cache_limits()
         self._registry.remove_silent(now)
         self._set_routers(now)
-        self._store_state.look_after(
+        self._store_state.poll_if_stale(
             self._state_exchange.newest_version(now),
             self._state_exchange.newest_list_revision(),
             now,
@@ -679,7 +679,7 @@
             "evacuated_domains": len(self._evacuations.domains),
             "caller_connections": self._factory.open_channels,
             "requests_under_way": len(self._calls),
-            "peers": self._state_exchange.heard_lately(now),
+            "peers": self._state_exchange.recent_peers(now),
             "news_bytes": self._exchange_protocol.bytes_out,
             "news_age_seconds": self._state_exchange.age(now),
             "relay_rank": -1.0 if rank is None else rank,
@@ -698,15 +698,15 @@
         )
 
     def _listen_for_callers(self, endpoint: Endpoint) -> None:
-        early = self._dependencies.early
-        if early is None:
+        listening_socket = self._dependencies.listening_socket
+        if listening_socket is None:
             self._listen(endpoint, self._factory)
             return
         self._ports[endpoint] = self._reactor.adoptStreamPort(
-            early.fileno(), socket.AF_INET, self._factory
+            listening_socket.fileno(), socket.AF_INET, self._factory
         )
         # The reactor listens on a duplicate of the descriptor.
-        early.close()
+        listening_socket.close()
 
     def _sleep(self, seconds: float) -> Deferred[None]:
         result: Deferred[None] = Deferred()
--- a/src/primrosescale/process/entry/evacuation_list_sync.py
+++ b/src/primrosescale/process/entry/evacuation_list_sync.py
@@ -73,4 +73,4 @@
 
     def _apply(self) -> None:
         listed = EvacuationList(frozenset(self._listed), self._revision(), STORE)
-        self._evacuations.take(listed, self._now())
+        self._evacuations.update(listed, self._now())
--- a/src/primrosescale/process/entry/harm_news.py
+++ b/src/primrosescale/process/entry/harm_news.py
@@ -77,7 +77,7 @@
         """Return whether there is a report that has not been sent yet."""
         return bool(self._pending) and self._pending[0].times_left == SENDS_PER_REPORT
 
-    def note(self, item: HarmReport, now: float) -> bool:
+    def record(self, item: HarmReport, now: float) -> bool:
         """Record what this router has observed, and queue it for other routers.
 
         Parameters
@@ -148,11 +148,11 @@
         self._known_held.intersection_update(held)
         if not self._held_queue:
             for fingerprint in held:
-                self._held_queue.extend(self._requests.proof(fingerprint))
+                self._held_queue.extend(self._requests.sufficient_ends(fingerprint))
         count = min(MAX_HELD_PER_MESSAGE, len(self._held_queue))
         return [_end_report(self._held_queue.popleft(), now) for _ in range(count)]
 
-    def take(
+    def receive(
         self, message: wire.RouterNews, states: Mapping[int, TargetState], now: float
     ) -> None:
         """Apply the reports of another router.
@@ -173,7 +173,7 @@
                 self._apply(kind(report.fingerprint, at), message.origin, now)
                 continue
             state = states.get(report.target)
-            if state is not None and state.heard_at > at + MAX_BUFFERED_SECONDS:
+            if state is not None and state.last_received_at > at + MAX_BUFFERED_SECONDS:
                 # The target was only cut off from the reporting router and has not
                 # ended.
                 continue
--- a/src/primrosescale/process/entry/harm_watch.py
+++ b/src/primrosescale/process/entry/harm_watch.py
@@ -111,7 +111,7 @@
         """Keep peer routers from trying a suspect too; see `HarmMonitor.sent`."""
         if not self._requests.may_hold:
             return
-        if self._report_exchange.note(SuspectTrial(request.fingerprint, now), now):
+        if self._report_exchange.record(SuspectTrial(request.fingerprint, now), now):
             self._send_soon()
 
     def answer_lost(
@@ -142,8 +142,8 @@
                 CONFIRMATION_INTERVAL_SECONDS, self._clear_confirmed
             )
 
-    def heard(self, state: TargetState, sent_at: float, now: float) -> None:
-        """Record that the target is running; see `HarmMonitor.heard`."""
+    def answer_began(self, state: TargetState, sent_at: float, now: float) -> None:
+        """Record that the target is running; see `HarmMonitor.answer_began`."""
         if not state.incarnation.has_unique_name or not (
             self._ended_at or len(self._lost_answers)
         ):
@@ -256,13 +256,13 @@
             )
 
     def _clear(self, answer: UnconfirmedAnswer, now: float) -> None:
-        if self._report_exchange.note(CompleteAnswer(answer.fingerprint, answer.at), now):
+        if self._report_exchange.record(CompleteAnswer(answer.fingerprint, answer.at), now):
             self._send_soon()
 
     def _note_ends(self, ends: list[TargetEnd], now: float) -> None:
         for end in ends:
             self._requests.count_end(now)
-            self._report_exchange.note(end, now)
+            self._report_exchange.record(end, now)
         if ends:
             self._send_soon()
 
--- a/src/primrosescale/process/entry/leaving_news.py
+++ b/src/primrosescale/process/entry/leaving_news.py
@@ -47,7 +47,7 @@
         # By name of the target, the most recent last.
         self._leaving: dict[str, TargetIncarnation] = {}
 
-    def note(self, target: TargetIncarnation) -> None:
+    def record(self, target: TargetIncarnation) -> None:
         """Record that a target announced, here or elsewhere, that it is leaving.
 
         Parameters
@@ -74,7 +74,7 @@
                 keys.append(target_key(*target))
         return keys[:MAX_TARGETS_PER_MESSAGE]
 
-    def take(
+    def receive(
         self,
         leaving: Iterable[int],
         states: Mapping[int, TargetState],
@@ -96,8 +96,8 @@
         """
         for key in leaving:
             state = states.get(key)
-            if state is not None and state.statements.set_leaving(now):
-                self.note(state.incarnation)
+            if state is not None and state.self_reports.set_leaving(now):
+                self.record(state.incarnation)
                 self._log.emit(
                     Event.TARGET_SAID,
                     target=state.target.name,
--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_exchange.py
@@ -130,7 +130,7 @@
             return
         now = self._reactor.seconds()
         if isinstance(message, wire.RouterNews):
-            self._exchange.take(message, self._version(), now)
+            self._exchange.receive(message, self._version(), now)
         elif isinstance(message, wire.CacheQuestion):
             self._write_all(self._shares.receive_request(message, now))
         elif isinstance(message, wire.CacheAnswer):
@@ -174,7 +174,7 @@
                 relay=upstream_relay,
                 former=self._upstream_relay,
                 news_age=round(age, 2) if math.isfinite(age) else None,
-                routers=self._exchange.heard_lately(now),
+                routers=self._exchange.recent_peers(now),
             )
             self._upstream_relay = upstream_relay
 
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -199,7 +199,7 @@
         """
         return self._topology.upstream_relay(now) if self._topology.is_relayed else None
 
-    def heard_lately(self, now: float) -> int:
+    def recent_peers(self, now: float) -> int:
         """Return how many other routers have valid updates here.
 
         Parameters
@@ -279,7 +279,7 @@
             first relay of each domain.
         """
         if self._topology.is_relayed:
-            is_alone = not self.heard_lately(now)
+            is_alone = not self.recent_peers(now)
             return is_alone or self._topology.rank(now) == 0
         own_place = target_key(self._name)
         before = sum(
@@ -318,7 +318,7 @@
             Their names. Empty if there are no updates from any router: then this
             router itself is probably cut off.
         """
-        if not self.heard_lately(now):
+        if not self.recent_peers(now):
             return []
         names: Iterable[str] = self._peers
         since = 0.0
@@ -498,7 +498,7 @@
         self._codec.write(item.loads, message, peer.targets_digest, now)
         return peer.router, message
 
-    def take(self, message: wire.RouterNews, version: int, now: float) -> bool:
+    def receive(self, message: wire.RouterNews, version: int, now: float) -> bool:
         """Apply an update of another router.
 
         Parameters
@@ -529,7 +529,7 @@
         self._apply_evacuations(message, now)
         if self._leaving is not None and message.leaving:
             states = self._codec.keys.states
-            self._leaving.take(message.leaving, states, message.origin, now)
+            self._leaving.receive(message.leaving, states, message.origin, now)
         loads = self._codec.read(message, now)
         if message.scope is not None:
             self._relay.receive(message, loads, now)
@@ -539,7 +539,7 @@
             self._apply_relayed_load(now)
         self._apply_parts(message, now)
         if self._harm is not None:
-            self._harm.take(message, self._codec.keys.states, now)
+            self._harm.receive(message, self._codec.keys.states, now)
         return True
 
     def _apply_freshness(
@@ -565,7 +565,7 @@
             return
         domains = frozenset(message.evacuated or ())
         received = EvacuationList(domains, message.evacuated_revision, message.origin)
-        self._evacuations.take(received, now)
+        self._evacuations.update(received, now)
 
     def _apply_own_load(self, peer: PeerState, loads: LoadSum, now: float) -> None:
         """Apply the load of one router."""
@@ -614,7 +614,7 @@
                     used_at,
                     tuple(item.before or ()),
                 )
-                self._parts.note(use)
+                self._parts.record_use(use)
 
 
 class _RoundHeader:
--- a/src/primrosescale/process/entry/target_caller.py
+++ b/src/primrosescale/process/entry/target_caller.py
@@ -21,7 +21,7 @@
 from primrosescale.connection.rest_limit import IdleLimit
 from primrosescale.connection.target_channel import ChannelPool
 from primrosescale.process.transport.http_bodies import body_producer
-from primrosescale.request.direct_port import Run
+from primrosescale.request.direct_port import InFlightRequest
 from primrosescale.request.direct_port import TargetClient
 from primrosescale.request.direct_port import ProbeResult
 from primrosescale.request.target_incarnation import TargetIncarnation
@@ -59,7 +59,7 @@
         self._in_flight_request.body_ended(reason)
 
 
-class InFlightHttpRequest(Run):
+class InFlightHttpRequest(InFlightRequest):
     """A request that is sent to one target over HTTP.
 
     Parameters
@@ -107,7 +107,7 @@
         self._opening.addCallbacks(self._opened, self._not_opened)
 
     def cancel(self) -> None:
-        """Abort the request; see `Run.cancel`."""
+        """Abort the request; see `InFlightRequest.cancel`."""
         if self._is_over:
             return
         self._end()
@@ -137,14 +137,14 @@
             self._observer.request_not_sent(STARTED_AGAIN)
 
     def pause(self) -> None:
-        """Stop reading the response; see `Run.pause`."""
+        """Stop reading the response; see `InFlightRequest.pause`."""
         self._is_paused = True
         if self._channel is not None and not self._is_over:
             transport: Any = self._channel.transport
             transport.pauseProducing()
 
     def resume(self) -> None:
-        """Resume reading the response; see `Run.resume`."""
+        """Resume reading the response; see `InFlightRequest.resume`."""
         self._is_paused = False
         if self._channel is not None and not self._is_over:
             transport: Any = self._channel.transport
@@ -278,7 +278,7 @@
         # alone, rather by something in front of them.
         self._rest_limit = IdleLimit()
 
-    def send(self, sending: OutgoingRequest, observer: ResponseObserver) -> Run:
+    def send(self, sending: OutgoingRequest, observer: ResponseObserver) -> InFlightRequest:
         """Send a request; see `TargetClient.send`."""
         state = self._state(sending.target)
         in_flight_request = InFlightHttpRequest(
--- a/src/primrosescale/process/entry/target_list.py
+++ b/src/primrosescale/process/entry/target_list.py
@@ -233,7 +233,7 @@
         now: float,
         told_by: str,
     ) -> None:
-        self_reports = self._self_reports.take_back(target.incarnation)
+        self_reports = self._self_reports.pop(target.incarnation)
         self._known[target.name] = state = TargetState(target, now, self_reports)
         self._apply_evacuation(state, now)
         self._generation += 1
@@ -259,9 +259,9 @@
         if state.target.domain in self._evacuated:
             state.evacuate(now)
         else:
-            state.take_back(now)
+            state.end_evacuation(now)
 
-    def drop(self, name: str, now: float) -> bool:
+    def mark_unreadable(self, name: str, now: float) -> bool:
         """Stop using a target whose entry has become unreadable.
 
         Its state is kept for as long as that of a target whose entry was removed. If
@@ -346,5 +346,5 @@
     def _forget(self, name: str, now: float) -> TargetIncarnation:
         """Forget a target except for its self-reports."""
         state = self._known.pop(name, None) or self._unreadable.pop(name)
-        self._self_reports.keep(state.incarnation, state.statements, now)
+        self._self_reports.keep(state.incarnation, state.self_reports, now)
         return state.incarnation
--- a/src/primrosescale/process/entry/target_list_sync.py
+++ b/src/primrosescale/process/entry/target_list_sync.py
@@ -133,7 +133,7 @@
         except UnreadableRecordError as error:
             # Stricter than for a deleted entry, whose target may still be used if there
             # is no other: an unreadable entry may lead anywhere.
-            self._targets.drop(stored.name, now)
+            self._targets.mark_unreadable(stored.name, now)
             self._refused.refuse(stored, error)
             return
         target = self._with_remaining_warm_up(target, stored.version, now)
--- a/src/primrosescale/process/membership/heartbeat.py
+++ b/src/primrosescale/process/membership/heartbeat.py
@@ -154,7 +154,7 @@
         """Return whether a router has answered one of the last heartbeats."""
         return self._sequence - self._answered_sequence <= MAX_MISSED_HEARTBEATS
 
-    def beat(self) -> None:
+    def send(self) -> None:
         """Send a heartbeat; change the router when the last ones went unanswered."""
         now = self._clock.seconds()
         if not self.has_recent_reply and self._current is not None:
@@ -186,7 +186,7 @@
             errbackArgs=(endpoint,),
         )
 
-    def reply(self, link: Link, message: wire.HeartbeatReply) -> None:
+    def handle_reply(self, link: Link, message: wire.HeartbeatReply) -> None:
         """Handle a router's reply to a heartbeat.
 
         Parameters
@@ -221,7 +221,7 @@
             load=mean.load,
             targets=mean.targets,
             own_load=self._reported_loads[index],
-            heard_at=now - age,
+            measured_at=now - age,
         )
 
     def _choose_router(self, now: float) -> Endpoint | None:
--- a/src/primrosescale/process/membership/host_changes.py
+++ b/src/primrosescale/process/membership/host_changes.py
@@ -19,7 +19,7 @@
         self._complete_since = 0
         self._version = 0
 
-    def take(
+    def record(
         self,
         entries: list[wire.HostEntry],
         version: int,
--- a/src/primrosescale/process/membership/load_sums.py
+++ b/src/primrosescale/process/membership/load_sums.py
@@ -86,7 +86,7 @@
         """Return the number of agents that report to this router."""
         return len(self._agents)
 
-    def hear(self, heartbeat: wire.Heartbeat, now: float) -> wire.MemberNotice | None:
+    def record_heartbeat(self, heartbeat: wire.Heartbeat, now: float) -> wire.MemberNotice | None:
         """Record a heartbeat.
 
         Parameters
@@ -284,7 +284,7 @@
         """Return the number of routers that report to this one."""
         return len(self._reports)
 
-    def hear(self, report: wire.PeerReport, now: float) -> list[wire.MemberNotice]:
+    def record_report(self, report: wire.PeerReport, now: float) -> list[wire.MemberNotice]:
         """Record a router's report.
 
         Parameters
@@ -377,7 +377,7 @@
         self._reports: dict[str, wire.DomainReport] = {}
         self._received_at: dict[str, float] = {}
 
-    def hear(self, report: wire.DomainReport, now: float) -> None:
+    def record_report(self, report: wire.DomainReport, now: float) -> None:
         """Record a domain's report from any of its aggregators.
 
         A report from another aggregator that covers fewer routers does not
--- a/src/primrosescale/process/membership/members.py
+++ b/src/primrosescale/process/membership/members.py
@@ -308,7 +308,7 @@
         if member is not None:
             member.suspect_until = now + self._settings.suspect_for
 
-    def tick(self, now: float) -> None:
+    def readmit_targets(self, now: float) -> None:
         """Make excluded targets available again once their penalty has decayed.
 
         Parameters
--- a/src/primrosescale/process/tracing.py
+++ b/src/primrosescale/process/tracing.py
@@ -27,7 +27,7 @@
 
     from primrosescale.process.events import EventLog
 
-HEADER = "traceparent"
+TRACEPARENT_HEADER = "traceparent"
 MIN_TRACEPARENT_FIELDS = 4
 SAMPLED_FLAG = 1
 HEX_BASE = 16
@@ -148,11 +148,11 @@
                 return UnrecordedSpan(traceparent)
         elif not may_begin or self._rng.random() >= self._share:
             return NO_SPAN
-        context = self._propagator.extract({HEADER: traceparent})
+        context = self._propagator.extract({TRACEPARENT_HEADER: traceparent})
         span = self._tracer.start_span(name, context=context)
         carrier: dict[str, str] = {}
         self._propagator.inject(carrier, set_span_in_context(span))
-        return RecordedSpan(span, carrier.get(HEADER, ""))
+        return RecordedSpan(span, carrier.get(TRACEPARENT_HEADER, ""))
 
 
 def _is_sampled(traceparent: str) -> bool:
--- a/src/primrosescale/process/transport/callers_resource.py
+++ b/src/primrosescale/process/transport/callers_resource.py
@@ -14,7 +14,7 @@
 
 from primrosescale.connection.wire.ttypes import Header
 from primrosescale.process.exceptions import ProcessError
-from primrosescale.process.tracing import HEADER as TRACE_HEADER
+from primrosescale.process.tracing import TRACEPARENT_HEADER as TRACE_HEADER
 from primrosescale.process.transport import problems
 from primrosescale.process.transport.http_bodies import request_body
 from primrosescale.process.transport.http_sink import HttpSink
--- a/src/primrosescale/request/admission.py
+++ b/src/primrosescale/request/admission.py
@@ -159,7 +159,7 @@
         """Refuse new calls from now on."""
         self._is_draining = True
 
-    def rest(self, seconds: float, now: float) -> None:
+    def pause(self, seconds: float, now: float) -> None:
         """Neither admit nor start calls during a pause that the target requested.
 
         Parameters
--- a/src/primrosescale/request/agent_call.py
+++ b/src/primrosescale/request/agent_call.py
@@ -18,9 +18,9 @@
 from primrosescale.ini.options import SECONDS
 from primrosescale.ini.options import option
 from primrosescale.request.answer_buffer import AnswerBuffer
-from primrosescale.request.answer_check import digest_of
+from primrosescale.request.answer_check import answer_digest
 from primrosescale.request.exceptions import AnswerCutError
-from primrosescale.request.retry_after import asked_rest
+from primrosescale.request.retry_after import requested_pause
 from primrosescale.request.target_port import TargetReceiver
 
 if TYPE_CHECKING:
@@ -192,9 +192,9 @@
         return self._claim
 
     @property
-    def kept(self) -> int:
+    def buffered_bytes(self) -> int:
         """Return the number of bytes of the answer held in memory."""
-        return self._buffer.kept
+        return self._buffer.buffered_bytes
 
     @property
     def length(self) -> int:
@@ -222,7 +222,7 @@
         return 0 if self._head is None else self._head.status
 
     @property
-    def asked_rest(self) -> float | None:
+    def requested_pause(self) -> float | None:
         """Return the pause in seconds that the target requested, if it did."""
         return self._requested_pause
 
@@ -339,7 +339,7 @@
             for header in headers
             if header.name.lower() == RETRY_AFTER_HEADER
         ]
-        self._requested_pause = asked_rest(status, values)
+        self._requested_pause = requested_pause(status, values)
 
     def target_data(self, data: bytes) -> None:
         """Buffer bytes of the answer, and pause the target at two windows' backlog."""
@@ -465,7 +465,7 @@
                 head.status,
                 head.headers,
                 body,
-                digest_of(body),
+                answer_digest(body),
                 self._cached_tokens,
                 self._load(),
             ),
--- a/src/primrosescale/request/answer_buffer.py
+++ b/src/primrosescale/request/answer_buffer.py
@@ -56,7 +56,7 @@
         return self._start + len(self._data)
 
     @property
-    def kept(self) -> int:
+    def buffered_bytes(self) -> int:
         """Return the number of bytes held in memory."""
         return len(self._data)
 
--- a/src/primrosescale/request/answer_check.py
+++ b/src/primrosescale/request/answer_check.py
@@ -68,7 +68,7 @@
             raise AnswerCutError("digest mismatch")
 
 
-def digest_of(body: bytes) -> bytes:
+def answer_digest(body: bytes) -> bytes:
     """Return the digest of a complete answer.
 
     Parameters
--- a/src/primrosescale/request/call_names.py
+++ b/src/primrosescale/request/call_names.py
@@ -99,7 +99,7 @@
         """
         self._put(call_id, CallIdState.TAKEN, deadline)
 
-    def bar(self, call_id: CallId, deadline: float) -> None:
+    def block(self, call_id: CallId, deadline: float) -> None:
         """Record that a call must never run.
 
         Parameters
--- a/src/primrosescale/request/direct_port.py
+++ b/src/primrosescale/request/direct_port.py
@@ -152,7 +152,7 @@
         """
 
 
-class Run(ABC):
+class InFlightRequest(ABC):
     """A request in flight at one target."""
 
     @abstractmethod
@@ -181,7 +181,7 @@
     """Sends requests to targets."""
 
     @abstractmethod
-    def send(self, sending: OutgoingRequest, observer: ResponseObserver) -> Run:
+    def send(self, sending: OutgoingRequest, observer: ResponseObserver) -> InFlightRequest:
         """Send a request.
 
         Parameters
@@ -194,7 +194,7 @@
 
         Returns
         -------
-        Run
+        InFlightRequest
             The request in flight.
         """
 
--- a/src/primrosescale/request/directory.py
+++ b/src/primrosescale/request/directory.py
@@ -69,7 +69,7 @@
             return None
         return record
 
-    def served(self, chat: str, target_name: str, tokens: int, now: float) -> None:
+    def record_served(self, chat: str, target_name: str, tokens: int, now: float) -> None:
         """Record the target that served a chat.
 
         Parameters
--- a/src/primrosescale/request/evacuations.py
+++ b/src/primrosescale/request/evacuations.py
@@ -63,7 +63,7 @@
         """Return whether the list is worth reporting: some domain was ever in it."""
         return self._has_had_any
 
-    def take(self, received: EvacuationList, now: float) -> bool:
+    def update(self, received: EvacuationList, now: float) -> bool:
         """Take over a list of evacuated domains, unless it is older.
 
         Parameters
--- a/src/primrosescale/request/forward_tools.py
+++ b/src/primrosescale/request/forward_tools.py
@@ -172,7 +172,7 @@
         such as that it is leaving, cold or wants a pause.
     harm : HarmMonitor
         Detects requests that crash targets.
-    room : TargetAvailability
+    availability : TargetAvailability
         Determines whether a target is available for requests.
     regions : Mapping[str, str]
         The region of each failure domain.
@@ -194,7 +194,7 @@
         _ignore_self_report
     )
     harm: HarmMonitor = field(default_factory=NoHarmMonitor)
-    room: TargetAvailability = field(default_factory=TargetAvailability)
+    availability: TargetAvailability = field(default_factory=TargetAvailability)
     regions: Mapping[str, str] = field(default_factory=dict)
 
     def configure(self, settings: ForwardingSettings, choice: ChoiceSettings) -> None:
--- a/src/primrosescale/request/forwarded_call.py
+++ b/src/primrosescale/request/forwarded_call.py
@@ -90,7 +90,7 @@
         self._waiting_since = request.received_at
         self._last_verdict: SilenceVerdict | None = None
         self._availability_timer: Timer | None = None
-        self._hop = tools.start_span("router", request.traceparent)
+        self._span = tools.start_span("router", request.traceparent)
 
     @property
     def request(self) -> IncomingRequest:
@@ -211,7 +211,7 @@
             return
         if attempt.state.answered(head, now):
             self._tools.self_report_received(self._request, attempt.state, head)
-        self._tools.harm.heard(attempt.state, attempt.began_at, now)
+        self._tools.harm.answer_began(attempt.state, attempt.began_at, now)
         if head.is_not_run:
             self._handle_declined(attempt, head, now)
             return
@@ -234,7 +234,7 @@
     def attempt_data(self, attempt: TargetAttempt, data: bytes) -> None:
         """Relay or buffer bytes; see `AttemptListener.attempt_data`."""
         now = self._now()
-        attempt.state.heard(now)
+        attempt.state.bytes_received(now)
         self._keep_only(attempt, now)
         if self._relay.is_stream:
             self._pass_events(attempt, data, now)
@@ -306,7 +306,7 @@
         states = self._states()
         excluded = self._tried.excluded(states)
         left = [state for state in states if state.incarnation not in excluded]
-        available_in = self._tools.room.shortest_wait(left, now)
+        available_in = self._tools.availability.shortest_wait(left, now)
         if not available_in:
             crowded = left and self._tools.chooser.is_crowded(states, now)
             self._fail(Refusal.TARGETS_CROWDED if crowded else Refusal.NO_TARGET)
@@ -314,7 +314,7 @@
             self._availability_timer = self._tools.clock.callLater(
                 available_in, self._on_target_available
             )
-        elif all(state.statements.is_limited for state in left if state.takes_work):
+        elif all(state.self_reports.is_limited for state in left if state.takes_work):
             self._fail_all_paused(available_in)
         else:
             self._fail(Refusal.TARGETS_COLD, available_in)
@@ -388,8 +388,8 @@
         )
         self._attempts.append(record)
         self._tried.attempted(choice.state.incarnation)
-        hop = self._tools.start_span("target", self._hop.traceparent)
-        return TargetAttempt(self, choice.state, record, hop)
+        span = self._tools.start_span("target", self._span.traceparent)
+        return TargetAttempt(self, choice.state, record, span)
 
     def _begin(self, attempt: TargetAttempt, choice: Choice, now: float) -> None:
         source = choice.fetch_from
@@ -402,7 +402,7 @@
             needs_new_connection=self._needs_new_connection(attempt, now),
             traceparent=attempt.traceparent,
         )
-        self._tools.room.sent(attempt.state, now)
+        self._tools.availability.sent(attempt.state, now)
         attempt.begin(self._tools.caller, sending, now)
 
     def _needs_new_connection(self, attempt: TargetAttempt, now: float) -> bool:
@@ -414,11 +414,11 @@
         if attempt is self._active.hedge:
             return True
         route = self._request.route
-        if route.may_repeat:
+        if route.may_retry:
             return False
         if not route.is_stream:
             return True
-        return now - attempt.state.heard_at > self._tools.settings.heard_lately
+        return now - attempt.state.last_received_at > self._tools.settings.heard_lately
 
     # Retries and failures
 
@@ -439,7 +439,7 @@
 
     def _may_repeat(self, now: float) -> bool:
         """Tell whether it may be sent again though it may have run."""
-        if not self._request.route.may_repeat or self._held_for(now):
+        if not self._request.route.may_retry or self._held_for(now):
             return False
         return self._relay.is_stream or not self._relay.has_begun
 
@@ -466,8 +466,8 @@
         if choice is not None:
             self._start_primary(choice, now)
             return
-        available_in = self._tools.room.shortest_wait(self._states(), now)
-        if available_in and attempt.state.statements.is_resting(now):
+        available_in = self._tools.availability.shortest_wait(self._states(), now)
+        if available_in and attempt.state.self_reports.has_requested_pause(now):
             self._fail_all_paused(available_in)
         else:
             self._fail(Refusal.TARGETS_FULL)
@@ -572,7 +572,7 @@
 
     def _record_lateness(self, attempt: TargetAttempt, now: float) -> None:
         if now - attempt.began_at > self._request.route.latency_objective:
-            attempt.state.late(now)
+            attempt.state.answered_late(now)
 
     # Silent targets
 
@@ -592,8 +592,8 @@
             self._schedule_silence_check(self._silent_in(primary, now), now)
 
     def _is_silence_tracked(self) -> bool:
-        may_repeat = self._request.route.may_repeat
-        return may_repeat or self._relay.first_byte_at is None
+        may_retry = self._request.route.may_retry
+        return may_retry or self._relay.first_byte_at is None
 
     def _cancel_silence_timer(self) -> None:
         cancel_timer(self._silence_timer)
@@ -635,7 +635,7 @@
         if due > TIMER_SLACK_SECONDS:
             self._schedule_silence_check(due, now)
             return
-        if not self._request.route.may_repeat:
+        if not self._request.route.may_retry:
             # It stays where it is; the failure counts for later requests only.
             self._report_silence(primary, SilenceVerdict.MAY_NOT_REPEAT, now)
             primary.state.failed(now)
@@ -709,7 +709,7 @@
         self._deadline_timer = None
         cancel_timer(self._availability_timer)
         self._cancel_silence_timer()
-        self._hop.end(request=self._request.request_id, outcome=outcome)
+        self._span.end(request=self._request.request_id, outcome=outcome)
         self._on_end(self, outcome)
 
     def _now(self) -> float:
--- a/src/primrosescale/request/fresh_answers.py
+++ b/src/primrosescale/request/fresh_answers.py
@@ -57,7 +57,7 @@
             Whether the target was alive later, or its end would be known by now.
         """
         is_identified = self.state.incarnation.has_unique_name
-        if is_identified and self.state.heard_at >= self.at + CONFIRMATION_SECONDS:
+        if is_identified and self.state.last_received_at >= self.at + CONFIRMATION_SECONDS:
             return True
         return now - self.at >= MAX_UNCONFIRMED_SECONDS
 
@@ -75,7 +75,7 @@
         bool
             Whether the request may have crashed the target.
         """
-        last = self.state.heard_at if lost_at is None else lost_at
+        last = self.state.last_received_at if lost_at is None else lost_at
         return last < self.at + CONFIRMATION_SECONDS
 
 
--- a/src/primrosescale/request/gate.py
+++ b/src/primrosescale/request/gate.py
@@ -95,7 +95,7 @@
         """
         self._not_found_max_age = not_found_max_age
 
-    def judge(
+    def resolve(
         self,
         head: CallerHead,
         body: bytes,
@@ -129,7 +129,7 @@
             return Refusal.NO_REQUEST_ID
         name, priority = "", route.priority
         bounds = [route.allowed_regions]
-        if table.has_keys and not route.is_open:
+        if table.has_keys and not route.allows_anonymous:
             organisation = table.organisation(head.key)
             if organisation is None:
                 return self._unless_outdated(Refusal.UNKNOWN_KEY, now)
--- a/src/primrosescale/request/harm_watch.py
+++ b/src/primrosescale/request/harm_watch.py
@@ -80,7 +80,7 @@
         """
 
     @abstractmethod
-    def heard(self, state: TargetState, sent_at: float, now: float) -> None:
+    def answer_began(self, state: TargetState, sent_at: float, now: float) -> None:
         """Handle that an answer began to arrive from a target.
 
         Parameters
@@ -138,8 +138,8 @@
     ) -> None:
         """Do nothing; see `HarmMonitor.answered`."""
 
-    def heard(self, state: TargetState, sent_at: float, now: float) -> None:
-        """Do nothing; see `HarmMonitor.heard`."""
+    def answer_began(self, state: TargetState, sent_at: float, now: float) -> None:
+        """Do nothing; see `HarmMonitor.answer_began`."""
 
     def replaced(self, state: TargetState, now: float) -> None:
         """Do nothing; see `HarmMonitor.replaced`."""
--- a/src/primrosescale/request/harmful_requests.py
+++ b/src/primrosescale/request/harmful_requests.py
@@ -333,7 +333,7 @@
         """
         return [each for each in self._with_enough_ends if self.held_for(each, now) > 0]
 
-    def proof(self, fingerprint: int) -> list[TargetEnd]:
+    def sufficient_ends(self, fingerprint: int) -> list[TargetEnd]:
         """Return the most recent ends that suffice to hold a request back.
 
         Parameters
--- a/src/primrosescale/request/load_bound.py
+++ b/src/primrosescale/request/load_bound.py
@@ -62,14 +62,14 @@
         Number of targets that the load is spread over.
     own_load : int
         This target's part of that load when it was summed.
-    heard_at : float
+    measured_at : float
         Time to which the report applies, in seconds.
     """
 
     load: int
     targets: int
     own_load: int
-    heard_at: float
+    measured_at: float
 
 
 class LoadBound:
@@ -108,7 +108,7 @@
         self._multiple = multiple
         self._floor = floor
 
-    def hear(self, view: ServiceLoad) -> None:
+    def update(self, view: ServiceLoad) -> None:
         """Store a report of the service's load; older and empty ones are ignored.
 
         Parameters
@@ -118,7 +118,7 @@
         """
         if view.targets < 1:
             return
-        if self._view is None or view.heard_at >= self._view.heard_at:
+        if self._view is None or view.measured_at >= self._view.measured_at:
             self._view = view
 
     def cap(self, own: int, work: int, now: float) -> float:
@@ -148,7 +148,7 @@
         if view is None:
             return floor
         multiple = max(1.0, self._multiple * self._settings.margin)
-        age = now - view.heard_at
+        age = now - view.measured_at
         if age <= self._settings.stale_after:
             total = max(0, view.load - view.own_load) + own + work
             cap = multiple * total / view.targets
--- a/src/primrosescale/request/lost_answers.py
+++ b/src/primrosescale/request/lost_answers.py
@@ -9,7 +9,7 @@
 
 # Seconds for which a lost answer waits for the end of its target to be reported. The
 # entry of a target that has ended is removed after three heartbeats.
-WAIT_SECONDS = 8.0
+MAX_WAIT_SECONDS = 8.0
 # Seconds after the end of a target for which bytes that it sent before are still read.
 MAX_BUFFERED_SECONDS = 0.2
 # Maximum number of lost answers that wait at a target, and of ended targets that are
@@ -61,9 +61,9 @@
         Returns
         -------
         bool
-            True for `WAIT_SECONDS` after its end was recorded.
+            True for `MAX_WAIT_SECONDS` after its end was recorded.
         """
-        return now - self._ended.get(target, -WAIT_SECONDS) < WAIT_SECONDS
+        return now - self._ended.get(target, -MAX_WAIT_SECONDS) < MAX_WAIT_SECONDS
 
     def is_waiting(self, target: int, now: float) -> bool:
         """Tell whether lost answers of a target wait.
@@ -120,7 +120,7 @@
 
     def _drop_expired(self, now: float) -> None:
         for target in list(self._waiting):
-            self._drop_before(target, now - WAIT_SECONDS)
+            self._drop_before(target, now - MAX_WAIT_SECONDS)
 
     def _drop_before(self, target: int, at: float) -> None:
         waiting = self._waiting.get(target, {})
--- a/src/primrosescale/request/part_directory.py
+++ b/src/primrosescale/request/part_directory.py
@@ -144,7 +144,7 @@
         """
         self._capacity[target] = int(tokens * CACHE_SHARE)
 
-    def note(self, use: PartUse) -> bool:
+    def record_use(self, use: PartUse) -> bool:
         """Record a use that a peer router or the target itself reported.
 
         Parameters
--- a/src/primrosescale/request/rate_limit.py
+++ b/src/primrosescale/request/rate_limit.py
@@ -136,7 +136,7 @@
             return 0.0
         return (1.0 - meter.tokens) / allowed
 
-    def reports(self, routers: int, now: float) -> list[DemandRate]:
+    def demands_to_report(self, routers: int, now: float) -> list[DemandRate]:
         """Return the demands to report, and drop meters of idle organisations.
 
         Parameters
--- a/src/primrosescale/request/retry_after.py
+++ b/src/primrosescale/request/retry_after.py
@@ -19,7 +19,7 @@
 MAX_PAUSE_SECONDS = 600.0
 
 
-def asked_rest(status: int, values: Iterable[str]) -> float | None:
+def requested_pause(status: int, values: Iterable[str]) -> float | None:
     """Return the pause that a target requests, in seconds.
 
     Of several values the longest counts. A value that is not a number above 0, such
--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -19,7 +19,7 @@
 from primrosescale.ini.options import SECONDS
 from primrosescale.ini.options import option
 from primrosescale.request.answer_check import AnswerCheck
-from primrosescale.request.answer_check import digest_of
+from primrosescale.request.answer_check import answer_digest
 from primrosescale.request.attempts import AttemptFailure
 from primrosescale.request.attempts import StepKind
 from primrosescale.request.exceptions import AnswerCutError
@@ -365,7 +365,7 @@
             self._fail(_failure_from(message))
 
     def _receive_complete(self, message: wire.Answer) -> None:
-        if digest_of(message.body) != message.digest:
+        if answer_digest(message.body) != message.digest:
             raise AnswerCutError("the digest of the answer does not match its body")
         self._sink.head(message.status, message.headers)
         self._sink.data(message.body)
--- a/src/primrosescale/request/target_attempt.py
+++ b/src/primrosescale/request/target_attempt.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from primrosescale.request.direct_port import AnswerHead
-    from primrosescale.request.direct_port import Run
+    from primrosescale.request.direct_port import InFlightRequest
     from primrosescale.request.direct_port import OutgoingRequest
     from primrosescale.request.direct_port import TargetClient
     from primrosescale.request.event_stream import StreamEvent
@@ -162,14 +162,14 @@
         What is known of the target.
     record : AttemptRecord
         Its record for the log.
-    hop : TraceSpan
+    span : TraceSpan
         Its span.
     """
 
     __slots__ = (
         "_buffered",
         "_buffered_bytes",
-        "_hop",
+        "_span",
         "_is_over",
         "_is_paused",
         "_listener",
@@ -186,13 +186,13 @@
         listener: AttemptListener,
         state: TargetState,
         record: AttemptRecord,
-        hop: TraceSpan,
+        span: TraceSpan,
     ) -> None:
         self._listener = listener
         self._state = state
         self._record = record
-        self._hop = hop
-        self._run: Run | None = None
+        self._span = span
+        self._run: InFlightRequest | None = None
         self._was_sent = False
         self._is_paused = False
         self._is_over = False
@@ -229,7 +229,7 @@
     @property
     def traceparent(self) -> str:
         """Return the trace context for the target; empty for none."""
-        return self._hop.traceparent
+        return self._span.traceparent
 
     @property
     def was_sent(self) -> bool:
@@ -282,7 +282,7 @@
         self._is_over = True
         self._record.outcome = outcome
         self._record.ended_at = now
-        self._hop.end(target=self.name, outcome=outcome)
+        self._span.end(target=self.name, outcome=outcome)
         if self._is_paused:
             self._state.resume_reading(now)
         self._state.ended()
@@ -294,7 +294,7 @@
         if self._is_over or self._is_paused:
             return
         self._is_paused = True
-        self._state.held_up()
+        self._state.pause_reading()
         if self._run is not None:
             self._run.pause()
 
--- a/src/primrosescale/request/target_choice.py
+++ b/src/primrosescale/request/target_choice.py
@@ -204,7 +204,7 @@
     relies_on_homes : Callable[[], bool]
         Returns whether there are so many routers that they report to each other
         only prompts that are elsewhere than at their homes.
-    room : TargetAvailability | None
+    availability : TargetAvailability | None
         Decides which targets may be sent a request now; None where requests never
         have to wait for a target.
     recently_delisted : Callable[[str], Sequence[TargetState]]
@@ -221,7 +221,7 @@
         rng: Random,
         news_age: Callable[[], float] | None = None,
         relies_on_homes: Callable[[], bool] = lambda: False,
-        room: TargetAvailability | None = None,
+        availability: TargetAvailability | None = None,
         recently_delisted: Callable[[str], Sequence[TargetState]] = lambda _: (),
         own_share: Callable[[str, int, float], int] = lambda _, requests, __: requests,
     ) -> None:
@@ -230,7 +230,7 @@
         self._rng = rng
         self._news_age = news_age
         self._relies_on_homes = relies_on_homes
-        self._room = room or TargetAvailability()
+        self._availability = availability or TargetAvailability()
         self._recently_delisted = recently_delisted
         self._own_share = own_share
 
@@ -270,7 +270,7 @@
             state.takes_work
             and state.incarnation not in tried
             and not state.is_avoided(now)
-            and not self._room.wait(state, now)
+            and not self._availability.wait(state, now)
             for state in states
         )
 
@@ -303,7 +303,7 @@
         if not serving:
             return None
         untried = [state for state in serving if state.incarnation not in tried]
-        allowed = self._room.open(untried, now)
+        allowed = self._availability.open(untried, now)
         usable = [state for state in allowed.states if not state.is_avoided(now)]
         usable = usable or allowed.states
         if not usable:
--- a/src/primrosescale/request/target_loads.py
+++ b/src/primrosescale/request/target_loads.py
@@ -46,7 +46,7 @@
         """Return for how many targets a load is kept."""
         return len(self._known)
 
-    def hear(self, target: str, load: int, now: float) -> None:
+    def record(self, target: str, load: int, now: float) -> None:
         """Record a target's load.
 
         Parameters
--- a/src/primrosescale/request/target_room.py
+++ b/src/primrosescale/request/target_room.py
@@ -82,7 +82,7 @@
             return TargetCondition.LEAVING
         if not state.takes_work:
             return TargetCondition.EVACUATED
-        if state.statements.is_resting(now):
+        if state.self_reports.has_requested_pause(now):
             return TargetCondition.RESTING
         if self._cold is not None and self._cold.is_cold(state, now):
             return TargetCondition.COLD
@@ -103,7 +103,7 @@
         AvailableTargets
             Those for which a request need not wait.
         """
-        unpaused = [state for state in states if not state.statements.wait(now)]
+        unpaused = [state for state in states if not state.self_reports.wait(now)]
         available = unpaused if self._cold is None else self._cold.open(unpaused, now)
         return AvailableTargets(
             available, len(unpaused) - len(available), len(states) - len(unpaused)
@@ -124,7 +124,7 @@
         float
             Seconds; 0 for now.
         """
-        pause = state.statements.wait(now)
+        pause = state.self_reports.wait(now)
         return pause if self._cold is None else max(pause, self._cold.wait(state, now))
 
     def shortest_wait(self, states: Iterable[TargetState], now: float) -> float | None:
--- a/src/primrosescale/request/target_state.py
+++ b/src/primrosescale/request/target_state.py
@@ -80,7 +80,7 @@
         The target.
     now : float
         Current time in seconds.
-    statements : TargetSelfReports | None
+    self_reports : TargetSelfReports | None
         What this incarnation reported of itself while it was listed earlier.
     """
 
@@ -103,7 +103,7 @@
         "_peer_requests",
         "_report",
         "_reported_at",
-        "_statements",
+        "_self_reports",
         "_target",
     )
 
@@ -111,10 +111,10 @@
         self,
         target: ServingTarget,
         now: float,
-        statements: TargetSelfReports | None = None,
+        self_reports: TargetSelfReports | None = None,
     ) -> None:
         self._target = target
-        self._statements = statements or TargetSelfReports()
+        self._self_reports = self_reports or TargetSelfReports()
         self._incarnation = target.incarnation
         self._listed_at = now
         self._own_requests = 0
@@ -151,7 +151,7 @@
         return self._own_requests
 
     @property
-    def heard_at(self) -> float:
+    def last_received_at(self) -> float:
         """Return when bytes were last received from it, in seconds."""
         return self._last_received_at
 
@@ -165,12 +165,12 @@
         """Return whether it gets new requests: neither leaving nor evacuated."""
         if self._evacuated_at is not None or self._target.is_draining:
             return False
-        return not self._statements.is_leaving
+        return not self._self_reports.is_leaving
 
     @property
     def is_leaving(self) -> bool:
         """Return whether it is leaving, by its entry or by one of its answers."""
-        return self._target.is_draining or self._statements.is_leaving
+        return self._target.is_draining or self._self_reports.is_leaving
 
     def is_departing(self, now: float) -> bool:
         """Return whether it is leaving and is assumed to still run.
@@ -188,7 +188,7 @@
         """
         if self._target.is_draining:
             return True
-        return now - self._statements.leaving_since < ASSUMED_DRAIN_SECONDS
+        return now - self._self_reports.leaving_since < ASSUMED_DRAIN_SECONDS
 
     def seems_alive(self, now: float) -> bool:
         """Return whether nothing suggests that it has crashed.
@@ -208,9 +208,9 @@
         )
 
     @property
-    def statements(self) -> TargetSelfReports:
+    def self_reports(self) -> TargetSelfReports:
         """Return what it reported of itself in its answers."""
-        return self._statements
+        return self._self_reports
 
     @property
     def slots(self) -> int:
@@ -241,7 +241,7 @@
         if self._evacuated_at is None:
             self._evacuated_at = now
 
-    def take_back(self, now: float) -> None:
+    def end_evacuation(self, now: float) -> None:
         """Record that its failure domain gets requests again.
 
         Parameters
@@ -251,9 +251,9 @@
         """
         if self._evacuated_at is not None:
             self._evacuated_at = None
-            self.returned(now)
+            self.assume_cold_from(now)
 
-    def returned(self, now: float) -> None:
+    def assume_cold_from(self, now: float) -> None:
         """Record that it may have lost its caches while it got no requests.
 
         Parameters
@@ -290,7 +290,7 @@
         """
         return max(
             self._cold_until,
-            self._statements.cold_until,
+            self._self_reports.cold_until,
             self._assumed_cold_from + cold_seconds,
         )
 
@@ -323,13 +323,13 @@
         """
         self._await_from(now)
         self._own_requests += 1
-        self._statements.sent(now)
+        self._self_reports.sent(now)
 
     def ended(self) -> None:
         """Count a request of this router as ended."""
         self._own_requests = max(0, self._own_requests - 1)
 
-    def held_up(self) -> None:
+    def pause_reading(self) -> None:
         """Record that reading one of its answers is paused, since the caller is slow.
 
         A target whose bytes are not read must not be taken for a silent one.
@@ -367,12 +367,12 @@
         bool
             Whether it reports something new that affects what it may be sent.
         """
-        self.heard(now)
+        self.bytes_received(now)
         if head.load is not None:
-            self.reported(head.load, now)
-        return self._statements.take(head, self.slots, now)
+            self.set_load(head.load, now)
+        return self._self_reports.take(head, self.slots, now)
 
-    def heard(self, now: float) -> None:
+    def bytes_received(self, now: float) -> None:
         """Record that bytes were received from it.
 
         Parameters
@@ -382,7 +382,7 @@
         """
         self._last_received_at = now
 
-    def reported(self, report: LoadReport, now: float) -> None:
+    def set_load(self, report: LoadReport, now: float) -> None:
         """Replace its last load report.
 
         Parameters
@@ -529,9 +529,9 @@
         self._failed_connections += 1
         self._paused_until = now + pause
         # A target that was lost may have restarted under the same name.
-        self.returned(self._paused_until)
+        self.assume_cold_from(self._paused_until)
 
-    def late(self, now: float) -> None:
+    def answered_late(self, now: float) -> None:
         """Record an answer that began after its objective.
 
         Parameters
--- a/src/primrosescale/request/target_statements.py
+++ b/src/primrosescale/request/target_statements.py
@@ -104,7 +104,7 @@
         """
         return self.is_leaving or self.is_limited or now < self._cold_until
 
-    def is_resting(self, now: float) -> bool:
+    def has_requested_pause(self, now: float) -> bool:
         """Return whether it has asked for no requests at present.
 
         Parameters
@@ -205,7 +205,7 @@
         return len(self._kept)
 
     def keep(
-        self, incarnation: TargetIncarnation, statements: TargetSelfReports, now: float
+        self, incarnation: TargetIncarnation, self_reports: TargetSelfReports, now: float
     ) -> None:
         """Keep what a target reported whose entry is gone.
 
@@ -213,18 +213,18 @@
         ----------
         incarnation : TargetIncarnation
             The target's incarnation.
-        statements : TargetSelfReports
+        self_reports : TargetSelfReports
             What it reported.
         now : float
             Current time in seconds.
         """
-        if not statements.is_in_force(now):
+        if not self_reports.is_in_force(now):
             return
-        self._kept[incarnation] = statements
+        self._kept[incarnation] = self_reports
         if len(self._kept) > MAX_RETAINED:
             del self._kept[next(iter(self._kept))]
 
-    def take_back(self, incarnation: TargetIncarnation) -> TargetSelfReports:
+    def pop(self, incarnation: TargetIncarnation) -> TargetSelfReports:
         """Remove and return what a target reported that is listed again.
 
         Parameters
--- a/src/primrosescale/version/routing_table.py
+++ b/src/primrosescale/version/routing_table.py
@@ -69,7 +69,7 @@
         Maximum number of targets that one request is sent to.
     priority : int
         Rank of its requests; 0 is the most urgent.
-    is_open : bool
+    allows_anonymous : bool
         Whether callers need no key.
     allowed_regions : frozenset[str]
         Regions whose targets may receive its requests; empty for all.
@@ -87,11 +87,11 @@
     gap_objective: float
     max_targets: int
     priority: int
-    is_open: bool
+    allows_anonymous: bool
     allowed_regions: frozenset[str] = frozenset()
 
     @property
-    def may_repeat(self) -> bool:
+    def may_retry(self) -> bool:
         """Tell whether a request that may have run may be retried."""
         if self.retry_policy is RetryPolicy.STREAM:
             return self.is_resumable
--- a/tests/adapter/test_translation.py
+++ b/tests/adapter/test_translation.py
@@ -90,7 +90,7 @@
         table = decode_routing_table(stored(CONFIGURATION))
         route = table.route("desk.example", "/p/x")
         self.assertEqual((7, 12.0, 0.6, 0.8), self.times(table, route))
-        self.assertTrue(route.may_repeat and route.has_prompt and route.is_stream)
+        self.assertTrue(route.may_retry and route.has_prompt and route.is_stream)
         other = table.route("desk.example:80", "/q/")
         self.assertEqual(RetryPolicy.ONCE, other.retry_policy)
         self.assertEqual(["a", "b"], [item.service for item in other.services])
@@ -112,7 +112,7 @@
             "routes": [{**CONFIGURATION["routes"][0], "kind": "new"}],
         }
         table = decode_routing_table(stored(odd))
-        self.assertFalse(table.route("desk.example", "/p/").may_repeat)
+        self.assertFalse(table.route("desk.example", "/p/").may_retry)
 
     def test_a_record_that_cannot_be_read_is_one_clear_error(self):
         for odd in (
--- a/tests/entry/fakes.py
+++ b/tests/entry/fakes.py
@@ -10,7 +10,7 @@
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.request.direct_port import AnswerHead
 from primrosescale.request.direct_port import CallerSink
-from primrosescale.request.direct_port import Run
+from primrosescale.request.direct_port import InFlightRequest
 from primrosescale.request.direct_port import TargetClient
 from primrosescale.request.forward_tools import ForwardingSettings
 from primrosescale.request.forward_tools import ForwardingContext
@@ -45,7 +45,7 @@
     gap_objective=0.8,
     max_targets=2,
     priority=1,
-    is_open=False,
+    allows_anonymous=False,
 )
 LOOKUP = replace(
     STREAM,
@@ -69,7 +69,7 @@
 FRAGILE_STREAM = replace(STREAM, name="drafts", is_resumable=False, max_targets=1)
 
 
-def life(name, started_at=None):
+def make_incarnation(name, started_at=None):
     return TargetIncarnation(name, started_at)
 
 
@@ -115,7 +115,7 @@
         "status": status,
         "headers": (),
         "request_id": "r1",
-        "is_receipted": True,
+        "has_receipt": True,
         "is_not_run": False,
         "is_other_incarnation": False,
         "load": None,
@@ -128,7 +128,7 @@
     return b"id: %d\ndata: x\n\n" % number
 
 
-class FakeRun(Run):
+class FakeRun(InFlightRequest):
     def __init__(self, sending, observer):
         self.sending = sending
         self.observer = observer
--- a/tests/entry/test_allowed_regions.py
+++ b/tests/entry/test_allowed_regions.py
@@ -14,7 +14,7 @@
 from entry.fakes import ForwardingHarness
 from entry.fakes import event
 from entry.fakes import head
-from entry.fakes import life
+from entry.fakes import make_incarnation
 from entry.fakes import prompt
 from entry.fakes import request
 from entry.fakes import target
@@ -57,7 +57,7 @@
             last_event=None,
             headers=(),
         )
-        judged = RequestResolver(freshness, 3.0, random.Random(1)).judge(caller, b"", table, START)
+        judged = RequestResolver(freshness, 3.0, random.Random(1)).resolve(caller, b"", table, START)
         return judged.allowed_regions
 
     def test_regions_of_route_and_organisation_both_apply(self):
@@ -109,43 +109,43 @@
             for kind, service in (("p", "portal"), ("m", "model"))
             for n, domain in enumerate("abc", 1)
         ]
-        self.desk = ForwardingHarness([*targets, target("m9", domain="unknown")])
-        self.desk.tools.regions = REGIONS
+        self.harness = ForwardingHarness([*targets, target("m9", domain="unknown")])
+        self.harness.tools.regions = REGIONS
 
     def test_requests_go_to_allowed_targets_only(self):
         for _ in range(20):
-            self.desk.call(request(LOOKUP, allowed_regions=SOUTH))
-            self.assertEqual("p3", self.desk.caller.last.name)
+            self.harness.call(request(LOOKUP, allowed_regions=SOUTH))
+            self.assertEqual("p3", self.harness.caller.last.name)
 
     def test_repeats_go_to_allowed_targets_only(self):
-        _, sink = self.desk.call(request(LOOKUP, allowed_regions=SOUTH))
-        self.desk.caller.last.observer.response_lost("reset")
-        self.assertEqual(1, len(self.desk.caller.runs))
+        _, sink = self.harness.call(request(LOOKUP, allowed_regions=SOUTH))
+        self.harness.caller.last.observer.response_lost("reset")
+        self.assertEqual(1, len(self.harness.caller.runs))
         self.assertIs(Refusal.CUT, sink.refusal)
 
     def test_a_resumed_stream_goes_to_allowed_targets_only(self):
-        self.desk.call(request(STREAM, allowed_regions=NORTH))
-        first = self.desk.caller.last
+        self.harness.call(request(STREAM, allowed_regions=NORTH))
+        first = self.harness.caller.last
         first.observer.response_head(head())
         first.observer.response_data(event(1))
         first.observer.response_lost("reset")
-        names = {run.name for run in self.desk.caller.runs}
+        names = {run.name for run in self.harness.caller.runs}
         self.assertEqual({"m1", "m2"}, names)
 
     def test_a_prompt_is_copied_from_allowed_targets_only(self):
         wanted = prompt(("tariffs", 10000), ("chat", 900))
-        self.desk.parts.note(PartUse("tariffs", life("m3"), 10000, START))
-        self.desk.call(request(STREAM, allowed_regions=NORTH, prompt=wanted))
-        self.assertIsNone(self.desk.caller.last.sending.fetch_from)
+        self.harness.parts.record_use(PartUse("tariffs", make_incarnation("m3"), 10000, START))
+        self.harness.call(request(STREAM, allowed_regions=NORTH, prompt=wanted))
+        self.assertIsNone(self.harness.caller.last.sending.fetch_from)
 
     def test_a_target_of_an_unknown_domain_gets_none(self):
         for region in ("north", "south"):
             allowed = frozenset({region})
             for _ in range(20):
-                self.desk.call(request(STREAM, allowed_regions=allowed))
-                self.assertNotEqual("m9", self.desk.caller.last.name)
+                self.harness.call(request(STREAM, allowed_regions=allowed))
+                self.assertNotEqual("m9", self.harness.caller.last.name)
 
     def test_where_no_region_is_allowed_it_is_refused_at_once(self):
-        _, sink = self.desk.call(request(LOOKUP, allowed_regions=frozenset()))
+        _, sink = self.harness.call(request(LOOKUP, allowed_regions=frozenset()))
         self.assertIs(Refusal.NO_TARGET, sink.refusal)
-        self.assertEqual([], self.desk.caller.runs)
+        self.assertEqual([], self.harness.caller.runs)
--- a/tests/entry/test_cache_shares.py
+++ b/tests/entry/test_cache_shares.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import Deferred
 
 from entry.fakes import START
-from entry.fakes import life
+from entry.fakes import make_incarnation
 from entry.fakes import prompt
 from entry.fakes import target
 from primrosescale.connection.codec import decode
@@ -207,7 +207,7 @@
         self.shares.receive_answer(wire.CacheAnswer(origin, [cache], is_last), START)
 
     def held(self, name="m1", part="tariffs"):
-        return self.parts.held(life(name), prompt((part, 9000)).parts, START)
+        return self.parts.held(make_incarnation(name), prompt((part, 9000)).parts, START)
 
     def test_each_target_is_the_share_of_one_router(self):
         first = PeerRouter("a", Endpoint("127.0.0.1", 7000))
@@ -257,7 +257,7 @@
         count = 3 * MAX_PARTS_PER_ANSWER + 1
         for number in range(count):
             use = PartUse(f"{number:08x}", self.own_target, 9000, START - 30)
-            self.parts.note(use)
+            self.parts.record_use(use)
         self.shares.share_read(START)
         frames = [encode(message) for _, message in self.request()]
         self.assertEqual(math.ceil(count / MAX_PARTS_PER_ANSWER), len(frames))
--- a/tests/entry/test_entry_router.py
+++ b/tests/entry/test_entry_router.py
@@ -98,7 +98,7 @@
         return self.store.write("servers", name, {**entry, **fields})
 
     @inlineCallbacks
-    def start(self, *, early=None, caches=None, targets_wait=0.3, **fields):
+    def start(self, *, listening_socket=None, caches=None, targets_wait=0.3, **fields):
         endpoint = self.serve(self.store)
         self.settings = router_settings(**fields)
         self.events = []
@@ -108,7 +108,7 @@
             self.events,
             lambda: self.settings,
             caches=caches,
-            early=early,
+            listening_socket=listening_socket,
         )
         self.router = EntryRouter(
             self.settings, router_watches(targets_wait), self.parts
@@ -160,11 +160,11 @@
 
     @inlineCallbacks
     def test_callers_who_connect_while_it_is_loaded_are_served(self):
-        early = open_listener(Endpoint(LOOPBACK, 0))
-        client = TCP4ClientEndpoint(reactor, *early.getsockname())
+        listening_socket = open_listener(Endpoint(LOOPBACK, 0))
+        client = TCP4ClientEndpoint(reactor, *listening_socket.getsockname())
         caller = yield connectProtocol(client, Caller())
         caller.transport.write(text())
-        yield self.start(early=early)
+        yield self.start(listening_socket=listening_socket)
         yield caller.answered(b"done")
         self.assertTrue(caller.data.startswith(b"HTTP/1.1 200"), caller.data)
 
@@ -471,7 +471,7 @@
             PeerRouter("r2", Endpoint("127.0.0.1", 1)), now
         )
         [(_, message)] = peer.compose(2, reactor.seconds())
-        self.router._state_exchange.take(message, 1, reactor.seconds())
+        self.router._state_exchange.receive(message, 1, reactor.seconds())
         yield self.eventually(lambda: self.router._version() == 2)
 
     @inlineCallbacks
@@ -540,7 +540,7 @@
         )
         revision = self.drain_without_notification("m1")
         [(_, message)] = peer.compose(1, reactor.seconds(), list_revision=revision)
-        self.router._state_exchange.take(message, 1, reactor.seconds())
+        self.router._state_exchange.receive(message, 1, reactor.seconds())
         yield self.eventually(lambda: self.knows_as_draining("m1"))
         self.assertIn("WATCH_RENEWED", [name for name, _ in self.events])
 
@@ -686,7 +686,7 @@
         def fail():
             raise BootFileError("node.json", "field 'ip' is missing")
 
-        self.parts.reread = fail
+        self.parts.read_settings = fail
         self.settings = replace(self.settings, callers=Endpoint("127.0.0.2", 0))
         self.router.reload()
         self.assertIn("SETTINGS_REFUSED", [name for name, _ in self.events])
@@ -780,7 +780,7 @@
         revision = self.restart("m1", "model")
         self.store.faults.is_deaf = False
         [(_, message)] = peer.compose(1, reactor.seconds(), list_revision=revision)
-        self.router._state_exchange.take(message, 1, reactor.seconds())
+        self.router._state_exchange.receive(message, 1, reactor.seconds())
         yield self.eventually(lambda: self.incarnation("m1").started_at == SECOND)
 
     @inlineCallbacks
--- a/tests/entry/test_foreign_entries.py
+++ b/tests/entry/test_foreign_entries.py
@@ -16,7 +16,7 @@
 from twisted.internet.defer import succeed
 from twisted.internet.task import Clock
 
-from entry.fakes import life
+from entry.fakes import make_incarnation
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.platform.entry import PlatformRecords
 from primrosescale.process.entry.entry_metrics import EntryMetrics
@@ -144,7 +144,7 @@
         self.change(entry("i-1", UNREADABLE, 2))
         self.now += DRAIN_SECONDS
         self.assertEqual(
-            [life("i-1", TARGET["born"])], self.listed.forget_expired(self.now)
+            [make_incarnation("i-1", TARGET["born"])], self.listed.forget_expired(self.now)
         )
         self.assertEqual([], self.listed.forget_expired(self.now))
         self.change(entry("i-1", TARGET, 3))
--- a/tests/entry/test_forwarded_call.py
+++ b/tests/entry/test_forwarded_call.py
@@ -341,7 +341,7 @@
         harness = ForwardingHarness(MODEL)
         _, sink = harness.call(request(FRAGILE_STREAM, deadline=1012.0))
         name = harness.caller.last.name
-        harness.state(name).heard(harness.clock.seconds() + 1.25)
+        harness.state(name).bytes_received(harness.clock.seconds() + 1.25)
         harness.pass_time(1.25)
         self.assertTrue(
             harness.state(name).failure_share(harness.clock.seconds()) > 0.3
--- a/tests/entry/test_harm_watch.py
+++ b/tests/entry/test_harm_watch.py
@@ -42,7 +42,7 @@
 from primrosescale.request.harm_watch import HarmMonitor
 from primrosescale.request.harmful_requests import TRIAL_SECONDS
 from primrosescale.request.harmful_requests import HarmfulRequests
-from primrosescale.request.lost_answers import WAIT_SECONDS
+from primrosescale.request.lost_answers import MAX_WAIT_SECONDS
 
 NAMES = tuple(f"t{number}" for number in range(1, 8))
 # Ends just after a complete answer that it takes until the request is held back.
@@ -117,8 +117,8 @@
     def heard(self, name, after):
         """Receive an answer to a request that was sent some time ago."""
         now = self.clock.seconds()
-        self.targets.state(name).heard(now)
-        self.watch.heard(self.targets.state(name), now - after, now)
+        self.targets.state(name).bytes_received(now)
+        self.watch.answer_began(self.targets.state(name), now - after, now)
 
     def gone(self, *names):
         for name in names:
@@ -180,7 +180,7 @@
 
     def answer(self, name):
         state = self.targets.state(name)
-        state.heard(self.clock.seconds())
+        state.bytes_received(self.clock.seconds())
         self.watch.answered(self.request, state, self.clock.seconds())
 
     def test_ends_just_after_an_answer_count_against_the_request(self):
@@ -244,7 +244,7 @@
             self.find(ProbeResult.UNKNOWN)
             self.clock.advance(PROBE_INTERVAL_SECONDS)
         self.assertLessEqual(
-            len(self.caller.checks), 2 + WAIT_SECONDS / PROBE_INTERVAL_SECONDS
+            len(self.caller.checks), 2 + MAX_WAIT_SECONDS / PROBE_INTERVAL_SECONDS
         )
         self.assertEqual(0, self.ends())
 
@@ -315,8 +315,8 @@
         )
 
     def test_each_end_is_sent_a_fixed_number_of_times(self):
-        self.assertTrue(self.news.note(TargetEnd(1, 7, START), START))
-        self.assertFalse(self.news.note(TargetEnd(1, 7, START), START))
+        self.assertTrue(self.news.record(TargetEnd(1, 7, START), START))
+        self.assertFalse(self.news.record(TargetEnd(1, 7, START), START))
         self.assertTrue(self.news.is_urgent)
         sent = [self.news.ends(START + 0.25 * turn) for turn in range(6)]
         self.assertEqual(SENDS_PER_REPORT, sum(map(len, sent)))
@@ -325,29 +325,29 @@
 
     def test_messages_stay_small_and_the_newest_goes_first(self):
         for number in range(100):
-            self.news.note(TargetEnd(number, 7, START), START)
+            self.news.record(TargetEnd(number, 7, START), START)
         sent = self.news.ends(START)
         self.assertEqual(MAX_REPORTS_PER_MESSAGE, len(sent))
         self.assertEqual(99, sent[0].fingerprint)
 
     def test_received_ends_are_applied(self):
         for number in (7, 8, 9):
-            self.news.note(TargetEnd(1, number, START), START)
+            self.news.record(TargetEnd(1, number, START), START)
         other = self.new()
-        other.take(self.message(self.news.ends(START)), {}, START)
+        other.receive(self.message(self.news.ends(START)), {}, START)
         self.assertEqual([1], other._requests.held(START))
         self.assertEqual("r2", self.log.of(Event.REQUEST_HELD_BACK)[-1]["told_by"])
 
     def test_held_back_requests_are_sent_repeatedly(self):
         for number in (7, 8, 9):
-            self.news.note(TargetEnd(1, number, START), START)
+            self.news.record(TargetEnd(1, number, START), START)
         other = self.new()
         later = START + 60
         held = self.news.held(later)
         self.assertLessEqual(len(held), MAX_HELD_PER_MESSAGE)
         self.assertEqual([], self.news.held(later + HELD_INTERVAL_SECONDS / 2))
         self.assertNotEqual([], self.news.held(later + HELD_INTERVAL_SECONDS))
-        other.take(self.message(held=held), {}, later)
+        other.receive(self.message(held=held), {}, later)
         self.assertEqual([1], other._requests.held(later))
 
     def test_peers_do_not_try_a_suspect_at_the_same_time(self):
@@ -355,16 +355,16 @@
         # Each of these ends is also explained by another request.
         for number in (7, 8, 9, 10):
             for each in (self.news, other):
-                each.note(TargetEnd(2, number, START), START)
+                each.record(TargetEnd(2, number, START), START)
                 if number < 10:
-                    each.note(TargetEnd(1, number, START), START)
+                    each.record(TargetEnd(1, number, START), START)
         held_for = other._requests.held_for
         self.assertEqual(0.0, held_for(1, START))
-        self.news.note(SuspectTrial(1, START), START)
-        other.take(self.message(self.news.ends(START)[:1]), {}, START)
+        self.news.record(SuspectTrial(1, START), START)
+        other.receive(self.message(self.news.ends(START)[:1]), {}, START)
         self.assertEqual(TRIAL_SECONDS, held_for(1, START))
         self.assertEqual(0.0, held_for(1, START + TRIAL_SECONDS))
-        self.assertFalse(self.news.note(SuspectTrial(3, START), START))
+        self.assertFalse(self.news.record(SuspectTrial(3, START), START))
 
     def test_an_end_is_ignored_if_the_target_sent_data_since(self):
         targets = TargetList(2.0)
@@ -372,24 +372,24 @@
         state = targets.state("t1")
         key = target_key(*state.incarnation)
         states = {key: state}
-        state.heard(START + 10)
+        state.bytes_received(START + 10)
         sent = wire.EndNews(1, 1000, key)
-        self.news.take(self.message([sent]), states, START + 10)
+        self.news.receive(self.message([sent]), states, START + 10)
         self.assertEqual(0, self.news._requests.ends_under(1))
-        self.news.take(self.message([sent]), states, START + 12)
+        self.news.receive(self.message([sent]), states, START + 12)
         self.assertEqual(1, self.news._requests.ends_under(1))
 
     def test_a_router_that_answered_the_request_reports_it_after_an_end(self):
         answered = self.new()
-        answered.note(CompleteAnswer(1, START - 5), START)
+        answered.record(CompleteAnswer(1, START - 5), START)
         end = TargetEnd(1, 7, START)
-        answered.take(self.message([wire.EndNews(1, 0, 7)]), {}, START)
+        answered.receive(self.message([wire.EndNews(1, 0, 7)]), {}, START)
         sent = answered.ends(START)
-        self.news.note(end, START)
-        self.news.take(self.message(sent), {}, START)
+        self.news.record(end, START)
+        self.news.receive(self.message(sent), {}, START)
         self.assertEqual(CompleteAnswer(1, START - 5), self.news._requests.last_answer(1))
         for number in (8, 9):
-            self.news.note(TargetEnd(1, number, START), START)
+            self.news.record(TargetEnd(1, number, START), START)
         self.assertEqual([], self.news._requests.held(START))
 
 
@@ -414,7 +414,7 @@
     def answered(self, request, state, now):
         self.whole.append(request.request_id)
 
-    def heard(self, state, sent_at, now):
+    def answer_began(self, state, sent_at, now):
         pass
 
     def replaced(self, state, now):
@@ -427,60 +427,60 @@
 class HeldBackCallTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.desk = ForwardingHarness([target("p1", "portal"), target("p2", "portal")])
-        self.watch = self.desk.tools.harm = StubHarmMonitor()
+        self.harness = ForwardingHarness([target("p1", "portal"), target("p2", "portal")])
+        self.watch = self.harness.tools.harm = StubHarmMonitor()
 
     def test_a_held_back_request_is_refused_with_its_remaining_time(self):
         self.watch.is_holding = True
-        call, sink = self.desk.call(request())
+        call, sink = self.harness.call(request())
         self.assertEqual((Refusal.HELD_BACK, 120.0), (sink.refusal, sink.retry_after))
-        self.assertEqual([], self.desk.caller.runs)
-        self.assertEqual(["refused: held_back"], self.desk.ended)
+        self.assertEqual([], self.harness.caller.runs)
+        self.assertEqual(["refused: held_back"], self.harness.ended)
         self.assertTrue(call.is_suspect)
 
     def test_a_lost_request_is_not_retried_once_held_back(self):
-        _, sink = self.desk.call(request())
+        _, sink = self.harness.call(request())
         self.watch.is_holding = True
-        self.desk.caller.last.observer.response_lost("closed")
-        self.assertEqual(1, len(self.desk.caller.runs))
+        self.harness.caller.last.observer.response_lost("closed")
+        self.assertEqual(1, len(self.harness.caller.runs))
         self.assertEqual(Refusal.CUT, sink.refusal)
 
     def test_a_declined_request_is_not_retried_once_held_back(self):
-        _, sink = self.desk.call(request())
+        _, sink = self.harness.call(request())
         self.watch.is_holding = True
-        self.desk.caller.last.observer.response_head(head(503, is_not_run=True))
+        self.harness.caller.last.observer.response_head(head(503, is_not_run=True))
         self.assertEqual(Refusal.HELD_BACK, sink.refusal)
         self.assertEqual(120.0, sink.retry_after)
 
     def test_an_answer_by_another_target_is_reported_as_a_replacement(self):
-        self.desk.call(request(LOOKUP))
-        state = self.desk.state(self.desk.caller.last.name)
-        self.desk.pass_time(0.2)
-        self.desk.caller.last.answer(status=421, is_other_incarnation=True)
+        self.harness.call(request(LOOKUP))
+        state = self.harness.state(self.harness.caller.last.name)
+        self.harness.pass_time(0.2)
+        self.harness.caller.last.answer(status=421, is_other_incarnation=True)
         self.assertEqual([f"{state.target.name} replaced"], self.watch.lost)
-        self.assertEqual(START, state.heard_at)
+        self.assertEqual(START, state.last_received_at)
 
     def test_each_lost_answer_is_reported_with_its_target(self):
-        self.desk.call(request())
+        self.harness.call(request())
         self.assertEqual(["r1"], self.watch.out)
-        first = self.desk.caller.last
+        first = self.harness.caller.last
         first.observer.response_lost("closed")
         self.assertEqual([first.name], self.watch.lost)
-        self.desk.caller.last.answer(body=b"done")
+        self.harness.caller.last.answer(body=b"done")
         self.assertEqual(["r1"], self.watch.whole)
 
     def test_a_stream_is_not_resumed_once_held_back(self):
-        self.desk.states += ForwardingHarness([target("m1"), target("m2")]).states
-        _, sink = self.desk.call(request(STREAM))
-        run = self.desk.caller.last
+        self.harness.states += ForwardingHarness([target("m1"), target("m2")]).states
+        _, sink = self.harness.call(request(STREAM))
+        run = self.harness.caller.last
         run.observer.response_head(head())
         run.observer.response_data(event(1))
         self.watch.is_holding = True
         run.observer.response_lost("closed")
-        self.assertEqual(1, len(self.desk.caller.runs))
+        self.assertEqual(1, len(self.harness.caller.runs))
         self.assertTrue(sink.is_broken)
 
     def test_an_error_status_of_the_target_is_no_complete_answer(self):
-        self.desk.call(request(replace(LOOKUP, max_targets=1)))
-        self.desk.caller.last.answer(500)
+        self.harness.call(request(replace(LOOKUP, max_targets=1)))
+        self.harness.caller.last.answer(500)
         self.assertEqual([], self.watch.whole)
--- a/tests/entry/test_knowledge.py
+++ b/tests/entry/test_knowledge.py
@@ -96,7 +96,7 @@
     def pass_time(self, seconds, version=0, listed=0):
         for _ in range(int(seconds / TICK)):
             self.knowledge.freshness.answered(self.clock.seconds())
-            self.knowledge.look_after(version, listed, self.clock.seconds())
+            self.knowledge.poll_if_stale(version, listed, self.clock.seconds())
             self.clock.advance(TICK)
 
 
@@ -166,7 +166,7 @@
 
     def pass_outage(self, seconds):
         for _ in range(int(seconds / TICK)):
-            self.knowledge.look_after(1, 0, self.clock.seconds())
+            self.knowledge.poll_if_stale(1, 0, self.clock.seconds())
             self.clock.advance(TICK)
 
     def test_one_watch_polls_on_behalf_of_all(self):
--- a/tests/entry/test_leaving_answers.py
+++ b/tests/entry/test_leaving_answers.py
@@ -142,7 +142,7 @@
         """Process an answer in which a target announces that it leaves."""
         state = self.targets.state(name)
         if state.answered(head(is_leaving=True), now):
-            self.leaving_exchange.note(state.incarnation)
+            self.leaving_exchange.record(state.incarnation)
 
     @property
     def leaving(self):
@@ -171,7 +171,7 @@
             ]
             for name, message in sent:
                 if name in routers_by_name:
-                    routers_by_name[name].news.take(decode(encode(message)), 1, at)
+                    routers_by_name[name].news.receive(decode(encode(message)), 1, at)
 
     # Guards against requests of routers to which the leaving target has sent no answer.
     def test_all_routers_learn_of_it_in_time(self):
@@ -226,7 +226,7 @@
             routers_by_name["r0"].receive_leaving(f"m{number}", START + number / 100)
         [(_, message)] = routers_by_name["r0"].news.compose(1, START + 3)
         self.assertEqual(40, len(message.leaving))
-        routers_by_name["r1"].news.take(decode(encode(message)), 1, START + 3)
+        routers_by_name["r1"].news.receive(decode(encode(message)), 1, START + 3)
         self.assertIn("m199", routers_by_name["r1"].leaving)
 
 
--- a/tests/entry/test_news_relays.py
+++ b/tests/entry/test_news_relays.py
@@ -73,7 +73,7 @@
         self.fleet.run(1.0)
         for router in self.fleet.routers:
             self.assertEqual(ROUTERS / 2, self.seen(router), router.name)
-            self.assertEqual(ROUTERS - 1, router.news.heard_lately(self.now()))
+            self.assertEqual(ROUTERS - 1, router.news.recent_peers(self.now()))
 
     def test_requests_that_ended_are_not_counted(self):
         first = self.fleet.routers[0]
@@ -95,17 +95,17 @@
             router.exchange.send_soon()
         self.fleet.run(1.0)
         for router in self.fleet.routers:
-            life = router.targets.state(TARGET).incarnation
-            self.assertEqual(9500, router.parts.held(life, wanted[:2], self.now()))
+            incarnation = router.targets.state(TARGET).incarnation
+            self.assertEqual(9500, router.parts.held(incarnation, wanted[:2], self.now()))
 
     def test_a_prompt_sent_to_its_home_is_not_reported(self):
         [member, *_] = self.members("domain-0")
         wanted = prompt(("tariffs", 9000), ("chat", 10)).parts
-        life = member.targets.state(TARGET).incarnation
-        member.parts.record_own_request(life, wanted, self.now(), is_expected=True)
+        incarnation = member.targets.state(TARGET).incarnation
+        member.parts.record_own_request(incarnation, wanted, self.now(), is_expected=True)
         self.assertFalse(member.news.is_urgent)
         self.fleet.run(1.0)
-        self.assertEqual(0, self.fleet.routers[1].parts.held(life, wanted, self.now()))
+        self.assertEqual(0, self.fleet.routers[1].parts.held(incarnation, wanted, self.now()))
 
 
 class FaultTest(RelayedFleet):
@@ -184,7 +184,7 @@
         self.fleet.run(3.0)
         self.assertEqual(1.0, self.seen(alone))
         self.assertGreater(alone.news.age(self.now()), STALE_LOAD_SECONDS)
-        self.assertEqual(0, alone.news.heard_lately(self.now()))
+        self.assertEqual(0, alone.news.recent_peers(self.now()))
         self.assertTrue(alone.news.polls_store(self.now()))
 
     def test_loads_stay_recent_for_all_others_meanwhile(self):
@@ -252,14 +252,14 @@
     def test_a_report_of_the_former_release_counts_in_its_domain_alone(self):
         self.send(self.fleet.routers[0])
         message = self.former(0)
-        life = self.fleet.routers[0].targets.state(TARGET).incarnation
-        message.targets = [wire.TargetNews(target_key(*life), 1)]
+        incarnation = self.fleet.routers[0].targets.state(TARGET).incarnation
+        message.targets = [wire.TargetNews(target_key(*incarnation), 1)]
         self.fleet.lose(self.fleet.routers[0])
         self.fleet.run(SETTINGS.keep + 1)
         for _ in range(20):
             message.sequence += 1
             for other in self.fleet.routers[1:]:
-                other.news.take(decode(encode(message)), 1, self.now())
+                other.news.receive(decode(encode(message)), 1, self.now())
             self.fleet.run(0.15)
         for router in self.fleet.routers[1:]:
             self.assertEqual(1.0, self.seen(router), router.name)
--- a/tests/entry/test_prompt_homes.py
+++ b/tests/entry/test_prompt_homes.py
@@ -101,7 +101,7 @@
     def test_a_prompt_without_known_holder_goes_home(self):
         # Most targets hold the first part, which many prompts share.
         for state in self.states[::2]:
-            self.parts.note(PartUse("terms", state.incarnation, 500, START))
+            self.parts.record_use(PartUse("terms", state.incarnation, 500, START))
         for seed in range(20):
             choice = self.choose(seed)
             self.assertIs(self.home, choice.state)
@@ -119,7 +119,7 @@
     def test_a_known_copy_shares_the_load_of_home(self):
         other = next(state for state in self.states if state is not self.home)
         for name, tokens in (("terms", 500), ("tariffs", 10_000)):
-            self.parts.note(PartUse(name, other.incarnation, tokens, START))
+            self.parts.record_use(PartUse(name, other.incarnation, tokens, START))
         self.home.sent(START + 0.9)
         self.assertIs(other, self.choose().state)
         for _ in range(2):
@@ -155,7 +155,7 @@
         ]
         self.parts = PrefixCacheIndex()
         for state in self.states:
-            self.parts.note(PartUse("terms", state.incarnation, 500, START))
+            self.parts.record_use(PartUse("terms", state.incarnation, 500, START))
 
     def chosen_names(self, wanted):
         """Return the targets that routers choose that know different loads."""
@@ -175,5 +175,5 @@
     def test_a_prompt_that_is_held_completely_goes_to_its_holder(self):
         home = home_of(WANTED, self.states)
         holder = next(state for state in self.states if state is not home)
-        self.parts.note(PartUse("tariffs", holder.incarnation, 10_000, START))
+        self.parts.record_use(PartUse("tariffs", holder.incarnation, 10_000, START))
         self.assertEqual({holder.target.name}, self.chosen_names(WANTED))
--- a/tests/entry/test_restart.py
+++ b/tests/entry/test_restart.py
@@ -15,7 +15,7 @@
 from entry.fakes import ForwardingHarness
 from entry.fakes import event
 from entry.fakes import head
-from entry.fakes import life
+from entry.fakes import make_incarnation
 from entry.fakes import prompt
 from entry.fakes import request
 from entry.fakes import target
@@ -56,7 +56,7 @@
         self.assertIsNot(before, self.state())
         self.assertGreater(self.targets.generation, generation)
         self.assertFalse(self.targets.put(target("m1", started_at=SECOND), START))
-        former, present = life("m1", FIRST), life("m1", SECOND)
+        former, present = make_incarnation("m1", FIRST), make_incarnation("m1", SECOND)
         self.assertEqual(
             [
                 IncarnationStart(former, None, "store"),
@@ -93,7 +93,7 @@
         self.targets.put(target("m1", started_at=FIRST), START)
         names = [state.target.name for state in self.targets.of_service("model")]
         self.assertEqual(["m2"], names)
-        self.assertEqual([life("m1", SECOND)], self.targets.forget_expired(START + 2))
+        self.assertEqual([make_incarnation("m1", SECOND)], self.targets.forget_expired(START + 2))
 
     def test_a_report_without_start_keeps_the_known_one(self):
         before = self.state()
@@ -192,7 +192,7 @@
         self.assertEqual(1, state.own_running)
 
     def test_its_own_report_of_load(self):
-        self.former.reported(LoadReport(5, 9, 2), START)
+        self.former.set_load(LoadReport(5, 9, 2), START)
         state = self.restart()
         self.assertEqual(0.0, state.load(START))
         self.assertEqual(8, state.slots)
@@ -232,7 +232,7 @@
 
     def test_callers_that_pause_reading_its_answers(self):
         self.former.sent(START)
-        self.former.held_up()
+        self.former.pause_reading()
         state = self.restart()
         state.sent(START)
         self.assertAlmostEqual(1.0, state.silence(START + 1.0))
@@ -282,7 +282,7 @@
 
     def send_update(self, other):
         [(_, message)] = self.news.compose(1, START)
-        other.news.take(decode(encode(message)), 1, START)
+        other.news.receive(decode(encode(message)), 1, START)
 
 
 class PeerUpdateTest(TestCase):
@@ -338,77 +338,77 @@
 class RestartDuringCallTest(TestCase):
     """Requests whose target restarts at various stages."""
 
-    def incarnations(self, desk):
-        return [run.sending.target.incarnation for run in desk.caller.runs]
+    def incarnations(self, harness):
+        return [run.sending.target.incarnation for run in harness.caller.runs]
 
     # Restart before the request is sent
 
     def test_an_unsent_request_goes_to_the_new_incarnation_too(self):
         for route in (CONFIRMATION, LOOKUP):
-            desk = ForwardingHarness(PORTAL_ALONE, extra=0.0)
-            desk.caller.opening = {"p1"}
-            _, sink = desk.call(request(route))
-            desk.caller.opening = set()
-            desk.restart("p1", SECOND)
+            harness = ForwardingHarness(PORTAL_ALONE, extra=0.0)
+            harness.caller.opening = {"p1"}
+            _, sink = harness.call(request(route))
+            harness.caller.opening = set()
+            harness.restart("p1", SECOND)
             self.assertEqual(
-                [life("p1", FIRST), life("p1", SECOND)], self.incarnations(desk)
+                [make_incarnation("p1", FIRST), make_incarnation("p1", SECOND)], self.incarnations(harness)
             )
-            desk.caller.last.answer(200, b"ok")
+            harness.caller.last.answer(200, b"ok")
             self.assertEqual(b"ok", sink.body)
 
     # Restart after sending, before the head of the answer
 
     def test_a_request_that_may_run_once_is_not_retried_nor_reported_as_not_run(self):
         for targets in (PORTAL_ALONE, PORTAL):
-            desk = ForwardingHarness(targets)
-            _, sink = desk.call(request(CONFIRMATION))
-            desk.restart(desk.caller.last.name, SECOND)
-            self.assertEqual(1, len(desk.caller.runs))
+            harness = ForwardingHarness(targets)
+            _, sink = harness.call(request(CONFIRMATION))
+            harness.restart(harness.caller.last.name, SECOND)
+            self.assertEqual(1, len(harness.caller.runs))
             self.assertEqual(Refusal.CUT, sink.refusal)
             self.assertFalse(sink.refusal.is_not_run)
             self.assertIsNone(sink.retry_after)
 
     def test_a_stream_that_may_run_once_is_not_retried(self):
-        desk = ForwardingHarness(MODEL)
-        _, sink = desk.call(request(FRAGILE_STREAM, deadline=START + 12))
-        desk.restart(desk.caller.last.name, SECOND)
-        self.assertEqual((1, Refusal.CUT), (len(desk.caller.runs), sink.refusal))
+        harness = ForwardingHarness(MODEL)
+        _, sink = harness.call(request(FRAGILE_STREAM, deadline=START + 12))
+        harness.restart(harness.caller.last.name, SECOND)
+        self.assertEqual((1, Refusal.CUT), (len(harness.caller.runs), sink.refusal))
 
     def test_a_decline_by_the_new_incarnation_does_not_mean_not_run(self):
-        desk = ForwardingHarness(PORTAL_ALONE)
-        _, sink = desk.call(request(LOOKUP))
-        desk.restart("p1", SECOND)
-        desk.caller.last.observer.response_head(head(503, is_not_run=True))
+        harness = ForwardingHarness(PORTAL_ALONE)
+        _, sink = harness.call(request(LOOKUP))
+        harness.restart("p1", SECOND)
+        harness.caller.last.observer.response_head(head(503, is_not_run=True))
         self.assertEqual(Refusal.CUT, sink.refusal)
         self.assertFalse(sink.refusal.is_not_run)
 
     def test_an_idempotent_request_is_retried_at_the_new_incarnation(self):
-        desk = ForwardingHarness(PORTAL_ALONE)
-        _, sink = desk.call(request(LOOKUP))
-        desk.restart("p1", SECOND)
-        desk.caller.last.answer(200, b"ok")
+        harness = ForwardingHarness(PORTAL_ALONE)
+        _, sink = harness.call(request(LOOKUP))
+        harness.restart("p1", SECOND)
+        harness.caller.last.answer(200, b"ok")
         self.assertEqual(b"ok", sink.body)
         self.assertEqual(
-            [life("p1", FIRST), life("p1", SECOND)], self.incarnations(desk)
+            [make_incarnation("p1", FIRST), make_incarnation("p1", SECOND)], self.incarnations(harness)
         )
 
     def test_it_is_retried_within_the_retry_budget_only(self):
-        desk = ForwardingHarness(PORTAL, extra=0.0)
-        _, sink = desk.call(request(LOOKUP))
-        desk.restart(desk.caller.last.name, SECOND)
-        self.assertEqual((1, Refusal.CUT), (len(desk.caller.runs), sink.refusal))
+        harness = ForwardingHarness(PORTAL, extra=0.0)
+        _, sink = harness.call(request(LOOKUP))
+        harness.restart(harness.caller.last.name, SECOND)
+        self.assertEqual((1, Refusal.CUT), (len(harness.caller.runs), sink.refusal))
 
     # Restart during a stream
 
     def test_a_stream_is_resumed_after_its_last_complete_event(self):
         for targets in (ALONE, MODEL):
-            desk = ForwardingHarness(targets)
-            _, sink = desk.call(request(STREAM, deadline=START + 12))
-            first = desk.caller.last
+            harness = ForwardingHarness(targets)
+            _, sink = harness.call(request(STREAM, deadline=START + 12))
+            first = harness.caller.last
             first.observer.response_head(head())
             first.observer.response_data(event(1) + event(2) + event(3)[:4])
-            desk.restart(first.name, SECOND)
-            second = desk.caller.last
+            harness.restart(first.name, SECOND)
+            second = harness.caller.last
             self.assertEqual(2, second.sending.resume_after)
             second.observer.response_head(head())
             # Further data from the former incarnation is discarded.
@@ -420,63 +420,63 @@
             self.assertTrue(sink.is_finished)
 
     def test_a_stream_that_is_not_resumable_is_aborted(self):
-        desk = ForwardingHarness(MODEL)
-        _, sink = desk.call(request(FRAGILE_STREAM, deadline=START + 12))
-        run = desk.caller.last
+        harness = ForwardingHarness(MODEL)
+        _, sink = harness.call(request(FRAGILE_STREAM, deadline=START + 12))
+        run = harness.caller.last
         run.observer.response_head(head())
         run.observer.response_data(event(1))
-        desk.restart(run.name, SECOND)
+        harness.restart(run.name, SECOND)
         self.assertTrue(sink.is_broken)
-        self.assertEqual(1, len(desk.caller.runs))
+        self.assertEqual(1, len(harness.caller.runs))
 
     def test_a_late_answer_of_the_former_incarnation_is_discarded(self):
-        desk = ForwardingHarness(PORTAL_ALONE)
-        _, sink = desk.call(request(LOOKUP))
-        first = desk.caller.last
-        desk.restart("p1", SECOND)
+        harness = ForwardingHarness(PORTAL_ALONE)
+        _, sink = harness.call(request(LOOKUP))
+        first = harness.caller.last
+        harness.restart("p1", SECOND)
         first.answer(200, b"late")
         self.assertEqual((None, b""), (sink.head, sink.body))
-        desk.caller.last.answer(200, b"ok")
+        harness.caller.last.answer(200, b"ok")
         self.assertEqual(b"ok", sink.body)
 
     # Restart while draining, and repeated restarts
 
     def test_a_target_that_restarts_while_draining_gets_new_requests(self):
-        desk = ForwardingHarness(PORTAL_ALONE)
-        _, sink = desk.call(request(LOOKUP))
-        _, once = desk.call(request(CONFIRMATION))
+        harness = ForwardingHarness(PORTAL_ALONE)
+        _, sink = harness.call(request(LOOKUP))
+        _, once = harness.call(request(CONFIRMATION))
         leaving = target("p1", "portal", started_at=FIRST, is_draining=True)
-        desk.state("p1").update_entry(leaving)
-        desk.restart("p1", SECOND)
+        harness.state("p1").update_entry(leaving)
+        harness.restart("p1", SECOND)
         self.assertEqual(Refusal.CUT, once.refusal)
-        desk.caller.last.answer(200, b"ok")
+        harness.caller.last.answer(200, b"ok")
         self.assertEqual(b"ok", sink.body)
 
     def test_each_incarnation_counts_towards_the_maximum_of_targets(self):
-        desk = ForwardingHarness(PORTAL_ALONE)
-        _, sink = desk.call(request(LOOKUP))
-        desk.restart("p1", SECOND)
-        desk.pass_time(0.2)
-        desk.restart("p1", THIRD)
-        self.assertEqual(2, len(desk.caller.runs))
+        harness = ForwardingHarness(PORTAL_ALONE)
+        _, sink = harness.call(request(LOOKUP))
+        harness.restart("p1", SECOND)
+        harness.pass_time(0.2)
+        harness.restart("p1", THIRD)
+        self.assertEqual(2, len(harness.caller.runs))
         self.assertEqual(Refusal.CUT, sink.refusal)
 
     def test_after_two_restarts_within_a_second_only_the_last_incarnation_serves(self):
-        desk = ForwardingHarness(ALONE)
+        harness = ForwardingHarness(ALONE)
         route = replace(STREAM, max_targets=3)
-        _, sink = desk.call(request(route, deadline=START + 12))
-        first = desk.caller.last
+        _, sink = harness.call(request(route, deadline=START + 12))
+        first = harness.caller.last
         first.observer.response_head(head())
         first.observer.response_data(event(1))
-        desk.restart("m1", SECOND)
-        desk.pass_time(0.2)
-        second = desk.caller.last
-        desk.restart("m1", THIRD)
-        expected = [life("m1", start) for start in (FIRST, SECOND, THIRD)]
-        self.assertEqual(expected, self.incarnations(desk))
+        harness.restart("m1", SECOND)
+        harness.pass_time(0.2)
+        second = harness.caller.last
+        harness.restart("m1", THIRD)
+        expected = [make_incarnation("m1", start) for start in (FIRST, SECOND, THIRD)]
+        self.assertEqual(expected, self.incarnations(harness))
         second.observer.response_head(head())
         second.observer.response_data(event(2) + event(3))
-        third = desk.caller.last
+        third = harness.caller.last
         third.observer.response_head(head())
         third.observer.response_data(event(2))
         third.observer.response_done()
@@ -484,43 +484,43 @@
 
     def test_a_request_leaves_no_count_at_either_incarnation(self):
         for route, targets in ((LOOKUP, PORTAL), (CONFIRMATION, PORTAL)):
-            desk = ForwardingHarness(targets)
-            desk.call(request(route))
-            former = desk.state(desk.caller.last.name)
-            desk.restart(former.target.name, SECOND)
-            if not desk.ended:
-                desk.caller.last.answer(200, b"ok")
-            counts = [state.own_running for state in (former, *desk.states)]
+            harness = ForwardingHarness(targets)
+            harness.call(request(route))
+            former = harness.state(harness.caller.last.name)
+            harness.restart(former.target.name, SECOND)
+            if not harness.ended:
+                harness.caller.last.answer(200, b"ok")
+            counts = [state.own_running for state in (former, *harness.states)]
             self.assertEqual([0] * 3, counts)
-            self.assertEqual([], desk.clock.getDelayedCalls())
+            self.assertEqual([], harness.clock.getDelayedCalls())
 
     # Restart during a hedged attempt
 
     def test_a_hedge_takes_over_when_the_silent_target_restarts(self):
-        desk, sink, silent, hedge = self.call_with_hedge()
-        desk.restart(silent.name, SECOND)
+        harness, sink, silent, hedge = self.call_with_hedge()
+        harness.restart(silent.name, SECOND)
         self.assertTrue(silent.is_cancelled)
         hedge.observer.response_head(head())
         hedge.observer.response_data(event(2))
         hedge.observer.response_done()
         self.assertEqual(event(1) + event(2), sink.body)
-        self.assertEqual(2, len(desk.caller.runs))
+        self.assertEqual(2, len(harness.caller.runs))
 
     def test_the_silent_target_continues_when_the_hedge_s_target_restarts(self):
-        desk, sink, silent, hedge = self.call_with_hedge()
-        desk.restart(hedge.name, SECOND)
+        harness, sink, silent, hedge = self.call_with_hedge()
+        harness.restart(hedge.name, SECOND)
         self.assertFalse(silent.is_cancelled)
         silent.observer.response_data(event(2))
         silent.observer.response_done()
         self.assertEqual(event(1) + event(2), sink.body)
 
     def call_with_hedge(self):
-        desk = ForwardingHarness(MODEL)
-        _, sink = desk.call(request(STREAM, deadline=START + 12))
-        silent = desk.caller.last
+        harness = ForwardingHarness(MODEL)
+        _, sink = harness.call(request(STREAM, deadline=START + 12))
+        silent = harness.caller.last
         silent.observer.response_head(head())
         silent.observer.response_data(event(1))
-        desk.pass_time(0.5)
-        hedge = desk.caller.last
+        harness.pass_time(0.5)
+        hedge = harness.caller.last
         self.assertIsNot(silent, hedge)
-        return desk, sink, silent, hedge
+        return harness, sink, silent, hedge
--- a/tests/entry/test_restart_transport.py
+++ b/tests/entry/test_restart_transport.py
@@ -10,7 +10,7 @@
 
 from entry.fakes import CONFIRMATION
 from entry.fakes import LOOKUP
-from entry.fakes import life
+from entry.fakes import make_incarnation
 from entry.fakes import request
 from entry.fakes import target
 from primrosescale.connection.endpoint import Endpoint
@@ -134,7 +134,7 @@
     def test_a_sent_request_is_reported_as_lost(self):
         observer = self.send()
         channel = yield self.arrived()
-        self.caller.abort_former(life("p1", SECOND))
+        self.caller.abort_former(make_incarnation("p1", SECOND))
         self.assertEqual(["sent", "cut"], observer.calls)
         self.assertIn("started again", observer.detail)
         yield self.eventually(lambda: channel.is_closed)
@@ -145,7 +145,7 @@
         channel = yield self.arrived()
         channel.transport.write(ANSWER[:-1])
         yield self.eventually(lambda: "data" in observer.calls)
-        self.caller.abort_former(life("p1", SECOND))
+        self.caller.abort_former(make_incarnation("p1", SECOND))
         channel.transport.write(ANSWER[-1:])
         yield deferLater(reactor, 0.05, lambda: None)
         self.assertEqual(["sent", "head", "data", "cut"], observer.calls)
@@ -153,7 +153,7 @@
     @inlineCallbacks
     def test_a_request_waiting_for_a_connection_is_reported_as_not_sent(self):
         observer = self.send()
-        self.caller.abort_former(life("p1", SECOND))
+        self.caller.abort_former(make_incarnation("p1", SECOND))
         self.assertEqual(["not sent"], observer.calls)
         yield deferLater(reactor, 0.05, lambda: None)
         self.assertEqual(["not sent"], observer.calls)
@@ -168,9 +168,9 @@
     def test_the_current_incarnation_and_other_targets_are_unaffected(self):
         observer = self.send(SECOND)
         channel = yield self.arrived()
-        for present in (life("p1", SECOND), life("p1", FIRST), life("p1")):
+        for present in (make_incarnation("p1", SECOND), make_incarnation("p1", FIRST), make_incarnation("p1")):
             self.caller.abort_former(present)
-        self.caller.abort_former(life("p2", THIRD))
+        self.caller.abort_former(make_incarnation("p2", THIRD))
         channel.answer()
         yield self.eventually(lambda: "done" in observer.calls)
 
@@ -186,13 +186,13 @@
     @inlineCallbacks
     def test_idle_connections_of_a_former_incarnation_are_closed(self):
         idle = yield self.leave_idle_connection()
-        self.caller.abort_former(life("p1", SECOND))
+        self.caller.abort_former(make_incarnation("p1", SECOND))
         yield self.eventually(lambda: idle.is_closed)
 
     @inlineCallbacks
     def test_a_new_incarnation_at_another_address_is_called_there(self):
         yield self.leave_idle_connection()
-        self.caller.abort_former(life("p1", SECOND))
+        self.caller.abort_former(make_incarnation("p1", SECOND))
         self.send(SECOND, server=1)
         yield self.arrived(server=1)
         self.assertEqual(1, len(self.servers[0].channels))
@@ -219,7 +219,7 @@
         observer = self.send()
         yield self.arrived()
         self.caller.forget("p1")
-        self.caller.abort_former(life("p1", SECOND))
+        self.caller.abort_former(make_incarnation("p1", SECOND))
         self.assertEqual(["sent", "cut"], observer.calls)
 
     @inlineCallbacks
@@ -230,7 +230,7 @@
         yield self.eventually(lambda: "cut" in lost.calls)
         observer = self.send(is_new=True)
         second = yield self.arrived(place=1)
-        self.caller.abort_former(life("p1", SECOND))
+        self.caller.abort_former(make_incarnation("p1", SECOND))
         second.answer()
         yield self.eventually(lambda: "done" in observer.calls)
         yield self.eventually(lambda: second.is_closed)
@@ -243,7 +243,7 @@
         second = yield self.arrived(place=1)
         second.transport.abortConnection()
         yield self.eventually(lambda: "cut" in lost.calls)
-        self.caller.abort_former(life("p1", SECOND))
+        self.caller.abort_former(make_incarnation("p1", SECOND))
         self.assertEqual(["sent", "cut"], early.calls)
 
     @inlineCallbacks
@@ -254,9 +254,9 @@
         yield self.eventually(lambda: "cut" in lost.calls)
         observer = self.send(is_new=True)
         yield self.arrived(place=1)
-        self.caller.abort_former(life("p1", SECOND))
+        self.caller.abort_former(make_incarnation("p1", SECOND))
         self.assertEqual(["sent"], observer.calls)
-        self.caller.abort_former(life("p1", THIRD))
+        self.caller.abort_former(make_incarnation("p1", THIRD))
         self.assertEqual(["sent", "cut"], observer.calls)
 
     @inlineCallbacks
@@ -269,5 +269,5 @@
         yield self.eventually(lambda: "cut" in observer.calls)
         limit = self.caller._rest_limit
         self.assertFalse(limit.allows(0.1, reactor.seconds()))
-        self.caller.abort_former(life("p1", SECOND))
+        self.caller.abort_former(make_incarnation("p1", SECOND))
         self.assertTrue(limit.allows(0.1, reactor.seconds()))
--- a/tests/entry/test_router_news.py
+++ b/tests/entry/test_router_news.py
@@ -5,7 +5,7 @@
 from testtools import TestCase
 
 from entry.fakes import START
-from entry.fakes import life
+from entry.fakes import make_incarnation
 from entry.fakes import prompt
 from entry.fakes import target
 from primrosescale.connection.codec import decode
@@ -61,10 +61,10 @@
     def test_loads_and_prompt_parts_are_sent(self):
         self.a.targets.state("m1").sent(START)
         parts = prompt(("tariffs", 9000), ("chat", 10)).parts
-        self.a.parts.record_own_request(life("m3"), parts, START)
-        self.assertTrue(self.b.news.take(self.a.message(), 1, START))
+        self.a.parts.record_own_request(make_incarnation("m3"), parts, START)
+        self.assertTrue(self.b.news.receive(self.a.message(), 1, START))
         self.assertEqual(1.0, self.b.targets.state("m1").load(START))
-        self.assertEqual(9000, self.b.parts.held(life("m3"), parts, START))
+        self.assertEqual(9000, self.b.parts.held(make_incarnation("m3"), parts, START))
 
     def test_of_many_targets_the_most_loaded_are_sent(self):
         for number in range(1, 81):
@@ -74,77 +74,77 @@
         for _ in range(2):
             self.a.targets.state("x80").sent(START)
         self.a.targets.state("x79").failed(START)
-        self.b.news.take(self.a.message(), 1, START)
+        self.b.news.receive(self.a.message(), 1, START)
         self.assertEqual(2.0, self.b.targets.state("x80").load(START))
         self.assertGreater(self.b.targets.state("x79").failure_share(START), 0)
 
     def test_outdated_updates_and_unlisted_routers_are_ignored(self):
         first, second = self.a.message(), self.a.message()
-        self.assertTrue(self.b.news.take(second, 1, START))
-        self.assertFalse(self.b.news.take(first, 1, START))
+        self.assertTrue(self.b.news.receive(second, 1, START))
+        self.assertFalse(self.b.news.receive(first, 1, START))
         stranger = ExchangingRouter("c")
         stranger.knows("b")
-        self.assertFalse(self.b.news.take(stranger.message(), 1, START))
+        self.assertFalse(self.b.news.receive(stranger.message(), 1, START))
 
     def test_updates_of_a_former_incarnation_are_ignored(self):
         before = self.a.message()
         again = ExchangingRouter("a", incarnation=2)
         again.knows("b")
-        self.assertTrue(self.b.news.take(again.message(), 1, START))
-        self.assertFalse(self.b.news.take(before, 1, START))
+        self.assertTrue(self.b.news.receive(again.message(), 1, START))
+        self.assertFalse(self.b.news.receive(before, 1, START))
 
     def test_another_router_s_request_to_the_store_counts_after_a_reply(self):
         self.a.fresh.answered(START - 10)
         self.b.fresh.answered(START - 1)
-        self.b.news.take(self.a.message(now=START), 1, START)
-        self.a.news.take(self.b.message(now=START + 0.1), 1, START + 9)
+        self.b.news.receive(self.a.message(now=START), 1, START)
+        self.a.news.receive(self.b.message(now=START + 0.1), 1, START + 9)
         # b's age was 1.1 s when it replied, and it replied after START.
         self.assertAlmostEqual(10.1, self.a.fresh.age(START + 9))
 
     def test_without_a_reply_it_counts_for_nothing(self):
         self.a.fresh.answered(START - 10)
         self.b.fresh.answered(START - 1)
-        self.a.news.take(self.b.message(), 1, START)
+        self.a.news.receive(self.b.message(), 1, START)
         self.assertAlmostEqual(10.0, self.a.fresh.age(START))
 
     def test_another_version_proves_nothing(self):
         self.a.fresh.answered(START - 10)
         self.b.fresh.answered(START - 1)
-        self.b.news.take(self.a.message(version=1), 2, START)
-        self.a.news.take(self.b.message(version=2), 1, START)
+        self.b.news.receive(self.a.message(version=1), 2, START)
+        self.a.news.receive(self.b.message(version=2), 1, START)
         self.assertAlmostEqual(10.0, self.a.fresh.age(START))
 
     def test_a_router_without_the_store_knows_whether_others_reach_it(self):
         self.assertFalse(self.a.news.peers_reach_store(START))
-        self.a.news.take(self.b.message(version=2), 1, START)
+        self.a.news.receive(self.b.message(version=2), 1, START)
         self.assertTrue(self.a.news.peers_reach_store(START))
 
     def test_an_outage_that_all_routers_see_is_not_one_router_s(self):
         [(_, message)] = self.b.news.compose(1, START, is_store_lost=True)
-        self.a.news.take(message, 1, START)
+        self.a.news.receive(message, 1, START)
         self.assertFalse(self.a.news.peers_reach_store(START))
 
     def test_a_router_that_receives_no_more_updates_is_cut_off(self):
         [(_, message)] = self.b.news.compose(1, START, is_store_lost=True)
-        self.a.news.take(message, 1, START)
+        self.a.news.receive(message, 1, START)
         self.assertTrue(self.a.news.peers_reach_store(START + 4))
 
     def test_outcomes_of_a_router_whose_requests_fail_everywhere_are_ignored(self):
         for number in range(1, 6):
             self.a.targets.state(f"m{number}").failed(START)
-        self.b.news.take(self.a.message(), 1, START)
+        self.b.news.receive(self.a.message(), 1, START)
         self.assertEqual(0.0, self.b.targets.state("m1").failure_share(START))
 
     def test_a_target_that_only_this_router_cannot_reach_stays_good_for_others(self):
         for number in range(1, 6):
             self.a.targets.state(f"m{number}").succeeded(START)
         self.a.targets.state("m1").unreachable(START)
-        self.b.news.take(self.a.message(), 1, START)
+        self.b.news.receive(self.a.message(), 1, START)
         self.assertEqual(0.0, self.b.targets.state("m1").failure_share(START))
 
     def test_a_datagram_is_not_fragmented(self):
         many = [(f"{number:016x}", 100) for number in range(200)]
-        self.a.parts.record_own_request(life("m1"), prompt(*many).parts, START)
+        self.a.parts.record_own_request(make_incarnation("m1"), prompt(*many).parts, START)
         for number in range(1, 6):
             self.a.targets.state(f"m{number}").sent(START)
         message = self.a.message()
@@ -158,7 +158,7 @@
             side.knows(*names)
         for side in routers_by_name.values():
             for router, message in side.news.compose(1, START):
-                routers_by_name[router.name].news.take(
+                routers_by_name[router.name].news.receive(
                     decode(encode(message)), 1, START
                 )
         polling = [
@@ -171,14 +171,14 @@
         )
 
     def test_a_newer_version_of_another_router_is_noticed(self):
-        self.b.news.take(self.a.message(version=7), 3, START)
+        self.b.news.receive(self.a.message(version=7), 3, START)
         self.assertEqual(7, self.b.news.newest_version(START))
         self.assertEqual(0, self.b.news.newest_version(START + 9))
 
     def test_silent_routers_are_reported_unless_all_are_silent(self):
         self.a.knows("a", "b", "c")
         self.assertEqual([], self.a.news.silent_routers(START + 100))
-        self.a.news.take(self.b.message(), 1, START + 100)
+        self.a.news.receive(self.b.message(), 1, START + 100)
         self.assertEqual(["c"], self.a.news.silent_routers(START + 100))
         self.assertEqual([], self.a.news.silent_routers(START + 59))
 
@@ -189,11 +189,11 @@
         for number in range(1, 81):
             self.a.targets.state(f"x{number}").succeeded(START)
         self.a.targets.state("x80").sent(START)
-        self.b.news.take(self.a.message(), 1, START)
+        self.b.news.receive(self.a.message(), 1, START)
         self.a.targets.state("x80").ended()
         for number in range(1, 51):
             self.a.targets.state(f"x{number}").sent(START)
-        self.b.news.take(self.a.message(), 1, START)
+        self.b.news.receive(self.a.message(), 1, START)
         self.assertEqual(0.0, self.b.targets.state("x80").load(START))
 
     def test_many_routers_get_updates_less_often(self):
@@ -252,7 +252,7 @@
             self.assertLess(len(frame), MAX_DATAGRAM_BYTES)
             for other in self.routers_by_name:
                 if other is not side:
-                    other.news.take(decode(frame), 1, START)
+                    other.news.receive(decode(frame), 1, START)
 
     def share(self, name):
         return self.routers_by_name[0].targets.state(name).failure_share(START)
--- a/tests/entry/test_silent_target.py
+++ b/tests/entry/test_silent_target.py
@@ -341,7 +341,7 @@
         harness = ForwardingHarness(MODEL)
         begun_stream(harness)
         harness.clock.advance(0.003)
-        harness.state(harness.caller.last.name).heard(harness.clock.seconds())
+        harness.state(harness.caller.last.name).bytes_received(harness.clock.seconds())
         for _ in range(46):
             harness.clock.advance(0.01)
         self.assertEqual(2, len(harness.caller.runs))
@@ -433,7 +433,7 @@
     def __init__(self, route, seed):
         self._rng = random.Random(seed)
         self._route = route
-        if route.may_repeat:
+        if route.may_retry:
             self._route = replace(route, max_targets=self._rng.randint(1, 3))
         service = "model" if route.is_stream else "portal"
         self._harness = ForwardingHarness(
@@ -466,7 +466,7 @@
         engines = list(self._engines.values())
         if len({run.name for run in runs}) > self._route.max_targets:
             yield "more targets than allowed"
-        if not self._route.may_repeat and sum(not e.has_declined for e in engines) > 1:
+        if not self._route.may_retry and sum(not e.has_declined for e in engines) > 1:
             yield "run twice"
         if any(not run.is_cancelled and not run.is_ended for run in runs):
             yield "left running"
--- a/tests/entry/test_stale_loads.py
+++ b/tests/entry/test_stale_loads.py
@@ -98,7 +98,7 @@
             self.over += self.total[name] > 2 * mean + 3
 
     def answer(self, now, state):
-        state.reported(LoadReport(self.total[state.target.name], 0, 64), now)
+        state.set_load(LoadReport(self.total[state.target.name], 0, 64), now)
 
     def end(self, now, state):
         state.ended()
--- a/tests/entry/test_target_choice.py
+++ b/tests/entry/test_target_choice.py
@@ -7,7 +7,7 @@
 from testtools import TestCase
 
 from entry.fakes import START
-from entry.fakes import life
+from entry.fakes import make_incarnation
 from entry.fakes import prompt
 from entry.fakes import target
 from primrosescale.request.part_directory import MAX_USE_AGE_SECONDS
@@ -34,7 +34,7 @@
 
     def test_a_returning_chat_goes_where_its_prompt_is_cached(self):
         wanted = prompt(("tariffs", 10000), ("chat", 900))
-        self.parts.note(PartUse("tariffs", life("m4"), 10000, START))
+        self.parts.record_use(PartUse("tariffs", make_incarnation("m4"), 10000, START))
         self.assertEqual("m4", self.choose(wanted).state.target.name)
         self.assertEqual(10000, self.choose(wanted).held)
 
@@ -46,18 +46,18 @@
 
     def test_a_part_without_those_before_it_saves_nothing(self):
         wanted = prompt(("terms", 500), ("tariffs", 10000), ("chat", 900))
-        self.parts.note(PartUse("tariffs", life("m4"), 10000, START))
-        self.assertEqual(0, self.parts.held(life("m4"), wanted.parts, START))
+        self.parts.record_use(PartUse("tariffs", make_incarnation("m4"), 10000, START))
+        self.assertEqual(0, self.parts.held(make_incarnation("m4"), wanted.parts, START))
 
     def test_a_part_used_long_ago_is_not_relied_on(self):
-        self.parts.note(PartUse("tariffs", life("m4"), 10000, START))
+        self.parts.record_use(PartUse("tariffs", make_incarnation("m4"), 10000, START))
         wanted = prompt(("tariffs", 10000), ("chat", 900))
         later = START + MAX_USE_AGE_SECONDS + 1
-        self.assertEqual(0, self.parts.held(life("m4"), wanted.parts, later))
+        self.assertEqual(0, self.parts.held(make_incarnation("m4"), wanted.parts, later))
 
     def test_a_hot_part_spreads_with_copies_once_its_target_is_over_the_bound(self):
         wanted = prompt(("tariffs", 10000), ("chat", 900))
-        self.parts.note(PartUse("tariffs", life("m4"), 10000, START))
+        self.parts.record_use(PartUse("tariffs", make_incarnation("m4"), 10000, START))
         for _ in range(20):
             self.state("m4").sent(START)
         choice = self.choose(wanted)
@@ -80,7 +80,7 @@
         routers = []
         for number in range(23):
             parts = PrefixCacheIndex()
-            parts.note(PartUse("tariffs", life("m1"), 10000, START))
+            parts.record_use(PartUse("tariffs", make_incarnation("m1"), 10000, START))
             chooser = TargetChooser(ChoiceSettings(), parts, random.Random(number))
             states = [TargetState(target(name), START) for name in names]
             routers.append((chooser, states))
@@ -109,7 +109,7 @@
                         mine.set_peer_requests(str(other), their.own_running, now + 99)
 
     def test_a_leaving_target_gets_nothing_but_its_cache_is_copied(self):
-        self.parts.note(PartUse("tariffs", life("m4"), 10000, START))
+        self.parts.record_use(PartUse("tariffs", make_incarnation("m4"), 10000, START))
         leaving = target("m4", is_draining=True)
         self.state("m4").update_entry(leaving)
         choice = self.choose(prompt(("tariffs", 10000), ("chat", 900)))
@@ -117,7 +117,7 @@
         self.assertEqual("m4", choice.fetch_from.target.name)
 
     def test_an_unreachable_target_is_left_out_for_a_while(self):
-        self.parts.note(PartUse("tariffs", life("m4"), 10000, START))
+        self.parts.record_use(PartUse("tariffs", make_incarnation("m4"), 10000, START))
         self.state("m4").unreachable(START)
         wanted = prompt(("tariffs", 10000), ("chat", 900))
         choice = self.choose(wanted)
@@ -127,7 +127,7 @@
         self.assertEqual("m4", later.state.target.name)
 
     def test_a_target_that_fails_two_in_five_is_avoided(self):
-        self.parts.note(PartUse("tariffs", life("m4"), 10000, START))
+        self.parts.record_use(PartUse("tariffs", make_incarnation("m4"), 10000, START))
         for turn in range(10):
             if turn % 5 < 2:
                 self.state("m4").failed(START)
@@ -138,7 +138,7 @@
 
     def test_a_new_target_does_not_get_all_requests_while_most_lose_some_answers(self):
         wanted = prompt(("tariffs", 3000), ("chat", 900))
-        self.parts.note(PartUse("tariffs", life("m4"), 3000, START))
+        self.parts.record_use(PartUse("tariffs", make_incarnation("m4"), 3000, START))
         for state in self.states:
             for _ in range(3):
                 state.succeeded(START)
@@ -154,7 +154,7 @@
     def test_a_tried_target_is_not_tried_again(self):
         tried = {state.incarnation for state in self.states}
         self.assertIsNone(self.choose(None, tried=tried))
-        left = self.choose(None, tried=tried - {life("m2")})
+        left = self.choose(None, tried=tried - {make_incarnation("m2")})
         self.assertEqual("m2", left.state.target.name)
 
     def test_plain_requests_go_to_the_least_loaded(self):
@@ -167,31 +167,31 @@
 class PartDirectoryTest(TestCase):
     def test_the_least_recently_used_part_is_dropped_when_the_cache_is_full(self):
         parts = PrefixCacheIndex()
-        parts.limit(life("m1"), 6000)
+        parts.limit(make_incarnation("m1"), 6000)
         for turn, name in enumerate(("a", "b", "a", "c")):
-            parts.note(PartUse(name, life("m1"), 2500, START + turn))
+            parts.record_use(PartUse(name, make_incarnation("m1"), 2500, START + turn))
         held = [
             name
             for name in ("a", "b", "c")
-            if parts.held(life("m1"), prompt((name, 2500)).parts, START + 4)
+            if parts.held(make_incarnation("m1"), prompt((name, 2500)).parts, START + 4)
         ]
         self.assertEqual(["a", "c"], held)
 
     def test_a_gone_target_holds_nothing(self):
         parts = PrefixCacheIndex()
-        parts.note(PartUse("a", life("m1"), 100, START))
-        parts.forget_target(life("m1"))
-        self.assertEqual(0, parts.held(life("m1"), prompt(("a", 100)).parts, START))
+        parts.record_use(PartUse("a", make_incarnation("m1"), 100, START))
+        parts.forget_target(make_incarnation("m1"))
+        self.assertEqual(0, parts.held(make_incarnation("m1"), prompt(("a", 100)).parts, START))
 
     def test_a_part_of_one_chat_alone_is_not_reported(self):
         parts = PrefixCacheIndex()
         self.assertTrue(
-            parts.record_own_request(life("m1"), prompt(("a", 9), ("own", 1)).parts, START)
+            parts.record_own_request(make_incarnation("m1"), prompt(("a", 9), ("own", 1)).parts, START)
         )
         for expected in (["a"], ["a"], []):
             self.assertEqual(expected, [use.part for use in parts.take_updates()])
         self.assertFalse(
-            parts.record_own_request(life("m1"), prompt(("a", 9), ("x", 1)).parts, START)
+            parts.record_own_request(make_incarnation("m1"), prompt(("a", 9), ("x", 1)).parts, START)
         )
 
 
@@ -202,7 +202,7 @@
 
     def test_the_load_report_counts_others_and_decays(self):
         self.state.sent(START)
-        self.state.reported(LoadReport(5, 2, 8), START)
+        self.state.set_load(LoadReport(5, 2, 8), START)
         self.assertEqual(7.0, self.state.load(START))
         self.assertEqual(1 + 3.0, self.state.load(START + 0.5))
 
--- a/tests/process/test_members.py
+++ b/tests/process/test_members.py
@@ -91,9 +91,9 @@
             members.apply_notice(notice("a", DOWN), 10.0 + number)
             members.apply_notice(notice("a", READY), 10.5 + number)
         self.assertEqual({"b"}, names(members, 14.0))
-        members.tick(15.0)
+        members.readmit_targets(15.0)
         self.assertEqual({"b"}, names(members, 15.0))
-        members.tick(200.0)
+        members.readmit_targets(200.0)
         self.assertEqual({"a", "b"}, names(members, 200.0))
 
     def test_a_suspect_target_goes_last_for_this_router_only_and_not_for_long(self):
@@ -109,8 +109,8 @@
 class HostChangesTest(TestCase):
     def test_no_changes_are_returned_to_a_router_that_lags_too_far(self):
         changes = HostChanges()
-        changes.take([entry("a", 5)], 5, is_full=True)
-        changes.take([entry("b", 6)], 6, is_full=False)
+        changes.record([entry("a", 5)], 5, is_full=True)
+        changes.record([entry("b", 6)], 6, is_full=False)
         self.assertIsNone(changes.since(4))
         self.assertEqual(["b"], [item.name for item in changes.since(5)])
         self.assertEqual([], changes.since(6))
@@ -141,57 +141,57 @@
     def test_an_agent_is_summed_once_however_often_it_reports(self):
         sums = AgentSums(LoadReportSettings(), "r1")
         for sequence in range(1, 5):
-            sums.hear(beat("a", sequence, load=sequence * 10), 1.0)
-        sums.hear(beat("a", 2, load=999), 1.0)
+            sums.record_heartbeat(beat("a", sequence, load=sequence * 10), 1.0)
+        sums.record_heartbeat(beat("a", 2, load=999), 1.0)
         self.assertEqual([40], [item.load for item in sums.sums()])
 
     def test_a_leaving_agent_counts_as_load_but_not_as_target(self):
         sums = AgentSums(LoadReportSettings(), "r1")
-        sums.hear(beat("a", 1), 1.0)
-        sums.hear(beat("b", 1, state=LEAVING), 1.0)
+        sums.record_heartbeat(beat("a", 1), 1.0)
+        sums.record_heartbeat(beat("b", 1, state=LEAVING), 1.0)
         total = sums.sums()[0]
         self.assertEqual((20, 1), (total.load, total.targets))
 
     def test_missing_heartbeats_raise_a_notice(self):
         sums = AgentSums(LoadReportSettings(), "r1")
-        self.assertEqual(READY, sums.hear(beat("a", 1), 1.0).state)
-        self.assertIsNone(sums.hear(beat("a", 2), 2.0))
+        self.assertEqual(READY, sums.record_heartbeat(beat("a", 1), 1.0).state)
+        self.assertIsNone(sums.record_heartbeat(beat("a", 2), 2.0))
         self.assertEqual([DOWN], [item.state for item in sums.expire(6.0)])
 
     def test_an_agent_that_moved_to_another_router_is_not_reported_down(self):
         sums = AgentSums(LoadReportSettings(), "r1")
-        sums.hear(beat("a", 1), 1.0)
+        sums.record_heartbeat(beat("a", 1), 1.0)
         self.assertTrue(sums.accept_notice(notice("a", READY, origin="r2"), 3.0))
         self.assertEqual([], sums.expire(9.0))
 
     def test_an_agent_with_recent_heartbeats_is_up_whatever_peers_report(self):
         sums = AgentSums(LoadReportSettings(), "r1")
-        sums.hear(beat("a", 1), 1.0)
+        sums.record_heartbeat(beat("a", 1), 1.0)
         self.assertFalse(sums.accept_notice(notice("a", DOWN, origin="r2"), 1.5))
         self.assertEqual([READY], [item.state for item in sums.notices(1.5)])
 
     def test_reports_of_silent_routers_expire(self):
         domain = DomainSums(LoadReportSettings(), "d1", "r1")
-        domain.hear(report("r1", 1, 100), 0.0)
-        domain.hear(report("r2", 1, 50), 3.0)
+        domain.record_report(report("r1", 1, 100), 0.0)
+        domain.record_report(report("r2", 1, 50), 3.0)
         self.assertEqual(150, domain.summary(3.0).sums[0].load)
         self.assertEqual(50, domain.summary(5.0).sums[0].load)
 
     def test_old_reports_are_ignored(self):
         domain = DomainSums(LoadReportSettings(), "d1", "r1")
-        domain.hear(report("r1", 5, 100), 0.0)
-        domain.hear(report("r1", 4, 999), 0.0)
+        domain.record_report(report("r1", 5, 100), 0.0)
+        domain.record_report(report("r1", 4, 999), 0.0)
         self.assertEqual(100, domain.summary(0.0).sums[0].load)
 
     def test_two_aggregators_of_a_domain_are_not_added_up(self):
         fleet = FleetSums(LoadReportSettings())
         for origin in ("r1", "r2"):
             domain = DomainSums(LoadReportSettings(), "d1", origin)
-            domain.hear(report("r1", 1, 100), 0.0)
-            fleet.hear(domain.summary(0.0), 0.0)
+            domain.record_report(report("r1", 1, 100), 0.0)
+            fleet.record_report(domain.summary(0.0), 0.0)
         other = DomainSums(LoadReportSettings(), "d2", "r9")
-        other.hear(report("r9", 1, 30), 0.0)
-        fleet.hear(other.summary(0.0), 0.0)
+        other.record_report(report("r9", 1, 30), 0.0)
+        fleet.record_report(other.summary(0.0), 0.0)
         mean = fleet.means(1.0)[0]
         self.assertEqual((130, 2), (mean.load, mean.targets))
         self.assertEqual(1000, fleet.rates(1.0)[0].demand_permille)
@@ -199,8 +199,8 @@
     def test_reports_of_an_unreachable_domain_expire(self):
         fleet = FleetSums(LoadReportSettings())
         domain = DomainSums(LoadReportSettings(), "d1", "r1")
-        domain.hear(report("r1", 1, 100), 0.0)
-        fleet.hear(domain.summary(0.0), 0.0)
+        domain.record_report(report("r1", 1, 100), 0.0)
+        fleet.record_report(domain.summary(0.0), 0.0)
         self.assertEqual([], fleet.means(10.0))
 
     def test_the_first_names_do_not_depend_on_the_order_of_input(self):
--- a/tests/process/test_version_keeper.py
+++ b/tests/process/test_version_keeper.py
@@ -75,7 +75,7 @@
 
     def test_a_version_is_pulled_and_put_in_force(self):
         tree, head = make_version(1)
-        self.keeper.hear(head, FakeSource(tree))
+        self.keeper.pull_if_newer(head, FakeSource(tree))
         self.assertEqual([1], self.observer.versions)
         self.assertEqual("small", self.keeper.view.organisation_of("small").name)
         self.assertIsNone(self.keeper.view.organisation_of("nobody"))
@@ -83,50 +83,50 @@
     def test_a_lower_version_is_never_put_in_force(self):
         old_tree, old = make_version(1)
         tree, head = make_version(2)
-        self.keeper.hear(head, FakeSource(tree))
-        self.keeper.hear(old, FakeSource(old_tree))
+        self.keeper.pull_if_newer(head, FakeSource(tree))
+        self.keeper.pull_if_newer(old, FakeSource(old_tree))
         self.assertEqual([2], self.observer.versions)
 
     def test_only_what_changed_is_pulled(self):
         tree, head = make_version(1)
-        self.keeper.hear(head, FakeSource(tree))
+        self.keeper.pull_if_newer(head, FakeSource(tree))
         tree, head = make_version(2, "[organisation x]\nkey_hashes =\n")
         source = FakeSource(tree)
-        self.keeper.hear(head, source)
+        self.keeper.pull_if_newer(head, source)
         self.assertEqual(5, len(source.requested))
         self.assertEqual([1, 2], self.observer.versions)
 
     def test_an_altered_section_keeps_the_old_version_in_force(self):
         tree, head = make_version(1)
-        self.keeper.hear(head, FakeSource(tree))
+        self.keeper.pull_if_newer(head, FakeSource(tree))
         tree, head = make_version(2, "[organisation x]\nkey_hashes =\n")
         source = FakeSource(tree)
         source.altered = set(tree.sections)
-        self.keeper.hear(head, source)
+        self.keeper.pull_if_newer(head, source)
         self.assertEqual([1], self.observer.versions)
         self.assertEqual(1, len(self.observer.failed))
-        self.keeper.hear(head, FakeSource(tree))
+        self.keeper.pull_if_newer(head, FakeSource(tree))
         self.assertEqual([1, 2], self.observer.versions)
 
     def test_a_version_missing_at_one_source_is_pulled_from_another(self):
         tree, head = make_version(1)
         empty, _ = make_version(9, "[organisation y]\nkey_hashes =\n")
-        self.keeper.hear(head, FakeSource(empty))
+        self.keeper.pull_if_newer(head, FakeSource(empty))
         self.assertEqual(1, len(self.observer.failed))
-        self.keeper.hear(head, FakeSource(tree))
+        self.keeper.pull_if_newer(head, FakeSource(tree))
         self.assertEqual([1], self.observer.versions)
 
     def test_a_head_with_a_forged_signature_is_refused(self):
         tree, head = make_version(5)
         forged = VersionHead(5, head.digest, "approver", b"x" * 64)
-        self.keeper.hear(forged, FakeSource(tree))
+        self.keeper.pull_if_newer(forged, FakeSource(tree))
         self.assertEqual([], self.observer.versions)
         self.assertEqual(1, len(self.observer.refused))
 
     def test_a_signature_is_not_valid_for_another_number(self):
         tree, head = make_version(3)
         reused = VersionHead(99, head.digest, "approver", head.signature)
-        self.keeper.hear(reused, FakeSource(tree))
+        self.keeper.pull_if_newer(reused, FakeSource(tree))
         self.assertEqual([], self.observer.versions)
         self.assertEqual(1, len(self.observer.failed))
 
@@ -134,21 +134,21 @@
         tree, head = make_version(1)
         slow = FakeSource(tree)
         slow.delayed = []
-        self.keeper.hear(head, slow)
+        self.keeper.pull_if_newer(head, slow)
         newer_tree, newer = make_version(2)
-        self.keeper.hear(newer, FakeSource(newer_tree))
+        self.keeper.pull_if_newer(newer, FakeSource(newer_tree))
         delayed, slow.delayed = slow.delayed, None
         for waiting, digest in delayed:
             waiting.callback(slow.data(digest))
-        self.keeper.hear(newer, FakeSource(newer_tree))
+        self.keeper.pull_if_newer(newer, FakeSource(newer_tree))
         self.assertEqual([1, 2], self.observer.versions)
 
     def test_a_version_is_retired_until_its_last_request_unpins_it(self):
         tree, head = make_version(1)
-        self.keeper.hear(head, FakeSource(tree))
+        self.keeper.pull_if_newer(head, FakeSource(tree))
         pinned = self.keeper.view.pin()
         tree, head = make_version(2)
-        self.keeper.hear(head, FakeSource(tree))
+        self.keeper.pull_if_newer(head, FakeSource(tree))
         self.assertEqual(1, self.keeper.retired)
         self.assertEqual(1, pinned.version)
         pinned.unpin()
@@ -156,9 +156,9 @@
 
     def test_sections_of_the_previous_version_are_still_served(self):
         tree, head = make_version(1)
-        self.keeper.hear(head, FakeSource(tree))
+        self.keeper.pull_if_newer(head, FakeSource(tree))
         newer, newer_head = make_version(2, "[organisation x]\nkey_hashes =\n")
-        self.keeper.hear(newer_head, FakeSource(newer))
+        self.keeper.pull_if_newer(newer_head, FakeSource(newer))
         for digest in [*tree.sections, *newer.sections]:
             self.assertIsNotNone(self.keeper.section(digest))
 
@@ -168,7 +168,7 @@
         check = HeadVerifier({"approver": public})
         keeper = VersionManager(check, self.observer, needs_organisations=False)
         source = FakeSource(tree)
-        keeper.hear(head, source)
+        keeper.pull_if_newer(head, source)
         self.assertIn("chat", keeper.view.services)
         self.assertIsNone(keeper.view.organisation("small"))
         self.assertTrue(len(source.requested) < len(tree.sections))
--- a/tests/request/test_admission.py
+++ b/tests/request/test_admission.py
@@ -206,7 +206,7 @@
     def test_nothing_is_admitted_or_started_before_the_end(self):
         admission = make()
         admission.offer(call("early"), 0.0)
-        admission.rest(3.0, 0.0)
+        admission.pause(3.0, 0.0)
         refused = admission.offer(call(), 1.0)
         self.assertEqual(Reason.TARGET_UNHEALTHY, refused.reason)
         self.assertEqual(2.0, refused.retry_after)
@@ -217,7 +217,7 @@
     # Guards against a requested pause that a later, shorter one cuts short.
     def test_the_latest_end_counts(self):
         admission = make()
-        admission.rest(3.0, 0.0)
-        admission.rest(0.5, 1.0)
+        admission.pause(3.0, 0.0)
+        admission.pause(0.5, 1.0)
         self.assertFalse(admission.offer(call(), 2.9).is_admitted)
         self.assertTrue(admission.offer(call(), 3.0).is_admitted)
--- a/tests/request/test_answers.py
+++ b/tests/request/test_answers.py
@@ -32,7 +32,7 @@
             buffer.append(b"y" * 10)
             while buffer.take(10):
                 buffer.credit(buffer.sent)
-        self.assertTrue(buffer.kept <= 30)
+        self.assertTrue(buffer.buffered_bytes <= 30)
 
     def test_a_reader_resumes_at_its_offset(self):
         buffer = AnswerBuffer(window=100, keep=100)
@@ -111,7 +111,7 @@
 
     def test_a_barred_name_stays_barred(self):
         names = CallIdRegistry(keep=60.0, limit=10)
-        names.bar(CallId(1, 2), 0.0)
+        names.block(CallId(1, 2), 0.0)
         self.assertEqual(CallIdState.BARRED, names.state(CallId(1, 2)))
 
     def test_it_is_full_at_the_limit(self):
--- a/tests/request/test_cold_targets.py
+++ b/tests/request/test_cold_targets.py
@@ -247,18 +247,18 @@
 
 
 class ColdSettingsTest(TestCase):
-    def tokens(self, rate, over, slack):
+    def permits(self, rate, over, slack):
         service = Service(name="s", slots=1, cache_tokens=0, cold_rate=rate)
-        return ColdSettings(over, slack).tokens(service)
+        return ColdSettings(over, slack).permits(service)
 
     def test_half_of_the_bound_and_no_more_than_the_rate(self):
-        self.assertEqual(10, self.tokens(10, 1.5, 5))
-        self.assertEqual(7, self.tokens(10, 1.5, 0))
-        self.assertEqual(10, self.tokens(10, 9, 9))
+        self.assertEqual(10, self.permits(10, 1.5, 5))
+        self.assertEqual(7, self.permits(10, 1.5, 0))
+        self.assertEqual(10, self.permits(10, 9, 9))
 
     def test_one_where_the_bound_allows_one(self):
-        self.assertEqual(1, self.tokens(0.5, 1.5, 0.5))
-        self.assertEqual(0, self.tokens(0.5, 1.5, 0.0))
+        self.assertEqual(1, self.permits(0.5, 1.5, 0.5))
+        self.assertEqual(0, self.permits(0.5, 1.5, 0.0))
 
 
 def listed(entry):
@@ -290,21 +290,21 @@
     def test_cold_after_its_domain_was_evacuated_before_any_entry_says_so(self):
         state = TargetState(target("m1"), START)
         state.evacuate(START + 1)
-        state.take_back(START + 9)
+        state.end_evacuation(START + 9)
         self.assertTrue(self.is_cold(state, START + 9 + COLD_SECONDS - 0.1))
         self.assertFalse(self.is_cold(state, START + 9 + COLD_SECONDS))
 
     def test_cold_after_it_could_not_be_reached(self):
         state = TargetState(target("m1"), START)
         state.unreachable(START)
-        state.heard(START + 0.6)
+        state.bytes_received(START + 0.6)
         self.assertTrue(self.is_cold(state, START + 2.0))
         self.assertFalse(self.is_cold(state, START + 9.0))
 
     def test_an_entry_that_comes_late_does_not_make_it_warm(self):
         state = TargetState(target("m1"), START)
         state.evacuate(START)
-        state.take_back(START + 9)
+        state.end_evacuation(START + 9)
         state.set_cold_for(0.0, START + 9.5)
         self.assertTrue(self.is_cold(state, START + 10))
 
@@ -356,100 +356,100 @@
 
     def setUp(self):
         super().setUp()
-        self.desk = ForwardingHarness([target(f"m{n}", slots=64) for n in (1, 2)])
+        self.harness = ForwardingHarness([target(f"m{n}", slots=64) for n in (1, 2)])
         self.count_for("r0", 1)
 
     def count_for(self, name, routers):
         router = Router(name, names(routers), START)
-        tools = self.desk.tools
+        tools = self.harness.tools
         self.cold = router.cold
-        tools.room = TargetAvailability(router.cold)
+        tools.availability = TargetAvailability(router.cold)
         tools.chooser = TargetChooser(
-            ChoiceSettings(), self.desk.parts, tools.rng, room=tools.room
+            ChoiceSettings(), self.harness.parts, tools.rng, availability=tools.availability
         )
 
     def make_cold(self, *targets, seconds=COLD_SECONDS):
         for name in targets:
-            self.desk.state(name).set_cold_for(seconds, self.desk.clock.seconds())
+            self.harness.state(name).set_cold_for(seconds, self.harness.clock.seconds())
 
     def count_sent_to(self, name):
-        return sum(run.name == name for run in self.desk.caller.runs)
+        return sum(run.name == name for run in self.harness.caller.runs)
 
     def test_work_over_its_rate_goes_to_a_warm_one(self):
         self.make_cold("m1")
         for _ in range(60):
-            self.desk.call(request(STREAM))
+            self.harness.call(request(STREAM))
         self.assertLessEqual(self.count_sent_to("m1"), RATE)
         self.assertGreaterEqual(self.count_sent_to("m2"), 50)
 
     def test_repeats_and_resumed_streams_count(self):
         self.make_cold("m1", "m2")
         for _ in range(40):
-            self.desk.call(request(STREAM))
-            self.desk.caller.last.observer.response_lost("reset")
+            self.harness.call(request(STREAM))
+            self.harness.caller.last.observer.response_lost("reset")
         for name in ("m1", "m2"):
             self.assertLessEqual(self.count_sent_to(name), RATE)
 
     def test_a_silent_target_is_helped_by_no_cold_one_over_its_rate(self):
         self.make_cold("m2", seconds=30)
         for _ in range(30):
-            self.desk.call(request(STREAM))
-        self.desk.pass_time(1.0)
+            self.harness.call(request(STREAM))
+        self.harness.pass_time(1.0)
         self.assertLessEqual(self.count_sent_to("m2"), 2 * RATE)
 
     def test_a_request_that_can_wait_waits_for_a_permit(self):
         self.make_cold("m1", "m2", seconds=30)
-        sinks = [self.desk.call(request(STREAM))[1] for _ in range(20)]
-        self.desk.pass_time(0.9)
-        _, late = self.desk.call(request(STREAM, now=self.desk.clock.seconds()))
+        sinks = [self.harness.call(request(STREAM))[1] for _ in range(20)]
+        self.harness.pass_time(0.9)
+        _, late = self.harness.call(request(STREAM, now=self.harness.clock.seconds()))
         self.assertIsNone(late.refusal)
-        self.desk.pass_time(0.3)
-        self.assertEqual(21, len(self.desk.caller.runs))
+        self.harness.pass_time(0.3)
+        self.assertEqual(21, len(self.harness.caller.runs))
         self.assertTrue(all(sink.refusal is None for sink in sinks))
 
     def test_what_cannot_be_served_in_time_is_refused_at_once_with_the_time(self):
         self.make_cold("m1", "m2", seconds=30)
         for _ in range(20):
-            self.desk.call(request(STREAM))
-        self.desk.pass_time(0.2)
-        _, sink = self.desk.call(request(STREAM, now=self.desk.clock.seconds()))
+            self.harness.call(request(STREAM))
+        self.harness.pass_time(0.2)
+        _, sink = self.harness.call(request(STREAM, now=self.harness.clock.seconds()))
         self.assertIs(Refusal.TARGETS_COLD, sink.refusal)
         self.assertAlmostEqual(WINDOW_SECONDS - 0.2, sink.retry_after, places=2)
-        self.assertEqual(20, len(self.desk.caller.runs))
+        self.assertEqual(20, len(self.harness.caller.runs))
 
     def test_a_router_without_a_permit_says_when_targets_are_warm(self):
         self.count_for("stranger", 3)
         self.make_cold("m1", "m2", seconds=2.0)
-        _, sink = self.desk.call(request(STREAM))
+        _, sink = self.harness.call(request(STREAM))
         self.assertIs(Refusal.TARGETS_COLD, sink.refusal)
         self.assertAlmostEqual(2.0, sink.retry_after, places=2)
 
     def test_a_caller_that_leaves_while_it_waits_is_forgotten(self):
         self.make_cold("m1", "m2", seconds=0.2)
         self.count_for("stranger", 3)
-        call, _ = self.desk.call(request(STREAM))
+        call, _ = self.harness.call(request(STREAM))
         call.caller_gone()
-        self.desk.pass_time(0.5)
-        self.assertEqual([], self.desk.caller.runs)
-        self.assertEqual(["caller_gone"], self.desk.ended)
+        self.harness.pass_time(0.5)
+        self.assertEqual([], self.harness.caller.runs)
+        self.assertEqual(["caller_gone"], self.harness.ended)
 
     def test_a_target_reports_itself_as_cold(self):
-        self.desk.call(request(STREAM))
-        run = self.desk.caller.last
+        self.harness.call(request(STREAM))
+        run = self.harness.caller.last
         run.observer.response_head(head(cold_for=2.0))
-        now = self.desk.clock.seconds()
-        self.assertTrue(self.cold.is_cold(self.desk.state(run.name), now))
+        now = self.harness.clock.seconds()
+        self.assertTrue(self.cold.is_cold(self.harness.state(run.name), now))
 
     def test_without_patience_it_is_refused_where_it_could_have_waited(self):
-        self.desk.tools.settings = ForwardingSettings(cold_patience=0.0)
+        self.harness.tools.settings = ForwardingSettings(cold_patience=0.0)
         self.count_for("stranger", 3)
         self.make_cold("m1", "m2", seconds=0.1)
-        _, sink = self.desk.call(request(STREAM))
+        _, sink = self.harness.call(request(STREAM))
         self.assertIs(Refusal.TARGETS_COLD, sink.refusal)
 
     def test_plain_services_are_not_touched(self):
-        self.desk.states = [TargetState(target("p1", "portal"), START)]
+        self.harness.states = [TargetState(target("p1", "portal"), START)]
         self.make_cold("p1")
         for _ in range(50):
-            _, sink = self.desk.call(request(LOOKUP))
+            _, sink = self.harness.call(request(LOOKUP))
             self.assertIsNone(sink.refusal)
--- a/tests/request/test_harmful_requests.py
+++ b/tests/request/test_harmful_requests.py
@@ -130,10 +130,10 @@
         for target in range(7):
             self.end(target, HARMFUL, at=NOW + target)
         other = HarmfulRequests(SETTINGS)
-        for end in self.requests.proof(HARMFUL):
+        for end in self.requests.sufficient_ends(HARMFUL):
             other.record_end(end)
         self.assertGreater(other.held_for(HARMFUL, NOW + 7), 0)
-        self.assertEqual([], self.requests.proof(THIRD))
+        self.assertEqual([], self.requests.sufficient_ends(THIRD))
 
     def test_many_single_ends_do_not_evict_a_nearly_proved_request(self):
         for target in (1, 2):
--- a/tests/request/test_lost_answers.py
+++ b/tests/request/test_lost_answers.py
@@ -6,7 +6,7 @@
 
 from primrosescale.request.lost_answers import MAX_ENDED
 from primrosescale.request.lost_answers import MAX_WAITING
-from primrosescale.request.lost_answers import WAIT_SECONDS
+from primrosescale.request.lost_answers import MAX_WAIT_SECONDS
 from primrosescale.request.lost_answers import LostAnswers
 
 NOW = 1000.0
@@ -32,7 +32,7 @@
         self.assertEqual({}, self.lost.ended(7, NOW + 1))
         self.assertTrue(self.lost.has_ended(7, NOW + 2))
         self.assertFalse(self.lost.has_ended(8, NOW + 2))
-        self.assertFalse(self.lost.has_ended(7, NOW + 1 + WAIT_SECONDS))
+        self.assertFalse(self.lost.has_ended(7, NOW + 1 + MAX_WAIT_SECONDS))
 
     def test_answers_of_a_target_that_is_alive_are_dropped(self):
         self.lost.lost(1, 7, NOW)
@@ -48,9 +48,9 @@
 
     def test_lost_answers_expire(self):
         self.lost.lost(1, 7, NOW)
-        self.assertTrue(self.lost.is_waiting(7, NOW + WAIT_SECONDS))
-        self.assertFalse(self.lost.is_waiting(7, NOW + WAIT_SECONDS + 0.1))
-        self.assertEqual({}, self.lost.ended(7, NOW + WAIT_SECONDS + 0.1))
+        self.assertTrue(self.lost.is_waiting(7, NOW + MAX_WAIT_SECONDS))
+        self.assertFalse(self.lost.is_waiting(7, NOW + MAX_WAIT_SECONDS + 0.1))
+        self.assertEqual({}, self.lost.ended(7, NOW + MAX_WAIT_SECONDS + 0.1))
 
     def test_lost_answers_and_ended_targets_are_bounded(self):
         for fingerprint in range(2 * MAX_WAITING):
--- a/tests/request/test_rate_limit.py
+++ b/tests/request/test_rate_limit.py
@@ -31,7 +31,7 @@
         refused += not is_admitted
         if now - reported_at >= 1.0:
             reported_at = now
-            reports = [r for item in limiters for r in item.reports(len(limiters), now)]
+            reports = [r for item in limiters for r in item.demands_to_report(len(limiters), now)]
             total = sum(report.rate for report in reports)
             for item in limiters:
                 item.update_total(DemandRate("o", total), now)
@@ -60,14 +60,14 @@
             limiter.admit(f"idle{number}", 100.0, 0.0)
         for number in range(200):
             limiter.admit("busy", 100.0, number * 0.01)
-        names = [item.organisation for item in limiter.reports(10, 2.0)]
+        names = [item.organisation for item in limiter.demands_to_report(10, 2.0)]
         self.assertEqual(["busy"], names)
 
     def test_idle_meters_are_dropped(self):
         limiter = OrganisationRateLimiter(RateSettings())
         for number in range(1000):
             limiter.admit(f"o{number}", 100.0, 0.0)
-        limiter.reports(10, 100.0)
+        limiter.demands_to_report(10, 100.0)
         self.assertEqual(0, len(limiter))
 
     def test_the_wait_ends_when_a_token_is_available(self):
@@ -82,19 +82,19 @@
     def test_the_least_recent_chat_is_evicted_first(self):
         directory = ChatDirectory(limit=2, keep=100.0)
         for number in range(3):
-            directory.served(f"c{number}", "a", 10, float(number))
+            directory.record_served(f"c{number}", "a", 10, float(number))
         self.assertIsNone(directory.find("c0", 3.0))
         self.assertEqual("a", directory.find("c2", 3.0).place)
 
     def test_an_expired_record_is_ignored(self):
         directory = ChatDirectory(limit=2, keep=10.0)
-        directory.served("c", "a", 10, 0.0)
+        directory.record_served("c", "a", 10, 0.0)
         self.assertIsNone(directory.find("c", 11.0))
 
     def test_the_most_recent_chats_of_a_target(self):
         directory = ChatDirectory(limit=9, keep=100.0)
         for number, name in enumerate("abab"):
-            directory.served(f"c{number}", name, 10, float(number))
+            directory.record_served(f"c{number}", name, 10, float(number))
         self.assertEqual(["c3", "c1"], directory.most_recent("b", 5))
 
 
--- a/tests/request/test_target_statements.py
+++ b/tests/request/test_target_statements.py
@@ -12,7 +12,7 @@
 from testtools import TestCase
 
 from entry.fakes import head
-from entry.fakes import life
+from entry.fakes import make_incarnation
 from primrosescale.request.target_statements import MAX_RETAINED
 from primrosescale.request.target_statements import PROBE_AGAIN_SECONDS
 from primrosescale.request.target_statements import RetainedSelfReports
@@ -32,8 +32,8 @@
 
     def __init__(self, routers):
         self.routers = [TargetSelfReports() for _ in range(routers)]
-        for statements in self.routers:
-            statements.take(
+        for self_reports in self.routers:
+            self_reports.take(
                 head(503, is_not_run=True, rest=PAUSE_SECONDS), SLOTS, START
             )
         # Times at which requests were sent.
@@ -43,26 +43,26 @@
     def run(self, seconds):
         """Have callers arrive at all routers, and the target answer all it gets."""
         due = []
-        for number, statements in enumerate(self.routers):
+        for number, self_reports in enumerate(self.routers):
             at = START + CALLER_INTERVAL_SECONDS * number / len(self.routers)
-            heapq.heappush(due, (at, next(self._order), "caller", statements))
+            heapq.heappush(due, (at, next(self._order), "caller", self_reports))
         while due:
-            now, _, what, statements = heapq.heappop(due)
+            now, _, what, self_reports = heapq.heappop(due)
             if now >= START + seconds:
                 return
             if what == "answer":
-                statements.take(head(), SLOTS, now)
+                self_reports.take(head(), SLOTS, now)
                 continue
-            if not statements.wait(now):
-                statements.sent(now)
+            if not self_reports.wait(now):
+                self_reports.sent(now)
                 self.sent.append(now)
-                answer = (now + ANSWER_SECONDS, next(self._order), "answer", statements)
+                answer = (now + ANSWER_SECONDS, next(self._order), "answer", self_reports)
                 heapq.heappush(due, answer)
             caller = (
                 now + CALLER_INTERVAL_SECONDS,
                 next(self._order),
                 "caller",
-                statements,
+                self_reports,
             )
             heapq.heappush(due, caller)
 
@@ -100,76 +100,76 @@
 class TargetStatementsTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.statements = TargetSelfReports()
+        self.self_reports = TargetSelfReports()
 
     def request_pause(self, seconds, now=START):
-        return self.statements.take(
+        return self.self_reports.take(
             head(503, is_not_run=True, rest=seconds), SLOTS, now
         )
 
     def test_only_the_first_report_of_a_pause_is_new(self):
         self.assertTrue(self.request_pause(3.0))
         self.assertFalse(self.request_pause(3.0, START + 1))
-        self.assertEqual(2.0, self.statements.wait(START + 2))
+        self.assertEqual(2.0, self.self_reports.wait(START + 2))
         self.assertTrue(self.request_pause(1.0, START + 5))
 
     def test_leaving_is_new_once_and_is_final(self):
-        self.assertTrue(self.statements.take(head(is_leaving=True), SLOTS, START))
-        self.assertFalse(self.statements.take(head(is_leaving=True), SLOTS, START + 1))
-        self.statements.take(head(), SLOTS, START + 2)
-        self.assertTrue(self.statements.is_leaving)
-        self.assertEqual(START, self.statements.leaving_since)
+        self.assertTrue(self.self_reports.take(head(is_leaving=True), SLOTS, START))
+        self.assertFalse(self.self_reports.take(head(is_leaving=True), SLOTS, START + 1))
+        self.self_reports.take(head(), SLOTS, START + 2)
+        self.assertTrue(self.self_reports.is_leaving)
+        self.assertEqual(START, self.self_reports.leaving_since)
 
     # Guards against never using a target again whose first answer was lost.
     def test_one_that_does_not_answer_is_asked_again(self):
         self.request_pause(1.0)
-        self.assertEqual(0.0, self.statements.wait(START + 1))
-        self.statements.sent(START + 1)
-        self.assertTrue(self.statements.wait(START + 1.5) > 0)
-        self.assertEqual(0.0, self.statements.wait(START + 1 + PROBE_AGAIN_SECONDS))
+        self.assertEqual(0.0, self.self_reports.wait(START + 1))
+        self.self_reports.sent(START + 1)
+        self.assertTrue(self.self_reports.wait(START + 1.5) > 0)
+        self.assertEqual(0.0, self.self_reports.wait(START + 1 + PROBE_AGAIN_SECONDS))
 
     # Guards against raising the limit for a request declined without a pause time.
     def test_a_declined_request_does_not_raise_the_limit(self):
         self.request_pause(1.0)
-        self.statements.sent(START + 1)
-        self.statements.take(head(503, is_not_run=True), SLOTS, START + 1.1)
-        self.assertTrue(self.statements.wait(START + 1.2) > 0)
+        self.self_reports.sent(START + 1)
+        self.self_reports.take(head(503, is_not_run=True), SLOTS, START + 1.1)
+        self.assertTrue(self.self_reports.wait(START + 1.2) > 0)
 
     # Guards against raising the limit for answers to requests sent before the pause.
     def test_an_answer_during_a_pause_does_not_raise_the_limit(self):
         self.request_pause(1.0)
         for number in range(90):
-            self.statements.take(head(), SLOTS, START + number / 100)
-        self.assertTrue(self.statements.is_limited)
-        self.statements.sent(START + 1)
-        self.assertTrue(self.statements.wait(START + 1.1) > 0)
+            self.self_reports.take(head(), SLOTS, START + number / 100)
+        self.assertTrue(self.self_reports.is_limited)
+        self.self_reports.sent(START + 1)
+        self.assertTrue(self.self_reports.wait(START + 1.1) > 0)
 
 
 class KeptStatementsTest(TestCase):
     """Self-reports of targets whose entries have expired."""
 
     def leaving(self):
-        statements = TargetSelfReports()
-        statements.set_leaving(START)
-        return statements
+        self_reports = TargetSelfReports()
+        self_reports.set_leaving(START)
+        return self_reports
 
     def test_they_are_given_back_once_for_that_incarnation_alone(self):
         kept = RetainedSelfReports()
-        kept.keep(life("m1", 5), self.leaving(), START)
-        self.assertFalse(kept.take_back(life("m1", 6)).is_leaving)
-        self.assertTrue(kept.take_back(life("m1", 5)).is_leaving)
-        self.assertFalse(kept.take_back(life("m1", 5)).is_leaving)
+        kept.keep(make_incarnation("m1", 5), self.leaving(), START)
+        self.assertFalse(kept.pop(make_incarnation("m1", 6)).is_leaving)
+        self.assertTrue(kept.pop(make_incarnation("m1", 5)).is_leaving)
+        self.assertFalse(kept.pop(make_incarnation("m1", 5)).is_leaving)
 
     def test_nothing_is_kept_of_targets_that_said_nothing(self):
         kept = RetainedSelfReports()
-        kept.keep(life("m1"), TargetSelfReports(), START)
+        kept.keep(make_incarnation("m1"), TargetSelfReports(), START)
         self.assertEqual(0, len(kept))
 
     # Guards against memory that grows with each target that ever left.
     def test_the_oldest_are_dropped_first(self):
         kept = RetainedSelfReports()
         for number in range(MAX_RETAINED + 10):
-            kept.keep(life(f"m{number}"), self.leaving(), START)
+            kept.keep(make_incarnation(f"m{number}"), self.leaving(), START)
         self.assertEqual(MAX_RETAINED, len(kept))
-        self.assertFalse(kept.take_back(life("m0")).is_leaving)
-        self.assertTrue(kept.take_back(life(f"m{MAX_RETAINED + 9}")).is_leaving)
+        self.assertFalse(kept.pop(make_incarnation("m0")).is_leaving)
+        self.assertTrue(kept.pop(make_incarnation(f"m{MAX_RETAINED + 9}")).is_leaving)
--- a/tests/support/entry_site.py
+++ b/tests/support/entry_site.py
@@ -143,9 +143,9 @@
         "reads_caches": False,
         "drain": 2.0,
         "revoke": 5.0,
-        "certain_for": 3.5,
+        "not_found_max_age": 3.5,
         "stop_within": 8.0,
-        "most_requests": 100,
+        "max_requests": 100,
         "repeats": SharedRetryLimits(0.2, 10.0, 50.0),
     }
     return EntrySettings(**{**values, **fields})
@@ -162,7 +162,7 @@
     )
 
 
-def router_dependencies(store, name, events, reread, *, caches=None, early=None):
+def router_dependencies(store, name, events, read_settings, *, caches=None, listening_socket=None):
     """Return the collaborators of a router; its events are appended to a list."""
     log = EventLog(name)
     log.emit = lambda event, **said: events.append((event.name, said))
@@ -176,6 +176,6 @@
         metrics=EntryMetrics(),
         rng=random.Random(1),
         caches=caches or EngineCaches(reactor),
-        reread=reread,
-        early=early,
+        read_settings=read_settings,
+        listening_socket=listening_socket,
     )
--- a/tests/support/faults.py
+++ b/tests/support/faults.py
@@ -33,7 +33,7 @@
 
 def revive(target):
     target.is_dead = False
-    target.life += 1
+    target.incarnation += 1
 
 
 def agent_replaced(world, agent):
--- a/tests/support/harm_fleet.py
+++ b/tests/support/harm_fleet.py
@@ -17,7 +17,7 @@
 from primrosescale.process.entry.router_news import StateExchange
 from primrosescale.request.direct_port import AnswerHead
 from primrosescale.request.direct_port import CallerSink
-from primrosescale.request.direct_port import Run
+from primrosescale.request.direct_port import InFlightRequest
 from primrosescale.request.direct_port import TargetClient
 from primrosescale.request.direct_port import ProbeResult
 from primrosescale.request.forward_tools import ForwardingSettings
@@ -61,7 +61,7 @@
     gap_objective=0.0,
     max_targets=3,
     priority=1,
-    is_open=False,
+    allows_anonymous=False,
 )
 
 
@@ -97,7 +97,7 @@
         self.runs = {}
 
 
-class VirtualRun(Run):
+class VirtualRun(InFlightRequest):
     """A request at one target."""
 
     def __init__(self, fleet, router_began_at, sending, observer):
--- a/tests/support/router_fleet.py
+++ b/tests/support/router_fleet.py
@@ -471,7 +471,7 @@
     def _answer(self, state, engine):
         now = self.clock.seconds()
         if engine.name in self.engines:
-            state.reported(LoadReport(engine.running, 0, SLOTS), now)
+            state.set_load(LoadReport(engine.running, 0, SLOTS), now)
             state.succeeded(now)
 
     def _end(self, state, engine):
