--- a/benchmarks/choice_cost.py
+++ b/benchmarks/choice_cost.py
@@ -22,8 +22,8 @@
 from primrosescale.request.cold_targets import ColdTargets
 from primrosescale.request.incoming import Prompt
 from primrosescale.request.incoming import PromptPart
-from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.part_directory import PartUse
+from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.router_shares import RouterShares
 from primrosescale.request.serving_target import ServingTarget
 from primrosescale.request.target_choice import ChoiceSettings
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -205,7 +205,9 @@
         "admission_200_waiting_us": admission_cost(200),
         "limiter_us": timed(lambda n: limiter.admit(f"o{n % 14000}", 50.0, n * 1e-4)),
         "hear_heartbeat_us": timed(lambda n: sums.record_heartbeat(beat(n), n * 0.01)),
-        "hear_report_us": timed(lambda n: domain.record_report(report(n), n * 0.01), 2000),
+        "hear_report_us": timed(
+            lambda n: domain.record_report(report(n), n * 0.01), 2000
+        ),
         "sum_domain_us": timed(lambda _: domain.summary(0.0), 500),
         "sum_fleet_us": timed(lambda _: fleet.means(0.0), 2000),
         "build_report_us": timed(lambda _: sums.sums(), 2000),
--- a/src/primrosescale/platform/http_codec.py
+++ b/src/primrosescale/platform/http_codec.py
@@ -12,13 +12,13 @@
 from primrosescale.request.gate import CallerHead
 from primrosescale.request.incoming import Prompt
 from primrosescale.request.incoming import PromptPart
-from primrosescale.request.retry_after import requested_pause
 from primrosescale.request.retry_after import is_odd_rest
+from primrosescale.request.retry_after import requested_pause
 from primrosescale.request.target_state import LoadReport
 
 if TYPE_CHECKING:
-    from primrosescale.request.direct_port import Refusal
     from primrosescale.request.direct_port import OutgoingRequest
+    from primrosescale.request.direct_port import Refusal
 
 REQUEST_ID = b"Primrosescale-Request-Id"
 # How many milliseconds the sender of the request will wait.
--- a/src/primrosescale/process/daemons/router.py
+++ b/src/primrosescale/process/daemons/router.py
@@ -40,8 +40,8 @@
 from primrosescale.process.transport.quiet_site import QuietSite
 from primrosescale.request.attempts import AttemptPlan
 from primrosescale.request.backoff import Backoff
-from primrosescale.request.call_table import CallTableListener
 from primrosescale.request.call_table import CallTable
+from primrosescale.request.call_table import CallTableListener
 from primrosescale.request.candidates import Locality
 from primrosescale.request.claim import claim_key
 from primrosescale.request.rate_limit import OrganisationRateLimiter
@@ -86,7 +86,9 @@
         self.began = began
 
 
-class Router(LinkHandler, CallGate, CallTableListener, ControlObserver, VersionObserver):
+class Router(
+    LinkHandler, CallGate, CallTableListener, ControlObserver, VersionObserver
+):
     """One router process.
 
     Parameters
--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_learning.py
@@ -175,7 +175,9 @@
             self._record_contents, failed, callbackArgs=(target,)
         )
 
-    def _record_contents(self, held: EngineCacheContents, target: ServingTarget) -> None:
+    def _record_contents(
+        self, held: EngineCacheContents, target: ServingTarget
+    ) -> None:
         """Record what a target reported; it may be of another incarnation."""
         now = self._reactor.seconds()
         incarnation = target.incarnation
@@ -197,5 +199,7 @@
             self._log.emit(Event.CACHE_NOT_READ, target=target.name, detail=detail)
             return
         for part in held.parts:
-            self._directory.record_use(PartUse(part.name, incarnation, part.tokens, now))
+            self._directory.record_use(
+                PartUse(part.name, incarnation, part.tokens, now)
+            )
         self._log.emit(Event.CACHE_READ, target=target.name, parts=len(held.parts))
--- a/src/primrosescale/process/entry/cache_shares.py
+++ b/src/primrosescale/process/entry/cache_shares.py
@@ -119,7 +119,9 @@
             for state in self._targets.states
             if first_by_rendezvous(names, state.target.name, 1)[0] in silent
         }
-        return [found[name] for name in first_by_rendezvous(found, self._name, len(found))]
+        return [
+            found[name] for name in first_by_rendezvous(found, self._name, len(found))
+        ]
 
     def new_request(self) -> wire.CacheQuestion:
         """Return the request to other routers after a start.
@@ -192,9 +194,7 @@
                     PartUse(part.part, state.incarnation, part.tokens, used_at)
                 )
 
-    def _pending_answers(
-        self, now: float
-    ) -> list[tuple[PeerRouter, wire.CacheAnswer]]:
+    def _pending_answers(self, now: float) -> list[tuple[PeerRouter, wire.CacheAnswer]]:
         found = [self._find(name) for name in sorted(self._pending_requesters)]
         askers = [router for router in found if router is not None]
         self._pending_requesters.clear()
--- a/src/primrosescale/process/entry/codec.py
+++ b/src/primrosescale/process/entry/codec.py
@@ -18,8 +18,8 @@
     from primrosescale.process.entry.other_router import PeerRouter
     from primrosescale.process.transport.platform import StoredObject
     from primrosescale.request.direct_port import AnswerHead
-    from primrosescale.request.direct_port import Refusal
     from primrosescale.request.direct_port import OutgoingRequest
+    from primrosescale.request.direct_port import Refusal
     from primrosescale.request.gate import CallerHead
     from primrosescale.request.incoming import PromptPart
     from primrosescale.request.serving_target import ServingTarget
--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -32,8 +32,8 @@
 from primrosescale.process.entry.harm_watch import EntryHarmMonitor
 from primrosescale.process.entry.knowledge import StoreState
 from primrosescale.process.entry.leaving_news import LeavingTargetExchange
-from primrosescale.process.entry.router_exchange import StateExchangeProtocol
 from primrosescale.process.entry.router_exchange import RouterRegistry
+from primrosescale.process.entry.router_exchange import StateExchangeProtocol
 from primrosescale.process.entry.router_news import StateExchange
 from primrosescale.process.entry.target_caller import HttpTargetClient
 from primrosescale.process.entry.target_list import TARGET
@@ -58,8 +58,8 @@
 from primrosescale.request.repeat_budget import SharedRetryBudget
 from primrosescale.request.router_shares import RouterShares
 from primrosescale.request.target_choice import TargetChooser
-from primrosescale.request.target_room import TargetCondition
 from primrosescale.request.target_room import TargetAvailability
+from primrosescale.request.target_room import TargetCondition
 
 if TYPE_CHECKING:
     from collections.abc import Generator
@@ -395,9 +395,7 @@
         sink = self._sink(request, head.request_id)
         if isinstance(resolved, Refusal):
             forward = self._settings.forward
-            sink.refuse(
-                resolved, forward.retry_delay(resolved, self._dependencies.rng)
-            )
+            sink.refuse(resolved, forward.retry_delay(resolved, self._dependencies.rng))
             self._log_refused(resolved, head, now)
             return
         call = ForwardedCall(resolved, sink, self._forwarding, self._call_ended)
--- a/src/primrosescale/process/entry/harm_news.py
+++ b/src/primrosescale/process/entry/harm_news.py
@@ -15,10 +15,10 @@
 from primrosescale.process.entry.load_codec import MILLISECONDS_PER_SECOND
 from primrosescale.process.events import Event
 from primrosescale.request.content_fingerprint import fingerprint_text
+from primrosescale.request.harm_reports import CompleteAnswer
 from primrosescale.request.harm_reports import HarmReport
 from primrosescale.request.harm_reports import SuspectTrial
 from primrosescale.request.harm_reports import TargetEnd
-from primrosescale.request.harm_reports import CompleteAnswer
 from primrosescale.request.lost_answers import MAX_BUFFERED_SECONDS
 
 if TYPE_CHECKING:
--- a/src/primrosescale/process/entry/harm_watch.py
+++ b/src/primrosescale/process/entry/harm_watch.py
@@ -21,9 +21,9 @@
 from primrosescale.request.direct_port import ProbeResult
 from primrosescale.request.fresh_answers import UnconfirmedAnswer
 from primrosescale.request.fresh_answers import UnconfirmedAnswers
+from primrosescale.request.harm_reports import CompleteAnswer
 from primrosescale.request.harm_reports import SuspectTrial
 from primrosescale.request.harm_reports import TargetEnd
-from primrosescale.request.harm_reports import CompleteAnswer
 from primrosescale.request.harm_watch import HarmMonitor
 from primrosescale.request.lost_answers import MAX_BUFFERED_SECONDS
 from primrosescale.request.lost_answers import LostAnswers
@@ -136,7 +136,9 @@
         """Clear the request once its target survived; see `HarmMonitor.answered`."""
         self._requests.count_answer(now)
         key = target_key(*state.incarnation)
-        self._unconfirmed_answers.add(UnconfirmedAnswer(request.fingerprint, key, now, state))
+        self._unconfirmed_answers.add(
+            UnconfirmedAnswer(request.fingerprint, key, now, state)
+        )
         if self._confirmation_timer is None:
             self._confirmation_timer = self._reactor.callLater(
                 CONFIRMATION_INTERVAL_SECONDS, self._clear_confirmed
@@ -227,9 +229,9 @@
 
     def _probe(self, target: TargetIncarnation, key: int) -> None:
         now = self._reactor.seconds()
-        if self._lost_answers.is_waiting(key, now) or self._unconfirmed_answers.has_from(
-            key
-        ):
+        if self._lost_answers.is_waiting(
+            key, now
+        ) or self._unconfirmed_answers.has_from(key):
             self._target_client.check(
                 target, lambda found: self._probed(target, key, found)
             )
@@ -256,7 +258,9 @@
             )
 
     def _clear(self, answer: UnconfirmedAnswer, now: float) -> None:
-        if self._report_exchange.record(CompleteAnswer(answer.fingerprint, answer.at), now):
+        if self._report_exchange.record(
+            CompleteAnswer(answer.fingerprint, answer.at), now
+        ):
             self._send_soon()
 
     def _note_ends(self, ends: list[TargetEnd], now: float) -> None:
--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/knowledge.py
@@ -272,7 +272,9 @@
             running = watch.run()
             running.addErrback(self._log_fault)
 
-    def poll_if_stale(self, newest_version: int, newest_list_revision: int, now: float) -> None:
+    def poll_if_stale(
+        self, newest_version: int, newest_list_revision: int, now: float
+    ) -> None:
         """Poll the store if others know more or the last answer is too old.
 
         Parameters
--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -190,7 +190,9 @@
         Limits and intervals.
     """
 
-    def __init__(self, name: str, topology: RelayTopology, settings: StateExchangeSettings) -> None:
+    def __init__(
+        self, name: str, topology: RelayTopology, settings: StateExchangeSettings
+    ) -> None:
         self._name = name
         self._topology = topology
         self._settings = settings
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/router_news.py
@@ -424,7 +424,9 @@
             self._leaving.to_send() if self._leaving else [],
         )
         is_relayed = self._topology.is_relayed
-        take_uses = self._parts.take_away_from_home if is_relayed else self._parts.take_updates
+        take_uses = (
+            self._parts.take_away_from_home if is_relayed else self._parts.take_updates
+        )
         parts = [_part_update(use, now) for use in take_uses()]
         ends = self._harm.ends(now) if self._harm else []
         held = self._harm.held(now) if self._harm and not is_urgent else []
--- a/src/primrosescale/process/entry/target_caller.py
+++ b/src/primrosescale/process/entry/target_caller.py
@@ -22,8 +22,8 @@
 from primrosescale.connection.target_channel import ChannelPool
 from primrosescale.process.transport.http_bodies import body_producer
 from primrosescale.request.direct_port import InFlightRequest
-from primrosescale.request.direct_port import TargetClient
 from primrosescale.request.direct_port import ProbeResult
+from primrosescale.request.direct_port import TargetClient
 from primrosescale.request.target_incarnation import TargetIncarnation
 
 if TYPE_CHECKING:
@@ -34,8 +34,8 @@
 
     from primrosescale.connection.target_channel import TargetChannel
     from primrosescale.process.entry.codec import EntryCodec
-    from primrosescale.request.direct_port import ResponseObserver
     from primrosescale.request.direct_port import OutgoingRequest
+    from primrosescale.request.direct_port import ResponseObserver
     from primrosescale.request.serving_target import ServingTarget
 
 # A connection within a region opens in a few milliseconds. The kernel retransmits a
@@ -278,7 +278,9 @@
         # alone, rather by something in front of them.
         self._rest_limit = IdleLimit()
 
-    def send(self, sending: OutgoingRequest, observer: ResponseObserver) -> InFlightRequest:
+    def send(
+        self, sending: OutgoingRequest, observer: ResponseObserver
+    ) -> InFlightRequest:
         """Send a request; see `TargetClient.send`."""
         state = self._state(sending.target)
         in_flight_request = InFlightHttpRequest(
--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -345,7 +345,9 @@
         return SealedIndex(name, segment)
 
     def _retained(self, sealed: list[SealedIndex]) -> list[SealedIndex]:
-        oldest = (self._wall_clock() - self._settings.retention) * MILLISECONDS_PER_SECOND
+        oldest = (
+            self._wall_clock() - self._settings.retention
+        ) * MILLISECONDS_PER_SECOND
         return [index for index in sealed if index.newest_ms >= oldest]
 
 
--- a/src/primrosescale/process/membership/load_sums.py
+++ b/src/primrosescale/process/membership/load_sums.py
@@ -86,7 +86,9 @@
         """Return the number of agents that report to this router."""
         return len(self._agents)
 
-    def record_heartbeat(self, heartbeat: wire.Heartbeat, now: float) -> wire.MemberNotice | None:
+    def record_heartbeat(
+        self, heartbeat: wire.Heartbeat, now: float
+    ) -> wire.MemberNotice | None:
         """Record a heartbeat.
 
         Parameters
@@ -284,7 +286,9 @@
         """Return the number of routers that report to this one."""
         return len(self._reports)
 
-    def record_report(self, report: wire.PeerReport, now: float) -> list[wire.MemberNotice]:
+    def record_report(
+        self, report: wire.PeerReport, now: float
+    ) -> list[wire.MemberNotice]:
         """Record a router's report.
 
         Parameters
--- a/src/primrosescale/request/direct_port.py
+++ b/src/primrosescale/request/direct_port.py
@@ -181,7 +181,9 @@
     """Sends requests to targets."""
 
     @abstractmethod
-    def send(self, sending: OutgoingRequest, observer: ResponseObserver) -> InFlightRequest:
+    def send(
+        self, sending: OutgoingRequest, observer: ResponseObserver
+    ) -> InFlightRequest:
         """Send a request.
 
         Parameters
@@ -189,8 +191,8 @@
         sending : OutgoingRequest
             The request.
         observer : ResponseObserver
-            Receives its progress. Only `request_sent` and `request_not_sent` may be called
-            before this returns.
+            Receives its progress. Only `request_sent` and `request_not_sent` may be
+            called before this returns.
 
         Returns
         -------
--- a/src/primrosescale/request/directory.py
+++ b/src/primrosescale/request/directory.py
@@ -69,7 +69,9 @@
             return None
         return record
 
-    def record_served(self, chat: str, target_name: str, tokens: int, now: float) -> None:
+    def record_served(
+        self, chat: str, target_name: str, tokens: int, now: float
+    ) -> None:
         """Record the target that served a chat.
 
         Parameters
--- a/src/primrosescale/request/forwarded_call.py
+++ b/src/primrosescale/request/forwarded_call.py
@@ -21,8 +21,8 @@
 from primrosescale.clock import cancel_timer
 from primrosescale.request.answer_relay import AnswerRelay
 from primrosescale.request.attempt_pair import HedgedAttempts
-from primrosescale.request.direct_port import Refusal
 from primrosescale.request.direct_port import OutgoingRequest
+from primrosescale.request.direct_port import Refusal
 from primrosescale.request.silence import SilenceReport
 from primrosescale.request.silence import SilenceVerdict
 from primrosescale.request.silence import silence_timeout
@@ -679,7 +679,9 @@
             target=attempt.name,
             silent_for=attempt.state.silence(now),
             waited=now - self._waiting_since,
-            others=tools.chooser.count_available(states, self._tried.excluded(states), now),
+            others=tools.chooser.count_available(
+                states, self._tried.excluded(states), now
+            ),
             verdict=verdict,
         )
         tools.silence_judged(self._request, silence)
--- a/src/primrosescale/request/fresh_answers.py
+++ b/src/primrosescale/request/fresh_answers.py
@@ -57,7 +57,10 @@
             Whether the target was alive later, or its end would be known by now.
         """
         is_identified = self.state.incarnation.has_unique_name
-        if is_identified and self.state.last_received_at >= self.at + CONFIRMATION_SECONDS:
+        if (
+            is_identified
+            and self.state.last_received_at >= self.at + CONFIRMATION_SECONDS
+        ):
             return True
         return now - self.at >= MAX_UNCONFIRMED_SECONDS
 
--- a/src/primrosescale/request/gate.py
+++ b/src/primrosescale/request/gate.py
@@ -80,7 +80,9 @@
         Random generator for routes that are split between several services.
     """
 
-    def __init__(self, freshness: Freshness, not_found_max_age: float, rng: Random) -> None:
+    def __init__(
+        self, freshness: Freshness, not_found_max_age: float, rng: Random
+    ) -> None:
         self._freshness = freshness
         self._not_found_max_age = not_found_max_age
         self._rng = rng
--- a/src/primrosescale/request/harmful_requests.py
+++ b/src/primrosescale/request/harmful_requests.py
@@ -20,9 +20,9 @@
 from typing import TYPE_CHECKING
 
 from primrosescale.request.decaying_outcomes import DecayingOutcomes
+from primrosescale.request.harm_reports import CompleteAnswer
 from primrosescale.request.harm_reports import SuspectTrial
 from primrosescale.request.harm_reports import TargetEnd
-from primrosescale.request.harm_reports import CompleteAnswer
 
 if TYPE_CHECKING:
     from primrosescale.request.harm_settings import HarmSettings
--- a/src/primrosescale/request/hop.py
+++ b/src/primrosescale/request/hop.py
@@ -1,6 +1,6 @@
 """A span of a traced request, independent of the tracing library.
 
-A hop is the handling of a request by one process, or by one target.
+A span covers the handling of a request by one process, or by one target.
 """
 
 from __future__ import annotations
--- a/src/primrosescale/request/target_attempt.py
+++ b/src/primrosescale/request/target_attempt.py
@@ -169,12 +169,12 @@
     __slots__ = (
         "_buffered",
         "_buffered_bytes",
-        "_span",
         "_is_over",
         "_is_paused",
         "_listener",
         "_record",
         "_run",
+        "_span",
         "_splitter",
         "_state",
         "_was_sent",
@@ -381,6 +381,6 @@
             self._listener.attempt_done(self)
 
     def response_lost(self, detail: str) -> None:
-        """Report that the answer was truncated; see `ResponseObserver.response_lost`."""
+        """Report a truncated answer; see `ResponseObserver.response_lost`."""
         if not self._is_over:
             self._listener.attempt_cut(self, detail)
--- a/src/primrosescale/request/target_room.py
+++ b/src/primrosescale/request/target_room.py
@@ -86,7 +86,9 @@
             return TargetCondition.RESTING
         if self._cold is not None and self._cold.is_cold(state, now):
             return TargetCondition.COLD
-        return TargetCondition.SUSPECT if state.is_avoided(now) else TargetCondition.READY
+        return (
+            TargetCondition.SUSPECT if state.is_avoided(now) else TargetCondition.READY
+        )
 
     def open(self, states: Sequence[TargetState], now: float) -> AvailableTargets:
         """Return which of some targets may be sent a request now.
--- a/src/primrosescale/request/target_statements.py
+++ b/src/primrosescale/request/target_statements.py
@@ -205,7 +205,10 @@
         return len(self._kept)
 
     def keep(
-        self, incarnation: TargetIncarnation, self_reports: TargetSelfReports, now: float
+        self,
+        incarnation: TargetIncarnation,
+        self_reports: TargetSelfReports,
+        now: float,
     ) -> None:
         """Keep what a target reported whose entry is gone.
 
--- a/tests/adapter/test_translation.py
+++ b/tests/adapter/test_translation.py
@@ -24,8 +24,8 @@
 from primrosescale.platform.records import decode_routing_table
 from primrosescale.platform.records import decode_target
 from primrosescale.process.transport.platform import StoredObject
-from primrosescale.request.direct_port import Refusal
 from primrosescale.request.direct_port import OutgoingRequest
+from primrosescale.request.direct_port import Refusal
 from primrosescale.request.retry_after import MAX_PAUSE_SECONDS
 from primrosescale.version.routing_table import RetryPolicy
 
@@ -318,7 +318,9 @@
         date = "Wed, 21 Oct 2026 07:28:00 GMT"
         self.assertIsNone(self.answer(503, Retry_After=[date]).rest)
         for value in ("1e9", "inf", "1e999"):
-            self.assertEqual(MAX_PAUSE_SECONDS, self.answer(503, Retry_After=[value]).rest)
+            self.assertEqual(
+                MAX_PAUSE_SECONDS, self.answer(503, Retry_After=[value]).rest
+            )
         self.assertEqual(5.0, self.answer(503, Retry_After=["2", "5", "odd"]).rest)
 
     def test_odd_rests_are_marked(self):
--- a/tests/entry/fakes.py
+++ b/tests/entry/fakes.py
@@ -12,15 +12,15 @@
 from primrosescale.request.direct_port import CallerSink
 from primrosescale.request.direct_port import InFlightRequest
 from primrosescale.request.direct_port import TargetClient
-from primrosescale.request.forward_tools import ForwardingSettings
 from primrosescale.request.forward_tools import ForwardingContext
+from primrosescale.request.forward_tools import ForwardingSettings
 from primrosescale.request.forwarded_call import ForwardedCall
 from primrosescale.request.incoming import IncomingRequest
 from primrosescale.request.incoming import Prompt
 from primrosescale.request.incoming import PromptPart
 from primrosescale.request.part_directory import PrefixCacheIndex
-from primrosescale.request.repeat_budget import SharedRetryLimits
 from primrosescale.request.repeat_budget import SharedRetryBudget
+from primrosescale.request.repeat_budget import SharedRetryLimits
 from primrosescale.request.serving_target import ServingTarget
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
--- a/tests/entry/test_allowed_regions.py
+++ b/tests/entry/test_allowed_regions.py
@@ -57,7 +57,9 @@
             last_event=None,
             headers=(),
         )
-        judged = RequestResolver(freshness, 3.0, random.Random(1)).resolve(caller, b"", table, START)
+        judged = RequestResolver(freshness, 3.0, random.Random(1)).resolve(
+            caller, b"", table, START
+        )
         return judged.allowed_regions
 
     def test_regions_of_route_and_organisation_both_apply(self):
@@ -134,7 +136,9 @@
 
     def test_a_prompt_is_copied_from_allowed_targets_only(self):
         wanted = prompt(("tariffs", 10000), ("chat", 900))
-        self.harness.parts.record_use(PartUse("tariffs", make_incarnation("m3"), 10000, START))
+        self.harness.parts.record_use(
+            PartUse("tariffs", make_incarnation("m3"), 10000, START)
+        )
         self.harness.call(request(STREAM, allowed_regions=NORTH, prompt=wanted))
         self.assertIsNone(self.harness.caller.last.sending.fetch_from)
 
--- a/tests/entry/test_asked_rest.py
+++ b/tests/entry/test_asked_rest.py
@@ -39,7 +39,9 @@
 
     def harness(self, route, count=3):
         service = route.services[0].service
-        return ForwardingHarness([target(f"m{n}", service) for n in range(1, count + 1)])
+        return ForwardingHarness(
+            [target(f"m{n}", service) for n in range(1, count + 1)]
+        )
 
     def send(self, harness, route, **fields):
         """Send one request; return the runs that it started, and the sink."""
--- a/tests/entry/test_cache_shares.py
+++ b/tests/entry/test_cache_shares.py
@@ -31,8 +31,8 @@
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.incoming import PromptPart
-from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.part_directory import PartUse
+from primrosescale.request.part_directory import PrefixCacheIndex
 from support.router_fleet import START as FLEET_START
 from support.router_fleet import ExchangeParts
 from support.router_fleet import Fleet
@@ -207,7 +207,9 @@
         self.shares.receive_answer(wire.CacheAnswer(origin, [cache], is_last), START)
 
     def held(self, name="m1", part="tariffs"):
-        return self.parts.held(make_incarnation(name), prompt((part, 9000)).parts, START)
+        return self.parts.held(
+            make_incarnation(name), prompt((part, 9000)).parts, START
+        )
 
     def test_each_target_is_the_share_of_one_router(self):
         first = PeerRouter("a", Endpoint("127.0.0.1", 7000))
--- a/tests/entry/test_entry_router.py
+++ b/tests/entry/test_entry_router.py
@@ -464,12 +464,12 @@
         yield self.start()
         self.store.faults.is_deaf = True
         self.store.write("config", "main", configuration(2, keys=("k2",)))
-        peer = StateExchange("r2", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0))
+        peer = StateExchange(
+            "r2", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0)
+        )
         peer.put(PeerRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
         now = reactor.seconds()
-        self.router._state_exchange.put(
-            PeerRouter("r2", Endpoint("127.0.0.1", 1)), now
-        )
+        self.router._state_exchange.put(PeerRouter("r2", Endpoint("127.0.0.1", 1)), now)
         [(_, message)] = peer.compose(2, reactor.seconds())
         self.router._state_exchange.receive(message, 1, reactor.seconds())
         yield self.eventually(lambda: self.router._version() == 2)
@@ -532,12 +532,12 @@
     @inlineCallbacks
     def test_a_list_change_reported_by_a_peer_is_read(self):
         yield self.start_with_pending_watch()
-        peer = StateExchange("r2", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0))
+        peer = StateExchange(
+            "r2", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0)
+        )
         peer.put(PeerRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
         now = reactor.seconds()
-        self.router._state_exchange.put(
-            PeerRouter("r2", Endpoint("127.0.0.1", 1)), now
-        )
+        self.router._state_exchange.put(PeerRouter("r2", Endpoint("127.0.0.1", 1)), now)
         revision = self.drain_without_notification("m1")
         [(_, message)] = peer.compose(1, reactor.seconds(), list_revision=revision)
         self.router._state_exchange.receive(message, 1, reactor.seconds())
@@ -770,12 +770,12 @@
     @inlineCallbacks
     def test_a_restart_reported_by_a_peer_is_read(self):
         yield self.start_with_pending_watch()
-        peer = StateExchange("r2", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0))
+        peer = StateExchange(
+            "r2", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0)
+        )
         peer.put(PeerRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
         now = reactor.seconds()
-        self.router._state_exchange.put(
-            PeerRouter("r2", Endpoint("127.0.0.1", 1)), now
-        )
+        self.router._state_exchange.put(PeerRouter("r2", Endpoint("127.0.0.1", 1)), now)
         self.store.faults.is_deaf = True
         revision = self.restart("m1", "model")
         self.store.faults.is_deaf = False
--- a/tests/entry/test_evacuations.py
+++ b/tests/entry/test_evacuations.py
@@ -38,8 +38,8 @@
 from primrosescale.request.evacuations import EvacuationList
 from primrosescale.request.evacuations import Evacuations
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.part_directory import PartUse
+from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.standin.users_engine import EngineScript
 from support.entry_site import LOOPBACK
@@ -164,14 +164,18 @@
                 self.assertEqual("3", self.harness.caller.last.name[1])
 
     def test_a_prompt_that_is_held_there_goes_elsewhere(self):
-        self.harness.parts.record_use(PartUse("shared", make_incarnation("m1"), 500, START))
+        self.harness.parts.record_use(
+            PartUse("shared", make_incarnation("m1"), 500, START)
+        )
         self.evacuate("a")
         self.harness.call(request(STREAM))
         self.assertNotEqual("m1", self.harness.caller.last.name)
 
     def test_what_is_held_there_is_copied_for_a_short_time_only(self):
         wanted = prompt(("tariffs", 10000), ("chat", 900))
-        self.harness.parts.record_use(PartUse("tariffs", make_incarnation("m1"), 10000, START))
+        self.harness.parts.record_use(
+            PartUse("tariffs", make_incarnation("m1"), 10000, START)
+        )
         self.evacuate("a")
         chooser = self.harness.tools.chooser
         models = [s for s in self.harness.states if s.target.service == "model"]
@@ -295,7 +299,9 @@
     def test_a_router_that_follows_none_neither_reports_nor_applies_any(self):
         sides = self.sides(2)
         sides["r0"].evacuations.update(listed("a", revision=5), START)
-        unaware = StateExchange("r1", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0))
+        unaware = StateExchange(
+            "r1", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0)
+        )
         unaware.put(PeerRouter("r0", Endpoint(LOOPBACK, 1), "x"), START)
         [(_, message)] = sides["r0"].news.compose(1, START)
         self.assertTrue(unaware.receive(decode(encode(message)), 1, START))
--- a/tests/entry/test_foreign_entries.py
+++ b/tests/entry/test_foreign_entries.py
@@ -144,7 +144,8 @@
         self.change(entry("i-1", UNREADABLE, 2))
         self.now += DRAIN_SECONDS
         self.assertEqual(
-            [make_incarnation("i-1", TARGET["born"])], self.listed.forget_expired(self.now)
+            [make_incarnation("i-1", TARGET["born"])],
+            self.listed.forget_expired(self.now),
         )
         self.assertEqual([], self.listed.forget_expired(self.now))
         self.change(entry("i-1", TARGET, 3))
--- a/tests/entry/test_forwarded_call.py
+++ b/tests/entry/test_forwarded_call.py
@@ -49,7 +49,9 @@
             lambda run: run.observer.response_head(head(request_id="other")),
             lambda run: run.observer.response_head(head(has_receipt=False)),
             lambda run: run.observer.response_head(head(503, is_not_run=True)),
-            lambda run: run.observer.response_head(head(421, is_other_incarnation=True)),
+            lambda run: run.observer.response_head(
+                head(421, is_other_incarnation=True)
+            ),
         ):
             harness = ForwardingHarness(PORTAL)
             _, sink = harness.call(request())
@@ -157,7 +159,10 @@
         for fail, refusal in (
             (lambda run: run.observer.response_lost("reset"), Refusal.CUT),
             (lambda run: run.observer.response_head(head(request_id="x")), Refusal.CUT),
-            (lambda run: run.observer.response_head(head(has_receipt=False)), Refusal.CUT),
+            (
+                lambda run: run.observer.response_head(head(has_receipt=False)),
+                Refusal.CUT,
+            ),
         ):
             harness = ForwardingHarness(PORTAL)
             _, sink = harness.call(request(CONFIRMATION))
--- a/tests/entry/test_harm_watch.py
+++ b/tests/entry/test_harm_watch.py
@@ -11,8 +11,8 @@
 from entry.fakes import LOOKUP
 from entry.fakes import START
 from entry.fakes import STREAM
-from entry.fakes import ForwardingHarness
 from entry.fakes import FakeCaller
+from entry.fakes import ForwardingHarness
 from entry.fakes import event
 from entry.fakes import head
 from entry.fakes import request
@@ -31,13 +31,13 @@
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.process.events import Event
-from primrosescale.request.direct_port import Refusal
 from primrosescale.request.direct_port import ProbeResult
-from primrosescale.request.fresh_answers import MAX_UNCONFIRMED_SECONDS
+from primrosescale.request.direct_port import Refusal
 from primrosescale.request.fresh_answers import CONFIRMATION_SECONDS
+from primrosescale.request.fresh_answers import MAX_UNCONFIRMED_SECONDS
+from primrosescale.request.harm_reports import CompleteAnswer
 from primrosescale.request.harm_reports import SuspectTrial
 from primrosescale.request.harm_reports import TargetEnd
-from primrosescale.request.harm_reports import CompleteAnswer
 from primrosescale.request.harm_settings import HarmSettings
 from primrosescale.request.harm_watch import HarmMonitor
 from primrosescale.request.harmful_requests import TRIAL_SECONDS
@@ -387,7 +387,9 @@
         sent = answered.ends(START)
         self.news.record(end, START)
         self.news.receive(self.message(sent), {}, START)
-        self.assertEqual(CompleteAnswer(1, START - 5), self.news._requests.last_answer(1))
+        self.assertEqual(
+            CompleteAnswer(1, START - 5), self.news._requests.last_answer(1)
+        )
         for number in (8, 9):
             self.news.record(TargetEnd(1, number, START), START)
         self.assertEqual([], self.news._requests.held(START))
@@ -427,7 +429,9 @@
 class HeldBackCallTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.harness = ForwardingHarness([target("p1", "portal"), target("p2", "portal")])
+        self.harness = ForwardingHarness(
+            [target("p1", "portal"), target("p2", "portal")]
+        )
         self.watch = self.harness.tools.harm = StubHarmMonitor()
 
     def test_a_held_back_request_is_refused_with_its_remaining_time(self):
--- a/tests/entry/test_leaving_answers.py
+++ b/tests/entry/test_leaving_answers.py
@@ -48,7 +48,9 @@
 
     def harness(self, route, count=3):
         service = route.services[0].service
-        return ForwardingHarness([target(f"m{n}", service) for n in range(1, count + 1)])
+        return ForwardingHarness(
+            [target(f"m{n}", service) for n in range(1, count + 1)]
+        )
 
     def leave(self, harness, route, status=200, **fields):
         """Let the target of a request announce that it leaves; return its name."""
--- a/tests/entry/test_news_relays.py
+++ b/tests/entry/test_news_relays.py
@@ -96,16 +96,22 @@
         self.fleet.run(1.0)
         for router in self.fleet.routers:
             incarnation = router.targets.state(TARGET).incarnation
-            self.assertEqual(9500, router.parts.held(incarnation, wanted[:2], self.now()))
+            self.assertEqual(
+                9500, router.parts.held(incarnation, wanted[:2], self.now())
+            )
 
     def test_a_prompt_sent_to_its_home_is_not_reported(self):
         [member, *_] = self.members("domain-0")
         wanted = prompt(("tariffs", 9000), ("chat", 10)).parts
         incarnation = member.targets.state(TARGET).incarnation
-        member.parts.record_own_request(incarnation, wanted, self.now(), is_expected=True)
+        member.parts.record_own_request(
+            incarnation, wanted, self.now(), is_expected=True
+        )
         self.assertFalse(member.news.is_urgent)
         self.fleet.run(1.0)
-        self.assertEqual(0, self.fleet.routers[1].parts.held(incarnation, wanted, self.now()))
+        self.assertEqual(
+            0, self.fleet.routers[1].parts.held(incarnation, wanted, self.now())
+        )
 
 
 class FaultTest(RelayedFleet):
--- a/tests/entry/test_restart.py
+++ b/tests/entry/test_restart.py
@@ -93,7 +93,9 @@
         self.targets.put(target("m1", started_at=FIRST), START)
         names = [state.target.name for state in self.targets.of_service("model")]
         self.assertEqual(["m2"], names)
-        self.assertEqual([make_incarnation("m1", SECOND)], self.targets.forget_expired(START + 2))
+        self.assertEqual(
+            [make_incarnation("m1", SECOND)], self.targets.forget_expired(START + 2)
+        )
 
     def test_a_report_without_start_keeps_the_known_one(self):
         before = self.state()
@@ -168,7 +170,9 @@
         self.parts.limit(self.former.incarnation, 100)
         state = self.restart()
         for part in ("a", "b"):
-            self.parts.record_own_request(state.incarnation, prompt((part, 90)).parts, START)
+            self.parts.record_own_request(
+                state.incarnation, prompt((part, 90)).parts, START
+            )
         held = [
             self.parts.held(state.incarnation, prompt((part, 90)).parts, START)
             for part in ("a", "b")
@@ -351,7 +355,8 @@
             harness.caller.opening = set()
             harness.restart("p1", SECOND)
             self.assertEqual(
-                [make_incarnation("p1", FIRST), make_incarnation("p1", SECOND)], self.incarnations(harness)
+                [make_incarnation("p1", FIRST), make_incarnation("p1", SECOND)],
+                self.incarnations(harness),
             )
             harness.caller.last.answer(200, b"ok")
             self.assertEqual(b"ok", sink.body)
@@ -389,7 +394,8 @@
         harness.caller.last.answer(200, b"ok")
         self.assertEqual(b"ok", sink.body)
         self.assertEqual(
-            [make_incarnation("p1", FIRST), make_incarnation("p1", SECOND)], self.incarnations(harness)
+            [make_incarnation("p1", FIRST), make_incarnation("p1", SECOND)],
+            self.incarnations(harness),
         )
 
     def test_it_is_retried_within_the_retry_budget_only(self):
--- a/tests/entry/test_restart_transport.py
+++ b/tests/entry/test_restart_transport.py
@@ -16,8 +16,8 @@
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.platform.http_codec import PlatformCodec
 from primrosescale.process.entry.target_caller import HttpTargetClient
-from primrosescale.request.direct_port import ResponseObserver
 from primrosescale.request.direct_port import OutgoingRequest
+from primrosescale.request.direct_port import ResponseObserver
 from support.live import DeploymentRunTest
 from support.live import LiveTest
 
@@ -168,7 +168,11 @@
     def test_the_current_incarnation_and_other_targets_are_unaffected(self):
         observer = self.send(SECOND)
         channel = yield self.arrived()
-        for present in (make_incarnation("p1", SECOND), make_incarnation("p1", FIRST), make_incarnation("p1")):
+        for present in (
+            make_incarnation("p1", SECOND),
+            make_incarnation("p1", FIRST),
+            make_incarnation("p1"),
+        ):
             self.caller.abort_former(present)
         self.caller.abort_former(make_incarnation("p2", THIRD))
         channel.answer()
--- a/tests/entry/test_router_news.py
+++ b/tests/entry/test_router_news.py
@@ -144,7 +144,9 @@
 
     def test_a_datagram_is_not_fragmented(self):
         many = [(f"{number:016x}", 100) for number in range(200)]
-        self.a.parts.record_own_request(make_incarnation("m1"), prompt(*many).parts, START)
+        self.a.parts.record_own_request(
+            make_incarnation("m1"), prompt(*many).parts, START
+        )
         for number in range(1, 6):
             self.a.targets.state(f"m{number}").sent(START)
         message = self.a.message()
--- a/tests/entry/test_rules_of_knowledge.py
+++ b/tests/entry/test_rules_of_knowledge.py
@@ -18,8 +18,8 @@
 from primrosescale.request.freshness import Freshness
 from primrosescale.request.gate import CallerHead
 from primrosescale.request.gate import RequestResolver
-from primrosescale.request.repeat_budget import SharedRetryLimits
 from primrosescale.request.repeat_budget import SharedRetryBudget
+from primrosescale.request.repeat_budget import SharedRetryLimits
 from primrosescale.version.routing_table import CallerLimits
 from primrosescale.version.routing_table import Organisation
 from primrosescale.version.routing_table import RoutingTable
@@ -161,7 +161,9 @@
         self.targets.remove("m1", START)
         self.assertEqual(["m2"], self.names())
         self.assertEqual([], self.targets.forget_expired(START + 1.5))
-        self.assertEqual([make_incarnation("m1")], self.targets.forget_expired(START + 1.7))
+        self.assertEqual(
+            [make_incarnation("m1")], self.targets.forget_expired(START + 1.7)
+        )
 
     def test_when_all_entries_lapse_the_targets_still_serve_for_a_while(self):
         self.targets.remove("m1", START)
--- a/tests/entry/test_silent_target.py
+++ b/tests/entry/test_silent_target.py
@@ -19,9 +19,9 @@
 from entry.fakes import FRAGILE_STREAM
 from entry.fakes import LOOKUP
 from entry.fakes import STREAM
-from entry.fakes import ForwardingHarness
 from entry.fakes import FakeCaller
 from entry.fakes import FakeRun
+from entry.fakes import ForwardingHarness
 from entry.fakes import event
 from entry.fakes import head
 from entry.fakes import request
@@ -115,7 +115,9 @@
             lambda run: run.observer.response_head(head(404)),
             lambda run: run.observer.response_head(head(request_id="other")),
             lambda run: run.observer.response_head(head(has_receipt=False)),
-            lambda run: run.observer.response_head(head(421, is_other_incarnation=True)),
+            lambda run: run.observer.response_head(
+                head(421, is_other_incarnation=True)
+            ),
         ):
             harness = ForwardingHarness(MODEL)
             first, sink = begun_stream(harness)
--- a/tests/entry/test_target_choice.py
+++ b/tests/entry/test_target_choice.py
@@ -11,8 +11,8 @@
 from entry.fakes import prompt
 from entry.fakes import target
 from primrosescale.request.part_directory import MAX_USE_AGE_SECONDS
-from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.part_directory import PartUse
+from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
 from primrosescale.request.target_state import LoadReport
@@ -47,13 +47,17 @@
     def test_a_part_without_those_before_it_saves_nothing(self):
         wanted = prompt(("terms", 500), ("tariffs", 10000), ("chat", 900))
         self.parts.record_use(PartUse("tariffs", make_incarnation("m4"), 10000, START))
-        self.assertEqual(0, self.parts.held(make_incarnation("m4"), wanted.parts, START))
+        self.assertEqual(
+            0, self.parts.held(make_incarnation("m4"), wanted.parts, START)
+        )
 
     def test_a_part_used_long_ago_is_not_relied_on(self):
         self.parts.record_use(PartUse("tariffs", make_incarnation("m4"), 10000, START))
         wanted = prompt(("tariffs", 10000), ("chat", 900))
         later = START + MAX_USE_AGE_SECONDS + 1
-        self.assertEqual(0, self.parts.held(make_incarnation("m4"), wanted.parts, later))
+        self.assertEqual(
+            0, self.parts.held(make_incarnation("m4"), wanted.parts, later)
+        )
 
     def test_a_hot_part_spreads_with_copies_once_its_target_is_over_the_bound(self):
         wanted = prompt(("tariffs", 10000), ("chat", 900))
@@ -181,17 +185,23 @@
         parts = PrefixCacheIndex()
         parts.record_use(PartUse("a", make_incarnation("m1"), 100, START))
         parts.forget_target(make_incarnation("m1"))
-        self.assertEqual(0, parts.held(make_incarnation("m1"), prompt(("a", 100)).parts, START))
+        self.assertEqual(
+            0, parts.held(make_incarnation("m1"), prompt(("a", 100)).parts, START)
+        )
 
     def test_a_part_of_one_chat_alone_is_not_reported(self):
         parts = PrefixCacheIndex()
         self.assertTrue(
-            parts.record_own_request(make_incarnation("m1"), prompt(("a", 9), ("own", 1)).parts, START)
+            parts.record_own_request(
+                make_incarnation("m1"), prompt(("a", 9), ("own", 1)).parts, START
+            )
         )
         for expected in (["a"], ["a"], []):
             self.assertEqual(expected, [use.part for use in parts.take_updates()])
         self.assertFalse(
-            parts.record_own_request(make_incarnation("m1"), prompt(("a", 9), ("x", 1)).parts, START)
+            parts.record_own_request(
+                make_incarnation("m1"), prompt(("a", 9), ("x", 1)).parts, START
+            )
         )
 
 
--- a/tests/request/test_cold_targets.py
+++ b/tests/request/test_cold_targets.py
@@ -365,7 +365,10 @@
         self.cold = router.cold
         tools.availability = TargetAvailability(router.cold)
         tools.chooser = TargetChooser(
-            ChoiceSettings(), self.harness.parts, tools.rng, availability=tools.availability
+            ChoiceSettings(),
+            self.harness.parts,
+            tools.rng,
+            availability=tools.availability,
         )
 
     def make_cold(self, *targets, seconds=COLD_SECONDS):
--- a/tests/request/test_harmful_requests.py
+++ b/tests/request/test_harmful_requests.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 from testtools import TestCase
 
-from primrosescale.request.harm_reports import TargetEnd
 from primrosescale.request.harm_reports import CompleteAnswer
+from primrosescale.request.harm_reports import TargetEnd
 from primrosescale.request.harm_settings import HarmSettings
 from primrosescale.request.harmful_requests import HOLD_GROWTH_FACTOR
 from primrosescale.request.harmful_requests import MAX_ENDS
--- a/tests/request/test_rate_limit.py
+++ b/tests/request/test_rate_limit.py
@@ -31,7 +31,11 @@
         refused += not is_admitted
         if now - reported_at >= 1.0:
             reported_at = now
-            reports = [r for item in limiters for r in item.demands_to_report(len(limiters), now)]
+            reports = [
+                r
+                for item in limiters
+                for r in item.demands_to_report(len(limiters), now)
+            ]
             total = sum(report.rate for report in reports)
             for item in limiters:
                 item.update_total(DemandRate("o", total), now)
@@ -41,7 +45,9 @@
 
 class OrganisationLimiterTest(TestCase):
     def test_one_router_enforces_the_limit(self):
-        admitted, _ = drive([OrganisationRateLimiter(RateSettings())], 100.0, 10.0, 60.0)
+        admitted, _ = drive(
+            [OrganisationRateLimiter(RateSettings())], 100.0, 10.0, 60.0
+        )
         self.assertTrue(550 <= admitted <= 700, admitted)
 
     def test_many_routers_enforce_the_limit_together(self):
--- a/tests/request/test_target_statements.py
+++ b/tests/request/test_target_statements.py
@@ -56,7 +56,12 @@
             if not self_reports.wait(now):
                 self_reports.sent(now)
                 self.sent.append(now)
-                answer = (now + ANSWER_SECONDS, next(self._order), "answer", self_reports)
+                answer = (
+                    now + ANSWER_SECONDS,
+                    next(self._order),
+                    "answer",
+                    self_reports,
+                )
                 heapq.heappush(due, answer)
             caller = (
                 now + CALLER_INTERVAL_SECONDS,
@@ -115,7 +120,9 @@
 
     def test_leaving_is_new_once_and_is_final(self):
         self.assertTrue(self.self_reports.take(head(is_leaving=True), SLOTS, START))
-        self.assertFalse(self.self_reports.take(head(is_leaving=True), SLOTS, START + 1))
+        self.assertFalse(
+            self.self_reports.take(head(is_leaving=True), SLOTS, START + 1)
+        )
         self.self_reports.take(head(), SLOTS, START + 2)
         self.assertTrue(self.self_reports.is_leaving)
         self.assertEqual(START, self.self_reports.leaving_since)
--- a/tests/support/entry_site.py
+++ b/tests/support/entry_site.py
@@ -162,7 +162,9 @@
     )
 
 
-def router_dependencies(store, name, events, read_settings, *, caches=None, listening_socket=None):
+def router_dependencies(
+    store, name, events, read_settings, *, caches=None, listening_socket=None
+):
     """Return the collaborators of a router; its events are appended to a list."""
     log = EventLog(name)
     log.emit = lambda event, **said: events.append((event.name, said))
