--- a/benchmarks/choice_cost.py
+++ b/benchmarks/choice_cost.py
@@ -20,15 +20,15 @@
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.cold_targets import ColdSettings
 from primrosescale.request.cold_targets import ColdTargets
-from primrosescale.request.incoming import Prompt
-from primrosescale.request.incoming import PromptPart
-from primrosescale.request.part_directory import PartUse
-from primrosescale.request.part_directory import PrefixCacheIndex
+from primrosescale.request.incoming_request import Prompt
+from primrosescale.request.incoming_request import PromptPart
+from primrosescale.request.prefix_cache_index import PartUse
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 from primrosescale.request.router_shares import RouterShares
 from primrosescale.request.serving_target import ServingTarget
+from primrosescale.request.target_availability import TargetAvailability
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
-from primrosescale.request.target_room import TargetAvailability
 from primrosescale.version.routing_table import Service
 
 SIZES = (4, 28, 100)
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -12,9 +12,9 @@
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.connection.wire.ttypes import MemberState
-from primrosescale.process.configuration.version_keeper import SectionSource
-from primrosescale.process.configuration.version_keeper import VersionManager
-from primrosescale.process.configuration.version_keeper import VersionObserver
+from primrosescale.process.configuration.version_manager import SectionSource
+from primrosescale.process.configuration.version_manager import VersionManager
+from primrosescale.process.configuration.version_manager import VersionObserver
 from primrosescale.process.membership.load_sums import AgentSums
 from primrosescale.process.membership.load_sums import DomainSums
 from primrosescale.process.membership.load_sums import FleetSums
--- a/benchmarks/fleet_news.py
+++ b/benchmarks/fleet_news.py
@@ -9,7 +9,7 @@
 
 from importlib.machinery import SourceFileLoader
 
-from primrosescale.process.entry.news_paths import StateExchangeSettings
+from primrosescale.process.entry.relay_topology import StateExchangeSettings
 from support import ROOT
 from support import percentile
 from support import save
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -16,12 +16,12 @@
 from primrosescale.request.candidates import Locality
 from primrosescale.request.candidates import ServiceTargets
 from primrosescale.request.candidates import Target
-from primrosescale.request.directory import ChatDirectory
+from primrosescale.request.chat_directory import ChatDirectory
 from primrosescale.request.load_bound import BoundSettings
 from primrosescale.request.load_bound import LoadBound
 from primrosescale.request.load_bound import ServiceLoad
-from primrosescale.request.work import WorkEstimator
-from primrosescale.request.work import WorkSettings
+from primrosescale.request.work_estimate import WorkEstimator
+from primrosescale.request.work_estimate import WorkSettings
 from primrosescale.standin.engine import PrefixCache
 from support import percentile
 from support import save
--- a/benchmarks/rest_use.py
+++ b/benchmarks/rest_use.py
@@ -21,7 +21,7 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).resolve().parent.parent / "src"))
 
-from primrosescale.request.direct_port import AnswerHead
+from primrosescale.request.forwarding_interfaces import AnswerHead
 from primrosescale.request.target_statements import TargetSelfReports
 
 TARGETS = 4
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -45,7 +45,7 @@
 from primrosescale.version.bundle import Bundle
 from primrosescale.version.section import build_tree
 from primrosescale.version.head import HeadVerifier, VersionHead
-from primrosescale.process.configuration.version_keeper import VersionManager, VersionObserver, SectionSource
+from primrosescale.process.configuration.version_manager import VersionManager, VersionObserver, SectionSource
 from twisted.internet.defer import succeed
 import subprocess, pickle
 class Quiet(VersionObserver):
@@ -71,7 +71,7 @@
 assert keeper.version == 1
 """,
     "chats": """
-from primrosescale.request.directory import ChatDirectory
+from primrosescale.request.chat_directory import ChatDirectory
 directory = ChatDirectory({count}, 1e9)
 for n in range({count}):
     directory.record_served(f'organisation-{{n%100}}/chat-{{n:07d}}', f'engine-{{n%1000}}', 2000, 1.0)
--- a/src/primrosescale/platform/engine_calls.py
+++ b/src/primrosescale/platform/engine_calls.py
@@ -12,7 +12,7 @@
 from primrosescale.process.entry.codec import EngineCacheContents
 from primrosescale.process.exceptions import TargetError
 from primrosescale.process.transport.http_call import HttpCaller
-from primrosescale.request.incoming import PromptPart
+from primrosescale.request.incoming_request import PromptPart
 
 if TYPE_CHECKING:
     from collections.abc import Generator
--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -16,8 +16,8 @@
 from primrosescale.platform.http_codec import PlatformCodec
 from primrosescale.platform.object_platform import ObjectPlatform
 from primrosescale.process.entry.codec import RecordDecoder
+from primrosescale.process.entry.entry_dependencies import EntryDependencies
 from primrosescale.process.entry.entry_metrics import EntryMetrics
-from primrosescale.process.entry.entry_parts import EntryDependencies
 from primrosescale.process.entry.entry_router import EntryRouter
 from primrosescale.process.entry.entry_settings import EntrySettings
 from primrosescale.process.entry.entry_settings import WatchedPrefixes
@@ -26,7 +26,7 @@
 from primrosescale.process.entry.store_watch import WatchedPrefix
 from primrosescale.process.events import EventLog
 from primrosescale.request.cold_targets import ColdSettings
-from primrosescale.request.repeat_budget import SharedRetryLimits
+from primrosescale.request.shared_retry_budget import SharedRetryLimits
 from primrosescale.request.target_choice import ChoiceSettings
 
 if TYPE_CHECKING:
@@ -34,7 +34,7 @@
     from collections.abc import Collection
     from random import Random
 
-    from primrosescale.process.entry.other_router import PeerRouter
+    from primrosescale.process.entry.peer_router import PeerRouter
     from primrosescale.process.transport.platform import StoredObject
     from primrosescale.request.serving_target import ServingTarget
     from primrosescale.version.routing_table import RoutingTable
--- a/src/primrosescale/platform/http_codec.py
+++ b/src/primrosescale/platform/http_codec.py
@@ -8,17 +8,17 @@
 
 from primrosescale.platform.host_settings import MILLISECOND
 from primrosescale.process.entry.codec import EntryCodec
-from primrosescale.request.direct_port import AnswerHead
-from primrosescale.request.gate import CallerHead
-from primrosescale.request.incoming import Prompt
-from primrosescale.request.incoming import PromptPart
+from primrosescale.request.forwarding_interfaces import AnswerHead
+from primrosescale.request.incoming_request import Prompt
+from primrosescale.request.incoming_request import PromptPart
+from primrosescale.request.request_resolver import CallerHead
 from primrosescale.request.retry_after import is_odd_rest
 from primrosescale.request.retry_after import requested_pause
 from primrosescale.request.target_state import LoadReport
 
 if TYPE_CHECKING:
-    from primrosescale.request.direct_port import OutgoingRequest
-    from primrosescale.request.direct_port import Refusal
+    from primrosescale.request.forwarding_interfaces import OutgoingRequest
+    from primrosescale.request.forwarding_interfaces import Refusal
 
 REQUEST_ID = b"Primrosescale-Request-Id"
 # How many milliseconds the sender of the request will wait.
--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -8,7 +8,7 @@
 from primrosescale.platform.field_reader import FieldReader
 from primrosescale.platform.field_reader import record_name
 from primrosescale.platform.host_settings import MILLISECOND
-from primrosescale.process.entry.other_router import PeerRouter
+from primrosescale.process.entry.peer_router import PeerRouter
 from primrosescale.request.serving_target import ServingTarget
 from primrosescale.version.routing_table import CallerLimits
 from primrosescale.version.routing_table import Organisation
--- a/src/primrosescale/process/administration/administration.py
+++ b/src/primrosescale/process/administration/administration.py
@@ -39,7 +39,7 @@
     from collections.abc import Generator
 
     from primrosescale.clock import Clock
-    from primrosescale.process.configuration.version_keeper import VersionManager
+    from primrosescale.process.configuration.version_manager import VersionManager
     from primrosescale.process.transport.platform import Platform
     from primrosescale.version.head import HeadVerifier
     from primrosescale.version.records import OperatorRecord
--- a/src/primrosescale/process/daemons/agent.py
+++ b/src/primrosescale/process/daemons/agent.py
@@ -14,8 +14,8 @@
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.connection.wire.ttypes import MemberState
 from primrosescale.process.configuration.section_sources import LinkSources
-from primrosescale.process.configuration.version_keeper import VersionManager
-from primrosescale.process.configuration.version_keeper import VersionObserver
+from primrosescale.process.configuration.version_manager import VersionManager
+from primrosescale.process.configuration.version_manager import VersionObserver
 from primrosescale.process.daemons.agent_core import AgentCore
 from primrosescale.process.daemons.agent_core import AgentCoreSettings
 from primrosescale.process.daemons.agent_observer import AgentObserver
@@ -48,8 +48,8 @@
     from primrosescale.process.transport.platform import Platform
     from primrosescale.request.agent_call import AgentCall
     from primrosescale.request.call_names import CallId
-    from primrosescale.request.hop import TraceSpan
     from primrosescale.request.load_bound import ServiceLoad
+    from primrosescale.request.trace_span import TraceSpan
     from primrosescale.version.exceptions import HeadError
     from primrosescale.version.head import VersionHead
     from primrosescale.version.view import VersionView
--- a/src/primrosescale/process/daemons/agent_core.py
+++ b/src/primrosescale/process/daemons/agent_core.py
@@ -20,18 +20,18 @@
 from primrosescale.request.call_names import CallId
 from primrosescale.request.call_names import CallIdRegistry
 from primrosescale.request.call_names import CallIdState
+from primrosescale.request.chat_directory import ChatDirectory
 from primrosescale.request.claim import Claim
 from primrosescale.request.claim import claim_key
 from primrosescale.request.claim import request_fingerprint
-from primrosescale.request.directory import ChatDirectory
 from primrosescale.request.fair_queue import QueuedCall
 from primrosescale.request.load_bound import BoundSettings
 from primrosescale.request.load_bound import LoadBound
 from primrosescale.request.target_health import HealthSettings
 from primrosescale.request.target_health import TargetHealth
-from primrosescale.request.work import WorkEstimator
-from primrosescale.request.work import WorkSettings
-from primrosescale.request.work import estimate_tokens
+from primrosescale.request.work_estimate import WorkEstimator
+from primrosescale.request.work_estimate import WorkSettings
+from primrosescale.request.work_estimate import estimate_tokens
 
 if TYPE_CHECKING:
     from primrosescale.clock import Clock
@@ -39,7 +39,7 @@
     from primrosescale.connection.link import Link
     from primrosescale.process.daemons.agent_observer import AgentObserver
     from primrosescale.request.claim import Ledger
-    from primrosescale.request.target_port import LocalTargetClient
+    from primrosescale.request.local_target_client import LocalTargetClient
 
 MILLISECONDS_PER_SECOND = 1000
 TOKEN_SIZE = 16
--- a/src/primrosescale/process/daemons/router.py
+++ b/src/primrosescale/process/daemons/router.py
@@ -18,8 +18,8 @@
 from primrosescale.process.administration.admin_resource import OperatorKeys
 from primrosescale.process.administration.administration import Administration
 from primrosescale.process.configuration.section_sources import LinkSources
-from primrosescale.process.configuration.version_keeper import VersionManager
-from primrosescale.process.configuration.version_keeper import VersionObserver
+from primrosescale.process.configuration.version_manager import VersionManager
+from primrosescale.process.configuration.version_manager import VersionObserver
 from primrosescale.process.daemons.daemon import LinkFactory
 from primrosescale.process.daemons.daemon import Tools
 from primrosescale.process.daemons.router_control import ControlObserver
@@ -30,7 +30,7 @@
 from primrosescale.process.ledger.ledger_bucket import bucket_of
 from primrosescale.process.membership.fleet_status import fleet_status
 from primrosescale.process.membership.members import Members
-from primrosescale.process.membership.order import first_by_rendezvous
+from primrosescale.process.membership.rendezvous import first_by_rendezvous
 from primrosescale.process.metrics import Metric
 from primrosescale.process.settings import parse_endpoint
 from primrosescale.process.transport.bounded_request import BoundedRequest
@@ -61,8 +61,8 @@
     from primrosescale.process.transport.problems import ProblemDocument
     from primrosescale.request.call_request import CallRequest
     from primrosescale.request.candidates import Target
-    from primrosescale.request.hop import TraceSpan
     from primrosescale.request.routed_call import CallReport
+    from primrosescale.request.trace_span import TraceSpan
     from primrosescale.version.exceptions import HeadError
     from primrosescale.version.records import OrganisationRecord
     from primrosescale.version.records import ServiceRecord
--- a/src/primrosescale/process/daemons/router_control.py
+++ b/src/primrosescale/process/daemons/router_control.py
@@ -25,7 +25,7 @@
 from primrosescale.process.membership.load_sums import AgentSums
 from primrosescale.process.membership.load_sums import DomainSums
 from primrosescale.process.membership.load_sums import FleetSums
-from primrosescale.process.membership.order import first_by_rendezvous
+from primrosescale.process.membership.rendezvous import first_by_rendezvous
 from primrosescale.request.rate_limit import DemandRate
 from primrosescale.version.exceptions import HeadError
 from primrosescale.version.head import NO_HEAD
@@ -39,7 +39,7 @@
     from primrosescale.connection.link import Link
     from primrosescale.connection.pool import LinkPool
     from primrosescale.process.configuration.section_sources import LinkSources
-    from primrosescale.process.configuration.version_keeper import VersionManager
+    from primrosescale.process.configuration.version_manager import VersionManager
     from primrosescale.process.membership.load_sums import LoadReportSettings
     from primrosescale.process.membership.members import Member
     from primrosescale.process.membership.members import Members
--- a/src/primrosescale/process/entry/cache_shares.py
+++ b/src/primrosescale/process/entry/cache_ownership.py
@@ -15,16 +15,16 @@
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.process.entry.load_codec import MILLISECONDS_PER_SECOND
 from primrosescale.process.entry.target_keys import target_key
-from primrosescale.process.membership.order import first_by_rendezvous
-from primrosescale.request.part_directory import PartUse
+from primrosescale.process.membership.rendezvous import first_by_rendezvous
+from primrosescale.request.prefix_cache_index import PartUse
 
 if TYPE_CHECKING:
     from collections.abc import Callable
     from collections.abc import Sequence
 
-    from primrosescale.process.entry.other_router import PeerRouter
+    from primrosescale.process.entry.peer_router import PeerRouter
     from primrosescale.process.entry.target_list import TargetList
-    from primrosescale.request.part_directory import PrefixCacheIndex
+    from primrosescale.request.prefix_cache_index import PrefixCacheIndex
     from primrosescale.request.target_state import TargetState
 
 # Bounds the datagram to a size that no link fragments: a prompt part takes 18 bytes.
--- a/src/primrosescale/process/entry/codec.py
+++ b/src/primrosescale/process/entry/codec.py
@@ -15,13 +15,13 @@
     from twisted.internet.defer import Deferred
     from twisted.web.http_headers import Headers
 
-    from primrosescale.process.entry.other_router import PeerRouter
+    from primrosescale.process.entry.peer_router import PeerRouter
     from primrosescale.process.transport.platform import StoredObject
-    from primrosescale.request.direct_port import AnswerHead
-    from primrosescale.request.direct_port import OutgoingRequest
-    from primrosescale.request.direct_port import Refusal
-    from primrosescale.request.gate import CallerHead
-    from primrosescale.request.incoming import PromptPart
+    from primrosescale.request.forwarding_interfaces import AnswerHead
+    from primrosescale.request.forwarding_interfaces import OutgoingRequest
+    from primrosescale.request.forwarding_interfaces import Refusal
+    from primrosescale.request.incoming_request import PromptPart
+    from primrosescale.request.request_resolver import CallerHead
     from primrosescale.request.serving_target import ServingTarget
     from primrosescale.version.routing_table import RoutingTable
 
--- a/src/primrosescale/process/entry/entry_metrics.py
+++ b/src/primrosescale/process/entry/entry_metrics.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from primrosescale.request.forwarded_call import ForwardedCall
-    from primrosescale.request.silence import SilenceReport
+    from primrosescale.request.silent_target import SilenceReport
 
 # Finest between 0.3 s and 1 s, where the latency objectives lie.
 LATENCY_BUCKETS_SECONDS = (
--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -22,20 +22,20 @@
 from primrosescale.connection.early_listener import BACKLOG
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.exceptions import PrimrosescaleError
-from primrosescale.process.entry.cache_learning import CacheDiscovery
-from primrosescale.process.entry.cache_shares import CacheOwnership
+from primrosescale.process.entry.cache_discovery import CacheDiscovery
+from primrosescale.process.entry.cache_ownership import CacheOwnership
 from primrosescale.process.entry.caller_site import DEFAULT_LIMITS
 from primrosescale.process.entry.caller_site import CallerResponse
 from primrosescale.process.entry.caller_site import EntryFactory
 from primrosescale.process.entry.caller_site import EntryHandler
-from primrosescale.process.entry.harm_news import HarmReportExchange
+from primrosescale.process.entry.harm_report_exchange import HarmReportExchange
 from primrosescale.process.entry.harm_watch import EntryHarmMonitor
-from primrosescale.process.entry.knowledge import StoreState
-from primrosescale.process.entry.leaving_news import LeavingTargetExchange
-from primrosescale.process.entry.router_exchange import RouterRegistry
-from primrosescale.process.entry.router_exchange import StateExchangeProtocol
-from primrosescale.process.entry.router_news import StateExchange
-from primrosescale.process.entry.target_caller import HttpTargetClient
+from primrosescale.process.entry.leaving_exchange import LeavingTargetExchange
+from primrosescale.process.entry.router_datagrams import RouterRegistry
+from primrosescale.process.entry.router_datagrams import StateExchangeProtocol
+from primrosescale.process.entry.state_exchange import StateExchange
+from primrosescale.process.entry.store_state import StoreState
+from primrosescale.process.entry.target_client import HttpTargetClient
 from primrosescale.process.entry.target_list import TARGET
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.process.entry.target_restarts import TargetRestarts
@@ -46,39 +46,39 @@
 from primrosescale.process.log_text import MAX_LOGGED_CHARACTERS
 from primrosescale.request.cold_targets import ColdTargets
 from primrosescale.request.content_fingerprint import fingerprint_text
-from primrosescale.request.direct_port import Refusal
 from primrosescale.request.evacuations import Evacuations
 from primrosescale.request.forward_tools import ForwardingContext
 from primrosescale.request.forwarded_call import ForwardedCall
+from primrosescale.request.forwarding_interfaces import Refusal
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.gate import RequestResolver
 from primrosescale.request.harmful_requests import HarmfulRequests
-from primrosescale.request.hop import NO_SPAN
-from primrosescale.request.part_directory import PrefixCacheIndex
-from primrosescale.request.repeat_budget import SharedRetryBudget
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
+from primrosescale.request.request_resolver import RequestResolver
 from primrosescale.request.router_shares import RouterShares
+from primrosescale.request.shared_retry_budget import SharedRetryBudget
+from primrosescale.request.target_availability import TargetAvailability
+from primrosescale.request.target_availability import TargetCondition
 from primrosescale.request.target_choice import TargetChooser
-from primrosescale.request.target_room import TargetAvailability
-from primrosescale.request.target_room import TargetCondition
+from primrosescale.request.trace_span import NO_SPAN
 
 if TYPE_CHECKING:
     from collections.abc import Generator
 
     from primrosescale.clock import Timer
     from primrosescale.process.entry.caller_site import EntryRequest
-    from primrosescale.process.entry.entry_parts import EntryDependencies
+    from primrosescale.process.entry.entry_dependencies import EntryDependencies
     from primrosescale.process.entry.entry_settings import EntrySettings
     from primrosescale.process.entry.entry_settings import WatchedPrefixes
     from primrosescale.process.tracing import Tracing
-    from primrosescale.request.direct_port import AnswerHead
     from primrosescale.request.evacuations import EvacuationList
-    from primrosescale.request.gate import CallerHead
-    from primrosescale.request.hop import TraceSpan
-    from primrosescale.request.incoming import IncomingRequest
+    from primrosescale.request.forwarding_interfaces import AnswerHead
+    from primrosescale.request.incoming_request import IncomingRequest
+    from primrosescale.request.request_resolver import CallerHead
     from primrosescale.request.serving_target import ServingTarget
-    from primrosescale.request.silence import SilenceReport
+    from primrosescale.request.silent_target import SilenceReport
     from primrosescale.request.target_incarnation import TargetIncarnation
     from primrosescale.request.target_state import TargetState
+    from primrosescale.request.trace_span import TraceSpan
     from primrosescale.version.routing_table import CallerLimits
     from primrosescale.version.routing_table import Service
 
--- a/src/primrosescale/process/entry/entry_settings.py
+++ b/src/primrosescale/process/entry/entry_settings.py
@@ -6,7 +6,7 @@
 from dataclasses import field
 from typing import TYPE_CHECKING
 
-from primrosescale.process.entry.news_paths import StateExchangeSettings
+from primrosescale.process.entry.relay_topology import StateExchangeSettings
 from primrosescale.request.cold_targets import ColdSettings
 from primrosescale.request.forward_tools import ForwardingSettings
 from primrosescale.request.harm_settings import HarmSettings
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from primrosescale.connection.endpoint import Endpoint
     from primrosescale.process.entry.store_watch import WatchedPrefix
-    from primrosescale.request.repeat_budget import SharedRetryLimits
+    from primrosescale.request.shared_retry_budget import SharedRetryLimits
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/src/primrosescale/process/entry/harm_watch.py
+++ b/src/primrosescale/process/entry/harm_watch.py
@@ -18,26 +18,26 @@
 
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.process.events import Event
-from primrosescale.request.direct_port import ProbeResult
-from primrosescale.request.fresh_answers import UnconfirmedAnswer
-from primrosescale.request.fresh_answers import UnconfirmedAnswers
+from primrosescale.request.forwarding_interfaces import ProbeResult
+from primrosescale.request.harm_monitor import HarmMonitor
 from primrosescale.request.harm_reports import CompleteAnswer
 from primrosescale.request.harm_reports import SuspectTrial
 from primrosescale.request.harm_reports import TargetEnd
-from primrosescale.request.harm_watch import HarmMonitor
 from primrosescale.request.lost_answers import MAX_BUFFERED_SECONDS
 from primrosescale.request.lost_answers import LostAnswers
+from primrosescale.request.unconfirmed_answers import UnconfirmedAnswer
+from primrosescale.request.unconfirmed_answers import UnconfirmedAnswers
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from primrosescale.clock import Timer
-    from primrosescale.process.entry.entry_parts import EntryDependencies
-    from primrosescale.process.entry.harm_news import HarmReportExchange
+    from primrosescale.process.entry.entry_dependencies import EntryDependencies
+    from primrosescale.process.entry.harm_report_exchange import HarmReportExchange
     from primrosescale.process.entry.target_list import TargetList
-    from primrosescale.request.direct_port import TargetClient
+    from primrosescale.request.forwarding_interfaces import TargetClient
     from primrosescale.request.harmful_requests import HarmfulRequests
-    from primrosescale.request.incoming import IncomingRequest
+    from primrosescale.request.incoming_request import IncomingRequest
     from primrosescale.request.target_incarnation import TargetIncarnation
     from primrosescale.request.target_state import TargetState
 
--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -23,8 +23,8 @@
     from collections.abc import Iterator
 
     from primrosescale.connection.wire import ttypes as wire
-    from primrosescale.process.entry.news_paths import RelayTopology
-    from primrosescale.process.entry.news_paths import StateExchangeSettings
+    from primrosescale.process.entry.relay_topology import RelayTopology
+    from primrosescale.process.entry.relay_topology import StateExchangeSettings
 
 # Prompt parts that wait to be forwarded; the oldest are dropped, each of which costs
 # one prompt that is prefilled once more.
--- a/src/primrosescale/process/entry/news_paths.py
+++ b/src/primrosescale/process/entry/relay_topology.py
@@ -17,7 +17,7 @@
 from primrosescale.ini.options import COUNT
 from primrosescale.ini.options import SECONDS
 from primrosescale.ini.options import option
-from primrosescale.process.membership.order import first_by_rendezvous
+from primrosescale.process.membership.rendezvous import first_by_rendezvous
 
 # A domain has at least two relays, so that one may be lost.
 MIN_RELAYS_PER_DOMAIN = 2
--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_datagrams.py
@@ -32,11 +32,11 @@
     from primrosescale.clock import Timer
     from primrosescale.connection.codec import Message
     from primrosescale.connection.endpoint import Endpoint
-    from primrosescale.process.entry.cache_shares import CacheOwnership
-    from primrosescale.process.entry.entry_parts import EntryDependencies
+    from primrosescale.process.entry.cache_ownership import CacheOwnership
+    from primrosescale.process.entry.entry_dependencies import EntryDependencies
     from primrosescale.process.entry.entry_settings import EntrySettings
-    from primrosescale.process.entry.other_router import PeerRouter
-    from primrosescale.process.entry.router_news import StateExchange
+    from primrosescale.process.entry.peer_router import PeerRouter
+    from primrosescale.process.entry.state_exchange import StateExchange
     from primrosescale.process.transport.platform import StoredObject
 
 # Where a prompt part went is sent almost at once, together with everything else that
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/state_exchange.py
@@ -17,26 +17,26 @@
 from primrosescale.connection.wire.ttypes import NewsScope
 from primrosescale.process.entry.load_codec import MILLISECONDS_PER_SECOND
 from primrosescale.process.entry.load_codec import LoadCodec
-from primrosescale.process.entry.news_paths import RelayTopology
-from primrosescale.process.entry.news_paths import StateExchangeSettings
 from primrosescale.process.entry.news_relay import StateRelay
-from primrosescale.process.entry.other_router import PeerState
+from primrosescale.process.entry.peer_router import PeerState
+from primrosescale.process.entry.relay_topology import RelayTopology
+from primrosescale.process.entry.relay_topology import StateExchangeSettings
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.request.evacuations import EvacuationList
-from primrosescale.request.part_directory import PartUse
+from primrosescale.request.prefix_cache_index import PartUse
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from primrosescale.process.entry.harm_news import HarmReportExchange
-    from primrosescale.process.entry.leaving_news import LeavingTargetExchange
+    from primrosescale.process.entry.harm_report_exchange import HarmReportExchange
+    from primrosescale.process.entry.leaving_exchange import LeavingTargetExchange
     from primrosescale.process.entry.load_sum import LoadSum
     from primrosescale.process.entry.news_relay import RelayedUpdate
-    from primrosescale.process.entry.other_router import PeerRouter
+    from primrosescale.process.entry.peer_router import PeerRouter
     from primrosescale.process.entry.target_list import TargetList
     from primrosescale.request.evacuations import Evacuations
     from primrosescale.request.freshness import Freshness
-    from primrosescale.request.part_directory import PrefixCacheIndex
+    from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 
 # Bounds the datagram to a size that no link fragments.
 MAX_PARTS = 36
--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/store_state.py
@@ -25,7 +25,7 @@
 
     from twisted.python.failure import Failure
 
-    from primrosescale.process.entry.entry_parts import EntryDependencies
+    from primrosescale.process.entry.entry_dependencies import EntryDependencies
     from primrosescale.process.entry.entry_settings import EntrySettings
     from primrosescale.process.entry.entry_settings import WatchedPrefixes
     from primrosescale.process.entry.store_watch import WatchedPrefix
--- a/src/primrosescale/process/entry/target_restarts.py
+++ b/src/primrosescale/process/entry/target_restarts.py
@@ -10,10 +10,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from primrosescale.process.entry.entry_parts import EntryDependencies
+    from primrosescale.process.entry.entry_dependencies import EntryDependencies
     from primrosescale.process.entry.target_list import IncarnationStart
-    from primrosescale.request.direct_port import TargetClient
-    from primrosescale.request.part_directory import PrefixCacheIndex
+    from primrosescale.request.forwarding_interfaces import TargetClient
+    from primrosescale.request.prefix_cache_index import PrefixCacheIndex
     from primrosescale.request.target_incarnation import TargetIncarnation
 
 
--- a/src/primrosescale/process/membership/fleet_status.py
+++ b/src/primrosescale/process/membership/fleet_status.py
@@ -7,7 +7,7 @@
 
 if TYPE_CHECKING:
     from primrosescale.connection.wire import ttypes as wire
-    from primrosescale.process.configuration.version_keeper import VersionManager
+    from primrosescale.process.configuration.version_manager import VersionManager
     from primrosescale.process.daemons.router_control import RouterControl
 
 
--- a/src/primrosescale/process/membership/heartbeat.py
+++ b/src/primrosescale/process/membership/heartbeat.py
@@ -12,7 +12,7 @@
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.process.configuration.wire_head import from_wire
-from primrosescale.process.membership.order import first_by_rendezvous
+from primrosescale.process.membership.rendezvous import first_by_rendezvous
 from primrosescale.request.load_bound import ServiceLoad
 
 if TYPE_CHECKING:
--- a/src/primrosescale/process/membership/load_sums.py
+++ b/src/primrosescale/process/membership/load_sums.py
@@ -17,8 +17,8 @@
 from primrosescale.connection.wire.ttypes import MemberState
 from primrosescale.ini.options import SECONDS
 from primrosescale.ini.options import option
-from primrosescale.process.membership.notice_board import MAX_NOTICES
-from primrosescale.process.membership.notice_board import PendingNotices
+from primrosescale.process.membership.pending_notices import MAX_NOTICES
+from primrosescale.process.membership.pending_notices import PendingNotices
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
--- a/src/primrosescale/process/settings.py
+++ b/src/primrosescale/process/settings.py
@@ -42,7 +42,7 @@
 from primrosescale.request.retry_budget import RetryBudgetSettings
 from primrosescale.request.routed_call import RoutedCallSettings
 from primrosescale.request.target_health import HealthSettings
-from primrosescale.request.work import WorkSettings
+from primrosescale.request.work_estimate import WorkSettings
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
--- a/src/primrosescale/process/tracing.py
+++ b/src/primrosescale/process/tracing.py
@@ -14,9 +14,9 @@
 from opentelemetry.trace.propagation.tracecontext import TraceContextTextMapPropagator
 
 from primrosescale.process.events import Event
-from primrosescale.request.hop import NO_SPAN
-from primrosescale.request.hop import TraceSpan
-from primrosescale.request.hop import UnrecordedSpan
+from primrosescale.request.trace_span import NO_SPAN
+from primrosescale.request.trace_span import TraceSpan
+from primrosescale.request.trace_span import UnrecordedSpan
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
--- a/src/primrosescale/request/agent_call.py
+++ b/src/primrosescale/request/agent_call.py
@@ -20,8 +20,8 @@
 from primrosescale.request.answer_buffer import AnswerBuffer
 from primrosescale.request.answer_check import answer_digest
 from primrosescale.request.exceptions import AnswerCutError
+from primrosescale.request.local_target_client import TargetReceiver
 from primrosescale.request.retry_after import requested_pause
-from primrosescale.request.target_port import TargetReceiver
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -31,7 +31,7 @@
     from primrosescale.request.call_names import CallId
     from primrosescale.request.claim import Claim
     from primrosescale.request.fair_queue import QueuedCall
-    from primrosescale.request.target_port import TargetRun
+    from primrosescale.request.local_target_client import TargetRun
 
 MILLISECONDS_PER_SECOND = 1000
 RETRY_AFTER_HEADER = "retry-after"
--- a/src/primrosescale/request/forward_tools.py
+++ b/src/primrosescale/request/forward_tools.py
@@ -9,9 +9,9 @@
 from primrosescale.ini.options import COUNT
 from primrosescale.ini.options import SECONDS
 from primrosescale.ini.options import option
-from primrosescale.request.harm_watch import NoHarmMonitor
-from primrosescale.request.hop import UnrecordedSpan
-from primrosescale.request.target_room import TargetAvailability
+from primrosescale.request.harm_monitor import NoHarmMonitor
+from primrosescale.request.target_availability import TargetAvailability
+from primrosescale.request.trace_span import UnrecordedSpan
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -19,18 +19,18 @@
     from random import Random
 
     from primrosescale.clock import Clock
-    from primrosescale.request.direct_port import AnswerHead
-    from primrosescale.request.direct_port import Refusal
-    from primrosescale.request.direct_port import TargetClient
-    from primrosescale.request.harm_watch import HarmMonitor
-    from primrosescale.request.hop import TraceSpan
-    from primrosescale.request.incoming import IncomingRequest
-    from primrosescale.request.part_directory import PrefixCacheIndex
-    from primrosescale.request.repeat_budget import SharedRetryBudget
-    from primrosescale.request.silence import SilenceReport
+    from primrosescale.request.forwarding_interfaces import AnswerHead
+    from primrosescale.request.forwarding_interfaces import Refusal
+    from primrosescale.request.forwarding_interfaces import TargetClient
+    from primrosescale.request.harm_monitor import HarmMonitor
+    from primrosescale.request.incoming_request import IncomingRequest
+    from primrosescale.request.prefix_cache_index import PrefixCacheIndex
+    from primrosescale.request.shared_retry_budget import SharedRetryBudget
+    from primrosescale.request.silent_target import SilenceReport
     from primrosescale.request.target_choice import ChoiceSettings
     from primrosescale.request.target_choice import TargetChooser
     from primrosescale.request.target_state import TargetState
+    from primrosescale.request.trace_span import TraceSpan
 
 
 # Retry-After is drawn between these multiples of the setting, so that refused callers
--- a/src/primrosescale/request/forwarded_call.py
+++ b/src/primrosescale/request/forwarded_call.py
@@ -21,11 +21,11 @@
 from primrosescale.clock import cancel_timer
 from primrosescale.request.answer_relay import AnswerRelay
 from primrosescale.request.attempt_pair import HedgedAttempts
-from primrosescale.request.direct_port import OutgoingRequest
-from primrosescale.request.direct_port import Refusal
-from primrosescale.request.silence import SilenceReport
-from primrosescale.request.silence import SilenceVerdict
-from primrosescale.request.silence import silence_timeout
+from primrosescale.request.forwarding_interfaces import OutgoingRequest
+from primrosescale.request.forwarding_interfaces import Refusal
+from primrosescale.request.silent_target import SilenceReport
+from primrosescale.request.silent_target import SilenceVerdict
+from primrosescale.request.silent_target import silence_timeout
 from primrosescale.request.target_attempt import AttemptListener
 from primrosescale.request.target_attempt import AttemptRecord
 from primrosescale.request.target_attempt import TargetAttempt
@@ -36,10 +36,10 @@
     from collections.abc import Sequence
 
     from primrosescale.clock import Timer
-    from primrosescale.request.direct_port import AnswerHead
-    from primrosescale.request.direct_port import CallerSink
     from primrosescale.request.forward_tools import ForwardingContext
-    from primrosescale.request.incoming import IncomingRequest
+    from primrosescale.request.forwarding_interfaces import AnswerHead
+    from primrosescale.request.forwarding_interfaces import CallerSink
+    from primrosescale.request.incoming_request import IncomingRequest
     from primrosescale.request.target_choice import Choice
     from primrosescale.request.target_state import TargetState
 
--- a/src/primrosescale/request/direct_port.py
+++ b/src/primrosescale/request/forwarding_interfaces.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from primrosescale.request.incoming import IncomingRequest
+    from primrosescale.request.incoming_request import IncomingRequest
     from primrosescale.request.serving_target import ServingTarget
     from primrosescale.request.target_incarnation import TargetIncarnation
     from primrosescale.request.target_state import LoadReport
--- a/src/primrosescale/request/harm_watch.py
+++ b/src/primrosescale/request/harm_monitor.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from primrosescale.request.incoming import IncomingRequest
+    from primrosescale.request.incoming_request import IncomingRequest
     from primrosescale.request.target_state import TargetState
 
 
--- a/src/primrosescale/request/gate.py
+++ b/src/primrosescale/request/request_resolver.py
@@ -13,14 +13,14 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from primrosescale.request.direct_port import Refusal
-from primrosescale.request.incoming import IncomingRequest
+from primrosescale.request.forwarding_interfaces import Refusal
+from primrosescale.request.incoming_request import IncomingRequest
 
 if TYPE_CHECKING:
     from random import Random
 
     from primrosescale.request.freshness import Freshness
-    from primrosescale.request.incoming import Prompt
+    from primrosescale.request.incoming_request import Prompt
     from primrosescale.version.routing_table import Route
     from primrosescale.version.routing_table import RoutingTable
 
--- a/src/primrosescale/request/silence.py
+++ b/src/primrosescale/request/silent_target.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from primrosescale.request.forward_tools import ForwardingSettings
-    from primrosescale.request.incoming import IncomingRequest
+    from primrosescale.request.incoming_request import IncomingRequest
 
 
 class SilenceVerdict(Enum):
--- a/src/primrosescale/request/target_attempt.py
+++ b/src/primrosescale/request/target_attempt.py
@@ -7,18 +7,18 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from primrosescale.request.direct_port import ResponseObserver
 from primrosescale.request.event_stream import EventSplitter
+from primrosescale.request.forwarding_interfaces import ResponseObserver
 
 if TYPE_CHECKING:
-    from primrosescale.request.direct_port import AnswerHead
-    from primrosescale.request.direct_port import InFlightRequest
-    from primrosescale.request.direct_port import OutgoingRequest
-    from primrosescale.request.direct_port import TargetClient
     from primrosescale.request.event_stream import StreamEvent
-    from primrosescale.request.hop import TraceSpan
+    from primrosescale.request.forwarding_interfaces import AnswerHead
+    from primrosescale.request.forwarding_interfaces import InFlightRequest
+    from primrosescale.request.forwarding_interfaces import OutgoingRequest
+    from primrosescale.request.forwarding_interfaces import TargetClient
     from primrosescale.request.target_incarnation import TargetIncarnation
     from primrosescale.request.target_state import TargetState
+    from primrosescale.request.trace_span import TraceSpan
 
 RUNNING = "running"
 
--- a/src/primrosescale/request/target_choice.py
+++ b/src/primrosescale/request/target_choice.py
@@ -26,7 +26,7 @@
 from primrosescale.request.prompt_homes import expected_source
 from primrosescale.request.prompt_homes import home_of
 from primrosescale.request.prompt_homes import shared_tokens
-from primrosescale.request.target_room import TargetAvailability
+from primrosescale.request.target_availability import TargetAvailability
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -34,8 +34,8 @@
     from collections.abc import Sequence
     from random import Random
 
-    from primrosescale.request.incoming import Prompt
-    from primrosescale.request.part_directory import PrefixCacheIndex
+    from primrosescale.request.incoming_request import Prompt
+    from primrosescale.request.prefix_cache_index import PrefixCacheIndex
     from primrosescale.request.target_incarnation import TargetIncarnation
     from primrosescale.request.target_state import TargetState
 
--- a/src/primrosescale/request/target_state.py
+++ b/src/primrosescale/request/target_state.py
@@ -18,7 +18,7 @@
 from primrosescale.request.target_statements import TargetSelfReports
 
 if TYPE_CHECKING:
-    from primrosescale.request.direct_port import AnswerHead
+    from primrosescale.request.forwarding_interfaces import AnswerHead
     from primrosescale.request.serving_target import ServingTarget
     from primrosescale.request.target_incarnation import TargetIncarnation
 
--- a/src/primrosescale/request/target_statements.py
+++ b/src/primrosescale/request/target_statements.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from primrosescale.request.direct_port import AnswerHead
+    from primrosescale.request.forwarding_interfaces import AnswerHead
     from primrosescale.request.target_incarnation import TargetIncarnation
 
 # Unlisted targets whose self-reports are retained; the oldest are dropped first.
--- a/tests/adapter/test_engine_calls.py
+++ b/tests/adapter/test_engine_calls.py
@@ -12,7 +12,7 @@
 from primrosescale.platform.engine_calls import EngineCaches
 from primrosescale.process.entry.codec import EngineCacheContents
 from primrosescale.process.exceptions import TargetError
-from primrosescale.request.incoming import PromptPart
+from primrosescale.request.incoming_request import PromptPart
 from support.live import DeploymentRunTest
 from support.live import LiveTest
 
--- a/tests/adapter/test_translation.py
+++ b/tests/adapter/test_translation.py
@@ -24,8 +24,8 @@
 from primrosescale.platform.records import decode_routing_table
 from primrosescale.platform.records import decode_target
 from primrosescale.process.transport.platform import StoredObject
-from primrosescale.request.direct_port import OutgoingRequest
-from primrosescale.request.direct_port import Refusal
+from primrosescale.request.forwarding_interfaces import OutgoingRequest
+from primrosescale.request.forwarding_interfaces import Refusal
 from primrosescale.request.retry_after import MAX_PAUSE_SECONDS
 from primrosescale.version.routing_table import RetryPolicy
 
--- a/tests/entry/test_allowed_regions.py
+++ b/tests/entry/test_allowed_regions.py
@@ -21,11 +21,11 @@
 from primrosescale.platform.exceptions import RecordError
 from primrosescale.platform.records import decode_routing_table
 from primrosescale.process.transport.platform import StoredObject
-from primrosescale.request.direct_port import Refusal
+from primrosescale.request.forwarding_interfaces import Refusal
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.gate import CallerHead
-from primrosescale.request.gate import RequestResolver
-from primrosescale.request.part_directory import PartUse
+from primrosescale.request.prefix_cache_index import PartUse
+from primrosescale.request.request_resolver import CallerHead
+from primrosescale.request.request_resolver import RequestResolver
 from primrosescale.version.routing_table import Organisation
 from primrosescale.version.routing_table import RoutingTable
 from support.entry_site import configuration
--- a/tests/entry/test_cache_shares.py
+++ b/tests/entry/test_cache_shares.py
@@ -20,19 +20,19 @@
 from primrosescale.connection.codec import encode
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.connection.wire import ttypes as wire
-from primrosescale.process.entry.cache_learning import EXTRA_READS
-from primrosescale.process.entry.cache_learning import MAX_WAIT_SECONDS
-from primrosescale.process.entry.cache_learning import CacheDiscovery
-from primrosescale.process.entry.cache_shares import MAX_PARTS_PER_ANSWER
-from primrosescale.process.entry.cache_shares import CacheOwnership
+from primrosescale.process.entry.cache_discovery import EXTRA_READS
+from primrosescale.process.entry.cache_discovery import MAX_WAIT_SECONDS
+from primrosescale.process.entry.cache_discovery import CacheDiscovery
+from primrosescale.process.entry.cache_ownership import MAX_PARTS_PER_ANSWER
+from primrosescale.process.entry.cache_ownership import CacheOwnership
 from primrosescale.process.entry.codec import CacheReader
 from primrosescale.process.entry.codec import EngineCacheContents
-from primrosescale.process.entry.other_router import PeerRouter
+from primrosescale.process.entry.peer_router import PeerRouter
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.process.entry.target_list import TargetList
-from primrosescale.request.incoming import PromptPart
-from primrosescale.request.part_directory import PartUse
-from primrosescale.request.part_directory import PrefixCacheIndex
+from primrosescale.request.incoming_request import PromptPart
+from primrosescale.request.prefix_cache_index import PartUse
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 from support.router_fleet import START as FLEET_START
 from support.router_fleet import ExchangeParts
 from support.router_fleet import Fleet
--- a/tests/entry/test_entry_router.py
+++ b/tests/entry/test_entry_router.py
@@ -17,16 +17,16 @@
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.platform import http_codec as names
 from primrosescale.platform.exceptions import BootFileError
-from primrosescale.process.entry.cache_learning import MAX_ENGINES_READ
+from primrosescale.process.entry.cache_discovery import MAX_ENGINES_READ
 from primrosescale.process.entry.codec import CacheReader
 from primrosescale.process.entry.codec import EngineCacheContents
 from primrosescale.process.entry.entry_router import EntryRouter
-from primrosescale.process.entry.other_router import PeerRouter
-from primrosescale.process.entry.router_news import StateExchange
+from primrosescale.process.entry.peer_router import PeerRouter
+from primrosescale.process.entry.state_exchange import StateExchange
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.incoming import PromptPart
-from primrosescale.request.part_directory import PrefixCacheIndex
+from primrosescale.request.incoming_request import PromptPart
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 from primrosescale.standin.users_engine import EngineFault
 from primrosescale.standin.users_engine import EngineScript
 from primrosescale.standin.users_engine import UsersEngine
--- a/tests/entry/test_foreign_entries.py
+++ b/tests/entry/test_foreign_entries.py
@@ -21,12 +21,12 @@
 from primrosescale.platform.entry import PlatformRecords
 from primrosescale.process.entry.entry_metrics import EntryMetrics
 from primrosescale.process.entry.entry_settings import WatchedPrefixes
-from primrosescale.process.entry.knowledge import StoreState
 from primrosescale.process.entry.log_writer import LogWriter
 from primrosescale.process.entry.refused_records import RecordKind
 from primrosescale.process.entry.refused_records import RefusedRecords
-from primrosescale.process.entry.router_exchange import RouterRegistry
-from primrosescale.process.entry.router_news import StateExchange
+from primrosescale.process.entry.router_datagrams import RouterRegistry
+from primrosescale.process.entry.state_exchange import StateExchange
+from primrosescale.process.entry.store_state import StoreState
 from primrosescale.process.entry.store_watch import FAULT_PAUSE_SECONDS
 from primrosescale.process.entry.store_watch import StoreWatch
 from primrosescale.process.entry.store_watch import WatchedPrefix
@@ -38,7 +38,7 @@
 from primrosescale.process.transport.platform import StoredObject
 from primrosescale.process.transport.platform import WatchResult
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.part_directory import PrefixCacheIndex
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 from support.drawn import drawn
 from support.foreign import CONFIGURATION
 from support.foreign import ROUTER
--- a/tests/entry/test_harm_fleet.py
+++ b/tests/entry/test_harm_fleet.py
@@ -10,7 +10,7 @@
 from testtools import TestCase
 from testtools.matchers import LessThan
 
-from primrosescale.process.entry.news_paths import StateExchangeSettings
+from primrosescale.process.entry.relay_topology import StateExchangeSettings
 from support.harm_fleet import HARMFUL
 from support.harm_fleet import HarmFleet
 
--- a/tests/entry/test_knowledge.py
+++ b/tests/entry/test_knowledge.py
@@ -14,10 +14,10 @@
 
 from primrosescale.process.entry.entry_metrics import EntryMetrics
 from primrosescale.process.entry.entry_settings import WatchedPrefixes
-from primrosescale.process.entry.knowledge import LIST_ARRIVAL_SECONDS
-from primrosescale.process.entry.knowledge import POLL_PAUSE_SECONDS
-from primrosescale.process.entry.knowledge import VERSION_ARRIVAL_SECONDS
-from primrosescale.process.entry.knowledge import StoreState
+from primrosescale.process.entry.store_state import LIST_ARRIVAL_SECONDS
+from primrosescale.process.entry.store_state import POLL_PAUSE_SECONDS
+from primrosescale.process.entry.store_state import VERSION_ARRIVAL_SECONDS
+from primrosescale.process.entry.store_state import StoreState
 from primrosescale.process.entry.store_watch import MIN_PAUSE_SECONDS
 from primrosescale.process.entry.store_watch import WatchedPrefix
 from primrosescale.process.entry.target_list import TargetList
--- a/tests/entry/test_news_relays.py
+++ b/tests/entry/test_news_relays.py
@@ -13,9 +13,9 @@
 from primrosescale.connection.codec import encode
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.connection.wire.ttypes import NewsScope
-from primrosescale.process.entry.news_paths import SUSPICION_SECONDS
-from primrosescale.process.entry.news_paths import StateExchangeSettings
-from primrosescale.process.entry.router_news import SILENT_REMOVAL_SECONDS
+from primrosescale.process.entry.relay_topology import SUSPICION_SECONDS
+from primrosescale.process.entry.relay_topology import StateExchangeSettings
+from primrosescale.process.entry.state_exchange import SILENT_REMOVAL_SECONDS
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.request.target_choice import STALE_LOAD_SECONDS
 from support.drawn import drawn
--- a/tests/entry/test_restart.py
+++ b/tests/entry/test_restart.py
@@ -22,13 +22,13 @@
 from primrosescale.connection.codec import decode
 from primrosescale.connection.codec import encode
 from primrosescale.connection.endpoint import Endpoint
-from primrosescale.process.entry.other_router import PeerRouter
-from primrosescale.process.entry.router_news import StateExchange
+from primrosescale.process.entry.peer_router import PeerRouter
+from primrosescale.process.entry.state_exchange import StateExchange
 from primrosescale.process.entry.target_list import IncarnationStart
 from primrosescale.process.entry.target_list import TargetList
-from primrosescale.request.direct_port import Refusal
+from primrosescale.request.forwarding_interfaces import Refusal
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.part_directory import PrefixCacheIndex
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
 from primrosescale.request.target_state import LoadReport
--- a/tests/entry/test_restart_transport.py
+++ b/tests/entry/test_restart_transport.py
@@ -15,9 +15,9 @@
 from entry.fakes import target
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.platform.http_codec import PlatformCodec
-from primrosescale.process.entry.target_caller import HttpTargetClient
-from primrosescale.request.direct_port import OutgoingRequest
-from primrosescale.request.direct_port import ResponseObserver
+from primrosescale.process.entry.target_client import HttpTargetClient
+from primrosescale.request.forwarding_interfaces import OutgoingRequest
+from primrosescale.request.forwarding_interfaces import ResponseObserver
 from support.live import DeploymentRunTest
 from support.live import LiveTest
 
--- a/tests/entry/test_router_news.py
+++ b/tests/entry/test_router_news.py
@@ -11,16 +11,16 @@
 from primrosescale.connection.codec import decode
 from primrosescale.connection.codec import encode
 from primrosescale.connection.endpoint import Endpoint
-from primrosescale.process.entry.news_paths import StateExchangeSettings
-from primrosescale.process.entry.other_router import PeerRouter
-from primrosescale.process.entry.router_news import DIRECT_BYTES_PER_SECOND
-from primrosescale.process.entry.router_news import MAX_FORMER_ROUTERS
-from primrosescale.process.entry.router_news import MAX_PARTS
-from primrosescale.process.entry.router_news import TYPICAL_DATAGRAM_BYTES
-from primrosescale.process.entry.router_news import StateExchange
+from primrosescale.process.entry.peer_router import PeerRouter
+from primrosescale.process.entry.relay_topology import StateExchangeSettings
+from primrosescale.process.entry.state_exchange import DIRECT_BYTES_PER_SECOND
+from primrosescale.process.entry.state_exchange import MAX_FORMER_ROUTERS
+from primrosescale.process.entry.state_exchange import MAX_PARTS
+from primrosescale.process.entry.state_exchange import TYPICAL_DATAGRAM_BYTES
+from primrosescale.process.entry.state_exchange import StateExchange
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.part_directory import PrefixCacheIndex
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 
 MAX_DATAGRAM_BYTES = 1400
 
--- a/tests/entry/test_silent_target.py
+++ b/tests/entry/test_silent_target.py
@@ -26,7 +26,7 @@
 from entry.fakes import head
 from entry.fakes import request
 from entry.fakes import target
-from primrosescale.request.silence import SilenceVerdict
+from primrosescale.request.silent_target import SilenceVerdict
 from primrosescale.request.target_state import TargetState
 
 LAST_EVENT = 6
--- a/tests/process/test_members.py
+++ b/tests/process/test_members.py
@@ -13,7 +13,7 @@
 from primrosescale.process.membership.load_sums import FleetSums
 from primrosescale.process.membership.load_sums import LoadReportSettings
 from primrosescale.process.membership.members import Members
-from primrosescale.process.membership.order import first_by_rendezvous
+from primrosescale.process.membership.rendezvous import first_by_rendezvous
 from primrosescale.request.candidates import Locality
 
 READY, DOWN, LEAVING = MemberState.READY, MemberState.DOWN, MemberState.LEAVING
--- a/tests/process/test_seeded_bugs.py
+++ b/tests/process/test_seeded_bugs.py
@@ -10,7 +10,7 @@
 from primrosescale.connection.wire.ttypes import ClaimState
 from primrosescale.connection.wire.ttypes import Outcome
 from primrosescale.connection.wire.ttypes import Reason
-from primrosescale.process.configuration.version_keeper import VersionManager
+from primrosescale.process.configuration.version_manager import VersionManager
 from primrosescale.process.daemons.agent import Agent
 from primrosescale.process.daemons.agent_core import AgentCore
 from primrosescale.process.ledger import claim_writer
--- a/tests/process/test_version_keeper.py
+++ b/tests/process/test_version_keeper.py
@@ -6,9 +6,9 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.defer import succeed
 
-from primrosescale.process.configuration.version_keeper import SectionSource
-from primrosescale.process.configuration.version_keeper import VersionManager
-from primrosescale.process.configuration.version_keeper import VersionObserver
+from primrosescale.process.configuration.version_manager import SectionSource
+from primrosescale.process.configuration.version_manager import VersionManager
+from primrosescale.process.configuration.version_manager import VersionObserver
 from primrosescale.version.bundle import Bundle
 from primrosescale.version.head import HeadVerifier
 from primrosescale.version.head import VersionHead
--- a/tests/request/test_rate_limit.py
+++ b/tests/request/test_rate_limit.py
@@ -4,12 +4,12 @@
 
 from testtools import TestCase
 
-from primrosescale.request.directory import ChatDirectory
+from primrosescale.request.chat_directory import ChatDirectory
 from primrosescale.request.rate_limit import DemandRate
 from primrosescale.request.rate_limit import OrganisationRateLimiter
 from primrosescale.request.rate_limit import RateSettings
-from primrosescale.request.work import WorkEstimator
-from primrosescale.request.work import WorkSettings
+from primrosescale.request.work_estimate import WorkEstimator
+from primrosescale.request.work_estimate import WorkSettings
 
 
 def drive(limiters, rate, limit, seconds):
--- a/tests/support/entry_site.py
+++ b/tests/support/entry_site.py
@@ -17,13 +17,13 @@
 from primrosescale.platform.entry import PlatformRecords
 from primrosescale.platform.http_codec import PlatformCodec
 from primrosescale.platform.object_platform import ObjectPlatform
+from primrosescale.process.entry.entry_dependencies import EntryDependencies
 from primrosescale.process.entry.entry_metrics import EntryMetrics
-from primrosescale.process.entry.entry_parts import EntryDependencies
 from primrosescale.process.entry.entry_settings import EntrySettings
 from primrosescale.process.entry.entry_settings import WatchedPrefixes
 from primrosescale.process.entry.store_watch import WatchedPrefix
 from primrosescale.process.events import EventLog
-from primrosescale.request.repeat_budget import SharedRetryLimits
+from primrosescale.request.shared_retry_budget import SharedRetryLimits
 
 LOOPBACK = "127.0.0.1"
 
--- a/tests/support/router_fleet.py
+++ b/tests/support/router_fleet.py
@@ -15,15 +15,15 @@
 from collections import OrderedDict
 
 from primrosescale.connection.endpoint import Endpoint
-from primrosescale.process.entry.cache_shares import CacheOwnership
-from primrosescale.process.entry.other_router import PeerRouter
-from primrosescale.process.entry.router_exchange import StateExchangeProtocol
-from primrosescale.process.entry.router_news import StateExchange
+from primrosescale.process.entry.cache_ownership import CacheOwnership
+from primrosescale.process.entry.peer_router import PeerRouter
+from primrosescale.process.entry.router_datagrams import StateExchangeProtocol
+from primrosescale.process.entry.state_exchange import StateExchange
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.incoming import Prompt
-from primrosescale.request.incoming import PromptPart
-from primrosescale.request.part_directory import PrefixCacheIndex
+from primrosescale.request.incoming_request import Prompt
+from primrosescale.request.incoming_request import PromptPart
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 from primrosescale.request.router_shares import RouterShares
 from primrosescale.request.serving_target import ServingTarget
 from primrosescale.request.target_choice import ChoiceSettings
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -23,7 +23,7 @@
 from primrosescale.request.agent_call import CallPhase
 from primrosescale.request.answer_sink import AnswerSink
 from primrosescale.request.call_request import CallRequest
-from primrosescale.request.target_port import TargetRun
+from primrosescale.request.local_target_client import TargetRun
 from primrosescale.standin.memory_platform import MemoryPlatform
 from primrosescale.standin.object_store import ObjectStore
 from primrosescale.standin.object_store import StoreSettings
