--- a/tests/support/history.py
+++ b/tests/support/history.py
@@ -45,7 +45,7 @@
     """One call that an agent admitted."""
 
     agent: str
-    incarnation: int
+    agent_incarnation: int
     at: float
     load: int
     cap: float
@@ -145,7 +145,7 @@
 
     def _none_after_leaving(self):
         for item in self.history.admissions:
-            left = self.history.leaving.get((item.agent, item.incarnation))
+            left = self.history.leaving.get((item.agent, item.agent_incarnation))
             if left is not None and item.at > left:
                 yield f"leaving: {item.agent} took {item.call} after it left"
 
