--- a/src/primrosescale/connection/target_channel.py
+++ b/src/primrosescale/connection/target_channel.py
@@ -21,7 +21,7 @@
 
     from primrosescale.clock import Clock
     from primrosescale.connection.endpoint import Endpoint
-    from primrosescale.connection.idle_limit import IdleLimit
+    from primrosescale.connection.rest_limit import IdleLimit
 
 # Targets close idle connections after a time that they state in whole
 # seconds; a request must not cross that close.
--- a/src/primrosescale/process/entry/target_client.py
+++ b/src/primrosescale/process/entry/target_client.py
@@ -18,7 +18,7 @@
 from twisted.web.iweb import UNKNOWN_LENGTH
 
 from primrosescale.connection.failure_text import failure_text
-from primrosescale.connection.idle_limit import IdleLimit
+from primrosescale.connection.rest_limit import IdleLimit
 from primrosescale.connection.target_channel import ChannelPool
 from primrosescale.process.transport.http_bodies import body_producer
 from primrosescale.request.forwarding_interfaces import InFlightRequest
