--- a/src/primrosescale/process/daemons/agent.py
+++ b/src/primrosescale/process/daemons/agent.py
@@ -55,12 +55,12 @@
     from primrosescale.version.view import VersionView
 
 ROLE = "agent"
-TICK_INTERVAL = 0.2
-ORDER_INTERVAL = 1.0
-STOP_POLL = 0.05
-HAND_OVER_WAIT = 2.0
-LINK_IDLE = 60.0
-DIAL_TIMEOUT = 1.0
+TICK_INTERVAL_SECONDS = 0.2
+ORDER_INTERVAL_SECONDS = 1.0
+STOP_POLL_SECONDS = 0.05
+MAX_HAND_OVER_WAIT_SECONDS = 2.0
+MAX_LINK_IDLE_SECONDS = 60.0
+DIAL_TIMEOUT_SECONDS = 1.0
 
 
 class Agent(
@@ -76,40 +76,40 @@
     ----------
     settings : Settings
         Its settings.
-    tools : Tools
+    context : Tools
         Reactor, log, metrics and traces.
     platform : Platform
         The platform's service.
     """
 
-    def __init__(self, settings: Settings, tools: Tools, platform: Platform) -> None:
+    def __init__(self, settings: Settings, context: Tools, platform: Platform) -> None:
         own = settings.agent
         if own is None:
             raise SettingsError("no section [agent]", "add it to the settings")
         process = settings.process
         self._settings = settings
-        self._own: AgentSettings = own
-        self._tools = tools
+        self._agent_settings: AgentSettings = own
+        self._context = context
         self._platform = platform
-        reactor = tools.reactor
+        reactor = context.reactor
         self._hello = wire.Hello(
             PROTOCOL_VERSION,
             process.name,
-            tools.incarnation,
+            context.incarnation,
             process.domain,
         )
         self._pool = LinkPool(
             self._hello,
             self,
-            tools.dialer(DIAL_TIMEOUT),
+            context.dialer(DIAL_TIMEOUT_SECONDS),
             reactor,
             settings.link,
-            LINK_IDLE,
+            MAX_LINK_IDLE_SECONDS,
         )
         self._heartbeat = Heartbeat(
             process.name,
             own.service,
-            tools.incarnation,
+            context.incarnation,
             [parse_endpoint(text) for text in own.routers],
             settings.sums,
             self._pool,
@@ -122,14 +122,14 @@
             settings.ledger.claim_timeout,
             lambda: self._heartbeat.router,
         )
-        self._target = tools.target(
+        self._target = context.target(
             Endpoint(own.target_address, own.target_port),
             must_echo=own.must_echo,
-            timeout=DIAL_TIMEOUT,
+            timeout=DIAL_TIMEOUT_SECONDS,
         )
         self._core = AgentCore(
             _core_settings(settings, own),
-            tools.incarnation,
+            context.incarnation,
             self._target,
             self._ledger,
             self,
@@ -145,18 +145,18 @@
                 process.name,
                 own.service,
                 process.domain,
-                tools.incarnation,
+                context.incarnation,
                 own.checks_fence,
             ),
             self._target,
             platform,
             self,
             lambda: self._core.health.failure_share,
-            tools.wall_clock,
+            context.wall_clock,
         )
         self._was_closed = False
         self._sources = LinkSources()
-        self._hops: dict[CallName, Hop] = {}
+        self._spans: dict[CallName, Hop] = {}
         self._state = MemberState.READY
         self._port: Any = None
         self._loops: list[Any] = []
@@ -192,10 +192,10 @@
         factory = LinkFactory(
             self._hello,
             self,
-            self._tools.reactor,
+            self._context.reactor,
             self._settings.link,
         )
-        self._port = self._tools.listen(self._own.port, factory, self._own.address)
+        self._port = self._context.listen(self._agent_settings.port, factory, self._agent_settings.address)
 
     @inlineCallbacks
     def start(self) -> Generator[Any, Any, None]:
@@ -210,12 +210,12 @@
             yield self._announce(is_leaving=False, is_gone=False)
         self._heartbeat.beat()
         self._loops = [
-            self._tools.repeat(self._settings.sums.interval, self._beat),
-            self._tools.repeat(TICK_INTERVAL, self._core.tick),
+            self._context.repeat(self._settings.sums.interval, self._heartbeat_tick),
+            self._context.repeat(TICK_INTERVAL_SECONDS, self._core.tick),
         ]
-        if self._own.takes_orders:
-            self._loops.append(self._tools.repeat(ORDER_INTERVAL, self._order))
-        self._log(Event.PROCESS_STARTED, incarnation=self._tools.incarnation)
+        if self._agent_settings.takes_orders:
+            self._loops.append(self._context.repeat(ORDER_INTERVAL_SECONDS, self._order_engine))
+        self._log(Event.PROCESS_STARTED, incarnation=self._context.incarnation)
 
     @inlineCallbacks
     def stop(self) -> Generator[Any, Any, None]:
@@ -235,7 +235,7 @@
         until = self._now() + self._settings.process.stop_within
         yield self._hand_over()
         while not self._is_finished() and self._now() < until:
-            yield self._tools.pause(STOP_POLL)
+            yield self._context.pause(STOP_POLL_SECONDS)
         if not self._is_finished():
             self._log(Event.STOP_CUT, running=self._core.admission.running)
         if self._settings.platform.register:
@@ -292,12 +292,12 @@
 
     def admitted(self, call: AgentCall, load: int, now: float) -> None:
         """Count a call that was taken."""
-        self._tools.metrics.count(Metric.ADMITTED)
+        self._context.metrics.count(Metric.ADMITTED)
         traceparent = call.call.traceparent
         if traceparent:
-            tracing = self._tools.tracing
+            tracing = self._context.tracing
             hop = tracing.start("agent", traceparent, may_begin=False)
-            self._hops[call.name] = hop
+            self._spans[call.name] = hop
             call.call.traceparent = hop.traceparent
 
     def started(self, call: AgentCall) -> None:
@@ -305,7 +305,7 @@
 
     def ended(self, call: AgentCall, is_answered: bool, now: float) -> None:
         """Note the end of a call."""
-        hop = self._hops.pop(call.name, None)
+        hop = self._spans.pop(call.name, None)
         if hop is not None:
             failure = call.failure
             reason = "" if failure is None else wire.Reason(failure.reason).name
@@ -313,11 +313,11 @@
 
     def refused(self, name: CallName, reason: wire.Reason) -> None:
         """Count a call that was refused."""
-        self._tools.metrics.count(Metric.REFUSED)
+        self._context.metrics.count(Metric.REFUSED)
 
     def duplicate(self, name: CallName) -> None:
         """Log a copy of a known call."""
-        self._tools.metrics.count(Metric.DUPLICATES)
+        self._context.metrics.count(Metric.DUPLICATES)
         self._log(Event.AGENT_DUPLICATE, router=name.router, call=name.number)
 
     def import_failed(self, detail: str) -> None:
@@ -326,9 +326,9 @@
 
     def adopted(self, view: VersionView) -> None:
         """Log that a version is in force here."""
-        self._tools.metrics.gauge(Metric.VERSION, view.version)
+        self._context.metrics.gauge(Metric.VERSION, view.version)
         self._log(Event.VERSION_ADOPTED, version=view.version, digest=view.head.digest)
-        service = view.services.get(self._own.service)
+        service = view.services.get(self._agent_settings.service)
         if service is not None:
             self._core.bound.configure(service.multiple, service.floor)
 
@@ -362,24 +362,24 @@
             waits_for=domain,
         )
 
-    def _order(self) -> None:
+    def _order_engine(self) -> None:
         view = self._keeper.view
         if view is not None and self._state == MemberState.READY:
             name = self._settings.process.name
-            self._orders.tick(wish_of(view, self._own.service, name))
+            self._orders.tick(wish_of(view, self._agent_settings.service, name))
 
-    def _watch_health(self) -> None:
+    def _log_circuit_breaker(self) -> None:
         is_closed = self._core.health.is_closed
         if is_closed and not self._was_closed:
             share = self._core.health.failure_share
             self._log(Event.TARGET_CLOSED, failure_share=round(share, 3))
         self._was_closed = is_closed
 
-    def _beat(self) -> None:
-        self._watch_health()
+    def _heartbeat_tick(self) -> None:
+        self._log_circuit_breaker()
         self._heartbeat.beat()
         admission = self._core.admission
-        metrics = self._tools.metrics
+        metrics = self._context.metrics
         metrics.gauge(Metric.LOAD, admission.load)
         metrics.gauge(Metric.WAITING, admission.waiting)
         metrics.gauge(Metric.RUNNING, admission.running)
@@ -394,11 +394,11 @@
         """Give the hottest chats' cache to those who serve them next."""
         chats = self._core.directory.hottest(
             self._settings.process.name,
-            self._own.hand_over,
+            self._agent_settings.hand_over,
         )
-        until = self._now() + HAND_OVER_WAIT
+        until = self._now() + MAX_HAND_OVER_WAIT_SECONDS
         while chats and not self._successors and self._now() < until:
-            yield self._tools.pause(STOP_POLL)
+            yield self._context.pause(STOP_POLL_SECONDS)
         entries = {
             entry.name: entry
             for entry in self._successors
@@ -432,7 +432,7 @@
         except Exception as error:  # noqa: BLE001 - any failure only costs the cache
             self._log(Event.CACHE_IMPORT_FAILED, chat=chat, detail=str(error))
             return 0
-        link.send(wire.CacheImport(self._own.service, chat, record.tokens, data))
+        link.send(wire.CacheImport(self._agent_settings.service, chat, record.tokens, data))
         return 1
 
     @inlineCallbacks
@@ -443,15 +443,15 @@
         entry = wire.HostEntry(
             name=process.name,
             role=ROLE,
-            address=self._own.address,
+            address=self._agent_settings.address,
             port=self.link_port,
             domain=process.domain,
             region=process.region,
-            service_name=self._own.service,
+            service_name=self._agent_settings.service,
             leaving=is_leaving,
             gone=is_gone,
             version=0,
-            incarnation=self._tools.incarnation,
+            incarnation=self._context.incarnation,
         )
         announced = self._platform.announce(entry)
         announced.addErrback(
@@ -463,10 +463,10 @@
         yield announced
 
     def _now(self) -> float:
-        return float(self._tools.reactor.seconds())
+        return float(self._context.reactor.seconds())
 
     def _log(self, event: Event, **fields: Any) -> None:
-        self._tools.log.emit(event, **fields)
+        self._context.log.emit(event, **fields)
 
 
 def _core_settings(settings: Settings, own: AgentSettings) -> AgentCoreSettings:
