--- a/src/primrosescale/process/daemons/agent_core.py
+++ b/src/primrosescale/process/daemons/agent_core.py
@@ -42,7 +42,7 @@
     from primrosescale.request.target_port import TargetPort
 
 MILLISECONDS = 1000
-TOKEN_SIZE = 16
+CLAIM_TOKEN_BYTES = 16
 FIRST_SERVER_ERROR = 500
 
 
@@ -140,13 +140,13 @@
             self._bound,
             self._health,
         )
-        self._names = CallNames(settings.name_keep, settings.names)
+        self._call_ids = CallNames(settings.name_keep, settings.names)
         self._directory = ChatDirectory(settings.chats, settings.chat_keep)
         self._estimator = WorkEstimator(settings.work)
         self._calls: dict[CallName, AgentCall] = {}
         self._ended: dict[CallName, float] = {}
         self._answer_bytes = 0
-        self._dirty: dict[AgentCall, None] = {}
+        self._unflushed: dict[AgentCall, None] = {}
         self._flush_pending = False
 
     @property
@@ -213,7 +213,7 @@
     def tick(self) -> None:
         """Do what time brings: expire, forget, start what may start."""
         now = self._clock.seconds()
-        self._names.forget_old(now)
+        self._call_ids.forget_old(now)
         limit = now - self._settings.answer_keep
         while self._ended:
             name, ended_at = next(iter(self._ended.items()))
@@ -228,19 +228,19 @@
         if message.target_incarnation != self._incarnation:
             self._refuse(link, name, Reason.REPLACED, detail="agent was replaced")
             return
-        state = self._names.state(name)
+        state = self._call_ids.state(name)
         if state is not NameState.FRESH:
             # A copy of a call that is known: the first copy's answer counts.
             self._observer.duplicate(name)
             return
         deadline = now + message.deadline_ms / MILLISECONDS
-        if self._names.is_full or self._answer_bytes > self._settings.answer_memory:
+        if self._call_ids.is_full or self._answer_bytes > self._settings.answer_memory:
             self._refuse(link, name, Reason.MEMORY_FULL, retry_after=1.0)
             return
-        self._names.take(name, deadline)
-        place = self._place_of(message, now)
+        self._call_ids.take(name, deadline)
+        place = self._find_other_place(message, now)
         if place:
-            self._names.bar(name, deadline)
+            self._call_ids.bar(name, deadline)
             self._refuse(link, name, Reason.ELSEWHERE, place=place)
             return
         self._offer(link, name, message, deadline, now)
@@ -260,14 +260,14 @@
             deadline,
             self._settings.stream,
             self._call_ended,
-            self._has_data,
+            self._data_available,
             self._load,
         )
         queued = QueuedCall(
             organisation=message.organisation,
             weight=max(1, message.weight),
             priority=message.priority,
-            work=self._work_of(message, now),
+            work=self._estimate_work(message, now),
             deadline=deadline,
             item=call,
         )
@@ -275,7 +275,7 @@
         verdict = self._admission.offer(queued, now)
         if verdict.reason is not None:
             # Barred, so that a router that lost this refusal hears the same.
-            self._names.bar(name, deadline)
+            self._call_ids.bar(name, deadline)
             self._refuse(link, name, verdict.reason, retry_after=verdict.retry_after)
             return
         self._calls[name] = call
@@ -285,16 +285,16 @@
             self._deadline_passed,
             call,
         )
-        for given in verdict.displaced:
-            given.item.fail(
+        for displaced_call in verdict.displaced:
+            displaced_call.item.fail(
                 Outcome.NOT_RUN,
                 Reason.DISPLACED,
                 "gave way to an organisation with less waiting",
-                self._admission.expected_wait(given),
+                self._admission.expected_wait(displaced_call),
             )
         self._start_next()
 
-    def _place_of(self, message: wire.Call, now: float) -> str:
+    def _find_other_place(self, message: wire.Call, now: float) -> str:
         """Return where a chat's cache lies, if not here."""
         if not message.chat or message.directed:
             return ""
@@ -303,7 +303,7 @@
             return ""
         return record.place
 
-    def _work_of(self, message: wire.Call, now: float) -> int:
+    def _estimate_work(self, message: wire.Call, now: float) -> int:
         if not message.prompt_tokens:
             return self._estimator.estimate_plain()
         record = None
@@ -354,7 +354,7 @@
         message = call.call
         claim = Claim(
             key=claim_key(message.service_name, message.organisation, message.key),
-            token=secrets.token_bytes(TOKEN_SIZE),
+            token=secrets.token_bytes(CLAIM_TOKEN_BYTES),
             fingerprint=request_fingerprint(message.method, message.path, message.body),
             writer=message.ledger,
         )
@@ -403,8 +403,8 @@
                 self._admission.finished(queued, now)
         self._ended[call.name] = now
         self._answer_bytes += call.kept
-        self._dirty.pop(call, None)
-        self._judge(call, is_answered, now)
+        self._unflushed.pop(call, None)
+        self._record_health(call, is_answered, now)
         self._settle_claim(call, is_answered)
         if is_answered and call.call.chat and call.call.prompt_tokens:
             output = tokens_of(call.length)
@@ -415,7 +415,7 @@
         self._observer.ended(call, is_answered, now)
         self._start_next()
 
-    def _judge(self, call: AgentCall, is_answered: bool, now: float) -> None:
+    def _record_health(self, call: AgentCall, is_answered: bool, now: float) -> None:
         if call.asked_rest is not None:
             self._admission.rest(call.asked_rest, now)
         if is_answered and call.status < FIRST_SERVER_ERROR:
@@ -438,21 +438,21 @@
             if failure.outcome is Outcome.NOT_RUN:
                 self._ledger.abandon(claim)
 
-    def _has_data(self, call: AgentCall) -> None:
+    def _data_available(self, call: AgentCall) -> None:
         """Send the first bytes at once and gather those that follow."""
         if call.call.prompt_tokens and not call.first_byte_at:
             call.first_byte_at = self._clock.seconds()
             if call.call.streamed:
                 call.flush()
                 return
-        self._dirty[call] = None
+        self._unflushed[call] = None
         if not self._flush_pending:
             self._flush_pending = True
             self._clock.callLater(self._settings.stream.coalesce, self._flush)
 
     def _flush(self) -> None:
         self._flush_pending = False
-        dirty, self._dirty = self._dirty, {}
+        dirty, self._unflushed = self._unflushed, {}
         for call in dirty:
             call.flush()
 
@@ -475,23 +475,23 @@
     def _resume(self, link: Link, message: wire.Resume) -> None:
         name = CallName(message.router, message.number)
         if message.target_incarnation != self._incarnation:
-            self._answer_unknown(link, name, Reason.REPLACED)
+            self._report_unknown(link, name, Reason.REPLACED)
             return
         call = self._calls.get(name)
         if call is not None:
             call.resume(link, message.offset)
             return
         now = self._clock.seconds()
-        if self._names.state(name) is NameState.TAKEN:
-            self._answer_unknown(link, name, Reason.ANSWER_EVICTED)
+        if self._call_ids.state(name) is NameState.TAKEN:
+            self._report_unknown(link, name, Reason.ANSWER_EVICTED)
             return
         if message.age_ms / MILLISECONDS > self._settings.name_keep:
-            self._answer_unknown(link, name, Reason.ANSWER_EVICTED)
+            self._report_unknown(link, name, Reason.ANSWER_EVICTED)
             return
-        self._names.bar(name, now + self._settings.name_keep)
+        self._call_ids.bar(name, now + self._settings.name_keep)
         self._refuse(link, name, Reason.NEVER_ARRIVED)
 
-    def _answer_unknown(self, link: Link, name: CallName, reason: Reason) -> None:
+    def _report_unknown(self, link: Link, name: CallName, reason: Reason) -> None:
         link.send(
             wire.CallFailed(
                 router=name.router,
