--- a/src/primrosescale/process/daemons/agent.py
+++ b/src/primrosescale/process/daemons/agent.py
@@ -24,7 +24,7 @@
 from primrosescale.process.daemons.engine_orders import EngineOrders
 from primrosescale.process.daemons.engine_orders import OrderObserver
 from primrosescale.process.daemons.engine_orders import OrderSettings
-from primrosescale.process.daemons.engine_orders import wish_of
+from primrosescale.process.daemons.engine_orders import desired_state_of
 from primrosescale.process.events import Event
 from primrosescale.process.exceptions import SettingsError
 from primrosescale.process.ledger.remote_ledger import RemoteLedger
@@ -41,7 +41,7 @@
 
     from primrosescale.connection.codec import Message
     from primrosescale.connection.link import Link
-    from primrosescale.process.daemons.engine_orders import EngineWish
+    from primrosescale.process.daemons.engine_orders import DesiredEngineState
     from primrosescale.process.settings import AgentSettings
     from primrosescale.process.settings import Settings
     from primrosescale.process.transport.engine_port import EnginePort
@@ -340,12 +340,12 @@
         """Log that a version could not be pulled yet."""
         self._log(Event.PULL_FAILED, version=version, detail=detail)
 
-    def order_sent(self, wish: EngineWish, fence: int) -> None:
+    def order_sent(self, desired: DesiredEngineState, fence: int) -> None:
         """Log an order."""
         self._log(
             Event.ORDER_SENT,
-            model=wish.model,
-            version=wish.version,
+            model=desired.model,
+            version=desired.version,
             fence=fence,
         )
 
@@ -353,12 +353,12 @@
         """Log that an order failed."""
         self._log(Event.ORDER_FAILED, detail=detail)
 
-    def roll_out_held(self, wish: EngineWish, domain: str) -> None:
+    def roll_out_held(self, desired: DesiredEngineState, domain: str) -> None:
         """Log that a roll-out waits for another domain."""
         self._log(
             Event.ROLL_OUT_HELD,
-            model=wish.model,
-            version=wish.version,
+            model=desired.model,
+            version=desired.version,
             waits_for=domain,
         )
 
@@ -366,7 +366,7 @@
         view = self._keeper.view
         if view is not None and self._state == MemberState.READY:
             name = self._settings.process.name
-            self._orders.tick(wish_of(view, self._agent_settings.service, name))
+            self._orders.tick(desired_state_of(view, self._agent_settings.service, name))
 
     def _log_circuit_breaker(self) -> None:
         is_closed = self._core.health.is_closed
--- a/src/primrosescale/process/daemons/engine_orders.py
+++ b/src/primrosescale/process/daemons/engine_orders.py
@@ -35,9 +35,9 @@
 FENCE_PREFIX = "fences/"
 PROGRESS_PREFIX = "config/model-progress/"
 SLOT_PREFIX = "weights/slot-"
-SLOTS = 8
-SLOT_SECONDS = 60.0
-GOOD_FOR = 3
+WEIGHT_SLOTS = 8
+SLOT_LEASE_SECONDS = 60.0
+REQUIRED_HEALTHY_ROUNDS = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineWish:
+class DesiredEngineState:
     """What the configuration wants an engine to run.
 
     Parameters
@@ -113,7 +113,7 @@
         )
 
 
-def wish_of(view: VersionView, service: str, agent: str) -> EngineWish | None:
+def desired_state_of(view: VersionView, service: str, agent: str) -> DesiredEngineState | None:
     """Return what a version wants of an agent's engine.
 
     Parameters
@@ -127,7 +127,7 @@
 
     Returns
     -------
-    EngineWish | None
+    DesiredEngineState | None
         None when nothing is said.
     """
     record = view.services.get(service)
@@ -138,7 +138,7 @@
         return None
     target = view.targets.get(agent)
     role = "mixed" if target is None else target.role
-    return EngineWish(
+    return DesiredEngineState(
         model.name,
         model.version,
         model.adapters,
@@ -152,12 +152,12 @@
     """Is told about orders."""
 
     @abstractmethod
-    def order_sent(self, wish: EngineWish, fence: int) -> None:
+    def order_sent(self, desired: DesiredEngineState, fence: int) -> None:
         """Take in that an order was sent.
 
         Parameters
         ----------
-        wish : EngineWish
+        desired : DesiredEngineState
             What was ordered.
         fence : int
             With which fencing number.
@@ -174,12 +174,12 @@
         """
 
     @abstractmethod
-    def roll_out_held(self, wish: EngineWish, domain: str) -> None:
+    def roll_out_held(self, desired: DesiredEngineState, domain: str) -> None:
         """Take in that this domain waits for an earlier one.
 
         Parameters
         ----------
-        wish : EngineWish
+        desired : DesiredEngineState
             What is to be ordered.
         domain : str
             The domain that is not done.
@@ -223,9 +223,9 @@
         self._fence = 0
         self._is_busy = False
         self._is_replaced = False
-        self._good_rounds = 0
+        self._healthy_rounds = 0
         self._slot = ""
-        self._done: EngineWish | None = None
+        self._reported_state: DesiredEngineState | None = None
 
     @property
     def fence(self) -> int:
@@ -238,12 +238,12 @@
         return self._is_replaced
 
     @inlineCallbacks
-    def tick(self, wish: EngineWish | None) -> Generator[Any, Any, None]:
+    def tick(self, desired: DesiredEngineState | None) -> Generator[Any, Any, None]:
         """Compare engine and wish once, and order if they differ.
 
         Parameters
         ----------
-        wish : EngineWish | None
+        desired : DesiredEngineState | None
             What the configuration wants now.
 
         Returns
@@ -251,11 +251,11 @@
         Deferred[None]
             When this round is over; never fails for reasons of others.
         """
-        if self._is_busy or self._is_replaced or wish is None:
+        if self._is_busy or self._is_replaced or desired is None:
             return
         self._is_busy = True
         try:
-            yield self._round(wish)
+            yield self._reconcile(desired)
         except (PlatformError, TargetError) as error:
             self._observer.order_failed(str(error))
         except Exception as error:  # noqa: BLE001 - the engine's connection, say
@@ -264,45 +264,45 @@
             self._is_busy = False
 
     @inlineCallbacks
-    def _round(self, wish: EngineWish) -> Generator[Any, Any, None]:
+    def _reconcile(self, desired: DesiredEngineState) -> Generator[Any, Any, None]:
         if not self._fence:
-            yield self._take_fence()
+            yield self._acquire_fence()
         data = yield self._port.state()
-        if wish.is_met_by(json.loads(data)):
-            yield self._report(wish)
+        if desired.is_met_by(json.loads(data)):
+            yield self._report_progress(desired)
             return
-        self._good_rounds = 0
-        self._done = None
-        waits_for = yield self._earlier_domain(wish)
+        self._healthy_rounds = 0
+        self._reported_state = None
+        waits_for = yield self._unfinished_earlier_domain(desired)
         if waits_for:
-            self._observer.roll_out_held(wish, waits_for)
+            self._observer.roll_out_held(desired, waits_for)
             return
         is_own = yield self._holds_fence()
         if not is_own:
             self._is_replaced = True
             return
-        has_slot = yield self._take_slot()
+        has_slot = yield self._acquire_slot()
         if has_slot:
-            yield self._order(wish)
+            yield self._order(desired)
 
     @inlineCallbacks
-    def _order(self, wish: EngineWish) -> Generator[Any, Any, None]:
+    def _order(self, desired: DesiredEngineState) -> Generator[Any, Any, None]:
         order = {
             "fence": self._fence,
-            "model": wish.model,
-            "version": wish.version,
-            "adapters": list(wish.adapters),
-            "role": wish.role,
+            "model": desired.model,
+            "version": desired.version,
+            "adapters": list(desired.adapters),
+            "role": desired.role,
         }
-        self._observer.order_sent(wish, self._fence)
+        self._observer.order_sent(desired, self._fence)
         yield self._port.order(json.dumps(order).encode())
 
     @inlineCallbacks
-    def _take_fence(self) -> Generator[Any, Any, None]:
+    def _acquire_fence(self) -> Generator[Any, Any, None]:
         """Raise the fencing number; a lost answer is read back."""
         key = FENCE_PREFIX + self._settings.agent
         found = yield self._platform.get(key)
-        held = _fields(found)
+        held = _decode_object(found)
         if held.get("owner") == self._settings.incarnation:
             self._fence = int(held["fence"])
             return
@@ -318,55 +318,55 @@
         if self._settings.checks_fence:
             return True
         found = yield self._platform.get(FENCE_PREFIX + self._settings.agent)
-        return int(_fields(found).get("fence", 0)) <= self._fence
+        return int(_decode_object(found).get("fence", 0)) <= self._fence
 
     @inlineCallbacks
-    def _earlier_domain(self, wish: EngineWish) -> Generator[Any, Any, str]:
+    def _unfinished_earlier_domain(self, desired: DesiredEngineState) -> Generator[Any, Any, str]:
         """Return the domain that must be done before this one, if any."""
         own = self._settings.domain
-        order = wish.domains
+        order = desired.domains
         earlier = order[: order.index(own)] if own in order else order
         for domain in earlier:
-            found = yield self._platform.get(_progress_key(wish, domain))
+            found = yield self._platform.get(_progress_key(desired, domain))
             if found is None:
                 return str(domain)
         return ""
 
     @inlineCallbacks
-    def _report(self, wish: EngineWish) -> Generator[Any, Any, None]:
+    def _report_progress(self, desired: DesiredEngineState) -> Generator[Any, Any, None]:
         """Say that this domain runs a version well, once it has for a while."""
         yield self._release_slot()
-        if not wish.domains or self._done == wish:
+        if not desired.domains or self._reported_state == desired:
             return
-        if self._error_share() > wish.error_limit:
-            self._good_rounds = 0
+        if self._error_share() > desired.error_limit:
+            self._healthy_rounds = 0
             return
-        self._good_rounds += 1
-        if self._good_rounds < GOOD_FOR:
+        self._healthy_rounds += 1
+        if self._healthy_rounds < REQUIRED_HEALTHY_ROUNDS:
             return
-        key = _progress_key(wish, self._settings.domain)
+        key = _progress_key(desired, self._settings.domain)
         try:
             yield self._platform.put(key, b"done", MUST_NOT_EXIST)
         except PlatformConflictError:
             # Another agent of the domain has said so already.
-            self._done = wish
+            self._reported_state = desired
         else:
-            self._done = wish
+            self._reported_state = desired
 
     @inlineCallbacks
-    def _take_slot(self) -> Generator[Any, Any, bool]:
+    def _acquire_slot(self) -> Generator[Any, Any, bool]:
         """Take one of the weight store's slots; a lapsed one may be taken.
 
         Slots only limit the rate at which weights are read, so a holder that
         was paused past its time does no harm.
         """
         now = self._wall_clock()
-        mine = {"agent": self._settings.agent, "until": now + SLOT_SECONDS}
-        value = json.dumps(mine).encode()
-        for number in range(SLOTS):
+        lease = {"agent": self._settings.agent, "until": now + SLOT_LEASE_SECONDS}
+        value = json.dumps(lease).encode()
+        for number in range(WEIGHT_SLOTS):
             key = f"{SLOT_PREFIX}{number}"
             found = yield self._platform.get(key)
-            held = _fields(found)
+            held = _decode_object(found)
             is_free = held.get("until", 0.0) <= now
             if not is_free and held.get("agent") != self._settings.agent:
                 continue
@@ -385,16 +385,16 @@
         if not key:
             return
         found = yield self._platform.get(key)
-        if found is not None and _fields(found).get("agent") == self._settings.agent:
+        if found is not None and _decode_object(found).get("agent") == self._settings.agent:
             free = json.dumps({"agent": "", "until": 0.0}).encode()
             yield self._platform.put(key, free, found.version)
 
 
-def _progress_key(wish: EngineWish, domain: str) -> str:
-    return f"{PROGRESS_PREFIX}{wish.model}/{wish.version}/{domain}"
+def _progress_key(desired: DesiredEngineState, domain: str) -> str:
+    return f"{PROGRESS_PREFIX}{desired.model}/{desired.version}/{domain}"
 
 
-def _fields(found: StoredObject | None) -> dict[str, Any]:
+def _decode_object(found: StoredObject | None) -> dict[str, Any]:
     if found is None:
         return {}
     fields: dict[str, Any] = json.loads(found.value)
--- a/tests/process/test_engine_orders.py
+++ b/tests/process/test_engine_orders.py
@@ -11,7 +11,7 @@
 from twisted.internet.task import Clock
 
 from primrosescale.process.daemons.engine_orders import EngineOrders
-from primrosescale.process.daemons.engine_orders import EngineWish
+from primrosescale.process.daemons.engine_orders import DesiredEngineState
 from primrosescale.process.daemons.engine_orders import OrderObserver
 from primrosescale.process.daemons.engine_orders import OrderSettings
 from primrosescale.process.exceptions import TargetError
@@ -20,8 +20,8 @@
 from primrosescale.standin.object_store import StoreSettings
 
 
-def wish(version="1", domains=()):
-    return EngineWish("m", version, (), "mixed", domains, 0.2)
+def desired(version="1", domains=()):
+    return DesiredEngineState("m", version, (), "mixed", domains, 0.2)
 
 
 class Engine:
@@ -64,13 +64,13 @@
         self.failed = []
         self.held = []
 
-    def order_sent(self, wish, fence):
+    def order_sent(self, desired, fence):
         pass
 
     def order_failed(self, detail):
         self.failed.append(detail)
 
-    def roll_out_held(self, wish, domain):
+    def roll_out_held(self, desired, domain):
         self.held.append(domain)
 
 
@@ -96,16 +96,16 @@
         orders.observer = observer
         return orders
 
-    def rounds(self, orders, wanted, count=1):
+    def rounds(self, orders, desired_state, count=1):
         for _ in range(count):
-            orders.tick(wanted)
+            orders.tick(desired_state)
             for _ in range(20):
                 self.clock.advance(0.01)
 
     def test_an_engine_reaches_the_wish_and_is_left_alone(self):
         engine = Engine(True)
         orders = self.agent(engine)
-        self.rounds(orders, wish("2"), 5)
+        self.rounds(orders, desired("2"), 5)
         self.assertEqual("2", engine.now["version"])
         self.assertEqual(1, engine.orders)
 
@@ -113,35 +113,35 @@
         engine = Engine(True)
         engine.lose_answer = True
         orders = self.agent(engine)
-        self.rounds(orders, wish("2"), 3)
+        self.rounds(orders, desired("2"), 3)
         self.assertEqual("2", engine.now["version"])
         self.assertEqual(1, engine.orders)
 
     def test_a_restarted_engine_is_ordered_again(self):
         engine = Engine(True)
         orders = self.agent(engine)
-        self.rounds(orders, wish("2"), 2)
+        self.rounds(orders, desired("2"), 2)
         engine.now["version"] = "factory"
-        self.rounds(orders, wish("2"), 2)
+        self.rounds(orders, desired("2"), 2)
         self.assertEqual("2", engine.now["version"])
 
     def test_an_outage_of_the_platform_delays_and_breaks_nothing(self):
         engine = Engine(True)
         orders = self.agent(engine)
         self.store.settings.is_down = True
-        self.rounds(orders, wish("2"), 2)
+        self.rounds(orders, desired("2"), 2)
         self.assertEqual(0, engine.orders)
         self.store.settings.is_down = False
-        self.rounds(orders, wish("2"), 2)
+        self.rounds(orders, desired("2"), 2)
         self.assertEqual("2", engine.now["version"])
 
     def test_a_successor_has_a_higher_fence_although_an_answer_was_lost(self):
         engine = Engine(True)
         first = self.agent(engine, 1)
-        self.rounds(first, wish("1"), 2)
+        self.rounds(first, desired("1"), 2)
         self.store.settings.lost_answers = 1
         second = self.agent(engine, 2)
-        self.rounds(second, wish("2"), 4)
+        self.rounds(second, desired("2"), 4)
         self.assertTrue(second.fence > first.fence)
         self.assertEqual("2", engine.now["version"])
 
@@ -150,11 +150,11 @@
         engine = Engine(checks)
         old = self.agent(engine, 1)
         engine.held = []
-        self.rounds(old, wish("1"), 1)
+        self.rounds(old, desired("1"), 1)
         ((waiting, body),) = engine.held
         engine.held = None
         new = self.agent(engine, 2)
-        self.rounds(new, wish("2"), 2)
+        self.rounds(new, desired("2"), 2)
         self.assertEqual("2", engine.now["version"])
         engine.apply(body).chainDeferred(waiting)
         return engine, old, new
@@ -167,9 +167,9 @@
     def test_a_late_order_at_an_engine_that_does_not_is_put_right(self):
         engine, old, new = self.late_order(False)
         self.assertEqual("1", engine.now["version"])
-        self.rounds(new, wish("2"), 2)
+        self.rounds(new, desired("2"), 2)
         self.assertEqual("2", engine.now["version"])
-        self.rounds(old, wish("1"), 3)
+        self.rounds(old, desired("1"), 3)
         self.assertTrue(old.is_replaced)
         self.assertEqual("2", engine.now["version"])
 
@@ -177,24 +177,24 @@
         first, second = Engine(True), Engine(True)
         one = self.agent(first, name="a", domain="d1")
         other = self.agent(second, name="b", domain="d2")
-        wanted = wish("2", ("d1", "d2"))
+        desired_state = desired("2", ("d1", "d2"))
         self.errors = 0.5
         for _ in range(8):
-            self.rounds(one, wanted)
-            self.rounds(other, wanted)
+            self.rounds(one, desired_state)
+            self.rounds(other, desired_state)
         self.assertEqual("2", first.now["version"])
         self.assertEqual("", second.now["version"])
         self.assertIn("d1", other.observer.held)
         self.errors = 0.0
         for _ in range(8):
-            self.rounds(one, wanted)
-            self.rounds(other, wanted)
+            self.rounds(one, desired_state)
+            self.rounds(other, desired_state)
         self.assertEqual("2", second.now["version"])
 
     def test_a_domain_that_is_not_named_goes_last(self):
         engine = Engine(True)
         orders = self.agent(engine, domain="d9")
-        self.rounds(orders, wish("2", ("d1",)), 3)
+        self.rounds(orders, desired("2", ("d1",)), 3)
         self.assertEqual(0, engine.orders)
 
     def test_only_as_many_load_weights_at_once_as_there_are_slots(self):
@@ -203,7 +203,7 @@
         for engine in engines:
             engine.held = []
         for orders in agents:
-            self.rounds(orders, wish("2"))
+            self.rounds(orders, desired("2"))
         self.assertEqual(8, sum(len(engine.held) for engine in engines))
         for engine in engines:
             held, engine.held = engine.held, None
@@ -211,7 +211,7 @@
                 engine.apply(body).chainDeferred(waiting)
         for _ in range(3):
             for orders in agents:
-                self.rounds(orders, wish("2"))
+                self.rounds(orders, desired("2"))
         self.assertEqual({"2"}, {engine.now["version"] for engine in engines})
 
     def test_a_slot_whose_holder_died_lapses(self):
@@ -220,8 +220,8 @@
         for number in range(8):
             self.store.put(f"weights/slot-{number}", value, 0, 0.0)
         orders = self.agent(engine)
-        self.rounds(orders, wish("2"), 2)
+        self.rounds(orders, desired("2"), 2)
         self.assertEqual(0, engine.orders)
         self.clock.advance(31.0)
-        self.rounds(orders, wish("2"), 2)
+        self.rounds(orders, desired("2"), 2)
         self.assertEqual(1, engine.orders)
