--- a/src/primrosescale/process/daemons/router.py
+++ b/src/primrosescale/process/daemons/router.py
@@ -69,21 +69,21 @@
     from primrosescale.version.view import VersionView
 
 ROLE = "router"
-ADMIN_BODY_LIMIT = 32_000_000
-CLOSE_IDLE_INTERVAL = 5.0
-STOP_POLL = 0.05
-RANDOM_BITS = 64
+MAX_ADMIN_BODY_BYTES = 32_000_000
+CLOSE_IDLE_INTERVAL_SECONDS = 5.0
+STOP_POLL_SECONDS = 0.05
+RANDOM_KEY_BITS = 64
 
 
-class _Underway:
+class _ActiveCall:
     """What a router keeps of a call besides the call itself."""
 
-    __slots__ = ("began", "hop", "view")
+    __slots__ = ("start_time", "hop", "view")
 
-    def __init__(self, view: VersionView, hop: Hop, began: float) -> None:
+    def __init__(self, view: VersionView, hop: Hop, start_time: float) -> None:
         self.view = view
         self.hop = hop
-        self.began = began
+        self.start_time = start_time
 
 
 class Router(LinkHandler, CallGate, CallObserver, ControlObserver, VersionObserver):
@@ -93,18 +93,18 @@
     ----------
     settings : Settings
         Its settings.
-    tools : Tools
+    context : Tools
         Reactor, log, metrics and traces.
     platform : Platform
         The platform's service.
     """
 
-    def __init__(self, settings: Settings, tools: Tools, platform: Platform) -> None:
+    def __init__(self, settings: Settings, context: Tools, platform: Platform) -> None:
         self._settings = settings
-        self._tools = tools
+        self._context = context
         self._platform = platform
         process = settings.process
-        reactor = tools.reactor
+        reactor = context.reactor
         self._locality = Locality(process.region, process.domain)
         self._members = Members(settings.members, self._locality)
         self._keeper = VersionKeeper(
@@ -119,10 +119,10 @@
         self._hello = wire.Hello(
             PROTOCOL_VERSION,
             process.name,
-            tools.incarnation,
+            context.incarnation,
             process.domain,
         )
-        dialer = tools.dialer(settings.router.dial_timeout)
+        dialer = context.dialer(settings.router.dial_timeout)
         self._pool = LinkPool(
             self._hello,
             self,
@@ -131,15 +131,15 @@
             settings.link,
             settings.router.link_idle,
         )
-        self._table = CallTable(tools.incarnation, self._pool, self)
+        self._table = CallTable(context.incarnation, self._pool, self)
         self._claims = ClaimWriter(
             settings.ledger,
             platform,
             reactor,
-            tools.wall_clock,
+            context.wall_clock,
         )
         self._control = RouterControl(
-            Identity(process.name, tools.incarnation, process.domain),
+            Identity(process.name, context.incarnation, process.domain),
             settings.sums,
             self._members,
             self._keeper,
@@ -151,7 +151,7 @@
             self,
             reactor,
         )
-        self._under_way: dict[RoutedCall, _Underway] = {}
+        self._under_way: dict[RoutedCall, _ActiveCall] = {}
         self._inbound: set[Link] = set()
         self._ports: list[Any] = []
         self._loops: list[Any] = []
@@ -238,10 +238,10 @@
         """Open the ports of callers and of links."""
         router = self._settings.router
         site = self._site()
-        reactor = self._tools.reactor
+        reactor = self._context.reactor
         self._ports = [
             reactor.listenTCP(router.port, site, interface=router.address),
-            self._tools.listen(
+            self._context.listen(
                 router.link_port,
                 LinkFactory(self._hello, self, reactor, self._settings.link),
                 router.address,
@@ -265,12 +265,12 @@
         if self._settings.platform.register:
             yield self._announce(is_leaving=False)
         yield self._control.start()
-        tools = self._tools
+        context = self._context
         self._loops = [
-            tools.repeat(self._settings.sums.interval, self._tick),
-            tools.repeat(CLOSE_IDLE_INTERVAL, self._close_idle),
+            context.repeat(self._settings.sums.interval, self._tick),
+            context.repeat(CLOSE_IDLE_INTERVAL_SECONDS, self._close_idle),
         ]
-        self._log(Event.PROCESS_STARTED, incarnation=tools.incarnation)
+        self._log(Event.PROCESS_STARTED, incarnation=context.incarnation)
 
     @inlineCallbacks
     def stop(self) -> Generator[Any, Any, None]:
@@ -289,7 +289,7 @@
             yield self._ports[0].stopListening()
         until = self.now() + self._settings.process.stop_within
         while self._under_way and self.now() < until:
-            yield self._tools.pause(STOP_POLL)
+            yield self._context.pause(STOP_POLL_SECONDS)
         if self._under_way:
             self._log(Event.STOP_CUT, under_way=len(self._under_way))
         for loop in self._loops:
@@ -305,7 +305,7 @@
 
     def now(self) -> float:
         """Return the present time in seconds."""
-        return float(self._tools.reactor.seconds())
+        return float(self._context.reactor.seconds())
 
     def limit(self, organisation: OrganisationRecord) -> float:
         """Count a request against a limit; see `CallGate.limit`."""
@@ -331,10 +331,10 @@
     ) -> None:
         """Route a call; see `CallGate.route`."""
         now = self.now()
-        tools = self._tools
-        hop = tools.tracing.start("router", request.traceparent, may_begin=True)
+        context = self._context
+        hop = context.tracing.start("router", request.traceparent, may_begin=True)
         request.traceparent = hop.traceparent
-        key = request.chat or str(tools.rng.getrandbits(RANDOM_BITS))
+        key = request.chat or str(context.rng.getrandbits(RANDOM_KEY_BITS))
         candidates = self._members.candidates(
             service.name,
             key,
@@ -349,17 +349,17 @@
             is_idempotent=request.is_idempotent,
             deadline=request.deadline,
             budget=self._budgets.of(request.organisation),
-            backoff=Backoff(self._settings.backoff, tools.rng),
+            backoff=Backoff(self._settings.backoff, context.rng),
         )
         call = RoutedCall(
             request,
             plan,
             sink,
             self._table,
-            tools.reactor,
+            context.reactor,
             self._settings.call,
         )
-        self._under_way[call] = _Underway(view.pin(), hop, now)
+        self._under_way[call] = _ActiveCall(view.pin(), hop, now)
         sink.bind(call)
         call.start()
 
@@ -378,14 +378,14 @@
 
     def call_ended(self, call: RoutedCall, report: CallReport) -> None:
         """Take in the end of a call; see `CallObserver.call_ended`."""
-        kept = self._under_way.pop(call, None)
-        if kept is None:
+        active = self._under_way.pop(call, None)
+        if active is None:
             return
-        kept.view.unpin()
-        self._tell_home(call, report)
-        self._measure(call, report, self.now() - kept.began)
+        active.view.unpin()
+        self._report_placement(call, report)
+        self._record_metrics(call, report, self.now() - active.start_time)
         reason = "" if report.reason is None else report.reason.name
-        kept.hop.end(
+        active.hop.end(
             outcome=report.outcome.name,
             reason=reason,
             attempts=report.attempts,
@@ -407,7 +407,7 @@
 
     def adopted(self, view: VersionView) -> None:
         """Log that a version is in force here."""
-        self._tools.metrics.gauge(Metric.VERSION, view.version)
+        self._context.metrics.gauge(Metric.VERSION, view.version)
         self._log(Event.VERSION_ADOPTED, version=view.version, digest=view.head.digest)
 
     def head_refused(self, error: HeadError) -> None:
@@ -462,16 +462,16 @@
             self._platform,
             self._keeper,
             HeadCheck(settings.approvers),
-            self._tools.reactor,
-            self._tools.wall_clock,
+            self._context.reactor,
+            self._context.wall_clock,
         )
         keys = OperatorKeys(settings.trust.operators, lambda: self._keeper.view)
-        resource = AdminResource(administration, keys, self.status, self._tools.log)
+        resource = AdminResource(administration, keys, self.status, self._context.log)
 
         class OperatorsRequest(BoundedRequest):
             """An operator's request."""
 
-        OperatorsRequest.body_limit = ADMIN_BODY_LIMIT
+        OperatorsRequest.body_limit = MAX_ADMIN_BODY_BYTES
         return QuietSite(resource, OperatorsRequest, settings.router.idle_timeout)
 
     @inlineCallbacks
@@ -486,7 +486,7 @@
         yield self._control.refresh_domains()
         return fleet_status(self._settings.process.name, self._keeper, self._control)
 
-    def _tell_home(self, call: RoutedCall, report: CallReport) -> None:
+    def _report_placement(self, call: RoutedCall, report: CallReport) -> None:
         """Tell a chat's first candidate where the chat was served instead."""
         chat = call.request.chat
         home = call.plan.home
@@ -498,8 +498,8 @@
         connecting = self._pool.get(home.endpoint)
         connecting.addCallbacks(lambda link: link.send(message), lambda _: None)
 
-    def _measure(self, call: RoutedCall, report: CallReport, seconds: float) -> None:
-        metrics = self._tools.metrics
+    def _record_metrics(self, call: RoutedCall, report: CallReport, seconds: float) -> None:
+        metrics = self._context.metrics
         metrics.count(Metric.CALLS)
         metrics.count(Metric.ATTEMPTS, report.attempts)
         metrics.timing(Metric.CALL_TIME, seconds)
@@ -521,7 +521,7 @@
 
     def _tick(self) -> None:
         self._control.tick()
-        metrics = self._tools.metrics
+        metrics = self._context.metrics
         metrics.gauge(Metric.CALLS_UNDER_WAY, len(self._under_way))
         metrics.gauge(Metric.LINKS, self._pool.size)
         metrics.gauge(Metric.STRAYS, self._table.strays)
@@ -546,7 +546,7 @@
             leaving=is_leaving,
             gone=is_leaving,
             version=0,
-            incarnation=self._tools.incarnation,
+            incarnation=self._context.incarnation,
         )
         announced = self._platform.announce(entry)
         announced.addErrback(
@@ -555,4 +555,4 @@
         return announced
 
     def _log(self, event: Event, **fields: Any) -> None:
-        self._tools.log.emit(event, **fields)
+        self._context.log.emit(event, **fields)
