--- a/src/primrosescale/process/daemons/router_control.py
+++ b/src/primrosescale/process/daemons/router_control.py
@@ -47,15 +47,15 @@
     from primrosescale.request.rate_limit import OrganisationLimiter
 
 HEAD_KEY = "config/head"
-WATCH_WAIT = 20.0
-WATCH_PAUSE = 1.0
-LIST_PAUSE = 2.0
-ORPHAN_AFTER = 5.0
+WATCH_TIMEOUT_SECONDS = 20.0
+RETRY_PAUSE_SECONDS = 1.0
+MIN_LIST_INTERVAL_SECONDS = 2.0
+AGGREGATOR_TIMEOUT_SECONDS = 5.0
 PERMILLE = 1000
-SERVED_HERE = 3
-DOMAINS_WANTED = 10.0
-REFRESH_TRIES = 3
-AGGREGATOR_KEY = "aggregators"
+MAX_PULLS_FROM_AGGREGATOR = 3
+DOMAIN_REPORTS_WANTED_SECONDS = 10.0
+MAX_REFRESH_INTERVALS = 3
+AGGREGATOR_HASH_KEY = "aggregators"
 
 
 @dataclass(frozen=True, slots=True)
@@ -176,8 +176,8 @@
         self._domains_at = -1.0e9
         self._domains_wanted_until = -1.0e9
         self._sequence = 0
-        self._served = 0
-        self._served_version = 0
+        self._assigned_pulls = 0
+        self._assigned_version = 0
         self._stored_head = NO_HEAD
         self._is_watching = False
         self._watch_revision = 0
@@ -185,7 +185,7 @@
         # Told of once a change, not with each reading of the list.
         self._unreadable: tuple[str, ...] = ()
         self._listed_at = -1.0e9
-        self._heard_at = clock.seconds()
+        self._last_reply_at = clock.seconds()
         self._is_stopped = False
 
     @property
@@ -211,10 +211,10 @@
             When they are fresh, or after a few intervals all the same.
         """
         now = self._clock.seconds()
-        self._domains_wanted_until = now + DOMAINS_WANTED
-        for _ in range(REFRESH_TRIES):
+        self._domains_wanted_until = now + DOMAIN_REPORTS_WANTED_SECONDS
+        for _ in range(MAX_REFRESH_INTERVALS):
             age = self._clock.seconds() - self._domains_at
-            if age <= REFRESH_TRIES * self._settings.interval:
+            if age <= MAX_REFRESH_INTERVALS * self._settings.interval:
                 return
             yield deferLater(cast("Any", self._clock), self._settings.interval)
 
@@ -258,14 +258,14 @@
             self._observer.news(notice)
         self._members.tick(now)
         aggregators = self._aggregators(self._identity.domain)
-        report = self._report(now)
+        report = self._make_report(now)
         self._domain.hear(report, now)
         others = [name for name in aggregators if name != self._identity.name]
         if others:
-            self._send_to_router(self._in_turn(others), report)
+            self._send_to_router(self._next_aggregator(others), report)
         if self._identity.name in aggregators:
             self._aggregate(now)
-        elif now - self._heard_at > ORPHAN_AFTER:
+        elif now - self._last_reply_at > AGGREGATOR_TIMEOUT_SECONDS:
             self._fall_back()
 
     def message(self, link: Link, message: Message) -> bool:
@@ -284,22 +284,22 @@
             False when it is not control traffic.
         """
         if isinstance(message, wire.Heartbeat):
-            self._heartbeat(link, message)
+            self._handle_heartbeat(link, message)
         elif isinstance(message, wire.PeerReport):
-            self._peer_report(link, message)
+            self._handle_peer_report(link, message)
         elif isinstance(message, wire.PeerReply):
-            self._peer_reply(link, message)
+            self._handle_peer_reply(link, message)
         elif isinstance(message, wire.DomainSums):
-            self._domain_sums(link, message)
+            self._handle_domain_sums(link, message)
         elif isinstance(message, wire.SectionRequest):
-            self._section_request(link, message)
+            self._handle_section_request(link, message)
         elif isinstance(message, wire.SectionReply):
             self._sources.of(link).reply(message)
         else:
             return False
         return True
 
-    def _report(self, now: float) -> wire.PeerReport:
+    def _make_report(self, now: float) -> wire.PeerReport:
         self._sequence += 1
         count = max(1, len(self._members.routers("", now)))
         demands = self._limiter.reports(count, now)
@@ -322,7 +322,7 @@
             wants_domains=now < self._domains_wanted_until,
         )
 
-    def _heartbeat(self, link: Link, beat: wire.Heartbeat) -> None:
+    def _handle_heartbeat(self, link: Link, beat: wire.Heartbeat) -> None:
         now = self._clock.seconds()
         notice = self._agents.hear(beat, now)
         if notice is not None:
@@ -360,10 +360,10 @@
             ),
         )
 
-    def _peer_report(self, link: Link, report: wire.PeerReport) -> None:
+    def _handle_peer_report(self, link: Link, report: wire.PeerReport) -> None:
         now = self._clock.seconds()
         for notice in self._domain.hear(report, now):
-            self._take_notice(notice, now)
+            self._apply_notice(notice, now)
         changes = self._changes.since(report.list_version)
         entries = changes
         if entries is None:
@@ -381,11 +381,11 @@
                 notices=self._fleet.notices(now),
                 rates=self._fleet.rates(now),
                 domains=self._fleet.domains(now) if report.wants_domains else [],
-                source=self._source_for(report),
+                source=self._pull_source_for(report),
             ),
         )
 
-    def _source_for(self, report: wire.PeerReport) -> str:
+    def _pull_source_for(self, report: wire.PeerReport) -> str:
         """Return whom a router should pull a new version from; empty for here.
 
         The first few pull from this aggregator, the others from those that
@@ -394,11 +394,11 @@
         version = self._keeper.version
         if report.version >= version:
             return ""
-        if self._served_version != version:
-            self._served_version = version
-            self._served = 0
-        self._served += 1
-        if self._served <= SERVED_HERE:
+        if self._assigned_version != version:
+            self._assigned_version = version
+            self._assigned_pulls = 0
+        self._assigned_pulls += 1
+        if self._assigned_pulls <= MAX_PULLS_FROM_AGGREGATOR:
             return ""
         names = [
             name
@@ -407,23 +407,23 @@
         ]
         if not names:
             return ""
-        member = self._members.get(names[self._served % len(names)])
+        member = self._members.get(names[self._assigned_pulls % len(names)])
         return "" if member is None else str(member.endpoint)
 
-    def _peer_reply(self, link: Link, reply: wire.PeerReply) -> None:
+    def _handle_peer_reply(self, link: Link, reply: wire.PeerReply) -> None:
         now = self._clock.seconds()
-        self._heard_at = now
+        self._last_reply_at = now
         if reply.source and reply.head.version:
             self._pull_from(reply)
         else:
-            self._hear_head(reply.head, link)
+            self._update_head(reply.head, link)
         if reply.list_gap:
-            self._list_later(now)
+            self._list_hosts_if_due(now)
         if reply.changes:
             version = reply.changes[-1].version
             self._members.take_list(reply.changes, version, now, is_full=False)
         for notice in reply.notices:
-            self._take_notice(notice, now)
+            self._apply_notice(notice, now)
         for rate in reply.rates:
             total = Demand(rate.organisation, rate.demand_permille / PERMILLE)
             self._limiter.hear_total(total, now)
@@ -438,23 +438,23 @@
         address, _, port = reply.source.rpartition(":")
         connecting = self._pool.get(Endpoint(address, int(port)))
         connecting.addCallbacks(
-            lambda link: self._hear_head(reply.head, link),
+            lambda link: self._update_head(reply.head, link),
             lambda _: None,
         )
 
-    def _domain_sums(self, link: Link, message: wire.DomainSums) -> None:
+    def _handle_domain_sums(self, link: Link, message: wire.DomainSums) -> None:
         now = self._clock.seconds()
-        self._hear_head(message.head, link)
+        self._update_head(message.head, link)
         self._fleet.hear(message.report, now)
         for notice in message.report.notices:
-            self._take_notice(notice, now)
+            self._apply_notice(notice, now)
 
-    def _section_request(self, link: Link, message: wire.SectionRequest) -> None:
+    def _handle_section_request(self, link: Link, message: wire.SectionRequest) -> None:
         section = self._keeper.section(message.digest)
         data = b"" if section is None else section.data
         link.send(wire.SectionReply(message.digest, section is not None, data))
 
-    def _take_notice(self, notice: wire.MemberNotice, now: float) -> None:
+    def _apply_notice(self, notice: wire.MemberNotice, now: float) -> None:
         if self._agents.hear_notice(notice, now):
             self._members.take_notice(notice, now)
 
@@ -466,7 +466,7 @@
         self._means_at = now
         self._domains = self._fleet.domains(now)
         self._domains_at = now
-        self._heard_at = now
+        self._last_reply_at = now
         for rate in self._fleet.rates(now):
             total = Demand(rate.organisation, rate.demand_permille / PERMILLE)
             self._limiter.hear_total(total, now)
@@ -476,13 +476,13 @@
             if self._identity.name in others:
                 others.remove(self._identity.name)
             if others:
-                self._send_to_router(self._in_turn(others), message)
+                self._send_to_router(self._next_aggregator(others), message)
         if self._stored_head.version > self._keeper.version:
             self._keeper.hear(self._stored_head, self._platform_source)
         self._watch()
-        self._list_later(now)
+        self._list_hosts_if_due(now)
 
-    def _in_turn(self, names: list[str]) -> str:
+    def _next_aggregator(self, names: list[str]) -> str:
         """Return one of the aggregators, another one each interval.
 
         Each of them hears every second report, and this router hears from
@@ -493,7 +493,7 @@
     def _aggregators(self, domain: str) -> list[str]:
         now = self._clock.seconds()
         names = [member.entry.name for member in self._members.routers(domain, now)]
-        return first_in_order(names, AGGREGATOR_KEY, AGGREGATORS)
+        return first_in_order(names, AGGREGATOR_HASH_KEY, AGGREGATORS)
 
     def _send_to_router(self, name: str, message: Message) -> None:
         member = self._members.get(name)
@@ -502,21 +502,21 @@
         connecting = self._pool.get(member.endpoint)
         connecting.addCallbacks(
             lambda link: link.send(message),
-            self._unreachable,
+            self._suspect_router,
             errbackArgs=(member,),
         )
 
-    def _unreachable(self, _: Any, member: Member) -> None:
+    def _suspect_router(self, _: Any, member: Member) -> None:
         self._members.suspect(member.entry.name, self._clock.seconds())
 
     def _fall_back(self) -> None:
         """Ask platform and seeds directly while no aggregator answers."""
         now = self._clock.seconds()
-        self._heard_at = now - ORPHAN_AFTER + WATCH_PAUSE
-        self._list_later(now)
+        self._last_reply_at = now - AGGREGATOR_TIMEOUT_SECONDS + RETRY_PAUSE_SECONDS
+        self._list_hosts_if_due(now)
         reading = self._read_head()
-        reading.addErrback(self._platform_trouble)
-        report = self._report(now)
+        reading.addErrback(self._report_platform_failure)
+        report = self._make_report(now)
         for endpoint in self._seeds:
             asked = self._pool.get(endpoint)
             asked.addCallbacks(
@@ -524,8 +524,8 @@
                 lambda _: None,
             )
 
-    def _list_later(self, now: float) -> None:
-        if not self._is_listing and now - self._listed_at >= LIST_PAUSE:
+    def _list_hosts_if_due(self, now: float) -> None:
+        if not self._is_listing and now - self._listed_at >= MIN_LIST_INTERVAL_SECONDS:
             self._list_hosts()
 
     @inlineCallbacks
@@ -553,39 +553,39 @@
     def _read_head(self) -> Generator[Any, Any, None]:
         found = yield self._platform.get(HEAD_KEY)
         if found is not None:
-            yield self._take_stored_head(found.value)
+            yield self._update_stored_head(found.value)
 
     def _watch(self) -> None:
         """Wait for the next accepted version at the platform."""
         if self._is_watching or self._is_stopped:
             return
         self._is_watching = True
-        watching = self._platform.watch(HEAD_KEY, self._watch_revision, WATCH_WAIT)
-        watching.addCallbacks(self._watched, self._watch_failed)
-        watching.addBoth(self._watch_again)
+        watching = self._platform.watch(HEAD_KEY, self._watch_revision, WATCH_TIMEOUT_SECONDS)
+        watching.addCallbacks(self._watch_succeeded, self._watch_failed)
+        watching.addBoth(self._schedule_watch)
 
-    def _watched(self, found: Any) -> None:
+    def _watch_succeeded(self, found: Any) -> None:
         self._watch_revision = found.revision
         if found.changes:
-            self._take_stored_head(found.changes[-1].value)
+            self._update_stored_head(found.changes[-1].value)
 
     def _watch_failed(self, failure: Any) -> float:
-        self._platform_trouble(failure)
-        return WATCH_PAUSE
+        self._report_platform_failure(failure)
+        return RETRY_PAUSE_SECONDS
 
-    def _watch_again(self, pause: Any) -> None:
-        self._clock.callLater(pause or 0.0, self._end_watch)
+    def _schedule_watch(self, pause: Any) -> None:
+        self._clock.callLater(pause or 0.0, self._restart_watch)
 
-    def _end_watch(self) -> None:
+    def _restart_watch(self) -> None:
         self._is_watching = False
         if self.is_aggregator:
             self._watch()
 
-    def _platform_trouble(self, failure: Any) -> None:
+    def _report_platform_failure(self, failure: Any) -> None:
         failure.trap(PlatformError)
         self._observer.platform_failed(failure.getErrorMessage())
 
-    def _take_stored_head(self, data: bytes) -> Any:
+    def _update_stored_head(self, data: bytes) -> Any:
         try:
             head = VersionHead.decode(data)
         except HeadError as error:
@@ -599,6 +599,6 @@
         head = self._keeper.head
         return to_wire(head if head.version > version else NO_HEAD)
 
-    def _hear_head(self, head: wire.Head, link: Link) -> None:
+    def _update_head(self, head: wire.Head, link: Link) -> None:
         if head.version:
             self._keeper.hear(from_wire(head), self._sources.of(link))
