--- a/src/primrosescale/console/application.py
+++ b/src/primrosescale/console/application.py
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from primrosescale.console.command import Command
 
-HELP_WORDS = frozenset({"help", "--help", "-h", "-help"})
+HELP_ARGUMENTS = frozenset({"help", "--help", "-h", "-help"})
 CODE_BY_ERROR: tuple[tuple[type[PrimrosescaleError], ExitCode], ...] = (
     (UsageError, ExitCode.USAGE),
     (RefusedByApiError, ExitCode.REFUSED),
@@ -58,12 +58,12 @@
     ]
 
 
-def run(words: list[str]) -> ExitCode:
+def run(args: list[str]) -> ExitCode:
     """Run the command that some words name.
 
     Parameters
     ----------
-    words : list[str]
+    args : list[str]
         The words after the program's name.
 
     Returns
@@ -72,30 +72,30 @@
         How it ended.
     """
     known = {command.name: command for command in commands()}
-    if not words or words[0] in HELP_WORDS:
+    if not args or args[0] in HELP_ARGUMENTS:
         _print(_overview(list(known.values())))
-        return ExitCode.OK if words else ExitCode.USAGE
-    command = known.get(words[0])
+        return ExitCode.OK if args else ExitCode.USAGE
+    command = known.get(args[0])
     if command is None:
-        _complain(f"no command {words[0]!r}; use one of {', '.join(known)}")
+        _print_error(f"no command {args[0]!r}; use one of {', '.join(known)}")
         return ExitCode.USAGE
     values = flags.FlagValues()  # type: ignore[no-untyped-call]
     command.define(values)
-    if any(word in HELP_WORDS for word in words[1:]):
+    if any(arg in HELP_ARGUMENTS for arg in args[1:]):
         _print(command.help(values))
         return ExitCode.OK
     try:
-        rest = values([command.name, *words[1:]])[1:]
+        rest = values([command.name, *args[1:]])[1:]
         return command.run(values, rest)
     except flags.Error as error:
-        _complain(f"{error}; see 'primrosescale {command.name} --help'")
+        _print_error(f"{error}; see 'primrosescale {command.name} --help'")
         return ExitCode.USAGE
     except FaultsError as error:
         for fault in error.exceptions:
-            _complain(str(fault))
+            _print_error(str(fault))
         return ExitCode.BAD_SETTINGS
     except PrimrosescaleError as error:
-        _complain(str(error))
+        _print_error(str(error))
         return next(code for kind, code in CODE_BY_ERROR if isinstance(error, kind))
 
 
@@ -115,5 +115,5 @@
     sys.stdout.write(text + "\n")
 
 
-def _complain(text: str) -> None:
+def _print_error(text: str) -> None:
     sys.stderr.write(f"primrosescale: {text}\n")
--- a/src/primrosescale/console/command.py
+++ b/src/primrosescale/console/command.py
@@ -45,14 +45,14 @@
         """
 
     @abstractmethod
-    def run(self, values: flags.FlagValues, words: list[str]) -> ExitCode:
+    def run(self, values: flags.FlagValues, args: list[str]) -> ExitCode:
         """Do what the command is for.
 
         Parameters
         ----------
         values : flags.FlagValues
             Parsed flags.
-        words : list[str]
+        args : list[str]
             The other words.
 
         Returns
--- a/src/primrosescale/console/commands/agent.py
+++ b/src/primrosescale/console/commands/agent.py
@@ -31,8 +31,8 @@
         """Return one line that calls it."""
         return "primrosescale agent --settings settings/riga/agent-assistant-1.ini"
 
-    def make(self, settings: Settings, tools: Tools, platform: Platform) -> Agent:
+    def make(self, settings: Settings, context: Tools, platform: Platform) -> Agent:
         """Build an agent."""
         from primrosescale.process.daemons.agent import Agent  # noqa: PLC0415
 
-        return Agent(settings, tools, platform)
+        return Agent(settings, context, platform)
--- a/src/primrosescale/console/commands/bundle.py
+++ b/src/primrosescale/console/commands/bundle.py
@@ -24,7 +24,7 @@
     from collections.abc import Callable
 
 KEY_BYTES = 32
-SHORT = 12
+SHORT_DIGEST_CHARACTERS = 12
 FORMATS = ("text", "json")
 
 
@@ -92,7 +92,7 @@
             flag_values=values,
         )
 
-    def run(self, values: flags.FlagValues, words: list[str]) -> ExitCode:
+    def run(self, values: flags.FlagValues, args: list[str]) -> ExitCode:
         """Run the verb that the first word names."""
         verbs: dict[str, Callable[[flags.FlagValues, list[str]], None]] = {
             "check": self._check,
@@ -108,48 +108,48 @@
             "keygen": self._keygen,
             "hash-key": self._hash_key,
         }
-        if not words or words[0] not in verbs:
+        if not args or args[0] not in verbs:
             raise UsageError("no such verb", f"use one of {', '.join(verbs)}")
-        verbs[words[0]](values, words[1:])
+        verbs[args[0]](values, args[1:])
         return ExitCode.OK
 
-    def _check(self, values: flags.FlagValues, words: list[str]) -> None:
-        path = _one(words, "FILE")
+    def _check(self, values: flags.FlagValues, args: list[str]) -> None:
+        path = _single_argument(args, "FILE")
         bundle = Bundle.from_ini(_read(path), path)
         _write(f"{path}: good, {len(bundle.records)} records")
 
-    def _create(self, values: flags.FlagValues, words: list[str]) -> None:
-        path = _one(words, "FILE")
+    def _create(self, values: flags.FlagValues, args: list[str]) -> None:
+        path = _single_argument(args, "FILE")
         text = _read(path)
         Bundle.from_ini(text, path)
         reply = _client(values).create(text, str(values["base"].value))
         _print(values, reply, _info_line)
 
-    def _show(self, values: flags.FlagValues, words: list[str]) -> None:
-        reply = _client(values).get(f"bundles/{_one(words, 'VERSION')}")
+    def _show(self, values: flags.FlagValues, args: list[str]) -> None:
+        reply = _client(values).get(f"bundles/{_single_argument(args, 'VERSION')}")
         _print(values, reply, lambda fields: str(fields["ini"]).rstrip())
 
-    def _diff(self, values: flags.FlagValues, words: list[str]) -> None:
-        if not words:
+    def _diff(self, values: flags.FlagValues, args: list[str]) -> None:
+        if not args:
             raise UsageError("no version named", "write one or two versions")
-        query = f"?with={words[1]}" if len(words) > 1 else ""
-        reply = _client(values).get(f"bundles/{words[0]}/diff{query}")
+        query = f"?with={args[1]}" if len(args) > 1 else ""
+        reply = _client(values).get(f"bundles/{args[0]}/diff{query}")
         _print(values, reply, lambda f: str(f["diff"]).rstrip() or "no difference")
 
-    def _sign(self, values: flags.FlagValues, words: list[str]) -> None:
-        digest = _one(words, "DIGEST")
+    def _sign(self, values: flags.FlagValues, args: list[str]) -> None:
+        digest = _single_argument(args, "DIGEST")
         key = _signing_key(str(values["signing_key"].value))
         reply = _client(values).sign(digest, sign(digest, key))
         _print(values, reply, _info_line)
 
-    def _roll_out(self, values: flags.FlagValues, words: list[str]) -> None:
-        reply = _client(values).post("head", {"digest": _one(words, "DIGEST")})
+    def _roll_out(self, values: flags.FlagValues, args: list[str]) -> None:
+        reply = _client(values).post("head", {"digest": _single_argument(args, "DIGEST")})
         _print(values, reply, _info_line)
 
-    def _status(self, values: flags.FlagValues, words: list[str]) -> None:
+    def _status(self, values: flags.FlagValues, args: list[str]) -> None:
         _print(values, _client(values).get("status"), _status_text)
 
-    def _history(self, values: flags.FlagValues, words: list[str]) -> None:
+    def _history(self, values: flags.FlagValues, args: list[str]) -> None:
         reply = _client(values).get("bundles")
         _print(
             values,
@@ -157,11 +157,11 @@
             lambda fields: "\n".join(_info_line(item) for item in fields["bundles"]),
         )
 
-    def _revert_to(self, values: flags.FlagValues, words: list[str]) -> None:
-        reply = _client(values).post("revert", {"to": _one(words, "VERSION")})
+    def _revert_to(self, values: flags.FlagValues, args: list[str]) -> None:
+        reply = _client(values).post("revert", {"to": _single_argument(args, "VERSION")})
         _print(values, reply, _info_line)
 
-    def _audit(self, values: flags.FlagValues, words: list[str]) -> None:
+    def _audit(self, values: flags.FlagValues, args: list[str]) -> None:
         reply = _client(values).get("audit")
         _print(
             values,
@@ -169,13 +169,13 @@
             lambda fields: "\n".join(_audit_line(item) for item in fields["entries"]),
         )
 
-    def _keygen(self, values: flags.FlagValues, words: list[str]) -> None:
+    def _keygen(self, values: flags.FlagValues, args: list[str]) -> None:
         key = Ed25519PrivateKey.generate()
         private = base64.b64encode(key.private_bytes_raw()).decode()
         public = base64.b64encode(key.public_key().public_bytes_raw()).decode()
         _write(f"private {private}\npublic {public}")
 
-    def _hash_key(self, values: flags.FlagValues, words: list[str]) -> None:
+    def _hash_key(self, values: flags.FlagValues, args: list[str]) -> None:
         key = sys.stdin.readline().strip()
         if not key:
             raise UsageError(
@@ -194,9 +194,9 @@
 def _signing_key(path: str) -> bytes:
     if not path:
         raise UsageError("no signing key", "name its file with --signing_key")
-    words = _read(path).split()
+    args = _read(path).split()
     text = (
-        words[1] if words[:1] == ["private"] and len(words) > 1 else "".join(words[:1])
+        args[1] if args[:1] == ["private"] and len(args) > 1 else "".join(args[:1])
     )
     try:
         key = base64.b64decode(text, validate=True)
@@ -218,10 +218,10 @@
         ) from error
 
 
-def _one(words: list[str], name: str) -> str:
-    if len(words) != 1:
+def _single_argument(args: list[str], name: str) -> str:
+    if len(args) != 1:
         raise UsageError(f"one {name} is needed", "see 'primrosescale bundle --help'")
-    return words[0]
+    return args[0]
 
 
 def _print(
@@ -250,7 +250,7 @@
 def _status_text(fields: dict[str, Any]) -> str:
     where = "everywhere" if fields["in_force_everywhere"] else "not everywhere yet"
     lines = [
-        f"version {fields['version']} ({fields['digest'][:SHORT]}) is in force {where}",
+        f"version {fields['version']} ({fields['digest'][:SHORT_DIGEST_CHARACTERS]}) is in force {where}",
         f"as router {fields['router']} heard {fields['news_age']} s ago",
     ]
     for item in fields["domains"]:
--- a/src/primrosescale/console/commands/check.py
+++ b/src/primrosescale/console/commands/check.py
@@ -39,12 +39,12 @@
         """Return the words it takes."""
         return "FILE..."
 
-    def run(self, values: flags.FlagValues, words: list[str]) -> ExitCode:
+    def run(self, values: flags.FlagValues, args: list[str]) -> ExitCode:
         """Check each file."""
-        if not words:
+        if not args:
             raise UsageError("no file to check", "name one or more")
         result = ExitCode.OK
-        for path in words:
+        for path in args:
             faults = _faults_of(path)
             for fault in faults:
                 sys.stdout.write(f"{path}: {fault}\n")
--- a/src/primrosescale/console/commands/demo.py
+++ b/src/primrosescale/console/commands/demo.py
@@ -54,7 +54,7 @@
             flag_values=values,
         )
 
-    def run(self, values: flags.FlagValues, words: list[str]) -> ExitCode:
+    def run(self, values: flags.FlagValues, args: list[str]) -> ExitCode:
         """Run it and say what came of it."""
         from twisted.internet import reactor as installed  # noqa: PLC0415
 
@@ -63,11 +63,11 @@
         path.unlink(missing_ok=True)
         log = LogFile(str(path))
         result = [ExitCode.FAILED]
-        job = self._serve if values["serve"].value else self._job
+        job = self._serve if values["serve"].value else self._run_demo
 
         def begin() -> None:
             done = job(reactor, result)
-            done.addErrback(_complain)
+            done.addErrback(_print_error)
             done.addBoth(lambda _: reactor.stop() if reactor.running else None)
 
         reactor.callWhenRunning(begin)
@@ -77,7 +77,7 @@
         return result[0]
 
     @inlineCallbacks
-    def _job(self, reactor: Any, result: list[ExitCode]) -> Generator[Any, Any, None]:
+    def _run_demo(self, reactor: Any, result: list[ExitCode]) -> Generator[Any, Any, None]:
         from primrosescale.standin.demo_run import DemoRun  # noqa: PLC0415
         from primrosescale.standin.deployment import Deployment  # noqa: PLC0415
         from primrosescale.standin.http_caller import HttpCaller  # noqa: PLC0415
@@ -102,7 +102,7 @@
         caller = HttpCaller(reactor)
         deployment = Deployment(reactor)
         yield deployment.start(caller)
-        sys.stdout.write(_how_to_call(deployment))
+        sys.stdout.write(_usage_examples(deployment))
         sys.stdout.flush()
         stopping: Deferred[None] = Deferred()
         reactor.addSystemEventTrigger("before", "shutdown", _stop, deployment, result)
@@ -114,11 +114,11 @@
     return deployment.stop()
 
 
-def _complain(failure: Any) -> None:
+def _print_error(failure: Any) -> None:
     sys.stderr.write(f"primrosescale: demo failed: {failure.getTraceback()}\n")
 
 
-def _how_to_call(deployment: Deployment) -> str:
+def _usage_examples(deployment: Deployment) -> str:
     from primrosescale.standin.deployment import AUTHOR_KEY  # noqa: PLC0415
     from primrosescale.standin.deployment import MODEL  # noqa: PLC0415
     from primrosescale.standin.deployment import organisation_key  # noqa: PLC0415
--- a/src/primrosescale/console/commands/engine.py
+++ b/src/primrosescale/console/commands/engine.py
@@ -38,7 +38,7 @@
         """Define its flags."""
         define_settings(values)
 
-    def run(self, values: flags.FlagValues, words: list[str]) -> ExitCode:
+    def run(self, values: flags.FlagValues, args: list[str]) -> ExitCode:
         """Run until told to stop."""
         settings = settings_for(values, self.name)
         from primrosescale.standin.engine import EngineResource  # noqa: PLC0415
--- a/src/primrosescale/console/commands/platform.py
+++ b/src/primrosescale/console/commands/platform.py
@@ -38,7 +38,7 @@
         """Define its flags."""
         define_settings(values)
 
-    def run(self, values: flags.FlagValues, words: list[str]) -> ExitCode:
+    def run(self, values: flags.FlagValues, args: list[str]) -> ExitCode:
         """Run until told to stop."""
         settings = settings_for(values, self.name)
         from primrosescale.standin.memory_platform import MemoryPlatform  # noqa: PLC0415
--- a/src/primrosescale/console/commands/router.py
+++ b/src/primrosescale/console/commands/router.py
@@ -31,8 +31,8 @@
         """Return one line that calls it."""
         return "primrosescale router --settings settings/riga/router-1.ini"
 
-    def make(self, settings: Settings, tools: Tools, platform: Platform) -> Router:
+    def make(self, settings: Settings, context: Tools, platform: Platform) -> Router:
         """Build a router."""
         from primrosescale.process.daemons.router import Router  # noqa: PLC0415
 
-        return Router(settings, tools, platform)
+        return Router(settings, context, platform)
--- a/src/primrosescale/console/commands/service.py
+++ b/src/primrosescale/console/commands/service.py
@@ -39,7 +39,7 @@
         """Define its flags."""
         define_settings(values)
 
-    def run(self, values: flags.FlagValues, words: list[str]) -> ExitCode:
+    def run(self, values: flags.FlagValues, args: list[str]) -> ExitCode:
         """Run until told to stop."""
         settings = settings_for(values, self.name)
         from primrosescale.standin.plain_service import PlainServiceResource  # noqa: PLC0415
--- a/src/primrosescale/console/commands/version.py
+++ b/src/primrosescale/console/commands/version.py
@@ -32,7 +32,7 @@
         """Return one line that calls it."""
         return "primrosescale version"
 
-    def run(self, values: flags.FlagValues, words: list[str]) -> ExitCode:
+    def run(self, values: flags.FlagValues, args: list[str]) -> ExitCode:
         """Print it."""
         python = platform.python_version()
         sys.stdout.write(f"primrosescale {__version__} (Python {python})\n")
--- a/src/primrosescale/console/daemon_command.py
+++ b/src/primrosescale/console/daemon_command.py
@@ -35,7 +35,7 @@
     def make(
         self,
         settings: Settings,
-        tools: Tools,
+        context: Tools,
         platform: Platform,
     ) -> Router | Agent:
         """Build the daemon.
@@ -44,7 +44,7 @@
         ----------
         settings : Settings
             Its settings.
-        tools : Tools
+        context : Tools
             Reactor, log, metrics and traces.
         platform : Platform
             The platform's service.
@@ -55,7 +55,7 @@
             The daemon, not started.
         """
 
-    def run(self, values: flags.FlagValues, words: list[str]) -> ExitCode:
+    def run(self, values: flags.FlagValues, args: list[str]) -> ExitCode:
         """Run until told to stop."""
         settings = settings_for(values, self.name)
         from twisted.internet import reactor  # noqa: PLC0415
--- a/src/primrosescale/console/daemons.py
+++ b/src/primrosescale/console/daemons.py
@@ -22,7 +22,7 @@
 
     from primrosescale.process.settings import Settings
 
-COLLECT_AFTER = 20_000
+GC_THRESHOLD_OBJECTS = 20_000
 
 
 def define_settings(values: flags.FlagValues) -> None:
@@ -126,7 +126,7 @@
             return
         started.addErrback(fail)
         gc.freeze()
-        gc.set_threshold(COLLECT_AFTER)
+        gc.set_threshold(GC_THRESHOLD_OBJECTS)
 
     reactor.callWhenRunning(begin)
     reactor.run(installSignalHandlers=False)
