--- a/src/primrosescale/console/admin_client.py
+++ b/src/primrosescale/console/admin_client.py
@@ -10,8 +10,8 @@
 from primrosescale.console.exceptions import UnreachableError
 
 PREFIX = "/admin/v1/"
-TIMEOUT = 120.0
-FIRST_ERROR = 400
+TIMEOUT_SECONDS = 120.0
+FIRST_ERROR_STATUS = 400
 
 
 class AdminClient:
@@ -106,7 +106,7 @@
     ) -> dict[str, Any]:
         sent = {"Authorization": f"Bearer {self._key}", **headers}
         try:
-            connection = http.client.HTTPConnection(self._endpoint, timeout=TIMEOUT)
+            connection = http.client.HTTPConnection(self._endpoint, timeout=TIMEOUT_SECONDS)
             connection.request(method, PREFIX + path, body.encode(), sent)
             response = connection.getresponse()
             content = response.read()
@@ -120,7 +120,7 @@
             fields: dict[str, Any] = json.loads(content)
         except ValueError:
             fields = {"title": content.decode("utf-8", "replace")[:200]}
-        if response.status >= FIRST_ERROR:
+        if response.status >= FIRST_ERROR_STATUS:
             raise _refusal(response.status, fields)
         return fields
 
