--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -47,9 +47,9 @@
     world = World(service="case" if kind == "keyed" else "chat")
     world.subject = SUBJECT
     if any(step == "queue" for step, _ in injections):
-        _fill(world)
+        _occupy_slots(world)
     for step, fault in injections:
-        _arm(world, step, fault)
+        _inject_at(world, step, fault)
     _submit(world, kind, SUBJECT, "r1")
     world.run(0.5)
     _submit(world, kind, "neighbour", "r2")
@@ -63,7 +63,7 @@
     return world
 
 
-def _fill(world):
+def _occupy_slots(world):
     """Keep every slot busy for a while, so that the subject waits."""
     chat = "c" if world.service == "chat" else ""
     waves = 1.5 if chat else 3
@@ -74,22 +74,22 @@
     world.run(0.1)
 
 
-def _arm(world, step, fault):
-    def strike(party):
+def _inject_at(world, step, fault):
+    def inject(party):
         name = getattr(party, "name", None)
         if name is None and party is not None:
             name = party._settings.process.name
-        world.struck.append((step, fault))
+        world.injected.append((step, fault))
         FAULTS[fault](world, name or _serving(world))
 
     if not hasattr(world, "struck"):
-        world.struck = []
+        world.injected = []
     previous = world.hooks.get((step, SUBJECT))
 
     def both(party):
         if previous is not None:
             previous(party)
-        strike(party)
+        inject(party)
 
     world.on(step, SUBJECT, both)
 
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -40,9 +40,9 @@
 from support.memory_network import MemoryDialer
 from support.memory_network import MemoryNetwork
 
-STEP = 0.01
+STEP_SECONDS = 0.01
 # Heads of a target's answers by its mode.
-FAILURES = {
+FAILURE_HEADS = {
     "error": (500, []),
     "rest": (503, [wire.Header("Retry-After", "3")]),
 }
@@ -117,7 +117,7 @@
         return FakePort(self.world.network, 0)
 
 
-class MemoryTools(Tools):
+class MemoryContext(Tools):
     """Tools whose links and targets are in memory."""
 
     def __init__(self, settings, world, life):
@@ -192,8 +192,8 @@
             return run
         key = "" if call.idempotent else call.key
         story = self.world.attempts[call.router, call.number]
-        run_of = Run(self.name, self.life, story.name, key, clock.seconds())
-        self.world.history.run(run_of)
+        target_run = Run(self.name, self.life, story.name, key, clock.seconds())
+        self.world.history.run(target_run)
         self.world.reached("hand to target", name, self)
         clock.callLater(self.gap, self._piece, run, 0, self.life)
         return run
@@ -206,9 +206,9 @@
             run.is_over = True
             run.receiver.target_failed(Outcome.UNKNOWN, "target died")
             return
-        if self.mode in FAILURES:
+        if self.mode in FAILURE_HEADS:
             run.is_over = True
-            run.receiver.target_head(*FAILURES[self.mode])
+            run.receiver.target_head(*FAILURE_HEADS[self.mode])
             run.receiver.target_done(0)
             return
         data = expected_body(name)
@@ -250,7 +250,7 @@
         return succeed(None)
 
 
-class StorySink(AnswerSink):
+class RecordingSink(AnswerSink):
     """A caller that writes down what it gets."""
 
     def __init__(self, world, story, is_streamed):
@@ -340,8 +340,8 @@
     # What happens.
 
     def run(self, seconds):
-        for _ in range(round(seconds / STEP)):
-            self.clock.advance(STEP)
+        for _ in range(round(seconds / STEP_SECONDS)):
+            self.clock.advance(STEP_SECONDS)
 
     def reached(self, step, call, target=None):
         hook = self.hooks.get((step, call))
@@ -385,8 +385,8 @@
         text = "[router]\nport = 0\nadmin_port = 0\nlink_port = 0\n"
         text += f"seeds = {seeds}\n" if seeds else ""
         settings = self.settings(name, "router", text)
-        tools = MemoryTools(settings, self, life)
-        router = Router(settings, tools, self.platform(tools.owner))
+        context = MemoryContext(settings, self, life)
+        router = Router(settings, context, self.platform(context.owner))
         adopted = router.adopted
 
         def adopt(view):
@@ -439,8 +439,8 @@
             f"routers = {seeds}\n"
         )
         settings = self.settings(name, "agent", text)
-        tools = MemoryTools(settings, self, life)
-        agent = Agent(settings, tools, self.platform(tools.owner))
+        context = MemoryContext(settings, self, life)
+        agent = Agent(settings, context, self.platform(context.owner))
         self._watch(agent, name, life)
         agent.listen()
         self.agents[name] = agent
@@ -602,11 +602,11 @@
         if self.is_process_dead(router):
             story.caller_gone = True
             return story
-        chosen.route(request, service, view, StorySinkAdapter(self, story, is_streamed))
+        chosen.route(request, service, view, BindableSink(self, story, is_streamed))
         return story
 
 
-class StorySinkAdapter(StorySink):
+class BindableSink(RecordingSink):
     """A sink that a router can bind to its call."""
 
     def bind(self, call):
