--- a/tests/process/test_processes.py
+++ b/tests/process/test_processes.py
@@ -19,8 +19,8 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 RIGA = ROOT / "settings/riga"
-PATIENCE = 60.0
-LOG_END = 4000
+TIMEOUT_SECONDS = 60.0
+MAX_LOG_CHARACTERS = 4000
 OLD_PORTS = (8010, 8011, 8012, 8020, 8021, 8022, 8030, 8031, 8032, 8070, 8201, 8251)
 
 
@@ -48,18 +48,18 @@
 
     def output(self):
         """Return what became of each process and the end of what it wrote."""
-        told = []
+        reports = []
         for name, child in self.children.items():
             log = (self.folder / f"{name}.log").read_text(errors="replace")
-            told.append(f"{name}, status {child.poll()}:\n{log[-LOG_END:]}")
-        return "\n".join(told)
+            reports.append(f"{name}, status {child.poll()}:\n{log[-MAX_LOG_CHARACTERS:]}")
+        return "\n".join(reports)
 
     def start(self, role, name):
         log = (self.folder / f"{name}.log").open("wb")
         self.addCleanup(log.close)
-        words = [sys.executable, "-m", "primrosescale", role]
+        arguments = [sys.executable, "-m", "primrosescale", role]
         self.children[name] = subprocess.Popen(
-            [*words, "--settings", str(self.folder / f"{name}.ini")],
+            [*arguments, "--settings", str(self.folder / f"{name}.ini")],
             stdout=log,
             stderr=log,
         )
@@ -67,13 +67,13 @@
     def stop(self, name):
         child = self.children[name]
         child.send_signal(signal.SIGTERM)
-        return child.wait(PATIENCE)
+        return child.wait(TIMEOUT_SECONDS)
 
-    def bundle(self, token, *words):
+    def bundle(self, token, *arguments):
         found = subprocess.run(
             [
                 *(sys.executable, "-m", "primrosescale", "bundle"),
-                *words,
+                *arguments,
                 f"--admin=127.0.0.1:{self.ports[8011]}",
                 f"--key_file={self.folder / token}",
                 f"--signing_key={self.folder / 'approver.key'}",
@@ -99,7 +99,7 @@
             connection.close()
 
     def wait_for(self, check):
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + TIMEOUT_SECONDS
         while time.monotonic() < until:
             with contextlib.suppress(OSError, http.client.HTTPException):
                 if check():
