--- a/tests/support/memory_network.py
+++ b/tests/support/memory_network.py
@@ -16,8 +16,8 @@
 if TYPE_CHECKING:
     from primrosescale.connection.endpoint import Endpoint
 
-LATENCY = 0.001
-DIAL_TIMEOUT = 1.0
+LATENCY_SECONDS = 0.001
+DIAL_TIMEOUT_SECONDS = 1.0
 
 
 class Pipe:
@@ -36,7 +36,7 @@
         if self.is_silent or self.network.is_cut(self.source, self.sink):
             return
         clock = self.network.clock
-        due = max(clock.seconds() + LATENCY + self.extra_delay, self.last_due)
+        due = max(clock.seconds() + LATENCY_SECONDS + self.extra_delay, self.last_due)
         self.last_due = due
         clock.callLater(due - clock.seconds(), self.sink.deliver, data)
 
@@ -85,7 +85,7 @@
         clock.callLater(0, self.protocol.connectionLost, Failure(reason))
         silent = self.pipe.is_silent or self.network.is_cut(self, self.other)
         if not silent:
-            due = max(self.pipe.last_due - clock.seconds(), 0.0) + LATENCY
+            due = max(self.pipe.last_due - clock.seconds(), 0.0) + LATENCY_SECONDS
             clock.callLater(due, self.other.peer_closed)
 
     def peer_closed(self):
@@ -160,7 +160,7 @@
         for transport in self.transports:
             if transport.owner == owner and not transport.other.is_closed:
                 transport.is_closed = True
-                self.clock.callLater(LATENCY, transport.other.peer_closed)
+                self.clock.callLater(LATENCY_SECONDS, transport.other.peer_closed)
 
     def freeze(self, owner):
         self.frozen.add(owner)
@@ -217,11 +217,11 @@
             if found is None:
                 refused = DialError(str(endpoint), "refused")
                 wait = (
-                    0.0 if endpoint.port not in self.network.listening else DIAL_TIMEOUT
+                    0.0 if endpoint.port not in self.network.listening else DIAL_TIMEOUT_SECONDS
                 )
                 self.network.clock.callLater(wait, result.errback, Failure(refused))
             else:
                 result.callback(link)
 
-        self.network.clock.callLater(LATENCY, open_now)
+        self.network.clock.callLater(LATENCY_SECONDS, open_now)
         return result
