--- a/src/primrosescale/console/admin_client.py
+++ b/src/primrosescale/console/admin_client.py
@@ -106,7 +106,9 @@
     ) -> dict[str, Any]:
         sent = {"Authorization": f"Bearer {self._key}", **headers}
         try:
-            connection = http.client.HTTPConnection(self._endpoint, timeout=TIMEOUT_SECONDS)
+            connection = http.client.HTTPConnection(
+                self._endpoint, timeout=TIMEOUT_SECONDS
+            )
             connection.request(method, PREFIX + path, body.encode(), sent)
             response = connection.getresponse()
             content = response.read()
--- a/src/primrosescale/console/commands/bundle.py
+++ b/src/primrosescale/console/commands/bundle.py
@@ -143,7 +143,9 @@
         _print(values, reply, _info_line)
 
     def _roll_out(self, values: flags.FlagValues, args: list[str]) -> None:
-        reply = _client(values).post("head", {"digest": _single_argument(args, "DIGEST")})
+        reply = _client(values).post(
+            "head", {"digest": _single_argument(args, "DIGEST")}
+        )
         _print(values, reply, _info_line)
 
     def _status(self, values: flags.FlagValues, args: list[str]) -> None:
@@ -158,7 +160,9 @@
         )
 
     def _revert_to(self, values: flags.FlagValues, args: list[str]) -> None:
-        reply = _client(values).post("revert", {"to": _single_argument(args, "VERSION")})
+        reply = _client(values).post(
+            "revert", {"to": _single_argument(args, "VERSION")}
+        )
         _print(values, reply, _info_line)
 
     def _audit(self, values: flags.FlagValues, args: list[str]) -> None:
@@ -195,9 +199,7 @@
     if not path:
         raise UsageError("no signing key", "name its file with --signing_key")
     args = _read(path).split()
-    text = (
-        args[1] if args[:1] == ["private"] and len(args) > 1 else "".join(args[:1])
-    )
+    text = args[1] if args[:1] == ["private"] and len(args) > 1 else "".join(args[:1])
     try:
         key = base64.b64decode(text, validate=True)
     except ValueError:
@@ -250,7 +252,8 @@
 def _status_text(fields: dict[str, Any]) -> str:
     where = "everywhere" if fields["in_force_everywhere"] else "not everywhere yet"
     lines = [
-        f"version {fields['version']} ({fields['digest'][:SHORT_DIGEST_CHARACTERS]}) is in force {where}",
+        f"version {fields['version']} ({fields['digest'][:SHORT_DIGEST_CHARACTERS]}) "
+        f"is in force {where}",
         f"as router {fields['router']} heard {fields['news_age']} s ago",
     ]
     for item in fields["domains"]:
--- a/src/primrosescale/console/commands/demo.py
+++ b/src/primrosescale/console/commands/demo.py
@@ -77,7 +77,9 @@
         return result[0]
 
     @inlineCallbacks
-    def _run_demo(self, reactor: Any, result: list[ExitCode]) -> Generator[Any, Any, None]:
+    def _run_demo(
+        self, reactor: Any, result: list[ExitCode]
+    ) -> Generator[Any, Any, None]:
         from primrosescale.standin.demo_run import DemoRun  # noqa: PLC0415
         from primrosescale.standin.deployment import Deployment  # noqa: PLC0415
         from primrosescale.standin.http_caller import HttpCaller  # noqa: PLC0415
--- a/src/primrosescale/process/daemons/agent.py
+++ b/src/primrosescale/process/daemons/agent.py
@@ -195,7 +195,9 @@
             self._context.reactor,
             self._settings.link,
         )
-        self._port = self._context.listen(self._agent_settings.port, factory, self._agent_settings.address)
+        self._port = self._context.listen(
+            self._agent_settings.port, factory, self._agent_settings.address
+        )
 
     @inlineCallbacks
     def start(self) -> Generator[Any, Any, None]:
@@ -214,7 +216,9 @@
             self._context.repeat(TICK_INTERVAL_SECONDS, self._core.tick),
         ]
         if self._agent_settings.takes_orders:
-            self._loops.append(self._context.repeat(ORDER_INTERVAL_SECONDS, self._order_engine))
+            self._loops.append(
+                self._context.repeat(ORDER_INTERVAL_SECONDS, self._order_engine)
+            )
         self._log(Event.PROCESS_STARTED, incarnation=self._context.incarnation)
 
     @inlineCallbacks
@@ -296,20 +300,20 @@
         traceparent = call.call.traceparent
         if traceparent:
             tracing = self._context.tracing
-            hop = tracing.start("agent", traceparent, may_begin=False)
-            self._spans[call.name] = hop
-            call.call.traceparent = hop.traceparent
+            trace_span = tracing.start("agent", traceparent, may_begin=False)
+            self._spans[call.name] = trace_span
+            call.call.traceparent = trace_span.traceparent
 
     def started(self, call: AgentCall) -> None:
         """Note that a call is handed to the target."""
 
     def ended(self, call: AgentCall, is_answered: bool, now: float) -> None:
         """Note the end of a call."""
-        hop = self._spans.pop(call.name, None)
-        if hop is not None:
+        trace_span = self._spans.pop(call.name, None)
+        if trace_span is not None:
             failure = call.failure
             reason = "" if failure is None else wire.Reason(failure.reason).name
-            hop.end(answered=is_answered, reason=reason)
+            trace_span.end(answered=is_answered, reason=reason)
 
     def refused(self, name: CallName, reason: wire.Reason) -> None:
         """Count a call that was refused."""
@@ -366,7 +370,9 @@
         view = self._keeper.view
         if view is not None and self._state == MemberState.READY:
             name = self._settings.process.name
-            self._orders.tick(desired_state_of(view, self._agent_settings.service, name))
+            self._orders.tick(
+                desired_state_of(view, self._agent_settings.service, name)
+            )
 
     def _log_circuit_breaker(self) -> None:
         is_closed = self._core.health.is_closed
@@ -432,7 +438,9 @@
         except Exception as error:  # noqa: BLE001 - any failure only costs the cache
             self._log(Event.CACHE_IMPORT_FAILED, chat=chat, detail=str(error))
             return 0
-        link.send(wire.CacheImport(self._agent_settings.service, chat, record.tokens, data))
+        link.send(
+            wire.CacheImport(self._agent_settings.service, chat, record.tokens, data)
+        )
         return 1
 
     @inlineCallbacks
--- a/src/primrosescale/process/daemons/engine_orders.py
+++ b/src/primrosescale/process/daemons/engine_orders.py
@@ -113,7 +113,9 @@
         )
 
 
-def desired_state_of(view: VersionView, service: str, agent: str) -> DesiredEngineState | None:
+def desired_state_of(
+    view: VersionView, service: str, agent: str
+) -> DesiredEngineState | None:
     """Return what a version wants of an agent's engine.
 
     Parameters
@@ -321,7 +323,9 @@
         return int(_decode_object(found).get("fence", 0)) <= self._fence
 
     @inlineCallbacks
-    def _unfinished_earlier_domain(self, desired: DesiredEngineState) -> Generator[Any, Any, str]:
+    def _unfinished_earlier_domain(
+        self, desired: DesiredEngineState
+    ) -> Generator[Any, Any, str]:
         """Return the domain that must be done before this one, if any."""
         own = self._settings.domain
         order = desired.domains
@@ -333,7 +337,9 @@
         return ""
 
     @inlineCallbacks
-    def _report_progress(self, desired: DesiredEngineState) -> Generator[Any, Any, None]:
+    def _report_progress(
+        self, desired: DesiredEngineState
+    ) -> Generator[Any, Any, None]:
         """Say that this domain runs a version well, once it has for a while."""
         yield self._release_slot()
         if not desired.domains or self._reported_state == desired:
@@ -385,7 +391,10 @@
         if not key:
             return
         found = yield self._platform.get(key)
-        if found is not None and _decode_object(found).get("agent") == self._settings.agent:
+        if (
+            found is not None
+            and _decode_object(found).get("agent") == self._settings.agent
+        ):
             free = json.dumps({"agent": "", "until": 0.0}).encode()
             yield self._platform.put(key, free, found.version)
 
--- a/src/primrosescale/process/daemons/router.py
+++ b/src/primrosescale/process/daemons/router.py
@@ -78,11 +78,11 @@
 class _ActiveCall:
     """What a router keeps of a call besides the call itself."""
 
-    __slots__ = ("start_time", "hop", "view")
+    __slots__ = ("start_time", "trace_span", "view")
 
-    def __init__(self, view: VersionView, hop: Hop, start_time: float) -> None:
+    def __init__(self, view: VersionView, trace_span: Hop, start_time: float) -> None:
         self.view = view
-        self.hop = hop
+        self.trace_span = trace_span
         self.start_time = start_time
 
 
@@ -332,8 +332,10 @@
         """Route a call; see `CallGate.route`."""
         now = self.now()
         context = self._context
-        hop = context.tracing.start("router", request.traceparent, may_begin=True)
-        request.traceparent = hop.traceparent
+        trace_span = context.tracing.start(
+            "router", request.traceparent, may_begin=True
+        )
+        request.traceparent = trace_span.traceparent
         key = request.chat or str(context.rng.getrandbits(RANDOM_KEY_BITS))
         candidates = self._members.candidates(
             service.name,
@@ -359,7 +361,7 @@
             context.reactor,
             self._settings.call,
         )
-        self._under_way[call] = _ActiveCall(view.pin(), hop, now)
+        self._under_way[call] = _ActiveCall(view.pin(), trace_span, now)
         sink.bind(call)
         call.start()
 
@@ -385,7 +387,7 @@
         self._report_placement(call, report)
         self._record_metrics(call, report, self.now() - active.start_time)
         reason = "" if report.reason is None else report.reason.name
-        active.hop.end(
+        active.trace_span.end(
             outcome=report.outcome.name,
             reason=reason,
             attempts=report.attempts,
@@ -498,7 +500,9 @@
         connecting = self._pool.get(home.endpoint)
         connecting.addCallbacks(lambda link: link.send(message), lambda _: None)
 
-    def _record_metrics(self, call: RoutedCall, report: CallReport, seconds: float) -> None:
+    def _record_metrics(
+        self, call: RoutedCall, report: CallReport, seconds: float
+    ) -> None:
         metrics = self._context.metrics
         metrics.count(Metric.CALLS)
         metrics.count(Metric.ATTEMPTS, report.attempts)
--- a/src/primrosescale/process/daemons/router_control.py
+++ b/src/primrosescale/process/daemons/router_control.py
@@ -560,7 +560,9 @@
         if self._is_watching or self._is_stopped:
             return
         self._is_watching = True
-        watching = self._platform.watch(HEAD_KEY, self._watch_revision, WATCH_TIMEOUT_SECONDS)
+        watching = self._platform.watch(
+            HEAD_KEY, self._watch_revision, WATCH_TIMEOUT_SECONDS
+        )
         watching.addCallbacks(self._watch_succeeded, self._watch_failed)
         watching.addBoth(self._schedule_watch)
 
--- a/tests/process/test_engine_orders.py
+++ b/tests/process/test_engine_orders.py
@@ -10,8 +10,8 @@
 from twisted.internet.defer import succeed
 from twisted.internet.task import Clock
 
-from primrosescale.process.daemons.engine_orders import EngineOrders
 from primrosescale.process.daemons.engine_orders import DesiredEngineState
+from primrosescale.process.daemons.engine_orders import EngineOrders
 from primrosescale.process.daemons.engine_orders import OrderObserver
 from primrosescale.process.daemons.engine_orders import OrderSettings
 from primrosescale.process.exceptions import TargetError
--- a/tests/process/test_fault_matrix.py
+++ b/tests/process/test_fault_matrix.py
@@ -20,7 +20,7 @@
         world = run_cell(kind, injections)
         self.assertEqual(
             sorted(injections),
-            sorted(world.injected),
+            sorted(world.struck),
             f"{kind} {injections}: a fault was not injected",
         )
         self.assertEqual([], world.faults(), f"{kind} {injections}")
--- a/tests/process/test_processes.py
+++ b/tests/process/test_processes.py
@@ -51,7 +51,9 @@
         reports = []
         for name, child in self.children.items():
             log = (self.folder / f"{name}.log").read_text(errors="replace")
-            reports.append(f"{name}, status {child.poll()}:\n{log[-MAX_LOG_CHARACTERS:]}")
+            reports.append(
+                f"{name}, status {child.poll()}:\n{log[-MAX_LOG_CHARACTERS:]}"
+            )
         return "\n".join(reports)
 
     def start(self, role, name):
--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -79,11 +79,11 @@
         name = getattr(party, "name", None)
         if name is None and party is not None:
             name = party._settings.process.name
-        world.injected.append((step, fault))
+        world.struck.append((step, fault))
         FAULTS[fault](world, name or _serving(world))
 
     if not hasattr(world, "struck"):
-        world.injected = []
+        world.struck = []
     previous = world.hooks.get((step, SUBJECT))
 
     def both(party):
--- a/tests/support/memory_network.py
+++ b/tests/support/memory_network.py
@@ -217,7 +217,9 @@
             if found is None:
                 refused = DialError(str(endpoint), "refused")
                 wait = (
-                    0.0 if endpoint.port not in self.network.listening else DIAL_TIMEOUT_SECONDS
+                    0.0
+                    if endpoint.port not in self.network.listening
+                    else DIAL_TIMEOUT_SECONDS
                 )
                 self.network.clock.callLater(wait, result.errback, Failure(refused))
             else:
