--- a/src/primrosescale/process/daemons/__init__.py
+++ b/src/primrosescale/process/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""The router and the agent, put together."""
+"""The programs of the router and of the agent that runs beside each target."""
