--- a/src/primrosescale/process/daemons/agent.py
+++ b/src/primrosescale/process/daemons/agent.py
@@ -1,4 +1,9 @@
-"""The agent: the process beside a target and the only way to it."""
+"""The agent process: forwards the calls of routers to the one target beside it.
+
+It reports its load to a router by heartbeats, follows the accepted version of the
+configuration, orders the engine to run what that version asks for, and on a stop
+drains and hands the caches of recent chats to the targets that serve them next.
+"""
 
 from __future__ import annotations
 
@@ -70,16 +75,21 @@
     VersionObserver,
     OrderObserver,
 ):
-    """One agent process.
+    """The agent of one target.
 
     Parameters
     ----------
     settings : Settings
-        Its settings.
+        Settings of the process, with a section ``[agent]``.
     context : Tools
         Reactor, log, metrics and traces.
     platform : Platform
-        The platform's service.
+        Client of the platform's object store and list of hosts.
+
+    Raises
+    ------
+    SettingsError
+        When the settings have no section ``[agent]``.
     """
 
     def __init__(self, settings: Settings, context: Tools, platform: Platform) -> None:
@@ -164,31 +174,31 @@
 
     @property
     def core(self) -> AgentCore:
-        """Return its handling of calls."""
+        """Return the part that handles calls."""
         return self._core
 
     @property
     def keeper(self) -> VersionKeeper:
-        """Return its versions."""
+        """Return the keeper of configuration versions."""
         return self._keeper
 
     @property
     def link_port(self) -> int:
-        """Return the port for routers."""
+        """Return the TCP port on which routers connect."""
         return int(self._port.getHost().port)
 
     @property
     def ledger(self) -> RemoteLedger:
-        """Return its way to the ledger."""
+        """Return the client of the claim ledger."""
         return self._ledger
 
     @property
     def target(self) -> EnginePort:
-        """Return its target."""
+        """Return the client of the target."""
         return self._target
 
     def listen(self) -> None:
-        """Open the port for routers."""
+        """Open the TCP port on which routers connect."""
         factory = LinkFactory(
             self._hello,
             self,
@@ -201,12 +211,12 @@
 
     @inlineCallbacks
     def start(self) -> Generator[Any, Any, None]:
-        """Join the fleet.
+        """Announce the agent and start its heartbeats and periodic work.
 
         Returns
         -------
         Deferred[None]
-            When the platform has been told.
+            Fires when the announcement to the platform has succeeded or failed.
         """
         if self._settings.platform.register:
             yield self._announce(is_leaving=False, is_gone=False)
@@ -223,12 +233,13 @@
 
     @inlineCallbacks
     def stop(self) -> Generator[Any, Any, None]:
-        """Leave the fleet: refuse new work, finish what was taken.
+        """Drain: refuse new calls and finish those already admitted.
 
         Returns
         -------
         Deferred[None]
-            When all calls have ended, or the time for it is over.
+            Fires when all calls have ended and the process has released its ports
+            and connections; calls still running after ``stop_within`` are cut.
         """
         self._state = MemberState.LEAVING
         self._core.drain()
@@ -253,7 +264,7 @@
         self._log(Event.PROCESS_STOPPED)
 
     def describe(self) -> AgentState:
-        """Return what the heartbeat says; see `HeartbeatHost.describe`."""
+        """Return the state to report; see `HeartbeatHost.describe`."""
         return AgentState(
             self._core.admission.load,
             self._state,
@@ -262,29 +273,29 @@
         )
 
     def hear_mean(self, view: MeanView) -> None:
-        """Take in the mean; see `HeartbeatHost.hear_mean`."""
+        """Update the mean load; see `HeartbeatHost.hear_mean`."""
         self._core.bound.hear(view)
 
     def hear_head(self, head: VersionHead, link: Link) -> None:
-        """Take in the head; see `HeartbeatHost.hear_head`."""
+        """Update the version head; see `HeartbeatHost.hear_head`."""
         self._keeper.hear(head, self._sources.of(link))
 
     def hear_targets(self, targets: list[wire.HostEntry]) -> None:
-        """Take in the targets; see `HeartbeatHost.hear_targets`."""
+        """Store the service's targets; see `HeartbeatHost.hear_targets`."""
         self._successors = targets
 
     def link_ready(self, link: Link) -> None:
-        """Handle that a router has introduced itself."""
+        """Handle a connection whose router has sent its hello."""
         self._core.link_ready(link)
 
     def link_lost(self, link: Link, detail: str) -> None:
-        """Handle the end of a connection."""
+        """Handle a lost connection."""
         self._core.link_lost(link, detail)
         self._ledger.link_lost(link)
         self._sources.lost(link)
 
     def link_message(self, link: Link, message: Message) -> None:
-        """Handle one message of a router."""
+        """Handle one message from a router."""
         if isinstance(message, wire.HeartbeatReply):
             self._heartbeat.reply(link, message)
         elif isinstance(message, wire.ClaimReply):
@@ -295,7 +306,7 @@
             self._core.link_message(link, message)
 
     def admitted(self, call: AgentCall, load: int, now: float) -> None:
-        """Count a call that was taken."""
+        """Count an admitted call and start its trace span."""
         self._context.metrics.count(Metric.ADMITTED)
         traceparent = call.call.traceparent
         if traceparent:
@@ -305,10 +316,10 @@
             call.call.traceparent = trace_span.traceparent
 
     def started(self, call: AgentCall) -> None:
-        """Note that a call is handed to the target."""
+        """Ignore that a call was sent to the target."""
 
     def ended(self, call: AgentCall, is_answered: bool, now: float) -> None:
-        """Note the end of a call."""
+        """End the trace span of an ended call."""
         trace_span = self._spans.pop(call.name, None)
         if trace_span is not None:
             failure = call.failure
@@ -316,20 +327,20 @@
             trace_span.end(answered=is_answered, reason=reason)
 
     def refused(self, name: CallName, reason: wire.Reason) -> None:
-        """Count a call that was refused."""
+        """Count a refused call."""
         self._context.metrics.count(Metric.REFUSED)
 
     def duplicate(self, name: CallName) -> None:
-        """Log a copy of a known call."""
+        """Count and log a duplicate of a known call."""
         self._context.metrics.count(Metric.DUPLICATES)
         self._log(Event.AGENT_DUPLICATE, router=name.router, call=name.number)
 
     def import_failed(self, detail: str) -> None:
-        """Log that a handed-over cache could not be taken."""
+        """Log that a handed-over cache could not be imported."""
         self._log(Event.CACHE_IMPORT_FAILED, detail=detail)
 
     def adopted(self, view: VersionView) -> None:
-        """Log that a version is in force here."""
+        """Log a version that is now in force here; apply its load bound."""
         self._context.metrics.gauge(Metric.VERSION, view.version)
         self._log(Event.VERSION_ADOPTED, version=view.version, digest=view.head.digest)
         service = view.services.get(self._agent_settings.service)
@@ -337,15 +348,15 @@
             self._core.bound.configure(service.multiple, service.floor)
 
     def head_refused(self, error: HeadError) -> None:
-        """Log that a head was not taken."""
+        """Log a version head that failed verification."""
         self._log(Event.HEAD_REFUSED, detail=str(error))
 
     def pull_failed(self, version: int, detail: str) -> None:
-        """Log that a version could not be pulled yet."""
+        """Log a version whose sections could not be pulled yet."""
         self._log(Event.PULL_FAILED, version=version, detail=detail)
 
     def order_sent(self, desired: DesiredEngineState, fence: int) -> None:
-        """Log an order."""
+        """Log an order sent to the engine."""
         self._log(
             Event.ORDER_SENT,
             model=desired.model,
@@ -354,11 +365,11 @@
         )
 
     def order_failed(self, detail: str) -> None:
-        """Log that an order failed."""
+        """Log an order that failed."""
         self._log(Event.ORDER_FAILED, detail=detail)
 
     def roll_out_held(self, desired: DesiredEngineState, domain: str) -> None:
-        """Log that a roll-out waits for another domain."""
+        """Log a roll-out that waits for an earlier failure domain."""
         self._log(
             Event.ROLL_OUT_HELD,
             model=desired.model,
@@ -397,7 +408,11 @@
 
     @inlineCallbacks
     def _hand_over(self) -> Generator[Any, Any, None]:
-        """Give the hottest chats' cache to those who serve them next."""
+        """Send the caches of the most recent chats to their next targets.
+
+        A chat's next target is the first in hash order among the other targets of
+        the service in this region.
+        """
         chats = self._core.directory.hottest(
             self._settings.process.name,
             self._agent_settings.hand_over,
