--- a/src/primrosescale/console/commands/bundle.py
+++ b/src/primrosescale/console/commands/bundle.py
@@ -252,8 +252,10 @@
 def _status_text(fields: dict[str, Any]) -> str:
     where = "everywhere" if fields["in_force_everywhere"] else "not everywhere yet"
     lines = [
-        f"version {fields['version']} ({fields['digest'][:SHORT_DIGEST_CHARACTERS]}) "
-        f"is in force {where}",
+        (
+            f"version {fields['version']} "
+            f"({fields['digest'][:SHORT_DIGEST_CHARACTERS]}) is in force {where}"
+        ),
         f"as router {fields['router']} heard {fields['news_age']} s ago",
     ]
     for item in fields["domains"]:
--- a/src/primrosescale/process/daemons/agent_core.py
+++ b/src/primrosescale/process/daemons/agent_core.py
@@ -1,4 +1,10 @@
-"""The only way to a target: takes calls, runs them in order, answers."""
+"""An agent's handling of calls, from the router's request to the target's answer.
+
+It drops duplicates, admits, queues or refuses each call, claims idempotency keys in
+the ledger before a call runs, sends calls to the target in the queue's order, and
+streams their answers back over the routers' connections. A call outlives its
+connection: a router that reconnects may resume its answer for a while.
+"""
 
 from __future__ import annotations
 
@@ -48,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentCoreSettings:
-    """All limits of an agent's handling of calls.
+    """Settings of an agent's handling of calls.
 
     Parameters
     ----------
@@ -57,29 +63,30 @@
     service : str
         Service of its target.
     admission : AdmissionSettings
-        Slots and queue.
+        Concurrent calls and queue.
     bound : BoundSettings
-        Bound on the load.
+        Bound on the load relative to the mean load of the service.
     health : HealthSettings
-        Circuit breaker.
+        Circuit breaker of the target.
     work : WorkSettings
-        Profile of the target.
+        Cost of requests at the target, for estimates of work.
     stream : StreamSettings
-        How answers are sent.
+        Flow control and batching of answers.
     chats : int
-        Chats remembered at the most.
+        Maximum number of chats in the chat directory.
     chat_keep : float
-        Seconds a chat is remembered.
+        Seconds for which the chat directory keeps a chat.
     names : int
-        Call names remembered at the most.
+        Maximum number of call identifiers kept.
     name_keep : float
-        Seconds a call's name is kept after its deadline.
+        Seconds for which a call's identifier is kept after its deadline.
     answer_keep : float
-        Seconds an ended call's answer is kept for a router that resumes.
+        Seconds for which an ended call's answer is kept for a router that
+        resumes it.
     answer_memory : int
-        Bytes of answers held at the most.
+        Bytes of kept answers above which new calls are refused.
     recorded_answer : int
-        Bytes of an answer kept in the ledger at the most.
+        Maximum bytes of an answer that is recorded in the ledger.
     """
 
     name: str
@@ -99,20 +106,20 @@
 
 
 class AgentCore(LinkHandler):
-    """Takes calls from routers and gives them to the target.
+    """Admits calls of routers, runs them at the target and returns their answers.
 
     Parameters
     ----------
     settings : AgentCoreSettings
-        Limits.
+        Limits and retention times.
     incarnation : int
         This agent's incarnation.
     port : TargetPort
-        The target.
+        Client of the target.
     ledger : Ledger
-        Claims on idempotency keys.
+        Ledger of claims on idempotency keys.
     observer : AgentObserver
-        Told what happens.
+        Notified of the events of calls.
     clock : Clock
         Source of time and timers.
     """
@@ -151,7 +158,7 @@
 
     @property
     def admission(self) -> Admission[AgentCall]:
-        """Return the admission of calls."""
+        """Return the admission controller."""
         return self._admission
 
     @property
@@ -166,7 +173,7 @@
 
     @property
     def directory(self) -> ChatDirectory:
-        """Return the memory of chats."""
+        """Return the chat directory."""
         return self._directory
 
     @property
@@ -182,7 +189,7 @@
         return all(call.phase is CallPhase.ENDED for call in self._calls.values())
 
     def link_ready(self, link: Link) -> None:
-        """Handle that a router has introduced itself."""
+        """Do nothing: routers open calls by messages."""
 
     def link_lost(self, link: Link, detail: str) -> None:
         """Keep the calls of an ended connection running."""
@@ -190,7 +197,7 @@
             call.detach(link)
 
     def link_message(self, link: Link, message: Message) -> None:
-        """Handle one message of a router."""
+        """Handle one message from a router."""
         if isinstance(message, wire.Call):
             self._call(link, message)
         elif isinstance(message, wire.Credit):
@@ -207,11 +214,11 @@
             self._import(message)
 
     def drain(self) -> None:
-        """Take no new calls from now on; those taken go on."""
+        """Refuse new calls from now on; admitted calls continue."""
         self._admission.drain()
 
     def tick(self) -> None:
-        """Do what time brings: expire, forget, start what may start."""
+        """Remove expired identifiers and answers, and start queued calls."""
         now = self._clock.seconds()
         self._call_ids.forget_old(now)
         limit = now - self._settings.answer_keep
@@ -226,11 +233,11 @@
         now = self._clock.seconds()
         name = CallName(message.router, message.number)
         if message.target_incarnation != self._incarnation:
-            self._refuse(link, name, Reason.REPLACED, detail="agent was replaced")
+            self._refuse(link, name, Reason.REPLACED, detail="the call was addressed to an earlier incarnation of the agent")
             return
         state = self._call_ids.state(name)
         if state is not NameState.FRESH:
-            # A copy of a call that is known: the first copy's answer counts.
+            # A duplicate of a known call: only the first copy is answered.
             self._observer.duplicate(name)
             return
         deadline = now + message.deadline_ms / MILLISECONDS
@@ -274,7 +281,8 @@
         call.queued = queued
         verdict = self._admission.offer(queued, now)
         if verdict.reason is not None:
-            # Barred, so that a router that lost this refusal hears the same.
+            # Blocked, so that a router that did not receive this refusal and asks
+            # again gets the same result.
             self._call_ids.bar(name, deadline)
             self._refuse(link, name, verdict.reason, retry_after=verdict.retry_after)
             return
@@ -289,13 +297,13 @@
             displaced_call.item.fail(
                 Outcome.NOT_RUN,
                 Reason.DISPLACED,
-                "gave way to an organisation with less waiting",
+                "displaced by a call of an organisation with fewer queued calls",
                 self._admission.expected_wait(displaced_call),
             )
         self._start_next()
 
     def _find_other_place(self, message: wire.Call, now: float) -> str:
-        """Return where a chat's cache lies, if not here."""
+        """Return the other target that holds a chat's cache; empty if none."""
         if not message.chat or message.directed:
             return ""
         record = self._directory.find(message.chat, now)
@@ -326,7 +334,7 @@
         place: str = "",
         detail: str = "",
     ) -> None:
-        """Refuse a call that was not and never will be run."""
+        """Send a refusal: the call has not run and never will."""
         self._observer.refused(name, reason)
         link.send(
             wire.CallFailed(
@@ -365,7 +373,7 @@
     def _claimed(self, reply: wire.ClaimReply, call: AgentCall, claim: Claim) -> None:
         state = reply.state
         if call.phase is not CallPhase.CLAIMING:
-            # Its caller was told "not run" meanwhile, so it must not run.
+            # The caller has meanwhile been answered "not run", so it must not run.
             if state in {ClaimState.GRANTED, ClaimState.UNAVAILABLE}:
                 self._ledger.abandon(claim)
             return
@@ -378,7 +386,7 @@
             call.fail(Outcome.NOT_RUN, Reason.KEY_REUSED, detail)
         elif state == ClaimState.UNAVAILABLE:
             self._ledger.abandon(claim)
-            call.fail(Outcome.NOT_RUN, Reason.STORE_UNAVAILABLE, "no claim", 1.0)
+            call.fail(Outcome.NOT_RUN, Reason.STORE_UNAVAILABLE, "the claim ledger is unavailable", 1.0)
         else:
             detail = "an earlier request with the key may be running or have run"
             call.fail(Outcome.UNKNOWN, Reason.KEY_HELD, detail)
@@ -387,7 +395,7 @@
         if answer.whole:
             call.replay(answer)
             return
-        detail = "an earlier request with the key ran; its answer was too long to keep"
+        detail = "an earlier request with the key ran; its answer was too large to record"
         call.fail(Outcome.UNKNOWN, Reason.KEY_HELD, detail)
 
     def _run(self, call: AgentCall) -> None:
@@ -439,7 +447,7 @@
                 self._ledger.abandon(claim)
 
     def _data_available(self, call: AgentCall) -> None:
-        """Send the first bytes at once and gather those that follow."""
+        """Send the first bytes at once; batch the bytes that follow."""
         if call.call.prompt_tokens and not call.first_byte_at:
             call.first_byte_at = self._clock.seconds()
             if call.call.streamed:
@@ -466,7 +474,7 @@
             self._stop(call, Reason.CANCELLED)
 
     def _stop(self, call: AgentCall, reason: Reason) -> None:
-        """End a call early; before it runs that is certain to be "not run"."""
+        """End a call early; one that has not started is reported as not run."""
         if call.phase is CallPhase.RUNNING:
             call.fail(Outcome.UNKNOWN, reason)
         else:
@@ -500,7 +508,7 @@
                 reason=reason,
                 retry_after_ms=0,
                 place="",
-                detail="the call's state is not kept here",
+                detail="this agent no longer keeps the call's state",
                 load=self._load(),
             ),
         )
