--- a/src/primrosescale/process/daemons/agent_observer.py
+++ b/src/primrosescale/process/daemons/agent_observer.py
@@ -1,4 +1,4 @@
-"""What an agent tells about its calls."""
+"""Interface through which an agent's handling of calls reports their events."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 
 
 class AgentObserver(ABC):
-    """Is told what happens to an agent's calls."""
+    """Receives the events of an agent's calls."""
 
     @abstractmethod
     def admitted(self, call: AgentCall, load: int, now: float) -> None:
-        """Take in that a call was taken.
+        """Handle that a call was admitted.
 
         Parameters
         ----------
         call : AgentCall
             The call.
         load : int
-            Work units outstanding, the call's included.
+            Work units admitted and not finished, including the call's.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
 
     @abstractmethod
     def started(self, call: AgentCall) -> None:
-        """Take in that a call is handed to the target.
+        """Handle that a call is about to be sent to the target.
 
         Parameters
         ----------
@@ -41,46 +41,46 @@
 
     @abstractmethod
     def ended(self, call: AgentCall, is_answered: bool, now: float) -> None:
-        """Take in that a call has ended.
+        """Handle that a call has ended.
 
         Parameters
         ----------
         call : AgentCall
             The call.
         is_answered : bool
-            Whether its answer is whole.
+            Whether its answer is complete.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
 
     @abstractmethod
     def refused(self, name: CallName, reason: Reason) -> None:
-        """Take in that a call was refused and will never run.
+        """Handle that a call was refused and will never run.
 
         Parameters
         ----------
         name : CallName
-            Its name.
+            Identifier of the call.
         reason : Reason
-            Why.
+            Why it was refused.
         """
 
     @abstractmethod
     def duplicate(self, name: CallName) -> None:
-        """Take in that a copy of a known call was dropped.
+        """Handle that a duplicate of a known call was dropped.
 
         Parameters
         ----------
         name : CallName
-            Its name.
+            Identifier of the call.
         """
 
     @abstractmethod
     def import_failed(self, detail: str) -> None:
-        """Take in that a handed-over cache could not be taken.
+        """Handle that a handed-over cache could not be imported.
 
         Parameters
         ----------
         detail : str
-            Why.
+            Why the import failed.
         """
