--- a/src/primrosescale/process/daemons/daemon.py
+++ b/src/primrosescale/process/daemons/daemon.py
@@ -1,4 +1,7 @@
-"""What routers and agents have in common as processes."""
+"""What router and agent processes are built with.
+
+The reactor, log, metrics, traces, TLS, listeners, dialers and periodic calls.
+"""
 
 from __future__ import annotations
 
@@ -37,18 +40,18 @@
 
 
 class LinkFactory(Factory):
-    """Makes the listening side of connections.
+    """Creates the protocol of each connection that is accepted.
 
     Parameters
     ----------
     own : wire.Hello
-        How this process introduces itself.
+        Hello that this process sends first on a connection.
     handler : LinkHandler
-        Told of messages.
+        Receives the messages and the end of each connection.
     clock : Clock
         Source of time and timers.
     settings : LinkSettings
-        Timing.
+        Time-outs and intervals of connections.
     """
 
     noisy = False
@@ -66,23 +69,23 @@
         self._settings = settings
 
     def buildProtocol(self, addr: Any) -> Link:
-        """Return the protocol of a new connection.
+        """Return the protocol of an accepted connection.
 
         Parameters
         ----------
         addr : Any
-            Where it comes from.
+            Address of the peer; unused.
 
         Returns
         -------
         Link
-            The protocol.
+            Protocol of the connection.
         """
         return Link(self._own, self._handler, self._clock, self._settings)
 
 
 class Tools:
-    """Parts that every daemon is built with.
+    """Parts that a router or an agent is built with.
 
     Parameters
     ----------
@@ -104,27 +107,27 @@
         self._tls: LinkTls | None = make_tls(settings.tls)
 
     def wall_clock(self) -> float:
-        """Return the present time.
+        """Return the wall-clock time.
 
         Returns
         -------
         float
-            Seconds since 1970.
+            Seconds since the Unix epoch.
         """
         return time.time()
 
     def dialer(self, timeout: float) -> Dialer:
-        """Return what opens links to other processes.
+        """Return a dialer for connections to other processes.
 
         Parameters
         ----------
         timeout : float
-            Seconds a connection may take to open.
+            Time-out of opening a connection, in seconds.
 
         Returns
         -------
         Dialer
-            With TLS when the process has a certificate.
+            Uses TLS when the process has a certificate.
         """
         tls = self._tls.client if self._tls is not None else None
         return TcpDialer(self.reactor, timeout, tls)
@@ -132,35 +135,35 @@
     def target(
         self, endpoint: Endpoint, *, must_echo: bool, timeout: float
     ) -> EnginePort:
-        """Return an agent's way to its target.
+        """Return the client through which an agent reaches its target.
 
         Parameters
         ----------
         endpoint : Endpoint
-            Where the target listens.
+            Address of the target.
         must_echo : bool
-            Whether the target repeats the request's id in its answer.
+            Whether the target must return the request's id in its answer.
         timeout : float
-            Seconds a connection may take to open.
+            Time-out of opening a connection, in seconds.
 
         Returns
         -------
         EnginePort
-            The target.
+            Client of the target.
         """
         return HttpTarget(self.reactor, endpoint, must_echo=must_echo, timeout=timeout)
 
     def listen(self, port: int, factory: Factory, address: str) -> Any:
-        """Listen for links, with TLS when the process has a certificate.
+        """Accept connections, with TLS when the process has a certificate.
 
         Parameters
         ----------
         port : int
-            TCP port; 0 for any.
+            TCP port; 0 for any free one.
         factory : Factory
-            Makes protocols.
+            Creates the protocols of connections.
         address : str
-            IP number.
+            IP address to listen on.
 
         Returns
         -------
@@ -177,34 +180,34 @@
         )
 
     def pause(self, seconds: float) -> Deferred[None]:
-        """Wait.
+        """Return a Deferred that fires after some time.
 
         Parameters
         ----------
         seconds : float
-            How long.
+            Time to wait.
 
         Returns
         -------
         Deferred[None]
-            When the time is over.
+            Fires with None when the time is over.
         """
         result: Deferred[None] = Deferred()
         self.reactor.callLater(seconds, result.callback, None)
         return result
 
     def repeat(self, interval: float, act: Callable[[], Any]) -> LoopingCall:
-        """Call something again and again, whatever becomes of one call.
+        """Call a function periodically, also after a call that raised an error.
 
-        A loop that an unforeseen error ends would leave a process that looks
-        alive and reports nothing, so the error is logged and the loop goes on.
+        If an unexpected error ended the loop, the process would seem alive but
+        report nothing, so the error is logged and the loop continues.
 
         Parameters
         ----------
         interval : float
-            Seconds between two calls.
+            Seconds between calls.
         act : Callable[[], Any]
-            What to call.
+            Function to call.
 
         Returns
         -------
