--- a/src/primrosescale/process/daemons/engine_orders.py
+++ b/src/primrosescale/process/daemons/engine_orders.py
@@ -1,10 +1,15 @@
-"""Orders an engine towards the configuration, level-triggered and fenced.
-
-Each agent alone orders its own engine. Its fencing number comes from a
-conditional increment in the platform, so that a successor's is higher. An
-engine that checks fences refuses a late order of a paused predecessor; one
-that does not is compared with the configuration again and again, so that such
-an order has no lasting effect.
+"""Reconciles an engine with the configuration by fenced orders.
+
+The state of the engine is compared with the configuration periodically
+(level-triggered), and an order is sent when they differ. Only the agent beside an
+engine sends it orders. The agent's fencing number comes from a conditional increment
+in the platform's store, so that its successor's number is higher. An engine that
+checks fencing numbers refuses a late order of a paused predecessor; an engine that
+does not check them is reconciled again, so that such an order has no lasting effect.
+
+A roll-out goes through failure domains in a configured order: a domain waits until
+each earlier one has reported the version as running with few errors. The number of
+engines that load weights at the same time is limited by leased slots.
 """
 
 from __future__ import annotations
@@ -42,20 +47,20 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderSettings:
-    """Who orders which engine.
+    """Identifies the agent that sends orders and its engine.
 
     Parameters
     ----------
     agent : str
-        The agent's name.
+        Name of the agent.
     service : str
-        Its service.
+        Service of the agent.
     domain : str
-        Its failure domain.
+        Failure domain of the agent.
     incarnation : int
-        Its incarnation.
+        Incarnation of the agent.
     checks_fence : bool
-        Whether the engine refuses an order with an old fencing number.
+        Whether the engine refuses an order with an outdated fencing number.
     """
 
     agent: str
@@ -67,22 +72,23 @@
 
 @dataclass(frozen=True, slots=True)
 class DesiredEngineState:
-    """What the configuration wants an engine to run.
+    """Model, version and role that the configuration assigns to an engine.
 
     Parameters
     ----------
     model : str
-        The model.
+        Name of the model.
     version : str
-        Its version.
+        Version of the model.
     adapters : tuple[str, ...]
-        Its adapters.
+        Adapters to load.
     role : str
-        The engine's role.
+        Role of the engine.
     domains : tuple[str, ...]
-        Failure domains in the order of a roll-out; empty for all at once.
+        Failure domains in the order of a roll-out; empty for all at the same
+        time.
     error_limit : float
-        Share of failed answers above which the roll-out stops.
+        Share of failed answers above which the roll-out is held.
     """
 
     model: str
@@ -93,17 +99,17 @@
     error_limit: float
 
     def is_met_by(self, state: dict[str, Any]) -> bool:
-        """Tell whether an engine runs what is wanted.
+        """Return whether an engine is in this state.
 
         Parameters
         ----------
         state : dict[str, Any]
-            What the engine says of itself.
+            State that the engine reports.
 
         Returns
         -------
         bool
-            True when nothing is to be ordered.
+            True when no order is needed.
         """
         return (
             state.get("model") == self.model
@@ -116,21 +122,21 @@
 def desired_state_of(
     view: VersionView, service: str, agent: str
 ) -> DesiredEngineState | None:
-    """Return what a version wants of an agent's engine.
+    """Return the state that a version asks of an agent's engine.
 
     Parameters
     ----------
     view : VersionView
-        The version.
+        Configuration version.
     service : str
-        The agent's service.
+        Service of the agent.
     agent : str
-        The agent.
+        Name of the agent.
 
     Returns
     -------
     DesiredEngineState | None
-        None when nothing is said.
+        None when the version names no model for the service.
     """
     record = view.services.get(service)
     if record is None or not record.models:
@@ -151,60 +157,60 @@
 
 
 class OrderObserver(ABC):
-    """Is told about orders."""
+    """Receives the events of orders."""
 
     @abstractmethod
     def order_sent(self, desired: DesiredEngineState, fence: int) -> None:
-        """Take in that an order was sent.
+        """Handle that an order is being sent.
 
         Parameters
         ----------
         desired : DesiredEngineState
-            What was ordered.
+            State that was ordered.
         fence : int
-            With which fencing number.
+            Fencing number of the order.
         """
 
     @abstractmethod
     def order_failed(self, detail: str) -> None:
-        """Take in that an order or what it needs failed.
+        """Handle that an order or a request needed for it failed.
 
         Parameters
         ----------
         detail : str
-            Why.
+            Why it failed.
         """
 
     @abstractmethod
     def roll_out_held(self, desired: DesiredEngineState, domain: str) -> None:
-        """Take in that this domain waits for an earlier one.
+        """Handle that the roll-out in this domain waits for an earlier domain.
 
         Parameters
         ----------
         desired : DesiredEngineState
-            What is to be ordered.
+            State that is to be ordered.
         domain : str
-            The domain that is not done.
+            Domain that has not reported success.
         """
 
 
 class EngineOrders:
-    """Brings one engine to what the configuration wants.
+    """Reconciles one engine with the state that the configuration asks for.
 
     Parameters
     ----------
     settings : OrderSettings
-        Who orders which engine.
+        The agent and its engine.
     port : EnginePort
-        The engine.
+        Client of the engine.
     platform : Platform
-        Keeps fences, slots and progress.
+        Store of fencing numbers, slots and progress.
     observer : OrderObserver
-        Told about orders.
+        Notified of orders.
     error_share : Callable[[], float]
-        Returns the share of failed answers lately.
+        Returns the recent share of failed answers.
     wall_clock : Callable[[], float]
-        Returns seconds since 1970, for slots.
+        Returns seconds since the Unix epoch, for the leases of slots.
     """
 
     def __init__(
@@ -231,12 +237,12 @@
 
     @property
     def fence(self) -> int:
-        """Return this agent's fencing number; 0 before it has one."""
+        """Return the fencing number of this agent; 0 before it has one."""
         return self._fence
 
     @property
     def is_replaced(self) -> bool:
-        """Tell whether a successor orders the engine now."""
+        """Return whether a successor of this agent now orders the engine."""
         return self._is_replaced
 
     @inlineCallbacks
@@ -246,12 +252,13 @@
         Parameters
         ----------
         desired : DesiredEngineState | None
-            What the configuration wants now.
+            Desired state; None when the configuration gives none.
 
         Returns
         -------
         Deferred[None]
-            When this round is over; never fails for reasons of others.
+            Fires when the comparison is over; errors of the platform and of the
+            engine are reported to the observer.
         """
         if self._is_busy or self._is_replaced or desired is None:
             return
@@ -260,7 +267,7 @@
             yield self._reconcile(desired)
         except (PlatformError, TargetError) as error:
             self._observer.order_failed(str(error))
-        except Exception as error:  # noqa: BLE001 - the engine's connection, say
+        except Exception as error:  # noqa: BLE001 - such as errors of the engine's connection
             self._observer.order_failed(f"{type(error).__name__}: {error}")
         finally:
             self._is_busy = False
@@ -301,7 +308,7 @@
 
     @inlineCallbacks
     def _acquire_fence(self) -> Generator[Any, Any, None]:
-        """Raise the fencing number; a lost answer is read back."""
+        """Increment the fencing number; read it back if an answer was lost."""
         key = FENCE_PREFIX + self._settings.agent
         found = yield self._platform.get(key)
         held = _decode_object(found)
@@ -316,7 +323,7 @@
 
     @inlineCallbacks
     def _holds_fence(self) -> Generator[Any, Any, bool]:
-        """Tell whether no successor has a higher number."""
+        """Return whether no successor has a higher fencing number."""
         if self._settings.checks_fence:
             return True
         found = yield self._platform.get(FENCE_PREFIX + self._settings.agent)
@@ -326,7 +333,7 @@
     def _unfinished_earlier_domain(
         self, desired: DesiredEngineState
     ) -> Generator[Any, Any, str]:
-        """Return the domain that must be done before this one, if any."""
+        """Return the first earlier domain without success; empty if none."""
         own = self._settings.domain
         order = desired.domains
         earlier = order[: order.index(own)] if own in order else order
@@ -340,7 +347,7 @@
     def _report_progress(
         self, desired: DesiredEngineState
     ) -> Generator[Any, Any, None]:
-        """Say that this domain runs a version well, once it has for a while."""
+        """Record the domain's success after enough rounds with few errors."""
         yield self._release_slot()
         if not desired.domains or self._reported_state == desired:
             return
@@ -354,17 +361,17 @@
         try:
             yield self._platform.put(key, b"done", MUST_NOT_EXIST)
         except PlatformConflictError:
-            # Another agent of the domain has said so already.
+            # Another agent of the domain has already recorded it.
             self._reported_state = desired
         else:
             self._reported_state = desired
 
     @inlineCallbacks
     def _acquire_slot(self) -> Generator[Any, Any, bool]:
-        """Take one of the weight store's slots; a lapsed one may be taken.
+        """Lease one of the slots for loading weights; reuse an expired one.
 
-        Slots only limit the rate at which weights are read, so a holder that
-        was paused past its time does no harm.
+        Slots only limit the rate at which weights are read from the weight store,
+        so a holder that was paused past the end of its lease does no harm.
         """
         now = self._wall_clock()
         lease = {"agent": self._settings.agent, "until": now + SLOT_LEASE_SECONDS}
