--- a/src/primrosescale/process/daemons/router.py
+++ b/src/primrosescale/process/daemons/router.py
@@ -402,7 +402,7 @@
         """Log that the platform could not be asked."""
         self._log(Event.PLATFORM_FAILED, detail=detail)
 
-    def news(self, notice: wire.MemberNotice) -> None:
+    def agent_notice_received(self, notice: wire.MemberNotice) -> None:
         """Log news of an agent."""
         state = MemberState(notice.state).name
         self._log(Event.TARGET_NEWS, target=notice.name, state=state)
--- a/src/primrosescale/process/daemons/router_control.py
+++ b/src/primrosescale/process/daemons/router_control.py
@@ -101,7 +101,7 @@
         """
 
     @abstractmethod
-    def news(self, notice: wire.MemberNotice) -> None:
+    def agent_notice_received(self, notice: wire.MemberNotice) -> None:
         """Take in news of an agent.
 
         Parameters
@@ -255,7 +255,7 @@
         now = self._clock.seconds()
         for notice in self._agents.expire(now):
             self._members.take_notice(notice, now)
-            self._observer.news(notice)
+            self._observer.agent_notice_received(notice)
         self._members.tick(now)
         aggregators = self._aggregators(self._identity.domain)
         report = self._make_report(now)
@@ -327,7 +327,7 @@
         notice = self._agents.hear(beat, now)
         if notice is not None:
             self._members.take_notice(notice, now)
-            self._observer.news(notice)
+            self._observer.agent_notice_received(notice)
         version = self._members.list_version
         routers: list[wire.HostEntry] = []
         if beat.list_version != version:
