--- a/src/primrosescale/process/daemons/engine_orders.py
+++ b/src/primrosescale/process/daemons/engine_orders.py
@@ -247,7 +247,7 @@
 
     @inlineCallbacks
     def tick(self, desired: DesiredEngineState | None) -> Generator[Any, Any, None]:
-        """Compare engine and wish once, and order if they differ.
+        """Compare the engine with the desired state once; send an order if needed.
 
         Parameters
         ----------
