--- a/src/primrosescale/process/daemons/router.py
+++ b/src/primrosescale/process/daemons/router.py
@@ -1,4 +1,10 @@
-"""The router: callers on one side, agents and other routers on the other."""
+"""The router process: accepts callers' requests and forwards them to agents.
+
+For each request it chooses candidates among the targets of a service, records the
+request's attempts, and reports metrics and log events. It also writes claims on
+idempotency keys, exchanges control traffic with agents and peer routers, and serves
+the administration API.
+"""
 
 from __future__ import annotations
 
@@ -76,7 +82,7 @@
 
 
 class _ActiveCall:
-    """What a router keeps of a call besides the call itself."""
+    """Version, trace span and start time of a call in flight."""
 
     __slots__ = ("start_time", "trace_span", "view")
 
@@ -87,16 +93,16 @@
 
 
 class Router(LinkHandler, CallGate, CallObserver, ControlObserver, VersionObserver):
-    """One router process.
+    """A router.
 
     Parameters
     ----------
     settings : Settings
-        Its settings.
+        Settings of the process.
     context : Tools
         Reactor, log, metrics and traces.
     platform : Platform
-        The platform's service.
+        Client of the platform's object store and list of hosts.
     """
 
     def __init__(self, settings: Settings, context: Tools, platform: Platform) -> None:
@@ -160,82 +166,82 @@
 
     @property
     def members(self) -> Members:
-        """Return the hosts it knows."""
+        """Return the known hosts."""
         return self._members
 
     @property
     def keeper(self) -> VersionKeeper:
-        """Return its versions."""
+        """Return the keeper of configuration versions."""
         return self._keeper
 
     @property
     def control(self) -> RouterControl:
-        """Return its control traffic."""
+        """Return the part that exchanges control traffic."""
         return self._control
 
     @property
     def claims(self) -> ClaimWriter:
-        """Return its part of the ledger."""
+        """Return the writer of this router's part of the claim ledger."""
         return self._claims
 
     @property
     def table(self) -> CallTable:
-        """Return its attempts under way."""
+        """Return the table of attempts in flight."""
         return self._table
 
     @property
     def platform(self) -> Platform:
-        """Return the platform's service."""
+        """Return the client of the platform."""
         return self._platform
 
     @property
     def settings(self) -> Settings:
-        """Return its settings."""
+        """Return the settings of the process."""
         return self._settings
 
     @property
     def under_way(self) -> int:
-        """Return how many requests are under way."""
+        """Return the number of requests in flight."""
         return len(self._under_way)
 
     @property
     def control_bytes(self) -> int:
-        """Return the bytes of frames on all open connections."""
+        """Return the bytes of frames sent and received on all open connections."""
         links = [*self._pool.links(), *self._inbound]
         return sum(link.bytes_in + link.bytes_out for link in links)
 
     @property
     def http_port(self) -> int:
-        """Return the port of callers' HTTP."""
+        """Return the TCP port of callers' HTTP."""
         return int(self._ports[0].getHost().port)
 
     @property
     def link_port(self) -> int:
-        """Return the port for agents and other routers."""
+        """Return the TCP port on which agents and peer routers connect."""
         return int(self._ports[1].getHost().port)
 
     @property
     def admin_port(self) -> int:
-        """Return the port of the administration API."""
+        """Return the TCP port of the administration API."""
         return int(self._ports[2].getHost().port)
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether requests are taken."""
+        """Return whether requests are accepted."""
         return self._keeper.view is not None and not self._is_stopping
 
     @property
     def view(self) -> VersionView | None:
-        """Return the version in force."""
+        """Return the configuration version in force; None before there is one."""
         return self._keeper.view
 
     @property
     def is_full(self) -> bool:
-        """Tell whether no more requests can be under way."""
+        """Return whether the limit of requests in flight is reached."""
         return len(self._under_way) >= self._settings.router.calls_limit
 
     def listen(self) -> None:
-        """Open the ports of callers and of links."""
+        """Open the ports of callers, of connections and of the administration API."""
         router = self._settings.router
         site = self._site()
         reactor = self._context.reactor
@@ -255,12 +261,12 @@
 
     @inlineCallbacks
     def start(self) -> Generator[Any, Any, None]:
-        """Join the fleet.
+        """Announce the router, start its control traffic and periodic work.
 
         Returns
         -------
         Deferred[None]
-            When list and head have been asked for.
+            Fires when the list of hosts and the version head have been requested.
         """
         if self._settings.platform.register:
             yield self._announce(is_leaving=False)
@@ -274,12 +280,13 @@
 
     @inlineCallbacks
     def stop(self) -> Generator[Any, Any, None]:
-        """Leave the fleet: take no new request, finish those under way.
+        """Stop accepting requests and finish those in flight.
 
         Returns
         -------
         Deferred[None]
-            When all requests have ended, or the time for it is over.
+            Fires when all requests have ended and the router has closed its ports;
+            requests still in flight after ``stop_within`` are cut.
         """
         self._is_stopping = True
         self._log(Event.PROCESS_STOPPING, under_way=len(self._under_way))
@@ -304,7 +311,7 @@
         self._log(Event.PROCESS_STOPPED)
 
     def now(self) -> float:
-        """Return the present time in seconds."""
+        """Return the current time in seconds."""
         return float(self._context.reactor.seconds())
 
     def limit(self, organisation: OrganisationRecord) -> float:
@@ -313,7 +320,7 @@
         return self._limiter.admit(organisation.name, rate, self.now())
 
     def ledger_of(self, service: str, organisation: str, key: str) -> str:
-        """Return who writes a key's claim; see `CallGate.ledger_of`."""
+        """Return the router that writes a key's claim; see `CallGate.ledger_of`."""
         digest = claim_key(service, organisation, key)
         bucket = bucket_of(digest, self._settings.ledger.buckets)
         routers = self._members.routers("", self.now())
@@ -370,16 +377,16 @@
         return self._members.find_target(service, name, self.now())
 
     def suspect(self, target: Target) -> None:
-        """Avoid a target for a while; see `CallObserver.suspect`."""
+        """Mark a target as suspect; see `CallObserver.suspect`."""
         self._members.suspect(target.name, self.now())
         self._log(Event.TARGET_SUSPECT, target=target.name)
 
     def load_heard(self, target: Target, load: int) -> None:
-        """Take in a target's load; see `CallObserver.load_heard`."""
+        """Record a target's load; see `CallObserver.load_heard`."""
         self._loads.hear(target.name, load, self.now())
 
     def call_ended(self, call: RoutedCall, report: CallReport) -> None:
-        """Take in the end of a call; see `CallObserver.call_ended`."""
+        """Handle the end of a call; see `CallObserver.call_ended`."""
         active = self._under_way.pop(call, None)
         if active is None:
             return
@@ -395,43 +402,43 @@
         )
 
     def host_unreadable(self, detail: str) -> None:
-        """Log an entry of the list of hosts that names no host to use."""
+        """Log an entry of the list of hosts that cannot be read."""
         self._log(Event.HOST_REFUSED, detail=detail)
 
     def platform_failed(self, detail: str) -> None:
-        """Log that the platform could not be asked."""
+        """Log a failed request to the platform."""
         self._log(Event.PLATFORM_FAILED, detail=detail)
 
     def agent_notice_received(self, notice: wire.MemberNotice) -> None:
-        """Log news of an agent."""
+        """Log a notice of an agent's new state."""
         state = MemberState(notice.state).name
         self._log(Event.TARGET_NEWS, target=notice.name, state=state)
 
     def adopted(self, view: VersionView) -> None:
-        """Log that a version is in force here."""
+        """Log a version that is now in force here."""
         self._context.metrics.gauge(Metric.VERSION, view.version)
         self._log(Event.VERSION_ADOPTED, version=view.version, digest=view.head.digest)
 
     def head_refused(self, error: HeadError) -> None:
-        """Log that a head was not taken."""
+        """Log a version head that failed verification."""
         self._log(Event.HEAD_REFUSED, detail=str(error))
 
     def pull_failed(self, version: int, detail: str) -> None:
-        """Log that a version could not be pulled yet."""
+        """Log a version whose sections could not be pulled yet."""
         self._log(Event.PULL_FAILED, version=version, detail=detail)
 
     def link_ready(self, link: Link) -> None:
-        """Handle that a peer has introduced itself."""
+        """Handle a connection whose peer has sent its hello."""
         self._inbound.add(link)
 
     def link_lost(self, link: Link, detail: str) -> None:
-        """Handle the end of a connection."""
+        """Handle a lost connection."""
         self._inbound.discard(link)
         self._sources.lost(link)
         self._table.link_lost(link, detail)
 
     def link_message(self, link: Link, message: Message) -> None:
-        """Handle one message of an agent or another router."""
+        """Handle one message of an agent or a peer router."""
         if self._table.message(message):
             return
         if self._control.message(link, message):
@@ -452,7 +459,7 @@
             return None
 
         class CallersRequest(BoundedRequest):
-            """A caller's request; a stranger's body is not read."""
+            """A caller's request; its body is not read before it is authorised."""
 
         CallersRequest.body_limit = router.body_limit
         CallersRequest.refuse_body = staticmethod(refuse_body)
@@ -478,18 +485,18 @@
 
     @inlineCallbacks
     def status(self) -> Generator[Any, Any, dict[str, Any]]:
-        """Return what is in force where, as this router has heard.
+        """Return the versions in force by failure domain, as known to this router.
 
         Returns
         -------
         Deferred[dict[str, Any]]
-            For the administration API.
+            Answer of the administration API.
         """
         yield self._control.refresh_domains()
         return fleet_status(self._settings.process.name, self._keeper, self._control)
 
     def _report_placement(self, call: RoutedCall, report: CallReport) -> None:
-        """Tell a chat's first candidate where the chat was served instead."""
+        """Report to a chat's first candidate which other target served the chat."""
         chat = call.request.chat
         home = call.plan.home
         if not chat or home is None or not report.target:
@@ -537,7 +544,7 @@
         self._pool.close_idle(self.now())
 
     def _announce(self, *, is_leaving: bool) -> Deferred[None]:
-        """Put this router on the platform's list, if the platform answers."""
+        """Announce this router to the platform's list of hosts; log a failure."""
         process = self._settings.process
         entry = wire.HostEntry(
             name=process.name,
