--- a/src/primrosescale/process/daemons/router_control.py
+++ b/src/primrosescale/process/daemons/router_control.py
@@ -1,4 +1,13 @@
-"""A router's control traffic: heartbeats, reports, sums, heads, lists."""
+"""A router's control traffic: agents' heartbeats, load reports, versions, hosts.
+
+Agents send heartbeats to a router of their failure domain, and routers report to the
+aggregators of the domain. Aggregators are chosen by rendezvous hashing; they send the
+sums of their domain to the aggregators of the other domains, and watch the platform
+for new version heads and changes of the list of hosts. Replies to reports bring mean
+loads, the accepted version head, changes of the list, notices of agents and request
+rates of organisations. A router that no aggregator answers asks the platform and its
+seed routers itself.
+"""
 
 from __future__ import annotations
 
@@ -60,16 +69,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Who a router is.
+    """Name, incarnation and failure domain of a router.
 
     Parameters
     ----------
     name : str
-        Its name.
+        Name of the router.
     incarnation : int
-        Its incarnation.
+        Incarnation of the router.
     domain : str
-        Its failure domain.
+        Failure domain of the router.
     """
 
     name: str
@@ -78,64 +87,64 @@
 
 
 class ControlObserver(ABC):
-    """Is told about control traffic."""
+    """Receives the events of control traffic."""
 
     @abstractmethod
     def host_unreadable(self, detail: str) -> None:
-        """Take in that an entry of the list of hosts cannot be read.
+        """Handle an entry of the list of hosts that cannot be read.
 
         Parameters
         ----------
         detail : str
-            What is wrong with it.
+            Why the entry cannot be read.
         """
 
     @abstractmethod
     def platform_failed(self, detail: str) -> None:
-        """Take in that the platform could not be asked.
+        """Handle a failed request to the platform.
 
         Parameters
         ----------
         detail : str
-            Why.
+            Why the request failed.
         """
 
     @abstractmethod
     def agent_notice_received(self, notice: wire.MemberNotice) -> None:
-        """Take in news of an agent.
+        """Handle a notice that the state of an agent has changed.
 
         Parameters
         ----------
         notice : wire.MemberNotice
-            The news.
+            Notice of the state.
         """
 
 
 class RouterControl:
-    """Keeps a router in step with the fleet.
+    """Exchanges control traffic between a router and the other processes.
 
     Parameters
     ----------
     identity : Identity
-        Who this router is.
+        Identity of this router.
     settings : SumSettings
-        Times.
+        Intervals and time-outs of heartbeats and reports.
     members : Members
-        Hosts.
+        Known hosts.
     keeper : VersionKeeper
-        Versions.
+        Keeper of configuration versions.
     limiter : OrganisationLimiter
-        Limits of organisations.
+        Request rate limits of organisations.
     platform : Platform
-        The platform's service.
+        Client of the platform's object store and list of hosts.
     pool : LinkPool
-        Connections to other routers.
+        Connections to peer routers.
     sources : LinkSources
-        Sections at the other ends of connections.
+        Sources of version sections, by connection.
     seeds : list[Endpoint]
-        Routers to ask while the platform is down.
+        Routers to ask while no aggregator answers.
     observer : ControlObserver
-        Told about control traffic.
+        Notified of control traffic.
     clock : Clock
         Source of time and timers.
     """
@@ -182,7 +191,7 @@
         self._is_watching = False
         self._watch_revision = 0
         self._is_listing = False
-        # Told of once a change, not with each reading of the list.
+        # Reported only when it changes, not with each reading of the list.
         self._unreadable: tuple[str, ...] = ()
         self._listed_at = -1.0e9
         self._last_reply_at = clock.seconds()
@@ -190,25 +199,26 @@
 
     @property
     def agents(self) -> AgentSums:
-        """Return the agents that report to this router."""
+        """Return the agents whose heartbeats reach this router."""
         return self._agents
 
     @property
     def domains(self) -> list[wire.DomainReport]:
-        """Return the latest reports of all failure domains."""
+        """Return the latest report of each failure domain."""
         return self._domains
 
     @inlineCallbacks
     def refresh_domains(self) -> Generator[Any, Any, None]:
         """Ask the aggregators for the reports of all failure domains.
 
-        They are long and few people look at them, so they are not part of
-        every reply.
+        The reports are long and are only read through the administration API, so
+        they are not part of every reply.
 
         Returns
         -------
         Deferred[None]
-            When they are fresh, or after a few intervals all the same.
+            Fires when the reports are recent, or after a few intervals at the
+            latest.
         """
         now = self._clock.seconds()
         self._domains_wanted_until = now + DOMAIN_REPORTS_WANTED_SECONDS
@@ -220,26 +230,27 @@
 
     @property
     def means_age(self) -> float:
-        """Return the seconds since the means were heard."""
+        """Return the seconds since the mean loads were received."""
         return self._clock.seconds() - self._means_at
 
     @property
     def is_aggregator(self) -> bool:
-        """Tell whether this router sums up its failure domain."""
+        """Return whether this router is an aggregator of its failure domain."""
         return self._identity.name in self._aggregators(self._identity.domain)
 
     def stop(self) -> None:
-        """Send nothing more."""
+        """Stop sending control traffic."""
         self._is_stopped = True
 
     @inlineCallbacks
     def start(self) -> Generator[Any, Any, None]:
-        """Learn list and head from the platform, or else from the seeds.
+        """Read the list of hosts and the version head, then send the first report.
 
         Returns
         -------
         Deferred[None]
-            When both were tried; never fails.
+            Fires when both have been requested; a failure of the platform is
+            reported to the observer.
         """
         yield self._list_hosts()
         try:
@@ -249,7 +260,7 @@
         self.tick()
 
     def tick(self) -> None:
-        """Do what is due once an interval."""
+        """Do the periodic work of one interval."""
         if self._is_stopped:
             return
         now = self._clock.seconds()
@@ -269,19 +280,19 @@
             self._fall_back()
 
     def message(self, link: Link, message: Message) -> bool:
-        """Handle one message of an agent or another router.
+        """Handle one message of an agent or a peer router.
 
         Parameters
         ----------
         link : Link
-            The connection it came on.
+            Connection on which it was received.
         message : Message
-            The message.
+            Message.
 
         Returns
         -------
         bool
-            False when it is not control traffic.
+            False when the message is not control traffic.
         """
         if isinstance(message, wire.Heartbeat):
             self._handle_heartbeat(link, message)
@@ -367,7 +378,7 @@
         changes = self._changes.since(report.list_version)
         entries = changes
         if entries is None:
-            # The platform may be down, so what is known here goes along.
+            # The platform may be down, so the entries known here are sent.
             known = report.list_version
             entries = self._members.entries_after(known, CHANGES_LIMIT)
         link.send(
@@ -386,10 +397,11 @@
         )
 
     def _pull_source_for(self, report: wire.PeerReport) -> str:
-        """Return whom a router should pull a new version from; empty for here.
+        """Return the endpoint to pull a new version from; empty for this router.
 
-        The first few pull from this aggregator, the others from those that
-        have reported it already, so that nobody serves a whole domain.
+        The first few routers pull from this aggregator, the others from routers
+        that have already reported the version, so that no router serves the whole
+        domain.
         """
         version = self._keeper.version
         if report.version >= version:
@@ -459,7 +471,7 @@
             self._members.take_notice(notice, now)
 
     def _aggregate(self, now: float) -> None:
-        """Sum up the domain and tell the aggregators of the others."""
+        """Sum up the domain and send the sums to aggregators of other domains."""
         summary = self._domain.summary(now)
         self._fleet.hear(summary, now)
         self._means = self._fleet.means(now)
@@ -483,10 +495,10 @@
         self._list_hosts_if_due(now)
 
     def _next_aggregator(self, names: list[str]) -> str:
-        """Return one of the aggregators, another one each interval.
+        """Return one of some aggregators, the next one in each interval.
 
-        Each of them hears every second report, and this router hears from
-        one of them every interval, at half the bytes of telling both.
+        With two aggregators, each receives every second report and this router has
+        a reply in every interval, at half the bytes of reporting to both.
         """
         return names[self._sequence % len(names)]
 
@@ -510,7 +522,7 @@
         self._members.suspect(member.entry.name, self._clock.seconds())
 
     def _fall_back(self) -> None:
-        """Ask platform and seeds directly while no aggregator answers."""
+        """Ask the platform and the seed routers while no aggregator answers."""
         now = self._clock.seconds()
         self._last_reply_at = now - AGGREGATOR_TIMEOUT_SECONDS + RETRY_PAUSE_SECONDS
         self._list_hosts_if_due(now)
@@ -556,7 +568,7 @@
             yield self._update_stored_head(found.value)
 
     def _watch(self) -> None:
-        """Wait for the next accepted version at the platform."""
+        """Watch the platform for the next accepted version."""
         if self._is_watching or self._is_stopped:
             return
         self._is_watching = True
@@ -597,7 +609,7 @@
         return self._keeper.hear(head, self._platform_source)
 
     def _head_for(self, version: int) -> wire.Head:
-        """Return the head for a process at a version; empty if it has it."""
+        """Return the head for a process at a version; no head if it is current."""
         head = self._keeper.head
         return to_wire(head if head.version > version else NO_HEAD)
 
