--- a/src/primrosescale/console/__init__.py
+++ b/src/primrosescale/console/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The command-line program ``primrosescale``."""
--- a/src/primrosescale/console/admin_client.py
+++ b/src/primrosescale/console/admin_client.py
@@ -1,4 +1,4 @@
-"""Client of the administration API for the command line."""
+"""Blocking HTTP client of a router's administration API, for the command line."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
     Parameters
     ----------
     endpoint : str
-        ``address:port``.
+        Address of the administration API, as ``address:port``.
     key : str
-        The operator's bearer key.
+        Bearer key of the operator.
     """
 
     def __init__(self, endpoint: str, key: str) -> None:
@@ -30,34 +30,34 @@
         self._key = key
 
     def get(self, path: str) -> dict[str, Any]:
-        """Read something.
+        """Send a GET request.
 
         Parameters
         ----------
         path : str
-            What, below the API's prefix.
+            Path below the API's prefix.
 
         Returns
         -------
         dict[str, Any]
-            The answer.
+            Fields of the answer.
         """
         return self._call("GET", path, "", {})
 
     def post(self, path: str, fields: dict[str, Any]) -> dict[str, Any]:
-        """Do something.
+        """Send a POST request with a JSON body.
 
         Parameters
         ----------
         path : str
-            What, below the API's prefix.
+            Path below the API's prefix.
         fields : dict[str, Any]
-            With what.
+            Fields of the body.
 
         Returns
         -------
         dict[str, Any]
-            The answer.
+            Fields of the answer.
         """
         return self._call("POST", path, json.dumps(fields), {})
 
@@ -67,32 +67,32 @@
         Parameters
         ----------
         text : str
-            Its INI text.
+            INI text of the bundle.
         base : str
-            Digest that must be in force; empty for any.
+            Digest of the version that must be in force; empty for any.
 
         Returns
         -------
         dict[str, Any]
-            The new version.
+            Description of the new version.
         """
         headers = {"If-Match": f'"{base}"'} if base else {}
         return self._call("POST", "bundles", text, headers)
 
     def sign(self, digest: str, signature: bytes) -> dict[str, Any]:
-        """Sign a version off.
+        """Submit an approver's signature of a version.
 
         Parameters
         ----------
         digest : str
-            The version.
+            Digest of the version.
         signature : bytes
-            The approver's signature.
+            Signature of the digest by the approver.
 
         Returns
         -------
         dict[str, Any]
-            The version.
+            Description of the version.
         """
         body = json.dumps({"signature": signature.hex()})
         return self._call("PUT", f"bundles/{digest}/sign-off", body, {})
@@ -116,7 +116,7 @@
         except (OSError, http.client.HTTPException) as error:
             raise UnreachableError(
                 f"no answer from {self._endpoint}: {error}",
-                "name a router's administration port with --admin",
+                "pass the address of a router's administration port with --admin",
             ) from error
         try:
             fields: dict[str, Any] = json.loads(content)
@@ -132,5 +132,5 @@
     lines = [f"{f['problem']}; {f['remedy']}" for f in fields.get("faults", [])]
     remedy = str(fields.get("remedy", "see the operators' guide"))
     if lines:
-        remedy = "\n  ".join(["mend these:", *lines])
+        remedy = "\n  ".join(["correct these faults:", *lines])
     return RefusedByApiError(problem, remedy)
--- a/src/primrosescale/console/application.py
+++ b/src/primrosescale/console/application.py
@@ -1,4 +1,4 @@
-"""Entry point: finds the command and runs it."""
+"""Entry point of the program: parses flags, runs a command, maps errors to codes."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     Returns
     -------
     list[Command]
-        In the order of the help text.
+        Commands in the order of the help text.
     """
     return [
         DemoCommand(),
@@ -59,17 +59,17 @@
 
 
 def run(args: list[str]) -> ExitCode:
-    """Run the command that some words name.
+    """Run the command that the first argument names.
 
     Parameters
     ----------
     args : list[str]
-        The words after the program's name.
+        Arguments after the program's name.
 
     Returns
     -------
     ExitCode
-        How it ended.
+        Exit code of the program.
     """
     known = {command.name: command for command in commands()}
     if not args or args[0] in HELP_ARGUMENTS:
@@ -77,7 +77,7 @@
         return ExitCode.OK if args else ExitCode.USAGE
     command = known.get(args[0])
     if command is None:
-        _print_error(f"no command {args[0]!r}; use one of {', '.join(known)}")
+        _print_error(f"unknown command {args[0]!r}; use one of {', '.join(known)}")
         return ExitCode.USAGE
     values = flags.FlagValues()  # type: ignore[no-untyped-call]
     command.define(values)
@@ -107,7 +107,7 @@
 def _overview(known: list[Command]) -> str:
     lines = ["usage: primrosescale COMMAND [flags]", ""]
     lines += [f"  {command.name:<10} {command.summary}" for command in known]
-    lines += ["", "'primrosescale COMMAND --help' tells more, with an example."]
+    lines += ["", "'primrosescale COMMAND --help' prints its flags and an example."]
     return "\n".join(lines)
 
 
--- a/src/primrosescale/console/command.py
+++ b/src/primrosescale/console/command.py
@@ -1,4 +1,4 @@
-"""What every command is."""
+"""Base class of the subcommands."""
 
 from __future__ import annotations
 
@@ -13,61 +13,61 @@
 
 
 class Command(ABC):
-    """One command of ``primrosescale``."""
+    """A subcommand of ``primrosescale``."""
 
     @property
     @abstractmethod
     def name(self) -> str:
-        """Return the word that calls it."""
+        """Return the name of the command."""
 
     @property
     @abstractmethod
     def summary(self) -> str:
-        """Return what it does, in one line."""
+        """Return a one-line summary."""
 
     @property
     @abstractmethod
     def example(self) -> str:
-        """Return one line that calls it."""
+        """Return an example of its use."""
 
     @property
     def arguments(self) -> str:
-        """Return the words it takes after its flags."""
+        """Return the synopsis of its positional arguments."""
         return ""
 
     def define(self, values: flags.FlagValues) -> None:  # noqa: B027 - most have none
-        """Define its flags.
+        """Define the flags of the command.
 
         Parameters
         ----------
         values : flags.FlagValues
-            Receives them.
+            Set to which the flags are added.
         """
 
     @abstractmethod
     def run(self, values: flags.FlagValues, args: list[str]) -> ExitCode:
-        """Do what the command is for.
+        """Run the command.
 
         Parameters
         ----------
         values : flags.FlagValues
             Parsed flags.
         args : list[str]
-            The other words.
+            Positional arguments.
 
         Returns
         -------
         ExitCode
-            How it ended.
+            Exit code.
         """
 
     def help(self, values: flags.FlagValues) -> str:
-        """Return what ``--help`` prints.
+        """Return the text that ``--help`` prints.
 
         Parameters
         ----------
         values : flags.FlagValues
-            Its flags.
+            Flags of the command.
 
         Returns
         -------
--- a/src/primrosescale/console/daemon_command.py
+++ b/src/primrosescale/console/daemon_command.py
@@ -1,4 +1,4 @@
-"""What commands that run a daemon have in common."""
+"""Base class of the commands that run a router or an agent."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 class DaemonCommand(Command):
-    """Runs a router or an agent until it is told to stop."""
+    """Runs a router or an agent until SIGTERM or SIGINT."""
 
     def define(self, values: flags.FlagValues) -> None:
-        """Define its flags."""
+        """Define the flag of the settings file."""
         define_settings(values)
 
     @abstractmethod
@@ -43,20 +43,20 @@
         Parameters
         ----------
         settings : Settings
-            Its settings.
+            Settings of the process.
         context : Tools
             Reactor, log, metrics and traces.
         platform : Platform
-            The platform's service.
+            Client of the platform's object store and list of hosts.
 
         Returns
         -------
         Router | Agent
-            The daemon, not started.
+            The router or agent, not started.
         """
 
     def run(self, values: flags.FlagValues, args: list[str]) -> ExitCode:
-        """Run until told to stop."""
+        """Run until SIGTERM or SIGINT."""
         settings = settings_for(values, self.name)
         from twisted.internet import reactor  # noqa: PLC0415
 
--- a/src/primrosescale/console/daemons.py
+++ b/src/primrosescale/console/daemons.py
@@ -1,4 +1,4 @@
-"""Running a daemon until it is told to stop."""
+"""Loads the settings of a process and runs it until SIGTERM or SIGINT."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     Parameters
     ----------
     values : flags.FlagValues
-        Receives it.
+        Set to which the flag is added.
     """
     flags.DEFINE_string(
         "settings",
@@ -42,33 +42,33 @@
 
 
 def settings_for(values: flags.FlagValues, role: str) -> Settings:
-    """Return the settings that the flag names.
+    """Load the settings file that the flag names.
 
     Parameters
     ----------
     values : flags.FlagValues
         Parsed flags.
     role : str
-        What the process is to be; the file must agree.
+        Role that the file must be for.
 
     Returns
     -------
     Settings
-        Checked settings.
+        Validated settings.
 
     Raises
     ------
     UsageError
-        When no file is named or it is for another role.
+        When no file is named or the file is for another role.
     """
     path = values["settings"].value
     if not path:
-        raise UsageError("no settings", "name a file with --settings")
+        raise UsageError("no settings file", "pass one with --settings")
     settings = load_settings(path)
     if settings.process.role != role:
         raise UsageError(
             f"[process] role = {settings.process.role}, not {role}",
-            f"run 'primrosescale {settings.process.role}' or mend the file",
+            f"run 'primrosescale {settings.process.role}' or correct the file",
         )
     return settings
 
@@ -85,14 +85,14 @@
     settings : Settings
         Settings of the process.
     start : Callable[[], Deferred[Any]]
-        Starts it; called with the reactor running.
+        Starts the daemon; called with the reactor running.
     stop : Callable[[], Deferred[Any]]
-        Stops it; its end ends the process.
+        Stops the daemon; the process ends when the Deferred fires.
 
     Returns
     -------
     ExitCode
-        `ExitCode.FAILED` when it could not start.
+        `ExitCode.FAILED` when starting or stopping failed.
     """
     from twisted.internet import reactor as installed  # noqa: PLC0415
 
--- a/src/primrosescale/console/exceptions.py
+++ b/src/primrosescale/console/exceptions.py
@@ -6,12 +6,12 @@
 
 
 class UsageError(PrimrosescaleError):
-    """A command was called with wrong words."""
+    """A command was called with wrong arguments."""
 
 
 class RefusedByApiError(PrimrosescaleError):
-    """The administration API refused a call."""
+    """The administration API refused a request."""
 
 
 class UnreachableError(PrimrosescaleError):
-    """No router answers."""
+    """The administration API could not be reached."""
--- a/src/primrosescale/console/exit_codes.py
+++ b/src/primrosescale/console/exit_codes.py
@@ -6,7 +6,7 @@
 
 
 class ExitCode(IntEnum):
-    """What a command's end means."""
+    """Results of a command."""
 
     OK = 0
     FAILED = 1
--- a/src/primrosescale/console/standins.py
+++ b/src/primrosescale/console/standins.py
@@ -1,4 +1,4 @@
-"""Running a stand-in over HTTP."""
+"""Serves the resource of a stand-in over HTTP until SIGTERM or SIGINT."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 
 
 def run_site(settings: Settings, make: Callable[[Any], Resource]) -> ExitCode:
-    """Serve a stand-in's resource until told to stop.
+    """Serve a stand-in's resource until SIGTERM or SIGINT.
 
     Parameters
     ----------
     settings : Settings
         Settings of the process.
     make : Callable[[Any], Resource]
-        Makes the resource, given the reactor.
+        Creates the resource, given the reactor.
 
     Returns
     -------
     ExitCode
-        How it ended.
+        Exit code.
     """
     from twisted.internet import reactor as installed  # noqa: PLC0415
 
--- a/src/primrosescale/process/daemons/agent_core.py
+++ b/src/primrosescale/process/daemons/agent_core.py
@@ -183,7 +183,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether no call waits, runs or still has bytes to send."""
+        """Return whether no call waits, runs or still has bytes to send."""
         if not self._admission.is_idle:
             return False
         return all(call.phase is CallPhase.ENDED for call in self._calls.values())
