--- a/src/primrosescale/console/commands/__init__.py
+++ b/src/primrosescale/console/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands, a module each."""
+"""The subcommands, one module each."""
--- a/src/primrosescale/console/commands/agent.py
+++ b/src/primrosescale/console/commands/agent.py
@@ -1,4 +1,4 @@
-"""``primrosescale agent``."""
+"""Command that runs the agent of a target."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
     @property
     def name(self) -> str:
-        """Return the word that calls it."""
+        """Return the name of the command."""
         return "agent"
 
     @property
     def summary(self) -> str:
-        """Return what it does."""
-        return "run an agent: the process beside a target and the only way to it"
+        """Return a one-line summary."""
+        return "run an agent, the process beside a target that forwards calls to it"
 
     @property
     def example(self) -> str:
-        """Return one line that calls it."""
+        """Return an example of its use."""
         return "primrosescale agent --settings settings/riga/agent-assistant-1.ini"
 
     def make(self, settings: Settings, context: Tools, platform: Platform) -> Agent:
--- a/src/primrosescale/console/commands/bundle.py
+++ b/src/primrosescale/console/commands/bundle.py
@@ -1,4 +1,4 @@
-"""``primrosescale bundle``."""
+"""Command that checks, creates, signs and rolls out bundles of configuration."""
 
 from __future__ import annotations
 
@@ -33,17 +33,17 @@
 
     @property
     def name(self) -> str:
-        """Return the word that calls it."""
+        """Return the name of the command."""
         return "bundle"
 
     @property
     def summary(self) -> str:
-        """Return what it does."""
+        """Return a one-line summary."""
         return "check, create, diff, sign and roll out configuration"
 
     @property
     def example(self) -> str:
-        """Return one line that calls it."""
+        """Return an example of its use."""
         return (
             "primrosescale bundle create riga.ini --admin 127.0.0.1:8081 "
             "--key-file ~/.primrosescale-key"
@@ -51,7 +51,7 @@
 
     @property
     def arguments(self) -> str:
-        """Return the words it takes."""
+        """Return the synopsis of its positional arguments."""
         return (
             "check FILE | create FILE | show VERSION | diff VERSION [VERSION] | "
             "sign DIGEST | roll-out DIGEST | status | history | revert-to VERSION | "
@@ -59,7 +59,7 @@
         )
 
     def define(self, values: flags.FlagValues) -> None:
-        """Define its flags."""
+        """Define the flags of the command."""
         flags.DEFINE_string(
             "admin",
             "127.0.0.1:8081",
@@ -81,19 +81,19 @@
         flags.DEFINE_string(
             "base",
             "",
-            "create only if this digest is still in force",
+            "create only if the version with this digest is still in force",
             flag_values=values,
         )
         flags.DEFINE_enum(
             "format",
             "text",
             list(FORMATS),
-            "how to print",
+            "output format",
             flag_values=values,
         )
 
     def run(self, values: flags.FlagValues, args: list[str]) -> ExitCode:
-        """Run the verb that the first word names."""
+        """Run the verb that the first argument names."""
         verbs: dict[str, Callable[[flags.FlagValues, list[str]], None]] = {
             "check": self._check,
             "create": self._create,
@@ -109,14 +109,14 @@
             "hash-key": self._hash_key,
         }
         if not args or args[0] not in verbs:
-            raise UsageError("no such verb", f"use one of {', '.join(verbs)}")
+            raise UsageError("missing or unknown verb", f"use one of {', '.join(verbs)}")
         verbs[args[0]](values, args[1:])
         return ExitCode.OK
 
     def _check(self, values: flags.FlagValues, args: list[str]) -> None:
         path = _single_argument(args, "FILE")
         bundle = Bundle.from_ini(_read(path), path)
-        _write(f"{path}: good, {len(bundle.records)} records")
+        _write(f"{path}: valid, {len(bundle.records)} records")
 
     def _create(self, values: flags.FlagValues, args: list[str]) -> None:
         path = _single_argument(args, "FILE")
@@ -131,7 +131,7 @@
 
     def _diff(self, values: flags.FlagValues, args: list[str]) -> None:
         if not args:
-            raise UsageError("no version named", "write one or two versions")
+            raise UsageError("no version given", "pass one or two versions")
         query = f"?with={args[1]}" if len(args) > 1 else ""
         reply = _client(values).get(f"bundles/{args[0]}/diff{query}")
         _print(values, reply, lambda f: str(f["diff"]).rstrip() or "no difference")
@@ -183,7 +183,7 @@
         key = sys.stdin.readline().strip()
         if not key:
             raise UsageError(
-                "no key on standard input", "write the key, then a newline"
+                "no key on standard input", "write the key and a newline to it"
             )
         _write(hashlib.sha256(key.encode()).hexdigest())
 
@@ -191,13 +191,13 @@
 def _client(values: flags.FlagValues) -> AdminClient:
     path = values["key_file"].value
     if not path:
-        raise UsageError("no operator key", "name its file with --key_file")
+        raise UsageError("no operator key", "pass its file with --key_file")
     return AdminClient(str(values["admin"].value), _read(path).strip())
 
 
 def _signing_key(path: str) -> bytes:
     if not path:
-        raise UsageError("no signing key", "name its file with --signing_key")
+        raise UsageError("no signing key", "pass its file with --signing_key")
     args = _read(path).split()
     text = args[1] if args[:1] == ["private"] and len(args) > 1 else "".join(args[:1])
     try:
@@ -206,7 +206,7 @@
         key = b""
     if len(key) != KEY_BYTES:
         raise UsageError(
-            f"{path} holds no private key", "make one with 'bundle keygen'"
+            f"{path} holds no private key", "create one with 'bundle keygen'"
         )
     return key
 
@@ -216,13 +216,13 @@
         return Path(path).expanduser().read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         raise UsageError(
-            f"cannot read {path}: {error}", "name a readable file"
+            f"cannot read {path}: {error}", "pass a readable file"
         ) from error
 
 
 def _single_argument(args: list[str], name: str) -> str:
     if len(args) != 1:
-        raise UsageError(f"one {name} is needed", "see 'primrosescale bundle --help'")
+        raise UsageError(f"exactly one {name} is required", "see 'primrosescale bundle --help'")
     return args[0]
 
 
@@ -256,7 +256,7 @@
             f"version {fields['version']} "
             f"({fields['digest'][:SHORT_DIGEST_CHARACTERS]}) is in force {where}"
         ),
-        f"as router {fields['router']} heard {fields['news_age']} s ago",
+        f"as router {fields['router']} received {fields['news_age']} s ago",
     ]
     for item in fields["domains"]:
         lines.append(
--- a/src/primrosescale/console/commands/check.py
+++ b/src/primrosescale/console/commands/check.py
@@ -1,4 +1,4 @@
-"""``primrosescale check``."""
+"""Command that validates settings files."""
 
 from __future__ import annotations
 
@@ -17,32 +17,32 @@
 
 
 class CheckCommand(Command):
-    """Checks settings files."""
+    """Validates settings files."""
 
     @property
     def name(self) -> str:
-        """Return the word that calls it."""
+        """Return the name of the command."""
         return "check"
 
     @property
     def summary(self) -> str:
-        """Return what it does."""
-        return "check settings files and print every fault with its remedy"
+        """Return a one-line summary."""
+        return "validate settings files and print every fault with its remedy"
 
     @property
     def example(self) -> str:
-        """Return one line that calls it."""
+        """Return an example of its use."""
         return "primrosescale check settings/riga/router-1.ini"
 
     @property
     def arguments(self) -> str:
-        """Return the words it takes."""
+        """Return the synopsis of its positional arguments."""
         return "FILE..."
 
     def run(self, values: flags.FlagValues, args: list[str]) -> ExitCode:
-        """Check each file."""
+        """Print the faults of each file."""
         if not args:
-            raise UsageError("no file to check", "name one or more")
+            raise UsageError("no file to check", "pass one or more settings files")
         result = ExitCode.OK
         for path in args:
             faults = _faults_of(path)
@@ -51,7 +51,7 @@
             if faults:
                 result = ExitCode.BAD_SETTINGS
             else:
-                sys.stdout.write(f"{path}: good\n")
+                sys.stdout.write(f"{path}: valid\n")
         return result
 
 
--- a/src/primrosescale/console/commands/demo.py
+++ b/src/primrosescale/console/commands/demo.py
@@ -1,4 +1,4 @@
-"""``primrosescale demo``."""
+"""Command that runs a small deployment of stand-ins in one process."""
 
 from __future__ import annotations
 
@@ -22,40 +22,40 @@
 
 
 class DemoCommand(Command):
-    """Runs the main job on stand-ins in one process."""
+    """Runs routers, agents and stand-ins in one process, with load."""
 
     @property
     def name(self) -> str:
-        """Return the word that calls it."""
+        """Return the name of the command."""
         return "demo"
 
     @property
     def summary(self) -> str:
-        """Return what it does."""
+        """Return a one-line summary."""
         return "run a small deployment with load, a restart and a drain"
 
     @property
     def example(self) -> str:
-        """Return one line that calls it."""
+        """Return an example of its use."""
         return "primrosescale demo --serve"
 
     def define(self, values: flags.FlagValues) -> None:
-        """Define its flags."""
+        """Define the flags of the command."""
         flags.DEFINE_bool(
             "serve",
             False,  # noqa: FBT003
-            "keep the deployment up and print how to call it",
+            "keep the deployment running and print examples of requests to it",
             flag_values=values,
         )
         flags.DEFINE_string(
             "log",
             str(Path(tempfile.gettempdir()) / "primrosescale-demo.log"),
-            "file of the log",
+            "path of the log file",
             flag_values=values,
         )
 
     def run(self, values: flags.FlagValues, args: list[str]) -> ExitCode:
-        """Run it and say what came of it."""
+        """Run the demo and print its summary."""
         from twisted.internet import reactor as installed  # noqa: PLC0415
 
         reactor: Any = installed
@@ -132,16 +132,16 @@
     chat += '"chat_id":"mine","stream":true}'
     return "\n".join(
         [
-            "The deployment is up; end it with Ctrl-C.",
+            "The deployment is running; stop it with Ctrl-C.",
             "",
             "a streamed chat:",
             f"  curl -N {base}/v1/chat/completions -H 'Authorization: Bearer {key}' \\",
             f"    -H 'Content-Type: application/json' -d '{chat}'",
-            "a switch confirmation, which runs once however often you repeat it:",
+            "a switch confirmation, which runs once even when it is retried:",
             f"  curl {base}/services/portal/switches \\",
             f"    -H 'Authorization: Bearer {key}' \\",
             "    -H 'Idempotency-Key: switch-1' -d '{\"case\":\"1\"}'",
-            "what is in force where:",
+            "the configuration version in force in each failure domain:",
             f"  curl {admin}/admin/v1/status -H 'Authorization: Bearer {AUTHOR_KEY}'",
             "",
         ],
--- a/src/primrosescale/console/commands/engine.py
+++ b/src/primrosescale/console/commands/engine.py
@@ -1,4 +1,4 @@
-"""``primrosescale engine``."""
+"""Command that serves a stand-in of a model engine."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
 
     @property
     def name(self) -> str:
-        """Return the word that calls it."""
+        """Return the name of the command."""
         return "engine"
 
     @property
     def summary(self) -> str:
-        """Return what it does."""
+        """Return a one-line summary."""
         return "run a stand-in of a model engine"
 
     @property
     def example(self) -> str:
-        """Return one line that calls it."""
+        """Return an example of its use."""
         return "primrosescale engine --settings settings/riga/engine-1.ini"
 
     def define(self, values: flags.FlagValues) -> None:
-        """Define its flags."""
+        """Define the flag of the settings file."""
         define_settings(values)
 
     def run(self, values: flags.FlagValues, args: list[str]) -> ExitCode:
-        """Run until told to stop."""
+        """Serve the stand-in until SIGTERM or SIGINT."""
         settings = settings_for(values, self.name)
         from primrosescale.standin.engine import EngineResource  # noqa: PLC0415
         from primrosescale.standin.engine import EngineSettings  # noqa: PLC0415
--- a/src/primrosescale/console/commands/platform.py
+++ b/src/primrosescale/console/commands/platform.py
@@ -1,4 +1,4 @@
-"""``primrosescale platform``."""
+"""Command that serves a stand-in of the platform."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
 
     @property
     def name(self) -> str:
-        """Return the word that calls it."""
+        """Return the name of the command."""
         return "platform"
 
     @property
     def summary(self) -> str:
-        """Return what it does."""
+        """Return a one-line summary."""
         return "run the stand-in of the platform's object API and host list"
 
     @property
     def example(self) -> str:
-        """Return one line that calls it."""
+        """Return an example of its use."""
         return "primrosescale platform --settings settings/riga/platform.ini"
 
     def define(self, values: flags.FlagValues) -> None:
-        """Define its flags."""
+        """Define the flag of the settings file."""
         define_settings(values)
 
     def run(self, values: flags.FlagValues, args: list[str]) -> ExitCode:
-        """Run until told to stop."""
+        """Serve the stand-in until SIGTERM or SIGINT."""
         settings = settings_for(values, self.name)
         from primrosescale.standin.memory_platform import MemoryPlatform  # noqa: PLC0415
         from primrosescale.standin.object_store import ObjectStore  # noqa: PLC0415
--- a/src/primrosescale/console/commands/router.py
+++ b/src/primrosescale/console/commands/router.py
@@ -1,4 +1,4 @@
-"""``primrosescale router``."""
+"""Command that runs a router."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
     @property
     def name(self) -> str:
-        """Return the word that calls it."""
+        """Return the name of the command."""
         return "router"
 
     @property
     def summary(self) -> str:
-        """Return what it does."""
-        return "run a router: callers, administration, placement"
+        """Return a one-line summary."""
+        return "run a router, which forwards callers' requests to agents"
 
     @property
     def example(self) -> str:
-        """Return one line that calls it."""
+        """Return an example of its use."""
         return "primrosescale router --settings settings/riga/router-1.ini"
 
     def make(self, settings: Settings, context: Tools, platform: Platform) -> Router:
--- a/src/primrosescale/console/commands/service.py
+++ b/src/primrosescale/console/commands/service.py
@@ -1,4 +1,4 @@
-"""``primrosescale service``."""
+"""Command that serves a stand-in of a plain service."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
 
     @property
     def name(self) -> str:
-        """Return the word that calls it."""
+        """Return the name of the command."""
         return "service"
 
     @property
     def summary(self) -> str:
-        """Return what it does."""
+        """Return a one-line summary."""
         return "run a stand-in of a plain service"
 
     @property
     def example(self) -> str:
-        """Return one line that calls it."""
+        """Return an example of its use."""
         return "primrosescale service --settings settings/riga/service-1.ini"
 
     def define(self, values: flags.FlagValues) -> None:
-        """Define its flags."""
+        """Define the flag of the settings file."""
         define_settings(values)
 
     def run(self, values: flags.FlagValues, args: list[str]) -> ExitCode:
-        """Run until told to stop."""
+        """Serve the stand-in until SIGTERM or SIGINT."""
         settings = settings_for(values, self.name)
         from primrosescale.standin.plain_service import PlainServiceResource  # noqa: PLC0415
 
--- a/src/primrosescale/console/commands/version.py
+++ b/src/primrosescale/console/commands/version.py
@@ -1,4 +1,4 @@
-"""``primrosescale version``."""
+"""Command that prints the version of the program."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 
 
 class VersionCommand(Command):
-    """Prints the version."""
+    """Prints the versions of the program and of Python."""
 
     @property
     def name(self) -> str:
-        """Return the word that calls it."""
+        """Return the name of the command."""
         return "version"
 
     @property
     def summary(self) -> str:
-        """Return what it does."""
+        """Return a one-line summary."""
         return "print the version"
 
     @property
     def example(self) -> str:
-        """Return one line that calls it."""
+        """Return an example of its use."""
         return "primrosescale version"
 
     def run(self, values: flags.FlagValues, args: list[str]) -> ExitCode:
-        """Print it."""
+        """Print the versions."""
         python = platform.python_version()
         sys.stdout.write(f"primrosescale {__version__} (Python {python})\n")
         return ExitCode.OK
