--- a/src/primrosescale/console/commands/bundle.py
+++ b/src/primrosescale/console/commands/bundle.py
@@ -109,7 +109,9 @@
             "hash-key": self._hash_key,
         }
         if not args or args[0] not in verbs:
-            raise UsageError("missing or unknown verb", f"use one of {', '.join(verbs)}")
+            raise UsageError(
+                "missing or unknown verb", f"use one of {', '.join(verbs)}"
+            )
         verbs[args[0]](values, args[1:])
         return ExitCode.OK
 
@@ -222,7 +224,9 @@
 
 def _single_argument(args: list[str], name: str) -> str:
     if len(args) != 1:
-        raise UsageError(f"exactly one {name} is required", "see 'primrosescale bundle --help'")
+        raise UsageError(
+            f"exactly one {name} is required", "see 'primrosescale bundle --help'"
+        )
     return args[0]
 
 
--- a/src/primrosescale/process/daemons/agent_core.py
+++ b/src/primrosescale/process/daemons/agent_core.py
@@ -233,7 +233,12 @@
         now = self._clock.seconds()
         name = CallName(message.router, message.number)
         if message.target_incarnation != self._incarnation:
-            self._refuse(link, name, Reason.REPLACED, detail="the call was addressed to an earlier incarnation of the agent")
+            self._refuse(
+                link,
+                name,
+                Reason.REPLACED,
+                detail="the call was addressed to an earlier incarnation of the agent",
+            )
             return
         state = self._call_ids.state(name)
         if state is not NameState.FRESH:
@@ -386,7 +391,12 @@
             call.fail(Outcome.NOT_RUN, Reason.KEY_REUSED, detail)
         elif state == ClaimState.UNAVAILABLE:
             self._ledger.abandon(claim)
-            call.fail(Outcome.NOT_RUN, Reason.STORE_UNAVAILABLE, "the claim ledger is unavailable", 1.0)
+            call.fail(
+                Outcome.NOT_RUN,
+                Reason.STORE_UNAVAILABLE,
+                "the claim ledger is unavailable",
+                1.0,
+            )
         else:
             detail = "an earlier request with the key may be running or have run"
             call.fail(Outcome.UNKNOWN, Reason.KEY_HELD, detail)
@@ -395,7 +405,9 @@
         if answer.whole:
             call.replay(answer)
             return
-        detail = "an earlier request with the key ran; its answer was too large to record"
+        detail = (
+            "an earlier request with the key ran; its answer was too large to record"
+        )
         call.fail(Outcome.UNKNOWN, Reason.KEY_HELD, detail)
 
     def _run(self, call: AgentCall) -> None:
