--- a/tests/process/test_fleet.py
+++ b/tests/process/test_fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet serves calls, and the checker finds nothing."""
+"""A simulated fleet serves calls under faults, and no invariant is broken."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class FleetTest(TestCase):
-    def test_calls_are_answered_whole_and_once(self):
+    def test_calls_are_answered_completely_and_run_once(self):
         world = World()
         for number in range(20):
             key = f"k{number}" if number % 2 else ""
@@ -20,7 +20,7 @@
         self.assertEqual({"whole"}, outcomes)
         self.assertEqual([], world.faults())
 
-    def test_a_repeat_of_a_key_gets_the_recorded_answer(self):
+    def test_a_retry_with_the_same_key_gets_the_recorded_answer(self):
         world = World()
         first = world.submit("r1", "one", key="k")
         world.run(3)
@@ -38,7 +38,7 @@
             self.assertEqual(head.digest, process.keeper.head.digest)
         self.assertEqual([], world.faults())
 
-    def test_no_router_serves_a_version_to_all_of_its_domain(self):
+    def test_no_router_serves_a_version_to_its_whole_domain(self):
         world = World(routers=9, agents=0, domains=1)
         pulls = {}
 
@@ -52,11 +52,11 @@
         self.assertEqual({2}, {r.keeper.version for r in world.routers.values()})
         self.assertTrue(max(map(len, pulls.values())) <= 5, pulls)
 
-    def test_a_version_spreads_although_both_watchers_of_a_domain_are_gone(self):
+    def test_a_version_spreads_although_both_aggregators_of_a_domain_are_gone(self):
         world = World(routers=6, agents=2, domains=1)
-        watchers = [n for n, r in world.routers.items() if r.control.is_aggregator]
-        self.assertEqual(2, len(watchers))
-        for name in watchers:
+        aggregators = [n for n, r in world.routers.items() if r.control.is_aggregator]
+        self.assertEqual(2, len(aggregators))
+        for name in aggregators:
             world.kill(name)
         world.roll_out(2, "[organisation new]\nkey_hashes =\n")
         world.run(12)
@@ -75,7 +75,7 @@
         self.assertEqual("whole", world.history.calls["cold"].outcome)
         self.assertEqual([], world.faults())
 
-    def test_a_router_that_has_never_heard_a_head_is_not_ready(self):
+    def test_a_router_that_has_never_received_a_head_is_not_ready(self):
         world = World(routers=1, agents=0)
         world.store.settings.is_down = True
         world.kill("r1")
@@ -141,7 +141,7 @@
         self.assertNotEqual(current, world.agents["a1"]._heartbeat.router)
         self.assertTrue(world.agents["a1"]._heartbeat.is_heard)
 
-    def test_a_refusal_that_was_lost_is_still_not_run_when_asked_again(self):
+    def test_a_call_whose_refusal_was_lost_is_still_not_run_when_resumed(self):
         world = World(routers=1, agents=1)
         world.subject = "refused"
         world.agents["a1"].core.drain()
@@ -154,7 +154,7 @@
         world.run(12)
         self.assertEqual(("not run", []), (story.outcome, world.faults()))
 
-    def test_a_leaving_agent_hands_the_caches_of_its_chats_to_their_next_place(self):
+    def test_a_leaving_agent_hands_the_caches_of_its_chats_to_their_next_target(self):
         world = World(routers=2, agents=3, service="chat")
         world.submit("r1", "first", chat="c")
         world.run(3)
@@ -170,8 +170,8 @@
         self.assertEqual(holders, [world.history.runs[-1].target])
         self.assertEqual([], world.faults())
 
-    # Guards against calls that an agent hands to a target in the rest it asked for.
-    def test_a_target_that_asks_for_a_rest_gets_nothing_until_it_is_over(self):
+    # Guards against calls that an agent sends to a target in its requested pause.
+    def test_a_target_that_requests_a_pause_gets_no_calls_until_it_is_over(self):
         world = World(routers=2, agents=2)
         for target in world.targets.values():
             target.mode = "rest"
