--- a/tests/process/test_engine_orders.py
+++ b/tests/process/test_engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders reach the wish, and no late order has a lasting effect."""
+"""Orders bring an engine to the desired state; late orders have no lasting effect."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Engine:
-    """An engine that checks fences or does not."""
+    """An engine with or without checks of fencing numbers."""
 
     def __init__(self, checks):
         self.checks = checks
@@ -102,7 +102,7 @@
             for _ in range(20):
                 self.clock.advance(0.01)
 
-    def test_an_engine_reaches_the_wish_and_is_left_alone(self):
+    def test_an_engine_reaches_the_desired_state_and_gets_no_more_orders(self):
         engine = Engine(True)
         orders = self.agent(engine)
         self.rounds(orders, desired("2"), 5)
@@ -146,7 +146,7 @@
         self.assertEqual("2", engine.now["version"])
 
     def late_order(self, checks):
-        """A paused agent's order arrives after its successor's."""
+        """Deliver an order of a paused agent after the order of its successor."""
         engine = Engine(checks)
         old = self.agent(engine, 1)
         engine.held = []
@@ -164,7 +164,7 @@
         self.assertEqual("2", engine.now["version"])
         self.assertEqual(1, len(old.observer.failed))
 
-    def test_a_late_order_at_an_engine_that_does_not_is_put_right(self):
+    def test_a_late_order_at_an_engine_without_fence_checks_is_corrected(self):
         engine, old, new = self.late_order(False)
         self.assertEqual("1", engine.now["version"])
         self.rounds(new, desired("2"), 2)
@@ -191,13 +191,13 @@
             self.rounds(other, desired_state)
         self.assertEqual("2", second.now["version"])
 
-    def test_a_domain_that_is_not_named_goes_last(self):
+    def test_a_domain_missing_from_the_order_goes_last(self):
         engine = Engine(True)
         orders = self.agent(engine, domain="d9")
         self.rounds(orders, desired("2", ("d1",)), 3)
         self.assertEqual(0, engine.orders)
 
-    def test_only_as_many_load_weights_at_once_as_there_are_slots(self):
+    def test_slots_limit_how_many_engines_load_weights_at_once(self):
         engines = [Engine(True) for _ in range(10)]
         agents = [self.agent(e, name=f"a{n}") for n, e in enumerate(engines)]
         for engine in engines:
@@ -214,7 +214,7 @@
                 self.rounds(orders, desired("2"))
         self.assertEqual({"2"}, {engine.now["version"] for engine in engines})
 
-    def test_a_slot_whose_holder_died_lapses(self):
+    def test_the_lease_of_a_slot_whose_holder_died_expires(self):
         engine = Engine(True)
         value = json.dumps({"agent": "dead", "until": 30.0}).encode()
         for number in range(8):
