--- a/tests/console/test_application.py
+++ b/tests/console/test_application.py
@@ -1,4 +1,4 @@
-"""The command line: help, exit codes, and faults named one by one."""
+"""The command line: help texts, exit codes, and one message for each fault."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
         path.write_text(text)
         return str(path)
 
-    def test_every_command_tells_what_it_does_with_an_example(self):
+    def test_help_of_every_command_has_its_summary_and_an_example(self):
         for command in commands():
             code, out, _ = call(command.name, "--help")
             self.assertEqual(ExitCode.OK, code)
             self.assertIn(command.summary, out)
             self.assertIn(f"example: primrosescale {command.name}", out)
 
-    def test_wrong_words_are_usage_errors(self):
+    def test_wrong_arguments_are_usage_errors(self):
         for words in (
             [],
             ["fly"],
@@ -75,7 +75,7 @@
         ):
             self.assertIn(word, out)
 
-    def test_a_daemon_with_bad_settings_ends_at_once(self):
+    def test_a_daemon_with_bad_settings_exits_at_once(self):
         for text in ("[process]\n", "nonsense", ""):
             code, _, err = call("router", "--settings", self.write(text))
             self.assertEqual(ExitCode.BAD_SETTINGS, code, text)
@@ -89,7 +89,7 @@
         self.assertEqual(ExitCode.USAGE, code)
         self.assertIn("run 'primrosescale router'", err)
 
-    def test_the_example_settings_are_good(self):
+    def test_the_example_settings_are_valid(self):
         paths = [
             path
             for path in sorted((ROOT / "settings").glob("*/*.ini"))
@@ -101,7 +101,7 @@
             code, out, err = call("bundle", "check", str(path))
             self.assertEqual(ExitCode.OK, code, err)
 
-    def test_a_router_that_does_not_answer_is_told_apart(self):
+    def test_an_unreachable_router_has_its_own_exit_code(self):
         key = self.write("key")
         code, _, err = call(
             "bundle",
