--- a/tests/process/test_fault_matrix.py
+++ b/tests/process/test_fault_matrix.py
@@ -1,4 +1,4 @@
-"""Every fault at every step of a call, then pairs of faults."""
+"""Every fault injected at every step of a call, then pairs of faults."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class FaultPairsTest(FaultMatrixTest):
-    """Two faults in one call, drawn the same way every time."""
+    """Two faults in one call, drawn with a fixed seed."""
 
     @drawn(PAIRS)
     @given(data=st.data())
