--- a/tests/process/test_processes.py
+++ b/tests/process/test_processes.py
@@ -1,4 +1,4 @@
-"""The whole path as separate processes, started and stopped as in the README."""
+"""A request through separate processes, started and stopped as in the README."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
             child.wait()
 
     def output(self):
-        """Return what became of each process and the end of what it wrote."""
+        """Return the exit status of each process and the end of its output."""
         reports = []
         for name, child in self.children.items():
             log = (self.folder / f"{name}.log").read_text(errors="replace")
@@ -107,7 +107,7 @@
                 if check():
                     return
             time.sleep(0.05)
-        self.fail(f"the processes did not come up\n{self.output()}")
+        self.fail(f"the processes did not start in time\n{self.output()}")
 
     def test_from_a_callers_request_to_a_target_and_back(self):
         self.start("platform", "platform")
