--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -1,4 +1,4 @@
-"""Routers and agents, as they are, on memory links and a virtual clock."""
+"""A simulated fleet: real routers and agents on in-memory links, virtual clock."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 from support.memory_network import MemoryNetwork
 
 STEP_SECONDS = 0.01
-# Heads of a target's answers by its mode.
+# Status and headers of a target's failed answers, by its mode.
 FAILURE_HEADS = {
     "error": (500, []),
     "rest": (503, [wire.Header("Retry-After", "3")]),
@@ -92,7 +92,7 @@
 
 
 class MemoryReactor:
-    """The clock of one process: frozen with it, and gone when it is killed."""
+    """The reactor of one process; stops when the process is frozen or killed."""
 
     def __init__(self, world, owner):
         self.world = world
@@ -118,7 +118,7 @@
 
 
 class MemoryContext(Tools):
-    """Tools whose links and targets are in memory."""
+    """A process context whose links and targets are in memory."""
 
     def __init__(self, settings, world, life):
         self.world = world
@@ -127,14 +127,15 @@
         self.rng = random.Random(f"{settings.process.name}{life}")
         self.incarnation = 1000 + life
         if settings.process.role == "router":
-            # A router's incarnation names calls, so it is unique in the fleet.
+            # Call identifiers contain the router's incarnation, so it must be unique
+            # in the fleet.
             self.incarnation += 1000 * int(settings.process.name[1:])
 
     def _guarded(self, act):
-        """In tests an unforeseen error of a loop is a failure."""
+        """Record an unexpected error of a loop; it fails the test."""
         try:
             act()
-        except Exception:  # noqa: BLE001 - a fault of the test
+        except Exception:  # noqa: BLE001 - reported as a fault of the test
             self.world.errors.append(traceback.format_exc())
 
     def wall_clock(self):
@@ -171,7 +172,7 @@
 
 
 class FakeTarget(EnginePort):
-    """A target that runs calls one piece at a time."""
+    """A target that sends the answer of a call in pieces."""
 
     def __init__(self, world, name, pieces=8, gap=0.02):
         self.world = world
@@ -251,7 +252,7 @@
 
 
 class RecordingSink(AnswerSink):
-    """A caller that writes down what it gets."""
+    """A caller that records the answer in its story."""
 
     def __init__(self, world, story, is_streamed):
         self.world = world
@@ -296,7 +297,7 @@
 
 
 class World:
-    """A small fleet and what happened in it."""
+    """A simulated fleet and the history of its calls, runs and versions."""
 
     def __init__(self, routers=2, agents=3, service="case", domains=2, slots=4):
         self.clock = Clock()
@@ -326,7 +327,7 @@
             self.start_agent(f"a{number + 1}")
         self.run(4.0)
 
-    # What tests look at.
+    # Observations of tests.
 
     def faults(self):
         return [*self.errors, *Checker(self.history).faults()]
@@ -337,7 +338,7 @@
     def owner(self, name):
         return f"{name}#{self.lives[name]}"
 
-    # What happens.
+    # Actions of tests.
 
     def run(self, seconds):
         for _ in range(round(seconds / STEP_SECONDS)):
@@ -350,7 +351,7 @@
             hook(target)
 
     def on(self, step, call, act):
-        """Do something the first time a call reaches a step."""
+        """Call a function the first time a call reaches a step."""
         self.hooks[step, call] = act
 
     def roll_out(self, version, extra="", base=""):
@@ -420,7 +421,7 @@
         router.members.candidates = watched
 
     def replace_agent(self, name):
-        """End an agent and start its successor on the same address."""
+        """Kill an agent and start its successor on the same address."""
         port = self.agents[name].link_port
         self.kill(name, with_reset=True)
         return self.start_agent(name, port=port)
@@ -472,7 +473,7 @@
             self.reached("queue", call.call.body.decode(), agent)
 
     def _watch_store(self):
-        """Notice when the subject's claim is written and recorded."""
+        """Report when the claim of the subject is written and its result recorded."""
         put = self.store.put
 
         def watched(key, value, expected, now):
@@ -497,7 +498,7 @@
         self.reached(step, call, target)
 
     def _watch_network(self):
-        """Notice when the subject is dialled for, sent and acknowledged."""
+        """Report when the subject is dialled for, sent and acknowledged."""
 
         def dialled(owner, endpoint):
             if self.subject and owner.startswith("r"):
@@ -521,7 +522,7 @@
         self.network.on_frame.append(sent)
 
     def stop_agent(self, name):
-        """Stop an agent as planned; calls in flight there must end whole."""
+        """Stop an agent gracefully; its calls in flight must get complete answers."""
         agent = self.agents[name]
         now = self.clock.seconds()
         self.history.leave(name, self.lives[name], now)
@@ -536,7 +537,7 @@
         return stopped.addCallback(exit_process)
 
     def calls_at(self, name):
-        """Return the calls that an agent has and whose callers wait."""
+        """Return the calls of an agent whose callers still wait."""
         found = []
         for call in self.agents[name].core._calls.values():
             story = self.attempts.get((call.name.router, call.name.number))
@@ -567,7 +568,7 @@
         is_streamed=False,
         text="",
     ):
-        """Make a request through a router."""
+        """Submit a request through a router."""
         chosen = self.routers[router]
         now = self.clock.seconds()
         story = CallStory(name, key, not key, now, now + timeout)
@@ -607,7 +608,7 @@
 
 
 class BindableSink(RecordingSink):
-    """A sink that a router can bind to its call."""
+    """A recording sink that a router can bind to its call."""
 
     def bind(self, call):
         self.call = call
