--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -1,4 +1,4 @@
-"""Running cells of the fault matrix."""
+"""Runs one cell of the fault matrix: a call with faults injected at its steps."""
 
 from __future__ import annotations
 
@@ -28,21 +28,21 @@
 
 
 def steps_of(kind):
-    """Return the steps that a kind of call goes through."""
+    """Return the steps of a kind of call."""
     if kind == "keyed":
         return STEPS
     return tuple(step for step in STEPS if step not in CLAIM_STEPS)
 
 
 def run_cell(kind, injections):
-    """Run one call with faults at steps; return the world afterwards.
+    """Run one call with faults injected; return the simulated fleet.
 
     Parameters
     ----------
     kind : str
         ``keyed`` for a non-idempotent call, ``chat`` for a streamed one.
     injections : list
-        Pairs of step and fault.
+        Pairs of step and fault to inject there.
     """
     world = World(service="case" if kind == "keyed" else "chat")
     world.subject = SUBJECT
@@ -64,7 +64,7 @@
 
 
 def _occupy_slots(world):
-    """Keep every slot busy for a while, so that the subject waits."""
+    """Occupy every slot for a while, so that the subject is queued."""
     chat = "c" if world.service == "chat" else ""
     waves = 1.5 if chat else 3
     for number in range(int(waves * world.slots * len(world.agents))):
@@ -95,7 +95,7 @@
 
 
 def _serving(world):
-    """Return the agent that has the subject, else the first."""
+    """Return the agent that handles the subject; the first if there is none."""
     for name, agent in world.agents.items():
         for call in agent.core._calls.values():
             if call.call.body.decode() == SUBJECT:
