--- a/tests/support/memory_network.py
+++ b/tests/support/memory_network.py
@@ -1,4 +1,4 @@
-"""Links between processes without sockets, with faults on them."""
+"""In-memory connections between processes, with fault injection."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         self.last_due = 0.0
 
     def carry(self, data):
-        """Deliver bytes later, in order, unless the direction is silent."""
+        """Deliver bytes in order after a delay; drop them if the direction is silent."""
         if self.is_silent or self.network.is_cut(self.source, self.sink):
             return
         clock = self.network.clock
@@ -95,7 +95,7 @@
 
 
 class MemoryNetwork:
-    """All connections of a test, and what is wrong with them."""
+    """All connections of a test and the faults injected into them."""
 
     def __init__(self, clock=None):
         self.clock = clock or Clock()
@@ -111,7 +111,7 @@
         self.on_dial = []
 
     def listen(self, owner, factory, port=0):
-        """Return a port on which a process accepts connections."""
+        """Accept connections for a process; return the port."""
         if not port:
             self.next_port += 1
             port = self.next_port
@@ -130,33 +130,33 @@
         return pair in self.cuts or bool({one.owner, other.owner} & self.dead)
 
     def cut(self, one, other):
-        """Drop all bytes between two processes, both ways, with no word."""
+        """Silently drop all bytes between two processes, in both directions."""
         self.cuts.add(frozenset((one, other)))
 
     def heal(self):
         self.cuts.clear()
 
     def silence(self, sender, receiver):
-        """Make the open connections carry nothing one way, for good."""
+        """Permanently drop the bytes of open connections in one direction."""
         for transport in self.transports:
             if transport.owner == sender and transport.other.owner == receiver:
                 transport.pipe.is_silent = True
 
     def delay(self, sender, receiver, seconds):
-        """Make the open connections slow one way."""
+        """Delay the bytes of open connections in one direction."""
         for transport in self.transports:
             if transport.owner == sender and transport.other.owner == receiver:
                 transport.pipe.extra_delay = seconds
 
     def kill(self, owner):
-        """End a process with no word: its connections just stop."""
+        """Kill a process; its connections carry nothing more and are not closed."""
         self.dead.add(owner)
         for port, (name, _) in list(self.listening.items()):
             if name == owner:
                 del self.listening[port]
 
     def reset_peers_of(self, owner):
-        """Tell the peers of an ended process, as a host does that lives on."""
+        """Close the connections at the peers of a killed process, as its host would."""
         for transport in self.transports:
             if transport.owner == owner and not transport.other.is_closed:
                 transport.is_closed = True
@@ -201,7 +201,7 @@
 
 
 class MemoryDialer(Dialer):
-    """Opens connections on a memory network."""
+    """Opens connections on an in-memory network."""
 
     def __init__(self, network, owner):
         self.network = network
