--- a/src/primrosescale/process/daemons/agent_core.py
+++ b/src/primrosescale/process/daemons/agent_core.py
@@ -76,14 +76,14 @@
         Maximum number of chats in the chat directory.
     chat_keep : float
         Seconds for which the chat directory keeps a chat.
-    names : int
+    max_call_ids : int
         Maximum number of call identifiers kept.
-    name_keep : float
+    call_id_keep_seconds : float
         Seconds for which a call's identifier is kept after its deadline.
     answer_keep : float
         Seconds for which an ended call's answer is kept for a router that
         resumes it.
-    answer_memory : int
+    max_kept_answer_bytes : int
         Bytes of kept answers above which new calls are refused.
     recorded_answer : int
         Maximum bytes of an answer that is recorded in the ledger.
@@ -98,10 +98,10 @@
     stream: StreamSettings = field(default_factory=StreamSettings)
     chats: int = 8192
     chat_keep: float = 4 * 3600.0
-    names: int = 50_000
-    name_keep: float = 60.0
+    max_call_ids: int = 50_000
+    call_id_keep_seconds: float = 60.0
     answer_keep: float = 10.0
-    answer_memory: int = 16 * 1024 * 1024
+    max_kept_answer_bytes: int = 16 * 1024 * 1024
     recorded_answer: int = 16 * 1024
 
 
@@ -147,7 +147,7 @@
             self._bound,
             self._health,
         )
-        self._call_ids = CallNames(settings.name_keep, settings.names)
+        self._call_ids = CallNames(settings.call_id_keep_seconds, settings.max_call_ids)
         self._directory = ChatDirectory(settings.chats, settings.chat_keep)
         self._estimator = WorkEstimator(settings.work)
         self._calls: dict[CallName, AgentCall] = {}
@@ -246,7 +246,10 @@
             self._observer.duplicate(name)
             return
         deadline = now + message.deadline_ms / MILLISECONDS
-        if self._call_ids.is_full or self._answer_bytes > self._settings.answer_memory:
+        if (
+            self._call_ids.is_full
+            or self._answer_bytes > self._settings.max_kept_answer_bytes
+        ):
             self._refuse(link, name, Reason.MEMORY_FULL, retry_after=1.0)
             return
         self._call_ids.take(name, deadline)
@@ -505,10 +508,10 @@
         if self._call_ids.state(name) is NameState.TAKEN:
             self._report_unknown(link, name, Reason.ANSWER_EVICTED)
             return
-        if message.age_ms / MILLISECONDS > self._settings.name_keep:
+        if message.age_ms / MILLISECONDS > self._settings.call_id_keep_seconds:
             self._report_unknown(link, name, Reason.ANSWER_EVICTED)
             return
-        self._call_ids.bar(name, now + self._settings.name_keep)
+        self._call_ids.bar(name, now + self._settings.call_id_keep_seconds)
         self._refuse(link, name, Reason.NEVER_ARRIVED)
 
     def _report_unknown(self, link: Link, name: CallName, reason: Reason) -> None:
