--- a/src/primrosescale/console/commands/bundle.py
+++ b/src/primrosescale/console/commands/bundle.py
@@ -260,7 +260,7 @@
             f"version {fields['version']} "
             f"({fields['digest'][:SHORT_DIGEST_CHARACTERS]}) is in force {where}"
         ),
-        f"as router {fields['router']} received {fields['news_age']} s ago",
+        f"as received by router {fields['router']} {fields['news_age']} s ago",
     ]
     for item in fields["domains"]:
         lines.append(
--- a/src/primrosescale/process/daemons/daemon.py
+++ b/src/primrosescale/process/daemons/daemon.py
@@ -112,7 +112,7 @@
         Returns
         -------
         float
-            Seconds since the Unix epoch.
+            Seconds since the Unix epoch (1970).
         """
         return time.time()
 
--- a/src/primrosescale/process/daemons/engine_orders.py
+++ b/src/primrosescale/process/daemons/engine_orders.py
@@ -210,7 +210,7 @@
     error_share : Callable[[], float]
         Returns the recent share of failed answers.
     wall_clock : Callable[[], float]
-        Returns seconds since the Unix epoch, for the leases of slots.
+        Returns seconds since the Unix epoch (1970), for the leases of slots.
     """
 
     def __init__(
--- a/tests/support/memory_network.py
+++ b/tests/support/memory_network.py
@@ -32,7 +32,7 @@
         self.last_due = 0.0
 
     def carry(self, data):
-        """Deliver bytes in order after a delay; drop them if the direction is silent."""
+        """Deliver bytes in order after a delay, unless the direction is silent."""
         if self.is_silent or self.network.is_cut(self.source, self.sink):
             return
         clock = self.network.clock
