--- a/src/primrosescale/process/daemons/agent_core.py
+++ b/src/primrosescale/process/daemons/agent_core.py
@@ -305,7 +305,7 @@
             displaced_call.item.fail(
                 Outcome.NOT_RUN,
                 Reason.DISPLACED,
-                "displaced by a call of an organisation with less queued work for its weight",
+                "displaced by an organisation with less queued work for its weight",
                 self._admission.expected_wait(displaced_call),
             )
         self._start_next()
