--- a/src/primrosescale/process/daemons/agent_observer.py
+++ b/src/primrosescale/process/daemons/agent_observer.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from primrosescale.connection.wire.ttypes import Reason
     from primrosescale.request.agent_call import AgentCall
-    from primrosescale.request.call_names import CallName
+    from primrosescale.request.call_names import CallId
 
 
 class AgentObserver(ABC):
@@ -54,24 +54,24 @@
         """
 
     @abstractmethod
-    def refused(self, name: CallName, reason: Reason) -> None:
+    def refused(self, name: CallId, reason: Reason) -> None:
         """Handle that a call was refused and will never run.
 
         Parameters
         ----------
-        name : CallName
+        name : CallId
             Identifier of the call.
         reason : Reason
             Why it was refused.
         """
 
     @abstractmethod
-    def duplicate(self, name: CallName) -> None:
+    def duplicate(self, name: CallId) -> None:
         """Handle that a duplicate of a known call was dropped.
 
         Parameters
         ----------
-        name : CallName
+        name : CallId
             Identifier of the call.
         """
 
