--- a/src/primrosescale/console/commands/bundle.py
+++ b/src/primrosescale/console/commands/bundle.py
@@ -1,4 +1,4 @@
-"""``primrosescale bundle``."""
+"""Command that checks, creates, signs and rolls out bundles of configuration."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     from collections.abc import Callable
 
 KEY_BYTES = 32
-SHORT = 12
+SHORT_DIGEST_CHARACTERS = 12
 FORMATS = ("text", "json")
 
 
@@ -33,17 +33,17 @@
 
     @property
     def name(self) -> str:
-        """Return the word that calls it."""
+        """Return the name of the command."""
         return "bundle"
 
     @property
     def summary(self) -> str:
-        """Return what it does."""
+        """Return a one-line summary."""
         return "check, create, diff, sign and roll out configuration"
 
     @property
     def example(self) -> str:
-        """Return one line that calls it."""
+        """Return an example of its use."""
         return (
             "primrosescale bundle create riga.ini --admin 127.0.0.1:8081 "
             "--key-file ~/.primrosescale-key"
@@ -51,7 +51,7 @@
 
     @property
     def arguments(self) -> str:
-        """Return the words it takes."""
+        """Return the synopsis of its positional arguments."""
         return (
             "check FILE | create FILE | show VERSION | diff VERSION [VERSION] | "
             "sign DIGEST | roll-out DIGEST | status | history | revert-to VERSION | "
@@ -59,7 +59,7 @@
         )
 
     def define(self, values: flags.FlagValues) -> None:
-        """Define its flags."""
+        """Define the flags of the command."""
         flags.DEFINE_string(
             "admin",
             "127.0.0.1:8081",
@@ -81,19 +81,19 @@
         flags.DEFINE_string(
             "base",
             "",
-            "create only if this digest is still in force",
+            "create only if the version with this digest is still in force",
             flag_values=values,
         )
         flags.DEFINE_enum(
             "format",
             "text",
             list(FORMATS),
-            "how to print",
+            "output format",
             flag_values=values,
         )
 
-    def run(self, values: flags.FlagValues, words: list[str]) -> ExitCode:
-        """Run the verb that the first word names."""
+    def run(self, values: flags.FlagValues, args: list[str]) -> ExitCode:
+        """Run the verb that the first argument names."""
         verbs: dict[str, Callable[[flags.FlagValues, list[str]], None]] = {
             "check": self._check,
             "create": self._create,
@@ -108,48 +108,52 @@
             "keygen": self._keygen,
             "hash-key": self._hash_key,
         }
-        if not words or words[0] not in verbs:
-            raise UsageError("no such verb", f"use one of {', '.join(verbs)}")
-        verbs[words[0]](values, words[1:])
+        if not args or args[0] not in verbs:
+            raise UsageError(
+                "missing or unknown verb", f"use one of {', '.join(verbs)}"
+            )
+        verbs[args[0]](values, args[1:])
         return ExitCode.OK
 
-    def _check(self, values: flags.FlagValues, words: list[str]) -> None:
-        path = _one(words, "FILE")
+    def _check(self, values: flags.FlagValues, args: list[str]) -> None:
+        path = _single_argument(args, "FILE")
         bundle = Bundle.from_ini(_read(path), path)
-        _write(f"{path}: good, {len(bundle.records)} records")
+        _write(f"{path}: valid, {len(bundle.records)} records")
 
-    def _create(self, values: flags.FlagValues, words: list[str]) -> None:
-        path = _one(words, "FILE")
+    def _create(self, values: flags.FlagValues, args: list[str]) -> None:
+        path = _single_argument(args, "FILE")
         text = _read(path)
         Bundle.from_ini(text, path)
         reply = _client(values).create(text, str(values["base"].value))
         _print(values, reply, _info_line)
 
-    def _show(self, values: flags.FlagValues, words: list[str]) -> None:
-        reply = _client(values).get(f"bundles/{_one(words, 'VERSION')}")
+    def _show(self, values: flags.FlagValues, args: list[str]) -> None:
+        reply = _client(values).get(f"bundles/{_single_argument(args, 'VERSION')}")
         _print(values, reply, lambda fields: str(fields["ini"]).rstrip())
 
-    def _diff(self, values: flags.FlagValues, words: list[str]) -> None:
-        if not words:
-            raise UsageError("no version named", "write one or two versions")
-        query = f"?with={words[1]}" if len(words) > 1 else ""
-        reply = _client(values).get(f"bundles/{words[0]}/diff{query}")
+    def _diff(self, values: flags.FlagValues, args: list[str]) -> None:
+        if not args:
+            raise UsageError("no version given", "pass one or two versions")
+        query = f"?with={args[1]}" if len(args) > 1 else ""
+        reply = _client(values).get(f"bundles/{args[0]}/diff{query}")
         _print(values, reply, lambda f: str(f["diff"]).rstrip() or "no difference")
 
-    def _sign(self, values: flags.FlagValues, words: list[str]) -> None:
-        digest = _one(words, "DIGEST")
+    def _sign(self, values: flags.FlagValues, args: list[str]) -> None:
+        digest = _single_argument(args, "DIGEST")
         key = _signing_key(str(values["signing_key"].value))
         reply = _client(values).sign(digest, sign(digest, key))
         _print(values, reply, _info_line)
 
-    def _roll_out(self, values: flags.FlagValues, words: list[str]) -> None:
-        reply = _client(values).post("head", {"digest": _one(words, "DIGEST")})
+    def _roll_out(self, values: flags.FlagValues, args: list[str]) -> None:
+        reply = _client(values).post(
+            "head", {"digest": _single_argument(args, "DIGEST")}
+        )
         _print(values, reply, _info_line)
 
-    def _status(self, values: flags.FlagValues, words: list[str]) -> None:
+    def _status(self, values: flags.FlagValues, args: list[str]) -> None:
         _print(values, _client(values).get("status"), _status_text)
 
-    def _history(self, values: flags.FlagValues, words: list[str]) -> None:
+    def _history(self, values: flags.FlagValues, args: list[str]) -> None:
         reply = _client(values).get("bundles")
         _print(
             values,
@@ -157,11 +161,13 @@
             lambda fields: "\n".join(_info_line(item) for item in fields["bundles"]),
         )
 
-    def _revert_to(self, values: flags.FlagValues, words: list[str]) -> None:
-        reply = _client(values).post("revert", {"to": _one(words, "VERSION")})
+    def _revert_to(self, values: flags.FlagValues, args: list[str]) -> None:
+        reply = _client(values).post(
+            "revert", {"to": _single_argument(args, "VERSION")}
+        )
         _print(values, reply, _info_line)
 
-    def _audit(self, values: flags.FlagValues, words: list[str]) -> None:
+    def _audit(self, values: flags.FlagValues, args: list[str]) -> None:
         reply = _client(values).get("audit")
         _print(
             values,
@@ -169,17 +175,17 @@
             lambda fields: "\n".join(_audit_line(item) for item in fields["entries"]),
         )
 
-    def _keygen(self, values: flags.FlagValues, words: list[str]) -> None:
+    def _keygen(self, values: flags.FlagValues, args: list[str]) -> None:
         key = Ed25519PrivateKey.generate()
         private = base64.b64encode(key.private_bytes_raw()).decode()
         public = base64.b64encode(key.public_key().public_bytes_raw()).decode()
         _write(f"private {private}\npublic {public}")
 
-    def _hash_key(self, values: flags.FlagValues, words: list[str]) -> None:
+    def _hash_key(self, values: flags.FlagValues, args: list[str]) -> None:
         key = sys.stdin.readline().strip()
         if not key:
             raise UsageError(
-                "no key on standard input", "write the key, then a newline"
+                "no key on standard input", "write the key and a newline to it"
             )
         _write(hashlib.sha256(key.encode()).hexdigest())
 
@@ -187,24 +193,22 @@
 def _client(values: flags.FlagValues) -> AdminClient:
     path = values["key_file"].value
     if not path:
-        raise UsageError("no operator key", "name its file with --key_file")
+        raise UsageError("no operator key", "pass its file with --key_file")
     return AdminClient(str(values["admin"].value), _read(path).strip())
 
 
 def _signing_key(path: str) -> bytes:
     if not path:
-        raise UsageError("no signing key", "name its file with --signing_key")
-    words = _read(path).split()
-    text = (
-        words[1] if words[:1] == ["private"] and len(words) > 1 else "".join(words[:1])
-    )
+        raise UsageError("no signing key", "pass its file with --signing_key")
+    args = _read(path).split()
+    text = args[1] if args[:1] == ["private"] and len(args) > 1 else "".join(args[:1])
     try:
         key = base64.b64decode(text, validate=True)
     except ValueError:
         key = b""
     if len(key) != KEY_BYTES:
         raise UsageError(
-            f"{path} holds no private key", "make one with 'bundle keygen'"
+            f"{path} holds no private key", "create one with 'bundle keygen'"
         )
     return key
 
@@ -214,14 +218,16 @@
         return Path(path).expanduser().read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         raise UsageError(
-            f"cannot read {path}: {error}", "name a readable file"
+            f"cannot read {path}: {error}", "pass a readable file"
         ) from error
 
 
-def _one(words: list[str], name: str) -> str:
-    if len(words) != 1:
-        raise UsageError(f"one {name} is needed", "see 'primrosescale bundle --help'")
-    return words[0]
+def _single_argument(args: list[str], name: str) -> str:
+    if len(args) != 1:
+        raise UsageError(
+            f"exactly one {name} is required", "see 'primrosescale bundle --help'"
+        )
+    return args[0]
 
 
 def _print(
@@ -250,8 +256,11 @@
 def _status_text(fields: dict[str, Any]) -> str:
     where = "everywhere" if fields["in_force_everywhere"] else "not everywhere yet"
     lines = [
-        f"version {fields['version']} ({fields['digest'][:SHORT]}) is in force {where}",
-        f"as router {fields['router']} heard {fields['news_age']} s ago",
+        (
+            f"version {fields['version']} "
+            f"({fields['digest'][:SHORT_DIGEST_CHARACTERS]}) is in force {where}"
+        ),
+        f"as received by router {fields['router']} {fields['news_age']} s ago",
     ]
     for item in fields["domains"]:
         lines.append(
--- a/src/primrosescale/process/daemons/agent.py
+++ b/src/primrosescale/process/daemons/agent.py
@@ -1,4 +1,9 @@
-"""The agent: the process beside a target and the only way to it."""
+"""The agent process: forwards the calls of routers to the one target beside it.
+
+It reports its load to a router by heartbeats, follows the accepted version of the
+configuration, orders the engine to run what that version asks for, and on a stop
+drains and hands the caches of recent chats to the targets that serve them next.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +29,7 @@
 from primrosescale.process.daemons.engine_orders import EngineOrders
 from primrosescale.process.daemons.engine_orders import OrderObserver
 from primrosescale.process.daemons.engine_orders import OrderSettings
-from primrosescale.process.daemons.engine_orders import wish_of
+from primrosescale.process.daemons.engine_orders import desired_state_of
 from primrosescale.process.events import Event
 from primrosescale.process.exceptions import SettingsError
 from primrosescale.process.ledger.remote_ledger import RemoteLedger
@@ -41,7 +46,7 @@
 
     from primrosescale.connection.codec import Message
     from primrosescale.connection.link import Link
-    from primrosescale.process.daemons.engine_orders import EngineWish
+    from primrosescale.process.daemons.engine_orders import DesiredEngineState
     from primrosescale.process.settings import AgentSettings
     from primrosescale.process.settings import Settings
     from primrosescale.process.transport.engine_port import EnginePort
@@ -55,12 +60,12 @@
     from primrosescale.version.view import VersionView
 
 ROLE = "agent"
-TICK_INTERVAL = 0.2
-ORDER_INTERVAL = 1.0
-STOP_POLL = 0.05
-HAND_OVER_WAIT = 2.0
-LINK_IDLE = 60.0
-DIAL_TIMEOUT = 1.0
+TICK_INTERVAL_SECONDS = 0.2
+ORDER_INTERVAL_SECONDS = 1.0
+STOP_POLL_SECONDS = 0.05
+MAX_HAND_OVER_WAIT_SECONDS = 2.0
+MAX_LINK_IDLE_SECONDS = 60.0
+DIAL_TIMEOUT_SECONDS = 1.0
 
 
 class Agent(
@@ -70,46 +75,51 @@
     VersionObserver,
     OrderObserver,
 ):
-    """One agent process.
+    """The agent of one target.
 
     Parameters
     ----------
     settings : Settings
-        Its settings.
-    tools : Tools
+        Settings of the process, with a section ``[agent]``.
+    context : Tools
         Reactor, log, metrics and traces.
     platform : Platform
-        The platform's service.
+        Client of the platform's object store and list of hosts.
+
+    Raises
+    ------
+    SettingsError
+        When the settings have no section ``[agent]``.
     """
 
-    def __init__(self, settings: Settings, tools: Tools, platform: Platform) -> None:
+    def __init__(self, settings: Settings, context: Tools, platform: Platform) -> None:
         own = settings.agent
         if own is None:
             raise SettingsError("no section [agent]", "add it to the settings")
         process = settings.process
         self._settings = settings
-        self._own: AgentSettings = own
-        self._tools = tools
+        self._agent_settings: AgentSettings = own
+        self._context = context
         self._platform = platform
-        reactor = tools.reactor
+        reactor = context.reactor
         self._hello = wire.Hello(
             PROTOCOL_VERSION,
             process.name,
-            tools.incarnation,
+            context.incarnation,
             process.domain,
         )
         self._pool = LinkPool(
             self._hello,
             self,
-            tools.dialer(DIAL_TIMEOUT),
+            context.dialer(DIAL_TIMEOUT_SECONDS),
             reactor,
             settings.link,
-            LINK_IDLE,
+            MAX_LINK_IDLE_SECONDS,
         )
         self._heartbeat = Heartbeat(
             process.name,
             own.service,
-            tools.incarnation,
+            context.incarnation,
             [parse_endpoint(text) for text in own.routers],
             settings.sums,
             self._pool,
@@ -122,14 +132,14 @@
             settings.ledger.claim_timeout,
             lambda: self._heartbeat.router,
         )
-        self._target = tools.target(
+        self._target = context.target(
             Endpoint(own.target_address, own.target_port),
             must_echo=own.must_echo,
-            timeout=DIAL_TIMEOUT,
+            timeout=DIAL_TIMEOUT_SECONDS,
         )
         self._core = AgentCore(
             _core_settings(settings, own),
-            tools.incarnation,
+            context.incarnation,
             self._target,
             self._ledger,
             self,
@@ -145,18 +155,18 @@
                 process.name,
                 own.service,
                 process.domain,
-                tools.incarnation,
+                context.incarnation,
                 own.checks_fence,
             ),
             self._target,
             platform,
             self,
             lambda: self._core.health.failure_share,
-            tools.wall_clock,
+            context.wall_clock,
         )
         self._was_closed = False
         self._sources = LinkSources()
-        self._hops: dict[CallId, TraceSpan] = {}
+        self._spans: dict[CallId, TraceSpan] = {}
         self._state = MemberState.READY
         self._port: Any = None
         self._loops: list[Any] = []
@@ -164,67 +174,72 @@
 
     @property
     def core(self) -> AgentCore:
-        """Return its handling of calls."""
+        """Return the part that handles calls."""
         return self._core
 
     @property
     def keeper(self) -> VersionManager:
-        """Return its versions."""
+        """Return the keeper of configuration versions."""
         return self._keeper
 
     @property
     def link_port(self) -> int:
-        """Return the port for routers."""
+        """Return the TCP port on which routers connect."""
         return int(self._port.getHost().port)
 
     @property
     def ledger(self) -> RemoteLedger:
-        """Return its way to the ledger."""
+        """Return the client of the claim ledger."""
         return self._ledger
 
     @property
     def target(self) -> EnginePort:
-        """Return its target."""
+        """Return the client of the target."""
         return self._target
 
     def listen(self) -> None:
-        """Open the port for routers."""
+        """Open the TCP port on which routers connect."""
         factory = LinkFactory(
             self._hello,
             self,
-            self._tools.reactor,
+            self._context.reactor,
             self._settings.link,
         )
-        self._port = self._tools.listen(self._own.port, factory, self._own.address)
+        self._port = self._context.listen(
+            self._agent_settings.port, factory, self._agent_settings.address
+        )
 
     @inlineCallbacks
     def start(self) -> Generator[Any, Any, None]:
-        """Join the fleet.
+        """Announce the agent and start its heartbeats and periodic work.
 
         Returns
         -------
         Deferred[None]
-            When the platform has been told.
+            Fires when the announcement to the platform has succeeded or failed.
         """
         if self._settings.platform.register:
             yield self._announce(is_leaving=False, is_gone=False)
         self._heartbeat.send()
         self._loops = [
-            self._tools.repeat(self._settings.sums.interval, self._beat),
-            self._tools.repeat(TICK_INTERVAL, self._core.tick),
+            self._context.repeat(self._settings.sums.interval, self._heartbeat_tick),
+            self._context.repeat(TICK_INTERVAL_SECONDS, self._core.tick),
         ]
-        if self._own.takes_orders:
-            self._loops.append(self._tools.repeat(ORDER_INTERVAL, self._order))
-        self._log(Event.PROCESS_STARTED, incarnation=self._tools.incarnation)
+        if self._agent_settings.takes_orders:
+            self._loops.append(
+                self._context.repeat(ORDER_INTERVAL_SECONDS, self._order_engine)
+            )
+        self._log(Event.PROCESS_STARTED, incarnation=self._context.incarnation)
 
     @inlineCallbacks
     def stop(self) -> Generator[Any, Any, None]:
-        """Leave the fleet: refuse new work, finish what was taken.
+        """Drain: refuse new calls and finish those already admitted.
 
         Returns
         -------
         Deferred[None]
-            When all calls have ended, or the time for it is over.
+            Fires when all calls have ended and the process has released its ports
+            and connections; calls still running after ``stop_within`` are cut.
         """
         self._state = MemberState.LEAVING
         self._core.drain()
@@ -235,7 +250,7 @@
         until = self._now() + self._settings.process.stop_within
         yield self._hand_over()
         while not self._is_finished() and self._now() < until:
-            yield self._tools.pause(STOP_POLL)
+            yield self._context.pause(STOP_POLL_SECONDS)
         if not self._is_finished():
             self._log(Event.STOP_CUT, running=self._core.admission.running)
         if self._settings.platform.register:
@@ -249,7 +264,7 @@
         self._log(Event.PROCESS_STOPPED)
 
     def describe(self) -> AgentState:
-        """Return what the heartbeat says; see `HeartbeatAgent.describe`."""
+        """Return the state to report; see `HeartbeatAgent.describe`."""
         return AgentState(
             self._core.admission.load,
             self._state,
@@ -258,29 +273,29 @@
         )
 
     def update_mean(self, view: ServiceLoad) -> None:
-        """Take in the mean; see `HeartbeatAgent.update_mean`."""
+        """Update the mean load; see `HeartbeatAgent.update_mean`."""
         self._core.bound.update(view)
 
     def update_head(self, head: VersionHead, link: Link) -> None:
-        """Take in the head; see `HeartbeatAgent.update_head`."""
+        """Update the version head; see `HeartbeatAgent.update_head`."""
         self._keeper.pull_if_newer(head, self._sources.of(link))
 
     def set_known_targets(self, targets: list[wire.HostEntry]) -> None:
-        """Take in the targets; see `HeartbeatAgent.set_known_targets`."""
+        """Store the service's targets; see `HeartbeatAgent.set_known_targets`."""
         self._successors = targets
 
     def link_ready(self, link: Link) -> None:
-        """Handle that a router has introduced itself."""
+        """Handle a connection whose router has sent its hello."""
         self._core.link_ready(link)
 
     def link_lost(self, link: Link, detail: str) -> None:
-        """Handle the end of a connection."""
+        """Handle a lost connection."""
         self._core.link_lost(link, detail)
         self._ledger.link_lost(link)
         self._sources.lost(link)
 
     def link_message(self, link: Link, message: Message) -> None:
-        """Handle one message of a router."""
+        """Handle one message from a router."""
         if isinstance(message, wire.HeartbeatReply):
             self._heartbeat.handle_reply(link, message)
         elif isinstance(message, wire.ClaimReply):
@@ -291,95 +306,97 @@
             self._core.link_message(link, message)
 
     def admitted(self, call: AgentCall, load: int, now: float) -> None:
-        """Count a call that was taken."""
-        self._tools.metrics.count(Metric.ADMITTED)
+        """Count an admitted call and start its trace span."""
+        self._context.metrics.count(Metric.ADMITTED)
         traceparent = call.call.traceparent
         if traceparent:
-            tracing = self._tools.tracing
-            hop = tracing.start("agent", traceparent, may_begin=False)
-            self._hops[call.name] = hop
-            call.call.traceparent = hop.traceparent
+            tracing = self._context.tracing
+            trace_span = tracing.start("agent", traceparent, may_begin=False)
+            self._spans[call.name] = trace_span
+            call.call.traceparent = trace_span.traceparent
 
     def started(self, call: AgentCall) -> None:
-        """Note that a call is handed to the target."""
+        """Ignore that a call was sent to the target."""
 
     def ended(self, call: AgentCall, is_answered: bool, now: float) -> None:
-        """Note the end of a call."""
-        hop = self._hops.pop(call.name, None)
-        if hop is not None:
+        """End the trace span of an ended call."""
+        trace_span = self._spans.pop(call.name, None)
+        if trace_span is not None:
             failure = call.failure
             reason = "" if failure is None else wire.Reason(failure.reason).name
-            hop.end(answered=is_answered, reason=reason)
+            trace_span.end(answered=is_answered, reason=reason)
 
     def refused(self, name: CallId, reason: wire.Reason) -> None:
-        """Count a call that was refused."""
-        self._tools.metrics.count(Metric.REFUSED)
+        """Count a refused call."""
+        self._context.metrics.count(Metric.REFUSED)
 
     def duplicate(self, name: CallId) -> None:
-        """Log a copy of a known call."""
-        self._tools.metrics.count(Metric.DUPLICATES)
+        """Count and log a duplicate of a known call."""
+        self._context.metrics.count(Metric.DUPLICATES)
         self._log(Event.AGENT_DUPLICATE, router=name.router, call=name.number)
 
     def import_failed(self, detail: str) -> None:
-        """Log that a handed-over cache could not be taken."""
+        """Log that a handed-over cache could not be imported."""
         self._log(Event.CACHE_IMPORT_FAILED, detail=detail)
 
     def adopted(self, view: VersionView) -> None:
-        """Log that a version is in force here."""
-        self._tools.metrics.gauge(Metric.VERSION, view.version)
+        """Log a version that is now in force here; apply its load bound."""
+        self._context.metrics.gauge(Metric.VERSION, view.version)
         self._log(Event.VERSION_ADOPTED, version=view.version, digest=view.head.digest)
-        service = view.services.get(self._own.service)
+        service = view.services.get(self._agent_settings.service)
         if service is not None:
             self._core.bound.configure(service.multiple, service.floor)
 
     def head_refused(self, error: HeadError) -> None:
-        """Log that a head was not taken."""
+        """Log a version head that failed verification."""
         self._log(Event.HEAD_REFUSED, detail=str(error))
 
     def pull_failed(self, version: int, detail: str) -> None:
-        """Log that a version could not be pulled yet."""
+        """Log a version whose sections could not be pulled yet."""
         self._log(Event.PULL_FAILED, version=version, detail=detail)
 
-    def order_sent(self, wish: EngineWish, fence: int) -> None:
-        """Log an order."""
+    def order_sent(self, desired: DesiredEngineState, fence: int) -> None:
+        """Log an order sent to the engine."""
         self._log(
             Event.ORDER_SENT,
-            model=wish.model,
-            version=wish.version,
+            model=desired.model,
+            version=desired.version,
             fence=fence,
         )
 
     def order_failed(self, detail: str) -> None:
-        """Log that an order failed."""
+        """Log an order that failed."""
         self._log(Event.ORDER_FAILED, detail=detail)
 
-    def roll_out_held(self, wish: EngineWish, domain: str) -> None:
-        """Log that a roll-out waits for another domain."""
+    def roll_out_held(self, desired: DesiredEngineState, domain: str) -> None:
+        """Log a roll-out that waits for an earlier failure domain."""
         self._log(
             Event.ROLL_OUT_HELD,
-            model=wish.model,
-            version=wish.version,
+            model=desired.model,
+            version=desired.version,
             waits_for=domain,
         )
 
-    def _order(self) -> None:
+    def _order_engine(self) -> None:
         view = self._keeper.view
         if view is not None and self._state == MemberState.READY:
             name = self._settings.process.name
-            self._orders.tick(wish_of(view, self._own.service, name))
+            self._orders.tick(
+                desired_state_of(view, self._agent_settings.service, name)
+            )
 
-    def _watch_health(self) -> None:
+    def _log_circuit_breaker(self) -> None:
         is_closed = self._core.health.is_closed
         if is_closed and not self._was_closed:
             share = self._core.health.failure_share
             self._log(Event.TARGET_CLOSED, failure_share=round(share, 3))
         self._was_closed = is_closed
 
-    def _beat(self) -> None:
-        self._watch_health()
+    def _heartbeat_tick(self) -> None:
+        self._log_circuit_breaker()
         self._heartbeat.send()
         admission = self._core.admission
-        metrics = self._tools.metrics
+        metrics = self._context.metrics
         metrics.gauge(Metric.LOAD, admission.load)
         metrics.gauge(Metric.WAITING, admission.waiting)
         metrics.gauge(Metric.RUNNING, admission.running)
@@ -391,14 +408,18 @@
 
     @inlineCallbacks
     def _hand_over(self) -> Generator[Any, Any, None]:
-        """Give the hottest chats' cache to those who serve them next."""
+        """Send the caches of the most recent chats to their next targets.
+
+        A chat's next target is the first in hash order among the other targets of
+        the service in this region.
+        """
         chats = self._core.directory.most_recent(
             self._settings.process.name,
-            self._own.hand_over,
+            self._agent_settings.hand_over,
         )
-        until = self._now() + HAND_OVER_WAIT
+        until = self._now() + MAX_HAND_OVER_WAIT_SECONDS
         while chats and not self._successors and self._now() < until:
-            yield self._tools.pause(STOP_POLL)
+            yield self._context.pause(STOP_POLL_SECONDS)
         entries = {
             entry.name: entry
             for entry in self._successors
@@ -432,7 +453,9 @@
         except Exception as error:  # noqa: BLE001 - any failure only costs the cache
             self._log(Event.CACHE_IMPORT_FAILED, chat=chat, detail=str(error))
             return 0
-        link.send(wire.CacheImport(self._own.service, chat, record.tokens, data))
+        link.send(
+            wire.CacheImport(self._agent_settings.service, chat, record.tokens, data)
+        )
         return 1
 
     @inlineCallbacks
@@ -443,15 +466,15 @@
         entry = wire.HostEntry(
             name=process.name,
             role=ROLE,
-            address=self._own.address,
+            address=self._agent_settings.address,
             port=self.link_port,
             domain=process.domain,
             region=process.region,
-            service_name=self._own.service,
+            service_name=self._agent_settings.service,
             leaving=is_leaving,
             gone=is_gone,
             version=0,
-            incarnation=self._tools.incarnation,
+            incarnation=self._context.incarnation,
         )
         announced = self._platform.announce(entry)
         announced.addErrback(
@@ -463,10 +486,10 @@
         yield announced
 
     def _now(self) -> float:
-        return float(self._tools.reactor.seconds())
+        return float(self._context.reactor.seconds())
 
     def _log(self, event: Event, **fields: Any) -> None:
-        self._tools.log.emit(event, **fields)
+        self._context.log.emit(event, **fields)
 
 
 def _core_settings(settings: Settings, own: AgentSettings) -> AgentCoreSettings:
--- a/src/primrosescale/process/daemons/agent_core.py
+++ b/src/primrosescale/process/daemons/agent_core.py
@@ -1,4 +1,10 @@
-"""The only way to a target: takes calls, runs them in order, answers."""
+"""An agent's handling of calls, from the router's request to the target's answer.
+
+It drops duplicates, admits, queues or refuses each call, claims idempotency keys in
+the ledger before a call runs, sends calls to the target in the queue's order, and
+streams their answers back over the routers' connections. A call outlives its
+connection: a router that reconnects may resume its answer for a while.
+"""
 
 from __future__ import annotations
 
@@ -42,13 +48,13 @@
     from primrosescale.request.local_target_client import LocalTargetClient
 
 MILLISECONDS_PER_SECOND = 1000
-TOKEN_SIZE = 16
+CLAIM_TOKEN_BYTES = 16
 FIRST_SERVER_ERROR = 500
 
 
 @dataclass(frozen=True, slots=True)
 class AgentCoreSettings:
-    """All limits of an agent's handling of calls.
+    """Settings of an agent's handling of calls.
 
     Parameters
     ----------
@@ -57,29 +63,30 @@
     service : str
         Service of its target.
     admission : AdmissionSettings
-        Slots and queue.
+        Concurrent calls and queue.
     bound : BoundSettings
-        Bound on the load.
+        Bound on the load relative to the mean load of the service.
     health : HealthSettings
-        Circuit breaker.
+        Circuit breaker of the target.
     work : WorkSettings
-        Profile of the target.
+        Cost of requests at the target, for estimates of work.
     stream : StreamSettings
-        How answers are sent.
+        Flow control and batching of answers.
     chats : int
-        Chats remembered at the most.
+        Maximum number of chats in the chat directory.
     chat_keep : float
-        Seconds a chat is remembered.
-    names : int
-        Call names remembered at the most.
-    name_keep : float
-        Seconds a call's name is kept after its deadline.
+        Seconds for which the chat directory keeps a chat.
+    max_call_ids : int
+        Maximum number of call identifiers kept.
+    call_id_keep_seconds : float
+        Seconds for which a call's identifier is kept after its deadline.
     answer_keep : float
-        Seconds an ended call's answer is kept for a router that resumes.
-    answer_memory : int
-        Bytes of answers held at the most.
+        Seconds for which an ended call's answer is kept for a router that
+        resumes it.
+    max_kept_answer_bytes : int
+        Bytes of kept answers above which new calls are refused.
     recorded_answer : int
-        Bytes of an answer kept in the ledger at the most.
+        Maximum bytes of an answer that is recorded in the ledger.
     """
 
     name: str
@@ -91,28 +98,28 @@
     stream: StreamSettings = field(default_factory=StreamSettings)
     chats: int = 8192
     chat_keep: float = 4 * 3600.0
-    names: int = 50_000
-    name_keep: float = 60.0
+    max_call_ids: int = 50_000
+    call_id_keep_seconds: float = 60.0
     answer_keep: float = 10.0
-    answer_memory: int = 16 * 1024 * 1024
+    max_kept_answer_bytes: int = 16 * 1024 * 1024
     recorded_answer: int = 16 * 1024
 
 
 class AgentCore(LinkHandler):
-    """Takes calls from routers and gives them to the target.
+    """Admits calls of routers, runs them at the target and returns their answers.
 
     Parameters
     ----------
     settings : AgentCoreSettings
-        Limits.
+        Limits and retention times.
     incarnation : int
         This agent's incarnation.
     port : LocalTargetClient
-        The target.
+        Client of the target.
     ledger : Ledger
-        Claims on idempotency keys.
+        Ledger of claims on idempotency keys.
     observer : AgentObserver
-        Told what happens.
+        Notified of the events of calls.
     clock : Clock
         Source of time and timers.
     """
@@ -140,18 +147,20 @@
             self._bound,
             self._health,
         )
-        self._names = CallIdRegistry(settings.name_keep, settings.names)
+        self._call_ids = CallIdRegistry(
+            settings.call_id_keep_seconds, settings.max_call_ids
+        )
         self._directory = ChatDirectory(settings.chats, settings.chat_keep)
         self._estimator = WorkEstimator(settings.work)
         self._calls: dict[CallId, AgentCall] = {}
         self._ended: dict[CallId, float] = {}
         self._answer_bytes = 0
-        self._dirty: dict[AgentCall, None] = {}
+        self._unflushed: dict[AgentCall, None] = {}
         self._flush_pending = False
 
     @property
     def admission(self) -> AdmissionController[AgentCall]:
-        """Return the admission of calls."""
+        """Return the admission controller."""
         return self._admission
 
     @property
@@ -166,7 +175,7 @@
 
     @property
     def directory(self) -> ChatDirectory:
-        """Return the memory of chats."""
+        """Return the chat directory."""
         return self._directory
 
     @property
@@ -176,13 +185,13 @@
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether no call waits, runs or still has bytes to send."""
+        """Return whether no call waits, runs or still has bytes to send."""
         if not self._admission.is_idle:
             return False
         return all(call.phase is CallPhase.ENDED for call in self._calls.values())
 
     def link_ready(self, link: Link) -> None:
-        """Handle that a router has introduced itself."""
+        """Do nothing: routers open calls by messages."""
 
     def link_lost(self, link: Link, detail: str) -> None:
         """Keep the calls of an ended connection running."""
@@ -190,7 +199,7 @@
             call.detach(link)
 
     def link_message(self, link: Link, message: Message) -> None:
-        """Handle one message of a router."""
+        """Handle one message from a router."""
         if isinstance(message, wire.Call):
             self._call(link, message)
         elif isinstance(message, wire.Credit):
@@ -207,13 +216,13 @@
             self._import(message)
 
     def drain(self) -> None:
-        """Take no new calls from now on; those taken go on."""
+        """Refuse new calls from now on; admitted calls continue."""
         self._admission.drain()
 
     def tick(self) -> None:
-        """Do what time brings: expire, forget, start what may start."""
+        """Remove expired identifiers and answers, and start queued calls."""
         now = self._clock.seconds()
-        self._names.remove_expired(now)
+        self._call_ids.remove_expired(now)
         limit = now - self._settings.answer_keep
         while self._ended:
             name, ended_at = next(iter(self._ended.items()))
@@ -226,21 +235,29 @@
         now = self._clock.seconds()
         name = CallId(message.router, message.number)
         if message.target_incarnation != self._incarnation:
-            self._refuse(link, name, Reason.REPLACED, detail="agent was replaced")
+            self._refuse(
+                link,
+                name,
+                Reason.REPLACED,
+                detail="the call was addressed to an earlier incarnation of the agent",
+            )
             return
-        state = self._names.state(name)
+        state = self._call_ids.state(name)
         if state is not CallIdState.FRESH:
-            # A copy of a call that is known: the first copy's answer counts.
+            # A duplicate of a known call: only the first copy is answered.
             self._observer.duplicate(name)
             return
         deadline = now + message.deadline_ms / MILLISECONDS_PER_SECOND
-        if self._names.is_full or self._answer_bytes > self._settings.answer_memory:
+        if (
+            self._call_ids.is_full
+            or self._answer_bytes > self._settings.max_kept_answer_bytes
+        ):
             self._refuse(link, name, Reason.MEMORY_FULL, retry_after=1.0)
             return
-        self._names.take(name, deadline)
-        place = self._place_of(message, now)
+        self._call_ids.take(name, deadline)
+        place = self._find_other_place(message, now)
         if place:
-            self._names.block(name, deadline)
+            self._call_ids.block(name, deadline)
             self._refuse(link, name, Reason.ELSEWHERE, place=place)
             return
         self._offer(link, name, message, deadline, now)
@@ -260,22 +277,23 @@
             deadline,
             self._settings.stream,
             self._call_ended,
-            self._has_data,
+            self._data_available,
             self._load,
         )
         queued = QueuedCall(
             organisation=message.organisation,
             weight=max(1, message.weight),
             priority=message.priority,
-            work=self._work_of(message, now),
+            work=self._estimate_work(message, now),
             deadline=deadline,
             item=call,
         )
         call.queued = queued
         verdict = self._admission.offer(queued, now)
         if verdict.reason is not None:
-            # Barred, so that a router that lost this refusal hears the same.
-            self._names.block(name, deadline)
+            # Blocked, so that a router that did not receive this refusal and asks
+            # again gets the same result.
+            self._call_ids.block(name, deadline)
             self._refuse(link, name, verdict.reason, retry_after=verdict.retry_after)
             return
         self._calls[name] = call
@@ -285,17 +303,17 @@
             self._deadline_passed,
             call,
         )
-        for given in verdict.displaced:
-            given.item.fail(
+        for displaced_call in verdict.displaced:
+            displaced_call.item.fail(
                 Outcome.NOT_RUN,
                 Reason.DISPLACED,
-                "gave way to an organisation with less waiting",
-                self._admission.expected_wait(given),
+                "displaced by an organisation with less queued work for its weight",
+                self._admission.expected_wait(displaced_call),
             )
         self._start_next()
 
-    def _place_of(self, message: wire.Call, now: float) -> str:
-        """Return where a chat's cache lies, if not here."""
+    def _find_other_place(self, message: wire.Call, now: float) -> str:
+        """Return the other target that holds a chat's cache; empty if none."""
         if not message.chat or message.directed:
             return ""
         record = self._directory.find(message.chat, now)
@@ -303,7 +321,7 @@
             return ""
         return record.place
 
-    def _work_of(self, message: wire.Call, now: float) -> int:
+    def _estimate_work(self, message: wire.Call, now: float) -> int:
         if not message.prompt_tokens:
             return self._estimator.estimate_plain()
         record = None
@@ -326,7 +344,7 @@
         place: str = "",
         detail: str = "",
     ) -> None:
-        """Refuse a call that was not and never will be run."""
+        """Send a refusal: the call has not run and never will."""
         self._observer.refused(name, reason)
         link.send(
             wire.CallFailed(
@@ -354,7 +372,7 @@
         message = call.call
         claim = Claim(
             key=claim_key(message.service_name, message.organisation, message.key),
-            token=secrets.token_bytes(TOKEN_SIZE),
+            token=secrets.token_bytes(CLAIM_TOKEN_BYTES),
             fingerprint=request_fingerprint(message.method, message.path, message.body),
             writer=message.ledger,
         )
@@ -365,7 +383,7 @@
     def _claimed(self, reply: wire.ClaimReply, call: AgentCall, claim: Claim) -> None:
         state = reply.state
         if call.phase is not CallPhase.CLAIMING:
-            # Its caller was told "not run" meanwhile, so it must not run.
+            # The caller has meanwhile been answered "not run", so it must not run.
             if state in {ClaimState.GRANTED, ClaimState.UNAVAILABLE}:
                 self._ledger.abandon(claim)
             return
@@ -378,7 +396,12 @@
             call.fail(Outcome.NOT_RUN, Reason.KEY_REUSED, detail)
         elif state == ClaimState.UNAVAILABLE:
             self._ledger.abandon(claim)
-            call.fail(Outcome.NOT_RUN, Reason.STORE_UNAVAILABLE, "no claim", 1.0)
+            call.fail(
+                Outcome.NOT_RUN,
+                Reason.STORE_UNAVAILABLE,
+                "the claim ledger is unavailable",
+                1.0,
+            )
         else:
             detail = "an earlier request with the key may be running or have run"
             call.fail(Outcome.UNKNOWN, Reason.KEY_HELD, detail)
@@ -387,7 +410,9 @@
         if answer.whole:
             call.replay(answer)
             return
-        detail = "an earlier request with the key ran; its answer was too long to keep"
+        detail = (
+            "an earlier request with the key ran; its answer was too large to record"
+        )
         call.fail(Outcome.UNKNOWN, Reason.KEY_HELD, detail)
 
     def _run(self, call: AgentCall) -> None:
@@ -403,8 +428,8 @@
                 self._admission.finished(queued, now)
         self._ended[call.name] = now
         self._answer_bytes += call.buffered_bytes
-        self._dirty.pop(call, None)
-        self._judge(call, is_answered, now)
+        self._unflushed.pop(call, None)
+        self._record_health(call, is_answered, now)
         self._settle_claim(call, is_answered)
         if is_answered and call.call.chat and call.call.prompt_tokens:
             output = estimate_tokens(call.length)
@@ -415,7 +440,7 @@
         self._observer.ended(call, is_answered, now)
         self._start_next()
 
-    def _judge(self, call: AgentCall, is_answered: bool, now: float) -> None:
+    def _record_health(self, call: AgentCall, is_answered: bool, now: float) -> None:
         if call.requested_pause is not None:
             self._admission.pause(call.requested_pause, now)
         if is_answered and call.status < FIRST_SERVER_ERROR:
@@ -438,21 +463,21 @@
             if failure.outcome is Outcome.NOT_RUN:
                 self._ledger.abandon(claim)
 
-    def _has_data(self, call: AgentCall) -> None:
-        """Send the first bytes at once and gather those that follow."""
+    def _data_available(self, call: AgentCall) -> None:
+        """Send the first bytes at once; batch the bytes that follow."""
         if call.call.prompt_tokens and not call.first_byte_at:
             call.first_byte_at = self._clock.seconds()
             if call.call.streamed:
                 call.flush()
                 return
-        self._dirty[call] = None
+        self._unflushed[call] = None
         if not self._flush_pending:
             self._flush_pending = True
             self._clock.callLater(self._settings.stream.coalesce, self._flush)
 
     def _flush(self) -> None:
         self._flush_pending = False
-        dirty, self._dirty = self._dirty, {}
+        dirty, self._unflushed = self._unflushed, {}
         for call in dirty:
             call.flush()
 
@@ -466,7 +491,7 @@
             self._stop(call, Reason.CANCELLED)
 
     def _stop(self, call: AgentCall, reason: Reason) -> None:
-        """End a call early; before it runs that is certain to be "not run"."""
+        """End a call early; one that has not started is reported as not run."""
         if call.phase is CallPhase.RUNNING:
             call.fail(Outcome.UNKNOWN, reason)
         else:
@@ -475,23 +500,26 @@
     def _resume(self, link: Link, message: wire.Resume) -> None:
         name = CallId(message.router, message.number)
         if message.target_incarnation != self._incarnation:
-            self._answer_unknown(link, name, Reason.REPLACED)
+            self._report_unknown(link, name, Reason.REPLACED)
             return
         call = self._calls.get(name)
         if call is not None:
             call.resume(link, message.offset)
             return
         now = self._clock.seconds()
-        if self._names.state(name) is CallIdState.TAKEN:
-            self._answer_unknown(link, name, Reason.ANSWER_EVICTED)
+        if self._call_ids.state(name) is CallIdState.TAKEN:
+            self._report_unknown(link, name, Reason.ANSWER_EVICTED)
             return
-        if message.age_ms / MILLISECONDS_PER_SECOND > self._settings.name_keep:
-            self._answer_unknown(link, name, Reason.ANSWER_EVICTED)
+        if (
+            message.age_ms / MILLISECONDS_PER_SECOND
+            > self._settings.call_id_keep_seconds
+        ):
+            self._report_unknown(link, name, Reason.ANSWER_EVICTED)
             return
-        self._names.block(name, now + self._settings.name_keep)
+        self._call_ids.block(name, now + self._settings.call_id_keep_seconds)
         self._refuse(link, name, Reason.NEVER_ARRIVED)
 
-    def _answer_unknown(self, link: Link, name: CallId, reason: Reason) -> None:
+    def _report_unknown(self, link: Link, name: CallId, reason: Reason) -> None:
         link.send(
             wire.CallFailed(
                 router=name.router,
@@ -500,7 +528,7 @@
                 reason=reason,
                 retry_after_ms=0,
                 place="",
-                detail="the call's state is not kept here",
+                detail="this agent no longer keeps the call's state",
                 load=self._load(),
             ),
         )
--- a/src/primrosescale/process/daemons/engine_orders.py
+++ b/src/primrosescale/process/daemons/engine_orders.py
@@ -1,10 +1,15 @@
-"""Orders an engine towards the configuration, level-triggered and fenced.
-
-Each agent alone orders its own engine. Its fencing number comes from a
-conditional increment in the platform, so that a successor's is higher. An
-engine that checks fences refuses a late order of a paused predecessor; one
-that does not is compared with the configuration again and again, so that such
-an order has no lasting effect.
+"""Reconciles an engine with the configuration by fenced orders.
+
+The state of the engine is compared with the configuration periodically
+(level-triggered), and an order is sent when they differ. Only the agent beside an
+engine sends it orders. The agent's fencing number comes from a conditional increment
+in the platform's store, so that its successor's number is higher. An engine that
+checks fencing numbers refuses a late order of a paused predecessor; an engine that
+does not check them is reconciled again, so that such an order has no lasting effect.
+
+A roll-out goes through failure domains in a configured order: a domain waits until
+each earlier one has reported the version as running with few errors. The number of
+engines that load weights at the same time is limited by leased slots.
 """
 
 from __future__ import annotations
@@ -35,27 +40,27 @@
 FENCE_PREFIX = "fences/"
 PROGRESS_PREFIX = "config/model-progress/"
 SLOT_PREFIX = "weights/slot-"
-SLOTS = 8
-SLOT_SECONDS = 60.0
-GOOD_FOR = 3
+WEIGHT_SLOTS = 8
+SLOT_LEASE_SECONDS = 60.0
+REQUIRED_HEALTHY_ROUNDS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class OrderSettings:
-    """Who orders which engine.
+    """Identifies the agent that sends orders and its engine.
 
     Parameters
     ----------
     agent : str
-        The agent's name.
+        Name of the agent.
     service : str
-        Its service.
+        Service of the agent.
     domain : str
-        Its failure domain.
+        Failure domain of the agent.
     incarnation : int
-        Its incarnation.
+        Incarnation of the agent.
     checks_fence : bool
-        Whether the engine refuses an order with an old fencing number.
+        Whether the engine refuses an order with an outdated fencing number.
     """
 
     agent: str
@@ -66,23 +71,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineWish:
-    """What the configuration wants an engine to run.
+class DesiredEngineState:
+    """Model, version and role that the configuration assigns to an engine.
 
     Parameters
     ----------
     model : str
-        The model.
+        Name of the model.
     version : str
-        Its version.
+        Version of the model.
     adapters : tuple[str, ...]
-        Its adapters.
+        Adapters to load.
     role : str
-        The engine's role.
+        Role of the engine.
     domains : tuple[str, ...]
-        Failure domains in the order of a roll-out; empty for all at once.
+        Failure domains in the order of a roll-out; empty for all at the same
+        time.
     error_limit : float
-        Share of failed answers above which the roll-out stops.
+        Share of failed answers above which the roll-out is held.
     """
 
     model: str
@@ -93,17 +99,17 @@
     error_limit: float
 
     def is_met_by(self, state: dict[str, Any]) -> bool:
-        """Tell whether an engine runs what is wanted.
+        """Return whether an engine is in this state.
 
         Parameters
         ----------
         state : dict[str, Any]
-            What the engine says of itself.
+            State that the engine reports.
 
         Returns
         -------
         bool
-            True when nothing is to be ordered.
+            True when no order is needed.
         """
         return (
             state.get("model") == self.model
@@ -113,22 +119,24 @@
         )
 
 
-def wish_of(view: VersionView, service: str, agent: str) -> EngineWish | None:
-    """Return what a version wants of an agent's engine.
+def desired_state_of(
+    view: VersionView, service: str, agent: str
+) -> DesiredEngineState | None:
+    """Return the state that a version asks of an agent's engine.
 
     Parameters
     ----------
     view : VersionView
-        The version.
+        Configuration version.
     service : str
-        The agent's service.
+        Service of the agent.
     agent : str
-        The agent.
+        Name of the agent.
 
     Returns
     -------
-    EngineWish | None
-        None when nothing is said.
+    DesiredEngineState | None
+        None when the version names no model for the service.
     """
     record = view.services.get(service)
     if record is None or not record.models:
@@ -138,7 +146,7 @@
         return None
     target = view.targets.get(agent)
     role = "mixed" if target is None else target.role
-    return EngineWish(
+    return DesiredEngineState(
         model.name,
         model.version,
         model.adapters,
@@ -149,60 +157,60 @@
 
 
 class OrderObserver(ABC):
-    """Is told about orders."""
+    """Receives the events of orders."""
 
     @abstractmethod
-    def order_sent(self, wish: EngineWish, fence: int) -> None:
-        """Take in that an order was sent.
+    def order_sent(self, desired: DesiredEngineState, fence: int) -> None:
+        """Handle that an order is being sent.
 
         Parameters
         ----------
-        wish : EngineWish
-            What was ordered.
+        desired : DesiredEngineState
+            State that was ordered.
         fence : int
-            With which fencing number.
+            Fencing number of the order.
         """
 
     @abstractmethod
     def order_failed(self, detail: str) -> None:
-        """Take in that an order or what it needs failed.
+        """Handle that an order or a request needed for it failed.
 
         Parameters
         ----------
         detail : str
-            Why.
+            Why it failed.
         """
 
     @abstractmethod
-    def roll_out_held(self, wish: EngineWish, domain: str) -> None:
-        """Take in that this domain waits for an earlier one.
+    def roll_out_held(self, desired: DesiredEngineState, domain: str) -> None:
+        """Handle that the roll-out in this domain waits for an earlier domain.
 
         Parameters
         ----------
-        wish : EngineWish
-            What is to be ordered.
+        desired : DesiredEngineState
+            State that is to be ordered.
         domain : str
-            The domain that is not done.
+            Domain that has not reported success.
         """
 
 
 class EngineOrders:
-    """Brings one engine to what the configuration wants.
+    """Reconciles one engine with the state that the configuration asks for.
 
     Parameters
     ----------
     settings : OrderSettings
-        Who orders which engine.
+        The agent and its engine.
     port : EnginePort
-        The engine.
+        Client of the engine.
     platform : Platform
-        Keeps fences, slots and progress.
+        Store of fencing numbers, slots and progress.
     observer : OrderObserver
-        Told about orders.
+        Notified of orders.
     error_share : Callable[[], float]
-        Returns the share of failed answers lately.
+        Returns the recent share of failed answers.
     wall_clock : Callable[[], float]
-        Returns seconds since 1970, for slots.
+        Returns seconds since the Unix epoch (1970), for the leases of slots.
     """
 
     def __init__(
@@ -223,86 +231,87 @@
         self._fence = 0
         self._is_busy = False
         self._is_replaced = False
-        self._good_rounds = 0
+        self._healthy_rounds = 0
         self._slot = ""
-        self._done: EngineWish | None = None
+        self._reported_state: DesiredEngineState | None = None
 
     @property
     def fence(self) -> int:
-        """Return this agent's fencing number; 0 before it has one."""
+        """Return the fencing number of this agent; 0 before it has one."""
         return self._fence
 
     @property
     def is_replaced(self) -> bool:
-        """Tell whether a successor orders the engine now."""
+        """Return whether a successor of this agent now orders the engine."""
         return self._is_replaced
 
     @inlineCallbacks
-    def tick(self, wish: EngineWish | None) -> Generator[Any, Any, None]:
-        """Compare engine and wish once, and order if they differ.
+    def tick(self, desired: DesiredEngineState | None) -> Generator[Any, Any, None]:
+        """Compare the engine with the desired state once; send an order if needed.
 
         Parameters
         ----------
-        wish : EngineWish | None
-            What the configuration wants now.
+        desired : DesiredEngineState | None
+            Desired state; None when the configuration gives none.
 
         Returns
         -------
         Deferred[None]
-            When this round is over; never fails for reasons of others.
+            Fires when the comparison is over; errors of the platform and of the
+            engine are reported to the observer.
         """
-        if self._is_busy or self._is_replaced or wish is None:
+        if self._is_busy or self._is_replaced or desired is None:
             return
         self._is_busy = True
         try:
-            yield self._round(wish)
+            yield self._reconcile(desired)
         except (PlatformError, TargetError) as error:
             self._observer.order_failed(str(error))
-        except Exception as error:  # noqa: BLE001 - the engine's connection, say
+        except Exception as error:  # noqa: BLE001 - such as errors of the engine's connection
             self._observer.order_failed(f"{type(error).__name__}: {error}")
         finally:
             self._is_busy = False
 
     @inlineCallbacks
-    def _round(self, wish: EngineWish) -> Generator[Any, Any, None]:
+    def _reconcile(self, desired: DesiredEngineState) -> Generator[Any, Any, None]:
         if not self._fence:
-            yield self._take_fence()
+            yield self._acquire_fence()
         data = yield self._port.state()
-        if wish.is_met_by(json.loads(data)):
-            yield self._report(wish)
+        if desired.is_met_by(json.loads(data)):
+            yield self._report_progress(desired)
             return
-        self._good_rounds = 0
-        self._done = None
-        waits_for = yield self._earlier_domain(wish)
+        self._healthy_rounds = 0
+        self._reported_state = None
+        waits_for = yield self._unfinished_earlier_domain(desired)
         if waits_for:
-            self._observer.roll_out_held(wish, waits_for)
+            self._observer.roll_out_held(desired, waits_for)
             return
         is_own = yield self._holds_fence()
         if not is_own:
             self._is_replaced = True
             return
-        has_slot = yield self._take_slot()
+        has_slot = yield self._acquire_slot()
         if has_slot:
-            yield self._order(wish)
+            yield self._order(desired)
 
     @inlineCallbacks
-    def _order(self, wish: EngineWish) -> Generator[Any, Any, None]:
+    def _order(self, desired: DesiredEngineState) -> Generator[Any, Any, None]:
         order = {
             "fence": self._fence,
-            "model": wish.model,
-            "version": wish.version,
-            "adapters": list(wish.adapters),
-            "role": wish.role,
+            "model": desired.model,
+            "version": desired.version,
+            "adapters": list(desired.adapters),
+            "role": desired.role,
         }
-        self._observer.order_sent(wish, self._fence)
+        self._observer.order_sent(desired, self._fence)
         yield self._port.order(json.dumps(order).encode())
 
     @inlineCallbacks
-    def _take_fence(self) -> Generator[Any, Any, None]:
-        """Raise the fencing number; a lost answer is read back."""
+    def _acquire_fence(self) -> Generator[Any, Any, None]:
+        """Increment the fencing number; read it back if an answer was lost."""
         key = FENCE_PREFIX + self._settings.agent
         found = yield self._platform.get(key)
-        held = _fields(found)
+        held = _decode_object(found)
         if held.get("owner") == self._settings.incarnation:
             self._fence = int(held["fence"])
             return
@@ -314,59 +323,63 @@
 
     @inlineCallbacks
     def _holds_fence(self) -> Generator[Any, Any, bool]:
-        """Tell whether no successor has a higher number."""
+        """Return whether no successor has a higher fencing number."""
         if self._settings.checks_fence:
             return True
         found = yield self._platform.get(FENCE_PREFIX + self._settings.agent)
-        return int(_fields(found).get("fence", 0)) <= self._fence
+        return int(_decode_object(found).get("fence", 0)) <= self._fence
 
     @inlineCallbacks
-    def _earlier_domain(self, wish: EngineWish) -> Generator[Any, Any, str]:
-        """Return the domain that must be done before this one, if any."""
+    def _unfinished_earlier_domain(
+        self, desired: DesiredEngineState
+    ) -> Generator[Any, Any, str]:
+        """Return the first earlier domain without success; empty if none."""
         own = self._settings.domain
-        order = wish.domains
+        order = desired.domains
         earlier = order[: order.index(own)] if own in order else order
         for domain in earlier:
-            found = yield self._platform.get(_progress_key(wish, domain))
+            found = yield self._platform.get(_progress_key(desired, domain))
             if found is None:
                 return str(domain)
         return ""
 
     @inlineCallbacks
-    def _report(self, wish: EngineWish) -> Generator[Any, Any, None]:
-        """Say that this domain runs a version well, once it has for a while."""
+    def _report_progress(
+        self, desired: DesiredEngineState
+    ) -> Generator[Any, Any, None]:
+        """Record the domain's success after enough rounds with few errors."""
         yield self._release_slot()
-        if not wish.domains or self._done == wish:
+        if not desired.domains or self._reported_state == desired:
             return
-        if self._error_share() > wish.error_limit:
-            self._good_rounds = 0
+        if self._error_share() > desired.error_limit:
+            self._healthy_rounds = 0
             return
-        self._good_rounds += 1
-        if self._good_rounds < GOOD_FOR:
+        self._healthy_rounds += 1
+        if self._healthy_rounds < REQUIRED_HEALTHY_ROUNDS:
             return
-        key = _progress_key(wish, self._settings.domain)
+        key = _progress_key(desired, self._settings.domain)
         try:
             yield self._platform.put(key, b"done", MUST_NOT_EXIST)
         except PlatformConflictError:
-            # Another agent of the domain has said so already.
-            self._done = wish
+            # Another agent of the domain has already recorded it.
+            self._reported_state = desired
         else:
-            self._done = wish
+            self._reported_state = desired
 
     @inlineCallbacks
-    def _take_slot(self) -> Generator[Any, Any, bool]:
-        """Take one of the weight store's slots; a lapsed one may be taken.
+    def _acquire_slot(self) -> Generator[Any, Any, bool]:
+        """Lease one of the slots for loading weights; reuse an expired one.
 
-        Slots only limit the rate at which weights are read, so a holder that
-        was paused past its time does no harm.
+        Slots only limit the rate at which weights are read from the weight store,
+        so a holder that was paused past the end of its lease does no harm.
         """
         now = self._wall_clock()
-        mine = {"agent": self._settings.agent, "until": now + SLOT_SECONDS}
-        value = json.dumps(mine).encode()
-        for number in range(SLOTS):
+        lease = {"agent": self._settings.agent, "until": now + SLOT_LEASE_SECONDS}
+        value = json.dumps(lease).encode()
+        for number in range(WEIGHT_SLOTS):
             key = f"{SLOT_PREFIX}{number}"
             found = yield self._platform.get(key)
-            held = _fields(found)
+            held = _decode_object(found)
             is_free = held.get("until", 0.0) <= now
             if not is_free and held.get("agent") != self._settings.agent:
                 continue
@@ -385,16 +398,19 @@
         if not key:
             return
         found = yield self._platform.get(key)
-        if found is not None and _fields(found).get("agent") == self._settings.agent:
+        if (
+            found is not None
+            and _decode_object(found).get("agent") == self._settings.agent
+        ):
             free = json.dumps({"agent": "", "until": 0.0}).encode()
             yield self._platform.put(key, free, found.version)
 
 
-def _progress_key(wish: EngineWish, domain: str) -> str:
-    return f"{PROGRESS_PREFIX}{wish.model}/{wish.version}/{domain}"
+def _progress_key(desired: DesiredEngineState, domain: str) -> str:
+    return f"{PROGRESS_PREFIX}{desired.model}/{desired.version}/{domain}"
 
 
-def _fields(found: StoredObject | None) -> dict[str, Any]:
+def _decode_object(found: StoredObject | None) -> dict[str, Any]:
     if found is None:
         return {}
     fields: dict[str, Any] = json.loads(found.value)
--- a/src/primrosescale/process/daemons/router.py
+++ b/src/primrosescale/process/daemons/router.py
@@ -1,4 +1,10 @@
-"""The router: callers on one side, agents and other routers on the other."""
+"""The router process: accepts callers' requests and forwards them to agents.
+
+For each request it chooses candidates among the targets of a service, records the
+request's attempts, and reports metrics and log events. It also writes claims on
+idempotency keys, exchanges control traffic with agents and peer routers, and serves
+the administration API.
+"""
 
 from __future__ import annotations
 
@@ -69,44 +75,46 @@
     from primrosescale.version.view import VersionView
 
 ROLE = "router"
-ADMIN_BODY_LIMIT = 32_000_000
-CLOSE_IDLE_INTERVAL = 5.0
-STOP_POLL = 0.05
-RANDOM_BITS = 64
+MAX_ADMIN_BODY_BYTES = 32_000_000
+CLOSE_IDLE_INTERVAL_SECONDS = 5.0
+STOP_POLL_SECONDS = 0.05
+RANDOM_KEY_BITS = 64
 
 
-class _Underway:
-    """What a router keeps of a call besides the call itself."""
+class _ActiveCall:
+    """Version, trace span and start time of a call in flight."""
 
-    __slots__ = ("began", "hop", "view")
+    __slots__ = ("start_time", "trace_span", "view")
 
-    def __init__(self, view: VersionView, hop: TraceSpan, began: float) -> None:
+    def __init__(
+        self, view: VersionView, trace_span: TraceSpan, start_time: float
+    ) -> None:
         self.view = view
-        self.hop = hop
-        self.began = began
+        self.trace_span = trace_span
+        self.start_time = start_time
 
 
 class Router(
     LinkHandler, CallGate, CallTableListener, ControlObserver, VersionObserver
 ):
-    """One router process.
+    """A router.
 
     Parameters
     ----------
     settings : Settings
-        Its settings.
-    tools : Tools
+        Settings of the process.
+    context : Tools
         Reactor, log, metrics and traces.
     platform : Platform
-        The platform's service.
+        Client of the platform's object store and list of hosts.
     """
 
-    def __init__(self, settings: Settings, tools: Tools, platform: Platform) -> None:
+    def __init__(self, settings: Settings, context: Tools, platform: Platform) -> None:
         self._settings = settings
-        self._tools = tools
+        self._context = context
         self._platform = platform
         process = settings.process
-        reactor = tools.reactor
+        reactor = context.reactor
         self._locality = Locality(process.region, process.domain)
         self._members = Members(settings.members, self._locality)
         self._keeper = VersionManager(
@@ -121,10 +129,10 @@
         self._hello = wire.Hello(
             PROTOCOL_VERSION,
             process.name,
-            tools.incarnation,
+            context.incarnation,
             process.domain,
         )
-        dialer = tools.dialer(settings.router.dial_timeout)
+        dialer = context.dialer(settings.router.dial_timeout)
         self._pool = LinkPool(
             self._hello,
             self,
@@ -133,15 +141,15 @@
             settings.link,
             settings.router.link_idle,
         )
-        self._table = CallTable(tools.incarnation, self._pool, self)
+        self._table = CallTable(context.incarnation, self._pool, self)
         self._claims = ClaimWriter(
             settings.ledger,
             platform,
             reactor,
-            tools.wall_clock,
+            context.wall_clock,
         )
         self._control = RouterControl(
-            Identity(process.name, tools.incarnation, process.domain),
+            Identity(process.name, context.incarnation, process.domain),
             settings.sums,
             self._members,
             self._keeper,
@@ -153,7 +161,7 @@
             self,
             reactor,
         )
-        self._under_way: dict[RoutedCall, _Underway] = {}
+        self._under_way: dict[RoutedCall, _ActiveCall] = {}
         self._inbound: set[Link] = set()
         self._ports: list[Any] = []
         self._loops: list[Any] = []
@@ -162,88 +170,88 @@
 
     @property
     def members(self) -> Members:
-        """Return the hosts it knows."""
+        """Return the known hosts."""
         return self._members
 
     @property
     def keeper(self) -> VersionManager:
-        """Return its versions."""
+        """Return the keeper of configuration versions."""
         return self._keeper
 
     @property
     def control(self) -> RouterControl:
-        """Return its control traffic."""
+        """Return the part that exchanges control traffic."""
         return self._control
 
     @property
     def claims(self) -> ClaimWriter:
-        """Return its part of the ledger."""
+        """Return the writer of this router's part of the claim ledger."""
         return self._claims
 
     @property
     def table(self) -> CallTable:
-        """Return its attempts under way."""
+        """Return the table of attempts in flight."""
         return self._table
 
     @property
     def platform(self) -> Platform:
-        """Return the platform's service."""
+        """Return the client of the platform."""
         return self._platform
 
     @property
     def settings(self) -> Settings:
-        """Return its settings."""
+        """Return the settings of the process."""
         return self._settings
 
     @property
     def under_way(self) -> int:
-        """Return how many requests are under way."""
+        """Return the number of requests in flight."""
         return len(self._under_way)
 
     @property
     def control_bytes(self) -> int:
-        """Return the bytes of frames on all open connections."""
+        """Return the bytes of frames sent and received on all open connections."""
         links = [*self._pool.links(), *self._inbound]
         return sum(link.bytes_in + link.bytes_out for link in links)
 
     @property
     def http_port(self) -> int:
-        """Return the port of callers' HTTP."""
+        """Return the TCP port of callers' HTTP."""
         return int(self._ports[0].getHost().port)
 
     @property
     def link_port(self) -> int:
-        """Return the port for agents and other routers."""
+        """Return the TCP port on which agents and peer routers connect."""
         return int(self._ports[1].getHost().port)
 
     @property
     def admin_port(self) -> int:
-        """Return the port of the administration API."""
+        """Return the TCP port of the administration API."""
         return int(self._ports[2].getHost().port)
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether requests are taken."""
+        """Return whether requests are accepted."""
         return self._keeper.view is not None and not self._is_stopping
 
     @property
     def view(self) -> VersionView | None:
-        """Return the version in force."""
+        """Return the configuration version in force; None before there is one."""
         return self._keeper.view
 
     @property
     def is_full(self) -> bool:
-        """Tell whether no more requests can be under way."""
+        """Return whether the limit of requests in flight is reached."""
         return len(self._under_way) >= self._settings.router.calls_limit
 
     def listen(self) -> None:
-        """Open the ports of callers and of links."""
+        """Open the ports of callers, of connections and of the administration API."""
         router = self._settings.router
         site = self._site()
-        reactor = self._tools.reactor
+        reactor = self._context.reactor
         self._ports = [
             reactor.listenTCP(router.port, site, interface=router.address),
-            self._tools.listen(
+            self._context.listen(
                 router.link_port,
                 LinkFactory(self._hello, self, reactor, self._settings.link),
                 router.address,
@@ -257,31 +265,32 @@
 
     @inlineCallbacks
     def start(self) -> Generator[Any, Any, None]:
-        """Join the fleet.
+        """Announce the router, start its control traffic and periodic work.
 
         Returns
         -------
         Deferred[None]
-            When list and head have been asked for.
+            Fires when the list of hosts and the version head have been requested.
         """
         if self._settings.platform.register:
             yield self._announce(is_leaving=False)
         yield self._control.start()
-        tools = self._tools
+        context = self._context
         self._loops = [
-            tools.repeat(self._settings.sums.interval, self._tick),
-            tools.repeat(CLOSE_IDLE_INTERVAL, self._close_idle),
+            context.repeat(self._settings.sums.interval, self._tick),
+            context.repeat(CLOSE_IDLE_INTERVAL_SECONDS, self._close_idle),
         ]
-        self._log(Event.PROCESS_STARTED, incarnation=tools.incarnation)
+        self._log(Event.PROCESS_STARTED, incarnation=context.incarnation)
 
     @inlineCallbacks
     def stop(self) -> Generator[Any, Any, None]:
-        """Leave the fleet: take no new request, finish those under way.
+        """Stop accepting requests and finish those in flight.
 
         Returns
         -------
         Deferred[None]
-            When all requests have ended, or the time for it is over.
+            Fires when all requests have ended and the router has closed its ports;
+            requests still in flight after ``stop_within`` are cut.
         """
         self._is_stopping = True
         self._log(Event.PROCESS_STOPPING, under_way=len(self._under_way))
@@ -291,7 +300,7 @@
             yield self._ports[0].stopListening()
         until = self.now() + self._settings.process.stop_within
         while self._under_way and self.now() < until:
-            yield self._tools.pause(STOP_POLL)
+            yield self._context.pause(STOP_POLL_SECONDS)
         if self._under_way:
             self._log(Event.STOP_CUT, under_way=len(self._under_way))
         for loop in self._loops:
@@ -306,8 +315,8 @@
         self._log(Event.PROCESS_STOPPED)
 
     def now(self) -> float:
-        """Return the present time in seconds."""
-        return float(self._tools.reactor.seconds())
+        """Return the current time in seconds."""
+        return float(self._context.reactor.seconds())
 
     def limit(self, organisation: OrganisationRecord) -> float:
         """Count a request against a limit; see `CallGate.limit`."""
@@ -315,7 +324,7 @@
         return self._limiter.admit(organisation.name, rate, self.now())
 
     def ledger_of(self, service: str, organisation: str, key: str) -> str:
-        """Return who writes a key's claim; see `CallGate.ledger_of`."""
+        """Return the router that writes a key's claim; see `CallGate.ledger_of`."""
         digest = claim_key(service, organisation, key)
         bucket = bucket_of(digest, self._settings.ledger.buckets)
         routers = self._members.routers("", self.now())
@@ -333,10 +342,12 @@
     ) -> None:
         """Route a call; see `CallGate.route`."""
         now = self.now()
-        tools = self._tools
-        hop = tools.tracing.start("router", request.traceparent, may_begin=True)
-        request.traceparent = hop.traceparent
-        key = request.chat or str(tools.rng.getrandbits(RANDOM_BITS))
+        context = self._context
+        trace_span = context.tracing.start(
+            "router", request.traceparent, may_begin=True
+        )
+        request.traceparent = trace_span.traceparent
+        key = request.chat or str(context.rng.getrandbits(RANDOM_KEY_BITS))
         candidates = self._members.candidates(
             service.name,
             key,
@@ -351,17 +362,17 @@
             is_idempotent=request.is_idempotent,
             deadline=request.deadline,
             budget=self._budgets.of(request.organisation),
-            backoff=Backoff(self._settings.backoff, tools.rng),
+            backoff=Backoff(self._settings.backoff, context.rng),
         )
         call = RoutedCall(
             request,
             plan,
             sink,
             self._table,
-            tools.reactor,
+            context.reactor,
             self._settings.call,
         )
-        self._under_way[call] = _Underway(view.pin(), hop, now)
+        self._under_way[call] = _ActiveCall(view.pin(), trace_span, now)
         sink.bind(call)
         call.start()
 
@@ -370,24 +381,24 @@
         return self._members.find_target(service, name, self.now())
 
     def suspect(self, target: Target) -> None:
-        """Avoid a target for a while; see `CallTableListener.suspect`."""
+        """Mark a target as suspect; see `CallTableListener.suspect`."""
         self._members.suspect(target.name, self.now())
         self._log(Event.TARGET_SUSPECT, target=target.name)
 
     def load_reported(self, target: Target, load: int) -> None:
-        """Take in a target's load; see `CallTableListener.load_reported`."""
+        """Record a target's load; see `CallTableListener.load_reported`."""
         self._loads.record(target.name, load, self.now())
 
     def call_ended(self, call: RoutedCall, report: CallReport) -> None:
-        """Take in the end of a call; see `CallTableListener.call_ended`."""
-        kept = self._under_way.pop(call, None)
-        if kept is None:
+        """Handle the end of a call; see `CallTableListener.call_ended`."""
+        active = self._under_way.pop(call, None)
+        if active is None:
             return
-        kept.view.unpin()
-        self._tell_home(call, report)
-        self._measure(call, report, self.now() - kept.began)
+        active.view.unpin()
+        self._report_placement(call, report)
+        self._record_metrics(call, report, self.now() - active.start_time)
         reason = "" if report.reason is None else report.reason.name
-        kept.hop.end(
+        active.trace_span.end(
             outcome=report.outcome.name,
             reason=reason,
             attempts=report.attempts,
@@ -395,43 +406,43 @@
         )
 
     def host_unreadable(self, detail: str) -> None:
-        """Log an entry of the list of hosts that names no host to use."""
+        """Log an entry of the list of hosts that cannot be read."""
         self._log(Event.HOST_REFUSED, detail=detail)
 
     def platform_failed(self, detail: str) -> None:
-        """Log that the platform could not be asked."""
+        """Log a failed request to the platform."""
         self._log(Event.PLATFORM_FAILED, detail=detail)
 
-    def news(self, notice: wire.MemberNotice) -> None:
-        """Log news of an agent."""
+    def agent_notice_received(self, notice: wire.MemberNotice) -> None:
+        """Log a notice of an agent's new state."""
         state = MemberState(notice.state).name
         self._log(Event.TARGET_NEWS, target=notice.name, state=state)
 
     def adopted(self, view: VersionView) -> None:
-        """Log that a version is in force here."""
-        self._tools.metrics.gauge(Metric.VERSION, view.version)
+        """Log a version that is now in force here."""
+        self._context.metrics.gauge(Metric.VERSION, view.version)
         self._log(Event.VERSION_ADOPTED, version=view.version, digest=view.head.digest)
 
     def head_refused(self, error: HeadError) -> None:
-        """Log that a head was not taken."""
+        """Log a version head that failed verification."""
         self._log(Event.HEAD_REFUSED, detail=str(error))
 
     def pull_failed(self, version: int, detail: str) -> None:
-        """Log that a version could not be pulled yet."""
+        """Log a version whose sections could not be pulled yet."""
         self._log(Event.PULL_FAILED, version=version, detail=detail)
 
     def link_ready(self, link: Link) -> None:
-        """Handle that a peer has introduced itself."""
+        """Handle a connection whose peer has sent its hello."""
         self._inbound.add(link)
 
     def link_lost(self, link: Link, detail: str) -> None:
-        """Handle the end of a connection."""
+        """Handle a lost connection."""
         self._inbound.discard(link)
         self._sources.lost(link)
         self._table.link_lost(link, detail)
 
     def link_message(self, link: Link, message: Message) -> None:
-        """Handle one message of an agent or another router."""
+        """Handle one message of an agent or a peer router."""
         if self._table.message(message):
             return
         if self._control.message(link, message):
@@ -452,7 +463,7 @@
             return None
 
         class CallersRequest(BoundedRequest):
-            """A caller's request; a stranger's body is not read."""
+            """A caller's request; its body is not read before it is authorised."""
 
         CallersRequest.body_limit = router.body_limit
         CallersRequest.refuse_body = staticmethod(refuse_body)
@@ -464,32 +475,32 @@
             self._platform,
             self._keeper,
             HeadVerifier(settings.approvers),
-            self._tools.reactor,
-            self._tools.wall_clock,
+            self._context.reactor,
+            self._context.wall_clock,
         )
         keys = OperatorKeys(settings.trust.operators, lambda: self._keeper.view)
-        resource = AdminResource(administration, keys, self.status, self._tools.log)
+        resource = AdminResource(administration, keys, self.status, self._context.log)
 
         class OperatorsRequest(BoundedRequest):
             """An operator's request."""
 
-        OperatorsRequest.body_limit = ADMIN_BODY_LIMIT
+        OperatorsRequest.body_limit = MAX_ADMIN_BODY_BYTES
         return QuietSite(resource, OperatorsRequest, settings.router.idle_timeout)
 
     @inlineCallbacks
     def status(self) -> Generator[Any, Any, dict[str, Any]]:
-        """Return what is in force where, as this router has heard.
+        """Return the versions in force by failure domain, as known to this router.
 
         Returns
         -------
         Deferred[dict[str, Any]]
-            For the administration API.
+            Answer of the administration API.
         """
         yield self._control.refresh_domains()
         return fleet_status(self._settings.process.name, self._keeper, self._control)
 
-    def _tell_home(self, call: RoutedCall, report: CallReport) -> None:
-        """Tell a chat's first candidate where the chat was served instead."""
+    def _report_placement(self, call: RoutedCall, report: CallReport) -> None:
+        """Report to a chat's first candidate which other target served the chat."""
         chat = call.request.chat
         home = call.plan.first_candidate
         if not chat or home is None or not report.target:
@@ -500,8 +511,10 @@
         connecting = self._pool.get(home.endpoint)
         connecting.addCallbacks(lambda link: link.send(message), lambda _: None)
 
-    def _measure(self, call: RoutedCall, report: CallReport, seconds: float) -> None:
-        metrics = self._tools.metrics
+    def _record_metrics(
+        self, call: RoutedCall, report: CallReport, seconds: float
+    ) -> None:
+        metrics = self._context.metrics
         metrics.count(Metric.CALLS)
         metrics.count(Metric.ATTEMPTS, report.attempts)
         metrics.timing(Metric.CALL_TIME, seconds)
@@ -523,7 +536,7 @@
 
     def _tick(self) -> None:
         self._control.tick()
-        metrics = self._tools.metrics
+        metrics = self._context.metrics
         metrics.gauge(Metric.CALLS_UNDER_WAY, len(self._under_way))
         metrics.gauge(Metric.LINKS, self._pool.size)
         metrics.gauge(Metric.STRAYS, self._table.strays)
@@ -535,7 +548,7 @@
         self._pool.close_idle(self.now())
 
     def _announce(self, *, is_leaving: bool) -> Deferred[None]:
-        """Put this router on the platform's list, if the platform answers."""
+        """Announce this router to the platform's list of hosts; log a failure."""
         process = self._settings.process
         entry = wire.HostEntry(
             name=process.name,
@@ -548,7 +561,7 @@
             leaving=is_leaving,
             gone=is_leaving,
             version=0,
-            incarnation=self._tools.incarnation,
+            incarnation=self._context.incarnation,
         )
         announced = self._platform.announce(entry)
         announced.addErrback(
@@ -557,4 +570,4 @@
         return announced
 
     def _log(self, event: Event, **fields: Any) -> None:
-        self._tools.log.emit(event, **fields)
+        self._context.log.emit(event, **fields)
