--- a/src/primrosescale/ini/options.py
+++ b/src/primrosescale/ini/options.py
@@ -17,7 +17,7 @@
 HIGHEST_PORT = 65535
 
 
-class Kind(ABC):
+class OptionKind(ABC):
     """A kind of value that an option may have."""
 
     @abstractmethod
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Number(Kind):
+class Number(OptionKind):
     """A number within limits.
 
     Parameters
@@ -80,7 +80,7 @@
     is_whole: bool = False
 
     def parse(self, text: str) -> Any:
-        """Return the number; see `Kind.parse`."""
+        """Return the number; see `OptionKind.parse`."""
         value = int(text) if self.is_whole else float(text)
         if not self.least <= value <= self.most:
             raise ValueError(text)
@@ -96,7 +96,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Text(Kind):
+class Text(OptionKind):
     """Any text, or one of some words.
 
     Parameters
@@ -111,7 +111,7 @@
     may_be_empty: bool = True
 
     def parse(self, text: str) -> Any:
-        """Return the text; see `Kind.parse`."""
+        """Return the text; see `OptionKind.parse`."""
         value = text.strip()
         if self.words and value not in self.words:
             raise ValueError(text)
@@ -128,11 +128,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Flag(Kind):
+class Flag(OptionKind):
     """Yes or no."""
 
     def parse(self, text: str) -> Any:
-        """Return the truth value; see `Kind.parse`."""
+        """Return the truth value; see `OptionKind.parse`."""
         word = text.strip().lower()
         if word in TRUE_WORDS:
             return True
@@ -151,11 +151,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Address(Kind):
+class Address(OptionKind):
     """An IP number."""
 
     def parse(self, text: str) -> Any:
-        """Return the address as text; see `Kind.parse`."""
+        """Return the address as text; see `OptionKind.parse`."""
         return str(ipaddress.ip_address(text.strip()))
 
     @property
@@ -165,7 +165,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Words(Kind):
+class Words(OptionKind):
     """A list separated by commas or line ends.
 
     Parameters
@@ -177,7 +177,7 @@
     allowed: tuple[str, ...] = ()
 
     def parse(self, text: str) -> Any:
-        """Return the words as a tuple; see `Kind.parse`."""
+        """Return the words as a tuple; see `OptionKind.parse`."""
         parts = text.replace("\n", ",").split(",")
         words = tuple(part.strip() for part in parts if part.strip())
         if self.allowed and not set(words) <= set(self.allowed):
@@ -209,23 +209,23 @@
 
     Parameters
     ----------
-    kind : Kind
-        Kind of its value.
+    kind : OptionKind
+        OptionKind of its value.
     doc : str
         What it is for, with its unit.
     """
 
-    kind: Kind
+    kind: OptionKind
     doc: str
 
 
-def option(kind: Kind, doc: str, default: Any = MISSING) -> Any:
+def option(kind: OptionKind, doc: str, default: Any = MISSING) -> Any:
     """Declare an option as a field of a settings class.
 
     Parameters
     ----------
-    kind : Kind
-        Kind of its value.
+    kind : OptionKind
+        OptionKind of its value.
     doc : str
         What it is for, with its unit.
     default : Any
