--- a/src/primrosescale/ini/options.py
+++ b/src/primrosescale/ini/options.py
@@ -204,7 +204,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Declaration:
+class OptionDeclaration:
     """What is declared of an option.
 
     Parameters
@@ -236,4 +236,4 @@
     Any
         A dataclass field.
     """
-    return field(default=default, metadata={METADATA_KEY: Declaration(kind, doc)})
+    return field(default=default, metadata={METADATA_KEY: OptionDeclaration(kind, doc)})
--- a/src/primrosescale/ini/reader.py
+++ b/src/primrosescale/ini/reader.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from primrosescale.ini.options import Declaration
+    from primrosescale.ini.options import OptionDeclaration
 
 S = TypeVar("S")
 
@@ -125,12 +125,12 @@
     return Fault(section, "", "", "unknown section", _suggest(section, known))
 
 
-def _missing(section: str, key: str, declaration: Declaration) -> Fault:
+def _missing(section: str, key: str, declaration: OptionDeclaration) -> Fault:
     remedy = f"add it: write {declaration.kind.expects}"
     return Fault(section, key, "", "missing", remedy)
 
 
-def _wrong(section: str, key: str, text: str, declaration: Declaration) -> Fault:
+def _wrong(section: str, key: str, text: str, declaration: OptionDeclaration) -> Fault:
     return Fault(section, key, text, "wrong value", f"write {declaration.kind.expects}")
 
 
