--- a/src/primrosescale/ini/options.py
+++ b/src/primrosescale/ini/options.py
@@ -67,7 +67,7 @@
 
     Parameters
     ----------
-    least : float
+    minimum : float
         Lower limit.
     most : float
         Upper limit.
@@ -75,14 +75,14 @@
         Whether only whole numbers count.
     """
 
-    least: float = 0.0
+    minimum: float = 0.0
     most: float = math.inf
     is_whole: bool = False
 
     def parse(self, text: str) -> Any:
         """Return the number; see `OptionKind.parse`."""
         value = int(text) if self.is_whole else float(text)
-        if not self.least <= value <= self.most:
+        if not self.minimum <= value <= self.most:
             raise ValueError(text)
         return value
 
@@ -91,8 +91,8 @@
         """Return the limits in words."""
         noun = "a whole number" if self.is_whole else "a number"
         if math.isinf(self.most):
-            return f"{noun} of at least {self.least:g}"
-        return f"{noun} from {self.least:g} to {self.most:g}"
+            return f"{noun} of at least {self.minimum:g}"
+        return f"{noun} from {self.minimum:g} to {self.most:g}"
 
 
 @dataclass(frozen=True, slots=True)
