--- a/src/primrosescale/ini/options.py
+++ b/src/primrosescale/ini/options.py
@@ -69,20 +69,20 @@
     ----------
     minimum : float
         Lower limit.
-    most : float
+    maximum : float
         Upper limit.
     is_whole : bool
         Whether only whole numbers count.
     """
 
     minimum: float = 0.0
-    most: float = math.inf
+    maximum: float = math.inf
     is_whole: bool = False
 
     def parse(self, text: str) -> Any:
         """Return the number; see `OptionKind.parse`."""
         value = int(text) if self.is_whole else float(text)
-        if not self.minimum <= value <= self.most:
+        if not self.minimum <= value <= self.maximum:
             raise ValueError(text)
         return value
 
@@ -90,9 +90,9 @@
     def expects(self) -> str:
         """Return the limits in words."""
         noun = "a whole number" if self.is_whole else "a number"
-        if math.isinf(self.most):
+        if math.isinf(self.maximum):
             return f"{noun} of at least {self.minimum:g}"
-        return f"{noun} from {self.minimum:g} to {self.most:g}"
+        return f"{noun} from {self.minimum:g} to {self.maximum:g}"
 
 
 @dataclass(frozen=True, slots=True)
