--- a/src/primrosescale/ini/reader.py
+++ b/src/primrosescale/ini/reader.py
@@ -21,7 +21,7 @@
 
     from primrosescale.ini.options import OptionDeclaration
 
-S = TypeVar("S")
+SettingsT = TypeVar("S")
 
 
 def parse_text(text: str, source: str) -> ConfigParser:
@@ -54,17 +54,17 @@
 
 
 def read_section(
-    settings: type[S],
+    settings: type[SettingsT],
     section: str,
     options: Mapping[str, str],
     faults: list[Fault],
     fixed: Mapping[str, Any] | None = None,
-) -> S | None:
+) -> SettingsT | None:
     """Build a settings object from the options of a section.
 
     Parameters
     ----------
-    settings : type[S]
+    settings : type[SettingsT]
         A dataclass whose fields were made by `option`.
     section : str
         Name of the section, for faults.
@@ -77,7 +77,7 @@
 
     Returns
     -------
-    S | None
+    SettingsT | None
         The settings, unless there was a fault.
     """
     before = len(faults)
