--- a/src/primrosescale/ini/reader.py
+++ b/src/primrosescale/ini/reader.py
@@ -58,7 +58,7 @@
     section: str,
     options: Mapping[str, str],
     faults: list[Fault],
-    fixed: Mapping[str, Any] | None = None,
+    preset: Mapping[str, Any] | None = None,
 ) -> SettingsT | None:
     """Build a settings object from the options of a section.
 
@@ -72,7 +72,7 @@
         Texts by key.
     faults : list[Fault]
         Receives every fault found.
-    fixed : Mapping[str, Any] | None
+    preset : Mapping[str, Any] | None
         Fields that do not come from the options.
 
     Returns
@@ -81,7 +81,7 @@
         The settings, unless there was a fault.
     """
     before = len(faults)
-    values: dict[str, Any] = dict(fixed or {})
+    values: dict[str, Any] = dict(preset or {})
     known: list[str] = []
     for item in fields(cast("Any", settings)):
         declaration = cast("Declaration | None", item.metadata.get(METADATA_KEY))
