--- a/src/primrosescale/ini/reader.py
+++ b/src/primrosescale/ini/reader.py
@@ -96,7 +96,7 @@
         try:
             values[item.name] = declaration.kind.parse(text)
         except ValueError:
-            faults.append(_wrong(section, item.name, text, declaration))
+            faults.append(_invalid_value(section, item.name, text, declaration))
     faults.extend(
         _unknown(section, key, options[key], known)
         for key in options
@@ -130,7 +130,9 @@
     return Fault(section, key, "", "missing", remedy)
 
 
-def _wrong(section: str, key: str, text: str, declaration: OptionDeclaration) -> Fault:
+def _invalid_value(
+    section: str, key: str, text: str, declaration: OptionDeclaration
+) -> Fault:
     return Fault(section, key, text, "wrong value", f"write {declaration.kind.expects}")
 
 
