--- a/src/primrosescale/ini/reader.py
+++ b/src/primrosescale/ini/reader.py
@@ -91,7 +91,7 @@
         text = options.get(item.name)
         if text is None:
             if item.default is MISSING:
-                faults.append(_missing(section, item.name, declaration))
+                faults.append(_missing_option(section, item.name, declaration))
             continue
         try:
             values[item.name] = declaration.kind.parse(text)
@@ -125,7 +125,7 @@
     return Fault(section, "", "", "unknown section", _suggest(section, known))
 
 
-def _missing(section: str, key: str, declaration: OptionDeclaration) -> Fault:
+def _missing_option(section: str, key: str, declaration: OptionDeclaration) -> Fault:
     remedy = f"add it: write {declaration.kind.expects}"
     return Fault(section, key, "", "missing", remedy)
 
