--- a/src/primrosescale/ini/reader.py
+++ b/src/primrosescale/ini/reader.py
@@ -98,7 +98,7 @@
         except ValueError:
             faults.append(_invalid_value(section, item.name, text, declaration))
     faults.extend(
-        _unknown(section, key, options[key], known)
+        _unknown_option(section, key, options[key], known)
         for key in options
         if key not in known
     )
@@ -136,7 +136,7 @@
     return Fault(section, key, text, "wrong value", f"write {declaration.kind.expects}")
 
 
-def _unknown(section: str, key: str, text: str, known: list[str]) -> Fault:
+def _unknown_option(section: str, key: str, text: str, known: list[str]) -> Fault:
     return Fault(section, key, text, "unknown option", _suggest(key, known))
 
 
