--- a/src/primrosescale/platform/engine_calls.py
+++ b/src/primrosescale/platform/engine_calls.py
@@ -19,7 +19,7 @@
 
     from primrosescale.request.serving_target import ServingTarget
 
-HELD_PARTS = "/api/kv-list"
+CACHE_LIST_PATH = "/api/kv-list"
 OK = 200
 # What an odd answer raises while it is taken apart.
 MALFORMED = (
@@ -52,7 +52,7 @@
         """Ask one engine; see `CacheReader.read`."""
         caller = HttpCaller(self._reactor, target.endpoint, TIMEOUT)
         try:
-            reply = yield caller.call("GET", HELD_PARTS)
+            reply = yield caller.call("GET", CACHE_LIST_PATH)
         finally:
             caller.close()
         if reply.status != OK:
