--- a/src/primrosescale/platform/engine_calls.py
+++ b/src/primrosescale/platform/engine_calls.py
@@ -32,7 +32,7 @@
     RecursionError,
 )
 # The call waits behind the engine's own work, some steps of a few ms.
-TIMEOUT = 0.6
+TIMEOUT_SECONDS = 0.6
 
 
 class EngineCaches(CacheReader):
@@ -50,7 +50,7 @@
     @inlineCallbacks
     def read(self, target: ServingTarget) -> Generator[Any, Any, HeldParts]:
         """Ask one engine; see `CacheReader.read`."""
-        caller = HttpCaller(self._reactor, target.endpoint, TIMEOUT)
+        caller = HttpCaller(self._reactor, target.endpoint, TIMEOUT_SECONDS)
         try:
             reply = yield caller.call("GET", CACHE_LIST_PATH)
         finally:
