--- a/src/primrosescale/platform/engine_calls.py
+++ b/src/primrosescale/platform/engine_calls.py
@@ -63,12 +63,12 @@
             parts = tuple(
                 PromptPart(str(entry[1]), int(entry[2])) for entry in told["held"]
             )
-            return HeldParts(parts, _start(told))
+            return HeldParts(parts, _engine_start(told))
         except MALFORMED as error:
             raise TargetError(f"odd answer: {error}") from error
 
 
-def _start(told: dict[str, Any]) -> int | None:
+def _engine_start(told: dict[str, Any]) -> int | None:
     """Return the engine's start; a truth value or a part of one is none."""
     born = told.get("born")
     if born is None:
