--- a/src/primrosescale/platform/engine_calls.py
+++ b/src/primrosescale/platform/engine_calls.py
@@ -70,9 +70,9 @@
 
 def _engine_start(told: dict[str, Any]) -> int | None:
     """Return the engine's start; a truth value or a part of one is none."""
-    born = told.get("born")
-    if born is None:
+    started_at = told.get("born")
+    if started_at is None:
         return None
-    if type(born) is not int or born < 0:
-        raise ValueError(f"start {born!r} is no whole number of milliseconds")
-    return born
+    if type(started_at) is not int or started_at < 0:
+        raise ValueError(f"start {started_at!r} is no whole number of milliseconds")
+    return started_at
