--- a/src/primrosescale/platform/engine_calls.py
+++ b/src/primrosescale/platform/engine_calls.py
@@ -58,19 +58,19 @@
         if reply.status != OK:
             raise TargetError(f"status {reply.status}")
         try:
-            told = json.loads(reply.body)
+            fields = json.loads(reply.body)
             # Each entry is [empty, part, tokens held, model].
             parts = tuple(
-                PromptPart(str(entry[1]), int(entry[2])) for entry in told["held"]
+                PromptPart(str(entry[1]), int(entry[2])) for entry in fields["held"]
             )
-            return HeldParts(parts, _engine_start(told))
+            return HeldParts(parts, _engine_start(fields))
         except MALFORMED as error:
             raise TargetError(f"odd answer: {error}") from error
 
 
-def _engine_start(told: dict[str, Any]) -> int | None:
+def _engine_start(fields: dict[str, Any]) -> int | None:
     """Return the engine's start; a truth value or a part of one is none."""
-    started_at = told.get("born")
+    started_at = fields.get("born")
     if started_at is None:
         return None
     if type(started_at) is not int or started_at < 0:
