--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -40,7 +40,7 @@
     from primrosescale.version.routing_table import RoutingTable
 
 # An answer of the store takes 4 ms, and 60 times as long while it is slow.
-STORE_TIMEOUT = 0.5
+STORE_TIMEOUT_SECONDS = 0.5
 # Keys may be relied on for 5 s after the store was last asked about them. The
 # four routers that ask for all do so every 0.9-1.5 s at times of their own,
 # which leaves 3 s of an outage in which nobody is refused.
@@ -51,7 +51,7 @@
 # A watch that works leaves the knowledge at most this old: a question that
 # was answered after its wait, the next one that is still waiting, and a round
 # of news from the router that asked.
-CERTAIN_FOR = 2 * CONFIGURATION_WAIT + STORE_TIMEOUT + 0.5
+CERTAIN_FOR = 2 * CONFIGURATION_WAIT + STORE_TIMEOUT_SECONDS + 0.5
 # A leaving target must be known of within 2 s; keep-alive probes find a
 # silent connection sooner than that would.
 TARGETS_WAIT = 8.0
@@ -142,7 +142,7 @@
     FailureObserver(log).install()
     parts = EntryParts(
         reactor=reactor,
-        platform=ObjectPlatform(reactor, host.store, STORE_TIMEOUT),
+        platform=ObjectPlatform(reactor, host.store, STORE_TIMEOUT_SECONDS),
         codec=PlatformCodec(),
         decoder=PlatformRecords(host.regions.values()),
         log=log,
