--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -44,14 +44,14 @@
 # Keys may be relied on for 5 s after the store was last asked about them. The
 # four routers that ask for all do so every 0.9-1.5 s at times of their own,
 # which leaves 3 s of an outage in which nobody is refused.
-CONFIGURATION_WAIT = 1.5
+CONFIGURATION_WAIT_SECONDS = 1.5
 # What the routers wait that rely on the questions of others; a change ends the
 # wait at once, and a newer version in others' news is asked for.
 LONGEST_CONFIGURATION_WAIT = 10.0
 # A watch that works leaves the knowledge at most this old: a question that
 # was answered after its wait, the next one that is still waiting, and a round
 # of news from the router that asked.
-CERTAIN_FOR = 2 * CONFIGURATION_WAIT + STORE_TIMEOUT_SECONDS + 0.5
+CERTAIN_FOR = 2 * CONFIGURATION_WAIT_SECONDS + STORE_TIMEOUT_SECONDS + 0.5
 # A leaving target must be known of within 2 s; keep-alive probes find a
 # silent connection sooner than that would.
 TARGETS_WAIT = 8.0
@@ -156,7 +156,7 @@
     watches = EntryWatches(
         configuration=WatchedPrefix(
             records.CONFIGURATION,
-            CONFIGURATION_WAIT,
+            CONFIGURATION_WAIT_SECONDS,
             longest_wait=LONGEST_CONFIGURATION_WAIT,
             rest=CONFIGURATION_REST_SHARE * host.bounds.apply,
             reads_after_failure=True,
