--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -47,7 +47,7 @@
 CONFIGURATION_WAIT_SECONDS = 1.5
 # What the routers wait that rely on the questions of others; a change ends the
 # wait at once, and a newer version in others' news is asked for.
-LONGEST_CONFIGURATION_WAIT = 10.0
+MAX_CONFIGURATION_WAIT_SECONDS = 10.0
 # A watch that works leaves the knowledge at most this old: a question that
 # was answered after its wait, the next one that is still waiting, and a round
 # of news from the router that asked.
@@ -157,7 +157,7 @@
         configuration=WatchedPrefix(
             records.CONFIGURATION,
             CONFIGURATION_WAIT_SECONDS,
-            longest_wait=LONGEST_CONFIGURATION_WAIT,
+            longest_wait=MAX_CONFIGURATION_WAIT_SECONDS,
             rest=CONFIGURATION_REST_SHARE * host.bounds.apply,
             reads_after_failure=True,
         ),
