--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -51,7 +51,7 @@
 # A watch that works leaves the knowledge at most this old: a question that
 # was answered after its wait, the next one that is still waiting, and a round
 # of news from the router that asked.
-CERTAIN_FOR = 2 * CONFIGURATION_WAIT_SECONDS + STORE_TIMEOUT_SECONDS + 0.5
+NOT_FOUND_MAX_AGE_SECONDS = 2 * CONFIGURATION_WAIT_SECONDS + STORE_TIMEOUT_SECONDS + 0.5
 # A leaving target must be known of within 2 s; keep-alive probes find a
 # silent connection sooner than that would.
 TARGETS_WAIT = 8.0
@@ -210,7 +210,7 @@
         reads_caches=not host.is_first_start,
         drain=bounds.drain,
         revoke=bounds.revoke,
-        certain_for=CERTAIN_FOR,
+        certain_for=NOT_FOUND_MAX_AGE_SECONDS,
         stop_within=bounds.stop,
         most_requests=host.memory_limit // BYTES_PER_REQUEST,
         choice=ChoiceSettings(load_multiple=LOAD_SHARE * bounds.load_multiple),
