--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -54,7 +54,7 @@
 NOT_FOUND_MAX_AGE_SECONDS = 2 * CONFIGURATION_WAIT_SECONDS + STORE_TIMEOUT_SECONDS + 0.5
 # A leaving target must be known of within 2 s; keep-alive probes find a
 # silent connection sooner than that would.
-TARGETS_WAIT = 8.0
+TARGETS_WAIT_SECONDS = 8.0
 
 # Part of the multiple of the mean that targets are loaded to, since other
 # routers' requests are known a quarter of a second late.
@@ -162,7 +162,9 @@
             reads_after_failure=True,
         ),
         targets=WatchedPrefix(
-            records.TARGETS, TARGETS_WAIT, rest=TARGETS_REST_SHARE * settings.drain
+            records.TARGETS,
+            TARGETS_WAIT_SECONDS,
+            rest=TARGETS_REST_SHARE * settings.drain,
         ),
         routers=WatchedPrefix(records.ROUTERS, ROUTERS_WAIT, rest=ROUTERS_REST),
         evacuations=(
