--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -71,7 +71,7 @@
 TARGETS_REST_SHARE = 0.3
 ROUTERS_REST = 2.0
 # Routers come and go seldom, and nothing is promised about them.
-ROUTERS_WAIT = 20.0
+ROUTERS_WAIT_SECONDS = 20.0
 # Domains are evacuated seldom. A waiting question that has gone silent is found by
 # keep-alive probes, and other routers tell of a change besides.
 EVACUATIONS_WAIT = 20.0
@@ -166,7 +166,7 @@
             TARGETS_WAIT_SECONDS,
             rest=TARGETS_REST_SHARE * settings.drain,
         ),
-        routers=WatchedPrefix(records.ROUTERS, ROUTERS_WAIT, rest=ROUTERS_REST),
+        routers=WatchedPrefix(records.ROUTERS, ROUTERS_WAIT_SECONDS, rest=ROUTERS_REST),
         evacuations=(
             None
             if host.bounds.evacuation is None
