--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -74,7 +74,7 @@
 ROUTERS_WAIT_SECONDS = 20.0
 # Domains are evacuated seldom. A waiting question that has gone silent is found by
 # keep-alive probes, and other routers tell of a change besides.
-EVACUATIONS_WAIT = 20.0
+EVACUATIONS_WAIT_SECONDS = 20.0
 
 
 class PlatformRecords(RecordDecoder):
@@ -170,7 +170,7 @@
         evacuations=(
             None
             if host.bounds.evacuation is None
-            else WatchedPrefix(records.EVACUATIONS, EVACUATIONS_WAIT)
+            else WatchedPrefix(records.EVACUATIONS, EVACUATIONS_WAIT_SECONDS)
         ),
     )
     return EntryRouter(settings, watches, parts)
