--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -58,7 +58,7 @@
 
 # Part of the multiple of the mean that targets are loaded to, since other
 # routers' requests are known a quarter of a second late.
-LOAD_SHARE = 0.75
+LOAD_MULTIPLE_SHARE = 0.75
 # Memory that one request may take: a body of 72 KB, the longest of today, four
 # times over in buffers, and as much again in reserve.
 BYTES_PER_REQUEST = 600_000
@@ -215,7 +215,7 @@
         certain_for=NOT_FOUND_MAX_AGE_SECONDS,
         stop_within=bounds.stop,
         most_requests=host.memory_limit // BYTES_PER_REQUEST,
-        choice=ChoiceSettings(load_multiple=LOAD_SHARE * bounds.load_multiple),
+        choice=ChoiceSettings(load_multiple=LOAD_MULTIPLE_SHARE * bounds.load_multiple),
         cold=ColdSettings(over=bounds.cold_over, slack=bounds.cold_slack),
         repeats=RepeatBounds(
             bounds.repeat_ratio, bounds.repeat_window, bounds.repeat_extra
