--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -67,7 +67,7 @@
 # which the change must be known: of that in which a version must be in force, and
 # of that in which a target that leaves may still get work; for routers nothing is
 # promised. A rest halves the calls of a storm and delays only what comes in it.
-CONFIGURATION_REST_SHARE = 0.2
+CONFIGURATION_BATCHING_SHARE = 0.2
 TARGETS_REST_SHARE = 0.3
 ROUTERS_REST = 2.0
 # Routers come and go seldom, and nothing is promised about them.
@@ -158,7 +158,7 @@
             records.CONFIGURATION,
             CONFIGURATION_WAIT_SECONDS,
             longest_wait=MAX_CONFIGURATION_WAIT_SECONDS,
-            rest=CONFIGURATION_REST_SHARE * host.bounds.apply,
+            rest=CONFIGURATION_BATCHING_SHARE * host.bounds.apply,
             reads_after_failure=True,
         ),
         targets=WatchedPrefix(
--- a/tests/adapter/test_translation.py
+++ b/tests/adapter/test_translation.py
@@ -15,7 +15,7 @@
 from entry.fakes import prompt
 from entry.fakes import request
 from entry.fakes import target
-from primrosescale.platform.entry import CONFIGURATION_REST_SHARE
+from primrosescale.platform.entry import CONFIGURATION_BATCHING_SHARE
 from primrosescale.platform.exceptions import BootFileError
 from primrosescale.platform.exceptions import RecordError
 from primrosescale.platform.host_settings import read_host_settings
@@ -170,7 +170,7 @@
         bounds = {"drain_ms": 1500, "config_apply_ms": 3000}
         host = self.read({**SETTINGS, "bounds": bounds})
         self.assertEqual((1.5, 3.0, 5.0), self.bounds(host))
-        self.assertLess(CONFIGURATION_REST_SHARE, 0.5)
+        self.assertLess(CONFIGURATION_BATCHING_SHARE, 0.5)
 
     def test_what_cannot_be_used_is_one_clear_error(self):
         for odd in (
