--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -68,7 +68,7 @@
 # of that in which a target that leaves may still get work; for routers nothing is
 # promised. A rest halves the calls of a storm and delays only what comes in it.
 CONFIGURATION_BATCHING_SHARE = 0.2
-TARGETS_REST_SHARE = 0.3
+TARGETS_BATCHING_SHARE = 0.3
 ROUTERS_REST = 2.0
 # Routers come and go seldom, and nothing is promised about them.
 ROUTERS_WAIT_SECONDS = 20.0
@@ -164,7 +164,7 @@
         targets=WatchedPrefix(
             records.TARGETS,
             TARGETS_WAIT_SECONDS,
-            rest=TARGETS_REST_SHARE * settings.drain,
+            rest=TARGETS_BATCHING_SHARE * settings.drain,
         ),
         routers=WatchedPrefix(records.ROUTERS, ROUTERS_WAIT_SECONDS, rest=ROUTERS_REST),
         evacuations=(
