--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -69,7 +69,7 @@
 # promised. A rest halves the calls of a storm and delays only what comes in it.
 CONFIGURATION_BATCHING_SHARE = 0.2
 TARGETS_BATCHING_SHARE = 0.3
-ROUTERS_REST = 2.0
+ROUTERS_BATCHING_SECONDS = 2.0
 # Routers come and go seldom, and nothing is promised about them.
 ROUTERS_WAIT_SECONDS = 20.0
 # Domains are evacuated seldom. A waiting question that has gone silent is found by
@@ -166,7 +166,9 @@
             TARGETS_WAIT_SECONDS,
             rest=TARGETS_BATCHING_SHARE * settings.drain,
         ),
-        routers=WatchedPrefix(records.ROUTERS, ROUTERS_WAIT_SECONDS, rest=ROUTERS_REST),
+        routers=WatchedPrefix(
+            records.ROUTERS, ROUTERS_WAIT_SECONDS, rest=ROUTERS_BATCHING_SECONDS
+        ),
         evacuations=(
             None
             if host.bounds.evacuation is None
