--- a/src/primrosescale/platform/field_reader.py
+++ b/src/primrosescale/platform/field_reader.py
@@ -28,7 +28,7 @@
     from primrosescale.process.transport.platform import StoredObject
 
 # Characters of a name; the longest name of a host (RFC 1035) is taken for all.
-LONGEST_NAME = 253
+MAX_NAME_LENGTH = 253
 # Whole numbers up to this are the same for every reader of JSON (RFC 8259).
 MOST_WHOLE = 2**53 - 1
 # What a target's name may consist of: it is sent in a header and logged.
@@ -199,7 +199,7 @@
         """
         return self._value(field) is not _ABSENT
 
-    def text(self, field: str, longest: int = LONGEST_NAME) -> str:
+    def text(self, field: str, longest: int = MAX_NAME_LENGTH) -> str:
         """Return a text that must be there.
 
         Parameters
@@ -222,7 +222,7 @@
             self.refuse(field, "empty")
         return str(given)
 
-    def text_or(self, field: str, absent: str, longest: int = LONGEST_NAME) -> str:
+    def text_or(self, field: str, absent: str, longest: int = MAX_NAME_LENGTH) -> str:
         """Return a text that may be left out.
 
         Parameters
@@ -548,8 +548,8 @@
         When it is empty, too long, or has other characters.
     """
     name = stored.name
-    if len(name) > LONGEST_NAME:
-        reason = f"{len(name)} characters, more than {LONGEST_NAME}"
+    if len(name) > MAX_NAME_LENGTH:
+        reason = f"{len(name)} characters, more than {MAX_NAME_LENGTH}"
         raise RecordError(stored.key, "name", reason, remedy)
     if not NAME.fullmatch(name):
         reason = "other than visible ASCII characters" if name else "missing"
