--- a/src/primrosescale/platform/field_reader.py
+++ b/src/primrosescale/platform/field_reader.py
@@ -30,7 +30,7 @@
 # Characters of a name; the longest name of a host (RFC 1035) is taken for all.
 MAX_NAME_LENGTH = 253
 # Whole numbers up to this are the same for every reader of JSON (RFC 8259).
-MOST_WHOLE = 2**53 - 1
+MAX_SAFE_INTEGER = 2**53 - 1
 # What a target's name may consist of: it is sent in a header and logged.
 NAME = re.compile(r"[!-~]+")
 PORT = re.compile(r"[0-9]{1,5}")
@@ -265,7 +265,7 @@
                 self.refuse(field, "an empty text")
         return found
 
-    def whole(self, field: str, most: int = MOST_WHOLE) -> int:
+    def whole(self, field: str, most: int = MAX_SAFE_INTEGER) -> int:
         """Return a whole number that must be there.
 
         Parameters
@@ -285,7 +285,7 @@
             return given
         return self._whole(field, self._required(field), most)
 
-    def whole_or(self, field: str, absent: int, most: int = MOST_WHOLE) -> int:
+    def whole_or(self, field: str, absent: int, most: int = MAX_SAFE_INTEGER) -> int:
         """Return a whole number that may be left out.
 
         Parameters
