--- a/src/primrosescale/platform/field_reader.py
+++ b/src/primrosescale/platform/field_reader.py
@@ -35,7 +35,7 @@
 NAME = re.compile(r"[!-~]+")
 PORT = re.compile(r"[0-9]{1,5}")
 # Of a value that is told in a refusal.
-TOLD_CHARACTERS = 64
+MAX_QUOTED_CHARACTERS = 64
 
 _ABSENT = object()
 
@@ -128,7 +128,7 @@
         except UnicodeDecodeError as error:
             raise RecordError(stored.key, "", "no UTF-8", remedy) from error
         except ValueError as error:
-            reason = f"no JSON: {error}"[:TOLD_CHARACTERS]
+            reason = f"no JSON: {error}"[:MAX_QUOTED_CHARACTERS]
             raise RecordError(stored.key, "", reason, remedy) from error
         except RecursionError as error:
             raise RecordError(stored.key, "", "nested too deep", remedy) from error
@@ -572,4 +572,4 @@
 
 
 def _told(text: str) -> str:
-    return ascii(text[:TOLD_CHARACTERS])
+    return ascii(text[:MAX_QUOTED_CHARACTERS])
