--- a/src/primrosescale/platform/field_reader.py
+++ b/src/primrosescale/platform/field_reader.py
@@ -380,7 +380,7 @@
         text = self.text(field)
         address, _, port = text.rpartition(":")
         if not PORT.fullmatch(port) or not 0 < int(port) <= HIGHEST_PORT:
-            self.refuse(field, f"{_told(text)} names no port")
+            self.refuse(field, f"{_quoted(text)} names no port")
         self._check_address(field, address)
         return Endpoint(address, int(port))
 
@@ -522,9 +522,9 @@
         try:
             address = IPv4Address(text)
         except AddressValueError:
-            self.refuse(field, f"{_told(text)} is no IPv4 address")
+            self.refuse(field, f"{_quoted(text)} is no IPv4 address")
         if address.packed[0] == 0 or address.is_multicast or address.is_reserved:
-            self.refuse(field, f"{_told(text)} cannot be connected to")
+            self.refuse(field, f"{_quoted(text)} cannot be connected to")
 
 
 def record_name(stored: StoredObject, remedy: str) -> str:
@@ -571,5 +571,5 @@
     }[type(value)]
 
 
-def _told(text: str) -> str:
+def _quoted(text: str) -> str:
     return ascii(text[:MAX_QUOTED_CHARACTERS])
