--- a/src/primrosescale/platform/field_reader.py
+++ b/src/primrosescale/platform/field_reader.py
@@ -89,7 +89,7 @@
         self._reading = reading
         self._within = within
         if type(fields) is not dict:
-            self.refuse("", f"{_type(fields)}, no object")
+            self.refuse("", f"{_type_name(fields)}, no object")
         self._fields: dict[str, Any] = fields
 
     @classmethod
@@ -361,7 +361,7 @@
         if value is _ABSENT:
             return absent
         if not isinstance(value, bool):
-            self.refuse(field, f"{_type(value)}, no truth value")
+            self.refuse(field, f"{_type_name(value)}, no truth value")
         return value
 
     def endpoint(self, field: str) -> Endpoint:
@@ -490,13 +490,13 @@
         if value is _ABSENT:
             return []
         if not isinstance(value, list):
-            self.refuse(field, f"{_type(value)}, no list")
+            self.refuse(field, f"{_type_name(value)}, no list")
         return value
 
     def _text(self, field: str, value: Any, longest: int) -> str:
         # Refusals tell no value: it may be a key.
         if not isinstance(value, str):
-            self.refuse(field, f"{_type(value)}, no text")
+            self.refuse(field, f"{_type_name(value)}, no text")
         if len(value) > longest:
             self.refuse(field, f"{len(value)} characters, more than {longest}")
         if not value.isprintable():
@@ -513,7 +513,7 @@
     def _number(self, field: str, value: Any, most: float) -> float:
         # A truth value is an int to Python, and NaN is in no range.
         if isinstance(value, bool) or not isinstance(value, (int, float)):
-            self.refuse(field, f"{_type(value)}, no number")
+            self.refuse(field, f"{_type_name(value)}, no number")
         if not 0 <= value <= most:
             self.refuse(field, f"not between 0 and {most}")
         return value
@@ -557,7 +557,7 @@
     return name
 
 
-def _type(value: Any) -> str:
+def _type_name(value: Any) -> str:
     """Return the name of a value's type in JSON."""
     if value is None:
         return "null"
