--- a/src/primrosescale/platform/field_reader.py
+++ b/src/primrosescale/platform/field_reader.py
@@ -40,7 +40,7 @@
 _ABSENT = object()
 
 
-class RecordReading(NamedTuple):
+class RecordContext(NamedTuple):
     """What holds for a whole record while its fields are read.
 
     Parameters
@@ -63,7 +63,7 @@
 
     Parameters
     ----------
-    reading : RecordReading
+    reading : RecordContext
         What holds for the whole record.
     fields : Any
         What stands there.
@@ -82,7 +82,7 @@
 
     def __init__(
         self,
-        reading: RecordReading,
+        reading: RecordContext,
         fields: Any,
         within: tuple[FieldReader, str, int | None] | None = None,
     ) -> None:
@@ -132,7 +132,7 @@
             raise RecordError(stored.key, "", reason, remedy) from error
         except RecursionError as error:
             raise RecordError(stored.key, "", "nested too deep", remedy) from error
-        return cls(RecordReading(stored.key, remedy, takes_null), fields)
+        return cls(RecordContext(stored.key, remedy, takes_null), fields)
 
     def digest(self) -> bytes | None:
         """Return what tells the object's content from any other.
