--- a/src/primrosescale/platform/field_reader.py
+++ b/src/primrosescale/platform/field_reader.py
@@ -78,7 +78,7 @@
         used.
     """
 
-    __slots__ = ("_fields", "_reading", "_within")
+    __slots__ = ("_fields", "_context", "_within")
 
     def __init__(
         self,
@@ -86,7 +86,7 @@
         fields: Any,
         within: tuple[FieldReader, str, int | None] | None = None,
     ) -> None:
-        self._reading = reading
+        self._context = reading
         self._within = within
         if type(fields) is not dict:
             self.refuse("", f"{_type_name(fields)}, no object")
@@ -162,7 +162,7 @@
         RecordError
             Always.
         """
-        reading = self._reading
+        reading = self._context
         raise RecordError(reading.record, self.path(field), reason, reading.remedy)
 
     def path(self, field: str) -> str:
@@ -434,7 +434,7 @@
         """
         value = self._value(field)
         fields = {} if value is _ABSENT else value
-        return FieldReader(self._reading, fields, (self, field, None))
+        return FieldReader(self._context, fields, (self, field, None))
 
     def children(self, field: str) -> list[FieldReader]:
         """Return readers of the objects of a list that may be left out.
@@ -450,7 +450,7 @@
             Their readers.
         """
         return [
-            FieldReader(self._reading, item, (self, field, number))
+            FieldReader(self._context, item, (self, field, number))
             for number, item in enumerate(self._list(field))
         ]
 
@@ -477,7 +477,7 @@
 
     def _value(self, field: str) -> Any:
         value = self._fields.get(field, _ABSENT)
-        return _ABSENT if value is None and self._reading.takes_null else value
+        return _ABSENT if value is None and self._context.takes_null else value
 
     def _required(self, field: str) -> Any:
         value = self._value(field)
