--- a/src/primrosescale/platform/field_reader.py
+++ b/src/primrosescale/platform/field_reader.py
@@ -63,7 +63,7 @@
 
     Parameters
     ----------
-    reading : RecordContext
+    context : RecordContext
         What holds for the whole record.
     fields : Any
         What stands there.
@@ -82,11 +82,11 @@
 
     def __init__(
         self,
-        reading: RecordContext,
+        context: RecordContext,
         fields: Any,
         within: tuple[FieldReader, str, int | None] | None = None,
     ) -> None:
-        self._context = reading
+        self._context = context
         self._within = within
         if type(fields) is not dict:
             self.refuse("", f"{_type_name(fields)}, no object")
@@ -162,8 +162,8 @@
         RecordError
             Always.
         """
-        reading = self._context
-        raise RecordError(reading.record, self.path(field), reason, reading.remedy)
+        context = self._context
+        raise RecordError(context.record, self.path(field), reason, context.remedy)
 
     def path(self, field: str) -> str:
         """Return where in the record a field stands.
