--- a/src/primrosescale/platform/field_reader.py
+++ b/src/primrosescale/platform/field_reader.py
@@ -49,13 +49,13 @@
         Key of the record.
     remedy : str
         What its reader can do when it is refused.
-    takes_null : bool
+    null_is_absent : bool
         Whether null stands for a field that is left out.
     """
 
     record: str
     remedy: str
-    takes_null: bool
+    null_is_absent: bool
 
 
 class FieldReader:
@@ -98,7 +98,7 @@
         stored: StoredObject,
         remedy: str,
         *,
-        takes_null: bool = False,
+        null_is_absent: bool = False,
     ) -> FieldReader:
         """Return the reader of a record.
 
@@ -108,7 +108,7 @@
             The record.
         remedy : str
             What its reader can do when it is refused.
-        takes_null : bool
+        null_is_absent : bool
             Whether null stands for a field that is left out.
 
         Returns
@@ -132,7 +132,7 @@
             raise RecordError(stored.key, "", reason, remedy) from error
         except RecursionError as error:
             raise RecordError(stored.key, "", "nested too deep", remedy) from error
-        return cls(RecordContext(stored.key, remedy, takes_null), fields)
+        return cls(RecordContext(stored.key, remedy, null_is_absent), fields)
 
     def digest(self) -> bytes | None:
         """Return what tells the object's content from any other.
@@ -477,7 +477,7 @@
 
     def _value(self, field: str) -> Any:
         value = self._fields.get(field, _ABSENT)
-        return _ABSENT if value is None and self._context.takes_null else value
+        return _ABSENT if value is None and self._context.null_is_absent else value
 
     def _required(self, field: str) -> Any:
         value = self._value(field)
--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -143,7 +143,7 @@
     RecordError
         When it cannot be read.
     """
-    reader = FieldReader.of(stored, REMEDY_TABLE, takes_null=True)
+    reader = FieldReader.of(stored, REMEDY_TABLE, null_is_absent=True)
     for field in ("routes", "services"):
         reader.require(field)
     return RoutingTable(
