--- a/src/primrosescale/platform/field_reader.py
+++ b/src/primrosescale/platform/field_reader.py
@@ -199,14 +199,14 @@
         """
         return self._value(field) is not _ABSENT
 
-    def text(self, field: str, longest: int = MAX_NAME_LENGTH) -> str:
+    def text(self, field: str, max_length: int = MAX_NAME_LENGTH) -> str:
         """Return a text that must be there.
 
         Parameters
         ----------
         field : str
             The field.
-        longest : int
+        max_length : int
             Characters it may have.
 
         Returns
@@ -216,13 +216,15 @@
         """
         given = self._fields.get(field)
         # Most fields are good, and a large table has ten thousands of them.
-        if type(given) is str and 0 < len(given) <= longest and given.isprintable():
+        if type(given) is str and 0 < len(given) <= max_length and given.isprintable():
             return given
-        if not self._text(field, self._required(field), longest):
+        if not self._text(field, self._required(field), max_length):
             self.refuse(field, "empty")
         return str(given)
 
-    def text_or(self, field: str, absent: str, longest: int = MAX_NAME_LENGTH) -> str:
+    def text_or(
+        self, field: str, absent: str, max_length: int = MAX_NAME_LENGTH
+    ) -> str:
         """Return a text that may be left out.
 
         Parameters
@@ -231,7 +233,7 @@
             The field.
         absent : str
             What is returned for a field left out.
-        longest : int
+        max_length : int
             Characters it may have.
 
         Returns
@@ -240,16 +242,16 @@
             Printable characters, or none.
         """
         value = self._value(field)
-        return absent if value is _ABSENT else self._text(field, value, longest)
+        return absent if value is _ABSENT else self._text(field, value, max_length)
 
-    def texts(self, field: str, longest: int) -> list[str]:
+    def texts(self, field: str, max_length: int) -> list[str]:
         """Return a list of texts that may be left out.
 
         Parameters
         ----------
         field : str
             The field.
-        longest : int
+        max_length : int
             Characters that each may have.
 
         Returns
@@ -259,9 +261,9 @@
         """
         found = self._list(field)
         for item in found:
-            if type(item) is str and 0 < len(item) <= longest and item.isprintable():
+            if type(item) is str and 0 < len(item) <= max_length and item.isprintable():
                 continue
-            if not self._text(field, item, longest):
+            if not self._text(field, item, max_length):
                 self.refuse(field, "an empty text")
         return found
 
@@ -493,12 +495,12 @@
             self.refuse(field, f"{_type_name(value)}, no list")
         return value
 
-    def _text(self, field: str, value: Any, longest: int) -> str:
+    def _text(self, field: str, value: Any, max_length: int) -> str:
         # Refusals tell no value: it may be a key.
         if not isinstance(value, str):
             self.refuse(field, f"{_type_name(value)}, no text")
-        if len(value) > longest:
-            self.refuse(field, f"{len(value)} characters, more than {longest}")
+        if len(value) > max_length:
+            self.refuse(field, f"{len(value)} characters, more than {max_length}")
         if not value.isprintable():
             self.refuse(field, "characters that cannot be printed")
         return value
