--- a/src/primrosescale/platform/field_reader.py
+++ b/src/primrosescale/platform/field_reader.py
@@ -267,14 +267,14 @@
                 self.refuse(field, "an empty text")
         return found
 
-    def whole(self, field: str, most: int = MAX_SAFE_INTEGER) -> int:
+    def whole(self, field: str, maximum: int = MAX_SAFE_INTEGER) -> int:
         """Return a whole number that must be there.
 
         Parameters
         ----------
         field : str
             The field.
-        most : int
+        maximum : int
             The highest that it may be.
 
         Returns
@@ -283,11 +283,11 @@
             The number, not negative.
         """
         given = self._fields.get(field)
-        if type(given) is int and 0 <= given <= most:
+        if type(given) is int and 0 <= given <= maximum:
             return given
-        return self._whole(field, self._required(field), most)
+        return self._whole(field, self._required(field), maximum)
 
-    def whole_or(self, field: str, absent: int, most: int = MAX_SAFE_INTEGER) -> int:
+    def whole_or(self, field: str, absent: int, maximum: int = MAX_SAFE_INTEGER) -> int:
         """Return a whole number that may be left out.
 
         Parameters
@@ -296,7 +296,7 @@
             The field.
         absent : int
             What is returned for a field left out.
-        most : int
+        maximum : int
             The highest that it may be.
 
         Returns
@@ -305,16 +305,16 @@
             The number, not negative.
         """
         value = self._value(field)
-        return absent if value is _ABSENT else self._whole(field, value, most)
+        return absent if value is _ABSENT else self._whole(field, value, maximum)
 
-    def number(self, field: str, most: float) -> float:
+    def number(self, field: str, maximum: float) -> float:
         """Return a number that must be there.
 
         Parameters
         ----------
         field : str
             The field.
-        most : float
+        maximum : float
             The highest that it may be.
 
         Returns
@@ -322,9 +322,9 @@
         float
             The number, not negative.
         """
-        return self._number(field, self._required(field), most)
+        return self._number(field, self._required(field), maximum)
 
-    def number_or(self, field: str, absent: float, most: float) -> float:
+    def number_or(self, field: str, absent: float, maximum: float) -> float:
         """Return a number that may be left out.
 
         Parameters
@@ -333,7 +333,7 @@
             The field.
         absent : float
             What is returned for a field left out.
-        most : float
+        maximum : float
             The highest that it may be.
 
         Returns
@@ -342,7 +342,7 @@
             The number, not negative.
         """
         value = self._value(field)
-        return absent if value is _ABSENT else self._number(field, value, most)
+        return absent if value is _ABSENT else self._number(field, value, maximum)
 
     def flag_or(self, field: str, *, absent: bool) -> bool:
         """Return a truth value that may be left out.
@@ -505,19 +505,19 @@
             self.refuse(field, "characters that cannot be printed")
         return value
 
-    def _whole(self, field: str, value: Any, most: int) -> int:
-        number = self._number(field, value, most)
+    def _whole(self, field: str, value: Any, maximum: int) -> int:
+        number = self._number(field, value, maximum)
         # JSON has one kind of number: 64.0 is the whole number 64.
         if number != int(number):
             self.refuse(field, "no whole number")
         return int(value)
 
-    def _number(self, field: str, value: Any, most: float) -> float:
+    def _number(self, field: str, value: Any, maximum: float) -> float:
         # A truth value is an int to Python, and NaN is in no range.
         if isinstance(value, bool) or not isinstance(value, (int, float)):
             self.refuse(field, f"{_type_name(value)}, no number")
-        if not 0 <= value <= most:
-            self.refuse(field, f"not between 0 and {most}")
+        if not 0 <= value <= maximum:
+            self.refuse(field, f"not between 0 and {maximum}")
         return value
 
     def _check_address(self, field: str, text: str) -> None:
