--- a/src/primrosescale/platform/field_reader.py
+++ b/src/primrosescale/platform/field_reader.py
@@ -267,7 +267,7 @@
                 self.refuse(field, "an empty text")
         return found
 
-    def whole(self, field: str, maximum: int = MAX_SAFE_INTEGER) -> int:
+    def integer(self, field: str, maximum: int = MAX_SAFE_INTEGER) -> int:
         """Return a whole number that must be there.
 
         Parameters
@@ -416,7 +416,7 @@
         int
             Its number.
         """
-        number = self.whole(field, HIGHEST_PORT)
+        number = self.integer(field, HIGHEST_PORT)
         if not number:
             self.refuse(field, "0 is no port")
         return number
--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -147,7 +147,7 @@
     for field in ("routes", "services"):
         reader.require(field)
     return RoutingTable(
-        reader.whole("version"),
+        reader.integer("version"),
         (routes or KnownRoutes()).read(reader.children("routes"), regions),
         [_service(item) for item in reader.children("services")],
         _keys(reader, regions),
@@ -185,12 +185,12 @@
         endpoint=reader.endpoint("address"),
         service=reader.text("service"),
         domain=reader.text("zone"),
-        slots=reader.whole("slots", MOST_SLOTS),
+        slots=reader.integer("slots", MOST_SLOTS),
         is_draining=STATES[state],
         # Time for which a target that has just started is still slow.
         warming_for=reader.number_or("cold_remaining_ms", 0, LONGEST_TIME)
         * MILLISECOND,
-        started_at=reader.whole("born") if reader.has("born") else None,
+        started_at=reader.integer("born") if reader.has("born") else None,
     )
 
 
@@ -286,7 +286,7 @@
     # says so.
     table.refuse_null("tenants")
     for item in table.children("tenants"):
-        rank = item.whole("priority", LOWEST_RANK) if item.has("priority") else None
+        rank = item.integer("priority", LOWEST_RANK) if item.has("priority") else None
         allowed = _allowed_regions(item, regions)
         owner = Organisation(item.text("name"), rank, allowed)
         for key in item.texts("api_keys", LONGEST_IN_HEAD):
