--- a/src/primrosescale/platform/field_reader.py
+++ b/src/primrosescale/platform/field_reader.py
@@ -287,7 +287,9 @@
             return given
         return self._whole(field, self._required(field), maximum)
 
-    def whole_or(self, field: str, absent: int, maximum: int = MAX_SAFE_INTEGER) -> int:
+    def integer_or(
+        self, field: str, absent: int, maximum: int = MAX_SAFE_INTEGER
+    ) -> int:
         """Return a whole number that may be left out.
 
         Parameters
--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -179,7 +179,7 @@
         reader.refuse("state", "neither of " + ", ".join(STATES))
     # Not used; of another type they show that another writer made the entry.
     reader.text_or("version", "")
-    reader.whole_or("sequence", 0)
+    reader.integer_or("sequence", 0)
     return ServingTarget(
         name=record_name(stored, REMEDY_TARGET),
         endpoint=reader.endpoint("address"),
@@ -236,8 +236,8 @@
         timeout=timeout,
         latency_objective=objective or timeout,
         gap_objective=item.number_or("gap_aim_ms", 0, LONGEST_TIME) * MILLISECOND,
-        max_targets=max(1, item.whole_or("max_attempts", 1, MOST_TARGETS)),
-        priority=item.whole_or("priority", 5, LOWEST_RANK),
+        max_targets=max(1, item.integer_or("max_attempts", 1, MOST_TARGETS)),
+        priority=item.integer_or("priority", 5, LOWEST_RANK),
         is_open=item.flag_or("skip_auth", absent=False),
         allowed_regions=_allowed_regions(item, regions),
     )
@@ -273,8 +273,8 @@
     engine = item.child("engine")
     return Service(
         name=item.text("name"),
-        slots=engine.whole_or("slots", 0, MOST_SLOTS),
-        cache_tokens=engine.whole_or("kv_cache_tokens", 0),
+        slots=engine.integer_or("slots", 0, MOST_SLOTS),
+        cache_tokens=engine.integer_or("kv_cache_tokens", 0),
         cold_rate=item.number_or("cold_per_s", 0, MOST_RATE),
         cold_seconds=item.number_or("cold_start_s", 0, LONGEST_TIME * MILLISECOND),
     )
@@ -296,7 +296,7 @@
 
 def _limits(given: FieldReader) -> CallerLimits:
     def size(name: str) -> int:
-        return given.whole_or(name, int(DEFAULT_LIMITS[name]), MOST_BYTES)
+        return given.integer_or(name, int(DEFAULT_LIMITS[name]), MOST_BYTES)
 
     def seconds(name: str) -> float:
         absent = DEFAULT_LIMITS[name]
