--- a/src/primrosescale/platform/field_reader.py
+++ b/src/primrosescale/platform/field_reader.py
@@ -285,7 +285,7 @@
         given = self._fields.get(field)
         if type(given) is int and 0 <= given <= maximum:
             return given
-        return self._whole(field, self._required(field), maximum)
+        return self._integer(field, self._required(field), maximum)
 
     def integer_or(
         self, field: str, absent: int, maximum: int = MAX_SAFE_INTEGER
@@ -307,7 +307,7 @@
             The number, not negative.
         """
         value = self._value(field)
-        return absent if value is _ABSENT else self._whole(field, value, maximum)
+        return absent if value is _ABSENT else self._integer(field, value, maximum)
 
     def number(self, field: str, maximum: float) -> float:
         """Return a number that must be there.
@@ -507,7 +507,7 @@
             self.refuse(field, "characters that cannot be printed")
         return value
 
-    def _whole(self, field: str, value: Any, maximum: int) -> int:
+    def _integer(self, field: str, value: Any, maximum: int) -> int:
         number = self._number(field, value, maximum)
         # JSON has one kind of number: 64.0 is the whole number 64.
         if number != int(number):
