--- a/src/primrosescale/platform/field_reader.py
+++ b/src/primrosescale/platform/field_reader.py
@@ -223,7 +223,7 @@
         return str(given)
 
     def text_or(
-        self, field: str, absent: str, max_length: int = MAX_NAME_LENGTH
+        self, field: str, default: str, max_length: int = MAX_NAME_LENGTH
     ) -> str:
         """Return a text that may be left out.
 
@@ -231,7 +231,7 @@
         ----------
         field : str
             The field.
-        absent : str
+        default : str
             What is returned for a field left out.
         max_length : int
             Characters it may have.
@@ -242,7 +242,7 @@
             Printable characters, or none.
         """
         value = self._value(field)
-        return absent if value is _ABSENT else self._text(field, value, max_length)
+        return default if value is _ABSENT else self._text(field, value, max_length)
 
     def texts(self, field: str, max_length: int) -> list[str]:
         """Return a list of texts that may be left out.
@@ -288,7 +288,7 @@
         return self._integer(field, self._required(field), maximum)
 
     def integer_or(
-        self, field: str, absent: int, maximum: int = MAX_SAFE_INTEGER
+        self, field: str, default: int, maximum: int = MAX_SAFE_INTEGER
     ) -> int:
         """Return a whole number that may be left out.
 
@@ -296,7 +296,7 @@
         ----------
         field : str
             The field.
-        absent : int
+        default : int
             What is returned for a field left out.
         maximum : int
             The highest that it may be.
@@ -307,7 +307,7 @@
             The number, not negative.
         """
         value = self._value(field)
-        return absent if value is _ABSENT else self._integer(field, value, maximum)
+        return default if value is _ABSENT else self._integer(field, value, maximum)
 
     def number(self, field: str, maximum: float) -> float:
         """Return a number that must be there.
@@ -326,14 +326,14 @@
         """
         return self._number(field, self._required(field), maximum)
 
-    def number_or(self, field: str, absent: float, maximum: float) -> float:
+    def number_or(self, field: str, default: float, maximum: float) -> float:
         """Return a number that may be left out.
 
         Parameters
         ----------
         field : str
             The field.
-        absent : float
+        default : float
             What is returned for a field left out.
         maximum : float
             The highest that it may be.
@@ -344,16 +344,16 @@
             The number, not negative.
         """
         value = self._value(field)
-        return absent if value is _ABSENT else self._number(field, value, maximum)
+        return default if value is _ABSENT else self._number(field, value, maximum)
 
-    def flag_or(self, field: str, *, absent: bool) -> bool:
+    def flag_or(self, field: str, *, default: bool) -> bool:
         """Return a truth value that may be left out.
 
         Parameters
         ----------
         field : str
             The field.
-        absent : bool
+        default : bool
             What is returned for a field left out.
 
         Returns
@@ -363,7 +363,7 @@
         """
         value = self._value(field)
         if value is _ABSENT:
-            return absent
+            return default
         if not isinstance(value, bool):
             self.refuse(field, f"{_type_name(value)}, no truth value")
         return value
--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -230,15 +230,15 @@
         path_prefix=prefix,
         services=_services(item),
         repeatability=REPEATABILITY.get(item.text("kind"), Repeatability.ONCE),
-        is_resumable=item.flag_or("resume_streams", absent=False),
+        is_resumable=item.flag_or("resume_streams", default=False),
         # "sticky" only says that requests describe their prompts.
-        has_prompt=item.flag_or("sticky", absent=False),
+        has_prompt=item.flag_or("sticky", default=False),
         timeout=timeout,
         latency_objective=objective or timeout,
         gap_objective=item.number_or("gap_aim_ms", 0, LONGEST_TIME) * MILLISECOND,
         max_targets=max(1, item.integer_or("max_attempts", 1, MOST_TARGETS)),
         priority=item.integer_or("priority", 5, LOWEST_RANK),
-        is_open=item.flag_or("skip_auth", absent=False),
+        is_open=item.flag_or("skip_auth", default=False),
         allowed_regions=_allowed_regions(item, regions),
     )
 
@@ -299,8 +299,8 @@
         return given.integer_or(name, int(DEFAULT_LIMITS[name]), MOST_BYTES)
 
     def seconds(name: str) -> float:
-        absent = DEFAULT_LIMITS[name]
-        return given.number_or(name, absent, LONGEST_TIME) * MILLISECOND
+        default = DEFAULT_LIMITS[name]
+        return given.number_or(name, default, LONGEST_TIME) * MILLISECOND
 
     return CallerLimits(
         header_bytes=size("max_header_bytes"),
