--- a/src/primrosescale/platform/field_reader.py
+++ b/src/primrosescale/platform/field_reader.py
@@ -67,7 +67,7 @@
         What holds for the whole record.
     fields : Any
         What stands there.
-    within : tuple[FieldReader, str, int | None] | None
+    location : tuple[FieldReader, str, int | None] | None
         Where in the record the object stands: in which object, in which field,
         and which in the list there; None for the record itself.
 
@@ -84,10 +84,10 @@
         self,
         context: RecordContext,
         fields: Any,
-        within: tuple[FieldReader, str, int | None] | None = None,
+        location: tuple[FieldReader, str, int | None] | None = None,
     ) -> None:
         self._context = context
-        self._within = within
+        self._within = location
         if type(fields) is not dict:
             self.refuse("", f"{_type_name(fields)}, no object")
         self._fields: dict[str, Any] = fields
