--- a/src/primrosescale/platform/field_reader.py
+++ b/src/primrosescale/platform/field_reader.py
@@ -180,8 +180,8 @@
         """
         if self._within is None:
             return field
-        holder, name, number = self._within
-        path = holder.path(name) + ("" if number is None else f"[{number}]")
+        parent, name, number = self._within
+        path = parent.path(name) + ("" if number is None else f"[{number}]")
         return f"{path}.{field}" if field else path
 
     def has(self, field: str) -> bool:
