--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -10,7 +10,7 @@
 from primrosescale.platform import records
 from primrosescale.platform.engine_calls import EngineCaches
 from primrosescale.platform.exceptions import BootFileError
-from primrosescale.platform.host_settings import BOOT_VARIABLE
+from primrosescale.platform.host_settings import SETTINGS_FILE_VARIABLE
 from primrosescale.platform.host_settings import HostSettings
 from primrosescale.platform.host_settings import own_host_settings
 from primrosescale.platform.http_codec import PlatformCodec
@@ -200,7 +200,7 @@
     """
     if host.callers is None or host.readiness is None:
         detail = "it names no address for callers; run this on an entry host"
-        raise BootFileError(os.environ.get(BOOT_VARIABLE, ""), detail)
+        raise BootFileError(os.environ.get(SETTINGS_FILE_VARIABLE, ""), detail)
     bounds = host.bounds
     metrics = Endpoint(host.address, metrics_port) if metrics_port else None
     return EntrySettings(
--- a/src/primrosescale/platform/host_settings.py
+++ b/src/primrosescale/platform/host_settings.py
@@ -11,7 +11,7 @@
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.platform.exceptions import BootFileError
 
-BOOT_VARIABLE = "PRIMROSESCALE_BOOT"
+SETTINGS_FILE_VARIABLE = "PRIMROSESCALE_BOOT"
 MILLISECOND = 0.001
 
 # Used where a deployment leaves a bound out; the users' deployments of today
@@ -131,7 +131,7 @@
     BootFileError
         When the settings file cannot be used.
     """
-    return read_host_settings(os.environ.get(BOOT_VARIABLE, ""))
+    return read_host_settings(os.environ.get(SETTINGS_FILE_VARIABLE, ""))
 
 
 def read_host_settings(path: str) -> HostSettings:
