--- a/src/primrosescale/platform/host_settings.py
+++ b/src/primrosescale/platform/host_settings.py
@@ -12,7 +12,7 @@
 from primrosescale.platform.exceptions import BootFileError
 
 SETTINGS_FILE_VARIABLE = "PRIMROSESCALE_BOOT"
-MILLISECOND = 0.001
+SECONDS_PER_MILLISECOND = 0.001
 
 # Used where a deployment leaves a bound out; the users' deployments of today
 # name all of them, with these values.
@@ -213,13 +213,13 @@
         return float(given.get(name, DEFAULT_BOUNDS[name]))
 
     def seconds(name: str) -> float | None:
-        return float(given[name]) * MILLISECOND if name in given else None
+        return float(given[name]) * SECONDS_PER_MILLISECOND if name in given else None
 
     return Bounds(
-        drain=of("drain_ms") * MILLISECOND,
-        apply=of("config_apply_ms") * MILLISECOND,
+        drain=of("drain_ms") * SECONDS_PER_MILLISECOND,
+        apply=of("config_apply_ms") * SECONDS_PER_MILLISECOND,
         stop=of("grace_s"),
-        revoke=of("revoke_ms") * MILLISECOND,
+        revoke=of("revoke_ms") * SECONDS_PER_MILLISECOND,
         repeat_ratio=of("retry_budget_ratio"),
         repeat_window=of("budget_window_s"),
         repeat_extra=of("budget_extra"),
--- a/src/primrosescale/platform/http_codec.py
+++ b/src/primrosescale/platform/http_codec.py
@@ -6,7 +6,7 @@
 
 from twisted.web.http_headers import Headers
 
-from primrosescale.platform.host_settings import MILLISECOND
+from primrosescale.platform.host_settings import SECONDS_PER_MILLISECOND
 from primrosescale.process.entry.codec import EntryCodec
 from primrosescale.request.direct_port import AnswerHead
 from primrosescale.request.gate import CallerHead
@@ -94,7 +94,9 @@
             host=_first(headers, b"Host"),
             request_id=_first(headers, REQUEST_ID),
             key=_key(_first(headers, AUTHORIZATION)),
-            time_left=None if time_left is None else time_left * MILLISECOND,
+            time_left=None
+            if time_left is None
+            else time_left * SECONDS_PER_MILLISECOND,
             prompt=_prompt(headers),
             last_event=int(last) if last.isdigit() else None,
             headers=_handed_on(headers),
@@ -107,7 +109,7 @@
         headers = Headers()
         for name, value in request.headers:
             headers.addRawHeader(name, value)
-        left = max(1, int(sending.time_left / MILLISECOND))
+        left = max(1, int(sending.time_left / SECONDS_PER_MILLISECOND))
         headers.setRawHeaders(TIME_LEFT, [b"%d" % left])
         headers.setRawHeaders(EXPECTED_INCARNATION, [sending.target.name.encode()])
         if request.organisation:
@@ -146,7 +148,7 @@
             is_other_incarnation=status == OTHER_INCARNATION,
             load=_load(_first(headers, LOAD)),
             length=length,
-            cold_for=None if cold_left is None else cold_left * MILLISECOND,
+            cold_for=None if cold_left is None else cold_left * SECONDS_PER_MILLISECOND,
             is_leaving=b"1" in headers.getRawHeaders(LEAVING, []),
             rest=asked_rest(status, rests),
             is_rest_odd=is_odd_rest(status, rests),
--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -7,7 +7,7 @@
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.platform.field_reader import FieldReader
 from primrosescale.platform.field_reader import record_name
-from primrosescale.platform.host_settings import MILLISECOND
+from primrosescale.platform.host_settings import SECONDS_PER_MILLISECOND
 from primrosescale.process.entry.other_router import OtherRouter
 from primrosescale.request.serving_target import ServingTarget
 from primrosescale.version.routing_table import CallerLimits
@@ -189,7 +189,7 @@
         is_draining=STATES[state],
         # Time for which a target that has just started is still slow.
         warming_for=reader.number_or("cold_remaining_ms", 0, LONGEST_TIME)
-        * MILLISECOND,
+        * SECONDS_PER_MILLISECOND,
         started_at=reader.integer("born") if reader.has("born") else None,
     )
 
@@ -219,8 +219,12 @@
 
 
 def _route(item: FieldReader, regions: Collection[str]) -> Route:
-    timeout = item.number_or("timeout_ms", 60000, LONGEST_TIME) * MILLISECOND
-    objective = item.number_or("target_latency_ms", 0, LONGEST_TIME) * MILLISECOND
+    timeout = (
+        item.number_or("timeout_ms", 60000, LONGEST_TIME) * SECONDS_PER_MILLISECOND
+    )
+    objective = (
+        item.number_or("target_latency_ms", 0, LONGEST_TIME) * SECONDS_PER_MILLISECOND
+    )
     prefix = item.text("path_prefix", LONGEST_IN_HEAD)
     if not prefix.startswith("/"):
         item.refuse("path_prefix", "begins with no slash")
@@ -235,7 +239,8 @@
         has_prompt=item.flag_or("sticky", default=False),
         timeout=timeout,
         latency_objective=objective or timeout,
-        gap_objective=item.number_or("gap_aim_ms", 0, LONGEST_TIME) * MILLISECOND,
+        gap_objective=item.number_or("gap_aim_ms", 0, LONGEST_TIME)
+        * SECONDS_PER_MILLISECOND,
         max_targets=max(1, item.integer_or("max_attempts", 1, MOST_TARGETS)),
         priority=item.integer_or("priority", 5, LOWEST_RANK),
         is_open=item.flag_or("skip_auth", default=False),
@@ -276,7 +281,9 @@
         slots=engine.integer_or("slots", 0, MOST_SLOTS),
         cache_tokens=engine.integer_or("kv_cache_tokens", 0),
         cold_rate=item.number_or("cold_per_s", 0, MOST_RATE),
-        cold_seconds=item.number_or("cold_start_s", 0, LONGEST_TIME * MILLISECOND),
+        cold_seconds=item.number_or(
+            "cold_start_s", 0, LONGEST_TIME * SECONDS_PER_MILLISECOND
+        ),
     )
 
 
@@ -300,7 +307,7 @@
 
     def seconds(name: str) -> float:
         default = DEFAULT_LIMITS[name]
-        return given.number_or(name, default, LONGEST_TIME) * MILLISECOND
+        return given.number_or(name, default, LONGEST_TIME) * SECONDS_PER_MILLISECOND
 
     return CallerLimits(
         header_bytes=size("max_header_bytes"),
