--- a/src/primrosescale/platform/host_settings.py
+++ b/src/primrosescale/platform/host_settings.py
@@ -44,7 +44,7 @@
         Seconds between SIGTERM and SIGKILL.
     revoke : float
         Seconds after which a withdrawn key must not be accepted.
-    repeat_ratio : float
+    retry_ratio : float
         Repeats allowed per request of a service, over all routers.
     repeat_window : float
         Seconds over which repeats are counted.
@@ -66,7 +66,7 @@
     apply: float
     stop: float
     revoke: float
-    repeat_ratio: float
+    retry_ratio: float
     repeat_window: float
     repeat_extra: float
     load_multiple: float
@@ -220,7 +220,7 @@
         apply=of("config_apply_ms") * SECONDS_PER_MILLISECOND,
         stop=of("grace_s"),
         revoke=of("revoke_ms") * SECONDS_PER_MILLISECOND,
-        repeat_ratio=of("retry_budget_ratio"),
+        retry_ratio=of("retry_budget_ratio"),
         repeat_window=of("budget_window_s"),
         repeat_extra=of("budget_extra"),
         load_multiple=of("cap_x"),
