--- a/src/primrosescale/platform/host_settings.py
+++ b/src/primrosescale/platform/host_settings.py
@@ -46,7 +46,7 @@
         Seconds after which a withdrawn key must not be accepted.
     retry_ratio : float
         Repeats allowed per request of a service, over all routers.
-    repeat_window : float
+    retry_window : float
         Seconds over which repeats are counted.
     repeat_extra : float
         Repeats allowed in a window besides.
@@ -67,7 +67,7 @@
     stop: float
     revoke: float
     retry_ratio: float
-    repeat_window: float
+    retry_window: float
     repeat_extra: float
     load_multiple: float
     evacuation: float | None
@@ -221,7 +221,7 @@
         stop=of("grace_s"),
         revoke=of("revoke_ms") * SECONDS_PER_MILLISECOND,
         retry_ratio=of("retry_budget_ratio"),
-        repeat_window=of("budget_window_s"),
+        retry_window=of("budget_window_s"),
         repeat_extra=of("budget_extra"),
         load_multiple=of("cap_x"),
         evacuation=seconds("evac_ms"),
