--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -220,6 +220,6 @@
         choice=ChoiceSettings(load_multiple=LOAD_MULTIPLE_SHARE * bounds.load_multiple),
         cold=ColdSettings(over=bounds.cold_over, slack=bounds.cold_slack),
         repeats=RepeatBounds(
-            bounds.retry_ratio, bounds.retry_window, bounds.repeat_extra
+            bounds.retry_ratio, bounds.retry_window, bounds.retry_extra
         ),
     )
--- a/src/primrosescale/platform/host_settings.py
+++ b/src/primrosescale/platform/host_settings.py
@@ -48,7 +48,7 @@
         Repeats allowed per request of a service, over all routers.
     retry_window : float
         Seconds over which repeats are counted.
-    repeat_extra : float
+    retry_extra : float
         Repeats allowed in a window besides.
     load_multiple : float
         Load allowed on a target, as a multiple of its service's mean.
@@ -68,7 +68,7 @@
     revoke: float
     retry_ratio: float
     retry_window: float
-    repeat_extra: float
+    retry_extra: float
     load_multiple: float
     evacuation: float | None
     cold_over: float
@@ -222,7 +222,7 @@
         revoke=of("revoke_ms") * SECONDS_PER_MILLISECOND,
         retry_ratio=of("retry_budget_ratio"),
         retry_window=of("budget_window_s"),
-        repeat_extra=of("budget_extra"),
+        retry_extra=of("budget_extra"),
         load_multiple=of("cap_x"),
         evacuation=seconds("evac_ms"),
         cold_over=of("cold_over"),
