--- a/src/primrosescale/platform/http_codec.py
+++ b/src/primrosescale/platform/http_codec.py
@@ -33,7 +33,7 @@
 LOAD = b"Primrosescale-Engine-Load"
 NOT_RUN = b"Primrosescale-Not-Executed"
 # Milliseconds for which the target stays cold.
-COLD_LEFT = b"Primrosescale-Cold-Remaining"
+COLD_REMAINING = b"Primrosescale-Cold-Remaining"
 LEAVING = b"Server-Leaving"
 PRIORITY = b"Primrosescale-Request-Priority"
 FETCH_FROM = b"Kv-Fetch"
@@ -132,7 +132,7 @@
         length: int | None,
     ) -> AnswerHead:
         """Return what a target's head says; see `EntryCodec.answer_head`."""
-        cold_left = _number(_first(headers, COLD_LEFT))
+        cold_left = _number(_first(headers, COLD_REMAINING))
         rests = _all(headers, RETRY_AFTER)
         return AnswerHead(
             status=status,
