--- a/src/primrosescale/platform/http_codec.py
+++ b/src/primrosescale/platform/http_codec.py
@@ -61,7 +61,7 @@
     },
 )
 # Headers that only the router may set on the way to a target.
-ROUTERS_HEADERS = frozenset(
+ROUTER_ONLY_HEADERS = frozenset(
     name.lower()
     for name in (
         TIME_LEFT,
@@ -194,7 +194,7 @@
 
 def _handed_on(headers: Headers) -> tuple[tuple[bytes, bytes], ...]:
     """Return the caller's headers without those that end at the router."""
-    dropped = set(CONNECTION_HEADERS | ROUTERS_HEADERS)
+    dropped = set(CONNECTION_HEADERS | ROUTER_ONLY_HEADERS)
     for value in headers.getRawHeaders(b"Connection") or []:
         dropped.update(token.strip().lower() for token in value.split(b","))
     # A caller must not strip by a Connection header what targets rely on.
