--- a/src/primrosescale/platform/http_codec.py
+++ b/src/primrosescale/platform/http_codec.py
@@ -99,7 +99,7 @@
             else time_left * SECONDS_PER_MILLISECOND,
             prompt=_prompt(headers),
             last_event=int(last) if last.isdigit() else None,
-            headers=_handed_on(headers),
+            headers=_forwarded_headers(headers),
             traceparent=_first(headers, TRACE_CONTEXT),
         )
 
@@ -192,7 +192,7 @@
     return ""
 
 
-def _handed_on(headers: Headers) -> tuple[tuple[bytes, bytes], ...]:
+def _forwarded_headers(headers: Headers) -> tuple[tuple[bytes, bytes], ...]:
     """Return the caller's headers without those that end at the router."""
     dropped = set(CONNECTION_HEADERS | ROUTER_ONLY_HEADERS)
     for value in headers.getRawHeaders(b"Connection") or []:
