--- a/src/primrosescale/platform/http_codec.py
+++ b/src/primrosescale/platform/http_codec.py
@@ -39,7 +39,7 @@
 FETCH_FROM = b"Kv-Fetch"
 LAST_EVENT = b"Last-Event-Id"
 AUTHORIZATION = b"Authorization"
-SCHEME = "bearer "
+BEARER_PREFIX = "bearer "
 RETRY_AFTER = b"Retry-After"
 # A header of the field, not of the platform: each hop replaces it.
 TRACE_CONTEXT = b"traceparent"
@@ -187,8 +187,8 @@
 
 
 def _key(text: str) -> str:
-    if text.lower().startswith(SCHEME):
-        return text[len(SCHEME) :].strip()
+    if text.lower().startswith(BEARER_PREFIX):
+        return text[len(BEARER_PREFIX) :].strip()
     return ""
 
 
