--- a/src/primrosescale/platform/http_codec.py
+++ b/src/primrosescale/platform/http_codec.py
@@ -44,7 +44,7 @@
 # A header of the field, not of the platform: each hop replaces it.
 TRACE_CONTEXT = b"traceparent"
 
-OTHER_INCARNATION = 421
+MISDIRECTED_REQUEST = 421
 
 # Headers of one connection, and what a Connection header names besides.
 CONNECTION_HEADERS = frozenset(
@@ -145,7 +145,7 @@
             request_id=_first(headers, REQUEST_ID),
             is_receipted=headers.hasHeader(RECEIPT),
             is_not_run=headers.hasHeader(NOT_RUN),
-            is_other_incarnation=status == OTHER_INCARNATION,
+            is_other_incarnation=status == MISDIRECTED_REQUEST,
             load=_load(_first(headers, LOAD)),
             length=length,
             cold_for=None if cold_left is None else cold_left * SECONDS_PER_MILLISECOND,
