--- a/src/primrosescale/platform/http_codec.py
+++ b/src/primrosescale/platform/http_codec.py
@@ -93,7 +93,7 @@
             path=path,
             host=_first(headers, b"Host"),
             request_id=_first(headers, REQUEST_ID),
-            key=_key(_first(headers, AUTHORIZATION)),
+            key=_bearer_key(_first(headers, AUTHORIZATION)),
             time_left=None
             if time_left is None
             else time_left * SECONDS_PER_MILLISECOND,
@@ -186,7 +186,7 @@
         return None
 
 
-def _key(text: str) -> str:
+def _bearer_key(text: str) -> str:
     if text.lower().startswith(BEARER_PREFIX):
         return text[len(BEARER_PREFIX) :].strip()
     return ""
