--- a/src/primrosescale/platform/http_codec.py
+++ b/src/primrosescale/platform/http_codec.py
@@ -86,7 +86,7 @@
 
     def caller_head(self, method: bytes, path: bytes, headers: Headers) -> CallerHead:
         """Return what a caller's head says; see `EntryCodec.caller_head`."""
-        time_left = _number(_first(headers, TIME_LEFT))
+        time_left = _non_negative_number(_first(headers, TIME_LEFT))
         last = _first(headers, LAST_EVENT)
         return CallerHead(
             method=method,
@@ -132,7 +132,7 @@
         length: int | None,
     ) -> AnswerHead:
         """Return what a target's head says; see `EntryCodec.answer_head`."""
-        cold_left = _number(_first(headers, COLD_REMAINING))
+        cold_left = _non_negative_number(_first(headers, COLD_REMAINING))
         rests = _all(headers, RETRY_AFTER)
         return AnswerHead(
             status=status,
@@ -179,7 +179,7 @@
     return values[0].decode("latin-1").strip() if values else ""
 
 
-def _number(text: str) -> float | None:
+def _non_negative_number(text: str) -> float | None:
     try:
         return max(0.0, float(text)) if text else None
     except ValueError:
