--- a/src/primrosescale/platform/http_codec.py
+++ b/src/primrosescale/platform/http_codec.py
@@ -133,7 +133,7 @@
     ) -> AnswerHead:
         """Return what a target's head says; see `EntryCodec.answer_head`."""
         cold_left = _non_negative_number(_first(headers, COLD_REMAINING))
-        rests = _all(headers, RETRY_AFTER)
+        retry_after_values = _all(headers, RETRY_AFTER)
         return AnswerHead(
             status=status,
             headers=tuple(
@@ -150,8 +150,8 @@
             length=length,
             cold_for=None if cold_left is None else cold_left * SECONDS_PER_MILLISECOND,
             is_leaving=b"1" in headers.getRawHeaders(LEAVING, []),
-            rest=asked_rest(status, rests),
-            is_rest_odd=is_odd_rest(status, rests),
+            rest=asked_rest(status, retry_after_values),
+            is_rest_odd=is_odd_rest(status, retry_after_values),
         )
 
     def refusal_headers(
