--- a/src/primrosescale/platform/json_reader.py
+++ b/src/primrosescale/platform/json_reader.py
@@ -9,11 +9,11 @@
 import orjson
 
 
-def _refuse_constant(text: str) -> NoReturn:
+def _reject_constant(text: str) -> NoReturn:
     raise ValueError(f"{text} is no number of JSON")
 
 
-_DECODER = json.JSONDecoder(parse_constant=_refuse_constant)
+_DECODER = json.JSONDecoder(parse_constant=_reject_constant)
 
 
 def read_json(data: bytes) -> Any:
