--- a/src/primrosescale/platform/object_platform.py
+++ b/src/primrosescale/platform/object_platform.py
@@ -46,7 +46,7 @@
 BASE = "/api/objects/"
 JSON_TYPE = Headers({"Content-Type": ["application/json"]})
 # Pages of a list that are read at the most; 500 objects come on one.
-MOST_PAGES = 1000
+MAX_PAGES = 1000
 
 
 class ObjectPlatform(CalledPlatform):
@@ -158,7 +158,7 @@
         kind = _kind(prefix)
         found: list[StoredObject] = []
         revision: int | None = None
-        for _ in range(MOST_PAGES):
+        for _ in range(MAX_PAGES):
             query = f"?{_query(after=after)}" if after else ""
             reply = yield self._caller.call("GET", f"{BASE}{quote(kind)}{query}")
             _require(reply, OK)
