--- a/src/primrosescale/platform/object_platform.py
+++ b/src/primrosescale/platform/object_platform.py
@@ -170,7 +170,7 @@
             is_enough = limit is not None and len(found) >= limit
             if not fields.get("truncated") or not page or is_enough:
                 break
-            after = _continued(after, page)
+            after = _last_name(after, page)
         return tuple(found), revision or 0
 
 
@@ -191,7 +191,7 @@
     return urlencode(members, errors="surrogatepass")
 
 
-def _continued(after: str, page: list[StoredObject]) -> str:
+def _last_name(after: str, page: list[StoredObject]) -> str:
     """Return the name after which the next page begins.
 
     An object whose name cannot be read is read again on the next page. Where
