--- a/src/primrosescale/platform/object_platform.py
+++ b/src/primrosescale/platform/object_platform.py
@@ -122,7 +122,7 @@
             raise PlatformHistoryGoneError(prefix, since)
         _require(reply, OK)
         fields = answer_fields(reply.body)
-        changes = [_changed(kind, event) for event in listed(fields, "events")]
+        changes = [_changed_object(kind, event) for event in listed(fields, "events")]
         wanted = tuple(item for item in changes if item.key.startswith(prefix))
         return WatchResult(revision_of(fields, "current_rev"), wanted)
 
@@ -203,7 +203,7 @@
     return names[-1]
 
 
-def _changed(kind: str, event: Any) -> StoredObject:
+def _changed_object(kind: str, event: Any) -> StoredObject:
     if not isinstance(event, dict):
         return stored_object(kind, None)
     deleted = event.get("deleted", False)
