--- a/src/primrosescale/platform/object_platform.py
+++ b/src/primrosescale/platform/object_platform.py
@@ -130,7 +130,7 @@
     def hosts(self, since: int) -> Generator[Any, Any, HostList]:
         """Read the list of routers; see `Platform.hosts`."""
         found = yield self.watch(ROUTERS, since, 0.0)
-        entries = tuple(_host(item) for item in found.changes)
+        entries = tuple(_host_entry(item) for item in found.changes)
         return HostList(found.revision, not since, entries)
 
     @inlineCallbacks
@@ -224,7 +224,7 @@
         return {"encoding": BINARY, "data": base64.b64encode(value).decode()}
 
 
-def _host(item: StoredObject) -> HostEntry:
+def _host_entry(item: StoredObject) -> HostEntry:
     try:
         fields = json.loads(item.value) if not item.is_deleted else None
         if fields is not None:
