--- a/src/primrosescale/platform/object_platform.py
+++ b/src/primrosescale/platform/object_platform.py
@@ -100,7 +100,7 @@
         limit: int,
     ) -> Generator[Any, Any, list[StoredObject]]:
         """Read objects; see `Platform.list`."""
-        found, _ = yield self._pages(prefix, _name(after), limit)
+        found, _ = yield self._read_pages(prefix, _name(after), limit)
         return list(found[:limit])
 
     @inlineCallbacks
@@ -112,7 +112,7 @@
     ) -> Generator[Any, Any, WatchResult]:
         """Wait for a change; see `Platform.watch`."""
         if not since:
-            found, revision = yield self._pages(prefix, "", None)
+            found, revision = yield self._read_pages(prefix, "", None)
             return WatchResult(revision, found)
         kind = _kind(prefix)
         query = urlencode({"watch": since, "wait_ms": int(wait * 1000)})
@@ -148,7 +148,7 @@
             yield self.put(key, value, conflict.current)
 
     @inlineCallbacks
-    def _pages(
+    def _read_pages(
         self,
         prefix: str,
         after: str,
