--- a/src/primrosescale/platform/object_platform.py
+++ b/src/primrosescale/platform/object_platform.py
@@ -61,7 +61,7 @@
         reply = yield self._caller.call("GET", _path(key))
         if reply.status == NOT_FOUND:
             return None
-        _require(reply, OK)
+        _require_status(reply, OK)
         return stored_object(_kind(key), answer_fields(reply.body))
 
     @inlineCallbacks
@@ -82,7 +82,7 @@
             raise PlatformConflictError(key, MUST_NOT_EXIST)
         if reply.status == TOO_LARGE:
             raise PlatformLimitError(key, len(value))
-        _require(reply, OK, CREATED)
+        _require_status(reply, OK, CREATED)
         return _revision(reply)
 
     @inlineCallbacks
@@ -90,7 +90,7 @@
         """Delete an object; see `Platform.delete`."""
         reply = yield self._caller.call("DELETE", _path(key), b"")
         if reply.status != NOT_FOUND:
-            _require(reply, OK, NO_CONTENT)
+            _require_status(reply, OK, NO_CONTENT)
 
     @inlineCallbacks
     def list(
@@ -120,7 +120,7 @@
         reply = yield self._caller.call("GET", path, extra=wait)
         if reply.status == HISTORY_GONE:
             raise PlatformHistoryGoneError(prefix, since)
-        _require(reply, OK)
+        _require_status(reply, OK)
         fields = answer_fields(reply.body)
         changes = [_changed_object(kind, event) for event in listed(fields, "events")]
         wanted = tuple(item for item in changes if item.key.startswith(prefix))
@@ -161,7 +161,7 @@
         for _ in range(MAX_PAGES):
             query = f"?{_query(after=after)}" if after else ""
             reply = yield self._caller.call("GET", f"{BASE}{quote(kind)}{query}")
-            _require(reply, OK)
+            _require_status(reply, OK)
             fields = answer_fields(reply.body)
             page = [stored_object(kind, item) for item in listed(fields, "items")]
             if revision is None:
@@ -247,6 +247,6 @@
     )
 
 
-def _require(reply: Reply, *statuses: int) -> None:
+def _require_status(reply: Reply, *statuses: int) -> None:
     if reply.status not in statuses:
         raise PlatformUnavailableError(f"status {reply.status}")
