--- a/src/primrosescale/platform/object_platform.py
+++ b/src/primrosescale/platform/object_platform.py
@@ -16,7 +16,7 @@
 from primrosescale.platform.records import ROUTERS
 from primrosescale.platform.store_answer import BINARY
 from primrosescale.platform.store_answer import answer_fields
-from primrosescale.platform.store_answer import listed
+from primrosescale.platform.store_answer import list_member
 from primrosescale.platform.store_answer import revision_of
 from primrosescale.platform.store_answer import stored_object
 from primrosescale.process.exceptions import PlatformConflictError
@@ -122,7 +122,9 @@
             raise PlatformHistoryGoneError(prefix, since)
         _require_status(reply, OK)
         fields = answer_fields(reply.body)
-        changes = [_changed_object(kind, event) for event in listed(fields, "events")]
+        changes = [
+            _changed_object(kind, event) for event in list_member(fields, "events")
+        ]
         wanted = tuple(item for item in changes if item.key.startswith(prefix))
         return WatchResult(revision_of(fields, "current_rev"), wanted)
 
@@ -163,7 +165,7 @@
             reply = yield self._caller.call("GET", f"{BASE}{quote(kind)}{query}")
             _require_status(reply, OK)
             fields = answer_fields(reply.body)
-            page = [stored_object(kind, item) for item in listed(fields, "items")]
+            page = [stored_object(kind, item) for item in list_member(fields, "items")]
             if revision is None:
                 revision = revision_of(fields, "current_rev")
             found += [item for item in page if item.key.startswith(prefix)]
--- a/src/primrosescale/platform/store_answer.py
+++ b/src/primrosescale/platform/store_answer.py
@@ -125,7 +125,7 @@
     return int(revision)  # type: ignore[arg-type]
 
 
-def listed(fields: dict[str, Any], name: str) -> list[Any]:
+def list_member(fields: dict[str, Any], name: str) -> list[Any]:
     """Return a list that an answer holds.
 
     Parameters
