--- a/src/primrosescale/platform/program.py
+++ b/src/primrosescale/platform/program.py
@@ -24,7 +24,7 @@
 
 # Objects that a start leaves behind are never looked at again; collecting
 # young ones seldom keeps pauses under a millisecond.
-COLLECT_AFTER = 20_000
+GC_THRESHOLD_OBJECTS = 20_000
 
 
 def run(pending: list[int]) -> int:
@@ -104,7 +104,7 @@
             reactor.stop()
             return
         gc.freeze()
-        gc.set_threshold(COLLECT_AFTER)
+        gc.set_threshold(GC_THRESHOLD_OBJECTS)
         gc.enable()
         if signal.SIGTERM in pending:
             terminate()
