--- a/src/primrosescale/platform/program.py
+++ b/src/primrosescale/platform/program.py
@@ -45,13 +45,13 @@
     # the time to start.
     gc.disable()
     try:
-        return _start(own_host_settings(), pending)
+        return _start_router(own_host_settings(), pending)
     except PrimrosescaleError as error:
         sys.stderr.write(f"primrosescale: {error}\n")
         return os.EX_CONFIG
 
 
-def _start(host: HostSettings, pending: list[int]) -> int:
+def _start_router(host: HostSettings, pending: list[int]) -> int:
     """Let callers connect, then load the rest, which takes 0.4 s, and run it.
 
     `pending` holds the signals that came before it could run.
@@ -82,7 +82,7 @@
 
 
 def _run(reactor: Any, router: Any, pending: list[int]) -> int:
-    """Run the reactor until the router has stopped; see `_start`."""
+    """Run the reactor until the router has stopped; see `_start_router`."""
     from twisted.internet.error import CannotListenError  # noqa: PLC0415
 
     status = [0]
