--- a/src/primrosescale/platform/program.py
+++ b/src/primrosescale/platform/program.py
@@ -78,10 +78,10 @@
     metrics_port = int(values["metrics_port"].value or 0)
     rng = random.SystemRandom()
     router = build_entry_router(reactor, host, metrics_port, rng, early)
-    return _run(reactor, router, pending)
+    return _run_reactor(reactor, router, pending)
 
 
-def _run(reactor: Any, router: Any, pending: list[int]) -> int:
+def _run_reactor(reactor: Any, router: Any, pending: list[int]) -> int:
     """Run the reactor until the router has stopped; see `_start_router`."""
     from twisted.internet.error import CannotListenError  # noqa: PLC0415
 
