--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -88,7 +88,7 @@
 
     def __init__(self, regions: Collection[str] = ()) -> None:
         self._regions = frozenset(regions)
-        self._routes = records.KnownRoutes()
+        self._routes = records.RouteCache()
 
     def table(self, stored: StoredObject) -> RoutingTable:
         """Return a routing table; see `RecordDecoder.table`."""
--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -66,7 +66,7 @@
 REMEDY_ROUTER = "its router writes it again; what it said last holds until then"
 
 
-class KnownRoutes:
+class RouteCache:
     """Routes of the version read last, by what was written of them.
 
     Versions change a few routes of many, and come in quick succession. A route that
@@ -117,7 +117,7 @@
 def decode_routing_table(
     stored: StoredObject,
     regions: Collection[str] = (),
-    routes: KnownRoutes | None = None,
+    routes: RouteCache | None = None,
 ) -> RoutingTable:
     """Return the routing table that the operator wrote.
 
@@ -130,7 +130,7 @@
         The object that holds the newest version.
     regions : Collection[str]
         The regions that there are; empty where they are not known.
-    routes : KnownRoutes | None
+    routes : RouteCache | None
         Routes of the version read before; None to read all.
 
     Returns
@@ -148,7 +148,7 @@
         reader.require(field)
     return RoutingTable(
         reader.integer("version"),
-        (routes or KnownRoutes()).read(reader.children("routes"), regions),
+        (routes or RouteCache()).read(reader.children("routes"), regions),
         [_service(item) for item in reader.children("services")],
         _keys(reader, regions),
         _limits(reader.child("limits")),
--- a/tests/adapter/test_large_configuration.py
+++ b/tests/adapter/test_large_configuration.py
@@ -17,7 +17,7 @@
 from primrosescale.platform import records
 from primrosescale.platform.entry import PlatformRecords
 from primrosescale.platform.exceptions import RecordError
-from primrosescale.platform.records import KnownRoutes
+from primrosescale.platform.records import RouteCache
 from primrosescale.platform.records import decode_routing_table
 from primrosescale.platform.store_answer import answer_fields
 from primrosescale.platform.store_answer import stored_object
@@ -44,7 +44,7 @@
 class LargeConfigurationTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.known = KnownRoutes()
+        self.known = RouteCache()
         self.fields = large()
 
     def read(self, fields):
