--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -73,10 +73,10 @@
     is written as before needs no reading.
     """
 
-    __slots__ = ("_known",)
+    __slots__ = ("_routes_by_digest",)
 
     def __init__(self) -> None:
-        self._known: dict[bytes, Route] = {}
+        self._routes_by_digest: dict[bytes, Route] = {}
 
     def read(
         self, items: Iterable[FieldReader], regions: Collection[str]
@@ -104,13 +104,13 @@
         routes = []
         for item in items:
             digest = item.digest()
-            route = None if digest is None else self._known.get(digest)
+            route = None if digest is None else self._routes_by_digest.get(digest)
             if route is None:
                 route = _route(item, regions)
             if digest is not None:
                 known[digest] = route
             routes.append(route)
-        self._known = known
+        self._routes_by_digest = known
         return routes
 
 
