--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -29,7 +29,7 @@
 ROUTERS = "routers/"
 EVACUATIONS = "evacuations/"
 
-REPEATABILITY = {
+RETRY_POLICIES = {
     "safe": Repeatability.IDEMPOTENT,
     "unsafe": Repeatability.ONCE,
     "streaming": Repeatability.STREAM,
@@ -233,7 +233,7 @@
         host=item.text("host").lower(),
         path_prefix=prefix,
         services=_services(item),
-        repeatability=REPEATABILITY.get(item.text("kind"), Repeatability.ONCE),
+        repeatability=RETRY_POLICIES.get(item.text("kind"), Repeatability.ONCE),
         is_resumable=item.flag_or("resume_streams", default=False),
         # "sticky" only says that requests describe their prompts.
         has_prompt=item.flag_or("sticky", default=False),
