--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -42,7 +42,7 @@
     "idle_timeout_ms": 15000,
 }
 # States of a target that the platform names; whether it is leaving.
-STATES = {"ready": False, "draining": True}
+IS_DRAINING_BY_STATE = {"ready": False, "draining": True}
 # Requests that one target runs at once: each takes a connection, and there are
 # no more ports than these on the caller's side.
 MOST_SLOTS = 65535
@@ -175,8 +175,8 @@
     """
     reader = FieldReader.of(stored, REMEDY_TARGET)
     state = reader.text("state")
-    if state not in STATES:
-        reader.refuse("state", "neither of " + ", ".join(STATES))
+    if state not in IS_DRAINING_BY_STATE:
+        reader.refuse("state", "neither of " + ", ".join(IS_DRAINING_BY_STATE))
     # Not used; of another type they show that another writer made the entry.
     reader.text_or("version", "")
     reader.integer_or("sequence", 0)
@@ -186,7 +186,7 @@
         service=reader.text("service"),
         domain=reader.text("zone"),
         slots=reader.integer("slots", MOST_SLOTS),
-        is_draining=STATES[state],
+        is_draining=IS_DRAINING_BY_STATE[state],
         # Time for which a target that has just started is still slow.
         warming_for=reader.number_or("cold_remaining_ms", 0, LONGEST_TIME)
         * SECONDS_PER_MILLISECOND,
