--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -45,7 +45,7 @@
 IS_DRAINING_BY_STATE = {"ready": False, "draining": True}
 # Requests that one target runs at once: each takes a connection, and there are
 # no more ports than these on the caller's side.
-MOST_SLOTS = 65535
+MAX_SLOTS = 65535
 # Milliseconds; nothing that is waited for takes a day.
 LONGEST_TIME = 86_400_000
 # Bytes that a caller may send: those of the longest object of the store, a
@@ -185,7 +185,7 @@
         endpoint=reader.endpoint("address"),
         service=reader.text("service"),
         domain=reader.text("zone"),
-        slots=reader.integer("slots", MOST_SLOTS),
+        slots=reader.integer("slots", MAX_SLOTS),
         is_draining=IS_DRAINING_BY_STATE[state],
         # Time for which a target that has just started is still slow.
         warming_for=reader.number_or("cold_remaining_ms", 0, LONGEST_TIME)
@@ -278,7 +278,7 @@
     engine = item.child("engine")
     return Service(
         name=item.text("name"),
-        slots=engine.integer_or("slots", 0, MOST_SLOTS),
+        slots=engine.integer_or("slots", 0, MAX_SLOTS),
         cache_tokens=engine.integer_or("kv_cache_tokens", 0),
         cold_rate=item.number_or("cold_per_s", 0, MOST_RATE),
         cold_seconds=item.number_or(
