--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -47,7 +47,7 @@
 # no more ports than these on the caller's side.
 MAX_SLOTS = 65535
 # Milliseconds; nothing that is waited for takes a day.
-LONGEST_TIME = 86_400_000
+MAX_DURATION_MILLISECONDS = 86_400_000
 # Bytes that a caller may send: those of the longest object of the store, a
 # thousand times over.
 MOST_BYTES = 1_048_576_000
@@ -188,7 +188,7 @@
         slots=reader.integer("slots", MAX_SLOTS),
         is_draining=IS_DRAINING_BY_STATE[state],
         # Time for which a target that has just started is still slow.
-        warming_for=reader.number_or("cold_remaining_ms", 0, LONGEST_TIME)
+        warming_for=reader.number_or("cold_remaining_ms", 0, MAX_DURATION_MILLISECONDS)
         * SECONDS_PER_MILLISECOND,
         started_at=reader.integer("born") if reader.has("born") else None,
     )
@@ -220,10 +220,12 @@
 
 def _route(item: FieldReader, regions: Collection[str]) -> Route:
     timeout = (
-        item.number_or("timeout_ms", 60000, LONGEST_TIME) * SECONDS_PER_MILLISECOND
+        item.number_or("timeout_ms", 60000, MAX_DURATION_MILLISECONDS)
+        * SECONDS_PER_MILLISECOND
     )
     objective = (
-        item.number_or("target_latency_ms", 0, LONGEST_TIME) * SECONDS_PER_MILLISECOND
+        item.number_or("target_latency_ms", 0, MAX_DURATION_MILLISECONDS)
+        * SECONDS_PER_MILLISECOND
     )
     prefix = item.text("path_prefix", LONGEST_IN_HEAD)
     if not prefix.startswith("/"):
@@ -239,7 +241,7 @@
         has_prompt=item.flag_or("sticky", default=False),
         timeout=timeout,
         latency_objective=objective or timeout,
-        gap_objective=item.number_or("gap_aim_ms", 0, LONGEST_TIME)
+        gap_objective=item.number_or("gap_aim_ms", 0, MAX_DURATION_MILLISECONDS)
         * SECONDS_PER_MILLISECOND,
         max_targets=max(1, item.integer_or("max_attempts", 1, MOST_TARGETS)),
         priority=item.integer_or("priority", 5, LOWEST_RANK),
@@ -282,7 +284,7 @@
         cache_tokens=engine.integer_or("kv_cache_tokens", 0),
         cold_rate=item.number_or("cold_per_s", 0, MOST_RATE),
         cold_seconds=item.number_or(
-            "cold_start_s", 0, LONGEST_TIME * SECONDS_PER_MILLISECOND
+            "cold_start_s", 0, MAX_DURATION_MILLISECONDS * SECONDS_PER_MILLISECOND
         ),
     )
 
@@ -307,7 +309,10 @@
 
     def seconds(name: str) -> float:
         default = DEFAULT_LIMITS[name]
-        return given.number_or(name, default, LONGEST_TIME) * SECONDS_PER_MILLISECOND
+        return (
+            given.number_or(name, default, MAX_DURATION_MILLISECONDS)
+            * SECONDS_PER_MILLISECOND
+        )
 
     return CallerLimits(
         header_bytes=size("max_header_bytes"),
