--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -50,7 +50,7 @@
 MAX_DURATION_MILLISECONDS = 86_400_000
 # Bytes that a caller may send: those of the longest object of the store, a
 # thousand times over.
-MOST_BYTES = 1_048_576_000
+MAX_CALLER_BYTES = 1_048_576_000
 # Characters of a path or key: what is longer fits in no head of a request.
 LONGEST_IN_HEAD = 16384
 # Targets that one request may be sent to, ranks, and weights of a split; ten
@@ -305,7 +305,7 @@
 
 def _limits(given: FieldReader) -> CallerLimits:
     def size(name: str) -> int:
-        return given.integer_or(name, int(DEFAULT_LIMITS[name]), MOST_BYTES)
+        return given.integer_or(name, int(DEFAULT_LIMITS[name]), MAX_CALLER_BYTES)
 
     def seconds(name: str) -> float:
         default = DEFAULT_LIMITS[name]
