--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -52,7 +52,7 @@
 # thousand times over.
 MAX_CALLER_BYTES = 1_048_576_000
 # Characters of a path or key: what is longer fits in no head of a request.
-LONGEST_IN_HEAD = 16384
+MAX_HEAD_TEXT_LENGTH = 16384
 # Targets that one request may be sent to, ranks, and weights of a split; ten
 # thousand times those of today.
 MOST_TARGETS = 10_000
@@ -227,7 +227,7 @@
         item.number_or("target_latency_ms", 0, MAX_DURATION_MILLISECONDS)
         * SECONDS_PER_MILLISECOND
     )
-    prefix = item.text("path_prefix", LONGEST_IN_HEAD)
+    prefix = item.text("path_prefix", MAX_HEAD_TEXT_LENGTH)
     if not prefix.startswith("/"):
         item.refuse("path_prefix", "begins with no slash")
     return Route(
@@ -255,7 +255,7 @@
 
     With an unknown region taken in they might go nowhere, or anywhere.
     """
-    allowed = frozenset(item.texts("allowed_regions", LONGEST_IN_HEAD))
+    allowed = frozenset(item.texts("allowed_regions", MAX_HEAD_TEXT_LENGTH))
     unknown = sorted(allowed.difference(regions)) if regions else []
     if unknown:
         item.refuse("allowed_regions", f"no region {unknown[0]!a} is known")
@@ -298,7 +298,7 @@
         rank = item.integer("priority", LOWEST_RANK) if item.has("priority") else None
         allowed = _allowed_regions(item, regions)
         owner = Organisation(item.text("name"), rank, allowed)
-        for key in item.texts("api_keys", LONGEST_IN_HEAD):
+        for key in item.texts("api_keys", MAX_HEAD_TEXT_LENGTH):
             keys[key] = owner
     return keys
 
