--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -55,7 +55,7 @@
 MAX_HEAD_TEXT_LENGTH = 16384
 # Targets that one request may be sent to, ranks, and weights of a split; ten
 # thousand times those of today.
-MOST_TARGETS = 10_000
+MAX_TARGETS_PER_REQUEST = 10_000
 LOWEST_RANK = 10_000
 # Requests a second; more than a target could be sent.
 MOST_RATE = 1_000_000
@@ -243,7 +243,7 @@
         latency_objective=objective or timeout,
         gap_objective=item.number_or("gap_aim_ms", 0, MAX_DURATION_MILLISECONDS)
         * SECONDS_PER_MILLISECOND,
-        max_targets=max(1, item.integer_or("max_attempts", 1, MOST_TARGETS)),
+        max_targets=max(1, item.integer_or("max_attempts", 1, MAX_TARGETS_PER_REQUEST)),
         priority=item.integer_or("priority", 5, LOWEST_RANK),
         is_open=item.flag_or("skip_auth", default=False),
         allowed_regions=_allowed_regions(item, regions),
