--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -56,7 +56,7 @@
 # Targets that one request may be sent to, ranks, and weights of a split; ten
 # thousand times those of today.
 MAX_TARGETS_PER_REQUEST = 10_000
-LOWEST_RANK = 10_000
+MAX_PRIORITY = 10_000
 # Requests a second; more than a target could be sent.
 MOST_RATE = 1_000_000
 MOST_WEIGHT = 1_000_000
@@ -244,7 +244,7 @@
         gap_objective=item.number_or("gap_aim_ms", 0, MAX_DURATION_MILLISECONDS)
         * SECONDS_PER_MILLISECOND,
         max_targets=max(1, item.integer_or("max_attempts", 1, MAX_TARGETS_PER_REQUEST)),
-        priority=item.integer_or("priority", 5, LOWEST_RANK),
+        priority=item.integer_or("priority", 5, MAX_PRIORITY),
         is_open=item.flag_or("skip_auth", default=False),
         allowed_regions=_allowed_regions(item, regions),
     )
@@ -295,7 +295,7 @@
     # says so.
     table.refuse_null("tenants")
     for item in table.children("tenants"):
-        rank = item.integer("priority", LOWEST_RANK) if item.has("priority") else None
+        rank = item.integer("priority", MAX_PRIORITY) if item.has("priority") else None
         allowed = _allowed_regions(item, regions)
         owner = Organisation(item.text("name"), rank, allowed)
         for key in item.texts("api_keys", MAX_HEAD_TEXT_LENGTH):
