--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -58,7 +58,7 @@
 MAX_TARGETS_PER_REQUEST = 10_000
 MAX_PRIORITY = 10_000
 # Requests a second; more than a target could be sent.
-MOST_RATE = 1_000_000
+MAX_REQUESTS_PER_SECOND = 1_000_000
 MOST_WEIGHT = 1_000_000
 
 REMEDY_TABLE = "mend it in the store; the last good version stays in force"
@@ -282,7 +282,7 @@
         name=item.text("name"),
         slots=engine.integer_or("slots", 0, MAX_SLOTS),
         cache_tokens=engine.integer_or("kv_cache_tokens", 0),
-        cold_rate=item.number_or("cold_per_s", 0, MOST_RATE),
+        cold_rate=item.number_or("cold_per_s", 0, MAX_REQUESTS_PER_SECOND),
         cold_seconds=item.number_or(
             "cold_start_s", 0, MAX_DURATION_MILLISECONDS * SECONDS_PER_MILLISECOND
         ),
