--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -59,7 +59,7 @@
 MAX_PRIORITY = 10_000
 # Requests a second; more than a target could be sent.
 MAX_REQUESTS_PER_SECOND = 1_000_000
-MOST_WEIGHT = 1_000_000
+MAX_WEIGHT = 1_000_000
 
 REMEDY_TABLE = "mend it in the store; the last good version stays in force"
 REMEDY_TARGET = "mend or delete it in the store; until then it names no target"
@@ -268,7 +268,7 @@
     if not parts:
         return (WeightedService(route.text("service"), 1.0),)
     services = tuple(
-        WeightedService(part.text("service"), float(part.number("weight", MOST_WEIGHT)))
+        WeightedService(part.text("service"), float(part.number("weight", MAX_WEIGHT)))
         for part in parts
     )
     if not any(service.weight for service in services):
