--- a/src/primrosescale/platform/store_answer.py
+++ b/src/primrosescale/platform/store_answer.py
@@ -25,7 +25,7 @@
 
 BINARY = "base64"
 # Revisions are told to other routers as numbers of 64 bits with a sign.
-MOST_REVISION = 2**63 - 1
+MAX_REVISION = 2**63 - 1
 # Bytes that no record can be read from.
 UNREADABLE = b""
 # What an odd answer raises while it is taken apart.
@@ -153,7 +153,7 @@
 
 def _is_revision(value: Any) -> bool:
     is_whole = isinstance(value, int) and not isinstance(value, bool)
-    return is_whole and 0 <= value <= MOST_REVISION
+    return is_whole and 0 <= value <= MAX_REVISION
 
 
 def _is_plain(spec: Any) -> bool:
