--- a/src/primrosescale/platform/store_answer.py
+++ b/src/primrosescale/platform/store_answer.py
@@ -35,7 +35,7 @@
 _LISTS = ("items", "events")
 _OBJECT = "object"
 # A string, a run of brackets of one side, or a comma.
-_SIGN = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"|[\[{]+|[\]}]+|,', re.DOTALL)
+_TOKEN = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"|[\[{]+|[\]}]+|,', re.DOTALL)
 
 
 def answer_fields(body: bytes) -> dict[str, Any]:
@@ -220,7 +220,7 @@
 def _members(text: bytes) -> Iterator[tuple[str, bytes]]:
     """Return names and values of an object's members, the values unread."""
     for part in _parts(text):
-        sign = _SIGN.match(part)
+        sign = _TOKEN.match(part)
         if sign is None:
             raise ValueError("a member without a name")
         name = read_json(sign.group())
@@ -238,7 +238,7 @@
     parts: list[bytes] = []
     depth = 0
     begin = 1
-    for sign in _SIGN.finditer(text):
+    for sign in _TOKEN.finditer(text):
         first = text[sign.start()]
         if first in b"[{":
             depth += sign.end() - sign.start()
