--- a/src/primrosescale/platform/store_answer.py
+++ b/src/primrosescale/platform/store_answer.py
@@ -220,11 +220,11 @@
 def _members(text: bytes) -> Iterator[tuple[str, bytes]]:
     """Return names and values of an object's members, the values unread."""
     for part in _parts(text):
-        sign = _TOKEN.match(part)
-        if sign is None:
+        token = _TOKEN.match(part)
+        if token is None:
             raise ValueError("a member without a name")
-        name = read_json(sign.group())
-        rest = part[sign.end() :].lstrip()
+        name = read_json(token.group())
+        rest = part[token.end() :].lstrip()
         if not isinstance(name, str) or not rest.startswith(b":"):
             raise ValueError("a member without a value")
         yield name, rest[1:].strip()
@@ -238,18 +238,18 @@
     parts: list[bytes] = []
     depth = 0
     begin = 1
-    for sign in _TOKEN.finditer(text):
-        first = text[sign.start()]
+    for token in _TOKEN.finditer(text):
+        first = text[token.start()]
         if first in b"[{":
-            depth += sign.end() - sign.start()
+            depth += token.end() - token.start()
         elif first in b"]}":
-            depth -= sign.end() - sign.start()
+            depth -= token.end() - token.start()
             if depth <= 0:
                 break
         elif first in b"," and depth == 1:
-            parts.append(text[begin : sign.start()].strip())
-            begin = sign.end()
-    if depth or sign.end() != len(text):
+            parts.append(text[begin : token.start()].strip())
+            begin = token.end()
+    if depth or token.end() != len(text):
         raise ValueError("brackets that don't match")
     parts.append(text[begin:-1].strip())
     return [] if parts == [b""] else parts
