--- a/src/primrosescale/platform/store_answer.py
+++ b/src/primrosescale/platform/store_answer.py
@@ -60,7 +60,7 @@
     try:
         fields = read_json(body)
     except (ValueError, RecursionError):
-        fields = _taken_apart(body)
+        fields = _split_answer(body)
     if not isinstance(fields, dict):
         raise PlatformUnavailableError("odd answer: not an object")
     return fields
@@ -178,7 +178,7 @@
         return UNREADABLE
 
 
-def _taken_apart(body: bytes) -> Any:
+def _split_answer(body: bytes) -> Any:
     """Return the members of an answer that cannot be read as a whole."""
     try:
         return {
