--- a/src/primrosescale/platform/store_answer.py
+++ b/src/primrosescale/platform/store_answer.py
@@ -183,7 +183,7 @@
     try:
         return {
             name: (
-                [_object_taken_apart(part) for part in _parts(value)]
+                [_split_object(part) for part in _parts(value)]
                 if name in _LISTS
                 else read_json(value)
             )
@@ -194,7 +194,7 @@
         raise PlatformUnavailableError(detail) from error
 
 
-def _object_taken_apart(text: bytes) -> Any:
+def _split_object(text: bytes) -> Any:
     """Return an object or event; members that cannot be read stay bytes."""
     try:
         return read_json(text)
@@ -205,7 +205,7 @@
     except (ValueError, RecursionError):
         return text
     return {
-        name: _object_taken_apart(value) if name == _OBJECT else _read_or_bytes(value)
+        name: _split_object(value) if name == _OBJECT else _read_or_bytes(value)
         for name, value in members
     }
 
