--- a/src/primrosescale/platform/store_answer.py
+++ b/src/primrosescale/platform/store_answer.py
@@ -94,7 +94,7 @@
     if not _is_revision(revision) or not all(isinstance(f, bool) for f in flags):
         return StoredObject(key, 0, UNREADABLE)
     spec = item.get("spec")
-    if _is_plain(spec):
+    if _is_serialisable(spec):
         return StoredObject(key, revision, None, any(flags), spec)
     return StoredObject(key, revision, _content(spec), any(flags))
 
@@ -156,7 +156,7 @@
     return is_whole and 0 <= value <= MAX_REVISION
 
 
-def _is_plain(spec: Any) -> bool:
+def _is_serialisable(spec: Any) -> bool:
     """Tell whether a content that was read can be written again at any time."""
     if type(spec) is not dict or spec.get("encoding") == BINARY:
         return False
