--- a/src/primrosescale/platform/store_answer.py
+++ b/src/primrosescale/platform/store_answer.py
@@ -205,12 +205,12 @@
     except (ValueError, RecursionError):
         return text
     return {
-        name: _split_object(value) if name == _OBJECT else _read_or_bytes(value)
+        name: _split_object(value) if name == _OBJECT else _parse_or_keep_bytes(value)
         for name, value in members
     }
 
 
-def _read_or_bytes(text: bytes) -> Any:
+def _parse_or_keep_bytes(text: bytes) -> Any:
     try:
         return read_json(text)
     except (ValueError, RecursionError):
