--- a/src/primrosescale/platform/store_answer.py
+++ b/src/primrosescale/platform/store_answer.py
@@ -183,7 +183,7 @@
     try:
         return {
             name: (
-                [_split_object(part) for part in _parts(value)]
+                [_split_object(part) for part in _split_at_commas(value)]
                 if name in _LISTS
                 else read_json(value)
             )
@@ -219,7 +219,7 @@
 
 def _members(text: bytes) -> Iterator[tuple[str, bytes]]:
     """Return names and values of an object's members, the values unread."""
-    for part in _parts(text):
+    for part in _split_at_commas(text):
         token = _TOKEN.match(part)
         if token is None:
             raise ValueError("a member without a name")
@@ -230,7 +230,7 @@
         yield name, rest[1:].strip()
 
 
-def _parts(text: bytes) -> list[bytes]:
+def _split_at_commas(text: bytes) -> list[bytes]:
     """Return what stands between the commas of an object or a list."""
     text = text.strip()
     if text[:1] not in {b"[", b"{"}:
