--- a/tests/adapter/test_start.py
+++ b/tests/adapter/test_start.py
@@ -32,7 +32,7 @@
 sys.meta_path.insert(0, Finder())
 runpy.run_module("primrosescale.platform", run_name="__main__")
 """
-PATIENCE = 60.0
+TIMEOUT_SECONDS = 60.0
 SYSTEM = Path(__file__).resolve().parents[2] / "deploy/system.toml"
 
 
@@ -95,17 +95,17 @@
             env={**os.environ, "PRIMROSESCALE_BOOT": str(self.boot)},
             capture_output=True,
             text=True,
-            timeout=PATIENCE,
+            timeout=TIMEOUT_SECONDS,
             check=False,
         )
 
     def run_program(self):
         child = self.start_program()
-        _, child.said = child.communicate(timeout=PATIENCE)
+        _, child.said = child.communicate(timeout=TIMEOUT_SECONDS)
         return child
 
     def wait_for_port(self, port):
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + TIMEOUT_SECONDS
         while time.monotonic() < until:
             with contextlib.suppress(ConnectionRefusedError):
                 return socket.create_connection((LOOPBACK, port), 1.0)
@@ -137,7 +137,7 @@
         self.addCleanup(self.wait_for_port(self.free).close)
         child.send_signal(signal.SIGHUP)
         child.send_signal(signal.SIGTERM)
-        said, _ = child.communicate(timeout=PATIENCE)
+        said, _ = child.communicate(timeout=TIMEOUT_SECONDS)
         self.assertEqual(0, child.returncode)
         self.assertIn("process_stopped", said)
 
@@ -151,7 +151,7 @@
         child = self.start_program(options)
         self.addCleanup(self.wait_for_port(self.also_free).close)
         child.send_signal(signal.SIGTERM)
-        said, _ = child.communicate(timeout=PATIENCE)
+        said, _ = child.communicate(timeout=TIMEOUT_SECONDS)
         self.assertEqual(0, child.returncode)
         self.assertIn("process_stopped", said)
 
@@ -160,12 +160,12 @@
     def test_reloads_from_the_first_moment_are_not_its_end_where_they_are_ignored(self):
         self.write(self.free, self.also_free)
         child = self.start_program(preexec_fn=ignore_reloads)
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + TIMEOUT_SECONDS
         while not is_open(self.also_free) and time.monotonic() < until:
             child.send_signal(signal.SIGHUP)
             time.sleep(0.001)
         self.assertIsNone(child.poll())
         child.send_signal(signal.SIGTERM)
-        said, _ = child.communicate(timeout=PATIENCE)
+        said, _ = child.communicate(timeout=TIMEOUT_SECONDS)
         self.assertEqual(0, child.returncode)
         self.assertIn("process_stopped", said)
