--- a/src/primrosescale/ini/__init__.py
+++ b/src/primrosescale/ini/__init__.py
@@ -1,1 +1,1 @@
-"""Reading INI text into checked settings classes."""
+"""Declares options and reads INI text into validated settings classes."""
--- a/src/primrosescale/ini/exceptions.py
+++ b/src/primrosescale/ini/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of INI text."""
+"""Errors found while reading INI text."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One thing wrong in INI text.
+    """One error in INI text.
 
     Parameters
     ----------
     section : str
-        Where.
+        Section that contains the error.
     key : str
-        Which option; empty when the section itself is wrong.
+        Name of the option; empty when the error concerns the section itself.
     value : str
-        What stands there.
+        Text given for the option.
     problem : str
-        What is wrong with it.
+        Description of the error.
     remedy : str
-        What to write in its place.
+        How to correct it.
     """
 
     section: str
@@ -40,30 +40,30 @@
 
 
 class IniError(PrimrosescaleError):
-    """INI text cannot be read at all."""
+    """INI text, or one of its options, is invalid."""
 
 
 class FaultsError(ExceptionGroup[IniError]):
-    """All faults of one text together.
+    """All errors found in one text.
 
     Parameters
     ----------
     message : str
-        Which text.
+        Summary that names the text.
     errors : list[IniError]
-        An error for each fault.
+        One error for each fault.
     """
 
 
 def faults_error(source: str, faults: list[Fault]) -> FaultsError:
-    """Return the error that carries some faults.
+    """Return an exception group that contains the given faults.
 
     Parameters
     ----------
     source : str
-        Which text.
+        Name of the text, such as its path.
     faults : list[Fault]
-        At least one.
+        The faults; at least one.
 
     Returns
     -------
--- a/src/primrosescale/ini/options.py
+++ b/src/primrosescale/ini/options.py
@@ -1,4 +1,4 @@
-"""Declared options: how a text becomes a checked value."""
+"""Declarations of options: how their text is parsed and validated."""
 
 from __future__ import annotations
 
@@ -18,35 +18,35 @@
 
 
 class OptionKind(ABC):
-    """A kind of value that an option may have."""
+    """Type of an option's value: parses, validates and formats it."""
 
     @abstractmethod
     def parse(self, text: str) -> Any:
-        """Return the value of a text.
+        """Parse and validate the text of an option.
 
         Parameters
         ----------
         text : str
-            What stands in the file.
+            Text given for the option.
 
         Returns
         -------
         Any
-            The checked value.
+            The validated value.
 
         Raises
         ------
         ValueError
-            When the text is not of this kind.
+            When the text is not a valid value of this kind.
         """
 
     @property
     @abstractmethod
     def expects(self) -> str:
-        """Return what to write, as the end of "write ..."."""
+        """Return what a valid value looks like, as the end of "write ..."."""
 
     def show(self, value: Any) -> str:
-        """Return the text of a value.
+        """Format a value as text.
 
         Parameters
         ----------
@@ -56,23 +56,23 @@
         Returns
         -------
         str
-            What would stand in a file.
+            The text that `parse` accepts for the value.
         """
         return str(value)
 
 
 @dataclass(frozen=True, slots=True)
 class Number(OptionKind):
-    """A number within limits.
+    """A number within a range.
 
     Parameters
     ----------
     minimum : float
-        Lower limit.
+        Lowest value allowed.
     maximum : float
-        Upper limit.
+        Highest value allowed.
     is_whole : bool
-        Whether only whole numbers count.
+        Whether only integers are allowed.
     """
 
     minimum: float = 0.0
@@ -88,7 +88,7 @@
 
     @property
     def expects(self) -> str:
-        """Return the limits in words."""
+        """Return the range as text."""
         noun = "a whole number" if self.is_whole else "a number"
         if math.isinf(self.maximum):
             return f"{noun} of at least {self.minimum:g}"
@@ -97,23 +97,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Text(OptionKind):
-    """Any text, or one of some words.
+    """Any text, or one of a set of choices.
 
     Parameters
     ----------
-    words : tuple[str, ...]
-        The words allowed; empty for any text.
+    choices : tuple[str, ...]
+        The texts allowed; empty for any text.
     may_be_empty : bool
-        Whether nothing is a value.
+        Whether an empty text is allowed.
     """
 
-    words: tuple[str, ...] = ()
+    choices: tuple[str, ...] = ()
     may_be_empty: bool = True
 
     def parse(self, text: str) -> Any:
         """Return the text; see `OptionKind.parse`."""
         value = text.strip()
-        if self.words and value not in self.words:
+        if self.choices and value not in self.choices:
             raise ValueError(text)
         if not value and not self.may_be_empty:
             raise ValueError(text)
@@ -121,18 +121,18 @@
 
     @property
     def expects(self) -> str:
-        """Return the words allowed."""
-        if self.words:
-            return f"one of {', '.join(self.words)}"
+        """Return the choices."""
+        if self.choices:
+            return f"one of {', '.join(self.choices)}"
         return "some text"
 
 
 @dataclass(frozen=True, slots=True)
 class Flag(OptionKind):
-    """Yes or no."""
+    """A boolean."""
 
     def parse(self, text: str) -> Any:
-        """Return the truth value; see `OptionKind.parse`."""
+        """Return the boolean; see `OptionKind.parse`."""
         word = text.strip().lower()
         if word in TRUE_WORDS:
             return True
@@ -142,7 +142,7 @@
 
     @property
     def expects(self) -> str:
-        """Return the two words."""
+        """Return the two texts recommended."""
         return "yes or no"
 
     def show(self, value: Any) -> str:
@@ -152,7 +152,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Address(OptionKind):
-    """An IP number."""
+    """An IP address."""
 
     def parse(self, text: str) -> Any:
         """Return the address as text; see `OptionKind.parse`."""
@@ -160,39 +160,39 @@
 
     @property
     def expects(self) -> str:
-        """Return an example."""
-        return "an IP number such as 10.0.0.1, not a host name"
+        """Return the form of a valid value with an example."""
+        return "an IP address such as 10.0.0.1, not a host name"
 
 
 @dataclass(frozen=True, slots=True)
 class Words(OptionKind):
-    """A list separated by commas or line ends.
+    """A list of texts separated by commas or line breaks.
 
     Parameters
     ----------
     allowed : tuple[str, ...]
-        The words allowed; empty for any.
+        The texts allowed; empty for any.
     """
 
     allowed: tuple[str, ...] = ()
 
     def parse(self, text: str) -> Any:
-        """Return the words as a tuple; see `OptionKind.parse`."""
+        """Return the list as a tuple; see `OptionKind.parse`."""
         parts = text.replace("\n", ",").split(",")
-        words = tuple(part.strip() for part in parts if part.strip())
-        if self.allowed and not set(words) <= set(self.allowed):
+        items = tuple(part.strip() for part in parts if part.strip())
+        if self.allowed and not set(items) <= set(self.allowed):
             raise ValueError(text)
-        return words
+        return items
 
     @property
     def expects(self) -> str:
-        """Return the words allowed."""
+        """Return the form of the list and the texts allowed in it."""
         if self.allowed:
             return f"a comma-separated list of {', '.join(self.allowed)}"
         return "a comma-separated list"
 
     def show(self, value: Any) -> str:
-        """Return the words with commas."""
+        """Return the items separated by commas."""
         return ", ".join(value)
 
 
@@ -205,14 +205,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OptionDeclaration:
-    """What is declared of an option.
+    """Declaration of an option, kept in the metadata of its field.
 
     Parameters
     ----------
     kind : OptionKind
-        OptionKind of its value.
+        Kind of the value.
     doc : str
-        What it is for, with its unit.
+        Purpose of the option, with its unit.
     """
 
     kind: OptionKind
@@ -225,11 +225,11 @@
     Parameters
     ----------
     kind : OptionKind
-        OptionKind of its value.
+        Kind of the value.
     doc : str
-        What it is for, with its unit.
+        Purpose of the option, with its unit.
     default : Any
-        Its value when it is not given; without one it must be given.
+        Value when the option is not given; without a default it is required.
 
     Returns
     -------
--- a/src/primrosescale/ini/reader.py
+++ b/src/primrosescale/ini/reader.py
@@ -1,4 +1,4 @@
-"""Sections of INI text become instances of settings classes."""
+"""Parses INI text and builds settings objects from its sections."""
 
 from __future__ import annotations
 
@@ -21,70 +21,72 @@
 
     from primrosescale.ini.options import OptionDeclaration
 
-SettingsT = TypeVar("S")
+S = TypeVar("S")
 
 
 def parse_text(text: str, source: str) -> ConfigParser:
-    """Parse INI text without interpreting its values.
+    """Parse INI text into sections and options, without interpreting values.
 
     Parameters
     ----------
     text : str
-        The text.
+        The INI text.
     source : str
-        Its name, for errors.
+        Name of the text, used in error messages.
 
     Returns
     -------
     ConfigParser
-        Sections and options.
+        The sections and their options.
 
     Raises
     ------
     IniError
-        When it is not INI.
+        When the text is not valid INI.
     """
     parser = ConfigParser(interpolation=None, default_section="\0none")
     try:
         parser.read_string(text, source)
     except ParserError as error:
         problem = " ".join(str(error).split())
-        raise IniError(f"not INI: {problem}", "mend the line it names") from error
+        raise IniError(
+            f"invalid INI: {problem}", "correct the line it names"
+        ) from error
     return parser
 
 
 def read_section(
-    settings: type[SettingsT],
+    settings: type[S],
     section: str,
     options: Mapping[str, str],
     faults: list[Fault],
     preset: Mapping[str, Any] | None = None,
-) -> SettingsT | None:
+) -> S | None:
     """Build a settings object from the options of a section.
 
     Parameters
     ----------
-    settings : type[SettingsT]
+    settings : type[S]
         A dataclass whose fields were made by `option`.
     section : str
-        Name of the section, for faults.
+        Name of the section, used in faults.
     options : Mapping[str, str]
-        Texts by key.
+        Text of each option by its name.
     faults : list[Fault]
-        Receives every fault found.
+        List to which every fault found is appended.
     preset : Mapping[str, Any] | None
-        Fields that do not come from the options.
+        Fields whose values do not come from the options.
 
     Returns
     -------
-    SettingsT | None
-        The settings, unless there was a fault.
+    S | None
+        The settings; None when a fault was found.
     """
-    before = len(faults)
+    fault_count = len(faults)
     values: dict[str, Any] = dict(preset or {})
     known: list[str] = []
     for item in fields(cast("Any", settings)):
-        declaration = cast("Declaration | None", item.metadata.get(METADATA_KEY))
+        declaration = cast("OptionDeclaration | None", item.metadata.get(METADATA_KEY))
         if declaration is None:
             continue
         known.append(item.name)
@@ -102,20 +104,20 @@
         for key in options
         if key not in known
     )
-    if len(faults) > before:
+    if len(faults) > fault_count:
         return None
     return settings(**values)
 
 
 def unknown_section(section: str, known: list[str]) -> Fault:
-    """Return the fault of a section that nothing reads.
+    """Return the fault for a section with an unknown name.
 
     Parameters
     ----------
     section : str
-        Its name.
+        Name of the section.
     known : list[str]
-        Names that would be read.
+        Names of the sections that exist.
 
     Returns
     -------
@@ -133,15 +135,17 @@
 def _invalid_value(
     section: str, key: str, text: str, declaration: OptionDeclaration
 ) -> Fault:
-    return Fault(section, key, text, "wrong value", f"write {declaration.kind.expects}")
+    return Fault(
+        section, key, text, "invalid value", f"write {declaration.kind.expects}"
+    )
 
 
 def _unknown_option(section: str, key: str, text: str, known: list[str]) -> Fault:
     return Fault(section, key, text, "unknown option", _suggest(key, known))
 
 
-def _suggest(word: str, known: list[str]) -> str:
-    near = difflib.get_close_matches(word, known, n=1)
+def _suggest(name: str, known: list[str]) -> str:
+    near = difflib.get_close_matches(name, known, n=1)
     if near:
         return f"did you mean {near[0]}?"
     return f"remove it, or use one of {', '.join(known)}"
