--- a/src/primrosescale/platform/__init__.py
+++ b/src/primrosescale/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names, formats and calls, and no decisions."""
+"""Adapter to the users' platform: translates its names, formats and calls."""
--- a/src/primrosescale/platform/__main__.py
+++ b/src/primrosescale/platform/__main__.py
@@ -1,7 +1,7 @@
 """Runs an entry router on the users' platform.
 
-Nothing but the handlers of signals is loaded before they are set: a signal
-that comes while the rest is loaded would end a process that has none.
+The signal handlers are installed before anything else is imported: without
+them, a signal that arrives during the imports would end the process.
 """
 
 import signal
--- a/src/primrosescale/platform/engine_calls.py
+++ b/src/primrosescale/platform/engine_calls.py
@@ -1,4 +1,4 @@
-"""Calls to model engines besides callers' requests."""
+"""Reads from model engines which prompt parts their caches hold."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 CACHE_LIST_PATH = "/api/kv-list"
 OK = 200
-# What an odd answer raises while it is taken apart.
+# Exceptions that decoding a malformed answer may raise.
 MALFORMED = (
     KeyError,
     TypeError,
@@ -31,12 +31,13 @@
     OverflowError,
     RecursionError,
 )
-# The call waits behind the engine's own work, some steps of a few ms.
+# The engine answers between its own steps, of which several of a few ms each may
+# come first.
 TIMEOUT_SECONDS = 0.6
 
 
 class EngineCaches(CacheReader):
-    """Asks model engines which parts they hold; see `CacheReader`.
+    """Reads the cache contents of model engines; see `CacheReader`.
 
     Parameters
     ----------
@@ -49,7 +50,7 @@
 
     @inlineCallbacks
     def read(self, target: ServingTarget) -> Generator[Any, Any, HeldParts]:
-        """Ask one engine; see `CacheReader.read`."""
+        """Read the cache contents of one engine; see `CacheReader.read`."""
         caller = HttpCaller(self._reactor, target.endpoint, TIMEOUT_SECONDS)
         try:
             reply = yield caller.call("GET", CACHE_LIST_PATH)
@@ -59,20 +60,23 @@
             raise TargetError(f"status {reply.status}")
         try:
             fields = json.loads(reply.body)
-            # Each entry is [empty, part, tokens held, model].
+            # Each entry is [empty, part, tokens cached, model].
             parts = tuple(
                 PromptPart(str(entry[1]), int(entry[2])) for entry in fields["held"]
             )
             return HeldParts(parts, _engine_start(fields))
         except MALFORMED as error:
-            raise TargetError(f"odd answer: {error}") from error
+            raise TargetError(f"malformed answer: {error}") from error
 
 
 def _engine_start(fields: dict[str, Any]) -> int | None:
-    """Return the engine's start; a truth value or a part of one is none."""
+    """Return when the engine started, in milliseconds; None when it is not given.
+
+    Booleans and fractions are refused.
+    """
     started_at = fields.get("born")
     if started_at is None:
         return None
     if type(started_at) is not int or started_at < 0:
-        raise ValueError(f"start {started_at!r} is no whole number of milliseconds")
+        raise ValueError(f"start {started_at!r} is not a whole number of milliseconds")
     return started_at
--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -1,4 +1,4 @@
-"""Builds an entry router from the platform's settings file."""
+"""Builds an entry router from the settings file that the platform writes."""
 
 from __future__ import annotations
 
@@ -39,67 +39,71 @@
     from primrosescale.request.serving_target import ServingTarget
     from primrosescale.version.routing_table import RoutingTable
 
-# An answer of the store takes 4 ms, and 60 times as long while it is slow.
+# The store answers in 4 ms, and takes up to 60 times as long while it is slow.
 STORE_TIMEOUT_SECONDS = 0.5
-# Keys may be relied on for 5 s after the store was last asked about them. The
-# four routers that ask for all do so every 0.9-1.5 s at times of their own,
-# which leaves 3 s of an outage in which nobody is refused.
+# Keys may be accepted for 5 s after the store was last polled. The four routers
+# that poll it on behalf of all do so every 0.9-1.5 s, independently of each other,
+# so callers are served through the first 3 s of an outage of the store.
 CONFIGURATION_WAIT_SECONDS = 1.5
-# What the routers wait that rely on the questions of others; a change ends the
-# wait at once, and a newer version in others' news is asked for.
+# Wait time of watches of routers that rely on the polls of their peers. A change
+# ends the wait at once, and a router that learns of a newer version from a peer's
+# state update reads it.
 MAX_CONFIGURATION_WAIT_SECONDS = 10.0
-# A watch that works leaves the knowledge at most this old: a question that
-# was answered after its wait, the next one that is still waiting, and a round
-# of news from the router that asked.
+# Answers that something does not exist rely on the store's state, which is at most
+# this old while watches work: a watch that was answered
+# at the end of its wait, the next one that is still waiting, and one round of state
+# updates from the router that polled.
 NOT_FOUND_MAX_AGE_SECONDS = 2 * CONFIGURATION_WAIT_SECONDS + STORE_TIMEOUT_SECONDS + 0.5
-# A leaving target must be known of within 2 s; keep-alive probes find a
-# silent connection sooner than that would.
+# A leaving target must be detected within 2 s. A watch whose connection has gone
+# silent is found by keep-alive probes, sooner than by a shorter wait.
 TARGETS_WAIT_SECONDS = 8.0
 
-# Part of the multiple of the mean that targets are loaded to, since other
-# routers' requests are known a quarter of a second late.
+# Share of the deployment's load multiple up to which targets are loaded: peers'
+# requests become known a quarter of a second late, which needs a margin.
 LOAD_MULTIPLE_SHARE = 0.75
-# Memory that one request may take: a body of 72 KB, the longest of today, four
-# times over in buffers, and as much again in reserve.
+# Memory that one request may take: the longest body expected, 72 KB, four times
+# over in buffers, and as much again in reserve.
 BYTES_PER_REQUEST = 600_000
-# Changes come in bursts: versions 0.1-0.3 s apart in a storm, targets of a
-# release together, all routers at a start. Each rest is a share of the time in
-# which the change must be known: of that in which a version must be in force, and
-# of that in which a target that leaves may still get work; for routers nothing is
-# promised. A rest halves the calls of a storm and delays only what comes in it.
+# Changes come in bursts: versions 0.1-0.3 s apart, all targets of a release, all
+# routers at a start. After a change, a watch waits for a batching delay before its
+# next call. The delay is a share of the time within which the change must take
+# effect: for the configuration, that in which a version must be in force; for
+# targets, that in which a leaving target may still get work. Routers have no such
+# limit. The delay halves the calls during a burst and only delays changes that come
+# within it.
 CONFIGURATION_BATCHING_SHARE = 0.2
 TARGETS_BATCHING_SHARE = 0.3
 ROUTERS_BATCHING_SECONDS = 2.0
-# Routers come and go seldom, and nothing is promised about them.
+# Routers come and go seldom, and no time limit applies to their changes.
 ROUTERS_WAIT_SECONDS = 20.0
-# Domains are evacuated seldom. A waiting question that has gone silent is found by
-# keep-alive probes, and other routers tell of a change besides.
+# Failure domains are evacuated seldom. A watch whose connection has gone silent is
+# found by keep-alive probes, and peers also report evacuations in state updates.
 EVACUATIONS_WAIT_SECONDS = 20.0
 
 
 class PlatformRecords(RecordDecoder):
-    """Translates the platform's records; see `RecordDecoder`.
+    """Decodes the platform's records; see `RecordDecoder`.
 
     Parameters
     ----------
     regions : Collection[str]
-        The regions that there are; empty where they are not known.
+        The regions of the deployment; empty when they are not known.
     """
 
     def __init__(self, regions: Collection[str] = ()) -> None:
         self._regions = frozenset(regions)
-        self._routes = records.RouteCache()
+        self._route_cache = records.RouteCache()
 
     def table(self, stored: StoredObject) -> RoutingTable:
-        """Return a routing table; see `RecordDecoder.table`."""
-        return records.decode_routing_table(stored, self._regions, self._routes)
+        """Decode a routing table; see `RecordDecoder.table`."""
+        return records.decode_routing_table(stored, self._regions, self._route_cache)
 
     def target(self, stored: StoredObject) -> ServingTarget:
-        """Return a target; see `RecordDecoder.target`."""
+        """Decode a target; see `RecordDecoder.target`."""
         return records.decode_target(stored)
 
     def router(self, stored: StoredObject) -> OtherRouter:
-        """Return an entry router; see `RecordDecoder.router`."""
+        """Decode an entry router; see `RecordDecoder.router`."""
         return records.decode_router(stored)
 
 
@@ -117,30 +121,30 @@
     reactor : Any
         Twisted's reactor.
     host : HostSettings
-        Settings of this process.
+        Settings of the host on which this process runs.
     metrics_port : int
-        Port of the metrics; 0 for none.
+        Port on which metrics are served; 0 for none.
     rng : Random
-        Source of chance.
+        Source of randomness.
     early : socket.socket | None
-        A socket that listens for callers already.
+        A socket that already listens for callers; None to open one.
 
     Returns
     -------
     EntryRouter
-        The router, not started.
+        The router, not yet started.
 
     Raises
     ------
     BootFileError
-        When the host is not one that callers reach.
+        When the host has no address for callers or for readiness checks.
     """
     settings = entry_settings(host, metrics_port)
     writer = LogWriter(reactor)
     writer.install()
     log = EventLog(host.name)
     FailureObserver(log).install()
-    parts = EntryParts(
+    dependencies = EntryParts(
         reactor=reactor,
         platform=ObjectPlatform(reactor, host.store, STORE_TIMEOUT_SECONDS),
         codec=PlatformCodec(),
@@ -153,7 +157,7 @@
         caches=EngineCaches(reactor),
         early=early,
     )
-    watches = EntryWatches(
+    prefixes = EntryWatches(
         configuration=WatchedPrefix(
             records.CONFIGURATION,
             CONFIGURATION_WAIT_SECONDS,
@@ -175,31 +179,31 @@
             else WatchedPrefix(records.EVACUATIONS, EVACUATIONS_WAIT_SECONDS)
         ),
     )
-    return EntryRouter(settings, watches, parts)
+    return EntryRouter(settings, prefixes, dependencies)
 
 
 def entry_settings(host: HostSettings, metrics_port: int) -> EntrySettings:
-    """Return the settings of an entry router on a host.
+    """Derive the settings of an entry router from those of its host.
 
     Parameters
     ----------
     host : HostSettings
-        The host.
+        Settings of the host.
     metrics_port : int
-        Port of the metrics; 0 for none.
+        Port on which metrics are served; 0 for none.
 
     Returns
     -------
     EntrySettings
-        Its settings.
+        The router's settings.
 
     Raises
     ------
     BootFileError
-        When the host is not one that callers reach.
+        When the host has no address for callers or for readiness checks.
     """
     if host.callers is None or host.readiness is None:
-        detail = "it names no address for callers; run this on an entry host"
+        detail = "no listen address for callers or readiness; run this on an entry host"
         raise BootFileError(os.environ.get(SETTINGS_FILE_VARIABLE, ""), detail)
     bounds = host.bounds
     metrics = Endpoint(host.address, metrics_port) if metrics_port else None
--- a/src/primrosescale/platform/exceptions.py
+++ b/src/primrosescale/platform/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the adapter to the users' platform."""
+"""Exceptions of the adapter to the users' platform."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 
 class AdapterError(PrimrosescaleError):
-    """Base of the errors of this package."""
+    """Base class of the exceptions of this package."""
 
 
 class RecordError(UnreadableRecordError, AdapterError):
-    """A record of the platform cannot be read; see `UnreadableRecordError`."""
+    """A record of the platform's store is invalid; see `UnreadableRecordError`."""
 
 
 class BootFileError(AdapterError):
-    """The settings file that the platform wrote cannot be used."""
+    """The settings file that the platform writes is missing or invalid."""
 
     def __init__(self, path: str, detail: str) -> None:
         super().__init__(
-            f"settings file {path or '(none named)'}: {detail}",
+            f"settings file {path or '(none given)'}: {detail}",
             "compare it with docs/platform-settings.md",
         )
--- a/src/primrosescale/platform/field_reader.py
+++ b/src/primrosescale/platform/field_reader.py
@@ -78,7 +78,7 @@
         used.
     """
 
-    __slots__ = ("_fields", "_context", "_within")
+    __slots__ = ("_context", "_fields", "_within")
 
     def __init__(
         self,
--- a/src/primrosescale/platform/host_settings.py
+++ b/src/primrosescale/platform/host_settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes for a process."""
+"""Reads the settings file that the platform writes for a process."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 SETTINGS_FILE_VARIABLE = "PRIMROSESCALE_BOOT"
 SECONDS_PER_MILLISECOND = 0.001
 
-# Used where a deployment leaves a bound out; the users' deployments of today
-# name all of them, with these values.
+# Used for bounds that a deployment leaves out. The users' deployments state all of
+# them, with these values.
 DEFAULT_BOUNDS: dict[str, float] = {
     "drain_ms": 2000,
     "config_apply_ms": 2000,
@@ -32,34 +32,34 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Bounds:
-    """Promises that the deployment asks for.
+    """Limits that the deployment requires routers to keep.
 
     Parameters
     ----------
     drain : float
-        Seconds after which a leaving target must get no new work.
+        Seconds after which a leaving target must get no new requests.
     apply : float
         Seconds after which a version must be in force on all routers.
     stop : float
         Seconds between SIGTERM and SIGKILL.
     revoke : float
-        Seconds after which a withdrawn key must not be accepted.
+        Seconds after which a revoked key must not be accepted.
     retry_ratio : float
-        Repeats allowed per request of a service, over all routers.
+        Retries allowed per request of a service, over all routers.
     retry_window : float
-        Seconds over which repeats are counted.
+        Seconds over which retries are counted.
     retry_extra : float
-        Repeats allowed in a window besides.
+        Retries allowed in a window in addition to that ratio.
     load_multiple : float
-        Load allowed on a target, as a multiple of its service's mean.
+        Load allowed on a target, as a multiple of its service's mean load.
     evacuation : float | None
         Seconds after which an evacuated failure domain must get no requests; None
-        for a deployment that evacuates none.
+        for a deployment that does not evacuate failure domains.
     cold_over : float
-        Requests a second that a cold target may get, as a multiple of the rate
-        that its service names.
+        Requests a second that a cold target may get, as a multiple of its
+        service's rate for cold targets.
     cold_slack : float
-        Requests a second that it may get besides.
+        Requests a second that a cold target may get in addition.
     """
 
     drain: float
@@ -77,32 +77,32 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HostSettings:
-    """Who the process is, where it listens and what is asked of it.
+    """Identity, addresses and limits of the process on its host.
 
     Parameters
     ----------
     name : str
         Name of the host, unique in the deployment.
     address : str
-        IP number of the host.
+        IP address of the host.
     domain : str
         Failure domain of the host.
     regions : dict[str, str]
         The region of each failure domain.
     callers : Endpoint | None
-        Where callers connect.
+        Endpoint on which callers connect; None on hosts without callers.
     readiness : Endpoint | None
-        Where the balancer asks whether to send callers.
+        Endpoint on which the load balancer checks readiness; None as above.
     first_internal_port : int
-        First of the ports for links between routers.
+        First of the ports for connections between routers.
     store : Endpoint
-        The platform's object store.
+        Endpoint of the platform's object store.
     is_first_start : bool
-        Whether the whole system starts for the first time.
+        Whether the whole deployment starts for the first time.
     memory_limit : int
-        Bytes of memory after which the process is killed.
+        Memory limit of the process in bytes; above it, the process is killed.
     bounds : Bounds
-        Promises that the deployment asks for.
+        Limits that the deployment requires.
     """
 
     name: str
@@ -119,12 +119,12 @@
 
 
 def own_host_settings() -> HostSettings:
-    """Return the settings of this process.
+    """Read the settings file that the environment of this process names.
 
     Returns
     -------
     HostSettings
-        What the platform wrote last.
+        The settings as the platform wrote them last.
 
     Raises
     ------
@@ -135,22 +135,22 @@
 
 
 def read_host_settings(path: str) -> HostSettings:
-    """Read and check the settings file.
+    """Read and validate a settings file.
 
     Parameters
     ----------
     path : str
-        Where it is.
+        Path of the file.
 
     Returns
     -------
     HostSettings
-        Checked settings.
+        The validated settings.
 
     Raises
     ------
     BootFileError
-        When it is missing or a field is missing or odd.
+        When the file cannot be read, or a field is missing or invalid.
     """
     try:
         fields = json.loads(Path(path).read_bytes())
@@ -161,16 +161,16 @@
     except KeyError as error:
         raise BootFileError(path, f"field {error} is missing") from error
     except (TypeError, ValueError, AttributeError, IndexError) as error:
-        raise BootFileError(path, f"a field is odd: {error}") from error
+        raise BootFileError(path, f"invalid field: {error}") from error
 
 
 def parse_endpoint(text: str) -> Endpoint:
-    """Return the endpoint that ``address:port`` names.
+    """Parse an endpoint written as ``address:port``.
 
     Parameters
     ----------
     text : str
-        IP number and port.
+        IP address and port.
 
     Returns
     -------
@@ -180,7 +180,7 @@
     Raises
     ------
     ValueError
-        When the text is something else.
+        When the text has another form.
     """
     address, _, port = text.rpartition(":")
     number = int(port)
@@ -209,24 +209,24 @@
 
 
 def _bounds(given: dict[str, Any]) -> Bounds:
-    def of(name: str) -> float:
+    def number(name: str) -> float:
         return float(given.get(name, DEFAULT_BOUNDS[name]))
 
     def seconds(name: str) -> float | None:
         return float(given[name]) * SECONDS_PER_MILLISECOND if name in given else None
 
     return Bounds(
-        drain=of("drain_ms") * SECONDS_PER_MILLISECOND,
-        apply=of("config_apply_ms") * SECONDS_PER_MILLISECOND,
-        stop=of("grace_s"),
-        revoke=of("revoke_ms") * SECONDS_PER_MILLISECOND,
-        retry_ratio=of("retry_budget_ratio"),
-        retry_window=of("budget_window_s"),
-        retry_extra=of("budget_extra"),
-        load_multiple=of("cap_x"),
+        drain=number("drain_ms") * SECONDS_PER_MILLISECOND,
+        apply=number("config_apply_ms") * SECONDS_PER_MILLISECOND,
+        stop=number("grace_s"),
+        revoke=number("revoke_ms") * SECONDS_PER_MILLISECOND,
+        retry_ratio=number("retry_budget_ratio"),
+        retry_window=number("budget_window_s"),
+        retry_extra=number("budget_extra"),
+        load_multiple=number("cap_x"),
         evacuation=seconds("evac_ms"),
-        cold_over=of("cold_over"),
-        cold_slack=of("cold_slack"),
+        cold_over=number("cold_over"),
+        cold_slack=number("cold_slack"),
     )
 
 
