--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -50,9 +50,9 @@
 # state update reads it.
 MAX_CONFIGURATION_WAIT_SECONDS = 10.0
 # Answers that something does not exist rely on the store's state, which is at most
-# this old while watches work: a watch that was answered
-# at the end of its wait, the next one that is still waiting, and one round of state
-# updates from the router that polled.
+# this old while watches work: a watch that was answered at the end of its wait, the
+# next one that is still waiting, and one round of state updates from the router that
+# polled.
 NOT_FOUND_MAX_AGE_SECONDS = 2 * CONFIGURATION_WAIT_SECONDS + STORE_TIMEOUT_SECONDS + 0.5
 # A leaving target must be detected within 2 s. A watch whose connection has gone
 # silent is found by keep-alive probes, sooner than by a shorter wait.
--- a/src/primrosescale/platform/field_reader.py
+++ b/src/primrosescale/platform/field_reader.py
@@ -1,9 +1,8 @@
-"""Strict types for the fields of records in the platform's store.
+"""Strictly typed access to the fields of records in the platform's store.
 
-The pattern it answers: an entry that another writer made. A value of another
-type is never taken for the one it resembles, since what is guessed of a foreign
-entry sends requests to where they don't belong. Fields that are not asked for
-are passed over.
+Anyone may have written a record. A value of an unexpected type is never coerced,
+since a wrong guess would send requests to targets that must not get them. Fields
+that are not read are ignored.
 """
 
 from __future__ import annotations
@@ -27,30 +26,30 @@
 if TYPE_CHECKING:
     from primrosescale.process.transport.platform import StoredObject
 
-# Characters of a name; the longest name of a host (RFC 1035) is taken for all.
+# Characters of a name: those of the longest host name (RFC 1035).
 MAX_NAME_LENGTH = 253
-# Whole numbers up to this are the same for every reader of JSON (RFC 8259).
+# Largest integer that every JSON implementation represents exactly (RFC 8259).
 MAX_SAFE_INTEGER = 2**53 - 1
-# What a target's name may consist of: it is sent in a header and logged.
+# Names are sent in headers and logged, so they consist of visible ASCII characters.
 NAME = re.compile(r"[!-~]+")
 PORT = re.compile(r"[0-9]{1,5}")
-# Of a value that is told in a refusal.
+# Characters of a value that are quoted in the reason of a refusal.
 MAX_QUOTED_CHARACTERS = 64
 
 _ABSENT = object()
 
 
 class RecordContext(NamedTuple):
-    """What holds for a whole record while its fields are read.
+    """The record that is being read, shared by the readers of all its objects.
 
     Parameters
     ----------
     record : str
         Key of the record.
     remedy : str
-        What its reader can do when it is refused.
+        What the operator can do when the record is refused.
     null_is_absent : bool
-        Whether null stands for a field that is left out.
+        Whether a field that is null counts as absent.
     """
 
     record: str
@@ -59,23 +58,24 @@
 
 
 class FieldReader:
-    """Reads the fields of one object of a record.
+    """Reads and validates the fields of one object in a record.
 
     Parameters
     ----------
     context : RecordContext
-        What holds for the whole record.
+        The record that contains the object.
     fields : Any
-        What stands there.
+        The decoded JSON value; refused unless it is an object.
     location : tuple[FieldReader, str, int | None] | None
-        Where in the record the object stands: in which object, in which field,
-        and which in the list there; None for the record itself.
+        Where the object is in the record: the reader of the object that contains
+        it, the field there, and its index when that field is a list; None for the
+        record itself.
 
     Raises
     ------
     RecordError
-        When it is no object; each method raises it for a field that cannot be
-        used.
+        When the value is not an object; each method raises it for a field that is
+        missing or invalid.
     """
 
     __slots__ = ("_context", "_fields", "_within")
@@ -89,7 +89,7 @@
         self._context = context
         self._within = location
         if type(fields) is not dict:
-            self.refuse("", f"{_type_name(fields)}, no object")
+            self.refuse("", f"{_type_name(fields)}, not an object")
         self._fields: dict[str, Any] = fields
 
     @classmethod
@@ -100,47 +100,47 @@
         *,
         null_is_absent: bool = False,
     ) -> FieldReader:
-        """Return the reader of a record.
+        """Return a reader for a record.
 
         Parameters
         ----------
         stored : StoredObject
             The record.
         remedy : str
-            What its reader can do when it is refused.
+            What the operator can do when the record is refused.
         null_is_absent : bool
-            Whether null stands for a field that is left out.
+            Whether a field that is null counts as absent.
 
         Returns
         -------
         FieldReader
-            The reader.
+            The reader of the record's outermost object.
 
         Raises
         ------
         RecordError
-            When its bytes are no JSON object.
+            When the record's content is not a JSON object.
         """
         try:
             fields = stored.fields
             if fields is None:
                 fields = read_json(stored.value)
         except UnicodeDecodeError as error:
-            raise RecordError(stored.key, "", "no UTF-8", remedy) from error
+            raise RecordError(stored.key, "", "not UTF-8", remedy) from error
         except ValueError as error:
-            reason = f"no JSON: {error}"[:MAX_QUOTED_CHARACTERS]
+            reason = f"not JSON: {error}"[:MAX_QUOTED_CHARACTERS]
             raise RecordError(stored.key, "", reason, remedy) from error
         except RecursionError as error:
-            raise RecordError(stored.key, "", "nested too deep", remedy) from error
+            raise RecordError(stored.key, "", "nested too deeply", remedy) from error
         return cls(RecordContext(stored.key, remedy, null_is_absent), fields)
 
     def digest(self) -> bytes | None:
-        """Return what tells the object's content from any other.
+        """Return a hash of the object's content, which identifies it.
 
         Returns
         -------
         bytes | None
-            128 bits; None for a content that only the slow parser reads.
+            128 bits; None for content that only the slower JSON parser accepts.
         """
         try:
             return xxh3_128_digest(orjson.dumps(self._fields))
@@ -148,14 +148,14 @@
             return None
 
     def refuse(self, field: str, reason: str) -> NoReturn:
-        """Refuse the record for a field.
+        """Refuse the record because of a field.
 
         Parameters
         ----------
         field : str
             The field.
         reason : str
-            What is wrong with it.
+            Why the field is invalid.
 
         Raises
         ------
@@ -166,7 +166,7 @@
         raise RecordError(context.record, self.path(field), reason, context.remedy)
 
     def path(self, field: str) -> str:
-        """Return where in the record a field stands.
+        """Return the path of a field in the record.
 
         Parameters
         ----------
@@ -176,7 +176,7 @@
         Returns
         -------
         str
-            Names from the outermost one on.
+            Field names from the outermost on, such as ``a[0].b``.
         """
         if self._within is None:
             return field
@@ -185,7 +185,7 @@
         return f"{path}.{field}" if field else path
 
     def has(self, field: str) -> bool:
-        """Tell whether a field is there.
+        """Return whether a field is present.
 
         Parameters
         ----------
@@ -195,27 +195,27 @@
         Returns
         -------
         bool
-            False also for null where that stands for a field left out.
+            False also for null when null counts as absent.
         """
         return self._value(field) is not _ABSENT
 
     def text(self, field: str, max_length: int = MAX_NAME_LENGTH) -> str:
-        """Return a text that must be there.
+        """Return a required text.
 
         Parameters
         ----------
         field : str
             The field.
         max_length : int
-            Characters it may have.
+            Maximum number of characters.
 
         Returns
         -------
         str
-            Printable characters, at least one.
+            At least one character, all printable.
         """
         given = self._fields.get(field)
-        # Most fields are good, and a large table has ten thousands of them.
+        # Fast path: most fields are valid, and a large table has tens of thousands.
         if type(given) is str and 0 < len(given) <= max_length and given.isprintable():
             return given
         if not self._text(field, self._required(field), max_length):
@@ -225,39 +225,39 @@
     def text_or(
         self, field: str, default: str, max_length: int = MAX_NAME_LENGTH
     ) -> str:
-        """Return a text that may be left out.
+        """Return an optional text.
 
         Parameters
         ----------
         field : str
             The field.
         default : str
-            What is returned for a field left out.
+            Value returned when the field is absent.
         max_length : int
-            Characters it may have.
+            Maximum number of characters.
 
         Returns
         -------
         str
-            Printable characters, or none.
+            Printable characters; may be empty.
         """
         value = self._value(field)
         return default if value is _ABSENT else self._text(field, value, max_length)
 
     def texts(self, field: str, max_length: int) -> list[str]:
-        """Return a list of texts that may be left out.
+        """Return an optional list of texts.
 
         Parameters
         ----------
         field : str
             The field.
         max_length : int
-            Characters that each may have.
+            Maximum number of characters of each.
 
         Returns
         -------
         list[str]
-            Texts with at least one character.
+            Texts of at least one printable character; empty when absent.
         """
         found = self._list(field)
         for item in found:
@@ -268,19 +268,19 @@
         return found
 
     def integer(self, field: str, maximum: int = MAX_SAFE_INTEGER) -> int:
-        """Return a whole number that must be there.
+        """Return a required integer.
 
         Parameters
         ----------
         field : str
             The field.
         maximum : int
-            The highest that it may be.
+            Highest value allowed.
 
         Returns
         -------
         int
-            The number, not negative.
+            The integer, not negative.
         """
         given = self._fields.get(field)
         if type(given) is int and 0 <= given <= maximum:
@@ -290,34 +290,34 @@
     def integer_or(
         self, field: str, default: int, maximum: int = MAX_SAFE_INTEGER
     ) -> int:
-        """Return a whole number that may be left out.
+        """Return an optional integer.
 
         Parameters
         ----------
         field : str
             The field.
         default : int
-            What is returned for a field left out.
+            Value returned when the field is absent.
         maximum : int
-            The highest that it may be.
+            Highest value allowed.
 
         Returns
         -------
         int
-            The number, not negative.
+            The integer, not negative.
         """
         value = self._value(field)
         return default if value is _ABSENT else self._integer(field, value, maximum)
 
     def number(self, field: str, maximum: float) -> float:
-        """Return a number that must be there.
+        """Return a required number.
 
         Parameters
         ----------
         field : str
             The field.
         maximum : float
-            The highest that it may be.
+            Highest value allowed.
 
         Returns
         -------
@@ -327,16 +327,16 @@
         return self._number(field, self._required(field), maximum)
 
     def number_or(self, field: str, default: float, maximum: float) -> float:
-        """Return a number that may be left out.
+        """Return an optional number.
 
         Parameters
         ----------
         field : str
             The field.
         default : float
-            What is returned for a field left out.
+            Value returned when the field is absent.
         maximum : float
-            The highest that it may be.
+            Highest value allowed.
 
         Returns
         -------
@@ -347,14 +347,14 @@
         return default if value is _ABSENT else self._number(field, value, maximum)
 
     def flag_or(self, field: str, *, default: bool) -> bool:
-        """Return a truth value that may be left out.
+        """Return an optional boolean.
 
         Parameters
         ----------
         field : str
             The field.
         default : bool
-            What is returned for a field left out.
+            Value returned when the field is absent.
 
         Returns
         -------
@@ -365,11 +365,11 @@
         if value is _ABSENT:
             return default
         if not isinstance(value, bool):
-            self.refuse(field, f"{_type_name(value)}, no truth value")
+            self.refuse(field, f"{_type_name(value)}, not a boolean")
         return value
 
     def endpoint(self, field: str) -> Endpoint:
-        """Return the endpoint that a text ``address:port`` names.
+        """Return a required endpoint, written as ``address:port``.
 
         Parameters
         ----------
@@ -384,12 +384,12 @@
         text = self.text(field)
         address, _, port = text.rpartition(":")
         if not PORT.fullmatch(port) or not 0 < int(port) <= HIGHEST_PORT:
-            self.refuse(field, f"{_quoted(text)} names no port")
+            self.refuse(field, f"{_quoted(text)} has no valid port")
         self._check_address(field, address)
         return Endpoint(address, int(port))
 
     def address(self, field: str) -> str:
-        """Return an IPv4 address that can be connected to.
+        """Return a required IPv4 address that can be connected to.
 
         Parameters
         ----------
@@ -406,7 +406,7 @@
         return text
 
     def port(self, field: str) -> int:
-        """Return a port.
+        """Return a required port.
 
         Parameters
         ----------
@@ -416,15 +416,15 @@
         Returns
         -------
         int
-            Its number.
+            The port number, at least 1.
         """
         number = self.integer(field, HIGHEST_PORT)
         if not number:
-            self.refuse(field, "0 is no port")
+            self.refuse(field, "0 is not a port")
         return number
 
     def child(self, field: str) -> FieldReader:
-        """Return the reader of an object that may be left out.
+        """Return a reader for an optional object.
 
         Parameters
         ----------
@@ -434,14 +434,14 @@
         Returns
         -------
         FieldReader
-            Its reader; without fields when it is left out.
+            The reader; without fields when the object is absent.
         """
         value = self._value(field)
         fields = {} if value is _ABSENT else value
         return FieldReader(self._context, fields, (self, field, None))
 
     def children(self, field: str) -> list[FieldReader]:
-        """Return readers of the objects of a list that may be left out.
+        """Return readers for the objects of an optional list.
 
         Parameters
         ----------
@@ -451,7 +451,7 @@
         Returns
         -------
         list[FieldReader]
-            Their readers.
+            One reader for each object; empty when the list is absent.
         """
         return [
             FieldReader(self._context, item, (self, field, number))
@@ -459,7 +459,7 @@
         ]
 
     def require(self, field: str) -> None:
-        """Refuse the record when a field is left out or null.
+        """Refuse the record when a field is absent.
 
         Parameters
         ----------
@@ -494,28 +494,28 @@
         if value is _ABSENT:
             return []
         if not isinstance(value, list):
-            self.refuse(field, f"{_type_name(value)}, no list")
+            self.refuse(field, f"{_type_name(value)}, not a list")
         return value
 
     def _text(self, field: str, value: Any, max_length: int) -> str:
-        # Refusals tell no value: it may be a key.
+        # The reason must not quote the value: it may be an API key.
         if not isinstance(value, str):
-            self.refuse(field, f"{_type_name(value)}, no text")
+            self.refuse(field, f"{_type_name(value)}, not a text")
         if len(value) > max_length:
             self.refuse(field, f"{len(value)} characters, more than {max_length}")
         if not value.isprintable():
-            self.refuse(field, "characters that cannot be printed")
+            self.refuse(field, "contains unprintable characters")
         return value
 
     def _integer(self, field: str, value: Any, maximum: int) -> int:
         number = self._number(field, value, maximum)
-        # JSON has one kind of number: 64.0 is the whole number 64.
+        # JSON has one number type: 64.0 is the integer 64.
         if number != int(number):
-            self.refuse(field, "no whole number")
+            self.refuse(field, "not a whole number")
         return int(value)
 
     def _number(self, field: str, value: Any, maximum: float) -> float:
-        # A truth value is an int to Python, and NaN is in no range.
+        # In Python a bool is an int, and NaN fails every comparison of a range.
         if isinstance(value, bool) or not isinstance(value, (int, float)):
             self.refuse(field, f"{_type_name(value)}, no number")
         if not 0 <= value <= maximum:
@@ -526,20 +526,22 @@
         try:
             address = IPv4Address(text)
         except AddressValueError:
-            self.refuse(field, f"{_quoted(text)} is no IPv4 address")
+            self.refuse(field, f"{_quoted(text)} is not an IPv4 address")
         if address.packed[0] == 0 or address.is_multicast or address.is_reserved:
             self.refuse(field, f"{_quoted(text)} cannot be connected to")
 
 
 def record_name(stored: StoredObject, remedy: str) -> str:
-    """Return the name in a record's key, which is sent in headers and logged.
+    """Return and validate the name in a record's key.
+
+    Names are sent in headers and logged.
 
     Parameters
     ----------
     stored : StoredObject
         The record.
     remedy : str
-        What its reader can do when it is refused.
+        What the operator can do when the record is refused.
 
     Returns
     -------
@@ -549,24 +551,24 @@
     Raises
     ------
     RecordError
-        When it is empty, too long, or has other characters.
+        When the name is empty, too long, or has other characters.
     """
     name = stored.name
     if len(name) > MAX_NAME_LENGTH:
         reason = f"{len(name)} characters, more than {MAX_NAME_LENGTH}"
         raise RecordError(stored.key, "name", reason, remedy)
     if not NAME.fullmatch(name):
-        reason = "other than visible ASCII characters" if name else "missing"
+        reason = "contains characters other than visible ASCII" if name else "missing"
         raise RecordError(stored.key, "name", reason, remedy)
     return name
 
 
 def _type_name(value: Any) -> str:
-    """Return the name of a value's type in JSON."""
+    """Return the name of a value's JSON type, with its article."""
     if value is None:
         return "null"
     return {
-        bool: "a truth value",
+        bool: "a boolean",
         int: "a number",
         float: "a number",
         str: "a text",
--- a/src/primrosescale/platform/http_codec.py
+++ b/src/primrosescale/platform/http_codec.py
@@ -1,4 +1,4 @@
-"""Headers of the platform's callers and targets."""
+"""Translates the headers of the platform's callers and targets."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
     from primrosescale.request.direct_port import Sending
 
 REQUEST_ID = b"Primrosescale-Request-Id"
-# How many milliseconds the sender of the request will wait.
+# Milliseconds for which the sender of the request will wait.
 TIME_LEFT = b"Primrosescale-Request-Deadline"
 PROMPT_PARTS = b"Primrosescale-Prompt-Prefix"
-# Tokens of the prompt, and the most that the answer may have.
+# Number of tokens of the prompt, and maximum number of tokens of the answer.
 TOKENS = b"Primrosescale-Token-Usage"
 MODEL = b"Primrosescale-Model"
 RECEIPT = b"Primrosescale-Response-Signature"
@@ -41,12 +41,13 @@
 AUTHORIZATION = b"Authorization"
 BEARER_PREFIX = "bearer "
 RETRY_AFTER = b"Retry-After"
-# A header of the field, not of the platform: each hop replaces it.
+# Not a header of the platform but of W3C Trace Context: each hop replaces it.
 TRACE_CONTEXT = b"traceparent"
 
 MISDIRECTED_REQUEST = 421
 
-# Headers of one connection, and what a Connection header names besides.
+# Hop-by-hop headers, and others that apply to one connection only. The headers that
+# a Connection header names are dropped as well.
 CONNECTION_HEADERS = frozenset(
     {
         b"connection",
@@ -60,7 +61,7 @@
         b"expect",
     },
 )
-# Headers that only the router may set on the way to a target.
+# Headers of requests to targets that only the router may set.
 ROUTER_ONLY_HEADERS = frozenset(
     name.lower()
     for name in (
@@ -85,7 +86,7 @@
     """Translates the platform's headers; see `EntryCodec`."""
 
     def caller_head(self, method: bytes, path: bytes, headers: Headers) -> CallerHead:
-        """Return what a caller's head says; see `EntryCodec.caller_head`."""
+        """Decode the head of a caller's request; see `EntryCodec.caller_head`."""
         time_left = _non_negative_number(_first(headers, TIME_LEFT))
         last = _first(headers, LAST_EVENT)
         return CallerHead(
@@ -104,7 +105,7 @@
         )
 
     def target_headers(self, sending: Sending) -> Headers:
-        """Return headers for a target; see `EntryCodec.target_headers`."""
+        """Build headers of a request to a target; see `EntryCodec.target_headers`."""
         request = sending.request
         headers = Headers()
         for name, value in request.headers:
@@ -131,7 +132,7 @@
         headers: Headers,
         length: int | None,
     ) -> AnswerHead:
-        """Return what a target's head says; see `EntryCodec.answer_head`."""
+        """Decode the head of a target's answer; see `EntryCodec.answer_head`."""
         cold_left = _non_negative_number(_first(headers, COLD_REMAINING))
         retry_after_values = _all(headers, RETRY_AFTER)
         return AnswerHead(
@@ -160,7 +161,7 @@
         request_id: str,
         retry_after: float | None,
     ) -> list[tuple[bytes, bytes]]:
-        """Return headers of a refusal; see `EntryCodec.refusal_headers`."""
+        """Build the headers of a refusal; see `EntryCodec.refusal_headers`."""
         headers = [(b"Content-Type", b"application/problem+json")]
         if request_id:
             headers.append((REQUEST_ID, request_id.encode("latin-1")))
@@ -193,11 +194,11 @@
 
 
 def _forwarded_headers(headers: Headers) -> tuple[tuple[bytes, bytes], ...]:
-    """Return the caller's headers without those that end at the router."""
+    """Return the caller's headers without those that targets must not get."""
     dropped = set(CONNECTION_HEADERS | ROUTER_ONLY_HEADERS)
     for value in headers.getRawHeaders(b"Connection") or []:
         dropped.update(token.strip().lower() for token in value.split(b","))
-    # A caller must not strip by a Connection header what targets rely on.
+    # A caller's Connection header must not remove headers on which targets rely.
     dropped -= {REQUEST_ID.lower(), PROMPT_PARTS.lower(), TOKENS.lower(), MODEL.lower()}
     return tuple(
         (name, value)
@@ -208,7 +209,7 @@
 
 
 def _prompt(headers: Headers) -> Prompt | None:
-    """Return the prompt that the headers describe; None for an odd one."""
+    """Return the prompt that the headers describe; None when they are invalid."""
     text = _first(headers, PROMPT_PARTS)
     usage = _first(headers, TOKENS)
     if not text or not usage:
@@ -218,10 +219,12 @@
         for item in text.split(","):
             name, _, tokens = item.strip().partition(":")
             parts.append(PromptPart(name, int(tokens)))
-        given, _, most = usage.partition(",")
-        return Prompt(tuple(parts), int(given), int(most), _first(headers, MODEL))
+        prompt_tokens, _, max_tokens = usage.partition(",")
+        return Prompt(
+            tuple(parts), int(prompt_tokens), int(max_tokens), _first(headers, MODEL)
+        )
     except ValueError:
-        # The target judges the prompt; the router only loses its hint.
+        # The target validates the prompt; the router only lacks a hint for its choice.
         return None
 
 
--- a/src/primrosescale/platform/json_reader.py
+++ b/src/primrosescale/platform/json_reader.py
@@ -1,4 +1,4 @@
-"""Reads JSON that anybody may have written."""
+"""Parses untrusted JSON."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
 
 
 def _reject_constant(text: str) -> NoReturn:
-    raise ValueError(f"{text} is no number of JSON")
+    raise ValueError(f"{text} is not a JSON number")
 
 
 _DECODER = json.JSONDecoder(parse_constant=_reject_constant)
 
 
 def read_json(data: bytes) -> Any:
-    """Return what a JSON text says.
+    """Parse a JSON text.
 
     Parameters
     ----------
     data : bytes
-        The text.
+        The JSON text in UTF-8.
 
     Returns
     -------
     Any
-        Its value.
+        The value.
 
     Raises
     ------
     ValueError
-        When it is none, or no UTF-8.
+        When the text is not JSON or not UTF-8.
     RecursionError
-        When it is nested too deep.
+        When the text is nested too deeply.
     """
     try:
         return orjson.loads(data)
     except ValueError:
-        # For what it reads besides, such as halves of characters, and its reasons.
+        # The standard parser also accepts lone surrogates and gives better reasons.
         return _DECODER.decode(data.decode())
--- a/src/primrosescale/platform/object_platform.py
+++ b/src/primrosescale/platform/object_platform.py
@@ -1,4 +1,4 @@
-"""The users' object store, behind the product's `Platform`."""
+"""Client of the users' object store that implements `Platform`."""
 
 from __future__ import annotations
 
@@ -45,14 +45,15 @@
 TOO_LARGE = 413
 BASE = "/api/objects/"
 JSON_TYPE = Headers({"Content-Type": ["application/json"]})
-# Pages of a list that are read at the most; 500 objects come on one.
+# Maximum number of pages of a list that are read; a page has 500 objects.
 MAX_PAGES = 1000
 
 
 class ObjectPlatform(CalledPlatform):
-    """The users' object store.
+    """Reads, writes and watches objects in the users' object store.
 
-    Keys are ``kind/name``. Values are JSON texts; other bytes are wrapped.
+    Keys are ``kind/name``. Values are JSON texts; other bytes are stored as base64
+    within a JSON object.
     """
 
     @inlineCallbacks
@@ -137,7 +138,7 @@
 
     @inlineCallbacks
     def announce(self, entry: HostEntry) -> Generator[Any, Any, None]:
-        """Put a router on the list; see `Platform.announce`."""
+        """Add, update or remove a router on the list; see `Platform.announce`."""
         key = ROUTERS + entry.name
         if entry.gone:
             yield self.delete(key)
@@ -156,7 +157,7 @@
         after: str,
         limit: int | None,
     ) -> Generator[Any, Any, tuple[tuple[StoredObject, ...], int]]:
-        """Read a list page by page; its revision is that of the first page."""
+        """Read a list page by page; return objects and the first page's revision."""
         kind = _kind(prefix)
         found: list[StoredObject] = []
         revision: int | None = None
@@ -189,19 +190,20 @@
 
 
 def _query(**members: Any) -> str:
-    # A name may hold half of a character.
+    # A name may contain a lone surrogate.
     return urlencode(members, errors="surrogatepass")
 
 
 def _last_name(after: str, page: list[StoredObject]) -> str:
     """Return the name after which the next page begins.
 
-    An object whose name cannot be read is read again on the next page. Where
-    none can, the list cannot be read to its end, and half a list is none.
+    Objects after the last readable name are read again with the next page. When a
+    page has no new name, the rest of the list cannot be read, and the whole read
+    fails, as an incomplete list must not be used.
     """
     names = [name for name in (_name(item.key) for item in page) if name]
     if not names or names[-1] == after:
-        raise PlatformUnavailableError("odd answer: a page whose end has no name")
+        raise PlatformUnavailableError("malformed answer: a page without a new name")
     return names[-1]
 
 
@@ -232,7 +234,9 @@
         if fields is not None:
             return HostEntry(**fields)
     except (ValueError, TypeError, RecursionError) as error:
-        raise PlatformUnavailableError(f"odd entry {item.key}: {error}") from error
+        raise PlatformUnavailableError(
+            f"malformed entry {item.key}: {error}"
+        ) from error
     name = _name(item.key)
     return HostEntry(
         name,
--- a/src/primrosescale/platform/program.py
+++ b/src/primrosescale/platform/program.py
@@ -1,7 +1,7 @@
-"""The program of an entry router on the users' platform.
+"""Starts an entry router on the users' platform and runs it until SIGTERM.
 
-Nothing is imported that the router does not use: memory and the time to start
-are paid for on every host.
+Only modules that the router uses are imported, since each one adds memory and
+start-up time on every host.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 if TYPE_CHECKING:
     from primrosescale.platform.host_settings import HostSettings
 
-# Objects that a start leaves behind are never looked at again; collecting
-# young ones seldom keeps pauses under a millisecond.
+# Objects that exist after the start are frozen and never collected. Collecting the
+# young generation seldom keeps pauses under a millisecond.
 GC_THRESHOLD_OBJECTS = 20_000
 
 
@@ -33,16 +33,16 @@
     Parameters
     ----------
     pending : list[int]
-        Signals that came before it could run; may still grow.
+        Signals received before the router runs; more may be appended.
 
     Returns
     -------
     int
-        Exit status: 0 after a planned stop, 78 for settings that cannot be
-        used, 1 when a port is taken.
+        Exit status: 0 after a planned stop, 78 for settings that cannot be used,
+        1 when a port is in use.
     """
-    # Nothing that is loaded becomes garbage; looking for it takes a tenth of
-    # the time to start.
+    # Imports create no garbage, and collections would take a tenth of the start-up
+    # time.
     gc.disable()
     try:
         return _start_router(own_host_settings(), pending)
@@ -52,20 +52,23 @@
 
 
 def _start_router(host: HostSettings, pending: list[int]) -> int:
-    """Let callers connect, then load the rest, which takes 0.4 s, and run it.
+    """Open the callers' port, import the rest, which takes 0.4 s, and run it.
 
-    `pending` holds the signals that came before it could run.
+    `pending` contains the signals received before the router runs.
     """
     try:
         early = None if host.callers is None else open_listener(host.callers)
     except OSError as error:
         sys.stderr.write(f"primrosescale: cannot start: {error}\n")
         return 1
-    from absl import flags  # noqa: PLC0415 - only once callers can connect
+    from absl import flags  # noqa: PLC0415 - only after callers can connect
 
     values = flags.FlagValues()  # type: ignore[no-untyped-call]
     flags.DEFINE_integer(
-        "metrics_port", 0, "port of the metrics; 0 for none", flag_values=values
+        "metrics_port",
+        0,
+        "port on which metrics are served; 0 for none",
+        flag_values=values,
     )
     try:
         values(sys.argv)
--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -1,4 +1,4 @@
-"""Records that the operator and the targets keep in the platform's store."""
+"""Decodes records of the platform's store: configuration, targets and routers."""
 
 from __future__ import annotations
 
@@ -34,43 +34,43 @@
     "unsafe": Repeatability.ONCE,
     "streaming": Repeatability.STREAM,
 }
-# Limits for a version that names none; those of the users' deployments.
+# Limits used when a version states none; those of the users' deployments.
 DEFAULT_LIMITS: dict[str, float] = {
     "max_header_bytes": 16384,
     "max_body_bytes": 4194304,
     "header_timeout_ms": 3000,
     "idle_timeout_ms": 15000,
 }
-# States of a target that the platform names; whether it is leaving.
+# States of a target on the platform, and whether a target in it is leaving.
 IS_DRAINING_BY_STATE = {"ready": False, "draining": True}
-# Requests that one target runs at once: each takes a connection, and there are
-# no more ports than these on the caller's side.
+# Requests that a target runs at once. Each takes a connection, and the router's side
+# has no more ports than these.
 MAX_SLOTS = 65535
-# Milliseconds; nothing that is waited for takes a day.
+# One day; no wait is that long.
 MAX_DURATION_MILLISECONDS = 86_400_000
-# Bytes that a caller may send: those of the longest object of the store, a
-# thousand times over.
+# Bytes that a caller may send: a thousand times those of the largest object of the
+# store.
 MAX_CALLER_BYTES = 1_048_576_000
-# Characters of a path or key: what is longer fits in no head of a request.
+# Characters of a path or key; longer ones do not fit in the head of a request.
 MAX_HEAD_TEXT_LENGTH = 16384
-# Targets that one request may be sent to, ranks, and weights of a split; ten
-# thousand times those of today.
+# Targets to which a request may be sent, priorities, and weights of a split; ten
+# thousand times the values in use.
 MAX_TARGETS_PER_REQUEST = 10_000
 MAX_PRIORITY = 10_000
-# Requests a second; more than a target could be sent.
+# More than a target could be sent.
 MAX_REQUESTS_PER_SECOND = 1_000_000
 MAX_WEIGHT = 1_000_000
 
-REMEDY_TABLE = "mend it in the store; the last good version stays in force"
-REMEDY_TARGET = "mend or delete it in the store; until then it names no target"
-REMEDY_ROUTER = "its router writes it again; what it said last holds until then"
+REMEDY_TABLE = "correct it in the store; the last valid version stays in force"
+REMEDY_TARGET = "correct or delete it in the store; until then it is ignored"
+REMEDY_ROUTER = "its router writes it again; its last valid entry holds until then"
 
 
 class RouteCache:
-    """Routes of the version read last, by what was written of them.
+    """Caches the decoded routes of the version read last, by their content.
 
-    Versions change a few routes of many, and come in quick succession. A route that
-    is written as before needs no reading.
+    Versions follow each other quickly and change a few routes of many. Unchanged
+    routes need not be decoded again.
     """
 
     __slots__ = ("_routes_by_digest",)
@@ -81,14 +81,14 @@
     def read(
         self, items: Iterable[FieldReader], regions: Collection[str]
     ) -> list[Route]:
-        """Return the routes of a version, and know these from now on.
+        """Return the routes of a version and cache them in place of the last ones.
 
         Parameters
         ----------
         items : Iterable[FieldReader]
-            What is written of them.
+            Readers of the routes' objects.
         regions : Collection[str]
-            The regions that there are; the same at each call.
+            The regions of the deployment; the same for each call.
 
         Returns
         -------
@@ -98,9 +98,9 @@
         Raises
         ------
         RecordError
-            When one cannot be read; those of the last version stay known.
+            When a route is invalid; the routes of the last version stay cached.
         """
-        known: dict[bytes, Route] = {}
+        routes_by_digest: dict[bytes, Route] = {}
         routes = []
         for item in items:
             digest = item.digest()
@@ -108,9 +108,9 @@
             if route is None:
                 route = _route(item, regions)
             if digest is not None:
-                known[digest] = route
+                routes_by_digest[digest] = route
             routes.append(route)
-        self._routes_by_digest = known
+        self._routes_by_digest = routes_by_digest
         return routes
 
 
@@ -119,29 +119,29 @@
     regions: Collection[str] = (),
     routes: RouteCache | None = None,
 ) -> RoutingTable:
-    """Return the routing table that the operator wrote.
+    """Decode the routing table that the operator wrote.
 
-    One odd field makes the version unreadable as a whole: with a route or a key
-    left out, callers would be told that it does not exist.
+    One invalid field makes the whole version unreadable: if its route or key were
+    left out, callers would get answers that it does not exist.
 
     Parameters
     ----------
     stored : StoredObject
-        The object that holds the newest version.
+        The object that contains the newest version.
     regions : Collection[str]
-        The regions that there are; empty where they are not known.
+        The regions of the deployment; empty when they are not known.
     routes : RouteCache | None
-        Routes of the version read before; None to read all.
+        Cache of the routes of the last version; None to decode all routes.
 
     Returns
     -------
     RoutingTable
-        The table.
+        The routing table.
 
     Raises
     ------
     RecordError
-        When it cannot be read.
+        When the record is invalid.
     """
     reader = FieldReader.of(stored, REMEDY_TABLE, null_is_absent=True)
     for field in ("routes", "services"):
@@ -156,12 +156,12 @@
 
 
 def decode_target(stored: StoredObject) -> ServingTarget:
-    """Return the target that an entry of the target list tells of.
+    """Decode an entry of the target list.
 
     Parameters
     ----------
     stored : StoredObject
-        The entry; its name is the target's.
+        The entry; its name is that of the target.
 
     Returns
     -------
@@ -171,13 +171,13 @@
     Raises
     ------
     RecordError
-        When it cannot be read.
+        When the record is invalid.
     """
     reader = FieldReader.of(stored, REMEDY_TARGET)
     state = reader.text("state")
     if state not in IS_DRAINING_BY_STATE:
-        reader.refuse("state", "neither of " + ", ".join(IS_DRAINING_BY_STATE))
-    # Not used; of another type they show that another writer made the entry.
+        reader.refuse("state", "not one of " + ", ".join(IS_DRAINING_BY_STATE))
+    # Not used, but a value of another type shows that another writer made the entry.
     reader.text_or("version", "")
     reader.integer_or("sequence", 0)
     return ServingTarget(
@@ -187,7 +187,7 @@
         domain=reader.text("zone"),
         slots=reader.integer("slots", MAX_SLOTS),
         is_draining=IS_DRAINING_BY_STATE[state],
-        # Time for which a target that has just started is still slow.
+        # Time for which a target that has just started stays slow.
         warming_for=reader.number_or("cold_remaining_ms", 0, MAX_DURATION_MILLISECONDS)
         * SECONDS_PER_MILLISECOND,
         started_at=reader.integer("born") if reader.has("born") else None,
@@ -195,7 +195,7 @@
 
 
 def decode_router(stored: StoredObject) -> OtherRouter:
-    """Return the entry router that an entry of the list of routers tells of.
+    """Decode an entry of the list of routers.
 
     Parameters
     ----------
@@ -210,7 +210,7 @@
     Raises
     ------
     RecordError
-        When it cannot be read.
+        When the record is invalid.
     """
     reader = FieldReader.of(stored, REMEDY_ROUTER)
     endpoint = Endpoint(reader.address("address"), reader.port("port"))
@@ -229,7 +229,7 @@
     )
     prefix = item.text("path_prefix", MAX_HEAD_TEXT_LENGTH)
     if not prefix.startswith("/"):
-        item.refuse("path_prefix", "begins with no slash")
+        item.refuse("path_prefix", "does not begin with a slash")
     return Route(
         name=item.text_or("name", ""),
         host=item.text("host").lower(),
@@ -237,7 +237,7 @@
         services=_services(item),
         repeatability=RETRY_POLICIES.get(item.text("kind"), Repeatability.ONCE),
         is_resumable=item.flag_or("resume_streams", default=False),
-        # "sticky" only says that requests describe their prompts.
+        # "sticky" only means that requests describe their prompts.
         has_prompt=item.flag_or("sticky", default=False),
         timeout=timeout,
         latency_objective=objective or timeout,
@@ -251,19 +251,20 @@
 
 
 def _allowed_regions(item: FieldReader, regions: Collection[str]) -> frozenset[str]:
-    """Return where requests may go.
+    """Return the regions to which requests may be sent.
 
-    With an unknown region taken in they might go nowhere, or anywhere.
+    An unknown region is refused: with it, requests might be sent nowhere, or
+    anywhere.
     """
     allowed = frozenset(item.texts("allowed_regions", MAX_HEAD_TEXT_LENGTH))
     unknown = sorted(allowed.difference(regions)) if regions else []
     if unknown:
-        item.refuse("allowed_regions", f"no region {unknown[0]!a} is known")
+        item.refuse("allowed_regions", f"unknown region {unknown[0]!a}")
     return allowed
 
 
 def _services(route: FieldReader) -> tuple[WeightedService, ...]:
-    """Return where a route leads."""
+    """Return the services of a route with their weights."""
     parts = route.children("split")
     if not parts:
         return (WeightedService(route.text("service"), 1.0),)
@@ -291,8 +292,8 @@
 
 def _keys(table: FieldReader, regions: Collection[str]) -> dict[str, Organisation]:
     keys: dict[str, Organisation] = {}
-    # Without the list no caller needs a key: only a version that leaves it out
-    # says so.
+    # Without the list no caller needs a key. Only a version that leaves it out means
+    # that, so null is refused.
     table.refuse_null("tenants")
     for item in table.children("tenants"):
         rank = item.integer("priority", MAX_PRIORITY) if item.has("priority") else None
--- a/src/primrosescale/platform/store_answer.py
+++ b/src/primrosescale/platform/store_answer.py
@@ -1,9 +1,9 @@
-"""Answers of the users' store, of which one odd object spoils no other.
+"""Decodes answers of the users' store so that a malformed object affects no other.
 
-The store hands out what anybody wrote. An object that is nested too deep for
-the parser, holds bytes that are no text, or a number of thousands of digits,
-would make the whole answer unreadable, and with it every object beside it. Such
-an answer is taken apart by its brackets first, and each part is read by itself.
+Anyone may have written the objects of the store. An object that is nested too
+deeply for the parser, contains invalid UTF-8, or a number of thousands of digits
+makes the whole answer unparsable, and with it all other objects. Such an answer is
+split at its brackets and commas first, and each part is parsed separately.
 """
 
 from __future__ import annotations
@@ -24,65 +24,66 @@
     from collections.abc import Iterator
 
 BINARY = "base64"
-# Revisions are told to other routers as numbers of 64 bits with a sign.
+# Revisions are sent to peer routers as signed 64-bit integers.
 MAX_REVISION = 2**63 - 1
-# Bytes that no record can be read from.
+# Content from which no record can be decoded.
 UNREADABLE = b""
-# What an odd answer raises while it is taken apart.
+# Exceptions that encoding or decoding malformed content may raise.
 MALFORMED = (KeyError, TypeError, ValueError, AttributeError, RecursionError)
 
-# Members of an answer that list objects, and of an event that holds one.
+# Members of an answer that list objects, and the member of an event that contains
+# one.
 _LISTS = ("items", "events")
 _OBJECT = "object"
-# A string, a run of brackets of one side, or a comma.
+# A string, a run of opening or of closing brackets, or a comma.
 _TOKEN = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"|[\[{]+|[\]}]+|,', re.DOTALL)
 
 
 def answer_fields(body: bytes) -> dict[str, Any]:
-    """Return the members of an answer.
+    """Parse an answer and return its members.
 
     Parameters
     ----------
     body : bytes
-        The answer's content.
+        The body of the answer.
 
     Returns
     -------
     dict[str, Any]
-        Its members. An object's member that cannot be read stands there as
-        the bytes that came.
+        The members. A member of an object that cannot be parsed is returned as
+        the bytes received.
 
     Raises
     ------
     PlatformUnavailableError
-        When it is no object.
+        When the answer is not a JSON object, or cannot be split.
     """
     try:
         fields = read_json(body)
     except (ValueError, RecursionError):
         fields = _split_answer(body)
     if not isinstance(fields, dict):
-        raise PlatformUnavailableError("odd answer: not an object")
+        raise PlatformUnavailableError("malformed answer: not an object")
     return fields
 
 
 def stored_object(kind: str, item: Any, *, deleted: Any = False) -> StoredObject:
-    """Return an object of an answer.
+    """Decode an object of an answer.
 
     Parameters
     ----------
     kind : str
-        Its kind.
+        Kind of the object.
     item : Any
-        What the answer says of it.
+        The parsed JSON value of the object.
     deleted : Any
-        What the answer says of its end.
+        The answer's flag for a deleted object.
 
     Returns
     -------
     StoredObject
-        The object. One whose name cannot be read has none, and one that is
-        odd otherwise has a content that nothing can be read from.
+        The object. Without a readable name its name is empty; when it is
+        malformed otherwise, its content is unreadable.
     """
     meta = item.get("metadata") if isinstance(item, dict) else None
     name = meta.get("name") if isinstance(meta, dict) else None
@@ -100,14 +101,14 @@
 
 
 def revision_of(fields: dict[str, Any], name: str) -> int:
-    """Return a revision that an answer tells.
+    """Return a revision contained in an answer.
 
     Parameters
     ----------
     fields : dict[str, Any]
         Members of the answer.
     name : str
-        The member.
+        Name of the member.
 
     Returns
     -------
@@ -117,23 +118,23 @@
     Raises
     ------
     PlatformUnavailableError
-        When it is none.
+        When the member is not a valid value.
     """
     revision = fields.get(name)
     if not _is_revision(revision):
-        raise PlatformUnavailableError(f"odd answer: no revision {name}")
+        raise PlatformUnavailableError(f"malformed answer: no revision {name}")
     return int(revision)  # type: ignore[arg-type]
 
 
 def list_member(fields: dict[str, Any], name: str) -> list[Any]:
-    """Return a list that an answer holds.
+    """Return a list contained in an answer.
 
     Parameters
     ----------
     fields : dict[str, Any]
         Members of the answer.
     name : str
-        The member.
+        Name of the member.
 
     Returns
     -------
@@ -143,11 +144,11 @@
     Raises
     ------
     PlatformUnavailableError
-        When it is none.
+        When the member is not a valid value.
     """
     found = fields.get(name)
     if not isinstance(found, list):
-        raise PlatformUnavailableError(f"odd answer: no list {name}")
+        raise PlatformUnavailableError(f"malformed answer: no list {name}")
     return found
 
 
@@ -157,7 +158,7 @@
 
 
 def _is_serialisable(spec: Any) -> bool:
-    """Tell whether a content that was read can be written again at any time."""
+    """Return whether parsed content can be serialised again at any time."""
     if type(spec) is not dict or spec.get("encoding") == BINARY:
         return False
     try:
@@ -179,7 +180,7 @@
 
 
 def _split_answer(body: bytes) -> Any:
-    """Return the members of an answer that cannot be read as a whole."""
+    """Parse the members of an answer that cannot be parsed as a whole."""
     try:
         return {
             name: (
@@ -190,12 +191,12 @@
             for name, value in _members(body)
         }
     except (ValueError, RecursionError) as error:
-        detail = f"odd answer: {type(error).__name__}"
+        detail = f"malformed answer: {type(error).__name__}"
         raise PlatformUnavailableError(detail) from error
 
 
 def _split_object(text: bytes) -> Any:
-    """Return an object or event; members that cannot be read stay bytes."""
+    """Parse an object or event; members that cannot be parsed stay bytes."""
     try:
         return read_json(text)
     except (ValueError, RecursionError):
@@ -218,20 +219,20 @@
 
 
 def _members(text: bytes) -> Iterator[tuple[str, bytes]]:
-    """Return names and values of an object's members, the values unread."""
+    """Yield the names and the unparsed values of an object's members."""
     for part in _split_at_commas(text):
         token = _TOKEN.match(part)
         if token is None:
-            raise ValueError("a member without a name")
+            raise ValueError("member without a name")
         name = read_json(token.group())
         rest = part[token.end() :].lstrip()
         if not isinstance(name, str) or not rest.startswith(b":"):
-            raise ValueError("a member without a value")
+            raise ValueError("member without a value")
         yield name, rest[1:].strip()
 
 
 def _split_at_commas(text: bytes) -> list[bytes]:
-    """Return what stands between the commas of an object or a list."""
+    """Split the content of an object or a list at its commas."""
     text = text.strip()
     if text[:1] not in {b"[", b"{"}:
         raise ValueError("neither an object nor a list")
@@ -250,6 +251,6 @@
             parts.append(text[begin : token.start()].strip())
             begin = token.end()
     if depth or token.end() != len(text):
-        raise ValueError("brackets that don't match")
+        raise ValueError("brackets do not match")
     parts.append(text[begin:-1].strip())
     return [] if parts == [b""] else parts
