--- a/src/primrosescale/ini/options.py
+++ b/src/primrosescale/ini/options.py
@@ -97,23 +97,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Text(OptionKind):
-    """Any text, or one of a set of choices.
+    """Any text, or one of a set of texts.
 
     Parameters
     ----------
-    choices : tuple[str, ...]
+    allowed : tuple[str, ...]
         The texts allowed; empty for any text.
     may_be_empty : bool
         Whether an empty text is allowed.
     """
 
-    choices: tuple[str, ...] = ()
+    allowed: tuple[str, ...] = ()
     may_be_empty: bool = True
 
     def parse(self, text: str) -> Any:
         """Return the text; see `OptionKind.parse`."""
         value = text.strip()
-        if self.choices and value not in self.choices:
+        if self.allowed and value not in self.allowed:
             raise ValueError(text)
         if not value and not self.may_be_empty:
             raise ValueError(text)
@@ -121,9 +121,9 @@
 
     @property
     def expects(self) -> str:
-        """Return the choices."""
-        if self.choices:
-            return f"one of {', '.join(self.choices)}"
+        """Return the texts allowed."""
+        if self.allowed:
+            return f"one of {', '.join(self.allowed)}"
         return "some text"
 
 
--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -259,7 +259,7 @@
     allowed = frozenset(item.texts("allowed_regions", MAX_HEAD_TEXT_LENGTH))
     unknown = sorted(allowed.difference(regions)) if regions else []
     if unknown:
-        item.refuse("allowed_regions", f"unknown region {unknown[0]!a}")
+        item.refuse("allowed_regions", f"region {unknown[0]!a} is not known")
     return allowed
 
 
