--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -100,7 +100,7 @@
         RecordError
             When a route is invalid; the routes of the last version stay cached.
         """
-        routes_by_digest: dict[bytes, Route] = {}
+        known: dict[bytes, Route] = {}
         routes = []
         for item in items:
             digest = item.digest()
@@ -108,9 +108,9 @@
             if route is None:
                 route = _route(item, regions)
             if digest is not None:
-                routes_by_digest[digest] = route
+                known[digest] = route
             routes.append(route)
-        self._routes_by_digest = routes_by_digest
+        self._routes_by_digest = known
         return routes
 
 
