--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -68,7 +68,7 @@
 # routers at a start. After a change, a watch waits for a batching delay before its
 # next call. The delay is a share of the time within which the change must take
 # effect: for the configuration, that in which a version must be in force; for
-# targets, that in which a leaving target may still get work. Routers have no such
+# targets, that in which a leaving target may still get requests. Routers have no such
 # limit. The delay halves the calls during a burst and only delays changes that come
 # within it.
 CONFIGURATION_BATCHING_SHARE = 0.2
--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -62,7 +62,7 @@
 MAX_WEIGHT = 1_000_000
 
 REMEDY_TABLE = "correct it in the store; the last valid version stays in force"
-REMEDY_TARGET = "correct or delete it in the store; until then it is ignored"
+REMEDY_TARGET = "correct or delete it in the store; until then it is no target"
 REMEDY_ROUTER = "its router writes it again; its last valid entry holds until then"
 
 
