--- a/tests/adapter/test_cache_answers.py
+++ b/tests/adapter/test_cache_answers.py
@@ -1,4 +1,4 @@
-"""What a model engine tells of its cache is read, or is one clear error."""
+"""Cache contents reported by a model engine are decoded or raise `TargetError`."""
 
 from __future__ import annotations
 
@@ -35,15 +35,15 @@
         self.caches = EngineCaches(reactor)
 
     @inlineCallbacks
-    def test_what_it_holds_is_read(self):
+    def test_cache_contents_are_decoded(self):
         self.engine.answer = b'{"held": [["", "5c1e", 800, "m"]]}'
         found = yield self.caches.read(self.target)
         [part] = found.parts
         self.assertEqual(("5c1e", 800), (part.name, part.tokens))
 
     @inlineCallbacks
-    def test_an_odd_answer_is_one_clear_error(self):
-        for odd in (
+    def test_a_malformed_answer_raises_target_error(self):
+        for malformed in (
             b"",
             b"\xff",
             b"[]",
@@ -54,9 +54,9 @@
             b'{"held": [["", "a", 1e999]]}',
             b"[" * DEEP,
         ):
-            self.engine.answer = odd
+            self.engine.answer = malformed
             try:
                 yield self.caches.read(self.target)
             except TargetError:
                 continue
-            self.fail(f"{odd[:40]!r} was read")
+            self.fail(f"{malformed[:40]!r} was accepted")
--- a/tests/adapter/test_engine_calls.py
+++ b/tests/adapter/test_engine_calls.py
@@ -1,4 +1,4 @@
-"""Calls to model engines besides callers' requests."""
+"""Decodes the start time and the cache contents that a model engine reports."""
 
 from __future__ import annotations
 
@@ -22,40 +22,40 @@
 
 
 class Engine(Resource):
-    """Says one thing, whatever it is asked."""
+    """Gives the same answer to every request."""
 
     isLeaf = True
 
-    def __init__(self, said):
+    def __init__(self, fields):
         super().__init__()
-        self._said = said
+        self._fields = fields
 
     def render_GET(self, request):
-        return json.dumps(self._said).encode()
+        return json.dumps(self._fields).encode()
 
 
 class HeldPartsTest(LiveTest):
     run_tests_with = DeploymentRunTest.make_factory(timeout=10.0)
 
-    def read(self, **said):
-        endpoint = self.serve(Engine({"epoch": 1, "next": 2, "held": HELD, **said}))
+    def read(self, **fields):
+        endpoint = self.serve(Engine({"epoch": 1, "next": 2, "held": HELD, **fields}))
         return EngineCaches(reactor).read(target("m1", endpoint=endpoint))
 
     @inlineCallbacks
-    def test_the_start_is_read_with_the_parts(self):
+    def test_the_start_time_is_decoded_with_the_parts(self):
         found = yield self.read(born=BORN)
         self.assertEqual(HeldParts(PARTS, BORN), found)
 
     @inlineCallbacks
-    def test_it_need_not_be_told(self):
+    def test_the_start_time_is_optional(self):
         found = yield self.read()
         self.assertEqual(HeldParts(PARTS, None), found)
 
     @inlineCallbacks
-    def test_an_odd_start_makes_the_answer_odd(self):
-        for odd in (True, "64", 1.5, -1, [], {}):
+    def test_an_invalid_start_time_raises_target_error(self):
+        for invalid in (True, "64", 1.5, -1, [], {}):
             try:
-                yield self.read(born=odd)
+                yield self.read(born=invalid)
             except TargetError:
                 continue
-            self.fail(odd)
+            self.fail(invalid)
--- a/tests/adapter/test_foreign_records.py
+++ b/tests/adapter/test_foreign_records.py
@@ -1,4 +1,4 @@
-"""Records of the store that another writer made are refused, never guessed at."""
+"""Invalid records, such as those of another writer, are refused and never coerced."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
     ("routers/r-1", ROUTER, decode_router),
     ("config/main", CONFIGURATION, decode_routing_table),
 )
-NO_NUMBERS = ("64", True, False, None, [], {}, -1, 1e300)
-NO_TEXTS = (7, True, None, [], {}, "", "x" * 20_000, "a\r\nb: c", "\x00", "\ud800")
-NO_ADDRESSES = (
+INVALID_NUMBERS = ("64", True, False, None, [], {}, -1, 1e300)
+INVALID_TEXTS = (7, True, None, [], {}, "", "x" * 20_000, "a\r\nb: c", "\x00", "\ud800")
+INVALID_ADDRESSES = (
     "10.0.0.1",
     ":80",
     "10.0.0.1:",
@@ -57,14 +57,14 @@
     return StoredObject(key, 1, value)
 
 
-def with_member(record, path, value):
-    """Return a copy of a record with another value at a path like ``a.0.b``."""
+def with_value_at(record, path, value):
+    """Return a copy of a record with a value replaced at a path like ``a.0.b``."""
     copied = copy.deepcopy(record)
-    *above, last = (int(p) if p.isdigit() else p for p in path.split("."))
-    holder = copied
-    for name in above:
-        holder = holder[name]
-    holder[last] = value
+    *parents, last = (int(p) if p.isdigit() else p for p in path.split("."))
+    parent = copied
+    for name in parents:
+        parent = parent[name]
+    parent[last] = value
     return copied
 
 
@@ -73,7 +73,7 @@
         error = self.assertRaises(RecordError, decode, stored(key, fields))
         self.assertEqual(field, error.field)
         self.assertTrue(error.reason and error.remedy)
-        # Bounded, and fit for a log line in any encoding.
+        # The message is bounded, and can be logged in any encoding.
         self.assertLess(len(str(error).encode()), 800)
         return error
 
@@ -83,7 +83,7 @@
         for name in fields:
             self.refused(decode_target, "servers/i-1", {**TARGET, **fields}, name)
 
-    def test_a_good_entry_is_read_whole(self):
+    def test_a_valid_entry_is_decoded(self):
         found = decode_target(stored("servers/i-1", {**TARGET, "x": {"new": [1]}}))
         self.assertEqual(
             ("i-1", "10.128.0.9:8080", "huvo11a", "riga-imanta", 64, False, 0.0),
@@ -99,23 +99,23 @@
         )
         self.assertEqual(1764720000000, found.started_at)
 
-    def test_what_may_be_missing_has_a_safe_meaning(self):
+    def test_optional_fields_have_safe_defaults(self):
         needed = ("service", "address", "zone", "state", "slots")
         found = decode_target(
             stored("servers/i-1", {name: TARGET[name] for name in needed})
         )
         self.assertEqual((0.0, None), (found.warming_for, found.started_at))
 
-    def test_what_a_target_is_called_and_loaded_by_may_not_be_missing(self):
+    def test_required_fields_may_not_be_missing(self):
         for name in ("service", "address", "zone", "state", "slots"):
             fields = {key: value for key, value in TARGET.items() if key != name}
             error = self.refused(decode_target, "servers/i-1", fields, name)
             self.assertEqual("missing", error.reason)
 
-    def test_no_other_type_is_taken_for_a_number(self):
-        for odd in NO_NUMBERS:
+    def test_values_of_other_types_are_refused_as_numbers(self):
+        for invalid in INVALID_NUMBERS:
             for name in ("slots", "cold_remaining_ms", "sequence", "born"):
-                self.refused_with(**{name: odd})
+                self.refused_with(**{name: invalid})
 
     def test_a_count_is_whole_and_a_whole_number_may_be_written_with_a_point(self):
         for name in ("slots", "sequence", "born"):
@@ -123,58 +123,58 @@
         found = decode_target(stored("servers/i-1", {**TARGET, "slots": 64.0}))
         self.assertEqual((64, int), (found.slots, type(found.slots)))
 
-    def test_counts_that_cannot_be_are_refused(self):
-        for odd in (70_000, 2**63, 10**400):
-            self.refused_with(slots=odd)
-            self.refused_with(cold_remaining_ms=odd * 2000)
-        for odd in (2**53, 2**64, 10**400):
-            self.refused_with(born=odd)
+    def test_counts_out_of_range_are_refused(self):
+        for invalid in (70_000, 2**63, 10**400):
+            self.refused_with(slots=invalid)
+            self.refused_with(cold_remaining_ms=invalid * 2000)
+        for invalid in (2**53, 2**64, 10**400):
+            self.refused_with(born=invalid)
 
-    def test_no_other_type_is_taken_for_a_text(self):
-        for odd in NO_TEXTS:
+    def test_values_of_other_types_are_refused_as_texts(self):
+        for invalid in INVALID_TEXTS:
             for name in ("service", "zone", "state", "address"):
-                self.refused_with(**{name: odd})
+                self.refused_with(**{name: invalid})
         self.refused_with(version=1)
 
     def test_only_states_that_the_platform_names(self):
-        for odd in ("Ready", "ready ", "leaving", "failing"):
-            self.refused_with(state=odd)
+        for invalid in ("Ready", "ready ", "leaving", "failing"):
+            self.refused_with(state=invalid)
         draining = decode_target(stored("servers/i-1", {**TARGET, "state": "draining"}))
         self.assertTrue(draining.is_draining)
 
     def test_only_addresses_that_can_be_connected_to(self):
-        for odd in NO_ADDRESSES:
-            self.refused_with(address=odd)
-        for good in ("127.0.0.1:1", "10.0.0.1:65535", "192.168.1.1:080"):
-            decode_target(stored("servers/i-1", {**TARGET, "address": good}))
+        for invalid in INVALID_ADDRESSES:
+            self.refused_with(address=invalid)
+        for valid in ("127.0.0.1:1", "10.0.0.1:65535", "192.168.1.1:080"):
+            decode_target(stored("servers/i-1", {**TARGET, "address": valid}))
 
     def test_a_name_that_no_header_can_carry_is_refused(self):
-        for odd in ("", "a b", "a\r\nX: 1", "é", "\ud800", "\x00", "x" * 254):
-            key = f"servers/{odd}"
+        for invalid in ("", "a b", "a\r\nX: 1", "é", "\ud800", "\x00", "x" * 254):
+            key = f"servers/{invalid}"
             self.refused(decode_target, key, TARGET, "name")
-        for good in ("i-7f3a91c2", "a/b", "a/../b", "x" * 253, "!~"):
+        for valid in ("i-7f3a91c2", "a/b", "a/../b", "x" * 253, "!~"):
             self.assertEqual(
-                good, decode_target(stored(f"servers/{good}", TARGET)).name
+                valid, decode_target(stored(f"servers/{valid}", TARGET)).name
             )
 
 
 class AllKindsTest(Refusals):
     def test_contents_that_are_no_object_are_refused(self):
         for key, _, decode in KINDS:
-            for odd in UNREADABLE:
-                self.assertRaises(RecordError, decode, stored(key, odd))
+            for invalid in UNREADABLE:
+                self.assertRaises(RecordError, decode, stored(key, invalid))
 
     def test_what_is_no_finite_number_is_refused(self):
-        for key, good, decode in KINDS:
-            for odd in (float("nan"), float("inf"), float("-inf")):
-                # Not JSON at all, wherever it stands.
-                self.refused(decode, key, {**good, "unknown": odd}, "")
+        for key, valid, decode in KINDS:
+            for invalid in (float("nan"), float("inf"), float("-inf")):
+                # The whole record is not JSON, whichever field contains the value.
+                self.refused(decode, key, {**valid, "unknown": invalid}, "")
         for name in ("slots", "cold_remaining_ms", "born", "sequence"):
             text = json.dumps({**TARGET, name: "?"}).replace('"?"', "1e999")
             self.refused(decode_target, "servers/i-1", text.encode(), name)
 
     def test_a_router_s_entry_is_strict(self):
-        for name, odd in (
+        for name, invalid in (
             ("address", "10.1.0.40:7340"),
             ("address", "0.0.0.0"),
             ("address", "host.example"),
@@ -186,37 +186,37 @@
             ("port", 65536),
             ("port", 1.5),
         ):
-            self.refused(decode_router, "routers/r", {**ROUTER, name: odd}, name)
+            self.refused(decode_router, "routers/r", {**ROUTER, name: invalid}, name)
         self.refused(decode_router, "routers/\ud800", ROUTER, "name")
 
 
 class ConfigurationTest(Refusals):
-    def refused_at(self, path, odd, field):
-        fields = with_member(CONFIGURATION, path, odd)
+    def refused_at(self, path, invalid, field):
+        fields = with_value_at(CONFIGURATION, path, invalid)
         self.refused(decode_routing_table, "config/main", fields, field)
 
-    def test_a_text_never_opens_a_route_to_all(self):
+    def test_an_invalid_flag_never_opens_a_route(self):
         for flag in ("skip_auth", "sticky", "resume_streams"):
-            for odd in ("false", 0, 1, "true", [], {}):
-                self.refused_at(f"routes.0.{flag}", odd, f"routes[0].{flag}")
-
-    def test_an_odd_list_of_keys_never_opens_all_routes(self):
-        for odd in (None, 0, False, "", {}):
-            self.refused_at("tenants", odd, "tenants")
-        for odd in ("k1", {"k1": 1}, 0, False):
-            self.refused_at("tenants.0.api_keys", odd, "tenants[0].api_keys")
+            for invalid in ("false", 0, 1, "true", [], {}):
+                self.refused_at(f"routes.0.{flag}", invalid, f"routes[0].{flag}")
+
+    def test_an_invalid_list_of_keys_never_opens_all_routes(self):
+        for invalid in (None, 0, False, "", {}):
+            self.refused_at("tenants", invalid, "tenants")
+        for invalid in ("k1", {"k1": 1}, 0, False):
+            self.refused_at("tenants.0.api_keys", invalid, "tenants[0].api_keys")
         # A caller without a key sends an empty one.
-        for odd in ("", None, 7):
-            self.refused_at("tenants.0.api_keys.0", odd, "tenants[0].api_keys")
+        for invalid in ("", None, 7):
+            self.refused_at("tenants.0.api_keys.0", invalid, "tenants[0].api_keys")
 
-    def test_a_refusal_tells_no_key(self):
-        odd = with_member(CONFIGURATION, "tenants.0.api_keys.0", "secret\n")
+    def test_a_refusal_never_quotes_a_key(self):
+        invalid = with_value_at(CONFIGURATION, "tenants.0.api_keys.0", "secret\n")
         error = self.refused(
-            decode_routing_table, "config/main", odd, "tenants[0].api_keys"
+            decode_routing_table, "config/main", invalid, "tenants[0].api_keys"
         )
         self.assertNotIn("secret", str(error))
 
-    def test_no_other_type_is_taken_for_a_number(self):
+    def test_values_of_other_types_are_refused_as_numbers(self):
         for path, field in (
             ("version", "version"),
             ("routes.0.timeout_ms", "routes[0].timeout_ms"),
@@ -230,15 +230,15 @@
             ("limits.max_body_bytes", "limits.max_body_bytes"),
             ("limits.idle_timeout_ms", "limits.idle_timeout_ms"),
         ):
-            for odd in ("64", True, [], {}, -1, 1e300):
-                self.refused_at(path, odd, field)
+            for invalid in ("64", True, [], {}, -1, 1e300):
+                self.refused_at(path, invalid, field)
 
     def test_a_split_without_any_weight_is_refused(self):
-        odd = [{"service": "a", "weight": 0}, {"service": "b", "weight": 0.0}]
-        self.refused_at("routes.1.split", odd, "routes[1].split")
+        invalid = [{"service": "a", "weight": 0}, {"service": "b", "weight": 0.0}]
+        self.refused_at("routes.1.split", invalid, "routes[1].split")
 
-    def test_one_odd_route_makes_the_version_unreadable(self):
-        for path, odd, field in (
+    def test_one_invalid_route_makes_the_version_unreadable(self):
+        for path, invalid, field in (
             ("routes.1", None, "routes[1]"),
             ("routes.1.host", 7, "routes[1].host"),
             ("routes.1.path_prefix", "", "routes[1].path_prefix"),
@@ -251,18 +251,18 @@
             ("tenants.0.name", "a\nb", "tenants[0].name"),
             ("limits", [], "limits"),
         ):
-            self.refused_at(path, odd, field)
+            self.refused_at(path, invalid, field)
 
-    def test_null_stands_for_what_may_be_left_out(self):
+    def test_null_counts_as_absent_for_optional_fields(self):
         for path in ("limits", "tenants.0.api_keys", "routes.0.gap_aim_ms"):
-            fields = with_member(CONFIGURATION, path, None)
+            fields = with_value_at(CONFIGURATION, path, None)
             self.assertEqual(
                 7, decode_routing_table(stored("config/main", fields)).version
             )
 
 
 class DrawnTest(TestCase):
-    """By hand with thousands: ``DRAWN_TIMES=20`` in the environment."""
+    """Generated records; ``DRAWN_TIMES=20`` in the environment tries thousands."""
 
     def assert_read_or_refused(self, kind, name, value):
         key, _, decode = KINDS[kind]
@@ -273,7 +273,7 @@
         except RecordError as error:
             str(error).encode()
             return
-        # What was read is fit to be used: in headers, addresses and sums.
+        # Decoded values can be used in headers, addresses and arithmetic.
         if kind < 2:
             found.name.encode("ascii")
             self.assertTrue(0 < found.endpoint.port < 65536)
@@ -321,7 +321,7 @@
             },
         )
     )
-    def test_a_good_entry_is_read_as_it_was_written(self, fields):
+    def test_a_valid_entry_is_decoded_as_it_was_written(self, fields):
         found = decode_target(stored("servers/i-1", fields))
         self.assertEqual(
             (fields["service"], fields["address"], fields["zone"], fields.get("born")),
--- a/tests/adapter/test_object_platform.py
+++ b/tests/adapter/test_object_platform.py
@@ -1,4 +1,4 @@
-"""The users' store behind the product's interface, with each of its faults."""
+"""`ObjectPlatform` against a stand-in of the users' store, with each of its faults."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 TIMEOUT = 0.3
 
 
-class LateStore(UsersStore):
-    """A store that does some writes only after their answer was given up."""
+class DelayingStore(UsersStore):
+    """A store that can delay a write past the caller's time-out, or send slowly."""
 
     def __init__(self):
         super().__init__()
-        self.late = None
+        self.write_delay = None
         self.gaps = []
 
     def render(self, request):
@@ -37,21 +37,21 @@
             gaps, self.gaps = self.gaps, []
             self.send_slowly(request, b'{"items": [], "truncated": false', gaps)
             return NOT_DONE_YET
-        if self.late is None or request.method == b"GET":
+        if self.write_delay is None or request.method == b"GET":
             return super().render(request)
-        late, self.late = self.late, None
+        write_delay, self.write_delay = self.write_delay, None
         body = request.content.read()
 
-        def act():
-            # The connection, and with it the request's content, is gone by then.
+        def handle_write():
+            # The connection and the request's content are closed by then.
             request.content = io.BytesIO(body)
             self._act(request, "x", "a")
 
-        reactor.callLater(late, act)
+        reactor.callLater(write_delay, handle_write)
         return NOT_DONE_YET
 
     def send_slowly(self, request, text, gaps):
-        """Send a byte after each gap, the rest of the list after the last."""
+        """Send one byte after each gap, and the rest of the list after the last gap."""
         if request._disconnected:
             return
         if gaps:
@@ -65,21 +65,21 @@
 class ObjectPlatformTest(LiveTest):
     def setUp(self):
         super().setUp()
-        self.store = LateStore()
+        self.store = DelayingStore()
         endpoint = self.serve(self.store)
         self.platform = ObjectPlatform(reactor, endpoint, TIMEOUT)
         self.addCleanup(self.platform.close)
 
     @inlineCallbacks
-    def assert_fails(self, kind, deferred):
+    def assert_fails(self, expected_error, deferred):
         try:
             yield deferred
-        except kind as error:
+        except expected_error as error:
             return error
-        self.fail(f"no {kind.__name__}")
+        self.fail(f"no {expected_error.__name__}")
 
     @inlineCallbacks
-    def test_what_is_written_is_read(self):
+    def test_a_value_written_is_read_back(self):
         for value in (b'{"a": 1}', b"\x00\xffbytes"):
             version = yield self.platform.put(f"x/{len(value)}", value, 0)
             found = yield self.platform.get(f"x/{len(value)}")
@@ -118,7 +118,7 @@
         yield self.platform.delete("x/a")
 
     @inlineCallbacks
-    def test_each_fault_of_a_read_is_told_and_the_next_call_works(self):
+    def test_each_fault_of_a_read_raises_and_the_next_call_works(self):
         for fault in StoreFault:
             for call in (
                 lambda: self.platform.get("x/a"),
@@ -131,8 +131,8 @@
                 yield call()
 
     @inlineCallbacks
-    def test_a_write_that_was_surely_refused_is_told_apart_from_a_lost_one(self):
-        for fault, kind in (
+    def test_a_refused_write_is_distinguished_from_a_lost_answer(self):
+        for fault, expected_error in (
             (StoreFault.BUSY, PlatformUnavailableError),
             (StoreFault.MANY, PlatformUnavailableError),
             (StoreFault.SILENT, PlatformAnswerLostError),
@@ -140,15 +140,17 @@
             (StoreFault.LOST, PlatformAnswerLostError),
         ):
             self.store.faults.next_calls = [fault]
-            yield self.assert_fails(kind, self.platform.put(f"x/{fault.name}", b"1", 0))
+            yield self.assert_fails(
+                expected_error, self.platform.put(f"x/{fault.name}", b"1", 0)
+            )
         lost = yield self.platform.get("x/LOST")
         self.assertEqual(b"1", lost.value)
         refused = yield self.platform.get("x/BUSY")
         self.assertIsNone(refused)
 
     @inlineCallbacks
-    def test_a_write_that_is_done_late_yields_to_one_done_before_it(self):
-        self.store.late = TIMEOUT + 0.2
+    def test_a_delayed_write_does_not_overwrite_an_earlier_one(self):
+        self.store.write_delay = TIMEOUT + 0.2
         yield self.assert_fails(
             PlatformAnswerLostError, self.platform.put("x/a", b"late", 0)
         )
@@ -160,8 +162,8 @@
         self.assertEqual(b"sooner", found.value)
 
     @inlineCallbacks
-    def test_a_write_that_is_done_late_is_found_by_the_next_one(self):
-        self.store.late = TIMEOUT + 0.1
+    def test_a_delayed_write_conflicts_with_the_next_one(self):
+        self.store.write_delay = TIMEOUT + 0.1
         yield self.assert_fails(
             PlatformAnswerLostError, self.platform.put("x/a", b"late", 0)
         )
@@ -179,7 +181,7 @@
         self.assertEqual(7, found.revision)
 
     @inlineCallbacks
-    def test_an_answer_that_stops_midway_is_given_up(self):
+    def test_an_answer_that_stalls_times_out(self):
         self.store.gaps = [0.01, 0.01, TIMEOUT * 2]
         error = yield self.assert_fails(
             PlatformUnavailableError, self.platform.watch("x/", 0, 0.0)
@@ -206,19 +208,19 @@
         self.assertEqual(["x/n2", "x/n3"], [item.key for item in listed])
 
     @inlineCallbacks
-    def test_a_watch_tells_changes_and_deletions(self):
+    def test_a_watch_returns_changes_and_deletions(self):
         start = yield self.platform.watch("x/", 0, 0.0)
         waiting = self.platform.watch("x/", start.revision, 5.0)
         yield deferLater(reactor, 0.02, lambda: None)
         self.store.write("y", "other", {})
         self.store.write("x", "a", {"n": 1})
         found = yield waiting
-        self.assertEqual([("x/a", False)], self.told(found))
+        self.assertEqual([("x/a", False)], self.keys_and_deletions(found))
         self.store.remove("x", "a")
         found = yield self.platform.watch("x/", found.revision, 5.0)
-        self.assertEqual([("x/a", True)], self.told(found))
+        self.assertEqual([("x/a", True)], self.keys_and_deletions(found))
 
-    def told(self, found):
+    def keys_and_deletions(self, found):
         return [(item.key, item.is_deleted) for item in found.changes]
 
     @inlineCallbacks
@@ -227,7 +229,7 @@
         self.assertEqual((), found.changes)
 
     @inlineCallbacks
-    def test_a_forgotten_history_is_told(self):
+    def test_a_lost_history_raises(self):
         start = yield self.platform.watch("x/", 0, 0.0)
         waiting = self.platform.watch("x/", start.revision, 5.0)
         yield deferLater(reactor, 0.02, lambda: None)
@@ -252,7 +254,7 @@
         self.assertEqual([("a", True)], [(e.name, e.gone) for e in changes.entries])
 
     @inlineCallbacks
-    def test_an_odd_entry_is_one_clear_failure(self):
+    def test_a_malformed_entry_raises_an_error_that_names_it(self):
         self.store.write("routers", "odd", {"unknown": 1})
         error = yield self.assert_fails(
             PlatformUnavailableError, self.platform.hosts(0)
--- a/tests/adapter/test_start.py
+++ b/tests/adapter/test_start.py
@@ -1,4 +1,4 @@
-"""Starting the router's program, with settings that cannot be used."""
+"""Starting the router's program: invalid settings, ports in use, early signals."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from support.ports import free_ports
 
 LOOPBACK = "127.0.0.1"
-# Runs the program and sends it a signal whenever it loads anything but itself.
+# Runs the program and sends it SIGHUP at each import of a module outside its package.
 SIGNALS_AT_EACH_IMPORT = """
 import os, runpy, signal, sys
 import __future__
@@ -52,10 +52,10 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.boot = Path(folder.name) / "node.json"
-        taken = socket.create_server((LOOPBACK, 0))
-        self.addCleanup(taken.close)
-        self.taken = taken.getsockname()[1]
-        self.free, self.also_free = free_ports(2)
+        used = socket.create_server((LOOPBACK, 0))
+        self.addCleanup(used.close)
+        self.used = used.getsockname()[1]
+        self.free_port, self.other_free_port = free_ports(2)
 
     def write(self, callers, readiness):
         fields = {
@@ -66,7 +66,7 @@
                 "front": f"{LOOPBACK}:{callers}",
                 "ready": f"{LOOPBACK}:{readiness}",
             },
-            "internal_ports": [self.free, self.free + 15],
+            "internal_ports": [self.free_port, self.free_port + 15],
             "platform": {"address": f"{LOOPBACK}:9"},
         }
         self.boot.write_text(json.dumps(fields))
@@ -89,7 +89,7 @@
         return child
 
     def run_with_signals(self):
-        """Run it with signals that come before all that it loads."""
+        """Run the program with a signal before each of its imports."""
         return subprocess.run(
             [sys.executable, "-c", SIGNALS_AT_EACH_IMPORT],
             env={**os.environ, "PRIMROSESCALE_BOOT": str(self.boot)},
@@ -101,7 +101,7 @@
 
     def run_program(self):
         child = self.start_program()
-        _, child.said = child.communicate(timeout=TIMEOUT_SECONDS)
+        _, child.output = child.communicate(timeout=TIMEOUT_SECONDS)
         return child
 
     def wait_for_port(self, port):
@@ -110,62 +110,62 @@
             with contextlib.suppress(ConnectionRefusedError):
                 return socket.create_connection((LOOPBACK, port), 1.0)
             time.sleep(0.002)
-        raise AssertionError("it does not listen")
+        raise AssertionError("the router does not listen on the port")
 
-    def test_a_taken_port_ends_it_with_a_line_that_names_it(self):
-        for callers, readiness in ((self.taken, self.free), (0, self.taken)):
-            self.write(callers or self.free, readiness)
+    def test_a_port_in_use_ends_it_with_one_line(self):
+        for callers, readiness in ((self.used, self.free_port), (0, self.used)):
+            self.write(callers or self.free_port, readiness)
             done = self.run_program()
-            self.assertEqual(1, done.returncode, done.said)
-            self.assertIn("cannot start", done.said)
-            self.assertNotIn("Traceback", done.said)
+            self.assertEqual(1, done.returncode, done.output)
+            self.assertIn("cannot start", done.output)
+            self.assertNotIn("Traceback", done.output)
 
     def test_a_settings_file_that_cannot_be_used_ends_it_with_the_reason(self):
         self.boot.write_text("{}")
         done = self.run_program()
-        self.assertEqual(os.EX_CONFIG, done.returncode, done.said)
-        self.assertIn(str(self.boot), done.said)
+        self.assertEqual(os.EX_CONFIG, done.returncode, done.output)
+        self.assertIn(str(self.boot), done.output)
 
-    def test_signals_that_come_before_anything_is_loaded_are_not_its_end(self):
+    def test_signals_before_any_import_do_not_end_it(self):
         self.boot.write_text("{}")
         done = self.run_with_signals()
         self.assertEqual(os.EX_CONFIG, done.returncode, done.stderr)
 
-    def test_signals_that_come_while_it_is_loaded_are_not_its_end(self):
-        self.write(self.free, self.also_free)
+    def test_signals_during_imports_do_not_end_it(self):
+        self.write(self.free_port, self.other_free_port)
         child = self.start_program()
-        self.addCleanup(self.wait_for_port(self.free).close)
+        self.addCleanup(self.wait_for_port(self.free_port).close)
         child.send_signal(signal.SIGHUP)
         child.send_signal(signal.SIGTERM)
-        said, _ = child.communicate(timeout=TIMEOUT_SECONDS)
+        output, _ = child.communicate(timeout=TIMEOUT_SECONDS)
         self.assertEqual(0, child.returncode)
-        self.assertIn("process_stopped", said)
+        self.assertIn("process_stopped", output)
 
-    # Guards against libraries that are found only by way of the site module, which
-    # takes half of the time in which a signal ends a starting process.
+    # Guards against dependencies that are found only through the site module. Importing
+    # it takes half of the time in which a signal ends a starting process.
     def test_it_runs_without_the_site_module_as_deployed(self):
         run = tomllib.loads(SYSTEM.read_text())["roles"]["router"]["run"].split()
         options = run[1 : run.index("-m")]
         self.assertIn("-S", options)
-        self.write(self.free, self.also_free)
+        self.write(self.free_port, self.other_free_port)
         child = self.start_program(options)
-        self.addCleanup(self.wait_for_port(self.also_free).close)
+        self.addCleanup(self.wait_for_port(self.other_free_port).close)
         child.send_signal(signal.SIGTERM)
-        said, _ = child.communicate(timeout=TIMEOUT_SECONDS)
+        output, _ = child.communicate(timeout=TIMEOUT_SECONDS)
         self.assertEqual(0, child.returncode)
-        self.assertIn("process_stopped", said)
+        self.assertIn("process_stopped", output)
 
-    # Guards against the end of a router that is told to reload while the interpreter
-    # starts, where whatever starts it has the signal ignored, as operators are told.
-    def test_reloads_from_the_first_moment_are_not_its_end_where_they_are_ignored(self):
-        self.write(self.free, self.also_free)
+    # Guards against a router that ends when SIGHUP arrives while the interpreter starts,
+    # although its parent process ignores the signal, as operators are advised to do.
+    def test_reloads_during_interpreter_start_do_not_end_it_when_ignored(self):
+        self.write(self.free_port, self.other_free_port)
         child = self.start_program(preexec_fn=ignore_reloads)
         until = time.monotonic() + TIMEOUT_SECONDS
-        while not is_open(self.also_free) and time.monotonic() < until:
+        while not is_open(self.other_free_port) and time.monotonic() < until:
             child.send_signal(signal.SIGHUP)
             time.sleep(0.001)
         self.assertIsNone(child.poll())
         child.send_signal(signal.SIGTERM)
-        said, _ = child.communicate(timeout=TIMEOUT_SECONDS)
+        output, _ = child.communicate(timeout=TIMEOUT_SECONDS)
         self.assertEqual(0, child.returncode)
-        self.assertIn("process_stopped", said)
+        self.assertIn("process_stopped", output)
--- a/tests/adapter/test_store_answer.py
+++ b/tests/adapter/test_store_answer.py
@@ -1,4 +1,4 @@
-"""An odd object in an answer of the store hides none of those beside it."""
+"""A malformed object in an answer of the store does not affect the others."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from support.foreign import values
 from support.live import LiveTest
 
-# Contents of an object that make the whole answer unreadable to a parser.
-SPOILERS = (
+# Contents of an object that make the whole answer unparsable.
+UNPARSABLE_CONTENTS = (
     b"[" * DEEP + b"]" * DEEP,
     b'{"a":' * DEEP + b"1" + b"}" * DEEP,
     b'{"slots": 1' + b"0" * 5000 + b"}",
@@ -33,8 +33,8 @@
     b'"\xed\xa0\x80"',
     b'{"zone": "], \\"}, {", "slots": 1' + b"0" * 5000 + b"}",
 )
-# Contents that are odd in a place or another.
-ODD_SPECS = (
+# Contents that can be parsed but are not valid records.
+MALFORMED_SPECS = (
     None,
     7,
     "text",
@@ -45,7 +45,7 @@
     {"encoding": "base64", "data": "no base64 é"},
     {"encoding": "base64", "data": "/w=="},
 )
-ODD_ITEMS = (
+MALFORMED_ITEMS = (
     None,
     7,
     "text",
@@ -59,7 +59,7 @@
     {"metadata": {"name": ""}, "spec": TARGET},
     {"metadata": {"name": "odd"}},
 )
-ODD_MEMBERS = (
+MALFORMED_MEMBERS = (
     {"revision": "7"},
     {"revision": True},
     {"revision": -1},
@@ -78,12 +78,12 @@
 
 
 def with_raw(fields, raw):
-    """Return the JSON of an answer in which ``"?"`` stands for other bytes."""
+    """Return the JSON of an answer with ``"?"`` replaced by other bytes."""
     return json.dumps(fields).encode().replace(b'"?"', raw)
 
 
 class RawStore(UsersStore):
-    """A store that gives one answer as it is told."""
+    """A store that sends the given answers first."""
 
     def __init__(self):
         super().__init__()
@@ -97,8 +97,8 @@
 
 
 class AnswerTest(TestCase):
-    def test_what_spoils_the_answer_spoils_one_object(self):
-        for raw in SPOILERS:
+    def test_unparsable_content_affects_only_its_object(self):
+        for raw in UNPARSABLE_CONTENTS:
             items = [item("a"), item("b", spec="?"), item("c")]
             fields = answer_fields(
                 with_raw({"items": items, "truncated": False, "current_rev": 9}, raw)
@@ -110,15 +110,15 @@
             self.assertEqual((9, False), (fields["current_rev"], fields["truncated"]))
             self.assertEqual(["a", "c"], self.readable(found))
 
-    def test_an_object_as_long_as_the_store_takes_is_passed_over(self):
+    def test_an_unparsable_object_of_maximum_length_is_skipped(self):
         raw = b"[" * 500_000 + b"]" * 500_000
         items = [item("a"), item("b", spec="?"), item("c")]
         found = answer_fields(with_raw({"items": items}, raw))["items"]
         names = self.readable(stored_object("servers", each) for each in found)
         self.assertEqual(["a", "c"], names)
 
-    def test_what_spoils_a_watch_spoils_one_event(self):
-        for raw in SPOILERS:
+    def test_unparsable_content_affects_only_its_event(self):
+        for raw in UNPARSABLE_CONTENTS:
             events = [
                 {"deleted": False, "object": item("a")},
                 {"deleted": False, "object": item("b", spec="?")},
@@ -141,19 +141,21 @@
                 continue
         return names
 
-    def test_odd_contents_and_members_are_never_a_target(self):
-        odd = [{"metadata": {"name": "b"}, "spec": spec} for spec in ODD_SPECS]
-        odd += [
+    def test_malformed_objects_are_never_decoded_as_targets(self):
+        malformed = [
+            {"metadata": {"name": "b"}, "spec": spec} for spec in MALFORMED_SPECS
+        ]
+        malformed += [
             {"metadata": {"name": "b", **member}, "spec": TARGET}
-            for member in ODD_MEMBERS
+            for member in MALFORMED_MEMBERS
         ]
-        for each in [*odd, *ODD_ITEMS]:
+        for each in [*malformed, *MALFORMED_ITEMS]:
             self.assertEqual([], self.readable([stored_object("servers", each)]))
-        late = stored_object("servers", item("b"), deleted="false")
-        self.assertEqual([], self.readable([late]))
+        invalid_deletion = stored_object("servers", item("b"), deleted="false")
+        self.assertEqual([], self.readable([invalid_deletion]))
 
-    def test_an_answer_that_is_none_is_one_clear_error(self):
-        for odd in (
+    def test_a_malformed_answer_raises_platform_unavailable_error(self):
+        for malformed in (
             b"",
             b"<html>",
             b"[]",
@@ -167,10 +169,10 @@
             b'{"items" [\xff]}',
             b"{\xff: 1}",
         ):
-            self.assertRaises(PlatformUnavailableError, answer_fields, odd)
+            self.assertRaises(PlatformUnavailableError, answer_fields, malformed)
 
-    def test_a_member_whose_name_is_none_leaves_the_neighbours(self):
-        for raw in SPOILERS:
+    def test_an_invalid_member_name_affects_only_its_object(self):
+        for raw in UNPARSABLE_CONTENTS:
             fields = {"items": [item("a"), {"?": None}, item("c")]}
             found = answer_fields(with_raw(fields, raw))["items"]
             names = self.readable(stored_object("servers", each) for each in found)
@@ -189,17 +191,17 @@
             ),
             max_size=4,
         ),
-        st.sampled_from(SPOILERS) | st.binary(max_size=8),
+        st.sampled_from(UNPARSABLE_CONTENTS) | st.binary(max_size=8),
     )
-    def test_drawn_objects_leave_their_neighbours(self, odd, raw):
-        fields = {"items": [item("a"), item("b", spec="?"), *odd, item("c")]}
+    def test_generated_objects_do_not_affect_others(self, malformed, raw):
+        fields = {"items": [item("a"), item("b", spec="?"), *malformed, item("c")]}
         try:
             found = answer_fields(with_raw(fields, raw))["items"]
         except PlatformUnavailableError:
-            # Only bytes that break the brackets themselves hide the rest.
-            self.assertNotIn(raw, SPOILERS)
+            # Only bytes that break the brackets may make the whole answer unreadable.
+            self.assertNotIn(raw, UNPARSABLE_CONTENTS)
             return
-        if raw in SPOILERS:
+        if raw in UNPARSABLE_CONTENTS:
             names = self.readable(stored_object("servers", each) for each in found)
             self.assertEqual(("a", "c"), (names[0], names[-1]))
 
@@ -216,57 +218,57 @@
         self.store.raw.append(with_raw(fields, raw))
 
     @inlineCallbacks
-    def test_a_list_shows_all_beside_an_odd_one(self):
-        for raw in SPOILERS:
+    def test_a_list_with_a_malformed_object_contains_all_others(self):
+        for raw in UNPARSABLE_CONTENTS:
             self.answer([item("a"), item("b", spec="?"), item("c")], raw)
             found = yield self.platform.watch("servers/", 0, 0.0)
             self.assertEqual(3, len(found.changes))
-        for odd in ODD_ITEMS:
-            self.answer([item("a"), odd, item("c")])
+        for malformed in MALFORMED_ITEMS:
+            self.answer([item("a"), malformed, item("c")])
             found = yield self.platform.watch("servers/", 0, 0.0)
             keys = [each.key for each in found.changes]
             self.assertEqual(("servers/a", "servers/c"), (keys[0], keys[-1]))
 
     @inlineCallbacks
-    def test_a_watch_shows_all_beside_an_odd_one(self):
-        for odd in (*ODD_ITEMS, {"object": 7}, {"deleted": True}):
-            events = [{"deleted": False, "object": item("a")}, odd]
+    def test_a_watch_with_a_malformed_event_contains_all_others(self):
+        for malformed in (*MALFORMED_ITEMS, {"object": 7}, {"deleted": True}):
+            events = [{"deleted": False, "object": item("a")}, malformed]
             fields = {"events": events, "current_rev": 9}
             self.store.raw.append(json.dumps(fields).encode())
             found = yield self.platform.watch("servers/", 3, 0.0)
             self.assertEqual(("servers/a", 9), (found.changes[0].key, found.revision))
 
     @inlineCallbacks
-    def test_odd_names_at_the_end_of_a_page_hide_no_later_page(self):
+    def test_invalid_names_at_the_end_of_a_page_do_not_hide_later_pages(self):
         for name in ("\ud800", "a b&c=d", "é", "x" * 3000, "a/b"):
             self.answer([item("a"), item(name)], more=True)
             self.answer([item("z")])
             found = yield self.platform.watch("servers/", 0, 0.0)
             self.assertEqual("servers/z", found.changes[-1].key)
-        for odd in ODD_ITEMS[:-1]:
-            self.answer([item("a"), odd], more=True)
-            self.answer([odd, item("z")])
+        for malformed in MALFORMED_ITEMS[:-1]:
+            self.answer([item("a"), malformed], more=True)
+            self.answer([malformed, item("z")])
             found = yield self.platform.watch("servers/", 0, 0.0)
             self.assertEqual("servers/z", found.changes[-1].key)
 
     @inlineCallbacks
-    def test_half_a_list_is_none(self):
+    def test_an_incomplete_list_raises(self):
         self.answer([item("a"), None], more=True)
         self.answer([None, None], more=True)
         try:
             yield self.platform.watch("servers/", 0, 0.0)
         except PlatformUnavailableError:
             return
-        self.fail("half a list was taken for a whole one")
+        self.fail("an incomplete list was returned")
 
     @inlineCallbacks
-    def test_an_odd_revision_of_the_store_is_one_clear_error(self):
-        for odd in (None, "9", True, -1, 2**63, 1e999):
+    def test_an_invalid_revision_raises_platform_unavailable_error(self):
+        for malformed in (None, "9", True, -1, 2**63, 1e999):
             self.store.raw.append(
-                json.dumps({"events": [], "current_rev": odd}).encode()
+                json.dumps({"events": [], "current_rev": malformed}).encode()
             )
             try:
                 yield self.platform.watch("servers/", 3, 0.0)
             except PlatformUnavailableError:
                 continue
-            self.fail(f"revision {odd!r} was taken")
+            self.fail(f"revision {malformed!r} was accepted")
--- a/tests/adapter/test_translation.py
+++ b/tests/adapter/test_translation.py
@@ -1,4 +1,4 @@
-"""Names and formats of the users' pages, decoded once and nowhere else."""
+"""Translation of the platform's records, settings and headers by the adapter."""
 
 from __future__ import annotations
 
@@ -106,16 +106,16 @@
             route.gap_objective,
         )
 
-    def test_an_unknown_kind_is_never_repeated(self):
-        odd = {
+    def test_requests_of_an_unknown_kind_are_never_retried(self):
+        invalid = {
             **CONFIGURATION,
             "routes": [{**CONFIGURATION["routes"][0], "kind": "new"}],
         }
-        table = decode_routing_table(stored(odd))
+        table = decode_routing_table(stored(invalid))
         self.assertFalse(table.route("desk.example", "/p/").may_repeat)
 
-    def test_a_record_that_cannot_be_read_is_one_clear_error(self):
-        for odd in (
+    def test_an_invalid_record_raises_record_error(self):
+        for invalid in (
             {},
             [],
             None,
@@ -126,7 +126,9 @@
             {**CONFIGURATION, "tenants": [{"api_keys": ["k"]}]},
             {**CONFIGURATION, "limits": {"idle_timeout_ms": "long"}},
         ):
-            error = self.assertRaises(RecordError, decode_routing_table, stored(odd))
+            error = self.assertRaises(
+                RecordError, decode_routing_table, stored(invalid)
+            )
             self.assertIn("config/main", str(error))
 
     def test_a_target_is_decoded(self):
@@ -141,8 +143,10 @@
         self.assertEqual(
             ("i-1", "llm", True), (found.name, found.service, found.is_draining)
         )
-        for odd in ({}, {**fields, "address": "x"}, {**fields, "slots": "many"}):
-            self.assertRaises(RecordError, decode_target, stored(odd, "servers/i-1"))
+        for invalid in ({}, {**fields, "address": "x"}, {**fields, "slots": "many"}):
+            self.assertRaises(
+                RecordError, decode_target, stored(invalid, "servers/i-1")
+            )
 
     def test_a_router_is_decoded(self):
         found = decode_router(stored({"address": "10.0.0.1", "port": 7}, "routers/a"))
@@ -166,14 +170,14 @@
     def bounds(self, host):
         return host.bounds.drain, host.bounds.apply, host.bounds.revoke
 
-    def test_the_rest_after_a_version_is_within_its_bound(self):
+    def test_the_batching_delay_after_a_version_is_within_its_bound(self):
         bounds = {"drain_ms": 1500, "config_apply_ms": 3000}
         host = self.read({**SETTINGS, "bounds": bounds})
         self.assertEqual((1.5, 3.0, 5.0), self.bounds(host))
         self.assertLess(CONFIGURATION_BATCHING_SHARE, 0.5)
 
-    def test_what_cannot_be_used_is_one_clear_error(self):
-        for odd in (
+    def test_invalid_settings_raise_boot_file_error(self):
+        for invalid in (
             "not json",
             "[]",
             {},
@@ -182,10 +186,10 @@
             {**SETTINGS, "platform": {"address": "10.0.0.1:99999"}},
             {**SETTINGS, "bounds": {"drain_ms": "soon"}},
         ):
-            error = self.assertRaises(BootFileError, self.read, odd)
+            error = self.assertRaises(BootFileError, self.read, invalid)
             self.assertIn("settings file", str(error))
 
-    def test_a_missing_file_is_told(self):
+    def test_a_missing_file_raises_boot_file_error(self):
         self.assertRaises(BootFileError, read_host_settings, "/nowhere/node.json")
 
 
@@ -209,14 +213,14 @@
             Authorization="bearer k1",
             Last_Event_Id="4",
         )
-        self.assertEqual(("r1", "k1", 1.5, 4), self.said(found))
+        self.assertEqual(("r1", "k1", 1.5, 4), self.decoded(found))
         self.assertEqual([800, 410], [part.tokens for part in found.prompt.parts])
         self.assertEqual(80, found.prompt.output_tokens)
 
-    def said(self, found):
+    def decoded(self, found):
         return found.request_id, found.key, found.time_left, found.last_event
 
-    def test_odd_values_are_taken_as_missing(self):
+    def test_invalid_values_count_as_missing(self):
         found = self.head(
             Primrosescale_Request_Deadline="soon",
             Primrosescale_Token_Usage="x,y",
@@ -224,7 +228,7 @@
             Authorization="Basic x",
             Last_Event_Id="-1",
         )
-        self.assertEqual(("", "", None, None), self.said(found))
+        self.assertEqual(("", "", None, None), self.decoded(found))
         self.assertIsNone(found.prompt)
 
     def test_only_the_router_sets_its_own_headers(self):
@@ -250,7 +254,7 @@
         expected = ["host", "primrosescale-model", "primrosescale-request-id", "x-own"]
         self.assertEqual(expected, names)
 
-    def test_a_target_gets_what_the_router_decided(self):
+    def test_headers_to_a_target_carry_the_router_s_decisions(self):
         sending = Sending(
             request=replace(request(STREAM), prompt=prompt(("a", 1), ("b", 2))),
             target=target("m1"),
@@ -260,7 +264,7 @@
             needs_new_connection=False,
         )
         headers = self.codec.target_headers(sending)
-        said = {n.lower(): v[0] for n, v in headers.getAllRawHeaders()}
+        decoded = {n.lower(): v[0] for n, v in headers.getAllRawHeaders()}
         self.assertEqual(
             {
                 b"primrosescale-request-deadline": b"750",
@@ -270,7 +274,7 @@
                 b"last-event-id": b"3",
                 b"kv-fetch": b"127.0.0.1:9002",
             },
-            said,
+            decoded,
         )
 
     def test_an_answer_s_head_is_decoded(self):
@@ -298,21 +302,21 @@
         named = {name.replace("_", "-"): value for name, value in headers.items()}
         return self.codec.answer_head(status, Headers(named), None)
 
-    def test_a_target_says_that_it_leaves_in_any_answer(self):
+    def test_a_target_may_announce_leaving_in_any_answer(self):
         for status in (200, 404, 500, 503):
             self.assertTrue(self.answer(status, Server_Leaving=["1"]).is_leaving)
         for value in ("0", "", "yes", "11"):
             self.assertFalse(self.answer(Server_Leaving=[value]).is_leaving)
         self.assertFalse(self.answer().is_leaving)
 
-    def test_a_target_that_turns_a_request_away_may_ask_for_rest(self):
+    def test_a_target_may_request_a_pause_with_status_503(self):
         self.assertEqual(3.0, self.answer(503, Retry_After=["3"]).rest)
         self.assertEqual(0.25, self.answer(503, Retry_After=[" 0.25 "]).rest)
         self.assertIsNone(self.answer(503).rest)
         for status in (200, 429, 500, 504):
             self.assertIsNone(self.answer(status, Retry_After=["3"]).rest)
 
-    def test_odd_rests_are_bounded_or_none(self):
+    def test_invalid_requested_pauses_are_bounded_or_none(self):
         for value in ("-1", "0", "nan", "-inf", "", "soon", "3 s", "\xff"):
             self.assertIsNone(self.answer(503, Retry_After=[value]).rest, value)
         date = "Wed, 21 Oct 2026 07:28:00 GMT"
@@ -321,7 +325,7 @@
             self.assertEqual(LONGEST_REST, self.answer(503, Retry_After=[value]).rest)
         self.assertEqual(5.0, self.answer(503, Retry_After=["2", "5", "odd"]).rest)
 
-    def test_odd_rests_are_marked(self):
+    def test_invalid_requested_pauses_are_marked(self):
         for value in ("0", "0.5", "600"):
             found = self.answer(503, Retry_After=[value])
             self.assertFalse(found.is_rest_odd, value)
@@ -332,7 +336,7 @@
         self.assertFalse(self.answer(503).is_rest_odd)
         self.assertFalse(self.answer(429, Retry_After=["soon"]).is_rest_odd)
 
-    def test_a_refusal_says_when_to_come_back(self):
+    def test_a_refusal_carries_retry_after(self):
         headers = dict(self.codec.refusal_headers(Refusal.STALE, "r1", 0.4))
         self.assertEqual(b"0.40", headers[b"Retry-After"])
         self.assertNotIn(
@@ -341,7 +345,7 @@
 
 
 class BoundaryTest(TestCase):
-    """Names of the users' wire stand in the adapter and its stand-ins alone."""
+    """Only the adapter and its stand-ins contain names of the users' wire."""
 
     WIRE_NAMES = re.compile(
         r"Primrosescale-[A-Z]|Kv-(Fetch|From)|/api/|\"(routes|path_prefix|max_attempts|"
@@ -351,7 +355,7 @@
     )
     ALLOWED = ("platform/", "standin/users_store.py", "standin/users_engine.py")
 
-    def test_nothing_outside_the_adapter_knows_them(self):
+    def test_nothing_outside_the_adapter_contains_wire_names(self):
         for path in SOURCE.rglob("*.py"):
             name = str(path.relative_to(SOURCE))
             if name.startswith(self.ALLOWED):
--- a/tests/support/foreign.py
+++ b/tests/support/foreign.py
@@ -1,4 +1,4 @@
-"""Good records of the store, and what other writers may make of them."""
+"""Valid records of the store, and strategies that generate invalid ones."""
 
 from __future__ import annotations
 
@@ -87,9 +87,9 @@
     "tenants": [{"name": "hule930", "api_keys": ["n2ctnfzs", "anfqasnm"]}],
 }
 
-# Several times what a parser takes.
+# Several times the nesting depth that parsers accept.
 DEEP = 5_000
-# Contents that nothing can be read from.
+# Contents from which no record can be decoded.
 UNREADABLE = (
     b"",
     b"\xff\xfe{",
@@ -166,35 +166,37 @@
 
 
 @st.composite
-def spoiled(draw, good):
-    """Draw a record in which some members are missing, added or replaced."""
-    record = copy.deepcopy(good)
+def corrupted(draw, valid):
+    """Generate a record in which some members are missing, added or replaced."""
+    record = copy.deepcopy(valid)
     for _ in range(draw(st.integers(1, 3))):
         known = paths(record)
         if not known:
             break
         path = draw(st.sampled_from(known))
-        holder = record
+        parent = record
         for name in path[:-1]:
-            holder = holder[name]
-        way = draw(st.sampled_from(["drop", "replace", "add"]))
-        if way == "replace":
-            holder[path[-1]] = draw(values)
-        elif way == "drop":
-            del holder[path[-1]]
-        elif isinstance(holder, dict):
-            holder[draw(st.text(max_size=8))] = draw(values)
+            parent = parent[name]
+        change = draw(st.sampled_from(["drop", "replace", "add"]))
+        if change == "replace":
+            parent[path[-1]] = draw(values)
+        elif change == "drop":
+            del parent[path[-1]]
+        elif isinstance(parent, dict):
+            parent[draw(st.text(max_size=8))] = draw(values)
     return record
 
 
-def contents(good):
-    """Return a strategy for what may stand in the store in place of a record."""
+def contents(valid):
+    """Return a strategy for contents that the store may have in place of a record."""
     return st.one_of(
-        spoiled(good).map(lambda record: json.dumps(record).encode()),
+        corrupted(valid).map(lambda record: json.dumps(record).encode()),
         values.map(lambda value: json.dumps(value).encode()),
         st.sampled_from(UNREADABLE),
         st.binary(max_size=40),
         st.tuples(st.integers(0, 200), st.binary(max_size=4)).map(
-            lambda cut: json.dumps(good).encode()[: cut[0]] + cut[1]
+            lambda truncation: (
+                json.dumps(valid).encode()[: truncation[0]] + truncation[1]
+            )
         ),
     )
