--- a/src/primrosescale/platform/field_reader.py
+++ b/src/primrosescale/platform/field_reader.py
@@ -459,7 +459,7 @@
         ]
 
     def require(self, field: str) -> None:
-        """Refuse the record when a field is absent.
+        """Refuse the record when a field is absent, or null where that counts as absent.
 
         Parameters
         ----------
@@ -532,7 +532,7 @@
 
 
 def record_name(stored: StoredObject, remedy: str) -> str:
-    """Return and validate the name in a record's key.
+    """Validate and return the name in a record's key.
 
     Names are sent in headers and logged.
 
--- a/tests/adapter/test_start.py
+++ b/tests/adapter/test_start.py
@@ -155,8 +155,8 @@
         self.assertEqual(0, child.returncode)
         self.assertIn("process_stopped", output)
 
-    # Guards against a router that ends when SIGHUP arrives while the interpreter starts,
-    # although its parent process ignores the signal, as operators are advised to do.
+    # Guards against a router that ends on SIGHUP while the interpreter starts, although
+    # its parent process has the signal ignored, as operators are advised to do.
     def test_reloads_during_interpreter_start_do_not_end_it_when_ignored(self):
         self.write(self.free_port, self.other_free_port)
         child = self.start_program(preexec_fn=ignore_reloads)
