--- a/src/primrosescale/platform/field_reader.py
+++ b/src/primrosescale/platform/field_reader.py
@@ -459,7 +459,7 @@
         ]
 
     def require(self, field: str) -> None:
-        """Refuse the record when a field is absent, or null where that counts as absent.
+        """Refuse the record when a field is absent, or null that counts as absent.
 
         Parameters
         ----------
