--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -16,17 +16,17 @@
 from primrosescale.platform.http_codec import PlatformCodec
 from primrosescale.platform.object_platform import ObjectPlatform
 from primrosescale.process.entry.codec import RecordDecoder
+from primrosescale.process.entry.entry_dependencies import EntryDependencies
 from primrosescale.process.entry.entry_metrics import EntryMetrics
-from primrosescale.process.entry.entry_parts import EntryParts
 from primrosescale.process.entry.entry_router import EntryRouter
 from primrosescale.process.entry.entry_settings import EntrySettings
-from primrosescale.process.entry.entry_settings import EntryWatches
+from primrosescale.process.entry.entry_settings import WatchedPrefixes
 from primrosescale.process.entry.log_writer import FailureObserver
 from primrosescale.process.entry.log_writer import LogWriter
 from primrosescale.process.entry.store_watch import WatchedPrefix
 from primrosescale.process.events import EventLog
 from primrosescale.request.cold_targets import ColdSettings
-from primrosescale.request.repeat_budget import RepeatBounds
+from primrosescale.request.shared_retry_budget import SharedRetryLimits
 from primrosescale.request.target_choice import ChoiceSettings
 
 if TYPE_CHECKING:
@@ -34,7 +34,7 @@
     from collections.abc import Collection
     from random import Random
 
-    from primrosescale.process.entry.other_router import OtherRouter
+    from primrosescale.process.entry.peer_router import PeerRouter
     from primrosescale.process.transport.platform import StoredObject
     from primrosescale.request.serving_target import ServingTarget
     from primrosescale.version.routing_table import RoutingTable
@@ -102,7 +102,7 @@
         """Decode a target; see `RecordDecoder.target`."""
         return records.decode_target(stored)
 
-    def router(self, stored: StoredObject) -> OtherRouter:
+    def router(self, stored: StoredObject) -> PeerRouter:
         """Decode an entry router; see `RecordDecoder.router`."""
         return records.decode_router(stored)
 
@@ -112,7 +112,7 @@
     host: HostSettings,
     metrics_port: int,
     rng: Random,
-    early: socket.socket | None = None,
+    listening_socket: socket.socket | None = None,
 ) -> EntryRouter:
     """Build an entry router.
 
@@ -126,7 +126,7 @@
         Port on which metrics are served; 0 for none.
     rng : Random
         Source of randomness.
-    early : socket.socket | None
+    listening_socket : socket.socket | None
         A socket that already listens for callers; None to open one.
 
     Returns
@@ -144,7 +144,7 @@
     writer.install()
     log = EventLog(host.name)
     FailureObserver(log).install()
-    dependencies = EntryParts(
+    dependencies = EntryDependencies(
         reactor=reactor,
         platform=ObjectPlatform(reactor, host.store, STORE_TIMEOUT_SECONDS),
         codec=PlatformCodec(),
@@ -153,11 +153,11 @@
         writer=writer,
         metrics=EntryMetrics(),
         rng=rng,
-        reread=lambda: entry_settings(own_host_settings(), metrics_port),
+        read_settings=lambda: entry_settings(own_host_settings(), metrics_port),
         caches=EngineCaches(reactor),
-        early=early,
+        listening_socket=listening_socket,
     )
-    prefixes = EntryWatches(
+    prefixes = WatchedPrefixes(
         configuration=WatchedPrefix(
             records.CONFIGURATION,
             CONFIGURATION_WAIT_SECONDS,
@@ -218,12 +218,12 @@
         reads_caches=not host.is_first_start,
         drain=bounds.drain,
         revoke=bounds.revoke,
-        certain_for=NOT_FOUND_MAX_AGE_SECONDS,
+        not_found_max_age=NOT_FOUND_MAX_AGE_SECONDS,
         stop_within=bounds.stop,
-        most_requests=host.memory_limit // BYTES_PER_REQUEST,
+        max_requests=host.memory_limit // BYTES_PER_REQUEST,
         choice=ChoiceSettings(load_multiple=LOAD_MULTIPLE_SHARE * bounds.load_multiple),
         cold=ColdSettings(over=bounds.cold_over, slack=bounds.cold_slack),
-        repeats=RepeatBounds(
+        repeats=SharedRetryLimits(
             bounds.retry_ratio, bounds.retry_window, bounds.retry_extra
         ),
     )
--- a/src/primrosescale/platform/program.py
+++ b/src/primrosescale/platform/program.py
@@ -57,7 +57,7 @@
     `pending` contains the signals received before the router runs.
     """
     try:
-        early = None if host.callers is None else open_listener(host.callers)
+        listening_socket = None if host.callers is None else open_listener(host.callers)
     except OSError as error:
         sys.stderr.write(f"primrosescale: cannot start: {error}\n")
         return 1
@@ -80,7 +80,7 @@
 
     metrics_port = int(values["metrics_port"].value or 0)
     rng = random.SystemRandom()
-    router = build_entry_router(reactor, host, metrics_port, rng, early)
+    router = build_entry_router(reactor, host, metrics_port, rng, listening_socket)
     return _run_reactor(reactor, router, pending)
 
 
--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -8,11 +8,11 @@
 from primrosescale.platform.field_reader import FieldReader
 from primrosescale.platform.field_reader import record_name
 from primrosescale.platform.host_settings import SECONDS_PER_MILLISECOND
-from primrosescale.process.entry.other_router import OtherRouter
+from primrosescale.process.entry.peer_router import PeerRouter
 from primrosescale.request.serving_target import ServingTarget
 from primrosescale.version.routing_table import CallerLimits
 from primrosescale.version.routing_table import Organisation
-from primrosescale.version.routing_table import Repeatability
+from primrosescale.version.routing_table import RetryPolicy
 from primrosescale.version.routing_table import Route
 from primrosescale.version.routing_table import RoutingTable
 from primrosescale.version.routing_table import Service
@@ -30,9 +30,9 @@
 EVACUATIONS = "evacuations/"
 
 RETRY_POLICIES = {
-    "safe": Repeatability.IDEMPOTENT,
-    "unsafe": Repeatability.ONCE,
-    "streaming": Repeatability.STREAM,
+    "safe": RetryPolicy.IDEMPOTENT,
+    "unsafe": RetryPolicy.ONCE,
+    "streaming": RetryPolicy.STREAM,
 }
 # Limits used when a version states none; those of the users' deployments.
 DEFAULT_LIMITS: dict[str, float] = {
@@ -188,13 +188,15 @@
         slots=reader.integer("slots", MAX_SLOTS),
         is_draining=IS_DRAINING_BY_STATE[state],
         # Time for which a target that has just started stays slow.
-        warming_for=reader.number_or("cold_remaining_ms", 0, MAX_DURATION_MILLISECONDS)
+        warm_up_seconds=reader.number_or(
+            "cold_remaining_ms", 0, MAX_DURATION_MILLISECONDS
+        )
         * SECONDS_PER_MILLISECOND,
         started_at=reader.integer("born") if reader.has("born") else None,
     )
 
 
-def decode_router(stored: StoredObject) -> OtherRouter:
+def decode_router(stored: StoredObject) -> PeerRouter:
     """Decode an entry of the list of routers.
 
     Parameters
@@ -204,7 +206,7 @@
 
     Returns
     -------
-    OtherRouter
+    PeerRouter
         The router.
 
     Raises
@@ -215,7 +217,7 @@
     reader = FieldReader.of(stored, REMEDY_ROUTER)
     endpoint = Endpoint(reader.address("address"), reader.port("port"))
     domain = reader.text_or("domain", "")
-    return OtherRouter(record_name(stored, REMEDY_ROUTER), endpoint, domain)
+    return PeerRouter(record_name(stored, REMEDY_ROUTER), endpoint, domain)
 
 
 def _route(item: FieldReader, regions: Collection[str]) -> Route:
@@ -235,7 +237,7 @@
         host=item.text("host").lower(),
         path_prefix=prefix,
         services=_services(item),
-        repeatability=RETRY_POLICIES.get(item.text("kind"), Repeatability.ONCE),
+        retry_policy=RETRY_POLICIES.get(item.text("kind"), RetryPolicy.ONCE),
         is_resumable=item.flag_or("resume_streams", default=False),
         # "sticky" only means that requests describe their prompts.
         has_prompt=item.flag_or("sticky", default=False),
@@ -245,7 +247,7 @@
         * SECONDS_PER_MILLISECOND,
         max_targets=max(1, item.integer_or("max_attempts", 1, MAX_TARGETS_PER_REQUEST)),
         priority=item.integer_or("priority", 5, MAX_PRIORITY),
-        is_open=item.flag_or("skip_auth", default=False),
+        allows_anonymous=item.flag_or("skip_auth", default=False),
         allowed_regions=_allowed_regions(item, regions),
     )
 
