--- a/src/primrosescale/ini/options.py
+++ b/src/primrosescale/ini/options.py
@@ -1,4 +1,4 @@
-"""Declared options: how a text becomes a checked value."""
+"""Declarations of options: how their text is parsed and validated."""
 
 from __future__ import annotations
 
@@ -17,36 +17,36 @@
 HIGHEST_PORT = 65535
 
 
-class Kind(ABC):
-    """A kind of value that an option may have."""
+class OptionKind(ABC):
+    """Type of an option's value: parses, validates and formats it."""
 
     @abstractmethod
     def parse(self, text: str) -> Any:
-        """Return the value of a text.
+        """Parse and validate the text of an option.
 
         Parameters
         ----------
         text : str
-            What stands in the file.
+            Text given for the option.
 
         Returns
         -------
         Any
-            The checked value.
+            The validated value.
 
         Raises
         ------
         ValueError
-            When the text is not of this kind.
+            When the text is not a valid value of this kind.
         """
 
     @property
     @abstractmethod
     def expects(self) -> str:
-        """Return what to write, as the end of "write ..."."""
+        """Return what a valid value looks like, as the end of "write ..."."""
 
     def show(self, value: Any) -> str:
-        """Return the text of a value.
+        """Format a value as text.
 
         Parameters
         ----------
@@ -56,64 +56,64 @@
         Returns
         -------
         str
-            What would stand in a file.
+            The text that `parse` accepts for the value.
         """
         return str(value)
 
 
 @dataclass(frozen=True, slots=True)
-class Number(Kind):
-    """A number within limits.
+class Number(OptionKind):
+    """A number within a range.
 
     Parameters
     ----------
-    least : float
-        Lower limit.
-    most : float
-        Upper limit.
+    minimum : float
+        Lowest value allowed.
+    maximum : float
+        Highest value allowed.
     is_whole : bool
-        Whether only whole numbers count.
+        Whether only integers are allowed.
     """
 
-    least: float = 0.0
-    most: float = math.inf
+    minimum: float = 0.0
+    maximum: float = math.inf
     is_whole: bool = False
 
     def parse(self, text: str) -> Any:
-        """Return the number; see `Kind.parse`."""
+        """Return the number; see `OptionKind.parse`."""
         value = int(text) if self.is_whole else float(text)
-        if not self.least <= value <= self.most:
+        if not self.minimum <= value <= self.maximum:
             raise ValueError(text)
         return value
 
     @property
     def expects(self) -> str:
-        """Return the limits in words."""
+        """Return the range as text."""
         noun = "a whole number" if self.is_whole else "a number"
-        if math.isinf(self.most):
-            return f"{noun} of at least {self.least:g}"
-        return f"{noun} from {self.least:g} to {self.most:g}"
+        if math.isinf(self.maximum):
+            return f"{noun} of at least {self.minimum:g}"
+        return f"{noun} from {self.minimum:g} to {self.maximum:g}"
 
 
 @dataclass(frozen=True, slots=True)
-class Text(Kind):
-    """Any text, or one of some words.
+class Text(OptionKind):
+    """Any text, or one of a set of texts.
 
     Parameters
     ----------
-    words : tuple[str, ...]
-        The words allowed; empty for any text.
+    allowed : tuple[str, ...]
+        The texts allowed; empty for any text.
     may_be_empty : bool
-        Whether nothing is a value.
+        Whether an empty text is allowed.
     """
 
-    words: tuple[str, ...] = ()
+    allowed: tuple[str, ...] = ()
     may_be_empty: bool = True
 
     def parse(self, text: str) -> Any:
-        """Return the text; see `Kind.parse`."""
+        """Return the text; see `OptionKind.parse`."""
         value = text.strip()
-        if self.words and value not in self.words:
+        if self.allowed and value not in self.allowed:
             raise ValueError(text)
         if not value and not self.may_be_empty:
             raise ValueError(text)
@@ -121,18 +121,18 @@
 
     @property
     def expects(self) -> str:
-        """Return the words allowed."""
-        if self.words:
-            return f"one of {', '.join(self.words)}"
+        """Return the texts allowed."""
+        if self.allowed:
+            return f"one of {', '.join(self.allowed)}"
         return "some text"
 
 
 @dataclass(frozen=True, slots=True)
-class Flag(Kind):
-    """Yes or no."""
+class Flag(OptionKind):
+    """A boolean."""
 
     def parse(self, text: str) -> Any:
-        """Return the truth value; see `Kind.parse`."""
+        """Return the boolean; see `OptionKind.parse`."""
         word = text.strip().lower()
         if word in TRUE_WORDS:
             return True
@@ -142,7 +142,7 @@
 
     @property
     def expects(self) -> str:
-        """Return the two words."""
+        """Return the two texts recommended."""
         return "yes or no"
 
     def show(self, value: Any) -> str:
@@ -151,48 +151,48 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Address(Kind):
-    """An IP number."""
+class Address(OptionKind):
+    """An IP address."""
 
     def parse(self, text: str) -> Any:
-        """Return the address as text; see `Kind.parse`."""
+        """Return the address as text; see `OptionKind.parse`."""
         return str(ipaddress.ip_address(text.strip()))
 
     @property
     def expects(self) -> str:
-        """Return an example."""
-        return "an IP number such as 10.0.0.1, not a host name"
+        """Return the form of a valid value with an example."""
+        return "an IP address such as 10.0.0.1, not a host name"
 
 
 @dataclass(frozen=True, slots=True)
-class Words(Kind):
-    """A list separated by commas or line ends.
+class Words(OptionKind):
+    """A list of texts separated by commas or line breaks.
 
     Parameters
     ----------
     allowed : tuple[str, ...]
-        The words allowed; empty for any.
+        The texts allowed; empty for any.
     """
 
     allowed: tuple[str, ...] = ()
 
     def parse(self, text: str) -> Any:
-        """Return the words as a tuple; see `Kind.parse`."""
+        """Return the list as a tuple; see `OptionKind.parse`."""
         parts = text.replace("\n", ",").split(",")
-        words = tuple(part.strip() for part in parts if part.strip())
-        if self.allowed and not set(words) <= set(self.allowed):
+        items = tuple(part.strip() for part in parts if part.strip())
+        if self.allowed and not set(items) <= set(self.allowed):
             raise ValueError(text)
-        return words
+        return items
 
     @property
     def expects(self) -> str:
-        """Return the words allowed."""
+        """Return the form of the list and the texts allowed in it."""
         if self.allowed:
             return f"a comma-separated list of {', '.join(self.allowed)}"
         return "a comma-separated list"
 
     def show(self, value: Any) -> str:
-        """Return the words with commas."""
+        """Return the items separated by commas."""
         return ", ".join(value)
 
 
@@ -204,36 +204,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Declaration:
-    """What is declared of an option.
+class OptionDeclaration:
+    """Declaration of an option, kept in the metadata of its field.
 
     Parameters
     ----------
-    kind : Kind
-        Kind of its value.
+    kind : OptionKind
+        Kind of the value.
     doc : str
-        What it is for, with its unit.
+        Purpose of the option, with its unit.
     """
 
-    kind: Kind
+    kind: OptionKind
     doc: str
 
 
-def option(kind: Kind, doc: str, default: Any = MISSING) -> Any:
+def option(kind: OptionKind, doc: str, default: Any = MISSING) -> Any:
     """Declare an option as a field of a settings class.
 
     Parameters
     ----------
-    kind : Kind
-        Kind of its value.
+    kind : OptionKind
+        Kind of the value.
     doc : str
-        What it is for, with its unit.
+        Purpose of the option, with its unit.
     default : Any
-        Its value when it is not given; without one it must be given.
+        Value when the option is not given; without a default it is required.
 
     Returns
     -------
     Any
         A dataclass field.
     """
-    return field(default=default, metadata={METADATA_KEY: Declaration(kind, doc)})
+    return field(default=default, metadata={METADATA_KEY: OptionDeclaration(kind, doc)})
--- a/src/primrosescale/platform/http_codec.py
+++ b/src/primrosescale/platform/http_codec.py
@@ -1,4 +1,4 @@
-"""Headers of the platform's callers and targets."""
+"""Translates the headers of the platform's callers and targets."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from twisted.web.http_headers import Headers
 
-from primrosescale.platform.host_settings import MILLISECOND
+from primrosescale.platform.host_settings import SECONDS_PER_MILLISECOND
 from primrosescale.process.entry.codec import EntryCodec
 from primrosescale.request.forwarding_interfaces import AnswerHead
 from primrosescale.request.incoming_request import Prompt
@@ -21,10 +21,10 @@
     from primrosescale.request.forwarding_interfaces import Refusal
 
 REQUEST_ID = b"Primrosescale-Request-Id"
-# How many milliseconds the sender of the request will wait.
+# Milliseconds for which the sender of the request will wait.
 TIME_LEFT = b"Primrosescale-Request-Deadline"
 PROMPT_PARTS = b"Primrosescale-Prompt-Prefix"
-# Tokens of the prompt, and the most that the answer may have.
+# Number of tokens of the prompt, and maximum number of tokens of the answer.
 TOKENS = b"Primrosescale-Token-Usage"
 MODEL = b"Primrosescale-Model"
 RECEIPT = b"Primrosescale-Response-Signature"
@@ -33,20 +33,21 @@
 LOAD = b"Primrosescale-Engine-Load"
 NOT_RUN = b"Primrosescale-Not-Executed"
 # Milliseconds for which the target stays cold.
-COLD_LEFT = b"Primrosescale-Cold-Remaining"
+COLD_REMAINING = b"Primrosescale-Cold-Remaining"
 LEAVING = b"Server-Leaving"
 PRIORITY = b"Primrosescale-Request-Priority"
 FETCH_FROM = b"Kv-Fetch"
 LAST_EVENT = b"Last-Event-Id"
 AUTHORIZATION = b"Authorization"
-SCHEME = "bearer "
+BEARER_PREFIX = "bearer "
 RETRY_AFTER = b"Retry-After"
-# A header of the field, not of the platform: each hop replaces it.
+# Not a header of the platform but of W3C Trace Context: each hop replaces it.
 TRACE_CONTEXT = b"traceparent"
 
-OTHER_INCARNATION = 421
+MISDIRECTED_REQUEST = 421
 
-# Headers of one connection, and what a Connection header names besides.
+# Hop-by-hop headers, and others that apply to one connection only. The headers that
+# a Connection header names are dropped as well.
 CONNECTION_HEADERS = frozenset(
     {
         b"connection",
@@ -60,8 +61,8 @@
         b"expect",
     },
 )
-# Headers that only the router may set on the way to a target.
-ROUTERS_HEADERS = frozenset(
+# Headers of requests to targets that only the router may set.
+ROUTER_ONLY_HEADERS = frozenset(
     name.lower()
     for name in (
         TIME_LEFT,
@@ -85,29 +86,31 @@
     """Translates the platform's headers; see `EntryCodec`."""
 
     def caller_head(self, method: bytes, path: bytes, headers: Headers) -> CallerHead:
-        """Return what a caller's head says; see `EntryCodec.caller_head`."""
-        time_left = _number(_first(headers, TIME_LEFT))
+        """Decode the head of a caller's request; see `EntryCodec.caller_head`."""
+        time_left = _non_negative_number(_first(headers, TIME_LEFT))
         last = _first(headers, LAST_EVENT)
         return CallerHead(
             method=method,
             path=path,
             host=_first(headers, b"Host"),
             request_id=_first(headers, REQUEST_ID),
-            key=_key(_first(headers, AUTHORIZATION)),
-            time_left=None if time_left is None else time_left * MILLISECOND,
+            key=_bearer_key(_first(headers, AUTHORIZATION)),
+            time_left=None
+            if time_left is None
+            else time_left * SECONDS_PER_MILLISECOND,
             prompt=_prompt(headers),
             last_event=int(last) if last.isdigit() else None,
-            headers=_handed_on(headers),
+            headers=_forwarded_headers(headers),
             traceparent=_first(headers, TRACE_CONTEXT),
         )
 
     def target_headers(self, sending: OutgoingRequest) -> Headers:
-        """Return headers for a target; see `EntryCodec.target_headers`."""
+        """Build headers of a request to a target; see `EntryCodec.target_headers`."""
         request = sending.request
         headers = Headers()
         for name, value in request.headers:
             headers.addRawHeader(name, value)
-        left = max(1, int(sending.time_left / MILLISECOND))
+        left = max(1, int(sending.time_left / SECONDS_PER_MILLISECOND))
         headers.setRawHeaders(TIME_LEFT, [b"%d" % left])
         headers.setRawHeaders(EXPECTED_INCARNATION, [sending.target.name.encode()])
         if request.organisation:
@@ -129,9 +132,9 @@
         headers: Headers,
         length: int | None,
     ) -> AnswerHead:
-        """Return what a target's head says; see `EntryCodec.answer_head`."""
-        cold_left = _number(_first(headers, COLD_LEFT))
-        rests = _all(headers, RETRY_AFTER)
+        """Decode the head of a target's answer; see `EntryCodec.answer_head`."""
+        cold_left = _non_negative_number(_first(headers, COLD_REMAINING))
+        retry_after_values = _all(headers, RETRY_AFTER)
         return AnswerHead(
             status=status,
             headers=tuple(
@@ -143,13 +146,13 @@
             request_id=_first(headers, REQUEST_ID),
             has_receipt=headers.hasHeader(RECEIPT),
             is_not_run=headers.hasHeader(NOT_RUN),
-            is_other_incarnation=status == OTHER_INCARNATION,
+            is_other_incarnation=status == MISDIRECTED_REQUEST,
             load=_load(_first(headers, LOAD)),
             length=length,
-            cold_for=None if cold_left is None else cold_left * MILLISECOND,
+            cold_for=None if cold_left is None else cold_left * SECONDS_PER_MILLISECOND,
             is_leaving=b"1" in headers.getRawHeaders(LEAVING, []),
-            rest=requested_pause(status, rests),
-            is_rest_odd=is_odd_rest(status, rests),
+            rest=requested_pause(status, retry_after_values),
+            is_rest_odd=is_odd_rest(status, retry_after_values),
         )
 
     def refusal_headers(
@@ -158,7 +161,7 @@
         request_id: str,
         retry_after: float | None,
     ) -> list[tuple[bytes, bytes]]:
-        """Return headers of a refusal; see `EntryCodec.refusal_headers`."""
+        """Build the headers of a refusal; see `EntryCodec.refusal_headers`."""
         headers = [(b"Content-Type", b"application/problem+json")]
         if request_id:
             headers.append((REQUEST_ID, request_id.encode("latin-1")))
@@ -177,25 +180,25 @@
     return values[0].decode("latin-1").strip() if values else ""
 
 
-def _number(text: str) -> float | None:
+def _non_negative_number(text: str) -> float | None:
     try:
         return max(0.0, float(text)) if text else None
     except ValueError:
         return None
 
 
-def _key(text: str) -> str:
-    if text.lower().startswith(SCHEME):
-        return text[len(SCHEME) :].strip()
+def _bearer_key(text: str) -> str:
+    if text.lower().startswith(BEARER_PREFIX):
+        return text[len(BEARER_PREFIX) :].strip()
     return ""
 
 
-def _handed_on(headers: Headers) -> tuple[tuple[bytes, bytes], ...]:
-    """Return the caller's headers without those that end at the router."""
-    dropped = set(CONNECTION_HEADERS | ROUTERS_HEADERS)
+def _forwarded_headers(headers: Headers) -> tuple[tuple[bytes, bytes], ...]:
+    """Return the caller's headers without those that targets must not get."""
+    dropped = set(CONNECTION_HEADERS | ROUTER_ONLY_HEADERS)
     for value in headers.getRawHeaders(b"Connection") or []:
         dropped.update(token.strip().lower() for token in value.split(b","))
-    # A caller must not strip by a Connection header what targets rely on.
+    # A caller's Connection header must not remove headers on which targets rely.
     dropped -= {REQUEST_ID.lower(), PROMPT_PARTS.lower(), TOKENS.lower(), MODEL.lower()}
     return tuple(
         (name, value)
@@ -206,7 +209,7 @@
 
 
 def _prompt(headers: Headers) -> Prompt | None:
-    """Return the prompt that the headers describe; None for an odd one."""
+    """Return the prompt that the headers describe; None when they are invalid."""
     text = _first(headers, PROMPT_PARTS)
     usage = _first(headers, TOKENS)
     if not text or not usage:
@@ -216,10 +219,12 @@
         for item in text.split(","):
             name, _, tokens = item.strip().partition(":")
             parts.append(PromptPart(name, int(tokens)))
-        given, _, most = usage.partition(",")
-        return Prompt(tuple(parts), int(given), int(most), _first(headers, MODEL))
+        prompt_tokens, _, max_tokens = usage.partition(",")
+        return Prompt(
+            tuple(parts), int(prompt_tokens), int(max_tokens), _first(headers, MODEL)
+        )
     except ValueError:
-        # The target judges the prompt; the router only loses its hint.
+        # The target validates the prompt; the router only lacks a hint for its choice.
         return None
 
 
--- a/src/primrosescale/platform/object_platform.py
+++ b/src/primrosescale/platform/object_platform.py
@@ -1,4 +1,4 @@
-"""The users' object store, behind the product's `Platform`."""
+"""Client of the users' object store that implements `Platform`."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from primrosescale.platform.records import ROUTERS
 from primrosescale.platform.store_answer import BINARY
 from primrosescale.platform.store_answer import answer_fields
-from primrosescale.platform.store_answer import listed
+from primrosescale.platform.store_answer import list_member
 from primrosescale.platform.store_answer import revision_of
 from primrosescale.platform.store_answer import stored_object
 from primrosescale.process.exceptions import PlatformConflictError
@@ -45,14 +45,15 @@
 TOO_LARGE = 413
 BASE = "/api/objects/"
 JSON_TYPE = Headers({"Content-Type": ["application/json"]})
-# Pages of a list that are read at the most; 500 objects come on one.
-MOST_PAGES = 1000
+# Maximum number of pages of a list that are read; a page has 500 objects.
+MAX_PAGES = 1000
 
 
 class ObjectPlatform(CalledPlatform):
-    """The users' object store.
+    """Reads, writes and watches objects in the users' object store.
 
-    Keys are ``kind/name``. Values are JSON texts; other bytes are wrapped.
+    Keys are ``kind/name``. Values are JSON texts; other bytes are stored as base64
+    within a JSON object.
     """
 
     @inlineCallbacks
@@ -61,7 +62,7 @@
         reply = yield self._caller.call("GET", _path(key))
         if reply.status == NOT_FOUND:
             return None
-        _require(reply, OK)
+        _require_status(reply, OK)
         return stored_object(_kind(key), answer_fields(reply.body))
 
     @inlineCallbacks
@@ -82,7 +83,7 @@
             raise PlatformConflictError(key, MUST_NOT_EXIST)
         if reply.status == TOO_LARGE:
             raise PlatformLimitError(key, len(value))
-        _require(reply, OK, CREATED)
+        _require_status(reply, OK, CREATED)
         return _revision(reply)
 
     @inlineCallbacks
@@ -90,7 +91,7 @@
         """Delete an object; see `Platform.delete`."""
         reply = yield self._caller.call("DELETE", _path(key), b"")
         if reply.status != NOT_FOUND:
-            _require(reply, OK, NO_CONTENT)
+            _require_status(reply, OK, NO_CONTENT)
 
     @inlineCallbacks
     def list(
@@ -100,7 +101,7 @@
         limit: int,
     ) -> Generator[Any, Any, list[StoredObject]]:
         """Read objects; see `Platform.list`."""
-        found, _ = yield self._pages(prefix, _name(after), limit)
+        found, _ = yield self._read_pages(prefix, _name(after), limit)
         return list(found[:limit])
 
     @inlineCallbacks
@@ -112,7 +113,7 @@
     ) -> Generator[Any, Any, WatchResult]:
         """Wait for a change; see `Platform.watch`."""
         if not since:
-            found, revision = yield self._pages(prefix, "", None)
+            found, revision = yield self._read_pages(prefix, "", None)
             return WatchResult(revision, found)
         kind = _kind(prefix)
         query = urlencode({"watch": since, "wait_ms": int(wait * 1000)})
@@ -120,9 +121,11 @@
         reply = yield self._caller.call("GET", path, extra=wait)
         if reply.status == HISTORY_GONE:
             raise PlatformHistoryGoneError(prefix, since)
-        _require(reply, OK)
+        _require_status(reply, OK)
         fields = answer_fields(reply.body)
-        changes = [_changed(kind, event) for event in listed(fields, "events")]
+        changes = [
+            _changed_object(kind, event) for event in list_member(fields, "events")
+        ]
         wanted = tuple(item for item in changes if item.key.startswith(prefix))
         return WatchResult(revision_of(fields, "current_rev"), wanted)
 
@@ -130,12 +133,12 @@
     def hosts(self, since: int) -> Generator[Any, Any, HostList]:
         """Read the list of routers; see `Platform.hosts`."""
         found = yield self.watch(ROUTERS, since, 0.0)
-        entries = tuple(_host(item) for item in found.changes)
+        entries = tuple(_host_entry(item) for item in found.changes)
         return HostList(found.revision, not since, entries)
 
     @inlineCallbacks
     def announce(self, entry: HostEntry) -> Generator[Any, Any, None]:
-        """Put a router on the list; see `Platform.announce`."""
+        """Add, update or remove a router on the list; see `Platform.announce`."""
         key = ROUTERS + entry.name
         if entry.gone:
             yield self.delete(key)
@@ -148,29 +151,29 @@
             yield self.put(key, value, conflict.current)
 
     @inlineCallbacks
-    def _pages(
+    def _read_pages(
         self,
         prefix: str,
         after: str,
         limit: int | None,
     ) -> Generator[Any, Any, tuple[tuple[StoredObject, ...], int]]:
-        """Read a list page by page; its revision is that of the first page."""
+        """Read a list page by page; return objects and the first page's revision."""
         kind = _kind(prefix)
         found: list[StoredObject] = []
         revision: int | None = None
-        for _ in range(MOST_PAGES):
+        for _ in range(MAX_PAGES):
             query = f"?{_query(after=after)}" if after else ""
             reply = yield self._caller.call("GET", f"{BASE}{quote(kind)}{query}")
-            _require(reply, OK)
+            _require_status(reply, OK)
             fields = answer_fields(reply.body)
-            page = [stored_object(kind, item) for item in listed(fields, "items")]
+            page = [stored_object(kind, item) for item in list_member(fields, "items")]
             if revision is None:
                 revision = revision_of(fields, "current_rev")
             found += [item for item in page if item.key.startswith(prefix)]
             is_enough = limit is not None and len(found) >= limit
             if not fields.get("truncated") or not page or is_enough:
                 break
-            after = _continued(after, page)
+            after = _last_name(after, page)
         return tuple(found), revision or 0
 
 
@@ -187,23 +190,24 @@
 
 
 def _query(**members: Any) -> str:
-    # A name may hold half of a character.
+    # A name may contain a lone surrogate.
     return urlencode(members, errors="surrogatepass")
 
 
-def _continued(after: str, page: list[StoredObject]) -> str:
+def _last_name(after: str, page: list[StoredObject]) -> str:
     """Return the name after which the next page begins.
 
-    An object whose name cannot be read is read again on the next page. Where
-    none can, the list cannot be read to its end, and half a list is none.
+    Objects after the last readable name are read again with the next page. When a
+    page has no new name, the rest of the list cannot be read, and the whole read
+    fails, as an incomplete list must not be used.
     """
     names = [name for name in (_name(item.key) for item in page) if name]
     if not names or names[-1] == after:
-        raise PlatformUnavailableError("odd answer: a page whose end has no name")
+        raise PlatformUnavailableError("malformed answer: a page without a new name")
     return names[-1]
 
 
-def _changed(kind: str, event: Any) -> StoredObject:
+def _changed_object(kind: str, event: Any) -> StoredObject:
     if not isinstance(event, dict):
         return stored_object(kind, None)
     deleted = event.get("deleted", False)
@@ -224,13 +228,15 @@
         return {"encoding": BINARY, "data": base64.b64encode(value).decode()}
 
 
-def _host(item: StoredObject) -> HostEntry:
+def _host_entry(item: StoredObject) -> HostEntry:
     try:
         fields = json.loads(item.value) if not item.is_deleted else None
         if fields is not None:
             return HostEntry(**fields)
     except (ValueError, TypeError, RecursionError) as error:
-        raise PlatformUnavailableError(f"odd entry {item.key}: {error}") from error
+        raise PlatformUnavailableError(
+            f"malformed entry {item.key}: {error}"
+        ) from error
     name = _name(item.key)
     return HostEntry(
         name,
@@ -247,6 +253,6 @@
     )
 
 
-def _require(reply: Reply, *statuses: int) -> None:
+def _require_status(reply: Reply, *statuses: int) -> None:
     if reply.status not in statuses:
         raise PlatformUnavailableError(f"status {reply.status}")
--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -1,4 +1,4 @@
-"""Records that the operator and the targets keep in the platform's store."""
+"""Decodes records of the platform's store: configuration, targets and routers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.platform.field_reader import FieldReader
 from primrosescale.platform.field_reader import record_name
-from primrosescale.platform.host_settings import MILLISECOND
+from primrosescale.platform.host_settings import SECONDS_PER_MILLISECOND
 from primrosescale.process.entry.peer_router import PeerRouter
 from primrosescale.request.serving_target import ServingTarget
 from primrosescale.version.routing_table import CallerLimits
@@ -29,66 +29,66 @@
 ROUTERS = "routers/"
 EVACUATIONS = "evacuations/"
 
-REPEATABILITY = {
+RETRY_POLICIES = {
     "safe": RetryPolicy.IDEMPOTENT,
     "unsafe": RetryPolicy.ONCE,
     "streaming": RetryPolicy.STREAM,
 }
-# Limits for a version that names none; those of the users' deployments.
+# Limits used when a version states none; those of the users' deployments.
 DEFAULT_LIMITS: dict[str, float] = {
     "max_header_bytes": 16384,
     "max_body_bytes": 4194304,
     "header_timeout_ms": 3000,
     "idle_timeout_ms": 15000,
 }
-# States of a target that the platform names; whether it is leaving.
-STATES = {"ready": False, "draining": True}
-# Requests that one target runs at once: each takes a connection, and there are
-# no more ports than these on the caller's side.
-MOST_SLOTS = 65535
-# Milliseconds; nothing that is waited for takes a day.
-LONGEST_TIME = 86_400_000
-# Bytes that a caller may send: those of the longest object of the store, a
-# thousand times over.
-MOST_BYTES = 1_048_576_000
-# Characters of a path or key: what is longer fits in no head of a request.
-LONGEST_IN_HEAD = 16384
-# Targets that one request may be sent to, ranks, and weights of a split; ten
-# thousand times those of today.
-MOST_TARGETS = 10_000
-LOWEST_RANK = 10_000
-# Requests a second; more than a target could be sent.
-MOST_RATE = 1_000_000
-MOST_WEIGHT = 1_000_000
-
-REMEDY_TABLE = "mend it in the store; the last good version stays in force"
-REMEDY_TARGET = "mend or delete it in the store; until then it names no target"
-REMEDY_ROUTER = "its router writes it again; what it said last holds until then"
-
-
-class KnownRoutes:
-    """Routes of the version read last, by what was written of them.
-
-    Versions change a few routes of many, and come in quick succession. A route that
-    is written as before needs no reading.
+# States of a target on the platform, and whether a target in it is leaving.
+IS_DRAINING_BY_STATE = {"ready": False, "draining": True}
+# Requests that a target runs at once. Each takes a connection, and the router's side
+# has no more ports than these.
+MAX_SLOTS = 65535
+# One day; no wait is that long.
+MAX_DURATION_MILLISECONDS = 86_400_000
+# Bytes that a caller may send: a thousand times those of the largest object of the
+# store.
+MAX_CALLER_BYTES = 1_048_576_000
+# Characters of a path or key; longer ones do not fit in the head of a request.
+MAX_HEAD_TEXT_LENGTH = 16384
+# Targets to which a request may be sent, priorities, and weights of a split; ten
+# thousand times the values in use.
+MAX_TARGETS_PER_REQUEST = 10_000
+MAX_PRIORITY = 10_000
+# More than a target could be sent.
+MAX_REQUESTS_PER_SECOND = 1_000_000
+MAX_WEIGHT = 1_000_000
+
+REMEDY_TABLE = "correct it in the store; the last valid version stays in force"
+REMEDY_TARGET = "correct or delete it in the store; until then it is no target"
+REMEDY_ROUTER = "its router writes it again; its last valid entry holds until then"
+
+
+class RouteCache:
+    """Caches the decoded routes of the version read last, by their content.
+
+    Versions follow each other quickly and change a few routes of many. Unchanged
+    routes need not be decoded again.
     """
 
-    __slots__ = ("_known",)
+    __slots__ = ("_routes_by_digest",)
 
     def __init__(self) -> None:
-        self._known: dict[bytes, Route] = {}
+        self._routes_by_digest: dict[bytes, Route] = {}
 
     def read(
         self, items: Iterable[FieldReader], regions: Collection[str]
     ) -> list[Route]:
-        """Return the routes of a version, and know these from now on.
+        """Return the routes of a version and cache them in place of the last ones.
 
         Parameters
         ----------
         items : Iterable[FieldReader]
-            What is written of them.
+            Readers of the routes' objects.
         regions : Collection[str]
-            The regions that there are; the same at each call.
+            The regions of the deployment; the same for each call.
 
         Returns
         -------
@@ -98,57 +98,57 @@
         Raises
         ------
         RecordError
-            When one cannot be read; those of the last version stay known.
+            When a route is invalid; the routes of the last version stay cached.
         """
         known: dict[bytes, Route] = {}
         routes = []
         for item in items:
             digest = item.digest()
-            route = None if digest is None else self._known.get(digest)
+            route = None if digest is None else self._routes_by_digest.get(digest)
             if route is None:
                 route = _route(item, regions)
             if digest is not None:
                 known[digest] = route
             routes.append(route)
-        self._known = known
+        self._routes_by_digest = known
         return routes
 
 
 def decode_routing_table(
     stored: StoredObject,
     regions: Collection[str] = (),
-    routes: KnownRoutes | None = None,
+    routes: RouteCache | None = None,
 ) -> RoutingTable:
-    """Return the routing table that the operator wrote.
+    """Decode the routing table that the operator wrote.
 
-    One odd field makes the version unreadable as a whole: with a route or a key
-    left out, callers would be told that it does not exist.
+    One invalid field makes the whole version unreadable: if its route or key were
+    left out, callers would get answers that it does not exist.
 
     Parameters
     ----------
     stored : StoredObject
-        The object that holds the newest version.
+        The object that contains the newest version.
     regions : Collection[str]
-        The regions that there are; empty where they are not known.
-    routes : KnownRoutes | None
-        Routes of the version read before; None to read all.
+        The regions of the deployment; empty when they are not known.
+    routes : RouteCache | None
+        Cache of the routes of the last version; None to decode all routes.
 
     Returns
     -------
     RoutingTable
-        The table.
+        The routing table.
 
     Raises
     ------
     RecordError
-        When it cannot be read.
+        When the record is invalid.
     """
-    reader = FieldReader.of(stored, REMEDY_TABLE, takes_null=True)
+    reader = FieldReader.of(stored, REMEDY_TABLE, null_is_absent=True)
     for field in ("routes", "services"):
         reader.require(field)
     return RoutingTable(
-        reader.whole("version"),
-        (routes or KnownRoutes()).read(reader.children("routes"), regions),
+        reader.integer("version"),
+        (routes or RouteCache()).read(reader.children("routes"), regions),
         [_service(item) for item in reader.children("services")],
         _keys(reader, regions),
         _limits(reader.child("limits")),
@@ -156,12 +156,12 @@
 
 
 def decode_target(stored: StoredObject) -> ServingTarget:
-    """Return the target that an entry of the target list tells of.
+    """Decode an entry of the target list.
 
     Parameters
     ----------
     stored : StoredObject
-        The entry; its name is the target's.
+        The entry; its name is that of the target.
 
     Returns
     -------
@@ -171,31 +171,33 @@
     Raises
     ------
     RecordError
-        When it cannot be read.
+        When the record is invalid.
     """
     reader = FieldReader.of(stored, REMEDY_TARGET)
     state = reader.text("state")
-    if state not in STATES:
-        reader.refuse("state", "neither of " + ", ".join(STATES))
-    # Not used; of another type they show that another writer made the entry.
+    if state not in IS_DRAINING_BY_STATE:
+        reader.refuse("state", "not one of " + ", ".join(IS_DRAINING_BY_STATE))
+    # Not used, but a value of another type shows that another writer made the entry.
     reader.text_or("version", "")
-    reader.whole_or("sequence", 0)
+    reader.integer_or("sequence", 0)
     return ServingTarget(
         name=record_name(stored, REMEDY_TARGET),
         endpoint=reader.endpoint("address"),
         service=reader.text("service"),
         domain=reader.text("zone"),
-        slots=reader.whole("slots", MOST_SLOTS),
-        is_draining=STATES[state],
-        # Time for which a target that has just started is still slow.
-        warm_up_seconds=reader.number_or("cold_remaining_ms", 0, LONGEST_TIME)
-        * MILLISECOND,
-        started_at=reader.whole("born") if reader.has("born") else None,
+        slots=reader.integer("slots", MAX_SLOTS),
+        is_draining=IS_DRAINING_BY_STATE[state],
+        # Time for which a target that has just started stays slow.
+        warm_up_seconds=reader.number_or(
+            "cold_remaining_ms", 0, MAX_DURATION_MILLISECONDS
+        )
+        * SECONDS_PER_MILLISECOND,
+        started_at=reader.integer("born") if reader.has("born") else None,
     )
 
 
 def decode_router(stored: StoredObject) -> PeerRouter:
-    """Return the entry router that an entry of the list of routers tells of.
+    """Decode an entry of the list of routers.
 
     Parameters
     ----------
@@ -210,7 +212,7 @@
     Raises
     ------
     RecordError
-        When it cannot be read.
+        When the record is invalid.
     """
     reader = FieldReader.of(stored, REMEDY_ROUTER)
     endpoint = Endpoint(reader.address("address"), reader.port("port"))
@@ -219,49 +221,57 @@
 
 
 def _route(item: FieldReader, regions: Collection[str]) -> Route:
-    timeout = item.number_or("timeout_ms", 60000, LONGEST_TIME) * MILLISECOND
-    objective = item.number_or("target_latency_ms", 0, LONGEST_TIME) * MILLISECOND
-    prefix = item.text("path_prefix", LONGEST_IN_HEAD)
+    timeout = (
+        item.number_or("timeout_ms", 60000, MAX_DURATION_MILLISECONDS)
+        * SECONDS_PER_MILLISECOND
+    )
+    objective = (
+        item.number_or("target_latency_ms", 0, MAX_DURATION_MILLISECONDS)
+        * SECONDS_PER_MILLISECOND
+    )
+    prefix = item.text("path_prefix", MAX_HEAD_TEXT_LENGTH)
     if not prefix.startswith("/"):
-        item.refuse("path_prefix", "begins with no slash")
+        item.refuse("path_prefix", "does not begin with a slash")
     return Route(
         name=item.text_or("name", ""),
         host=item.text("host").lower(),
         path_prefix=prefix,
         services=_services(item),
-        retry_policy=REPEATABILITY.get(item.text("kind"), RetryPolicy.ONCE),
-        is_resumable=item.flag_or("resume_streams", absent=False),
-        # "sticky" only says that requests describe their prompts.
-        has_prompt=item.flag_or("sticky", absent=False),
+        retry_policy=RETRY_POLICIES.get(item.text("kind"), RetryPolicy.ONCE),
+        is_resumable=item.flag_or("resume_streams", default=False),
+        # "sticky" only means that requests describe their prompts.
+        has_prompt=item.flag_or("sticky", default=False),
         timeout=timeout,
         latency_objective=objective or timeout,
-        gap_objective=item.number_or("gap_aim_ms", 0, LONGEST_TIME) * MILLISECOND,
-        max_targets=max(1, item.whole_or("max_attempts", 1, MOST_TARGETS)),
-        priority=item.whole_or("priority", 5, LOWEST_RANK),
-        allows_anonymous=item.flag_or("skip_auth", absent=False),
+        gap_objective=item.number_or("gap_aim_ms", 0, MAX_DURATION_MILLISECONDS)
+        * SECONDS_PER_MILLISECOND,
+        max_targets=max(1, item.integer_or("max_attempts", 1, MAX_TARGETS_PER_REQUEST)),
+        priority=item.integer_or("priority", 5, MAX_PRIORITY),
+        allows_anonymous=item.flag_or("skip_auth", default=False),
         allowed_regions=_allowed_regions(item, regions),
     )
 
 
 def _allowed_regions(item: FieldReader, regions: Collection[str]) -> frozenset[str]:
-    """Return where requests may go.
+    """Return the regions to which requests may be sent.
 
-    With an unknown region taken in they might go nowhere, or anywhere.
+    An unknown region is refused: with it, requests might be sent nowhere, or
+    anywhere.
     """
-    allowed = frozenset(item.texts("allowed_regions", LONGEST_IN_HEAD))
+    allowed = frozenset(item.texts("allowed_regions", MAX_HEAD_TEXT_LENGTH))
     unknown = sorted(allowed.difference(regions)) if regions else []
     if unknown:
-        item.refuse("allowed_regions", f"no region {unknown[0]!a} is known")
+        item.refuse("allowed_regions", f"region {unknown[0]!a} is not known")
     return allowed
 
 
 def _services(route: FieldReader) -> tuple[WeightedService, ...]:
-    """Return where a route leads."""
+    """Return the services of a route with their weights."""
     parts = route.children("split")
     if not parts:
         return (WeightedService(route.text("service"), 1.0),)
     services = tuple(
-        WeightedService(part.text("service"), float(part.number("weight", MOST_WEIGHT)))
+        WeightedService(part.text("service"), float(part.number("weight", MAX_WEIGHT)))
         for part in parts
     )
     if not any(service.weight for service in services):
@@ -273,34 +283,39 @@
     engine = item.child("engine")
     return Service(
         name=item.text("name"),
-        slots=engine.whole_or("slots", 0, MOST_SLOTS),
-        cache_tokens=engine.whole_or("kv_cache_tokens", 0),
-        cold_rate=item.number_or("cold_per_s", 0, MOST_RATE),
-        cold_seconds=item.number_or("cold_start_s", 0, LONGEST_TIME * MILLISECOND),
+        slots=engine.integer_or("slots", 0, MAX_SLOTS),
+        cache_tokens=engine.integer_or("kv_cache_tokens", 0),
+        cold_rate=item.number_or("cold_per_s", 0, MAX_REQUESTS_PER_SECOND),
+        cold_seconds=item.number_or(
+            "cold_start_s", 0, MAX_DURATION_MILLISECONDS * SECONDS_PER_MILLISECOND
+        ),
     )
 
 
 def _keys(table: FieldReader, regions: Collection[str]) -> dict[str, Organisation]:
     keys: dict[str, Organisation] = {}
-    # Without the list no caller needs a key: only a version that leaves it out
-    # says so.
+    # Without the list no caller needs a key. Only a version that leaves it out means
+    # that, so null is refused.
     table.refuse_null("tenants")
     for item in table.children("tenants"):
-        rank = item.whole("priority", LOWEST_RANK) if item.has("priority") else None
+        rank = item.integer("priority", MAX_PRIORITY) if item.has("priority") else None
         allowed = _allowed_regions(item, regions)
         owner = Organisation(item.text("name"), rank, allowed)
-        for key in item.texts("api_keys", LONGEST_IN_HEAD):
+        for key in item.texts("api_keys", MAX_HEAD_TEXT_LENGTH):
             keys[key] = owner
     return keys
 
 
 def _limits(given: FieldReader) -> CallerLimits:
     def size(name: str) -> int:
-        return given.whole_or(name, int(DEFAULT_LIMITS[name]), MOST_BYTES)
+        return given.integer_or(name, int(DEFAULT_LIMITS[name]), MAX_CALLER_BYTES)
 
     def seconds(name: str) -> float:
-        absent = DEFAULT_LIMITS[name]
-        return given.number_or(name, absent, LONGEST_TIME) * MILLISECOND
+        default = DEFAULT_LIMITS[name]
+        return (
+            given.number_or(name, default, MAX_DURATION_MILLISECONDS)
+            * SECONDS_PER_MILLISECOND
+        )
 
     return CallerLimits(
         header_bytes=size("max_header_bytes"),
