--- a/src/primrosescale/connection/codec.py
+++ b/src/primrosescale/connection/codec.py
@@ -77,7 +77,7 @@
     KIND.CACHE_ANSWER: wire.CacheAnswer,
 }
 PREFIX_BY_CLASS = {item: bytes([kind]) for kind, item in CLASS_BY_KIND.items()}
-MALFORMED = (
+DECODE_ERRORS = (
     TProtocolException,
     TException,
     EOFError,
@@ -129,7 +129,7 @@
         _protocol.trans = TMemoryBuffer(data)
         item.read(_protocol)  # type: ignore[attr-defined]
         item.validate()  # type: ignore[attr-defined]
-    except MALFORMED as error:
+    except DECODE_ERRORS as error:
         raise FrameError(str(error)) from error
 
 
@@ -169,10 +169,10 @@
     """
     if not frame:
         raise FrameError("empty")
-    found = CLASS_BY_KIND.get(frame[0])
-    if found is None:
+    message_class = CLASS_BY_KIND.get(frame[0])
+    if message_class is None:
         raise FrameError(f"kind {frame[0]} is unknown")
-    blank = cast("Callable[[], Message]", found)
-    message = blank()
+    make_message = cast("Callable[[], Message]", message_class)
+    message = make_message()
     decode_struct(message, frame[1:])
     return message
