--- a/src/primrosescale/connection/dialer.py
+++ b/src/primrosescale/connection/dialer.py
@@ -70,18 +70,18 @@
 
     def dial(self, endpoint: Endpoint, link: Link) -> Deferred[Link]:
         """Connect a link to an endpoint; see `Dialer.dial`."""
-        target: Any = TCP4ClientEndpoint(
+        client_endpoint: Any = TCP4ClientEndpoint(
             self._reactor,
             endpoint.address,
             endpoint.port,
             timeout=self._timeout,
         )
         if self._tls is not None:
-            target = wrapClientTLS(self._tls, target)
-        opened: Deferred[Link] = connectProtocol(target, link)
+            client_endpoint = wrapClientTLS(self._tls, client_endpoint)
+        connecting: Deferred[Link] = connectProtocol(client_endpoint, link)
 
-        def refuse(failure: Failure) -> None:
+        def raise_dial_error(failure: Failure) -> None:
             raise DialError(str(endpoint), failure.getErrorMessage())
 
-        opened.addErrback(refuse)
-        return opened
+        connecting.addErrback(raise_dial_error)
+        return connecting
