--- a/src/primrosescale/connection/keepalive.py
+++ b/src/primrosescale/connection/keepalive.py
@@ -15,7 +15,7 @@
 UNACKNOWLEDGED_MILLISECONDS = 3000
 
 
-def watch_over(transport: Any) -> None:
+def set_keepalive_options(transport: Any) -> None:
     """Set short keep-alive probes and a limit on unacknowledged bytes.
 
     Parameters
--- a/src/primrosescale/connection/target_channel.py
+++ b/src/primrosescale/connection/target_channel.py
@@ -11,7 +11,7 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.web._newclient import HTTP11ClientProtocol
 
-from primrosescale.connection.keepalive import watch_over
+from primrosescale.connection.keepalive import set_keepalive_options
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -165,7 +165,7 @@
     def connectionMade(self) -> None:
         """Set the socket's options."""
         super().connectionMade()
-        watch_over(self.transport)
+        set_keepalive_options(self.transport)
         self._opened_at = self._clock.seconds()
         if self.on_connected is not None:
             self.on_connected()
