--- a/src/primrosescale/connection/link.py
+++ b/src/primrosescale/connection/link.py
@@ -27,7 +27,7 @@
     from primrosescale.connection.codec import Message
 
 PROTOCOL_VERSION = 1
-MAX_FRAME = 4 * 1024 * 1024
+MAX_FRAME_BYTES = 4 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,7 +104,7 @@
         Timing.
     """
 
-    MAX_LENGTH = MAX_FRAME
+    MAX_LENGTH = MAX_FRAME_BYTES
 
     def __init__(
         self,
@@ -120,10 +120,10 @@
         self._peer: wire.Hello | None = None
         self._received_at = clock.seconds()
         self._sequence = 0
-        self._waiting = 0
+        self._pending_calls = 0
         self._timer: Timer | None = None
         self._lost = False
-        self._detail = ""
+        self._abort_detail = ""
         self._bytes_out = 0
         self._bytes_in = 0
 
@@ -144,7 +144,7 @@
     @property
     def waiting(self) -> int:
         """Return how many calls wait for something from the peer."""
-        return self._waiting
+        return self._pending_calls
 
     @property
     def bytes_out(self) -> int:
@@ -188,14 +188,14 @@
 
     def expect(self) -> None:
         """Count one more call that waits for the peer."""
-        self._waiting += 1
-        if self._waiting == 1:
+        self._pending_calls += 1
+        if self._pending_calls == 1:
             self._received_at = self._clock.seconds()
-            self._arm()
+            self._schedule_silence_check()
 
     def settle(self) -> None:
         """Count one call fewer that waits for the peer."""
-        self._waiting = max(0, self._waiting - 1)
+        self._pending_calls = max(0, self._pending_calls - 1)
 
     def abandon(self, detail: str) -> None:
         """Give the connection up at once, whatever the peer does.
@@ -207,19 +207,19 @@
         """
         if self._lost:
             return
-        self._detail = detail
+        self._abort_detail = detail
         if self.transport is not None:
             abort = getattr(self.transport, "abortConnection", None)
             if abort is None:
                 self._transport.loseConnection()
             else:
                 abort()
-        self._end(detail)
+        self._report_lost(detail)
 
     def close(self) -> None:
         """Close the connection after what was sent has gone out."""
         if self.transport is None:
-            self._end("closed before it was open")
+            self._report_lost("closed before it was open")
         elif not self._lost:
             self._transport.loseConnection()
 
@@ -241,7 +241,7 @@
             self.abandon(str(error))
             return
         if self._peer is None:
-            self._greet(message)
+            self._handle_hello(message)
         elif isinstance(message, wire.Ping):
             self.send(wire.Pong(message.sequence))
         elif not isinstance(message, wire.Pong):
@@ -255,7 +255,7 @@
         length : int
             Announced bytes of the frame.
         """
-        self.abandon(f"frame of {length} bytes is over {MAX_FRAME}")
+        self.abandon(f"frame of {length} bytes is over {MAX_FRAME_BYTES}")
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Report the end, once.
@@ -265,9 +265,9 @@
         reason : Failure
             What the transport says.
         """
-        self._end(self._detail or reason.getErrorMessage())
+        self._report_lost(self._abort_detail or reason.getErrorMessage())
 
-    def _greet(self, message: Message) -> None:
+    def _handle_hello(self, message: Message) -> None:
         if not isinstance(message, wire.Hello):
             self.abandon("first message is not an introduction")
             return
@@ -276,8 +276,8 @@
             return
         self._peer = message
         self._cancel_timer()
-        if self._waiting:
-            self._arm()
+        if self._pending_calls:
+            self._schedule_silence_check()
         self._handler.link_ready(self)
 
     def _check_hello(self) -> None:
@@ -285,7 +285,7 @@
         if self._peer is None:
             self.abandon("peer did not introduce itself in time")
 
-    def _arm(self) -> None:
+    def _schedule_silence_check(self) -> None:
         if self._timer is None and not self._lost:
             self._timer = self._clock.callLater(
                 self._settings.ping_after,
@@ -294,22 +294,22 @@
 
     def _check_silence(self) -> None:
         self._timer = None
-        if not self._waiting or self._lost:
+        if not self._pending_calls or self._lost:
             return
-        quiet = self._clock.seconds() - self._received_at
-        if quiet >= self._settings.silent_after:
-            self.abandon(f"silent for {quiet:.1f} s")
+        silence_seconds = self._clock.seconds() - self._received_at
+        if silence_seconds >= self._settings.silent_after:
+            self.abandon(f"silent for {silence_seconds:.1f} s")
             return
-        if quiet >= self._settings.ping_after:
+        if silence_seconds >= self._settings.ping_after:
             self._sequence += 1
             self.send(wire.Ping(self._sequence))
-        self._arm()
+        self._schedule_silence_check()
 
     def _cancel_timer(self) -> None:
         timer, self._timer = self._timer, None
         cancel_timer(timer)
 
-    def _end(self, detail: str) -> None:
+    def _report_lost(self, detail: str) -> None:
         if self._lost:
             return
         self._lost = True
