--- a/src/primrosescale/connection/pool.py
+++ b/src/primrosescale/connection/pool.py
@@ -175,10 +175,10 @@
 
     def link_lost(self, link: Link, detail: str) -> None:
         """Forget a connection and tell those who wait for it."""
-        endpoint = self._forget(link)
+        endpoint = self._remove(link)
         self._handler.link_lost(link, detail)
         if endpoint is not None:
-            self._refuse(endpoint, detail)
+            self._fail_waiters(endpoint, detail)
 
     def _open(self, endpoint: Endpoint) -> None:
         link = Link(self._own, self, self._clock, self._settings)
@@ -186,18 +186,18 @@
         self._endpoints[link] = endpoint
         dial = self._dialer.dial(endpoint, link)
         self._dials[link] = dial
-        dial.addCallbacks(self._dialled, self._dial_failed, errbackArgs=(link,))
+        dial.addCallbacks(self._dial_succeeded, self._dial_failed, errbackArgs=(link,))
 
-    def _dialled(self, link: Link) -> None:
+    def _dial_succeeded(self, link: Link) -> None:
         self._dials.pop(link, None)
 
     def _dial_failed(self, failure: Failure, link: Link) -> None:
-        endpoint = self._forget(link)
+        endpoint = self._remove(link)
         if endpoint is not None:
             for waiter in self._waiters.pop(endpoint, []):
                 waiter.errback(failure)
 
-    def _forget(self, link: Link) -> Endpoint | None:
+    def _remove(self, link: Link) -> Endpoint | None:
         endpoint = self._endpoints.pop(link, None)
         dial = self._dials.pop(link, None)
         if dial is not None:
@@ -207,6 +207,6 @@
             self._used_at.pop(endpoint, None)
         return endpoint
 
-    def _refuse(self, endpoint: Endpoint, detail: str) -> None:
+    def _fail_waiters(self, endpoint: Endpoint, detail: str) -> None:
         for waiter in self._waiters.pop(endpoint, []):
             waiter.errback(Failure(DialError(str(endpoint), detail)))
