--- a/src/primrosescale/connection/rest_limit.py
+++ b/src/primrosescale/connection/rest_limit.py
@@ -17,50 +17,50 @@
 # Part of the rest that was too long which is still allowed. The limit that was
 # crossed lies anywhere below that rest; with a quarter, one or two losses find
 # a limit of 0.1-0.5 s from a rest of 1-2 s.
-ALLOWED_SHARE = 0.25
+ALLOWED_IDLE_SHARE = 0.25
 # Seconds for which a loss counts. Longer than the troubles of today (5-8 s), in
 # which each new connection costs 1 ms.
 DISTRUST_SECONDS = 10.0
 # Seconds; a connection that was lost after a shorter rest was not dropped for
 # resting: its target failed. Today's targets keep idle ones for 0.3 s at least.
-LEAST_REST = 0.1
+MIN_IDLE_SECONDS = 0.1
 
 
 class RestLimit:
     """The rest that kept connections are allowed, from what was lost lately."""
 
-    __slots__ = ("_allowed", "_lessons", "_until")
+    __slots__ = ("_allowed", "_losses", "_until")
 
     def __init__(self) -> None:
         # Of each source the rest that it allows and when it was last lost at.
-        self._lessons: dict[Hashable, tuple[float, float]] = {}
+        self._losses: dict[Hashable, tuple[float, float]] = {}
         self._allowed = math.inf
         self._until = 0.0
 
     @property
     def sources(self) -> list[Hashable]:
         """Return where connections were lost lately."""
-        return list(self._lessons)
+        return list(self._losses)
 
-    def lost(self, rested: float, now: float, source: Hashable = None) -> None:
+    def lost(self, idle_seconds: float, now: float, source: Hashable = None) -> None:
         """Take in that a request on a kept connection was lost unanswered.
 
         Parameters
         ----------
-        rested : float
+        idle_seconds : float
             Seconds the connection had rested before.
         now : float
             Present time in seconds.
         source : Hashable
             Whom it was lost at.
         """
-        if rested < LEAST_REST:
+        if idle_seconds < MIN_IDLE_SECONDS:
             return
         if now >= self._until:
-            self._lessons.clear()
-        known, _ = self._lessons.get(source, (math.inf, now))
-        self._lessons[source] = (min(known, ALLOWED_SHARE * rested), now)
-        self._sum_up()
+            self._losses.clear()
+        known_limit, _ = self._losses.get(source, (math.inf, now))
+        self._losses[source] = (min(known_limit, ALLOWED_IDLE_SHARE * idle_seconds), now)
+        self._update_limit()
 
     def forget(self, source: Hashable) -> None:
         """Forget what was lost at one source.
@@ -70,21 +70,21 @@
         source : Hashable
             Whom it was lost at.
         """
-        if self._lessons.pop(source, None) is not None:
-            self._sum_up()
+        if self._losses.pop(source, None) is not None:
+            self._update_limit()
 
-    def _sum_up(self) -> None:
-        lessons = self._lessons.values()
-        self._allowed = min((allowed for allowed, _ in lessons), default=math.inf)
-        last = max((lost_at for _, lost_at in lessons), default=-math.inf)
-        self._until = last + DISTRUST_SECONDS
+    def _update_limit(self) -> None:
+        losses = self._losses.values()
+        self._allowed = min((allowed for allowed, _ in losses), default=math.inf)
+        last_loss = max((lost_at for _, lost_at in losses), default=-math.inf)
+        self._until = last_loss + DISTRUST_SECONDS
 
-    def allows(self, rested: float, now: float) -> bool:
+    def allows(self, idle_seconds: float, now: float) -> bool:
         """Tell whether a connection that rested so long may be used.
 
         Parameters
         ----------
-        rested : float
+        idle_seconds : float
             Seconds since its last answer.
         now : float
             Present time in seconds.
@@ -94,4 +94,4 @@
         bool
             False for one that may have been dropped.
         """
-        return now >= self._until or rested <= self._allowed
+        return now >= self._until or idle_seconds <= self._allowed
