--- a/src/primrosescale/connection/steady_reactor.py
+++ b/src/primrosescale/connection/steady_reactor.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 
-def steady_seconds() -> float:
+def monotonic_seconds() -> float:
     """Return the seconds since the host was started.
 
     Returns
@@ -33,9 +33,9 @@
     from twisted.internet import epollreactor  # noqa: PLC0415
     from twisted.internet.main import installReactor  # noqa: PLC0415
 
-    class SteadyReactor(epollreactor.EPollReactor):
-        seconds = staticmethod(steady_seconds)
+    class MonotonicReactor(epollreactor.EPollReactor):
+        seconds = staticmethod(monotonic_seconds)
 
-    reactor = SteadyReactor()
+    reactor = MonotonicReactor()
     installReactor(reactor)
     return reactor
