--- a/src/primrosescale/connection/target_channel.py
+++ b/src/primrosescale/connection/target_channel.py
@@ -25,14 +25,14 @@
 
 # Targets close idle connections after a time that they state in whole
 # seconds; a request must not cross that close.
-KEEP_ALIVE_MARGIN = 1.0
+KEEP_ALIVE_MARGIN_SECONDS = 1.0
 # Where a target states none. Short, so that a connection that has gone silent
 # for good is met by few requests.
 DEFAULT_IDLE_SECONDS = 2.0
 # A second answer to the last request comes within some milliseconds; a
 # connection is reused only once that would have shown.
-SETTLING_SECONDS = 0.01
-MOST_IDLE = 16
+REUSE_DELAY_SECONDS = 0.01
+MAX_IDLE_CHANNELS = 16
 
 
 class TargetChannel(HTTP11ClientProtocol):
@@ -45,18 +45,18 @@
     """
 
     def __init__(self, clock: Clock) -> None:
-        super().__init__(self._became_quiet)
+        super().__init__(self._became_idle)
         self._clock = clock
         self._idle_limit = DEFAULT_IDLE_SECONDS
-        self._is_spoiled = False
+        self._has_stray_bytes = False
         self._is_lost = False
         self._was_reset = False
-        self._is_quiet = True
-        self._is_kept = False
-        self._rested: float | None = None
+        self._is_idle = True
+        self._was_used = False
+        self._idle_before_request: float | None = None
         self.on_connected: Callable[[], None] | None = None
         self._opened_at = math.inf
-        self._idle_since = clock.seconds() - SETTLING_SECONDS
+        self._idle_since = clock.seconds() - REUSE_DELAY_SECONDS
 
     @property
     def was_reset(self) -> bool:
@@ -79,7 +79,7 @@
 
         Seconds; None for the first request on it.
         """
-        return self._rested
+        return self._idle_before_request
 
     def rest(self, now: float) -> float:
         """Return how long it has been idle.
@@ -109,11 +109,11 @@
         bool
             False once it is lost, spoiled, busy or idle for too long.
         """
-        if self._is_lost or self._is_spoiled or not self._is_quiet:
+        if self._is_lost or self._has_stray_bytes or not self._is_idle:
             return False
-        return SETTLING_SECONDS <= self.rest(now) < self._idle_limit
+        return REUSE_DELAY_SECONDS <= self.rest(now) < self._idle_limit
 
-    def is_worn(self, now: float) -> bool:
+    def is_expired(self, now: float) -> bool:
         """Tell whether it will never be reusable again.
 
         Parameters
@@ -126,7 +126,7 @@
         bool
             True when it should be closed.
         """
-        if self._is_lost or self._is_spoiled or not self._is_quiet:
+        if self._is_lost or self._has_stray_bytes or not self._is_idle:
             return True
         return self.rest(now) >= self._idle_limit
 
@@ -143,8 +143,8 @@
         Deferred[Any]
             The answer, once its head has come.
         """
-        self._is_quiet = False
-        self._rested = self.rest(self._clock.seconds()) if self._is_kept else None
+        self._is_idle = False
+        self._idle_before_request = self.rest(self._clock.seconds()) if self._was_used else None
         answered: Deferred[Any] = self.request(request)
         return answered
 
@@ -157,7 +157,7 @@
             The bytes.
         """
         if self._parser is None:
-            self._is_spoiled = True
+            self._has_stray_bytes = True
             self.abort_now()
             return
         super().dataReceived(data)
@@ -188,26 +188,26 @@
         if transport is not None and not self._is_lost:
             transport.abortConnection()
 
-    def _became_quiet(self, _: Any) -> None:
+    def _became_idle(self, _: Any) -> None:
         """Take in that the answer is whole and the target keeps it open."""
-        self._is_quiet = True
+        self._is_idle = True
 
     def _finishResponse(self, rest: bytes) -> None:
         """Look at what follows a whole answer before the next request."""
         if rest:
-            self._is_spoiled = True
+            self._has_stray_bytes = True
         parser: Any = self._parser
         if parser is not None:
             values = parser.connHeaders.getRawHeaders(b"Keep-Alive", [])
             self._idle_limit = _idle_limit(values)
         self._idle_since = self._clock.seconds()
-        self._is_kept = True
+        self._was_used = True
         super()._finishResponse(rest)
-        if self._is_spoiled:
+        if self._has_stray_bytes:
             self.abort_now()
 
 
-class _OneChannel(ClientFactory):
+class _ChannelFactory(ClientFactory):
     """Makes one channel and tells when it is connected."""
 
     noisy = False
@@ -228,12 +228,12 @@
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
         """Tell that no connection could be opened."""
-        self._tell(reason)
+        self._resolve(reason)
 
     def _connected(self) -> None:
-        self._tell(self._channel)
+        self._resolve(self._channel)
 
-    def _tell(self, outcome: Any) -> None:
+    def _resolve(self, outcome: Any) -> None:
         if not self.opened.called:
             self.opened.callback(outcome)
 
@@ -305,11 +305,11 @@
             The connection; None when none can be reused.
         """
         self.sweep(now)
-        for place in range(len(self._idle) - 1, -1, -1):
-            channel = self._idle[place]
-            is_trusted = self._rest_limit.allows(channel.rest(now), now)
-            if is_trusted and channel.can_be_reused(now):
-                return self._idle.pop(place)
+        for index in range(len(self._idle) - 1, -1, -1):
+            channel = self._idle[index]
+            is_allowed = self._rest_limit.allows(channel.rest(now), now)
+            if is_allowed and channel.can_be_reused(now):
+                return self._idle.pop(index)
         return None
 
     def open(self) -> Deferred[TargetChannel]:
@@ -321,7 +321,7 @@
             The connection; fails when nothing could be sent.
         """
         self._opened += 1
-        factory = _OneChannel(TargetChannel(self._reactor))
+        factory = _ChannelFactory(TargetChannel(self._reactor))
         self._reactor.connectTCP(
             self._endpoint.address, self._endpoint.port, factory, self._timeout
         )
@@ -337,13 +337,13 @@
         now : float
             Present time in seconds.
         """
-        if channel.is_worn(now):
+        if channel.is_expired(now):
             return
         if self._is_closed:
             channel.abort_now()
             return
         self._idle.append(channel)
-        if len(self._idle) > MOST_IDLE:
+        if len(self._idle) > MAX_IDLE_CHANNELS:
             self._idle.pop(0).abort_now()
 
     def lost(self, channel: TargetChannel, now: float) -> None:
@@ -367,8 +367,8 @@
         now : float
             Present time in seconds.
         """
-        worn = [channel for channel in self._idle if channel.is_worn(now)]
-        for channel in worn:
+        expired = [channel for channel in self._idle if channel.is_expired(now)]
+        for channel in expired:
             self._idle.remove(channel)
             channel.abort_now()
 
@@ -385,5 +385,5 @@
         for item in value.split(b","):
             name, _, number = item.strip().partition(b"=")
             if name.lower() == b"timeout" and number.strip().isdigit():
-                return max(0.0, float(number) - KEEP_ALIVE_MARGIN)
+                return max(0.0, float(number) - KEEP_ALIVE_MARGIN_SECONDS)
     return DEFAULT_IDLE_SECONDS
