--- a/src/primrosescale/connection/target_channel.py
+++ b/src/primrosescale/connection/target_channel.py
@@ -81,7 +81,7 @@
         """
         return self._idle_before_request
 
-    def rest(self, now: float) -> float:
+    def idle_seconds(self, now: float) -> float:
         """Return how long it has been idle.
 
         Parameters
@@ -111,7 +111,7 @@
         """
         if self._is_lost or self._has_stray_bytes or not self._is_idle:
             return False
-        return REUSE_DELAY_SECONDS <= self.rest(now) < self._idle_limit
+        return REUSE_DELAY_SECONDS <= self.idle_seconds(now) < self._idle_limit
 
     def is_expired(self, now: float) -> bool:
         """Tell whether it will never be reusable again.
@@ -128,7 +128,7 @@
         """
         if self._is_lost or self._has_stray_bytes or not self._is_idle:
             return True
-        return self.rest(now) >= self._idle_limit
+        return self.idle_seconds(now) >= self._idle_limit
 
     def begin(self, request: Any) -> Deferred[Any]:
         """Send a request.
@@ -144,7 +144,7 @@
             The answer, once its head has come.
         """
         self._is_idle = False
-        self._idle_before_request = self.rest(self._clock.seconds()) if self._was_used else None
+        self._idle_before_request = self.idle_seconds(self._clock.seconds()) if self._was_used else None
         answered: Deferred[Any] = self.request(request)
         return answered
 
@@ -307,7 +307,7 @@
         self.sweep(now)
         for index in range(len(self._idle) - 1, -1, -1):
             channel = self._idle[index]
-            is_allowed = self._rest_limit.allows(channel.rest(now), now)
+            is_allowed = self._rest_limit.allows(channel.idle_seconds(now), now)
             if is_allowed and channel.can_be_reused(now):
                 return self._idle.pop(index)
         return None
