--- a/src/primrosescale/process/transport/bounded_request.py
+++ b/src/primrosescale/process/transport/bounded_request.py
@@ -15,10 +15,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-REASONS = {401: "Unauthorized", 413: "Content Too Large"}
+REASON_PHRASES = {401: "Unauthorized", 413: "Content Too Large"}
 
 
-def _never(_: Any) -> ProblemDocument | None:
+def _accept_any_body(_: Any) -> ProblemDocument | None:
     """Let every body come."""
     return None
 
@@ -27,7 +27,7 @@
     """A request whose body is refused before it is read when it may not come."""
 
     body_limit = 0
-    refuse_body: Callable[[Any], ProblemDocument | None] = staticmethod(_never)
+    refuse_body: Callable[[Any], ProblemDocument | None] = staticmethod(_accept_any_body)
 
     def gotLength(self, length: int | None) -> None:
         """Refuse a body that is too large or comes from a stranger.
@@ -45,7 +45,7 @@
         elif length != 0:
             document = type(self).refuse_body(self)
         if document is not None:
-            self._refuse_early(document)
+            self._reject_early(document)
 
     def handleContentChunk(self, data: bytes) -> None:
         """Take in a part of the body, up to the limit.
@@ -58,7 +58,7 @@
         if self._is_refused:
             return
         if self.content.tell() + len(data) > self.body_limit:
-            self._refuse_early(_too_large(self.body_limit))
+            self._reject_early(_too_large(self.body_limit))
             return
         self.content.write(data)
 
@@ -77,13 +77,13 @@
         if not self._is_refused:
             super().requestReceived(command, path, version)  # type: ignore[no-untyped-call]
 
-    def _refuse_early(self, document: ProblemDocument) -> None:
+    def _reject_early(self, document: ProblemDocument) -> None:
         """Answer before the body has come, and close the connection."""
         self._is_refused = True
         body = document.encode()
         status = document.problem.status
         head = (
-            f"HTTP/1.1 {status} {REASONS.get(status, 'Refused')}\r\n"
+            f"HTTP/1.1 {status} {REASON_PHRASES.get(status, 'Refused')}\r\n"
             f"Content-Type: {CONTENT_TYPE}\r\n"
             f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
         )
