--- a/src/primrosescale/process/transport/callers_resource.py
+++ b/src/primrosescale/process/transport/callers_resource.py
@@ -34,15 +34,15 @@
 CHAT_PATH = "/v1/chat/completions"
 SERVICES_PREFIX = "/services/"
 TIMEOUT_HEADER = "X-Request-Timeout"
-CHAT_HEADER = "X-Chat-Id"
-CHAT_FIELD = "chat_id"
-KEY_HEADER = "Idempotency-Key"
-BEARER = "Bearer "
-ORGANISATION = "primrosescale_organisation"
-LONGEST_NAME = 256
-FORWARDED = ("accept", "accept-language", "content-type")
-PRINTABLE_FROM = " "
-PRINTABLE_TO = "~"
+CHAT_ID_HEADER = "X-Chat-Id"
+CHAT_ID_FIELD = "chat_id"
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
+BEARER_PREFIX = "Bearer "
+ORGANISATION_ATTRIBUTE = "primrosescale_organisation"
+MAX_VALUE_CHARACTERS = 256
+FORWARDED_HEADERS = ("accept", "accept-language", "content-type")
+FIRST_PRINTABLE = " "
+LAST_PRINTABLE = "~"
 
 
 class RefusedError(ProcessError):
@@ -177,7 +177,7 @@
 
     def __init__(self, gate: CallGate, answer_limit: int) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
-        self._gate = gate
+        self._router = gate
         self._answer_limit = answer_limit
 
     def render(self, request: Request) -> int:
@@ -225,23 +225,23 @@
         RefusedError
             When the router is not ready or the key is unknown.
         """
-        view = self._gate.view
-        if view is None or not self._gate.is_ready:
+        view = self._router.view
+        if view is None or not self._router.is_ready:
             raise RefusedError(problems.NOT_READY, retry_after=1.0)
-        known: OrganisationRecord | None = getattr(request, ORGANISATION, None)
-        if known is not None:
-            return known
-        sent = request.getHeader("Authorization") or ""
-        if not sent.startswith(BEARER):
+        cached: OrganisationRecord | None = getattr(request, ORGANISATION_ATTRIBUTE, None)
+        if cached is not None:
+            return cached
+        authorization = request.getHeader("Authorization") or ""
+        if not authorization.startswith(BEARER_PREFIX):
             raise RefusedError(problems.UNAUTHORISED)
-        organisation = view.organisation_of(sent[len(BEARER) :].strip())
+        organisation = view.organisation_of(authorization[len(BEARER_PREFIX) :].strip())
         if organisation is None:
             raise RefusedError(problems.UNAUTHORISED)
-        setattr(request, ORGANISATION, organisation)
+        setattr(request, ORGANISATION_ATTRIBUTE, organisation)
         return organisation
 
     def _health(self, request: Request, path: str) -> None:
-        if path == "/readyz" and not self._gate.is_ready:
+        if path == "/readyz" and not self._router.is_ready:
             raise RefusedError(problems.NOT_READY, retry_after=1.0)
         write_json(request, 200, {"status": "ok"})
 
@@ -249,7 +249,7 @@
         if request.method != b"POST":
             raise RefusedError(problems.METHOD_NOT_ALLOWED, "use POST")
         organisation = self.authorise(request)
-        view = _view_of(self._gate)
+        view = _require_view(self._router)
         body = request_body(request)
         chat = _read_chat(body, request)
         service = view.service_of_model(chat.model)
@@ -264,7 +264,7 @@
 
     def _service(self, request: Request, path: str) -> None:
         organisation = self.authorise(request)
-        view = _view_of(self._gate)
+        view = _require_view(self._router)
         name, _, rest = path[len(SERVICES_PREFIX) :].partition("/")
         service = view.services.get(name)
         if service is None or service.kind != "plain":
@@ -293,22 +293,22 @@
         if organisation.services and service.name not in organisation.services:
             raise RefusedError(problems.FORBIDDEN, f"service {service.name}")
         method = request.method.decode("latin-1")
-        key = _header(request, KEY_HEADER)
+        key = _header(request, IDEMPOTENCY_KEY_HEADER)
         is_idempotent = service.is_idempotent(method, path.partition("?")[0])
         if not is_idempotent and not key and service.key_required:
             raise RefusedError(problems.KEY_REQUIRED, f"{method} {path}")
         ledger = ""
         if not is_idempotent and key:
-            ledger = self._gate.ledger_of(service.name, organisation.name, key)
+            ledger = self._router.ledger_of(service.name, organisation.name, key)
         return CallRequest(
             service=service.name,
             organisation=organisation.name,
             chat="",
             method=method,
             path=path,
-            headers=_forwarded(request),
+            headers=_forwarded_headers(request),
             body=body,
-            deadline=self._gate.now() + _timeout(request, service),
+            deadline=self._router.now() + _timeout(request, service),
             prompt_tokens=0,
             output_tokens=0,
             priority=organisation.priority,
@@ -328,10 +328,10 @@
         service: ServiceRecord,
         view: VersionView,
     ) -> None:
-        if self._gate.is_full:
+        if self._router.is_full:
             raise RefusedError(problems.OVERLOADED, "router is full", 1.0)
         organisation = view.organisation(call.organisation)
-        wait = 0.0 if organisation is None else self._gate.limit(organisation)
+        wait = 0.0 if organisation is None else self._router.limit(organisation)
         if wait > 0:
             raise RefusedError(problems.RATE_LIMITED, retry_after=wait)
         sink = HttpSink(
@@ -339,10 +339,10 @@
             is_streamed=call.is_streamed,
             answer_limit=self._answer_limit,
         )
-        self._gate.route(call, service, view, sink)
+        self._router.route(call, service, view, sink)
 
 
-def _view_of(gate: CallGate) -> VersionView:
+def _require_view(gate: CallGate) -> VersionView:
     view = gate.view
     if view is None:
         raise RefusedError(problems.NOT_READY, retry_after=1.0)
@@ -352,13 +352,13 @@
 def _header(request: Request, name: str) -> str:
     """Return a header that is short and printable, or nothing."""
     value = request.getHeader(name) or ""
-    if len(value) > LONGEST_NAME or not _is_printable(value):
+    if len(value) > MAX_VALUE_CHARACTERS or not _is_printable(value):
         raise RefusedError(problems.BAD_REQUEST, f"header {name} is malformed")
     return value
 
 
 def _is_printable(text: str) -> bool:
-    return all(PRINTABLE_FROM <= letter <= PRINTABLE_TO for letter in text)
+    return all(FIRST_PRINTABLE <= character <= LAST_PRINTABLE for character in text)
 
 
 def _timeout(request: Request, service: ServiceRecord) -> float:
@@ -375,9 +375,9 @@
     return min(seconds, service.deadline_cap)
 
 
-def _forwarded(request: Request) -> list[Header]:
+def _forwarded_headers(request: Request) -> list[Header]:
     found: list[Header] = []
-    for name in FORWARDED:
+    for name in FORWARDED_HEADERS:
         value = request.getHeader(name)
         if value:
             found.append(Header(name, value))
@@ -403,9 +403,9 @@
     stream = fields.get("stream", False)
     if not isinstance(stream, bool):
         raise RefusedError(problems.BAD_REQUEST, "'stream' is not true or false")
-    chat = _header(request, CHAT_HEADER) or fields.get(CHAT_FIELD, "")
-    if not isinstance(chat, str) or len(chat) > LONGEST_NAME or not _is_printable(chat):
-        raise RefusedError(problems.BAD_REQUEST, f"'{CHAT_FIELD}' is malformed")
+    chat = _header(request, CHAT_ID_HEADER) or fields.get(CHAT_ID_FIELD, "")
+    if not isinstance(chat, str) or len(chat) > MAX_VALUE_CHARACTERS or not _is_printable(chat):
+        raise RefusedError(problems.BAD_REQUEST, f"'{CHAT_ID_FIELD}' is malformed")
     return _Chat(model, chat, stream, _output_tokens(fields))
 
 
