--- a/src/primrosescale/process/transport/http_bodies.py
+++ b/src/primrosescale/process/transport/http_bodies.py
@@ -16,7 +16,7 @@
 
 
 @implementer(IBodyProducer)
-class WholeBody:
+class InMemoryBody:
     """A body that is in memory and is written at once.
 
     Parameters
@@ -70,7 +70,7 @@
     """
     if body is None:
         return None
-    return cast("IBodyProducer", WholeBody(body))
+    return cast("IBodyProducer", InMemoryBody(body))
 
 
 def request_body(request: Request) -> bytes:
