--- a/src/primrosescale/process/transport/http_call.py
+++ b/src/primrosescale/process/transport/http_call.py
@@ -35,11 +35,11 @@
 # A service that is slow for a while is waited for longer from one failed call
 # to the next, up to four times its usual timeout, so that it is not taken for
 # silent; each answer shortens the wait again.
-GROWTH = 2.0
-MOST_PATIENCE = 4.0
+TIMEOUT_GROWTH = 2.0
+MAX_TIMEOUT_FACTOR = 4.0
 # Seconds after which an answer is given up though bytes keep coming: an object
 # of 1 MB takes 0.8 s over the thinnest link of today.
-LONGEST_ANSWER = 8.0
+MAX_ANSWER_SECONDS = 8.0
 
 
 class Reply:
@@ -63,7 +63,7 @@
         self.body = body
 
 
-class _WholeAnswer(Protocol):
+class _BodyCollector(Protocol):
     """Collects the body of an answer, as long as bytes keep coming.
 
     A large answer takes longer than a small one over a thin link; giving it up
@@ -80,14 +80,14 @@
     def __init__(self, clock: Any, patience: float) -> None:
         self._chunks: list[bytes] = []
         self._patience = patience
-        self._stall = clock.callLater(patience, self._stalled)
+        self._stall_timer = clock.callLater(patience, self._stalled)
         self.collected: Deferred[bytes] = Deferred()
 
     def dataReceived(self, data: bytes) -> None:
         """Take in bytes."""
         self._chunks.append(data)
-        if self._stall.active():
-            self._stall.reset(self._patience)
+        if self._stall_timer.active():
+            self._stall_timer.reset(self._patience)
 
     def _stalled(self) -> None:
         if not self.collected.called:
@@ -96,7 +96,7 @@
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Tell the whole body, or that it was cut."""
-        cancel_timer(self._stall)
+        cancel_timer(self._stall_timer)
         if self.collected.called:
             return
         if reason.check(ResponseDone):
@@ -175,31 +175,31 @@
         self._calls += 1
         channel = yield self._connect()
         try:
-            given = headers.copy() if headers is not None else Headers()
-            given.setRawHeaders(b"Host", [self._host])
-            asked = channel.begin(
+            call_headers = headers.copy() if headers is not None else Headers()
+            call_headers.setRawHeaders(b"Host", [self._host])
+            response_received = channel.begin(
                 Request._construct(  # noqa: SLF001 - the only way past a second pool
                     method.encode(),
                     path.encode(),
-                    given,
+                    call_headers,
                     body_producer(body),
                     persistent=True,
                 ),
             )
-            asked.addTimeout(self._patience + extra, self._reactor)
-            response = yield asked
-            answer = _WholeAnswer(self._reactor, self._patience)
-            response.deliverBody(answer)
-            answer.collected.addTimeout(LONGEST_ANSWER, self._reactor)
-            content = yield answer.collected
+            response_received.addTimeout(self._patience + extra, self._reactor)
+            response = yield response_received
+            collector = _BodyCollector(self._reactor, self._patience)
+            response.deliverBody(collector)
+            collector.collected.addTimeout(MAX_ANSWER_SECONDS, self._reactor)
+            content = yield collector.collected
         except (Exception, CancelledError) as error:
-            self._patience = min(self._patience * GROWTH, MOST_PATIENCE * self._timeout)
+            self._patience = min(self._patience * TIMEOUT_GROWTH, MAX_TIMEOUT_FACTOR * self._timeout)
             channel.abort_now()
             detail = failure_text(error)
             if body is None:
                 raise PlatformUnavailableError(detail) from error
             raise PlatformAnswerLostError(detail) from error
-        self._patience = max(self._timeout, self._patience / GROWTH)
+        self._patience = max(self._timeout, self._patience / TIMEOUT_GROWTH)
         self._pool.give_back(channel, self._reactor.seconds())
         tag = response.headers.getRawHeaders("ETag", ['"0"'])[0]
         return Reply(response.code, int(tag.strip('"')), content)
