--- a/src/primrosescale/process/transport/http_platform.py
+++ b/src/primrosescale/process/transport/http_platform.py
@@ -51,7 +51,7 @@
 }
 ROLES = frozenset({AGENT_ROLE, ROUTER_ROLE})
 # Characters of an odd value that a line shows.
-SHOWN = 60
+MAX_SHOWN_CHARACTERS = 60
 
 
 class HttpPlatform(CalledPlatform):
@@ -63,7 +63,7 @@
         reply = yield self._call("GET", f"/objects/{quote(key)}")
         if reply.status == NOT_FOUND:
             return None
-        _require(reply, OK)
+        _require_status(reply, OK)
         return StoredObject(key, reply.etag, reply.body)
 
     @inlineCallbacks
@@ -82,7 +82,7 @@
             raise PlatformConflictError(key, reply.etag)
         if reply.status == TOO_LARGE:
             raise PlatformLimitError(key, len(value))
-        _require(reply, OK)
+        _require_status(reply, OK)
         return int(reply.etag)
 
     @inlineCallbacks
@@ -90,7 +90,7 @@
         """Delete an object; see `Platform.delete`."""
         reply = yield self._call("DELETE", f"/objects/{quote(key)}", b"")
         if reply.status != NOT_FOUND:
-            _require(reply, NO_CONTENT)
+            _require_status(reply, NO_CONTENT)
 
     @inlineCallbacks
     def list(
@@ -102,8 +102,8 @@
         """Read objects; see `Platform.list`."""
         query = urlencode({"prefix": prefix, "after": after, "limit": limit})
         reply = yield self._call("GET", f"/objects?{query}")
-        _require(reply, OK)
-        return [_stored(item) for item in json.loads(reply.body)["items"]]
+        _require_status(reply, OK)
+        return [_parse_object(item) for item in json.loads(reply.body)["items"]]
 
     @inlineCallbacks
     def watch(
@@ -115,16 +115,16 @@
         """Wait for a change; see `Platform.watch`."""
         query = urlencode({"prefix": prefix, "since": since, "wait": wait})
         reply = yield self._call("GET", f"/watch?{query}", extra=wait)
-        _require(reply, OK)
+        _require_status(reply, OK)
         fields = json.loads(reply.body)
-        changes = tuple(_stored(item) for item in fields["items"])
+        changes = tuple(_parse_object(item) for item in fields["items"])
         return WatchResult(int(fields["revision"]), changes)
 
     @inlineCallbacks
     def hosts(self, since: int) -> Generator[Any, Any, HostList]:
         """Read the list of hosts; see `Platform.hosts`."""
         reply = yield self._call("GET", f"/hosts?since={since}")
-        _require(reply, OK)
+        _require_status(reply, OK)
         fields = json.loads(reply.body)
         entries, unreadable = [], []
         for item in fields["hosts"]:
@@ -144,7 +144,7 @@
         """Put a host on the list; see `Platform.announce`."""
         body = json.dumps(fields_of_host(entry)).encode()
         reply = yield self._call("PUT", f"/hosts/{quote(entry.name)}", body)
-        _require(reply, OK)
+        _require_status(reply, OK)
 
     def _call(
         self,
@@ -181,15 +181,15 @@
     for name, value in found.items():
         # A truth value is a number in Python, and none to a host.
         if type(value) is not HOST_FIELD_TYPES.get(name, str):
-            raise HostEntryError(f"{name} is {value!r:.{SHOWN}}")
+            raise HostEntryError(f"{name} is {value!r:.{MAX_SHOWN_CHARACTERS}}")
     if not found["name"] or found["role"] not in ROLES:
-        shown = f"{found['name']!r:.{SHOWN}}, {found['role']!r:.{SHOWN}}"
+        shown = f"{found['name']!r:.{MAX_SHOWN_CHARACTERS}}, {found['role']!r:.{MAX_SHOWN_CHARACTERS}}"
         raise HostEntryError(f"name and role are {shown}")
-    is_counted = min(found["version"], found["incarnation"]) >= 0
-    if not 0 < found["port"] <= HIGHEST_PORT or not is_counted:
+    has_valid_counters = min(found["version"], found["incarnation"]) >= 0
+    if not 0 < found["port"] <= HIGHEST_PORT or not has_valid_counters:
         raise HostEntryError(
-            f"port, version and incarnation are {found['port']!r:.{SHOWN}},"
-            f" {found['version']!r:.{SHOWN}}, {found['incarnation']!r:.{SHOWN}}"
+            f"port, version and incarnation are {found['port']!r:.{MAX_SHOWN_CHARACTERS}},"
+            f" {found['version']!r:.{MAX_SHOWN_CHARACTERS}}, {found['incarnation']!r:.{MAX_SHOWN_CHARACTERS}}"
         )
     return HostEntry(**found)
 
@@ -210,11 +210,11 @@
     return {name: getattr(entry, name) for name in HOST_FIELDS}
 
 
-def _stored(item: Any) -> StoredObject:
+def _parse_object(item: Any) -> StoredObject:
     value = base64.b64decode(item["value"])
     return StoredObject(item["key"], int(item["version"]), value)
 
 
-def _require(reply: Reply, status: int) -> None:
+def _require_status(reply: Reply, status: int) -> None:
     if reply.status != status:
         raise PlatformUnavailableError(f"status {reply.status}")
