--- a/src/primrosescale/process/transport/http_sink.py
+++ b/src/primrosescale/process/transport/http_sink.py
@@ -210,6 +210,6 @@
     return ProblemDocument(
         problem_of(outcome, failure.reason),
         failure.detail,
-        has_run=outcome is not Outcome.NOT_RUN,
+        may_have_run=outcome is not Outcome.NOT_RUN,
         retry_after=failure.retry_after,
     )
--- a/src/primrosescale/process/transport/problems.py
+++ b/src/primrosescale/process/transport/problems.py
@@ -207,7 +207,7 @@
         Its kind.
     detail : str
         Its particulars.
-    has_run : bool
+    may_have_run : bool
         Whether the request may have run.
     retry_after : float
         Seconds after which asking again is worth it; 0 for no advice.
@@ -215,7 +215,7 @@
 
     problem: Problem
     detail: str = ""
-    has_run: bool = False
+    may_have_run: bool = False
     retry_after: float = 0.0
 
     @property
@@ -239,7 +239,7 @@
             "status": self.problem.status,
             "detail": self.detail,
             "remedy": self.problem.remedy,
-            "ran": "unknown" if self.has_run else "no",
+            "ran": "unknown" if self.may_have_run else "no",
         }
         if self.retry_after > 0:
             fields["retry_after"] = round(self.retry_after, 3)
