--- a/src/primrosescale/process/transport/http_sink.py
+++ b/src/primrosescale/process/transport/http_sink.py
@@ -50,11 +50,11 @@
         self._call: RoutedCall | None = None
         self._status = 0
         self._headers: list[Header] = []
-        self._held: list[bytes] = []
-        self._held_size = 0
+        self._buffered: list[bytes] = []
+        self._buffered_bytes = 0
         self._has_begun = False
         self._is_blocked = False
-        self._is_gone = False
+        self._is_caller_gone = False
 
     @property
     def has_begun(self) -> bool:
@@ -84,47 +84,47 @@
 
     def data(self, data: bytes) -> None:
         """Take in bytes of the answer; see `AnswerSink.data`."""
-        if self._is_gone:
+        if self._is_caller_gone:
             return
         if self._has_begun:
             self._request.write(data)
             return
-        self._held.append(data)
-        self._held_size += len(data)
-        if self._is_streamed or self._held_size > self._answer_limit:
+        self._buffered.append(data)
+        self._buffered_bytes += len(data)
+        if self._is_streamed or self._buffered_bytes > self._answer_limit:
             self._begin()
 
     def reset(self) -> None:
         """Drop what came of an attempt; see `AnswerSink.reset`."""
         self._status = 0
         self._headers = []
-        self._held = []
-        self._held_size = 0
+        self._buffered = []
+        self._buffered_bytes = 0
 
     def finish(self) -> None:
         """Take in that the answer is whole; see `AnswerSink.finish`."""
-        if self._is_gone:
+        if self._is_caller_gone:
             return
         if not self._has_begun:
             self._write_head()
-            length = str(self._held_size).encode()
+            length = str(self._buffered_bytes).encode()
             self._request.setHeader(b"content-length", length)
-            self._request.write(b"".join(self._held))
+            self._request.write(b"".join(self._buffered))
         else:
             self._request.unregisterProducer()
         self._request.finish()
 
     def refuse(self, failure: AttemptFailure) -> None:
         """Take in that there is no answer; see `AnswerSink.refuse`."""
-        if not self._is_gone:
-            write_problem(self._request, _document(failure))
+        if not self._is_caller_gone:
+            write_problem(self._request, _problem_document(failure))
 
     def cut(self, failure: AttemptFailure) -> None:
         """Take in that the answer ends here; see `AnswerSink.cut`."""
-        if self._is_gone:
+        if self._is_caller_gone:
             return
         if self._is_streamed:
-            document = _document(failure).encode().decode()
+            document = _problem_document(failure).encode().decode()
             event = f"event: error\ndata: {document}\n\n"
             self._request.write(event.encode())
         self._request.unregisterProducer()
@@ -148,8 +148,8 @@
         self._has_begun = True
         self._write_head()
         self._request.registerProducer(self, streaming=True)
-        held, self._held = self._held, []
-        self._request.write(b"".join(held))
+        buffered, self._buffered = self._buffered, []
+        self._request.write(b"".join(buffered))
 
     def _write_head(self) -> None:
         self._request.setResponseCode(self._status)
@@ -160,7 +160,7 @@
             )
 
     def _caller_gone(self, _: Any) -> None:
-        self._is_gone = True
+        self._is_caller_gone = True
         if self._call is not None:
             self._call.cancel()
 
@@ -205,7 +205,7 @@
     request.finish()
 
 
-def _document(failure: AttemptFailure) -> ProblemDocument:
+def _problem_document(failure: AttemptFailure) -> ProblemDocument:
     outcome = Outcome(failure.outcome)
     return ProblemDocument(
         problem_of(outcome, failure.reason),
