--- a/src/primrosescale/process/transport/http_target.py
+++ b/src/primrosescale/process/transport/http_target.py
@@ -37,9 +37,9 @@
     from primrosescale.request.target_port import TargetReceiver
 
 OK = 200
-REQUEST_ID = b"X-Request-Id"
-CACHED_TOKENS = b"X-Cached-Tokens"
-HOP_HEADERS = frozenset(
+REQUEST_ID_HEADER = b"X-Request-Id"
+CACHED_TOKENS_HEADER = b"X-Cached-Tokens"
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"content-length",
@@ -54,10 +54,10 @@
         b"x-request-id",
     },
 )
-CONNECTIONS = 64
+MAX_KEPT_CONNECTIONS = 64
 
 
-class _Body(Protocol):
+class _BodyForwarder(Protocol):
     """Hands the body of an answer to its receiver."""
 
     def __init__(self, run: _HttpRun, cached_tokens: int) -> None:
@@ -66,7 +66,7 @@
 
     def connectionMade(self) -> None:
         """Let the run pace this body."""
-        self._run.body_begun(self.transport)
+        self._run.body_started(self.transport)
 
     def dataReceived(self, data: bytes) -> None:
         """Hand bytes on."""
@@ -77,36 +77,36 @@
         if reason.check(ResponseDone):
             self._run.body_done(self._cached_tokens)
         else:
-            self._run.body_cut(reason.getErrorMessage())
+            self._run.body_lost(reason.getErrorMessage())
 
 
 class _HttpRun(TargetRun):
     """One request at the target."""
 
-    __slots__ = ("_asked", "_is_over", "_receiver", "_request_id", "_transport")
+    __slots__ = ("_answer", "_has_ended", "_receiver", "_request_id", "_transport")
 
     def __init__(self, receiver: TargetReceiver, request_id: bytes) -> None:
         self._receiver = receiver
         self._request_id = request_id
-        self._asked: Deferred[Any] | None = None
+        self._answer: Deferred[Any] | None = None
         self._transport: Any = None
-        self._is_over = False
+        self._has_ended = False
 
-    def follow(self, asked: Deferred[Any], *, must_echo: bool) -> None:
+    def follow(self, answer: Deferred[Any], *, must_echo: bool) -> None:
         """Wait for the answer's head."""
-        self._asked = asked
-        asked.addCallback(self._head, must_echo)
-        asked.addErrback(self._failed)
+        self._answer = answer
+        answer.addCallback(self._head, must_echo)
+        answer.addErrback(self._failed)
 
     def cancel(self) -> None:
         """Tell the target to stop; see `TargetRun.cancel`."""
-        if self._is_over:
+        if self._has_ended:
             return
-        self._is_over = True
+        self._has_ended = True
         if self._transport is not None:
             self._transport.loseConnection()
-        elif self._asked is not None:
-            self._asked.cancel()
+        elif self._answer is not None:
+            self._answer.cancel()
 
     def pause(self) -> None:
         """Stop taking bytes; see `TargetRun.pause`."""
@@ -118,44 +118,44 @@
         if self._transport is not None:
             self._transport.resumeProducing()
 
-    def body_begun(self, transport: Any) -> None:
+    def body_started(self, transport: Any) -> None:
         """Take in that the body comes."""
         self._transport = transport
-        if self._is_over and transport is not None:
+        if self._has_ended and transport is not None:
             transport.loseConnection()
 
     def body_data(self, data: bytes) -> None:
         """Take in bytes of the body."""
-        if not self._is_over:
+        if not self._has_ended:
             self._receiver.target_data(data)
 
     def body_done(self, cached_tokens: int) -> None:
         """Take in that the body is whole."""
-        if not self._is_over:
-            self._is_over = True
+        if not self._has_ended:
+            self._has_ended = True
             self._receiver.target_done(cached_tokens)
 
-    def body_cut(self, detail: str) -> None:
+    def body_lost(self, detail: str) -> None:
         """Take in that the body ended early."""
         self._end(Outcome.UNKNOWN, f"answer cut: {detail}")
 
     def _head(self, response: Any, must_echo: bool) -> None:
-        if self._is_over:
+        if self._has_ended:
             return
-        echoed = response.headers.getRawHeaders(REQUEST_ID, [b""])[0]
+        echoed = response.headers.getRawHeaders(REQUEST_ID_HEADER, [b""])[0]
         if must_echo and echoed != self._request_id:
             self._end(Outcome.UNKNOWN, "answer belongs to another request")
-            response.deliverBody(_Body(self, 0))
+            response.deliverBody(_BodyForwarder(self, 0))
             return
         headers = [
             wire.Header(name.decode("latin-1"), value.decode("latin-1"))
             for name, values in response.headers.getAllRawHeaders()
-            if name.lower() not in HOP_HEADERS
+            if name.lower() not in HOP_BY_HOP_HEADERS
             for value in values
         ]
-        cached = response.headers.getRawHeaders(CACHED_TOKENS, [b"0"])[0]
+        cached = response.headers.getRawHeaders(CACHED_TOKENS_HEADER, [b"0"])[0]
         self._receiver.target_head(response.code, headers)
-        response.deliverBody(_Body(self, int(cached) if cached.isdigit() else 0))
+        response.deliverBody(_BodyForwarder(self, int(cached) if cached.isdigit() else 0))
 
     def _failed(self, failure: Failure) -> None:
         if failure.check(ConnectError, RefusedError):
@@ -166,8 +166,8 @@
             self._end(Outcome.UNKNOWN, failure.getErrorMessage())
 
     def _end(self, outcome: Outcome, detail: str) -> None:
-        if not self._is_over:
-            self._is_over = True
+        if not self._has_ended:
+            self._has_ended = True
             self._receiver.target_failed(outcome, detail)
 
 
@@ -176,7 +176,7 @@
     """Leads every request to one IP number, with no name to look up."""
 
     def __init__(self, reactor: Any, endpoint: Endpoint, timeout: float) -> None:
-        self._way = TCP4ClientEndpoint(
+        self._endpoint = TCP4ClientEndpoint(
             reactor,
             endpoint.address,
             endpoint.port,
@@ -185,7 +185,7 @@
 
     def endpointForURI(self, uri: Any) -> TCP4ClientEndpoint:
         """Return the way to the target."""
-        return self._way
+        return self._endpoint
 
 
 class HttpTarget(EnginePort):
@@ -219,11 +219,11 @@
         self._must_echo = must_echo
         self._pool = HTTPConnectionPool(reactor)
         self._pool.retryAutomatically = False
-        self._pool.maxPersistentPerHost = CONNECTIONS
-        fresh = HTTPConnectionPool(reactor, persistent=False)
-        way = _FixedEndpoint(reactor, endpoint, timeout)
-        self._kept = Agent.usingEndpointFactory(reactor, way, self._pool)
-        self._fresh = Agent.usingEndpointFactory(reactor, way, fresh)
+        self._pool.maxPersistentPerHost = MAX_KEPT_CONNECTIONS
+        single_use_pool = HTTPConnectionPool(reactor, persistent=False)
+        agent_endpoint = _FixedEndpoint(reactor, endpoint, timeout)
+        self._persistent_agent = Agent.usingEndpointFactory(reactor, agent_endpoint, self._pool)
+        self._single_use_agent = Agent.usingEndpointFactory(reactor, agent_endpoint, single_use_pool)
 
     def close(self) -> Deferred[None]:
         """Close kept connections.
@@ -242,25 +242,25 @@
         headers = Headers()
         for item in call.headers:
             headers.addRawHeader(item.name, item.value)
-        headers.setRawHeaders(REQUEST_ID, [request_id])
+        headers.setRawHeaders(REQUEST_ID_HEADER, [request_id])
         if call.chat:
             headers.setRawHeaders(b"X-Chat", [call.chat.encode()])
         headers.setRawHeaders(b"X-Priority", [str(call.priority).encode()])
         if call.traceparent:
             headers.setRawHeaders(b"traceparent", [call.traceparent.encode()])
-        agent = self._kept if call.idempotent else self._fresh
+        agent = self._persistent_agent if call.idempotent else self._single_use_agent
         run = _HttpRun(receiver, request_id)
         producer = body_producer(call.body or None)
         url = self._base + call.path.encode()
-        asked = agent.request(call.method.encode(), url, headers, producer)
-        run.follow(asked, must_echo=self._must_echo)
+        answer = agent.request(call.method.encode(), url, headers, producer)
+        run.follow(answer, must_echo=self._must_echo)
         return run
 
     @inlineCallbacks
     def export_cache(self, chat: str) -> Generator[Any, Any, bytes]:
         """Read a chat's cache; see `TargetPort.export_cache`."""
         url = self._base + b"/cache/" + chat.encode()
-        response = yield self._kept.request(b"GET", url)
+        response = yield self._persistent_agent.request(b"GET", url)
         body = yield readBody(response)
         return bytes(body) if response.code == OK else b""
 
@@ -269,7 +269,7 @@
         """Put a chat's cache into the target; see `TargetPort.import_cache`."""
         url = self._base + b"/cache/" + chat.encode()
         producer = body_producer(data)
-        response = yield self._kept.request(b"PUT", url, None, producer)
+        response = yield self._persistent_agent.request(b"PUT", url, None, producer)
         yield readBody(response)
         return bool(response.code == OK)
 
@@ -289,7 +289,7 @@
         """
         producer = body_producer(body)
         url = self._base + b"/orders"
-        response = yield self._kept.request(b"POST", url, None, producer)
+        response = yield self._persistent_agent.request(b"POST", url, None, producer)
         content = yield readBody(response)
         if response.code != OK:
             raise TargetError(f"order refused with status {response.code}")
@@ -304,7 +304,7 @@
         Deferred[bytes]
             The state in JSON; fails with `TargetError`.
         """
-        response = yield self._kept.request(b"GET", self._base + b"/state")
+        response = yield self._persistent_agent.request(b"GET", self._base + b"/state")
         content = yield readBody(response)
         if response.code != OK:
             raise TargetError(f"state refused with status {response.code}")
