--- a/src/primrosescale/process/transport/platform.py
+++ b/src/primrosescale/process/transport/platform.py
@@ -55,15 +55,15 @@
         """Tell whether another object is the same at the same version."""
         if not isinstance(other, StoredObject):
             return NotImplemented
-        return self._look() == other._look()
+        return self._comparison_key() == other._comparison_key()
 
     def __hash__(self) -> int:
         """Return a number that equal objects share."""
-        return hash(self._look())
+        return hash(self._comparison_key())
 
     def __repr__(self) -> str:
         """Return what it is, for people."""
-        return f"StoredObject{self._look()}"
+        return f"StoredObject{self._comparison_key()}"
 
     @property
     def key(self) -> str:
@@ -92,7 +92,7 @@
             self._value = json.dumps(self._fields).encode()
         return self._value
 
-    def _look(self) -> tuple[str, int, bytes, bool]:
+    def _comparison_key(self) -> tuple[str, int, bytes, bool]:
         return (self._key, self._version, self.value, self._is_deleted)
 
     @property
