--- a/src/primrosescale/connection/keepalive.py
+++ b/src/primrosescale/connection/keepalive.py
@@ -28,8 +28,12 @@
         return
     tcp_socket: socket.socket = get_socket()
     tcp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_IDLE_SECONDS)
-    tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_SECONDS)
+    tcp_socket.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_IDLE_SECONDS
+    )
+    tcp_socket.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_SECONDS
+    )
     tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, MAX_UNANSWERED_PROBES)
     tcp_socket.setsockopt(
         socket.IPPROTO_TCP,
--- a/src/primrosescale/connection/rest_limit.py
+++ b/src/primrosescale/connection/rest_limit.py
@@ -59,7 +59,10 @@
         if now >= self._until:
             self._losses.clear()
         known_limit, _ = self._losses.get(source, (math.inf, now))
-        self._losses[source] = (min(known_limit, ALLOWED_IDLE_SHARE * idle_seconds), now)
+        self._losses[source] = (
+            min(known_limit, ALLOWED_IDLE_SHARE * idle_seconds),
+            now,
+        )
         self._update_limit()
 
     def forget(self, source: Hashable) -> None:
--- a/src/primrosescale/connection/target_channel.py
+++ b/src/primrosescale/connection/target_channel.py
@@ -144,7 +144,9 @@
             The answer, once its head has come.
         """
         self._is_idle = False
-        self._idle_before_request = self.idle_seconds(self._clock.seconds()) if self._was_used else None
+        self._idle_before_request = (
+            self.idle_seconds(self._clock.seconds()) if self._was_used else None
+        )
         answered: Deferred[Any] = self.request(request)
         return answered
 
--- a/src/primrosescale/process/transport/bounded_request.py
+++ b/src/primrosescale/process/transport/bounded_request.py
@@ -27,7 +27,9 @@
     """A request whose body is refused before it is read when it may not come."""
 
     body_limit = 0
-    refuse_body: Callable[[Any], ProblemDocument | None] = staticmethod(_accept_any_body)
+    refuse_body: Callable[[Any], ProblemDocument | None] = staticmethod(
+        _accept_any_body
+    )
 
     def gotLength(self, length: int | None) -> None:
         """Refuse a body that is too large or comes from a stranger.
--- a/src/primrosescale/process/transport/callers_resource.py
+++ b/src/primrosescale/process/transport/callers_resource.py
@@ -228,7 +228,9 @@
         view = self._router.view
         if view is None or not self._router.is_ready:
             raise RefusedError(problems.NOT_READY, retry_after=1.0)
-        cached: OrganisationRecord | None = getattr(request, ORGANISATION_ATTRIBUTE, None)
+        cached: OrganisationRecord | None = getattr(
+            request, ORGANISATION_ATTRIBUTE, None
+        )
         if cached is not None:
             return cached
         authorization = request.getHeader("Authorization") or ""
@@ -404,7 +406,11 @@
     if not isinstance(stream, bool):
         raise RefusedError(problems.BAD_REQUEST, "'stream' is not true or false")
     chat = _header(request, CHAT_ID_HEADER) or fields.get(CHAT_ID_FIELD, "")
-    if not isinstance(chat, str) or len(chat) > MAX_VALUE_CHARACTERS or not _is_printable(chat):
+    if (
+        not isinstance(chat, str)
+        or len(chat) > MAX_VALUE_CHARACTERS
+        or not _is_printable(chat)
+    ):
         raise RefusedError(problems.BAD_REQUEST, f"'{CHAT_ID_FIELD}' is malformed")
     return _Chat(model, chat, stream, _output_tokens(fields))
 
--- a/src/primrosescale/process/transport/http_call.py
+++ b/src/primrosescale/process/transport/http_call.py
@@ -193,7 +193,9 @@
             collector.collected.addTimeout(MAX_ANSWER_SECONDS, self._reactor)
             content = yield collector.collected
         except (Exception, CancelledError) as error:
-            self._patience = min(self._patience * TIMEOUT_GROWTH, MAX_TIMEOUT_FACTOR * self._timeout)
+            self._patience = min(
+                self._patience * TIMEOUT_GROWTH, MAX_TIMEOUT_FACTOR * self._timeout
+            )
             channel.abort_now()
             detail = failure_text(error)
             if body is None:
--- a/src/primrosescale/process/transport/http_platform.py
+++ b/src/primrosescale/process/transport/http_platform.py
@@ -188,8 +188,10 @@
     has_valid_counters = min(found["version"], found["incarnation"]) >= 0
     if not 0 < found["port"] <= HIGHEST_PORT or not has_valid_counters:
         raise HostEntryError(
-            f"port, version and incarnation are {found['port']!r:.{MAX_SHOWN_CHARACTERS}},"
-            f" {found['version']!r:.{MAX_SHOWN_CHARACTERS}}, {found['incarnation']!r:.{MAX_SHOWN_CHARACTERS}}"
+            f"port, version and incarnation are"
+            f" {found['port']!r:.{MAX_SHOWN_CHARACTERS}},"
+            f" {found['version']!r:.{MAX_SHOWN_CHARACTERS}},"
+            f" {found['incarnation']!r:.{MAX_SHOWN_CHARACTERS}}"
         )
     return HostEntry(**found)
 
--- a/src/primrosescale/process/transport/http_target.py
+++ b/src/primrosescale/process/transport/http_target.py
@@ -155,7 +155,9 @@
         ]
         cached = response.headers.getRawHeaders(CACHED_TOKENS_HEADER, [b"0"])[0]
         self._receiver.target_head(response.code, headers)
-        response.deliverBody(_BodyForwarder(self, int(cached) if cached.isdigit() else 0))
+        response.deliverBody(
+            _BodyForwarder(self, int(cached) if cached.isdigit() else 0)
+        )
 
     def _failed(self, failure: Failure) -> None:
         if failure.check(ConnectError, RefusedError):
@@ -222,8 +224,12 @@
         self._pool.maxPersistentPerHost = MAX_KEPT_CONNECTIONS
         single_use_pool = HTTPConnectionPool(reactor, persistent=False)
         agent_endpoint = _FixedEndpoint(reactor, endpoint, timeout)
-        self._persistent_agent = Agent.usingEndpointFactory(reactor, agent_endpoint, self._pool)
-        self._single_use_agent = Agent.usingEndpointFactory(reactor, agent_endpoint, single_use_pool)
+        self._persistent_agent = Agent.usingEndpointFactory(
+            reactor, agent_endpoint, self._pool
+        )
+        self._single_use_agent = Agent.usingEndpointFactory(
+            reactor, agent_endpoint, single_use_pool
+        )
 
     def close(self) -> Deferred[None]:
         """Close kept connections.
