--- a/src/primrosescale/connection/dialer.py
+++ b/src/primrosescale/connection/dialer.py
@@ -70,15 +70,15 @@
 
     def dial(self, endpoint: Endpoint, link: Link) -> Deferred[Link]:
         """Connect a link to an endpoint; see `Dialer.dial`."""
-        client_endpoint: Any = TCP4ClientEndpoint(
+        target: Any = TCP4ClientEndpoint(
             self._reactor,
             endpoint.address,
             endpoint.port,
             timeout=self._timeout,
         )
         if self._tls is not None:
-            client_endpoint = wrapClientTLS(self._tls, client_endpoint)
-        connecting: Deferred[Link] = connectProtocol(client_endpoint, link)
+            target = wrapClientTLS(self._tls, target)
+        connecting: Deferred[Link] = connectProtocol(target, link)
 
         def raise_dial_error(failure: Failure) -> None:
             raise DialError(str(endpoint), failure.getErrorMessage())
--- a/src/primrosescale/process/transport/callers_resource.py
+++ b/src/primrosescale/process/transport/callers_resource.py
@@ -228,11 +228,11 @@
         view = self._router.view
         if view is None or not self._router.is_ready:
             raise RefusedError(problems.NOT_READY, retry_after=1.0)
-        cached: OrganisationRecord | None = getattr(
+        known: OrganisationRecord | None = getattr(
             request, ORGANISATION_ATTRIBUTE, None
         )
-        if cached is not None:
-            return cached
+        if known is not None:
+            return known
         authorization = request.getHeader("Authorization") or ""
         if not authorization.startswith(BEARER_PREFIX):
             raise RefusedError(problems.UNAUTHORISED)
--- a/src/primrosescale/process/transport/http_platform.py
+++ b/src/primrosescale/process/transport/http_platform.py
@@ -183,12 +183,15 @@
         if type(value) is not HOST_FIELD_TYPES.get(name, str):
             raise HostEntryError(f"{name} is {value!r:.{MAX_SHOWN_CHARACTERS}}")
     if not found["name"] or found["role"] not in ROLES:
-        shown = f"{found['name']!r:.{MAX_SHOWN_CHARACTERS}}, {found['role']!r:.{MAX_SHOWN_CHARACTERS}}"
+        shown = (
+            f"{found['name']!r:.{MAX_SHOWN_CHARACTERS}},"
+            f" {found['role']!r:.{MAX_SHOWN_CHARACTERS}}"
+        )
         raise HostEntryError(f"name and role are {shown}")
     has_valid_counters = min(found["version"], found["incarnation"]) >= 0
     if not 0 < found["port"] <= HIGHEST_PORT or not has_valid_counters:
         raise HostEntryError(
-            f"port, version and incarnation are"
+            "port, version and incarnation are"
             f" {found['port']!r:.{MAX_SHOWN_CHARACTERS}},"
             f" {found['version']!r:.{MAX_SHOWN_CHARACTERS}},"
             f" {found['incarnation']!r:.{MAX_SHOWN_CHARACTERS}}"
