--- a/src/primrosescale/connection/__init__.py
+++ b/src/primrosescale/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as a connection between two processes."""
+"""Framed connections between processes, their pools, and HTTP channels to targets."""
