--- a/src/primrosescale/connection/codec.py
+++ b/src/primrosescale/connection/codec.py
@@ -1,4 +1,4 @@
-"""Frames: one byte for the kind of the message, then its thrift struct."""
+"""Encoding of messages as frames: a byte for the kind, then a thrift struct."""
 
 from __future__ import annotations
 
@@ -88,7 +88,8 @@
     struct.error,
 )
 
-# One protocol object serves all messages; each gets a transport of its own.
+# One protocol object is reused for all messages; each message gets its own
+# transport.
 _protocol = TCompactProtocolAcceleratedFactory().getProtocol(TMemoryBuffer())
 
 
@@ -103,7 +104,7 @@
     Returns
     -------
     bytes
-        The struct in the compact protocol.
+        The struct, encoded with the compact protocol.
     """
     buffer = _protocol.trans = TMemoryBuffer()
     item.write(_protocol)  # type: ignore[attr-defined]
@@ -118,12 +119,12 @@
     item : object
         An empty struct of the generated module.
     data : bytes
-        The struct in the compact protocol.
+        The struct, encoded with the compact protocol.
 
     Raises
     ------
     FrameError
-        When the data is not that struct or a required field is missing.
+        If the data does not encode this struct or a required field is missing.
     """
     try:
         _protocol.trans = TMemoryBuffer(data)
@@ -144,7 +145,7 @@
     Returns
     -------
     bytes
-        Kind byte and struct.
+        The kind byte and the encoded struct.
     """
     return PREFIX_BY_CLASS[type(message)] + encode_struct(message)
 
@@ -155,7 +156,7 @@
     Parameters
     ----------
     frame : bytes
-        Kind byte and struct.
+        The kind byte and the encoded struct.
 
     Returns
     -------
@@ -165,7 +166,7 @@
     Raises
     ------
     FrameError
-        When the frame is empty, of an unknown kind or malformed.
+        If the frame is empty, malformed or of an unknown kind.
     """
     if not frame:
         raise FrameError("empty")
