--- a/src/primrosescale/connection/dialer.py
+++ b/src/primrosescale/connection/dialer.py
@@ -1,4 +1,4 @@
-"""Opening connections to other processes."""
+"""Opens outgoing connections to other processes, over TCP or TLS."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Dialer(ABC):
-    """Opens connections."""
+    """Opens outgoing connections."""
 
     @abstractmethod
     def dial(self, endpoint: Endpoint, link: Link) -> Deferred[Link]:
@@ -33,29 +33,30 @@
         Parameters
         ----------
         endpoint : Endpoint
-            Where to.
+            Address and port to connect to.
         link : Link
-            An unconnected protocol.
+            A protocol that is not connected yet.
 
         Returns
         -------
         Deferred[Link]
-            The link when its transport is connected; fails with
-            `DialError` when nothing could be sent. It can be cancelled.
+            Fires with the link when its transport is connected; fails with
+            `DialError` if the connection could not be opened, in which case
+            nothing was sent. Can be cancelled.
         """
 
 
 class TcpDialer(Dialer):
-    """Opens TCP connections, with TLS when a context is given.
+    """Opens TCP connections, with TLS if `tls` is given.
 
     Parameters
     ----------
     reactor : Any
         Twisted's reactor.
     timeout : float
-        Seconds a connection may take to open.
+        Maximum seconds for opening a connection.
     tls : IOpenSSLClientConnectionCreator | None
-        Client side of mutual TLS.
+        Client side of mutual TLS; None for plain TCP.
     """
 
     def __init__(
