--- a/src/primrosescale/connection/early_listener.py
+++ b/src/primrosescale/connection/early_listener.py
@@ -1,8 +1,8 @@
-"""A listening socket that is opened before the rest of the program is loaded.
+"""Opens a listening socket before the rest of the program is loaded.
 
-Loading takes some tenths of a second. Callers who connect meanwhile wait in
-the kernel's queue and are served as soon as the program runs, in place of
-being reset by a port that nobody listens on.
+Loading takes some tenths of a second. Callers that connect during this time
+wait in the kernel's accept queue and are served as soon as the program runs,
+instead of having their connections reset because no process listens yet.
 """
 
 from __future__ import annotations
@@ -13,28 +13,28 @@
 if TYPE_CHECKING:
     from primrosescale.connection.endpoint import Endpoint
 
-# Connections that may wait to be accepted: some seconds of callers at the size
-# to design for, 20 a second to one router.
+# Maximum number of connections waiting to be accepted. The design load is 20 new
+# connections per second at one router, so this covers some seconds of callers.
 BACKLOG = 1024
 
 
 def open_listener(endpoint: Endpoint) -> socket.socket:
-    """Listen on an endpoint, without a reactor.
+    """Open a listening socket without a reactor.
 
     Parameters
     ----------
     endpoint : Endpoint
-        Where to listen.
+        Address and port to listen on.
 
     Returns
     -------
     socket.socket
-        The socket, for a reactor to adopt.
+        The non-blocking socket, to be adopted by a reactor.
 
     Raises
     ------
     OSError
-        When the endpoint cannot be listened on.
+        If the socket cannot listen on the endpoint.
     """
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
