--- a/src/primrosescale/connection/endpoint.py
+++ b/src/primrosescale/connection/endpoint.py
@@ -1,4 +1,4 @@
-"""Where a process listens."""
+"""The address and port on which a process listens."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """Where a process listens.
+    """The address and port on which a process listens.
 
     Parameters
     ----------
     address : str
-        IP number.
+        IP address.
     port : int
         TCP port.
     """
