--- a/src/primrosescale/connection/exceptions.py
+++ b/src/primrosescale/connection/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of connections."""
+"""Exceptions raised by connections between processes."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class LinkError(PrimrosescaleError):
-    """Base of the errors of this package."""
+    """Base class of the exceptions of this package."""
 
 
 class FrameError(LinkError):
-    """A frame is not a message of the protocol."""
+    """A frame is not a valid message of the protocol."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(
@@ -30,7 +30,7 @@
 
 
 class TlsError(LinkError):
-    """The key material of a connection cannot be used."""
+    """The certificate or key files for TLS connections cannot be used."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(
