--- a/src/primrosescale/connection/failure_text.py
+++ b/src/primrosescale/connection/failure_text.py
@@ -1,4 +1,4 @@
-"""What a failure of twisted's HTTP client says, without its wrappings."""
+"""Formats failures of Twisted's HTTP client by their underlying causes."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 def failure_text(error: BaseException | Failure) -> str:
-    """Return the causes of a failure, innermost first names and words.
+    """Return the type names and messages of the causes of a failure.
 
     Parameters
     ----------
     error : BaseException | Failure
-        The failure; twisted's client wraps several in one.
+        The failure; Twisted's client may wrap several causes in one failure.
 
     Returns
     -------
     str
-        Kinds and messages, with "; " between them.
+        Types and messages of the causes, separated by "; ".
     """
     value = getattr(error, "value", error)
     reasons = getattr(value, "reasons", None)
