--- a/src/primrosescale/connection/keepalive.py
+++ b/src/primrosescale/connection/keepalive.py
@@ -1,27 +1,28 @@
-"""Having the kernel find out that a connection has gone silent for good."""
+"""Socket options that let the kernel detect dead TCP connections."""
 
 from __future__ import annotations
 
 import socket
 from typing import Any
 
-# A peer that is gone is noticed after about 1 + 3 x 1 seconds of silence, in
-# good time before a version must be in force again (5 s on the deployments
-# of today). An idle connection costs one small packet a second each way.
+# A peer that is gone is detected after about 1 + 3 x 1 seconds of silence. This
+# leaves time before the deadline by which a new version must be in force again
+# (5 s on current deployments). An idle connection costs one small packet per
+# second in each direction.
 PROBE_AFTER_IDLE_SECONDS = 1
 PROBE_INTERVAL_SECONDS = 1
 MAX_UNANSWERED_PROBES = 3
-# Bytes that stay unacknowledged for so long break the connection.
+# The kernel closes a connection whose data stays unacknowledged for this long.
 MAX_UNACKNOWLEDGED_MILLISECONDS = 3000
 
 
 def set_keepalive_options(transport: Any) -> None:
-    """Set short keep-alive probes and a limit on unacknowledged bytes.
+    """Enable frequent keep-alive probes and limit the wait for acknowledgements.
 
     Parameters
     ----------
     transport : Any
-        A connected TCP transport; one without a socket is left alone.
+        A connected TCP transport; one without a socket is left unchanged.
     """
     get_socket = getattr(transport, "getHandle", None)
     if get_socket is None:
