--- a/src/primrosescale/connection/link.py
+++ b/src/primrosescale/connection/link.py
@@ -1,4 +1,4 @@
-"""One connection between two of the product's own processes."""
+"""A framed connection between two processes of this system, with liveness checks."""
 
 from __future__ import annotations
 
@@ -32,31 +32,31 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkSettings:
-    """Timing of a connection."""
+    """Time limits of a connection."""
 
     ping_after: float = option(
         SECONDS,
-        "seconds without a received frame, while calls wait, until a ping",
+        "seconds without a received frame, while calls are pending, until a ping",
         1.0,
     )
     silent_after: float = option(
         SECONDS,
-        "seconds without a received frame, while calls wait, until it counts as silent",
+        "seconds without a received frame, while calls are pending, until it is lost",
         3.0,
     )
     hello_within: float = option(
         SECONDS,
-        "seconds a peer may take to introduce itself",
+        "seconds a peer may take to send its Hello message",
         5.0,
     )
 
 
 class LinkHandler(ABC):
-    """Receives what happens on a connection."""
+    """Receives the events of a connection."""
 
     @abstractmethod
     def link_ready(self, link: Link) -> None:
-        """Handle that the peer has introduced itself.
+        """Handle the Hello message of the peer.
 
         Parameters
         ----------
@@ -66,12 +66,12 @@
 
     @abstractmethod
     def link_message(self, link: Link, message: Message) -> None:
-        """Handle one message.
+        """Handle a message.
 
         Parameters
         ----------
         link : Link
-            The connection it came on.
+            The connection on which it was received.
         message : Message
             The message.
         """
@@ -85,23 +85,27 @@
         link : Link
             The connection.
         detail : str
-            Why it ended.
+            Why the connection ended.
         """
 
 
 class Link(Int32StringReceiver):
-    """Frames of messages over a stream transport, with heartbeats.
+    """Exchanges framed messages over a stream transport and detects silent peers.
+
+    Both sides first send a Hello message. While calls are pending, a ping is
+    sent when no frame arrives, and the connection is aborted when the peer
+    stays silent.
 
     Parameters
     ----------
     own : wire.Hello
-        How this process introduces itself.
+        The Hello message of this process.
     handler : LinkHandler
-        Told of messages and of the end.
+        Notified of messages and of the end of the connection.
     clock : Clock
         Source of time and timers.
     settings : LinkSettings
-        Timing.
+        Time limits.
     """
 
     MAX_LENGTH = MAX_FRAME_BYTES
@@ -133,33 +137,33 @@
 
     @property
     def peer(self) -> wire.Hello | None:
-        """Return the peer's introduction, once it has come."""
+        """Return the peer's Hello message; None until it is received."""
         return self._peer
 
     @property
     def is_lost(self) -> bool:
-        """Tell whether the connection has ended."""
+        """Return whether the connection has ended."""
         return self._lost
 
     @property
     def waiting(self) -> int:
-        """Return how many calls wait for something from the peer."""
+        """Return the number of calls that wait for the peer."""
         return self._pending_calls
 
     @property
     def bytes_out(self) -> int:
-        """Return the bytes of frames sent."""
+        """Return the number of bytes of all frames sent."""
         return self._bytes_out
 
     @property
     def bytes_in(self) -> int:
-        """Return the bytes of frames received."""
+        """Return the number of bytes of all frames received."""
         return self._bytes_in
 
     def connectionMade(self) -> None:
-        """Introduce this process and wait for the peer's introduction."""
+        """Send this process's Hello message and wait for the peer's."""
         if self._lost:
-            # Given up while it was being opened.
+            # The link was aborted while the connection was being opened.
             self._transport.loseConnection()
             return
         set_no_delay = getattr(self.transport, "setTcpNoDelay", None)
@@ -173,7 +177,7 @@
         )
 
     def send(self, message: Message) -> None:
-        """Send a message; on an ended connection it is dropped.
+        """Send a message; it is discarded if the connection has ended.
 
         Parameters
         ----------
@@ -187,23 +191,23 @@
         self.sendString(frame)  # type: ignore[no-untyped-call]
 
     def expect(self) -> None:
-        """Count one more call that waits for the peer."""
+        """Add a pending call; the first one starts the silence check."""
         self._pending_calls += 1
         if self._pending_calls == 1:
             self._received_at = self._clock.seconds()
             self._schedule_silence_check()
 
     def settle(self) -> None:
-        """Count one call fewer that waits for the peer."""
+        """Remove a pending call."""
         self._pending_calls = max(0, self._pending_calls - 1)
 
     def abandon(self, detail: str) -> None:
-        """Give the connection up at once, whatever the peer does.
+        """Abort the connection without waiting for the peer.
 
         Parameters
         ----------
         detail : str
-            Why, for the handler.
+            The reason, passed to the handler.
         """
         if self._lost:
             return
@@ -217,14 +221,14 @@
         self._report_lost(detail)
 
     def close(self) -> None:
-        """Close the connection after what was sent has gone out."""
+        """Close the connection after pending data has been written."""
         if self.transport is None:
             self._report_lost("closed before it was open")
         elif not self._lost:
             self._transport.loseConnection()
 
     def stringReceived(self, string: bytes) -> None:
-        """Decode one frame and hand it on.
+        """Decode a frame and pass its message to the handler.
 
         Parameters
         ----------
@@ -248,22 +252,22 @@
             self._handler.link_message(self, message)
 
     def lengthLimitExceeded(self, length: int) -> None:
-        """Give up on a peer that sends a frame over the limit.
+        """Abort the connection to a peer that sends a frame over the limit.
 
         Parameters
         ----------
         length : int
-            Announced bytes of the frame.
+            Announced length of the frame, in bytes.
         """
         self.abandon(f"frame of {length} bytes is over {MAX_FRAME_BYTES}")
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Report the end, once.
+        """Report the end of the connection to the handler, once.
 
         Parameters
         ----------
         reason : Failure
-            What the transport says.
+            The reason given by the transport.
         """
         self._report_lost(self._abort_detail or reason.getErrorMessage())
 
