--- a/src/primrosescale/connection/pool.py
+++ b/src/primrosescale/connection/pool.py
@@ -1,4 +1,4 @@
-"""Connections opened on use and closed when idle."""
+"""Pool of framed connections, opened on first use and closed when idle."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 
 
 class LinkPool(LinkHandler):
-    """At most one open connection for an endpoint.
+    """Holds at most one connection per endpoint.
 
     Parameters
     ----------
     own : wire.Hello
-        How this process introduces itself.
+        The Hello message of this process.
     handler : LinkHandler
-        Told of the messages and ends of all connections of the pool.
+        Notified of the messages and the end of every connection of the pool.
     dialer : Dialer
-        Opens them.
+        Opens the connections.
     clock : Clock
         Source of time and timers.
     settings : LinkSettings
-        Timing of a connection.
+        Time limits of a connection.
     idle_after : float
-        Seconds without use until a connection is closed.
+        Seconds without use after which a connection is closed.
     """
 
     def __init__(
@@ -62,31 +62,31 @@
 
     @property
     def size(self) -> int:
-        """Return how many connections are open or opening."""
+        """Return the number of connections that are open or being opened."""
         return len(self._links)
 
     def links(self) -> list[Link]:
-        """Return the open connections.
+        """Return the connections that are open or being opened.
 
         Returns
         -------
         list[Link]
-            In no particular order.
+            The connections, in no particular order.
         """
         return list(self._links.values())
 
     def ready(self, endpoint: Endpoint) -> Link | None:
-        """Return the introduced connection to an endpoint, if it is open.
+        """Return the connection to an endpoint if it is ready for use.
 
         Parameters
         ----------
         endpoint : Endpoint
-            Where to.
+            The endpoint of the peer.
 
         Returns
         -------
         Link | None
-            None when it must be opened first, by `get`.
+            The connection; None if it must first be opened with `get`.
         """
         link = self._links.get(endpoint)
         if link is None or link.peer is None or link.is_lost:
@@ -95,17 +95,18 @@
         return link
 
     def get(self, endpoint: Endpoint) -> Deferred[Link]:
-        """Return an introduced connection to an endpoint.
+        """Return a connection to an endpoint, opening one if needed.
 
         Parameters
         ----------
         endpoint : Endpoint
-            Where to.
+            The endpoint of the peer.
 
         Returns
         -------
         Deferred[Link]
-            The connection; fails with `DialError`.
+            Fires with the connection once the peer's Hello message is received;
+            fails with `DialError`.
         """
         self._used_at[endpoint] = self._clock.seconds()
         waiter: Deferred[Link] = Deferred()
@@ -119,31 +120,31 @@
         return waiter
 
     def drop(self, endpoint: Endpoint, detail: str) -> None:
-        """Give up the connection to an endpoint, if there is one.
+        """Abort the connection to an endpoint, if there is one.
 
         Parameters
         ----------
         endpoint : Endpoint
-            Where to.
+            The endpoint of the peer.
         detail : str
-            Why.
+            The reason.
         """
         link = self._links.get(endpoint)
         if link is not None:
             link.abandon(detail)
 
     def close_idle(self, now: float) -> int:
-        """Close connections that nothing used for a while.
+        """Close connections that were not used for the idle time.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time, in seconds.
 
         Returns
         -------
         int
-            How many were closed.
+            The number of connections closed.
         """
         closed = 0
         for endpoint, link in list(self._links.items()):
@@ -155,26 +156,26 @@
         return closed
 
     def close(self) -> None:
-        """Close all connections, also those that are being opened."""
+        """Close all connections, including those that are being opened."""
         for link in self.links():
             link.close()
 
     def link_ready(self, link: Link) -> None:
-        """Hand an introduced connection to those who wait for it."""
+        """Pass a connection that is ready to the callers that wait for it."""
         endpoint = self._endpoints[link]
         self._handler.link_ready(link)
         for waiter in self._waiters.pop(endpoint, []):
             waiter.callback(link)
 
     def link_message(self, link: Link, message: Message) -> None:
-        """Pass a message on."""
+        """Pass a message to the handler."""
         endpoint = self._endpoints.get(link)
         if endpoint is not None:
             self._used_at[endpoint] = self._clock.seconds()
         self._handler.link_message(link, message)
 
     def link_lost(self, link: Link, detail: str) -> None:
-        """Forget a connection and tell those who wait for it."""
+        """Remove a connection and fail the callers that wait for it."""
         endpoint = self._remove(link)
         self._handler.link_lost(link, detail)
         if endpoint is not None:
