--- a/src/primrosescale/connection/rest_limit.py
+++ b/src/primrosescale/connection/rest_limit.py
@@ -1,9 +1,10 @@
-"""How long a kept connection may rest before it is trusted again.
+"""Limits how long a kept connection may have been idle before it is reused.
 
-The pattern it answers: targets, or what stands before them, that drop idle
-connections without a word and sooner than they say. What is sent next on one is
-lost, and a request that may run once is lost with it. The first loss tells how
-long is too long; the others follow from it until the trouble has passed.
+Targets, or proxies in front of them, may drop idle connections silently and
+earlier than they announce. The next request on such a connection is lost, and a
+request that may run at most once cannot be sent again. After the first such loss,
+connections with a similar idle time are not reused until the losses are old enough
+to be ignored.
 """
 
 from __future__ import annotations
@@ -14,45 +15,46 @@
 if TYPE_CHECKING:
     from collections.abc import Hashable
 
-# Part of the rest that was too long which is still allowed. The limit that was
-# crossed lies anywhere below that rest; with a quarter, one or two losses find
-# a limit of 0.1-0.5 s from a rest of 1-2 s.
+# Share of an idle time that caused a loss which stays allowed. The target's actual
+# limit lies anywhere below that idle time; with a quarter, one or two losses are
+# enough to get below a limit of 0.1-0.5 s from an idle time of 1-2 s.
 ALLOWED_IDLE_SHARE = 0.25
-# Seconds for which a loss counts. Longer than the troubles of today (5-8 s), in
-# which each new connection costs 1 ms.
+# Seconds for which a loss lowers the limit. Observed disturbances last 5-8 s; each
+# connection that is opened in place of a reused one costs 1 ms.
 DISTRUST_SECONDS = 10.0
-# Seconds; a connection that was lost after a shorter rest was not dropped for
-# resting: its target failed. Today's targets keep idle ones for 0.3 s at least.
+# Losses after a shorter idle time are ignored: the target failed rather than
+# dropping an idle connection. Known targets keep idle connections for at least
+# 0.3 s.
 MIN_IDLE_SECONDS = 0.1
 
 
 class RestLimit:
-    """The rest that kept connections are allowed, from what was lost lately."""
+    """Maximum idle time for reuse of connections, derived from recent losses."""
 
     __slots__ = ("_allowed", "_losses", "_until")
 
     def __init__(self) -> None:
-        # Of each source the rest that it allows and when it was last lost at.
+        # For each source: the allowed idle time and the time of the last loss.
         self._losses: dict[Hashable, tuple[float, float]] = {}
         self._allowed = math.inf
         self._until = 0.0
 
     @property
     def sources(self) -> list[Hashable]:
-        """Return where connections were lost lately."""
+        """Return the sources at which connections were lost recently."""
         return list(self._losses)
 
     def lost(self, idle_seconds: float, now: float, source: Hashable = None) -> None:
-        """Take in that a request on a kept connection was lost unanswered.
+        """Record that a request on a kept connection was lost without an answer.
 
         Parameters
         ----------
         idle_seconds : float
-            Seconds the connection had rested before.
+            Seconds for which the connection had been idle before the request.
         now : float
-            Present time in seconds.
+            Current time, in seconds.
         source : Hashable
-            Whom it was lost at.
+            Identifies the target at which it was lost.
         """
         if idle_seconds < MIN_IDLE_SECONDS:
             return
@@ -66,12 +68,12 @@
         self._update_limit()
 
     def forget(self, source: Hashable) -> None:
-        """Forget what was lost at one source.
+        """Discard the losses of one source.
 
         Parameters
         ----------
         source : Hashable
-            Whom it was lost at.
+            Identifies the target whose losses are discarded.
         """
         if self._losses.pop(source, None) is not None:
             self._update_limit()
@@ -83,18 +85,18 @@
         self._until = last_loss + DISTRUST_SECONDS
 
     def allows(self, idle_seconds: float, now: float) -> bool:
-        """Tell whether a connection that rested so long may be used.
+        """Return whether a connection with the given idle time may be reused.
 
         Parameters
         ----------
         idle_seconds : float
             Seconds since its last answer.
         now : float
-            Present time in seconds.
+            Current time, in seconds.
 
         Returns
         -------
         bool
-            False for one that may have been dropped.
+            False if the target may have dropped the connection.
         """
         return now >= self._until or idle_seconds <= self._allowed
