--- a/src/primrosescale/connection/steady_reactor.py
+++ b/src/primrosescale/connection/steady_reactor.py
@@ -1,8 +1,8 @@
-"""A reactor whose time does not jump with the time of day.
+"""Twisted reactor that uses a monotonic clock for its timers.
 
-Twisted takes the time of day for its timers. When that is stepped by seconds,
-every timeout would fire at once or seconds late. The clock used here goes on
-while the host is suspended, so that knowledge grows old meanwhile.
+By default Twisted's timers use the wall clock. If that is stepped by seconds,
+every time-out fires at once or seconds late. The clock used here also advances
+while the host is suspended, so that data received before is seen to be stale.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 
 
 def monotonic_seconds() -> float:
-    """Return the seconds since the host was started.
+    """Return the seconds since the host was booted.
 
     Returns
     -------
     float
-        Never steps, and counts the time for which the host was suspended.
+        A time that is never stepped and includes time in suspension.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def install_steady_reactor() -> Any:
-    """Install and return the reactor; call it before twisted's is imported.
+    """Install and return the reactor; call before the default one is imported.
 
     Returns
     -------
     Any
-        Twisted's reactor with a steady clock.
+        Twisted's reactor with a monotonic clock.
     """
     from twisted.internet import epollreactor  # noqa: PLC0415
     from twisted.internet.main import installReactor  # noqa: PLC0415
