--- a/src/primrosescale/connection/target_channel.py
+++ b/src/primrosescale/connection/target_channel.py
@@ -1,4 +1,4 @@
-"""One HTTP connection to a target, and the idle ones kept for reuse."""
+"""HTTP connections to a target, and the pool that keeps idle ones for reuse."""
 
 from __future__ import annotations
 
@@ -23,25 +23,25 @@
     from primrosescale.connection.endpoint import Endpoint
     from primrosescale.connection.rest_limit import RestLimit
 
-# Targets close idle connections after a time that they state in whole
-# seconds; a request must not cross that close.
+# Targets announce in whole seconds after which time they close idle connections.
+# The margin keeps a request from being sent while the target closes.
 KEEP_ALIVE_MARGIN_SECONDS = 1.0
-# Where a target states none. Short, so that a connection that has gone silent
-# for good is met by few requests.
+# Used if a target announces no time-out. Short, so that few requests are sent on
+# a connection that is dead.
 DEFAULT_IDLE_SECONDS = 2.0
-# A second answer to the last request comes within some milliseconds; a
-# connection is reused only once that would have shown.
+# A faulty second answer to the last request arrives within some milliseconds. A
+# connection is reused only after this delay, so that such an answer is detected.
 REUSE_DELAY_SECONDS = 0.01
 MAX_IDLE_CHANNELS = 16
 
 
 class TargetChannel(HTTP11ClientProtocol):
-    """A connection that notices bytes which belong to no request.
+    """An HTTP connection that detects bytes which belong to no request.
 
     Parameters
     ----------
     clock : Clock
-        Source of time.
+        Source of the current time.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -60,24 +60,24 @@
 
     @property
     def was_reset(self) -> bool:
-        """Tell whether it ended otherwise than by an orderly close."""
+        """Return whether the connection ended other than by an orderly close."""
         return self._was_reset
 
     @property
     def is_lost(self) -> bool:
-        """Tell whether it has ended."""
+        """Return whether the connection has ended."""
         return self._is_lost
 
     @property
     def opened_at(self) -> float:
-        """Return when it was opened, in seconds; infinite before."""
+        """Return when it was opened, in seconds; infinity before that."""
         return self._opened_at
 
     @property
     def rested(self) -> float | None:
-        """Return how long it had rested before the last request.
+        """Return how long it had been idle before the last request.
 
-        Seconds; None for the first request on it.
+        In seconds; None for the first request on the connection.
         """
         return self._idle_before_request
 
@@ -87,7 +87,7 @@
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time, in seconds.
 
         Returns
         -------
@@ -97,34 +97,35 @@
         return now - self._idle_since
 
     def can_be_reused(self, now: float) -> bool:
-        """Tell whether another request may be sent on it.
+        """Return whether another request may be sent on it now.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time, in seconds.
 
         Returns
         -------
         bool
-            False once it is lost, spoiled, busy or idle for too long.
+            False if it is lost, busy, has received stray bytes, has just become
+            idle or has been idle for too long.
         """
         if self._is_lost or self._has_stray_bytes or not self._is_idle:
             return False
         return REUSE_DELAY_SECONDS <= self.idle_seconds(now) < self._idle_limit
 
     def is_expired(self, now: float) -> bool:
-        """Tell whether it will never be reusable again.
+        """Return whether it can never be reused again.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time, in seconds.
 
         Returns
         -------
         bool
-            True when it should be closed.
+            True if it should be closed.
         """
         if self._is_lost or self._has_stray_bytes or not self._is_idle:
             return True
@@ -136,12 +137,12 @@
         Parameters
         ----------
         request : Any
-            A request of twisted's client.
+            A request of Twisted's client.
 
         Returns
         -------
         Deferred[Any]
-            The answer, once its head has come.
+            Fires with the answer once its head has been received.
         """
         self._is_idle = False
         self._idle_before_request = (
@@ -151,7 +152,7 @@
         return answered
 
     def dataReceived(self, data: bytes) -> None:
-        """Take in bytes; those outside an answer spoil the connection.
+        """Receive bytes; abort the connection on bytes outside an answer.
 
         Parameters
         ----------
@@ -165,7 +166,7 @@
         super().dataReceived(data)
 
     def connectionMade(self) -> None:
-        """Set the socket's options."""
+        """Set the socket options and call `on_connected`."""
         super().connectionMade()
         set_keepalive_options(self.transport)
         self._opened_at = self._clock.seconds()
@@ -173,29 +174,29 @@
             self.on_connected()
 
     def connectionLost(self, reason: Failure) -> None:  # type: ignore[override]
-        """Remember how the connection ended before the answer is told.
+        """Record how the connection ended before the pending answer fails.
 
         Parameters
         ----------
         reason : Failure
-            What the transport says.
+            The reason given by the transport.
         """
         self._is_lost = True
         self._was_reset = not reason.check(ConnectionDone)
         super().connectionLost(reason)
 
     def abort_now(self) -> None:
-        """End the connection at once, so that the target stops its work."""
+        """Abort the connection, so that the target stops working on the request."""
         transport: Any = self.transport
         if transport is not None and not self._is_lost:
             transport.abortConnection()
 
     def _became_idle(self, _: Any) -> None:
-        """Take in that the answer is whole and the target keeps it open."""
+        """Record that the answer is complete and the connection stays open."""
         self._is_idle = True
 
     def _finishResponse(self, rest: bytes) -> None:
-        """Look at what follows a whole answer before the next request."""
+        """Check for stray bytes after a complete answer and read the idle time-out."""
         if rest:
             self._has_stray_bytes = True
         parser: Any = self._parser
@@ -210,7 +211,7 @@
 
 
 class _ChannelFactory(ClientFactory):
-    """Makes one channel and tells when it is connected."""
+    """Builds one channel and reports when it is connected."""
 
     noisy = False
 
@@ -220,16 +221,16 @@
         self.opened: Deferred[TargetChannel] = Deferred(self._cancel)
 
     def startedConnecting(self, connector: Any) -> None:
-        """Remember what can be told to give up."""
+        """Keep the connector, so that the attempt can be cancelled."""
         self._connector = connector
 
     def buildProtocol(self, addr: Any) -> TargetChannel:
-        """Return the channel; it tells when its transport is there."""
+        """Return the channel, which reports when its transport is connected."""
         self._channel.on_connected = self._connected
         return self._channel
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        """Tell that no connection could be opened."""
+        """Report that the connection could not be opened."""
         self._resolve(reason)
 
     def _connected(self) -> None:
@@ -252,13 +253,13 @@
     reactor : Any
         Twisted's reactor.
     endpoint : Endpoint
-        Where the target listens.
+        Endpoint on which the target listens.
     timeout : float
-        Seconds a connection may take to open.
+        Maximum seconds for opening a connection.
     rest_limit : RestLimit
-        How long idle ones may rest.
+        Maximum idle time of connections that are reused.
     source : Hashable
-        What names the target in what is learned of that.
+        Identifies the target in the losses recorded in `rest_limit`.
     """
 
     def __init__(
@@ -280,31 +281,31 @@
 
     @property
     def endpoint(self) -> Endpoint:
-        """Return where its connections lead."""
+        """Return the endpoint of its connections."""
         return self._endpoint
 
     @property
     def is_closed(self) -> bool:
-        """Tell whether it keeps no more connections."""
+        """Return whether the pool is closed and keeps no more connections."""
         return self._is_closed
 
     @property
     def opened(self) -> int:
-        """Return how many connections were opened."""
+        """Return the number of connections opened so far."""
         return self._opened
 
     def idle(self, now: float) -> TargetChannel | None:
-        """Take an idle connection, the one that was used last.
+        """Take the most recently used idle connection out of the pool.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time, in seconds.
 
         Returns
         -------
         TargetChannel | None
-            The connection; None when none can be reused.
+            The connection; None if none can be reused.
         """
         self.sweep(now)
         for index in range(len(self._idle) - 1, -1, -1):
@@ -320,7 +321,8 @@
         Returns
         -------
         Deferred[TargetChannel]
-            The connection; fails when nothing could be sent.
+            Fires with the connection; fails if it could not be opened, in which
+            case nothing was sent.
         """
         self._opened += 1
         factory = _ChannelFactory(TargetChannel(self._reactor))
@@ -330,14 +332,14 @@
         return factory.opened
 
     def give_back(self, channel: TargetChannel, now: float) -> None:
-        """Keep a connection whose last answer was whole.
+        """Return a connection whose last answer was complete to the pool.
 
         Parameters
         ----------
         channel : TargetChannel
             The connection.
         now : float
-            Present time in seconds.
+            Current time, in seconds.
         """
         if channel.is_expired(now):
             return
@@ -349,25 +351,25 @@
             self._idle.pop(0).abort_now()
 
     def lost(self, channel: TargetChannel, now: float) -> None:
-        """Take in that a request on a connection was lost unanswered.
+        """Record that a request on a connection was lost without an answer.
 
         Parameters
         ----------
         channel : TargetChannel
             The connection.
         now : float
-            Present time in seconds.
+            Current time, in seconds.
         """
         if channel.rested is not None:
             self._rest_limit.lost(channel.rested, now, self._source)
 
     def sweep(self, now: float) -> None:
-        """Close idle connections that are too old to be reused.
+        """Close connections that can no longer be reused.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time, in seconds.
         """
         expired = [channel for channel in self._idle if channel.is_expired(now)]
         for channel in expired:
@@ -375,7 +377,7 @@
             channel.abort_now()
 
     def close(self) -> None:
-        """Close all idle connections, and keep none from now on."""
+        """Close all idle connections and keep none from now on."""
         self._is_closed = True
         idle, self._idle = self._idle, []
         for channel in idle:
