--- a/src/primrosescale/process/transport/bounded_request.py
+++ b/src/primrosescale/process/transport/bounded_request.py
@@ -1,4 +1,4 @@
-"""HTTP requests that cost bounded memory and never touch a disk."""
+"""HTTP server requests with a limited body size that are kept in memory only."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 def _accept_any_body(_: Any) -> ProblemDocument | None:
-    """Let every body come."""
+    """Accept every body."""
     return None
 
 
 class BoundedRequest(Request):
-    """A request whose body is refused before it is read when it may not come."""
+    """A request that is refused before its body is read if the body is not allowed."""
 
     body_limit = 0
     refuse_body: Callable[[Any], ProblemDocument | None] = staticmethod(
@@ -32,12 +32,12 @@
     )
 
     def gotLength(self, length: int | None) -> None:
-        """Refuse a body that is too large or comes from a stranger.
+        """Refuse a body that is too large or that `refuse_body` rejects.
 
         Parameters
         ----------
         length : int | None
-            Announced bytes; None for a body in chunks.
+            Announced length in bytes; None for a chunked body.
         """
         self.content: Any = BytesIO()
         self._is_refused = False
@@ -50,7 +50,7 @@
             self._reject_early(document)
 
     def handleContentChunk(self, data: bytes) -> None:
-        """Take in a part of the body, up to the limit.
+        """Store a part of the body, up to the limit.
 
         Parameters
         ----------
@@ -65,7 +65,7 @@
         self.content.write(data)
 
     def requestReceived(self, command: bytes, path: bytes, version: bytes) -> None:
-        """Handle a request whose body was not refused.
+        """Process a complete request unless its body was refused.
 
         Parameters
         ----------
@@ -80,7 +80,7 @@
             super().requestReceived(command, path, version)  # type: ignore[no-untyped-call]
 
     def _reject_early(self, document: ProblemDocument) -> None:
-        """Answer before the body has come, and close the connection."""
+        """Answer before the body is received, and close the connection."""
         self._is_refused = True
         body = document.encode()
         status = document.problem.status
