--- a/src/primrosescale/process/transport/called_platform.py
+++ b/src/primrosescale/process/transport/called_platform.py
@@ -1,4 +1,4 @@
-"""What platforms that are reached by HTTP calls have in common."""
+"""Common base of the platform clients that use HTTP."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 class CalledPlatform(Platform):
-    """A platform that is reached by HTTP calls.
+    """A platform whose service is called over HTTP.
 
     Parameters
     ----------
     reactor : Any
         Twisted's reactor.
     endpoint : Endpoint
-        Where it listens.
+        Endpoint of the service.
     timeout : float
-        Seconds an answer may take.
+        Maximum seconds to wait for an answer.
     """
 
     def __init__(self, reactor: Any, endpoint: Endpoint, timeout: float) -> None:
@@ -32,7 +32,7 @@
 
     @property
     def calls(self) -> int:
-        """Return how many calls were made."""
+        """Return the number of calls made."""
         return self._caller.calls
 
     def close(self) -> Deferred[None]:
@@ -41,6 +41,6 @@
         Returns
         -------
         Deferred[None]
-            When they are closed.
+            Fires when they are closed.
         """
         return self._caller.close()
