--- a/src/primrosescale/process/transport/callers_resource.py
+++ b/src/primrosescale/process/transport/callers_resource.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP: chats, plain services and health."""
+"""HTTP resource for callers: chat completions, plain services and health checks."""
 
 from __future__ import annotations
 
@@ -46,16 +46,16 @@
 
 
 class RefusedError(ProcessError):
-    """A request is refused before anything was done for it.
+    """A request is refused before any work was done for it.
 
     Parameters
     ----------
     problem : problems.Problem
         Kind of the error.
     detail : str
-        Its particulars.
+        Details of this occurrence.
     retry_after : float
-        Seconds after which asking again is worth it.
+        Seconds after which the caller should retry; 0 for no advice.
     """
 
     def __init__(
@@ -69,59 +69,59 @@
 
     @property
     def document(self) -> ProblemDocument:
-        """Return what the caller is told."""
+        """Return the problem document for the caller."""
         return self._document
 
 
 class CallGate(ABC):
-    """What callers' HTTP needs of the router."""
+    """Interface of the router that `CallersResource` uses."""
 
     @property
     @abstractmethod
     def is_ready(self) -> bool:
-        """Tell whether requests are taken."""
+        """Return whether the router accepts requests."""
 
     @property
     @abstractmethod
     def view(self) -> VersionView | None:
-        """Return the version in force."""
+        """Return the configuration version in force."""
 
     @abstractmethod
     def now(self) -> float:
-        """Return the present time in seconds."""
+        """Return the current time in seconds."""
 
     @abstractmethod
     def limit(self, organisation: OrganisationRecord) -> float:
-        """Count a request against its organisation's limit.
+        """Count a request against its organisation's rate limit.
 
         Parameters
         ----------
         organisation : OrganisationRecord
-            Whose request it is.
+            The organisation that sent the request.
 
         Returns
         -------
         float
-            0 when it may run, else seconds until asking again is worth it.
+            0 if it may run, otherwise the seconds after which to retry.
         """
 
     @property
     @abstractmethod
     def is_full(self) -> bool:
-        """Tell whether no more requests can be under way."""
+        """Return whether the limit of requests in flight is reached."""
 
     @abstractmethod
     def ledger_of(self, service: str, organisation: str, key: str) -> str:
-        """Return the endpoint of the router that writes a key's claim.
+        """Return the endpoint of the process that writes the claim of a key.
 
         Parameters
         ----------
         service : str
-            The service.
+            Name of the service.
         organisation : str
-            Whose key it is.
+            Name of the organisation that sent the key.
         key : str
-            The key.
+            The idempotency key.
 
         Returns
         -------
@@ -146,15 +146,15 @@
         service : ServiceRecord
             Its service.
         view : VersionView
-            The version it was accepted under.
+            The configuration version under which it was accepted.
         sink : HttpSink
-            The caller.
+            Writes the answer to the caller.
         """
 
 
 @dataclass(frozen=True, slots=True)
 class _Chat:
-    """What a router reads in the body of a chat request."""
+    """The fields of a chat request that the router uses."""
 
     model: str
     chat: str
@@ -163,14 +163,14 @@
 
 
 class CallersResource(Resource):
-    """Serves callers.
+    """Validates and authorises callers' requests and passes them to the router.
 
     Parameters
     ----------
     gate : CallGate
         The router.
     answer_limit : int
-        Bytes of an unstreamed answer that are held.
+        Maximum bytes of a non-streamed answer that are buffered.
     """
 
     isLeaf = True
@@ -181,7 +181,7 @@
         self._answer_limit = answer_limit
 
     def render(self, request: Request) -> int:
-        """Answer one request.
+        """Serve a request.
 
         Parameters
         ----------
@@ -208,12 +208,12 @@
         return NOT_DONE_YET
 
     def authorise(self, request: Request) -> OrganisationRecord:
-        """Return whose request this is; what was found is kept on it.
+        """Return the organisation of a request and cache it on the request.
 
         Parameters
         ----------
         request : Request
-            The request, whose body may still be to come.
+            The request; its body may not have been received yet.
 
         Returns
         -------
@@ -223,7 +223,7 @@
         Raises
         ------
         RefusedError
-            When the router is not ready or the key is unknown.
+            If the router is not ready or the API key is unknown.
         """
         view = self._router.view
         if view is None or not self._router.is_ready:
@@ -352,7 +352,7 @@
 
 
 def _header(request: Request, name: str) -> str:
-    """Return a header that is short and printable, or nothing."""
+    """Return a header's value; refuse one that is too long or not printable."""
     value = request.getHeader(name) or ""
     if len(value) > MAX_VALUE_CHARACTERS or not _is_printable(value):
         raise RefusedError(problems.BAD_REQUEST, f"header {name} is malformed")
