--- a/src/primrosescale/process/transport/engine_port.py
+++ b/src/primrosescale/process/transport/engine_port.py
@@ -1,4 +1,4 @@
-"""A target that may also be an engine which takes orders."""
+"""Interface of a target on the agent's host that may be an engine taking orders."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class EnginePort(TargetPort):
-    """A target as its agent sees it, orders included."""
+    """A target as used by its agent, including orders to engines."""
 
     @abstractmethod
     def order(self, body: bytes) -> Deferred[bytes]:
@@ -41,10 +41,10 @@
 
     @abstractmethod
     def close(self) -> Deferred[None]:
-        """Close kept connections.
+        """Close idle connections.
 
         Returns
         -------
         Deferred[None]
-            When they are closed.
+            Fires when they are closed.
         """
