--- a/src/primrosescale/process/transport/http_bodies.py
+++ b/src/primrosescale/process/transport/http_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of HTTP requests this process makes."""
+"""Bodies of HTTP requests that this process sends or receives."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @implementer(IBodyProducer)
 class InMemoryBody:
-    """A body that is in memory and is written at once.
+    """A request body that is held in memory and written at once.
 
     Parameters
     ----------
@@ -35,12 +35,12 @@
         Parameters
         ----------
         consumer : Any
-            Where to.
+            Receives the bytes.
 
         Returns
         -------
         Deferred[None]
-            Done already.
+            Has fired already.
         """
         consumer.write(self._body)
         return succeed(None)
@@ -56,7 +56,7 @@
 
 
 def body_producer(body: bytes | None) -> IBodyProducer | None:
-    """Return what twisted sends as a request's body.
+    """Return the producer that Twisted uses to send a request body.
 
     Parameters
     ----------
@@ -66,7 +66,7 @@
     Returns
     -------
     IBodyProducer | None
-        None for no body.
+        The producer; None for no body.
     """
     if body is None:
         return None
@@ -74,7 +74,7 @@
 
 
 def request_body(request: Request) -> bytes:
-    """Return the body of a request this process serves.
+    """Return the body of a request that this process serves.
 
     Parameters
     ----------
@@ -84,7 +84,7 @@
     Returns
     -------
     bytes
-        Empty when there is none.
+        The body; empty if there is none.
     """
     content = request.content
     return b"" if content is None else bytes(content.read())
