--- a/src/primrosescale/connection/link.py
+++ b/src/primrosescale/connection/link.py
@@ -41,7 +41,7 @@
     )
     silent_after: float = option(
         SECONDS,
-        "seconds without a received frame, while calls are pending, until it is aborted",
+        "seconds without a received frame, while calls are pending, until an abort",
         3.0,
     )
     hello_within: float = option(
