--- a/src/primrosescale/process/transport/__init__.py
+++ b/src/primrosescale/process/transport/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP to callers, targets and the platform, and its security."""
+"""HTTP towards callers, targets and the platform; mutual TLS between processes."""
