--- a/src/primrosescale/process/transport/callers_resource.py
+++ b/src/primrosescale/process/transport/callers_resource.py
@@ -112,7 +112,7 @@
 
     @abstractmethod
     def ledger_of(self, service: str, organisation: str, key: str) -> str:
-        """Return the endpoint of the process that writes the claim of a key.
+        """Return the endpoint of the router that writes the claim of a key.
 
         Parameters
         ----------
