--- a/src/primrosescale/process/transport/http_call.py
+++ b/src/primrosescale/process/transport/http_call.py
@@ -73,25 +73,25 @@
     ----------
     clock : Any
         Source of timers.
-    patience : float
+    stall_timeout : float
         Seconds without a byte after which it is given up.
     """
 
-    def __init__(self, clock: Any, patience: float) -> None:
+    def __init__(self, clock: Any, stall_timeout: float) -> None:
         self._chunks: list[bytes] = []
-        self._patience = patience
-        self._stall_timer = clock.callLater(patience, self._stalled)
+        self._stall_timeout = stall_timeout
+        self._stall_timer = clock.callLater(stall_timeout, self._stalled)
         self.collected: Deferred[bytes] = Deferred()
 
     def dataReceived(self, data: bytes) -> None:
         """Take in bytes."""
         self._chunks.append(data)
         if self._stall_timer.active():
-            self._stall_timer.reset(self._patience)
+            self._stall_timer.reset(self._stall_timeout)
 
     def _stalled(self) -> None:
         if not self.collected.called:
-            detail = f"no byte for {self._patience:.1f} s inside the answer"
+            detail = f"no byte for {self._stall_timeout:.1f} s inside the answer"
             self.collected.errback(TimeoutError(detail))
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
@@ -122,7 +122,7 @@
         self._reactor = reactor
         self._host = str(endpoint).encode()
         self._timeout = timeout
-        self._patience = timeout
+        self._current_timeout = timeout
         self._pool = ChannelPool(reactor, endpoint, timeout, RestLimit())
         self._calls = 0
 
@@ -186,22 +186,25 @@
                     persistent=True,
                 ),
             )
-            response_received.addTimeout(self._patience + extra, self._reactor)
+            response_received.addTimeout(self._current_timeout + extra, self._reactor)
             response = yield response_received
-            collector = _BodyCollector(self._reactor, self._patience)
+            collector = _BodyCollector(self._reactor, self._current_timeout)
             response.deliverBody(collector)
             collector.collected.addTimeout(MAX_ANSWER_SECONDS, self._reactor)
             content = yield collector.collected
         except (Exception, CancelledError) as error:
-            self._patience = min(
-                self._patience * TIMEOUT_GROWTH, MAX_TIMEOUT_FACTOR * self._timeout
+            self._current_timeout = min(
+                self._current_timeout * TIMEOUT_GROWTH,
+                MAX_TIMEOUT_FACTOR * self._timeout,
             )
             channel.abort_now()
             detail = failure_text(error)
             if body is None:
                 raise PlatformUnavailableError(detail) from error
             raise PlatformAnswerLostError(detail) from error
-        self._patience = max(self._timeout, self._patience / TIMEOUT_GROWTH)
+        self._current_timeout = max(
+            self._timeout, self._current_timeout / TIMEOUT_GROWTH
+        )
         self._pool.give_back(channel, self._reactor.seconds())
         tag = response.headers.getRawHeaders("ETag", ['"0"'])[0]
         return Reply(response.code, int(tag.strip('"')), content)
