--- a/src/primrosescale/process/transport/http_call.py
+++ b/src/primrosescale/process/transport/http_call.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's service over HTTP, each with a timeout."""
+"""HTTP client for the platform's service, with adaptive time-outs."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
     from primrosescale.connection.target_channel import TargetChannel
 
 
-# A service that is slow for a while is waited for longer from one failed call
-# to the next, up to four times its usual timeout, so that it is not taken for
-# silent; each answer shortens the wait again.
+# After each failed call the time-out grows, up to four times its configured value,
+# so that a service that is slow for a while is not taken for silent. Each complete
+# answer shortens it again.
 TIMEOUT_GROWTH = 2.0
 MAX_TIMEOUT_FACTOR = 4.0
-# Seconds after which an answer is given up though bytes keep coming: an object
-# of 1 MB takes 0.8 s over the thinnest link of today.
+# Limit for receiving the body of an answer, even if bytes keep arriving. An object
+# of 1 MB takes 0.8 s over the slowest known link.
 MAX_ANSWER_SECONDS = 8.0
 
 
@@ -50,9 +50,9 @@
     status : int
         HTTP status.
     etag : int
-        Version in the ETag header; 0 for none.
+        Version given in the ETag header; 0 if there is none.
     body : bytes
-        Content.
+        Body of the answer.
     """
 
     __slots__ = ("body", "etag", "status")
@@ -64,17 +64,17 @@
 
 
 class _BodyCollector(Protocol):
-    """Collects the body of an answer, as long as bytes keep coming.
+    """Collects the body of an answer, as long as bytes keep arriving.
 
-    A large answer takes longer than a small one over a thin link; giving it up
-    midway and asking again would fill the link with halves.
+    A large answer takes longer over a slow link than a small one. Aborting it
+    midway and retrying would fill the link with incomplete answers.
 
     Parameters
     ----------
     clock : Any
         Source of timers.
     stall_timeout : float
-        Seconds without a byte after which it is given up.
+        Seconds without a byte after which collecting fails.
     """
 
     def __init__(self, clock: Any, stall_timeout: float) -> None:
@@ -84,7 +84,7 @@
         self.collected: Deferred[bytes] = Deferred()
 
     def dataReceived(self, data: bytes) -> None:
-        """Take in bytes."""
+        """Store bytes and restart the stall timer."""
         self._chunks.append(data)
         if self._stall_timer.active():
             self._stall_timer.reset(self._stall_timeout)
@@ -95,7 +95,7 @@
             self.collected.errback(TimeoutError(detail))
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Tell the whole body, or that it was cut."""
+        """Deliver the complete body, or fail if it was truncated."""
         cancel_timer(self._stall_timer)
         if self.collected.called:
             return
@@ -106,16 +106,16 @@
 
 
 class HttpCaller:
-    """Makes calls and tells an unreached service from a lost answer.
+    """Makes HTTP calls; distinguishes an unreachable service from a lost answer.
 
     Parameters
     ----------
     reactor : Any
         Twisted's reactor.
     endpoint : Endpoint
-        Where the service listens.
+        Endpoint of the service.
     timeout : float
-        Seconds an answer may take.
+        Seconds to wait for an answer after calls that succeeded.
     """
 
     def __init__(self, reactor: Any, endpoint: Endpoint, timeout: float) -> None:
@@ -128,7 +128,7 @@
 
     @property
     def calls(self) -> int:
-        """Return how many calls were made."""
+        """Return the number of calls made."""
         return self._calls
 
     def close(self) -> Deferred[None]:
@@ -137,7 +137,7 @@
         Returns
         -------
         Deferred[None]
-            When they are closed.
+            Fires when they are closed.
         """
         self._pool.close()
         return succeed(None)
@@ -160,17 +160,17 @@
         path : str
             Path and query.
         body : bytes | None
-            Content; None for a call that only reads.
+            Request body; None for a call that only reads.
         headers : Headers | None
             Headers of the call.
         extra : float
-            Seconds that the service may wait before it answers.
+            Additional seconds that the service may wait before it answers.
 
         Returns
         -------
         Deferred[Reply]
-            The answer; fails with `PlatformUnavailableError`, or for a write
-            that may have taken effect with `PlatformAnswerLostError`.
+            Fires with the answer; fails with `PlatformUnavailableError`, or
+            with `PlatformAnswerLostError` for a write that may have taken effect.
         """
         self._calls += 1
         channel = yield self._connect()
@@ -178,7 +178,7 @@
             call_headers = headers.copy() if headers is not None else Headers()
             call_headers.setRawHeaders(b"Host", [self._host])
             response_received = channel.begin(
-                Request._construct(  # noqa: SLF001 - the only way past a second pool
+                Request._construct(  # noqa: SLF001 - avoids a second pool
                     method.encode(),
                     path.encode(),
                     call_headers,
@@ -211,7 +211,7 @@
 
     @inlineCallbacks
     def _connect(self) -> Generator[Any, Any, TargetChannel]:
-        """Return a connection on which nothing is being asked."""
+        """Return a connection without a pending request, a kept or a new one."""
         idle = self._pool.idle(self._reactor.seconds())
         if idle is not None:
             return idle
