--- a/src/primrosescale/process/transport/http_platform.py
+++ b/src/primrosescale/process/transport/http_platform.py
@@ -1,4 +1,4 @@
-"""Client of the platform's service over HTTP."""
+"""HTTP client of the platform's object and host-list API."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 CONFLICT = 412
 TOO_LARGE = 413
 HOST_FIELDS = HostEntry.__slots__  # type: ignore[attr-defined]
-# What a host's fields are, those that are no text.
+# Types of the fields of a host entry that are not text.
 HOST_FIELD_TYPES: dict[str, type] = {
     "port": int,
     "leaving": bool,
@@ -50,12 +50,12 @@
     "incarnation": int,
 }
 ROLES = frozenset({AGENT_ROLE, ROUTER_ROLE})
-# Characters of an odd value that a line shows.
+# Maximum characters of an invalid value that an error message shows.
 MAX_SHOWN_CHARACTERS = 60
 
 
 class HttpPlatform(CalledPlatform):
-    """The platform's service over HTTP."""
+    """Accesses the platform's service over HTTP."""
 
     @inlineCallbacks
     def get(self, key: str) -> Generator[Any, Any, StoredObject | None]:
@@ -141,7 +141,7 @@
 
     @inlineCallbacks
     def announce(self, entry: HostEntry) -> Generator[Any, Any, None]:
-        """Put a host on the list; see `Platform.announce`."""
+        """Write a host to the list; see `Platform.announce`."""
         body = json.dumps(fields_of_host(entry)).encode()
         reply = yield self._call("PUT", f"/hosts/{quote(entry.name)}", body)
         _require_status(reply, OK)
@@ -158,12 +158,12 @@
 
 
 def host_from_fields(fields: Any) -> HostEntry:
-    """Return a host from its JSON fields.
+    """Parse a host entry from its JSON fields.
 
     Parameters
     ----------
     fields : Any
-        A mapping.
+        The decoded JSON value.
 
     Returns
     -------
@@ -173,13 +173,13 @@
     Raises
     ------
     HostEntryError
-        When a field is missing, or is not what a host tells.
+        If a field is missing or has an invalid type or value.
     """
     if not isinstance(fields, dict):
         raise HostEntryError(f"a {type(fields).__name__}")
     found: dict[str, Any] = {name: fields.get(name) for name in HOST_FIELDS}
     for name, value in found.items():
-        # A truth value is a number in Python, and none to a host.
+        # In Python bool is a subclass of int; True is no valid number here.
         if type(value) is not HOST_FIELD_TYPES.get(name, str):
             raise HostEntryError(f"{name} is {value!r:.{MAX_SHOWN_CHARACTERS}}")
     if not found["name"] or found["role"] not in ROLES:
@@ -200,7 +200,7 @@
 
 
 def fields_of_host(entry: HostEntry) -> dict[str, Any]:
-    """Return a host's JSON fields.
+    """Return the JSON fields of a host entry.
 
     Parameters
     ----------
@@ -210,7 +210,7 @@
     Returns
     -------
     dict[str, Any]
-        A mapping.
+        The fields by name.
     """
     return {name: getattr(entry, name) for name in HOST_FIELDS}
 
