--- a/src/primrosescale/process/transport/http_sink.py
+++ b/src/primrosescale/process/transport/http_sink.py
@@ -1,4 +1,4 @@
-"""The HTTP side of one call."""
+"""Writes the answer of one call to its caller over HTTP."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 
 @implementer(IPushProducer)
 class HttpSink(AnswerSink):
-    """Writes an answer to a caller.
+    """Writes the answer of a call to the HTTP connection of its caller.
 
-    An unstreamed answer is held until it is whole, so that a cut one never
-    reaches the caller; beyond the limit it is passed on in chunks, which a
-    cut leaves without their end.
+    A non-streamed answer is buffered until it is complete, so that a truncated
+    one never reaches the caller. Beyond the limit it is passed on in chunks; if
+    it is truncated then, the final chunk is never sent.
 
     Parameters
     ----------
     request : Request
         The caller's request.
     is_streamed : bool
-        Whether the caller reads the answer as it comes.
+        Whether the answer is passed on as it arrives.
     answer_limit : int
-        Bytes of an unstreamed answer that are held.
+        Maximum bytes of a non-streamed answer that are buffered.
     """
 
     def __init__(
@@ -58,16 +58,16 @@
 
     @property
     def has_begun(self) -> bool:
-        """Tell whether the caller has been given any of the answer."""
+        """Return whether a part of the answer was sent to the caller."""
         return self._has_begun
 
     @property
     def is_blocked(self) -> bool:
-        """Tell whether the caller does not take bytes at the moment."""
+        """Return whether the connection to the caller applies back-pressure."""
         return self._is_blocked
 
     def bind(self, call: RoutedCall) -> None:
-        """Follow a call, and cancel it when the caller goes away.
+        """Attach the call; it is cancelled if the caller disconnects.
 
         Parameters
         ----------
@@ -78,12 +78,12 @@
         self._request.notifyFinish().addErrback(self._caller_gone)
 
     def head(self, status: int, headers: list[Header]) -> None:
-        """Take in status and headers; see `AnswerSink.head`."""
+        """Store status and headers; see `AnswerSink.head`."""
         self._status = status
         self._headers = headers
 
     def data(self, data: bytes) -> None:
-        """Take in bytes of the answer; see `AnswerSink.data`."""
+        """Buffer or send bytes of the answer; see `AnswerSink.data`."""
         if self._is_caller_gone:
             return
         if self._has_begun:
@@ -95,14 +95,14 @@
             self._begin()
 
     def reset(self) -> None:
-        """Drop what came of an attempt; see `AnswerSink.reset`."""
+        """Discard what was received from an attempt; see `AnswerSink.reset`."""
         self._status = 0
         self._headers = []
         self._buffered = []
         self._buffered_bytes = 0
 
     def finish(self) -> None:
-        """Take in that the answer is whole; see `AnswerSink.finish`."""
+        """Send the rest of a complete answer; see `AnswerSink.finish`."""
         if self._is_caller_gone:
             return
         if not self._has_begun:
@@ -115,12 +115,12 @@
         self._request.finish()
 
     def refuse(self, failure: AttemptFailure) -> None:
-        """Take in that there is no answer; see `AnswerSink.refuse`."""
+        """Send an error in place of an answer; see `AnswerSink.refuse`."""
         if not self._is_caller_gone:
             write_problem(self._request, _problem_document(failure))
 
     def cut(self, failure: AttemptFailure) -> None:
-        """Take in that the answer ends here; see `AnswerSink.cut`."""
+        """End an answer that cannot be completed; see `AnswerSink.cut`."""
         if self._is_caller_gone:
             return
         if self._is_streamed:
@@ -131,17 +131,17 @@
         self._request.loseConnection()
 
     def pauseProducing(self) -> None:
-        """Take in that the caller does not keep up."""
+        """Record that the caller reads too slowly."""
         self._is_blocked = True
 
     def resumeProducing(self) -> None:
-        """Take in that the caller takes bytes again."""
+        """Record that the caller can receive again, and resume the call."""
         self._is_blocked = False
         if self._call is not None:
             self._call.caller_drained()
 
     def stopProducing(self) -> None:
-        """Take in that the caller has gone away."""
+        """Record that the caller has disconnected."""
         self._is_blocked = True
 
     def _begin(self) -> None:
@@ -166,7 +166,7 @@
 
 
 def write_problem(request: Request, document: ProblemDocument) -> None:
-    """Answer a request with an error.
+    """Answer a request with a problem document.
 
     Parameters
     ----------
@@ -195,7 +195,7 @@
     status : int
         HTTP status.
     fields : Any
-        What to say.
+        Value to encode as the body.
     """
     body = json.dumps(fields).encode()
     request.setResponseCode(status)
