--- a/src/primrosescale/process/transport/http_target.py
+++ b/src/primrosescale/process/transport/http_target.py
@@ -1,4 +1,4 @@
-"""A target reached over HTTP."""
+"""HTTP client of the target on the agent's own host."""
 
 from __future__ import annotations
 
@@ -58,22 +58,22 @@
 
 
 class _BodyForwarder(Protocol):
-    """Hands the body of an answer to its receiver."""
+    """Passes the body of an answer to its run."""
 
     def __init__(self, run: _HttpRun, cached_tokens: int) -> None:
         self._run = run
         self._cached_tokens = cached_tokens
 
     def connectionMade(self) -> None:
-        """Let the run pace this body."""
+        """Give the run the transport, so that it can pause the body."""
         self._run.body_started(self.transport)
 
     def dataReceived(self, data: bytes) -> None:
-        """Hand bytes on."""
+        """Pass bytes on."""
         self._run.body_data(data)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Tell a whole answer from a cut one."""
+        """Report whether the answer was complete or truncated."""
         if reason.check(ResponseDone):
             self._run.body_done(self._cached_tokens)
         else:
@@ -81,7 +81,7 @@
 
 
 class _HttpRun(TargetRun):
-    """One request at the target."""
+    """One request in flight at the target."""
 
     __slots__ = ("_answer", "_has_ended", "_receiver", "_request_id", "_transport")
 
@@ -93,13 +93,13 @@
         self._has_ended = False
 
     def follow(self, answer: Deferred[Any], *, must_echo: bool) -> None:
-        """Wait for the answer's head."""
+        """Attach the handlers for the head of the answer."""
         self._answer = answer
         answer.addCallback(self._head, must_echo)
         answer.addErrback(self._failed)
 
     def cancel(self) -> None:
-        """Tell the target to stop; see `TargetRun.cancel`."""
+        """Close the connection to stop the target; see `TargetRun.cancel`."""
         if self._has_ended:
             return
         self._has_ended = True
@@ -109,34 +109,34 @@
             self._answer.cancel()
 
     def pause(self) -> None:
-        """Stop taking bytes; see `TargetRun.pause`."""
+        """Stop reading from the target; see `TargetRun.pause`."""
         if self._transport is not None:
             self._transport.pauseProducing()
 
     def resume(self) -> None:
-        """Take bytes again; see `TargetRun.resume`."""
+        """Resume reading from the target; see `TargetRun.resume`."""
         if self._transport is not None:
             self._transport.resumeProducing()
 
     def body_started(self, transport: Any) -> None:
-        """Take in that the body comes."""
+        """Handle the start of the body."""
         self._transport = transport
         if self._has_ended and transport is not None:
             transport.loseConnection()
 
     def body_data(self, data: bytes) -> None:
-        """Take in bytes of the body."""
+        """Handle bytes of the body."""
         if not self._has_ended:
             self._receiver.target_data(data)
 
     def body_done(self, cached_tokens: int) -> None:
-        """Take in that the body is whole."""
+        """Handle the end of a complete body."""
         if not self._has_ended:
             self._has_ended = True
             self._receiver.target_done(cached_tokens)
 
     def body_lost(self, detail: str) -> None:
-        """Take in that the body ended early."""
+        """Handle a body that ended before it was complete."""
         self._end(Outcome.UNKNOWN, f"answer cut: {detail}")
 
     def _head(self, response: Any, must_echo: bool) -> None:
@@ -175,7 +175,7 @@
 
 @implementer(IAgentEndpointFactory)
 class _FixedEndpoint:
-    """Leads every request to one IP number, with no name to look up."""
+    """Sends every request to one IP address, without name resolution."""
 
     def __init__(self, reactor: Any, endpoint: Endpoint, timeout: float) -> None:
         self._endpoint = TCP4ClientEndpoint(
@@ -186,27 +186,27 @@
         )
 
     def endpointForURI(self, uri: Any) -> TCP4ClientEndpoint:
-        """Return the way to the target."""
+        """Return the endpoint of the target."""
         return self._endpoint
 
 
 class HttpTarget(EnginePort):
     """A target reached over HTTP on its own host.
 
-    Connections are kept for idempotent requests only: a request on a kept
-    connection that breaks at once might have run, and asking again would be
-    a second run, so a non-idempotent one gets a new connection.
+    Connections are reused for idempotent requests only. If a reused connection
+    breaks at once, the request may have run, and a retry could run it a second
+    time; a non-idempotent request therefore gets a new connection.
 
     Parameters
     ----------
     reactor : Any
         Twisted's reactor.
     endpoint : Endpoint
-        Where the target listens.
+        Endpoint on which the target listens.
     must_echo : bool
-        Whether the target repeats the request's id in its answer.
+        Whether the target must echo the request's id in its answer.
     timeout : float
-        Seconds a connection may take to open.
+        Maximum seconds for opening a connection.
     """
 
     def __init__(
@@ -232,18 +232,18 @@
         )
 
     def close(self) -> Deferred[None]:
-        """Close kept connections.
+        """Close idle connections.
 
         Returns
         -------
         Deferred[None]
-            When they are closed.
+            Fires when they are closed.
         """
         closed: Deferred[None] = self._pool.closeCachedConnections()
         return closed
 
     def start(self, call: wire.Call, receiver: TargetReceiver) -> TargetRun:
-        """Hand a request to the target; see `TargetPort.start`."""
+        """Send a request to the target; see `TargetPort.start`."""
         request_id = f"{call.router}-{call.number}".encode()
         headers = Headers()
         for item in call.headers:
@@ -264,7 +264,7 @@
 
     @inlineCallbacks
     def export_cache(self, chat: str) -> Generator[Any, Any, bytes]:
-        """Read a chat's cache; see `TargetPort.export_cache`."""
+        """Export the cache of a chat; see `TargetPort.export_cache`."""
         url = self._base + b"/cache/" + chat.encode()
         response = yield self._persistent_agent.request(b"GET", url)
         body = yield readBody(response)
@@ -272,7 +272,7 @@
 
     @inlineCallbacks
     def import_cache(self, chat: str, data: bytes) -> Generator[Any, Any, bool]:
-        """Put a chat's cache into the target; see `TargetPort.import_cache`."""
+        """Import the cache of a chat; see `TargetPort.import_cache`."""
         url = self._base + b"/cache/" + chat.encode()
         producer = body_producer(data)
         response = yield self._persistent_agent.request(b"PUT", url, None, producer)
