--- a/src/primrosescale/process/transport/platform.py
+++ b/src/primrosescale/process/transport/platform.py
@@ -1,4 +1,4 @@
-"""The platform's object API and host list, as the product uses them."""
+"""Interface of the platform's object store and host list, with its records."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 
 class StoredObject:
-    """An object of the platform.
+    """A versioned object of the platform's store.
 
     Parameters
     ----------
     key : str
         Its name.
     version : int
-        Raised by each update.
+        Version number, increased by each update.
     value : bytes | None
-        Its content, at most 1 MB; None where only its fields are known.
+        Its content, at most 1 MB; None if only `fields` is given.
     is_deleted : bool
-        Whether a watch tells that it is gone.
+        Whether a watch reported it as deleted.
     fields : Any
-        What its content says, where that was read already; None for not known.
+        Its decoded content, if known; otherwise None.
     """
 
     __slots__ = ("_fields", "_is_deleted", "_key", "_value", "_version")
@@ -42,7 +42,7 @@
         key: str,
         version: int,
         value: bytes | None,
-        is_deleted: bool = False,  # noqa: FBT002 - as the store's answers have it
+        is_deleted: bool = False,  # noqa: FBT002 - like the fields of the store's answers
         fields: Any = None,
     ) -> None:
         self._key = key
@@ -52,42 +52,42 @@
         self._fields = fields
 
     def __eq__(self, other: object) -> bool:
-        """Tell whether another object is the same at the same version."""
+        """Return whether key, version, content and deletion mark are equal."""
         if not isinstance(other, StoredObject):
             return NotImplemented
         return self._comparison_key() == other._comparison_key()
 
     def __hash__(self) -> int:
-        """Return a number that equal objects share."""
+        """Return a hash consistent with equality."""
         return hash(self._comparison_key())
 
     def __repr__(self) -> str:
-        """Return what it is, for people."""
+        """Return a representation for debugging."""
         return f"StoredObject{self._comparison_key()}"
 
     @property
     def key(self) -> str:
-        """Return its name."""
+        """Return the object's name."""
         return self._key
 
     @property
     def version(self) -> int:
-        """Return the number that each update raises."""
+        """Return the version number, which each update increases."""
         return self._version
 
     @property
     def is_deleted(self) -> bool:
-        """Tell whether a watch says that it is gone."""
+        """Return whether a watch reported it as deleted."""
         return self._is_deleted
 
     @property
     def fields(self) -> Any:
-        """Return what its content says, where that was read already."""
+        """Return its decoded content, if known."""
         return self._fields
 
     @property
     def value(self) -> bytes:
-        """Return its content, written when it is first asked for."""
+        """Return its content; encoded from `fields` on first use if needed."""
         if self._value is None:
             self._value = json.dumps(self._fields).encode()
         return self._value
@@ -97,20 +97,20 @@
 
     @property
     def name(self) -> str:
-        """Return its name within its kind; empty when it has none."""
+        """Return the part of the key after the first slash; empty if none."""
         return self.key.partition("/")[2]
 
 
 @dataclass(frozen=True, slots=True)
 class WatchResult:
-    """What changed below a prefix.
+    """The changes of objects below a prefix.
 
     Parameters
     ----------
     revision : int
-        Where to watch from next.
+        Revision from which to continue watching.
     changes : tuple[StoredObject, ...]
-        Changed objects as they are now.
+        The changed objects in their current state.
     """
 
     revision: int
@@ -119,18 +119,18 @@
 
 @dataclass(frozen=True, slots=True)
 class HostList:
-    """The platform's list of hosts, or what changed in it.
+    """The platform's list of hosts, or the changes to it.
 
     Parameters
     ----------
     version : int
         Version of the list.
     is_full : bool
-        Whether the entries are the whole list.
+        Whether the entries are the complete list.
     entries : tuple[HostEntry, ...]
         The entries; those with ``gone`` set have left.
     unreadable : tuple[str, ...]
-        What was wrong with entries that name no host to use.
+        Descriptions of the errors in entries that could not be parsed.
     """
 
     version: int
@@ -140,10 +140,10 @@
 
 
 class Platform(ABC):
-    """The platform's service.
+    """Interface of the platform's service.
 
-    Every method may fail with `PlatformUnavailableError` (nothing changed),
-    and a write also with `PlatformAnswerLostError` (it may have taken
+    Every method may fail with `PlatformUnavailableError` (nothing was changed);
+    a write may also fail with `PlatformAnswerLostError` (it may have taken
     effect).
     """
 
@@ -159,12 +159,12 @@
         Returns
         -------
         Deferred[StoredObject | None]
-            The object, unless it does not exist.
+            The object; None if it does not exist.
         """
 
     @abstractmethod
     def put(self, key: str, value: bytes, expected: int) -> Deferred[int]:
-        """Write an object if it is still at a version.
+        """Write an object if its version is the expected one.
 
         Parameters
         ----------
@@ -173,7 +173,7 @@
         value : bytes
             Its new content.
         expected : int
-            Version it must have; `MUST_NOT_EXIST` to create it.
+            Version that it must have; `MUST_NOT_EXIST` to create it.
 
         Returns
         -------
@@ -184,7 +184,7 @@
 
     @abstractmethod
     def delete(self, key: str) -> Deferred[None]:
-        """Delete an object; one that does not exist is no error.
+        """Delete an object; a missing object is not an error.
 
         Parameters
         ----------
@@ -194,21 +194,21 @@
         Returns
         -------
         Deferred[None]
-            When it is gone.
+            Fires when it is deleted.
         """
 
     @abstractmethod
     def list(self, prefix: str, after: str, limit: int) -> Deferred[list[StoredObject]]:
-        """Read objects in the order of their names.
+        """List objects in the order of their names.
 
         Parameters
         ----------
         prefix : str
-            What their names begin with.
+            Prefix of their names.
         after : str
-            Name after which to begin; empty for the first.
+            Name after which the listing begins; empty to begin at the first.
         limit : int
-            How many at the most.
+            Maximum number of objects.
 
         Returns
         -------
@@ -223,37 +223,37 @@
         Parameters
         ----------
         prefix : str
-            What the objects' names begin with.
+            Prefix of the objects' names.
         since : int
-            Revision after which changes count; 0 for all objects at once.
+            Revision after which changes are reported; 0 for all objects at once.
         wait : float
-            Seconds to wait at the most.
+            Maximum seconds to wait.
 
         Returns
         -------
         Deferred[WatchResult]
-            The changes; none when the time is over. Fails with
-            `PlatformHistoryGoneError` when the changes are not kept so long.
+            The changes; empty if there were none in time. Fails with
+            `PlatformHistoryGoneError` if the changes are no longer kept.
         """
 
     @abstractmethod
     def hosts(self, since: int) -> Deferred[HostList]:
-        """Read the list of hosts, which lags behind the truth.
+        """Read the list of hosts, which may lag behind the actual state.
 
         Parameters
         ----------
         since : int
-            Version of the list that is known; 0 for none.
+            Version of the list that the caller has; 0 for none.
 
         Returns
         -------
         Deferred[HostList]
-            What changed, or the whole list when that is not known.
+            The changes since then, or the complete list if they are not known.
         """
 
     @abstractmethod
     def announce(self, entry: HostEntry) -> Deferred[None]:
-        """Put a host on the list, or mark it as leaving or gone.
+        """Write a host to the list, or mark it as leaving or gone.
 
         Parameters
         ----------
@@ -263,5 +263,5 @@
         Returns
         -------
         Deferred[None]
-            When the platform has taken it.
+            Fires when the platform has stored it.
         """
