--- a/src/primrosescale/process/transport/problems.py
+++ b/src/primrosescale/process/transport/problems.py
@@ -1,4 +1,4 @@
-"""Errors as callers see them: problem documents with a remedy."""
+"""Errors reported to callers as problem+json documents with a remedy."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     status : int
         HTTP status.
     title : str
-        What it means.
+        Short description of the error.
     remedy : str
         What the caller can do.
     """
@@ -177,12 +177,12 @@
 
 
 def problem_of(outcome: Outcome, reason: Reason) -> Problem:
-    """Return the kind of error of a call without an answer.
+    """Return the kind of error reported for a call without an answer.
 
     Parameters
     ----------
     outcome : Outcome
-        Whether it may have run.
+        Whether the call may have run.
     reason : Reason
         Why there is no answer.
 
@@ -206,11 +206,11 @@
     problem : Problem
         Its kind.
     detail : str
-        Its particulars.
+        Details of this occurrence.
     may_have_run : bool
         Whether the request may have run.
     retry_after : float
-        Seconds after which asking again is worth it; 0 for no advice.
+        Seconds after which the caller should retry; 0 for no advice.
     """
 
     problem: Problem
@@ -220,18 +220,18 @@
 
     @property
     def retry_header(self) -> str:
-        """Return the Retry-After header; empty for none."""
+        """Return the value of the Retry-After header; empty for none."""
         if self.retry_after <= 0:
             return ""
         return str(max(1, math.ceil(self.retry_after)))
 
     def encode(self) -> bytes:
-        """Return the document's bytes.
+        """Return the encoded document.
 
         Returns
         -------
         bytes
-            JSON.
+            The document in JSON.
         """
         fields: dict[str, str | int | float] = {
             "type": TYPE_PREFIX + self.problem.kind,
