--- a/src/primrosescale/process/transport/quiet_site.py
+++ b/src/primrosescale/process/transport/quiet_site.py
@@ -1,4 +1,4 @@
-"""HTTP sites that leave logging to the process's own events."""
+"""HTTP site without an access log; processes log their own events instead."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     Parameters
     ----------
     resource : Resource
-        What it serves.
+        Resource to serve.
     request_factory : Any
-        Makes requests.
+        Creates the request objects.
     timeout : float
-        Seconds a connection may be silent.
+        Seconds without data after which a connection is closed.
     """
 
     noisy = False
