--- a/src/primrosescale/process/transport/tls.py
+++ b/src/primrosescale/process/transport/tls.py
@@ -1,4 +1,4 @@
-"""Mutual TLS between the fleet's own processes."""
+"""Mutual TLS between the processes of a deployment."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
 class LinkTls:
     """Both sides of a process's mutual TLS.
 
-    The fleet's authority signs every process's certificate; who shows none
-    of its certificates is a stranger and gets no connection, whichever side
-    it is on. Peers are reached by IP number, so the authority, not a host
-    name, is what is checked.
+    The deployment's certificate authority signs the certificate of every
+    process. A peer without such a certificate is rejected, whether it connects
+    or listens. Peers are reached by IP address, so the authority is verified
+    and not a host name.
 
     Parameters
     ----------
     settings : TlsSettings
-        Files of certificate, key and authority.
+        Paths of the certificate, key and authority files.
 
     Raises
     ------
     TlsError
-        When a file cannot be used.
+        If a file cannot be read or used.
     """
 
     def __init__(self, settings: TlsSettings) -> None:
@@ -61,18 +61,18 @@
 
     @property
     def server(self) -> CertificateOptions:
-        """Return the context factory of a listening side."""
+        """Return the context factory of the listening side."""
         return self._options
 
     @property
     def client(self) -> Any:
-        """Return the connection creator of a connecting side."""
+        """Return the connection creator of the connecting side."""
         return _FleetClient(self._options)
 
 
 @implementer(IOpenSSLClientConnectionCreator)
 class _FleetClient:
-    """Makes client connections that trust the fleet's authority."""
+    """Creates client connections that trust the deployment's authority."""
 
     def __init__(self, options: CertificateOptions) -> None:
         self._context = options.getContext()
@@ -85,16 +85,16 @@
 
 
 def make_tls(settings: TlsSettings) -> LinkTls | None:
-    """Return a process's mutual TLS.
+    """Return the mutual TLS of a process, if it is configured.
 
     Parameters
     ----------
     settings : TlsSettings
-        Files; all empty for none.
+        Paths of the files; all empty to disable TLS.
 
     Returns
     -------
     LinkTls | None
-        None when no certificate is named.
+        The TLS contexts; None if no certificate is configured.
     """
     return LinkTls(settings) if settings.certificate else None
