--- a/tests/connection/test_rest_limit.py
+++ b/tests/connection/test_rest_limit.py
@@ -28,23 +28,23 @@
         super().setUp()
         self.limit = RestLimit()
 
-    def test_any_rest_is_allowed_until_one_was_too_long(self):
+    def test_any_idle_time_is_allowed_until_a_loss(self):
         self.assertTrue(self.limit.allows(60.0, START))
         self.limit.lost(1.0, START)
         self.assertFalse(self.limit.allows(0.9, START))
         self.assertTrue(self.limit.allows(0.2, START))
 
-    def test_the_shortest_rest_that_was_too_long_counts(self):
+    def test_the_shortest_idle_time_before_a_loss_counts(self):
         self.limit.lost(0.4, START)
         self.limit.lost(2.0, START)
         self.assertFalse(self.limit.allows(0.2, START))
         self.assertTrue(self.limit.allows(0.05, START))
 
-    def test_a_loss_after_a_short_rest_says_nothing(self):
+    def test_a_loss_after_a_short_idle_time_is_ignored(self):
         self.limit.lost(0.05, START)
         self.assertTrue(self.limit.allows(60.0, START))
 
-    def test_the_distrust_ends(self):
+    def test_losses_expire(self):
         self.limit.lost(0.4, START)
         later = START + DISTRUST_SECONDS
         self.assertTrue(self.limit.allows(60.0, later))
@@ -59,20 +59,20 @@
         self.limit.lost(0.4, 100.0, "p1")
         self.limit.lost(2.0, 105.0, "p2")
 
-    def test_what_one_taught_goes_and_what_others_taught_stays(self):
+    def test_forgetting_a_source_keeps_the_losses_of_others(self):
         self.limit.forget("p1")
         self.assertTrue(self.limit.allows(0.4, 106.0))
         self.assertFalse(self.limit.allows(0.6, 106.0))
         self.limit.forget("p2")
         self.assertTrue(self.limit.allows(60.0, 106.0))
 
-    def test_the_time_for_which_it_counts_goes_with_who_taught_it(self):
+    def test_forgetting_the_latest_source_brings_the_expiry_forward(self):
         self.limit.forget("p2")
         self.assertFalse(self.limit.allows(0.4, 100.0 + DISTRUST_SECONDS - 0.1))
         self.assertTrue(self.limit.allows(0.4, 100.0 + DISTRUST_SECONDS))
 
 
-class Forgetful(Protocol):
+class ResettingServer(Protocol):
     """Answers the first request of a connection and resets at the next."""
 
     answered = False
@@ -90,7 +90,7 @@
 
     def setUp(self):
         super().setUp()
-        port = reactor.listenTCP(0, Factory.forProtocol(Forgetful), 50, "127.0.0.1")
+        port = reactor.listenTCP(0, Factory.forProtocol(ResettingServer), 50, "127.0.0.1")
         self.addCleanup(port.stopListening)
         endpoint = Endpoint("127.0.0.1", port.getHost().port)
         self.limit = RestLimit()
@@ -134,7 +134,7 @@
         self.assertTrue(channel.is_lost)
 
     @inlineCallbacks
-    def test_a_loss_on_a_new_one_says_nothing_about_kept_ones(self):
+    def test_a_loss_on_a_new_connection_does_not_affect_kept_ones(self):
         yield self.keep_one()
         new = yield self.pool.open()
         self.pool.lost(new, reactor.seconds())
