--- a/tests/connection/test_pool.py
+++ b/tests/connection/test_pool.py
@@ -35,7 +35,7 @@
         return dial
 
 
-class Witness(LinkHandler):
+class RecordingHandler(LinkHandler):
     """Keeps what it is told."""
 
     def __init__(self):
@@ -58,10 +58,10 @@
         super().setUp()
         self.clock = Clock()
         self.dialer = SlowDialer()
-        self.witness = Witness()
+        self.handler = RecordingHandler()
         self.pool = LinkPool(
             wire.Hello(),
-            self.witness,
+            self.handler,
             self.dialer,
             self.clock,
             LinkSettings(),
@@ -94,7 +94,7 @@
         self.assertEqual(b"", transport.value())
         self.assertEqual([], self.clock.getDelayedCalls())
 
-    def test_an_old_opening_that_fails_refuses_nobody_who_asked_later(self):
+    def test_a_cancelled_dial_does_not_fail_later_callers(self):
         self.pool.drop(HERE, "not needed")
         later = []
         self.pool.get(HERE).addErrback(later.append)
