--- a/tests/connection/test_link_contract.py
+++ b/tests/connection/test_link_contract.py
@@ -129,7 +129,7 @@
         self.run_for(0.1)
         return links[0]
 
-    def test_two_who_ask_share_one_connection(self):
+    def test_two_callers_share_one_connection(self):
         links = []
         self.pool.get(self.endpoint).addCallback(links.append)
         self.pool.get(self.endpoint).addCallback(links.append)
@@ -137,7 +137,7 @@
         self.assertEqual(1, len(set(links)))
         self.assertEqual("far", links[0].peer.name)
 
-    def test_a_silent_connection_with_calls_is_given_up(self):
+    def test_a_silent_connection_with_pending_calls_is_aborted(self):
         link = self.open()
         link.expect()
         self.network.silence("far", "near")
@@ -146,7 +146,7 @@
         self.run_for(1.0)
         self.assertEqual(1, len(self.near.lost))
 
-    def test_a_quiet_but_living_connection_is_kept(self):
+    def test_a_connection_whose_peer_answers_pings_is_kept(self):
         link = self.open()
         link.expect()
         self.run_for(20.0)
@@ -163,7 +163,7 @@
         self.run_for(0.1)
         self.assertEqual(0, self.pool.size)
 
-    def test_a_peer_of_another_protocol_is_left(self):
+    def test_a_peer_of_another_protocol_version_is_rejected(self):
         factory = LinkFactory(hello("new", 2), self.far, self.clock, LinkSettings())
         endpoint = Endpoint("127.0.0.1", self.network.listen("new", factory))
         failures = []
@@ -171,7 +171,7 @@
         self.run_for(0.1)
         self.assertTrue(failures[0].check(DialError))
 
-    def test_a_peer_that_never_introduces_itself_is_left(self):
+    def test_a_peer_that_sends_no_hello_is_rejected(self):
         mute = Endpoint(
             "127.0.0.1", self.network.listen("m", Factory.forProtocol(Protocol))
         )
@@ -309,7 +309,7 @@
         self.authority = authority
 
     @inlineCallbacks
-    def assert_no_link(self, tls):
+    def assert_rejected(self, tls):
         near, far = Handler(), Handler()
         pool = self.pool(near, tls)
         try:
@@ -320,18 +320,18 @@
             return
         self.fail("a stranger got a link")
 
-    def test_a_stranger_with_a_certificate_of_another_authority_gets_no_link(self):
-        return self.assert_no_link(LinkTls(self.other.issue("eve")))
+    def test_a_client_with_a_certificate_of_another_authority_gets_no_link(self):
+        return self.assert_rejected(LinkTls(self.other.issue("eve")))
 
-    def test_a_stranger_without_tls_gets_no_link(self):
-        return self.assert_no_link(None)
+    def test_a_client_without_tls_gets_no_link(self):
+        return self.assert_rejected(None)
 
-    def test_a_process_does_not_talk_to_a_stranger_that_listens(self):
+    def test_a_listener_with_a_certificate_of_another_authority_gets_no_link(self):
         near = self.dial_tls
         self.tls = LinkTls(self.other.issue("eve"))
-        return self.assert_no_link(near)
+        return self.assert_rejected(near)
 
-    def test_files_that_are_no_key_material_are_an_error_with_a_remedy(self):
+    def test_unusable_certificate_files_are_an_error_with_a_remedy(self):
         bad = TlsSettings(
             certificate=self.authority.path,
             key=self.authority.path,
