--- a/tests/process/test_platform_contract.py
+++ b/tests/process/test_platform_contract.py
@@ -85,7 +85,7 @@
         self.assertEqual(b"1", found.value)
 
     @inlineCallbacks
-    def test_an_outage_is_told_and_changes_nothing(self):
+    def test_an_outage_fails_calls_and_changes_nothing(self):
         self.store.settings.is_down = True
         for call in (
             self.platform.get("a"),
@@ -117,7 +117,7 @@
         self.assertEqual(["p/c"], [item.key for item in rest])
 
     @inlineCallbacks
-    def test_a_watch_tells_of_a_change(self):
+    def test_a_watch_reports_a_change(self):
         start = yield self.platform.watch("w/", 0, 0.0)
         waiting = self.platform.watch("w/", start.revision, 10.0)
         yield self.platform.put("other", b"0", 0)
@@ -136,7 +136,7 @@
         self.assertIsNone(found)
 
     @inlineCallbacks
-    def test_the_host_list_tells_changes(self):
+    def test_the_host_list_reports_changes(self):
         yield self.platform.announce(self.host("a"))
         full = yield self.platform.hosts(0)
         self.assertTrue(full.is_full)
