--- a/tests/process/test_target_contract.py
+++ b/tests/process/test_target_contract.py
@@ -115,7 +115,7 @@
         run = target.start(call(b"c"), receiver)
         return world, run, receiver
 
-    def test_an_answer_is_whole(self):
+    def test_an_answer_is_complete(self):
         world, _, receiver = self.start()
         world.clock.pump([0.02] * 20)
         self.assertEqual(expected_body("c"), receiver.body)
@@ -131,7 +131,7 @@
         world.clock.pump([0.02] * 20)
         self.assertEqual(Outcome.UNKNOWN, receiver.ends[0][0])
 
-    def test_a_cancelled_run_says_nothing_more(self):
+    def test_a_cancelled_run_reports_nothing_more(self):
         world, run, receiver = self.start()
         world.clock.pump([0.02] * 3)
         run.cancel()
@@ -139,7 +139,7 @@
         self.assertEqual([], receiver.ends)
 
 
-class Raw(Protocol):
+class RawAnswerServer(Protocol):
     """Answers with given bytes and closes the connection."""
 
     def dataReceived(self, data):
@@ -159,7 +159,7 @@
         yield target.close()
 
     def raw(self, answer):
-        factory = Factory.forProtocol(Raw)
+        factory = Factory.forProtocol(RawAnswerServer)
         factory.noisy = False
         factory.answer = answer
         port = reactor.listenTCP(0, factory, interface="127.0.0.1")
@@ -177,7 +177,7 @@
         return PlainServiceResource("p", 0.0, reactor, Counter())
 
     @inlineCallbacks
-    def test_an_answer_is_whole(self):
+    def test_an_answer_is_complete(self):
         target = self.target(self.serve(self.plain()))
         receiver = yield self.run_call(target, call(b'{"case": "9"}'))
         self.assertEqual(200, receiver.status)
@@ -231,7 +231,7 @@
         self.assertEqual(["close", "close"], counts)
 
     @inlineCallbacks
-    def test_a_cancelled_run_reaches_the_engine_and_says_nothing_more(self):
+    def test_a_cancelled_run_stops_the_engine_and_reports_nothing_more(self):
         engine = EngineResource(EngineSettings(tokens_per_second=100.0), reactor)
         target = self.target(self.serve(engine))
         body = json.dumps({"stream": True, "max_tokens": 10_000}).encode()
@@ -247,7 +247,7 @@
         self.assertEqual([], receiver.ends)
 
     @inlineCallbacks
-    def test_the_engine_tells_cached_tokens_and_moves_its_cache(self):
+    def test_the_engine_reports_cached_tokens_and_moves_its_cache(self):
         one = EngineResource(EngineSettings(tokens_per_second=1000.0), reactor)
         other = EngineResource(EngineSettings(tokens_per_second=1000.0), reactor)
         first = self.target(self.serve(one))
