--- a/tests/support/ports.py
+++ b/tests/support/ports.py
@@ -10,7 +10,7 @@
 LOOPBACK = "127.0.0.1"
 EPHEMERAL_RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
 FIRST_EPHEMERAL = 32768
-LOWEST = 10_000
+LOWEST_PORT = 10_000
 
 
 def first_ephemeral():
@@ -33,7 +33,7 @@
     they are closed again. These lie below that range, and start at another one in each
     process of tests.
     """
-    candidates = range(LOWEST, first_ephemeral())
+    candidates = range(LOWEST_PORT, first_ephemeral())
     start = os.getpid() * count % len(candidates)
     found = []
     for port in [*candidates[start:], *candidates[:start]]:
