--- a/tests/connection/test_rest_limit.py
+++ b/tests/connection/test_rest_limit.py
@@ -1,4 +1,4 @@
-"""Tests of how long kept connections may rest."""
+"""Tests of the idle time after which kept connections are still reused."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
 
 
 class ResettingServer(Protocol):
-    """Answers the first request of a connection and resets at the next."""
+    """Answers the first request of a connection and resets it at the second."""
 
     answered = False
 
@@ -90,7 +90,9 @@
 
     def setUp(self):
         super().setUp()
-        port = reactor.listenTCP(0, Factory.forProtocol(ResettingServer), 50, "127.0.0.1")
+        port = reactor.listenTCP(
+            0, Factory.forProtocol(ResettingServer), 50, "127.0.0.1"
+        )
         self.addCleanup(port.stopListening)
         endpoint = Endpoint("127.0.0.1", port.getHost().port)
         self.limit = RestLimit()
