--- a/tests/connection/test_pool.py
+++ b/tests/connection/test_pool.py
@@ -1,4 +1,4 @@
-"""Tests of the pool of connections."""
+"""Tests of the pool of framed connections."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class SlowDialer(Dialer):
-    """Opens nothing until the test does."""
+    """Records dials; only the test completes them."""
 
     def __init__(self):
         self.dials = []
@@ -36,7 +36,7 @@
 
 
 class RecordingHandler(LinkHandler):
-    """Keeps what it is told."""
+    """Records the ends of connections."""
 
     def __init__(self):
         self.lost = []
@@ -52,7 +52,7 @@
 
 
 class OpeningTest(TestCase):
-    """Connections that end while they are still being opened."""
+    """Connections that are closed or fail while they are being opened."""
 
     def setUp(self):
         super().setUp()
