--- a/tests/connection/test_link_contract.py
+++ b/tests/connection/test_link_contract.py
@@ -1,4 +1,4 @@
-"""One table for links: over memory and over TCP, plain and with TLS."""
+"""Contract tests of links: in memory, over TCP and over TCP with TLS."""
 
 from __future__ import annotations
 
@@ -100,7 +100,7 @@
 
 
 class MemoryLinkTest(TestCase):
-    """Timing of links, on a virtual clock."""
+    """Time limits of links, on a virtual clock."""
 
     def setUp(self):
         super().setUp()
@@ -232,7 +232,7 @@
             yield pool.get(endpoint)
         except DialError:
             return
-        self.fail("connected to nothing")
+        self.fail("connected to a port without a listener")
 
     @inlineCallbacks
     def test_junk_ends_the_connection(self):
@@ -245,7 +245,7 @@
 
 
 class Authority:
-    """Signs certificates for a test."""
+    """A certificate authority for tests."""
 
     def __init__(self, folder, name):
         self.folder = Path(folder)
@@ -318,7 +318,7 @@
             self.assertEqual([], far.ready)
             self.assertEqual([], far.messages)
             return
-        self.fail("a stranger got a link")
+        self.fail("a peer without a valid certificate got a link")
 
     def test_a_client_with_a_certificate_of_another_authority_gets_no_link(self):
         return self.assert_rejected(LinkTls(self.other.issue("eve")))
