--- a/tests/process/test_platform_contract.py
+++ b/tests/process/test_platform_contract.py
@@ -1,4 +1,4 @@
-"""One table for every adapter of the platform: in memory and over HTTP."""
+"""Contract tests of every platform client: in memory and over HTTP."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class PlatformContract:
-    """The table; a class below for each adapter."""
+    """The contract; a class below runs it for each client."""
 
     def make(self, store):
         raise NotImplementedError
