--- a/tests/process/test_target_contract.py
+++ b/tests/process/test_target_contract.py
@@ -1,4 +1,4 @@
-"""One table for every target: the fake of the tests and HTTP stand-ins."""
+"""Contract tests of targets: the tests' fake and targets over HTTP."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
 
 
 class FakeTargetTest(TestCase):
-    """The fake keeps the contract that `HttpTarget` keeps."""
+    """The fake follows the same contract as `HttpTarget`."""
 
     class World:
         def __init__(self):
@@ -140,7 +140,7 @@
 
 
 class RawAnswerServer(Protocol):
-    """Answers with given bytes and closes the connection."""
+    """Answers with the given bytes and closes the connection."""
 
     def dataReceived(self, data):
         self.transport.write(self.factory.answer)
@@ -276,7 +276,7 @@
         except TargetError:
             pass
         else:
-            self.fail("an old fence was obeyed")
+            self.fail("an order with an outdated fence was accepted")
         state = yield target.state()
         self.assertEqual("2", json.loads(state)["version"])
         engine.settings.checks_fence = False
