--- a/tests/support/live.py
+++ b/tests/support/live.py
@@ -1,4 +1,4 @@
-"""Tests on the real reactor, over loopback sockets on ports of its choice."""
+"""Base classes of tests on the real reactor, with loopback sockets."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class ClearingSpinner(Spinner):
-    """Ends what a whole deployment leaves in the reactor between two turns.
+    """Clears sockets and timers that a deployment leaves in the reactor.
 
-    Twisted closes kept connections a turn after it is told to, and stand-ins
-    of other processes have timers of their own; a test of one object keeps
-    the strict spinner.
+    Twisted closes kept connections one reactor turn after the close is requested,
+    and stand-ins of other processes have their own timers. Tests of a single
+    object use the strict spinner, which reports such remains as errors.
     """
 
     def clear_junk(self):
@@ -27,19 +27,19 @@
 
 
 class DeploymentRunTest(AsynchronousDeferredRunTest):
-    """Runs a test with a whole deployment."""
+    """Runs a test that starts a complete deployment."""
 
     def _make_spinner(self):
         return ClearingSpinner(self._reactor)
 
 
 class LiveTest(TestCase):
-    """A test whose methods may return deferreds."""
+    """A test case whose methods may return deferreds."""
 
     run_tests_with = AsynchronousDeferredRunTest.make_factory(timeout=TIMEOUT)
 
     def serve(self, resource):
-        """Serve a resource until the test ends; return where."""
+        """Serve a resource until the test ends and return its endpoint."""
         site = Site(resource)
         site.noisy = False
         port = reactor.listenTCP(0, site, interface="127.0.0.1")
