--- a/tests/support/ports.py
+++ b/tests/support/ports.py
@@ -1,4 +1,4 @@
-"""Ports for programs that tests start with ports of their own choice."""
+"""Free ports for programs that tests start on fixed ports."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def first_ephemeral():
-    """Return the lowest port that the system gives out by itself."""
+    """Return the lowest port that the kernel assigns automatically."""
     with contextlib.suppress(OSError):
         return int(EPHEMERAL_RANGE.read_text().split()[0])
     return FIRST_EPHEMERAL
@@ -27,11 +27,11 @@
 
 
 def free_ports(count):
-    """Return ports that nobody else takes before the programs listen there.
+    """Return ports that stay free until the programs listen on them.
 
-    Ports that the system gives out may go to another socket of any process as soon as
-    they are closed again. These lie below that range, and start at another one in each
-    process of tests.
+    A port that the kernel assigned may be assigned to another process as soon as it
+    is closed. The ports returned here lie below the kernel's range, and each test
+    process starts its search at a different port.
     """
     candidates = range(LOWEST_PORT, first_ephemeral())
     start = os.getpid() * count % len(candidates)
@@ -41,4 +41,4 @@
             found.append(port)
         if len(found) == count:
             return found
-    raise OSError("no free ports")
+    raise OSError("not enough free ports below the ephemeral range")
