--- a/src/primrosescale/connection/rest_limit.py
+++ b/src/primrosescale/connection/rest_limit.py
@@ -3,8 +3,7 @@
 Targets, or proxies in front of them, may drop idle connections silently and
 earlier than they announce. The next request on such a connection is lost, and a
 request that may run at most once cannot be sent again. After the first such loss,
-connections with a similar idle time are not reused until the losses are old enough
-to be ignored.
+only connections with a much shorter idle time are reused, until the loss expires.
 """
 
 from __future__ import annotations
