--- a/src/primrosescale/connection/rest_limit.py
+++ b/src/primrosescale/connection/rest_limit.py
@@ -27,7 +27,7 @@
 MIN_IDLE_SECONDS = 0.1
 
 
-class RestLimit:
+class IdleLimit:
     """Maximum idle time for reuse of connections, derived from recent losses."""
 
     __slots__ = ("_allowed", "_losses", "_until")
--- a/src/primrosescale/connection/target_channel.py
+++ b/src/primrosescale/connection/target_channel.py
@@ -21,7 +21,7 @@
 
     from primrosescale.clock import Clock
     from primrosescale.connection.endpoint import Endpoint
-    from primrosescale.connection.rest_limit import RestLimit
+    from primrosescale.connection.rest_limit import IdleLimit
 
 # Targets announce in whole seconds after which time they close idle connections.
 # The margin keeps a request from being sent while the target closes.
@@ -256,7 +256,7 @@
         Endpoint on which the target listens.
     timeout : float
         Maximum seconds for opening a connection.
-    rest_limit : RestLimit
+    rest_limit : IdleLimit
         Maximum idle time of connections that are reused.
     source : Hashable
         Identifies the target in the losses recorded in `rest_limit`.
@@ -267,7 +267,7 @@
         reactor: Any,
         endpoint: Endpoint,
         timeout: float,
-        rest_limit: RestLimit,
+        rest_limit: IdleLimit,
         source: Hashable = None,
     ) -> None:
         self._reactor = reactor
--- a/src/primrosescale/process/transport/http_sink.py
+++ b/src/primrosescale/process/transport/http_sink.py
@@ -138,7 +138,7 @@
         """Record that the caller can receive again, and resume the call."""
         self._is_blocked = False
         if self._call is not None:
-            self._call.caller_drained()
+            self._call.caller_ready()
 
     def stopProducing(self) -> None:
         """Record that the caller has disconnected."""
