--- a/src/primrosescale/connection/link.py
+++ b/src/primrosescale/connection/link.py
@@ -1,4 +1,4 @@
-"""One connection between two of the product's own processes."""
+"""A framed connection between two processes of this system, with liveness checks."""
 
 from __future__ import annotations
 
@@ -27,36 +27,36 @@
     from primrosescale.connection.codec import Message
 
 PROTOCOL_VERSION = 1
-MAX_FRAME = 4 * 1024 * 1024
+MAX_FRAME_BYTES = 4 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class LinkSettings:
-    """Timing of a connection."""
+    """Time limits of a connection."""
 
     ping_after: float = option(
         SECONDS,
-        "seconds without a received frame, while calls wait, until a ping",
+        "seconds without a received frame, while calls are pending, until a ping",
         1.0,
     )
     silent_after: float = option(
         SECONDS,
-        "seconds without a received frame, while calls wait, until it counts as silent",
+        "seconds without a received frame, while calls are pending, until an abort",
         3.0,
     )
     hello_within: float = option(
         SECONDS,
-        "seconds a peer may take to introduce itself",
+        "seconds a peer may take to send its Hello message",
         5.0,
     )
 
 
 class LinkHandler(ABC):
-    """Receives what happens on a connection."""
+    """Receives the events of a connection."""
 
     @abstractmethod
     def link_ready(self, link: Link) -> None:
-        """Handle that the peer has introduced itself.
+        """Handle the Hello message of the peer.
 
         Parameters
         ----------
@@ -66,12 +66,12 @@
 
     @abstractmethod
     def link_message(self, link: Link, message: Message) -> None:
-        """Handle one message.
+        """Handle a message.
 
         Parameters
         ----------
         link : Link
-            The connection it came on.
+            The connection on which it was received.
         message : Message
             The message.
         """
@@ -85,26 +85,30 @@
         link : Link
             The connection.
         detail : str
-            Why it ended.
+            Why the connection ended.
         """
 
 
 class Link(Int32StringReceiver):
-    """Frames of messages over a stream transport, with heartbeats.
+    """Exchanges framed messages over a stream transport and detects silent peers.
+
+    Both sides first send a Hello message. While calls are pending, a ping is
+    sent when no frame arrives, and the connection is aborted when the peer
+    stays silent.
 
     Parameters
     ----------
     own : wire.Hello
-        How this process introduces itself.
+        The Hello message of this process.
     handler : LinkHandler
-        Told of messages and of the end.
+        Notified of messages and of the end of the connection.
     clock : Clock
         Source of time and timers.
     settings : LinkSettings
-        Timing.
+        Time limits.
     """
 
-    MAX_LENGTH = MAX_FRAME
+    MAX_LENGTH = MAX_FRAME_BYTES
 
     def __init__(
         self,
@@ -120,10 +124,10 @@
         self._peer: wire.Hello | None = None
         self._received_at = clock.seconds()
         self._sequence = 0
-        self._waiting = 0
+        self._pending_calls = 0
         self._timer: Timer | None = None
         self._lost = False
-        self._detail = ""
+        self._abort_detail = ""
         self._bytes_out = 0
         self._bytes_in = 0
 
@@ -133,33 +137,33 @@
 
     @property
     def peer(self) -> wire.Hello | None:
-        """Return the peer's introduction, once it has come."""
+        """Return the peer's Hello message; None until it is received."""
         return self._peer
 
     @property
     def is_lost(self) -> bool:
-        """Tell whether the connection has ended."""
+        """Return whether the connection has ended."""
         return self._lost
 
     @property
     def waiting(self) -> int:
-        """Return how many calls wait for something from the peer."""
-        return self._waiting
+        """Return the number of calls that wait for the peer."""
+        return self._pending_calls
 
     @property
     def bytes_out(self) -> int:
-        """Return the bytes of frames sent."""
+        """Return the number of bytes of all frames sent."""
         return self._bytes_out
 
     @property
     def bytes_in(self) -> int:
-        """Return the bytes of frames received."""
+        """Return the number of bytes of all frames received."""
         return self._bytes_in
 
     def connectionMade(self) -> None:
-        """Introduce this process and wait for the peer's introduction."""
+        """Send this process's Hello message and wait for the peer's."""
         if self._lost:
-            # Given up while it was being opened.
+            # The link was aborted while the connection was being opened.
             self._transport.loseConnection()
             return
         set_no_delay = getattr(self.transport, "setTcpNoDelay", None)
@@ -173,7 +177,7 @@
         )
 
     def send(self, message: Message) -> None:
-        """Send a message; on an ended connection it is dropped.
+        """Send a message; it is discarded if the connection has ended.
 
         Parameters
         ----------
@@ -187,44 +191,44 @@
         self.sendString(frame)  # type: ignore[no-untyped-call]
 
     def expect(self) -> None:
-        """Count one more call that waits for the peer."""
-        self._waiting += 1
-        if self._waiting == 1:
+        """Add a pending call; the first one starts the silence check."""
+        self._pending_calls += 1
+        if self._pending_calls == 1:
             self._received_at = self._clock.seconds()
-            self._arm()
+            self._schedule_silence_check()
 
     def settle(self) -> None:
-        """Count one call fewer that waits for the peer."""
-        self._waiting = max(0, self._waiting - 1)
+        """Remove a pending call."""
+        self._pending_calls = max(0, self._pending_calls - 1)
 
     def abandon(self, detail: str) -> None:
-        """Give the connection up at once, whatever the peer does.
+        """Abort the connection without waiting for the peer.
 
         Parameters
         ----------
         detail : str
-            Why, for the handler.
+            The reason, passed to the handler.
         """
         if self._lost:
             return
-        self._detail = detail
+        self._abort_detail = detail
         if self.transport is not None:
             abort = getattr(self.transport, "abortConnection", None)
             if abort is None:
                 self._transport.loseConnection()
             else:
                 abort()
-        self._end(detail)
+        self._report_lost(detail)
 
     def close(self) -> None:
-        """Close the connection after what was sent has gone out."""
+        """Close the connection after pending data has been written."""
         if self.transport is None:
-            self._end("closed before it was open")
+            self._report_lost("closed before it was open")
         elif not self._lost:
             self._transport.loseConnection()
 
     def stringReceived(self, string: bytes) -> None:
-        """Decode one frame and hand it on.
+        """Decode a frame and pass its message to the handler.
 
         Parameters
         ----------
@@ -241,33 +245,33 @@
             self.abandon(str(error))
             return
         if self._peer is None:
-            self._greet(message)
+            self._handle_hello(message)
         elif isinstance(message, wire.Ping):
             self.send(wire.Pong(message.sequence))
         elif not isinstance(message, wire.Pong):
             self._handler.link_message(self, message)
 
     def lengthLimitExceeded(self, length: int) -> None:
-        """Give up on a peer that sends a frame over the limit.
+        """Abort the connection to a peer that sends a frame over the limit.
 
         Parameters
         ----------
         length : int
-            Announced bytes of the frame.
+            Announced length of the frame, in bytes.
         """
-        self.abandon(f"frame of {length} bytes is over {MAX_FRAME}")
+        self.abandon(f"frame of {length} bytes is over {MAX_FRAME_BYTES}")
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Report the end, once.
+        """Report the end of the connection to the handler, once.
 
         Parameters
         ----------
         reason : Failure
-            What the transport says.
+            The reason given by the transport.
         """
-        self._end(self._detail or reason.getErrorMessage())
+        self._report_lost(self._abort_detail or reason.getErrorMessage())
 
-    def _greet(self, message: Message) -> None:
+    def _handle_hello(self, message: Message) -> None:
         if not isinstance(message, wire.Hello):
             self.abandon("first message is not an introduction")
             return
@@ -276,8 +280,8 @@
             return
         self._peer = message
         self._cancel_timer()
-        if self._waiting:
-            self._arm()
+        if self._pending_calls:
+            self._schedule_silence_check()
         self._handler.link_ready(self)
 
     def _check_hello(self) -> None:
@@ -285,7 +289,7 @@
         if self._peer is None:
             self.abandon("peer did not introduce itself in time")
 
-    def _arm(self) -> None:
+    def _schedule_silence_check(self) -> None:
         if self._timer is None and not self._lost:
             self._timer = self._clock.callLater(
                 self._settings.ping_after,
@@ -294,22 +298,22 @@
 
     def _check_silence(self) -> None:
         self._timer = None
-        if not self._waiting or self._lost:
+        if not self._pending_calls or self._lost:
             return
-        quiet = self._clock.seconds() - self._received_at
-        if quiet >= self._settings.silent_after:
-            self.abandon(f"silent for {quiet:.1f} s")
+        silence_seconds = self._clock.seconds() - self._received_at
+        if silence_seconds >= self._settings.silent_after:
+            self.abandon(f"silent for {silence_seconds:.1f} s")
             return
-        if quiet >= self._settings.ping_after:
+        if silence_seconds >= self._settings.ping_after:
             self._sequence += 1
             self.send(wire.Ping(self._sequence))
-        self._arm()
+        self._schedule_silence_check()
 
     def _cancel_timer(self) -> None:
         timer, self._timer = self._timer, None
         cancel_timer(timer)
 
-    def _end(self, detail: str) -> None:
+    def _report_lost(self, detail: str) -> None:
         if self._lost:
             return
         self._lost = True
--- a/src/primrosescale/process/transport/http_platform.py
+++ b/src/primrosescale/process/transport/http_platform.py
@@ -1,4 +1,4 @@
-"""Client of the platform's service over HTTP."""
+"""HTTP client of the platform's object and host-list API."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 CONFLICT = 412
 TOO_LARGE = 413
 HOST_FIELDS = HostEntry.__slots__  # type: ignore[attr-defined]
-# What a host's fields are, those that are no text.
+# Types of the fields of a host entry that are not text.
 HOST_FIELD_TYPES: dict[str, type] = {
     "port": int,
     "leaving": bool,
@@ -50,12 +50,12 @@
     "incarnation": int,
 }
 ROLES = frozenset({AGENT_ROLE, ROUTER_ROLE})
-# Characters of an odd value that a line shows.
-SHOWN = 60
+# Maximum characters of an invalid value that an error message shows.
+MAX_SHOWN_CHARACTERS = 60
 
 
 class HttpPlatform(CalledPlatform):
-    """The platform's service over HTTP."""
+    """Accesses the platform's service over HTTP."""
 
     @inlineCallbacks
     def get(self, key: str) -> Generator[Any, Any, StoredObject | None]:
@@ -63,7 +63,7 @@
         reply = yield self._call("GET", f"/objects/{quote(key)}")
         if reply.status == NOT_FOUND:
             return None
-        _require(reply, OK)
+        _require_status(reply, OK)
         return StoredObject(key, reply.etag, reply.body)
 
     @inlineCallbacks
@@ -82,7 +82,7 @@
             raise PlatformConflictError(key, reply.etag)
         if reply.status == TOO_LARGE:
             raise PlatformLimitError(key, len(value))
-        _require(reply, OK)
+        _require_status(reply, OK)
         return int(reply.etag)
 
     @inlineCallbacks
@@ -90,7 +90,7 @@
         """Delete an object; see `Platform.delete`."""
         reply = yield self._call("DELETE", f"/objects/{quote(key)}", b"")
         if reply.status != NOT_FOUND:
-            _require(reply, NO_CONTENT)
+            _require_status(reply, NO_CONTENT)
 
     @inlineCallbacks
     def list(
@@ -102,8 +102,8 @@
         """Read objects; see `Platform.list`."""
         query = urlencode({"prefix": prefix, "after": after, "limit": limit})
         reply = yield self._call("GET", f"/objects?{query}")
-        _require(reply, OK)
-        return [_stored(item) for item in json.loads(reply.body)["items"]]
+        _require_status(reply, OK)
+        return [_parse_object(item) for item in json.loads(reply.body)["items"]]
 
     @inlineCallbacks
     def watch(
@@ -115,16 +115,16 @@
         """Wait for a change; see `Platform.watch`."""
         query = urlencode({"prefix": prefix, "since": since, "wait": wait})
         reply = yield self._call("GET", f"/watch?{query}", extra=wait)
-        _require(reply, OK)
+        _require_status(reply, OK)
         fields = json.loads(reply.body)
-        changes = tuple(_stored(item) for item in fields["items"])
+        changes = tuple(_parse_object(item) for item in fields["items"])
         return WatchResult(int(fields["revision"]), changes)
 
     @inlineCallbacks
     def hosts(self, since: int) -> Generator[Any, Any, HostList]:
         """Read the list of hosts; see `Platform.hosts`."""
         reply = yield self._call("GET", f"/hosts?since={since}")
-        _require(reply, OK)
+        _require_status(reply, OK)
         fields = json.loads(reply.body)
         entries, unreadable = [], []
         for item in fields["hosts"]:
@@ -141,10 +141,10 @@
 
     @inlineCallbacks
     def announce(self, entry: HostEntry) -> Generator[Any, Any, None]:
-        """Put a host on the list; see `Platform.announce`."""
+        """Write a host to the list; see `Platform.announce`."""
         body = json.dumps(fields_of_host(entry)).encode()
         reply = yield self._call("PUT", f"/hosts/{quote(entry.name)}", body)
-        _require(reply, OK)
+        _require_status(reply, OK)
 
     def _call(
         self,
@@ -158,12 +158,12 @@
 
 
 def host_from_fields(fields: Any) -> HostEntry:
-    """Return a host from its JSON fields.
+    """Parse a host entry from its JSON fields.
 
     Parameters
     ----------
     fields : Any
-        A mapping.
+        The decoded JSON value.
 
     Returns
     -------
@@ -173,29 +173,34 @@
     Raises
     ------
     HostEntryError
-        When a field is missing, or is not what a host tells.
+        If a field is missing or has an invalid type or value.
     """
     if not isinstance(fields, dict):
         raise HostEntryError(f"a {type(fields).__name__}")
     found: dict[str, Any] = {name: fields.get(name) for name in HOST_FIELDS}
     for name, value in found.items():
-        # A truth value is a number in Python, and none to a host.
+        # In Python bool is a subclass of int; True is no valid number here.
         if type(value) is not HOST_FIELD_TYPES.get(name, str):
-            raise HostEntryError(f"{name} is {value!r:.{SHOWN}}")
+            raise HostEntryError(f"{name} is {value!r:.{MAX_SHOWN_CHARACTERS}}")
     if not found["name"] or found["role"] not in ROLES:
-        shown = f"{found['name']!r:.{SHOWN}}, {found['role']!r:.{SHOWN}}"
+        shown = (
+            f"{found['name']!r:.{MAX_SHOWN_CHARACTERS}},"
+            f" {found['role']!r:.{MAX_SHOWN_CHARACTERS}}"
+        )
         raise HostEntryError(f"name and role are {shown}")
-    is_counted = min(found["version"], found["incarnation"]) >= 0
-    if not 0 < found["port"] <= HIGHEST_PORT or not is_counted:
+    has_valid_counters = min(found["version"], found["incarnation"]) >= 0
+    if not 0 < found["port"] <= HIGHEST_PORT or not has_valid_counters:
         raise HostEntryError(
-            f"port, version and incarnation are {found['port']!r:.{SHOWN}},"
-            f" {found['version']!r:.{SHOWN}}, {found['incarnation']!r:.{SHOWN}}"
+            "port, version and incarnation are"
+            f" {found['port']!r:.{MAX_SHOWN_CHARACTERS}},"
+            f" {found['version']!r:.{MAX_SHOWN_CHARACTERS}},"
+            f" {found['incarnation']!r:.{MAX_SHOWN_CHARACTERS}}"
         )
     return HostEntry(**found)
 
 
 def fields_of_host(entry: HostEntry) -> dict[str, Any]:
-    """Return a host's JSON fields.
+    """Return the JSON fields of a host entry.
 
     Parameters
     ----------
@@ -205,16 +210,16 @@
     Returns
     -------
     dict[str, Any]
-        A mapping.
+        The fields by name.
     """
     return {name: getattr(entry, name) for name in HOST_FIELDS}
 
 
-def _stored(item: Any) -> StoredObject:
+def _parse_object(item: Any) -> StoredObject:
     value = base64.b64decode(item["value"])
     return StoredObject(item["key"], int(item["version"]), value)
 
 
-def _require(reply: Reply, status: int) -> None:
+def _require_status(reply: Reply, status: int) -> None:
     if reply.status != status:
         raise PlatformUnavailableError(f"status {reply.status}")
--- a/src/primrosescale/process/transport/http_target.py
+++ b/src/primrosescale/process/transport/http_target.py
@@ -1,4 +1,4 @@
-"""A target reached over HTTP."""
+"""HTTP client of the target on the agent's own host."""
 
 from __future__ import annotations
 
@@ -37,9 +37,9 @@
     from primrosescale.request.local_target_client import TargetReceiver
 
 OK = 200
-REQUEST_ID = b"X-Request-Id"
-CACHED_TOKENS = b"X-Cached-Tokens"
-HOP_HEADERS = frozenset(
+REQUEST_ID_HEADER = b"X-Request-Id"
+CACHED_TOKENS_HEADER = b"X-Cached-Tokens"
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"content-length",
@@ -54,108 +54,110 @@
         b"x-request-id",
     },
 )
-CONNECTIONS = 64
+MAX_KEPT_CONNECTIONS = 64
 
 
-class _Body(Protocol):
-    """Hands the body of an answer to its receiver."""
+class _BodyForwarder(Protocol):
+    """Passes the body of an answer to its run."""
 
     def __init__(self, run: _HttpRun, cached_tokens: int) -> None:
         self._run = run
         self._cached_tokens = cached_tokens
 
     def connectionMade(self) -> None:
-        """Let the run pace this body."""
-        self._run.body_begun(self.transport)
+        """Give the run the transport, so that it can pause the body."""
+        self._run.body_started(self.transport)
 
     def dataReceived(self, data: bytes) -> None:
-        """Hand bytes on."""
+        """Pass bytes on."""
         self._run.body_data(data)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Tell a whole answer from a cut one."""
+        """Report whether the answer was complete or truncated."""
         if reason.check(ResponseDone):
             self._run.body_done(self._cached_tokens)
         else:
-            self._run.body_cut(reason.getErrorMessage())
+            self._run.body_lost(reason.getErrorMessage())
 
 
 class _HttpRun(TargetRun):
-    """One request at the target."""
+    """One request in flight at the target."""
 
-    __slots__ = ("_asked", "_is_over", "_receiver", "_request_id", "_transport")
+    __slots__ = ("_answer", "_has_ended", "_receiver", "_request_id", "_transport")
 
     def __init__(self, receiver: TargetReceiver, request_id: bytes) -> None:
         self._receiver = receiver
         self._request_id = request_id
-        self._asked: Deferred[Any] | None = None
+        self._answer: Deferred[Any] | None = None
         self._transport: Any = None
-        self._is_over = False
+        self._has_ended = False
 
-    def follow(self, asked: Deferred[Any], *, must_echo: bool) -> None:
-        """Wait for the answer's head."""
-        self._asked = asked
-        asked.addCallback(self._head, must_echo)
-        asked.addErrback(self._failed)
+    def follow(self, answer: Deferred[Any], *, must_echo: bool) -> None:
+        """Attach the handlers for the head of the answer."""
+        self._answer = answer
+        answer.addCallback(self._head, must_echo)
+        answer.addErrback(self._failed)
 
     def cancel(self) -> None:
-        """Tell the target to stop; see `TargetRun.cancel`."""
-        if self._is_over:
+        """Close the connection to stop the target; see `TargetRun.cancel`."""
+        if self._has_ended:
             return
-        self._is_over = True
+        self._has_ended = True
         if self._transport is not None:
             self._transport.loseConnection()
-        elif self._asked is not None:
-            self._asked.cancel()
+        elif self._answer is not None:
+            self._answer.cancel()
 
     def pause(self) -> None:
-        """Stop taking bytes; see `TargetRun.pause`."""
+        """Stop reading from the target; see `TargetRun.pause`."""
         if self._transport is not None:
             self._transport.pauseProducing()
 
     def resume(self) -> None:
-        """Take bytes again; see `TargetRun.resume`."""
+        """Resume reading from the target; see `TargetRun.resume`."""
         if self._transport is not None:
             self._transport.resumeProducing()
 
-    def body_begun(self, transport: Any) -> None:
-        """Take in that the body comes."""
+    def body_started(self, transport: Any) -> None:
+        """Handle the start of the body."""
         self._transport = transport
-        if self._is_over and transport is not None:
+        if self._has_ended and transport is not None:
             transport.loseConnection()
 
     def body_data(self, data: bytes) -> None:
-        """Take in bytes of the body."""
-        if not self._is_over:
+        """Handle bytes of the body."""
+        if not self._has_ended:
             self._receiver.target_data(data)
 
     def body_done(self, cached_tokens: int) -> None:
-        """Take in that the body is whole."""
-        if not self._is_over:
-            self._is_over = True
+        """Handle the end of a complete body."""
+        if not self._has_ended:
+            self._has_ended = True
             self._receiver.target_done(cached_tokens)
 
-    def body_cut(self, detail: str) -> None:
-        """Take in that the body ended early."""
+    def body_lost(self, detail: str) -> None:
+        """Handle a body that ended before it was complete."""
         self._end(Outcome.UNKNOWN, f"answer cut: {detail}")
 
     def _head(self, response: Any, must_echo: bool) -> None:
-        if self._is_over:
+        if self._has_ended:
             return
-        echoed = response.headers.getRawHeaders(REQUEST_ID, [b""])[0]
+        echoed = response.headers.getRawHeaders(REQUEST_ID_HEADER, [b""])[0]
         if must_echo and echoed != self._request_id:
             self._end(Outcome.UNKNOWN, "answer belongs to another request")
-            response.deliverBody(_Body(self, 0))
+            response.deliverBody(_BodyForwarder(self, 0))
             return
         headers = [
             wire.Header(name.decode("latin-1"), value.decode("latin-1"))
             for name, values in response.headers.getAllRawHeaders()
-            if name.lower() not in HOP_HEADERS
+            if name.lower() not in HOP_BY_HOP_HEADERS
             for value in values
         ]
-        cached = response.headers.getRawHeaders(CACHED_TOKENS, [b"0"])[0]
+        cached = response.headers.getRawHeaders(CACHED_TOKENS_HEADER, [b"0"])[0]
         self._receiver.target_head(response.code, headers)
-        response.deliverBody(_Body(self, int(cached) if cached.isdigit() else 0))
+        response.deliverBody(
+            _BodyForwarder(self, int(cached) if cached.isdigit() else 0)
+        )
 
     def _failed(self, failure: Failure) -> None:
         if failure.check(ConnectError, RefusedError):
@@ -166,17 +168,17 @@
             self._end(Outcome.UNKNOWN, failure.getErrorMessage())
 
     def _end(self, outcome: Outcome, detail: str) -> None:
-        if not self._is_over:
-            self._is_over = True
+        if not self._has_ended:
+            self._has_ended = True
             self._receiver.target_failed(outcome, detail)
 
 
 @implementer(IAgentEndpointFactory)
 class _FixedEndpoint:
-    """Leads every request to one IP number, with no name to look up."""
+    """Sends every request to one IP address, without name resolution."""
 
     def __init__(self, reactor: Any, endpoint: Endpoint, timeout: float) -> None:
-        self._way = TCP4ClientEndpoint(
+        self._endpoint = TCP4ClientEndpoint(
             reactor,
             endpoint.address,
             endpoint.port,
@@ -184,27 +186,27 @@
         )
 
     def endpointForURI(self, uri: Any) -> TCP4ClientEndpoint:
-        """Return the way to the target."""
-        return self._way
+        """Return the endpoint of the target."""
+        return self._endpoint
 
 
 class HttpTarget(EnginePort):
     """A target reached over HTTP on its own host.
 
-    Connections are kept for idempotent requests only: a request on a kept
-    connection that breaks at once might have run, and asking again would be
-    a second run, so a non-idempotent one gets a new connection.
+    Connections are reused for idempotent requests only. If a reused connection
+    breaks at once, the request may have run, and a retry could run it a second
+    time; a non-idempotent request therefore gets a new connection.
 
     Parameters
     ----------
     reactor : Any
         Twisted's reactor.
     endpoint : Endpoint
-        Where the target listens.
+        Endpoint on which the target listens.
     must_echo : bool
-        Whether the target repeats the request's id in its answer.
+        Whether the target must echo the request's id in its answer.
     timeout : float
-        Seconds a connection may take to open.
+        Maximum seconds for opening a connection.
     """
 
     def __init__(
@@ -219,57 +221,61 @@
         self._must_echo = must_echo
         self._pool = HTTPConnectionPool(reactor)
         self._pool.retryAutomatically = False
-        self._pool.maxPersistentPerHost = CONNECTIONS
-        fresh = HTTPConnectionPool(reactor, persistent=False)
-        way = _FixedEndpoint(reactor, endpoint, timeout)
-        self._kept = Agent.usingEndpointFactory(reactor, way, self._pool)
-        self._fresh = Agent.usingEndpointFactory(reactor, way, fresh)
+        self._pool.maxPersistentPerHost = MAX_KEPT_CONNECTIONS
+        single_use_pool = HTTPConnectionPool(reactor, persistent=False)
+        agent_endpoint = _FixedEndpoint(reactor, endpoint, timeout)
+        self._persistent_agent = Agent.usingEndpointFactory(
+            reactor, agent_endpoint, self._pool
+        )
+        self._single_use_agent = Agent.usingEndpointFactory(
+            reactor, agent_endpoint, single_use_pool
+        )
 
     def close(self) -> Deferred[None]:
-        """Close kept connections.
+        """Close idle connections.
 
         Returns
         -------
         Deferred[None]
-            When they are closed.
+            Fires when they are closed.
         """
         closed: Deferred[None] = self._pool.closeCachedConnections()
         return closed
 
     def start(self, call: wire.Call, receiver: TargetReceiver) -> TargetRun:
-        """Hand a request to the target; see `LocalTargetClient.start`."""
+        """Send a request to the target; see `LocalTargetClient.start`."""
         request_id = f"{call.router}-{call.number}".encode()
         headers = Headers()
         for item in call.headers:
             headers.addRawHeader(item.name, item.value)
-        headers.setRawHeaders(REQUEST_ID, [request_id])
+        headers.setRawHeaders(REQUEST_ID_HEADER, [request_id])
         if call.chat:
             headers.setRawHeaders(b"X-Chat", [call.chat.encode()])
         headers.setRawHeaders(b"X-Priority", [str(call.priority).encode()])
         if call.traceparent:
             headers.setRawHeaders(b"traceparent", [call.traceparent.encode()])
-        agent = self._kept if call.idempotent else self._fresh
+        agent = self._persistent_agent if call.idempotent else self._single_use_agent
         run = _HttpRun(receiver, request_id)
         producer = body_producer(call.body or None)
         url = self._base + call.path.encode()
-        asked = agent.request(call.method.encode(), url, headers, producer)
-        run.follow(asked, must_echo=self._must_echo)
+        answer = agent.request(call.method.encode(), url, headers, producer)
+        run.follow(answer, must_echo=self._must_echo)
         return run
 
     @inlineCallbacks
     def export_cache(self, chat: str) -> Generator[Any, Any, bytes]:
-        """Read a chat's cache; see `LocalTargetClient.export_cache`."""
+        """Export the cache of a chat; see `LocalTargetClient.export_cache`."""
         url = self._base + b"/cache/" + chat.encode()
-        response = yield self._kept.request(b"GET", url)
+        response = yield self._persistent_agent.request(b"GET", url)
         body = yield readBody(response)
         return bytes(body) if response.code == OK else b""
 
     @inlineCallbacks
     def import_cache(self, chat: str, data: bytes) -> Generator[Any, Any, bool]:
-        """Put a chat's cache into the target; see `LocalTargetClient.import_cache`."""
+        """Import the cache of a chat; see `LocalTargetClient.import_cache`."""
         url = self._base + b"/cache/" + chat.encode()
         producer = body_producer(data)
-        response = yield self._kept.request(b"PUT", url, None, producer)
+        response = yield self._persistent_agent.request(b"PUT", url, None, producer)
         yield readBody(response)
         return bool(response.code == OK)
 
@@ -289,7 +295,7 @@
         """
         producer = body_producer(body)
         url = self._base + b"/orders"
-        response = yield self._kept.request(b"POST", url, None, producer)
+        response = yield self._persistent_agent.request(b"POST", url, None, producer)
         content = yield readBody(response)
         if response.code != OK:
             raise TargetError(f"order refused with status {response.code}")
@@ -304,7 +310,7 @@
         Deferred[bytes]
             The state in JSON; fails with `TargetError`.
         """
-        response = yield self._kept.request(b"GET", self._base + b"/state")
+        response = yield self._persistent_agent.request(b"GET", self._base + b"/state")
         content = yield readBody(response)
         if response.code != OK:
             raise TargetError(f"state refused with status {response.code}")
--- a/tests/connection/test_pool.py
+++ b/tests/connection/test_pool.py
@@ -1,4 +1,4 @@
-"""Tests of the pool of connections."""
+"""Tests of the pool of framed connections."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class SlowDialer(Dialer):
-    """Opens nothing until the test does."""
+    """Records dials; only the test completes them."""
 
     def __init__(self):
         self.dials = []
@@ -35,8 +35,8 @@
         return dial
 
 
-class Witness(LinkHandler):
-    """Keeps what it is told."""
+class RecordingHandler(LinkHandler):
+    """Records the ends of connections."""
 
     def __init__(self):
         self.lost = []
@@ -52,16 +52,16 @@
 
 
 class OpeningTest(TestCase):
-    """Connections that end while they are still being opened."""
+    """Connections that are closed or fail while they are being opened."""
 
     def setUp(self):
         super().setUp()
         self.clock = Clock()
         self.dialer = SlowDialer()
-        self.witness = Witness()
+        self.handler = RecordingHandler()
         self.pool = LinkPool(
             wire.Hello(),
-            self.witness,
+            self.handler,
             self.dialer,
             self.clock,
             LinkSettings(),
@@ -94,7 +94,7 @@
         self.assertEqual(b"", transport.value())
         self.assertEqual([], self.clock.getDelayedCalls())
 
-    def test_an_old_opening_that_fails_refuses_nobody_who_asked_later(self):
+    def test_a_cancelled_dial_does_not_fail_later_callers(self):
         self.pool.drop(HERE, "not needed")
         later = []
         self.pool.get(HERE).addErrback(later.append)
