--- a/benchmarks/bare_server.py
+++ b/benchmarks/bare_server.py
@@ -1,4 +1,4 @@
-"""Bare twisted.web servers to compare with; run as a process with a port."""
+"""Baseline twisted.web server that listens on the port given as its argument."""
 
 from __future__ import annotations
 
@@ -10,40 +10,40 @@
 from twisted.web.server import NOT_DONE_YET
 from twisted.web.server import Site
 
-ANSWER = b"x" * 400
+DEFAULT_BODY = b"x" * 400
 
 
-class Bare(Resource):
-    """Echoes a body, or streams as many chunks as a body asks for."""
+class BaselineResource(Resource):
+    """Echoes the request body, or streams as many chunks as ``max_tokens`` asks for."""
 
     isLeaf = True
 
     def render(self, request):
         body = request.content.read()
-        echo = request.getHeader("X-Request-Id")
-        if echo:
-            request.setHeader(b"x-request-id", echo.encode())
+        request_id = request.getHeader("X-Request-Id")
+        if request_id:
+            request.setHeader(b"x-request-id", request_id.encode())
         if not body.startswith(b"{"):
             request.setHeader(b"content-length", b"%d" % len(body))
-            return body or ANSWER
+            return body or DEFAULT_BODY
         fields = json.loads(body)
         request.setHeader(b"content-type", b"text/event-stream")
         self.stream(request, fields.get("max_tokens", 40), 0)
         return NOT_DONE_YET
 
-    def stream(self, request, count, number):
+    def stream(self, request, count, sent):
         if request.finished or request._disconnected:
             return
-        if number >= count:
+        if sent >= count:
             request.write(b"data: [DONE]\n\n")
             request.finish()
             return
         request.write(b'data: {"choices":[{"delta":{"content":"token "}}]}\n\n')
-        reactor.callLater(0.02, self.stream, request, count, number + 1)
+        reactor.callLater(0.02, self.stream, request, count, sent + 1)
 
 
 def main():
-    site = Site(Bare())
+    site = Site(BaselineResource())
     site.noisy = False
     reactor.listenTCP(int(sys.argv[1]), site, interface="127.0.0.1")
     reactor.run()
