--- a/benchmarks/choice_cost.py
+++ b/benchmarks/choice_cost.py
@@ -1,10 +1,11 @@
-"""Microseconds of the choice of a target, with all that may keep one from work.
+"""Measure the processor time of choosing a target, in microseconds.
 
     python benchmarks/choice_cost.py
 
-One service, as a router of a fleet knows it: other routers' loads and outcomes are
-told, some targets are cold, prompts lie on some of them. Shown: the best of some
-rounds, for a request without a prompt, one with a prompt, and one that is repeated.
+The state is that of one service at one router of a fleet: peer routers have reported
+loads and outcomes, some targets are cold, and some have prompt parts cached. Printed
+is the best of several rounds for a request without a prompt, one with a prompt, and
+one that is retried after an attempt at another target.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 from primrosescale.request.target_room import TargetRoom
 from primrosescale.version.routing_table import Service
 
-SIZES = (4, 28, 100)
+TARGET_COUNTS = (4, 28, 100)
 ROUTERS = 30
 ROUNDS = 9
 CHOICES = 2000
@@ -39,8 +40,8 @@
 SEED = 5
 
 
-class Router:
-    """What one router knows of a service."""
+class RouterState:
+    """A target chooser with the state that one router has of a service."""
 
     def __init__(self, targets):
         rng = random.Random(SEED)
@@ -57,7 +58,7 @@
             self.targets.put(entry, NOW)
         self.parts = PartDirectory()
         for state in self.targets.states:
-            self.tell(state, rng)
+            self.add_reports(state, rng)
         service = Service(
             name="model", slots=64, cache_tokens=0, cold_rate=10.0, cold_seconds=5.0
         )
@@ -77,7 +78,7 @@
         parts = (PromptPart("tariffs", 10_000), PromptPart("chat", 900))
         self.prompt = Prompt(parts, 10_900, 100, "m")
 
-    def tell(self, state, rng):
+    def add_reports(self, state, rng):
         for router in range(1, ROUTERS):
             state.hear_router(f"r{router}", rng.randrange(3), NOW + 99)
             state.hear_outcomes(f"r{router}", rng.random(), 0.01, NOW + 99)
@@ -91,33 +92,33 @@
         return self.chooser.choose(states, tried, prompt, NOW + 1)
 
 
-def cost(act):
-    """Return the microseconds of an act, by the best of some rounds."""
+def microseconds(function):
+    """Return the microseconds of one call in the fastest round."""
     best = float("inf")
     for _ in range(ROUNDS):
         began = time.process_time()
         for _ in range(CHOICES):
-            act()
+            function()
         best = min(best, time.process_time() - began)
     return 1e6 * best / CHOICES
 
 
-def costs(size):
-    """Return the microseconds of the three kinds of choice."""
-    router = Router(size)
+def measure(size):
+    """Return the microseconds of the three kinds of choice at a number of targets."""
+    router = RouterState(size)
     tried = frozenset([router.targets.state("t0").incarnation])
     return (
-        cost(lambda: router.choose(None)),
-        cost(lambda: router.choose(router.prompt)),
-        cost(lambda: router.choose(None, tried)),
+        microseconds(lambda: router.choose(None)),
+        microseconds(lambda: router.choose(router.prompt)),
+        microseconds(lambda: router.choose(None, tried)),
     )
 
 
 def main():
-    print("targets | plain | prompt | repeated")
-    for size in SIZES:
-        plain, prompt, repeated = costs(size)
-        print(f"{size:7} | {plain:5.1f} | {prompt:6.1f} | {repeated:8.1f}")
+    print("targets | plain | prompt | retried")
+    for size in TARGET_COUNTS:
+        plain, prompt, retried = measure(size)
+        print(f"{size:7} | {plain:5.1f} | {prompt:6.1f} | {retried:8.1f}")
 
 
 if __name__ == "__main__":
