--- a/benchmarks/cold_shares.py
+++ b/benchmarks/cold_shares.py
@@ -1,11 +1,12 @@
-"""Ways to divide the rate of cold targets among routers, before the same requests.
+"""Compare ways of dividing the request rate of cold targets among routers.
 
     python benchmarks/cold_shares.py
 
-All targets are cold. Requests come at random routers; each goes to any target that
-its router may send to now, else it is turned away. Shown: the share that found a
-target at once, and the most that one target got in any second. Beside it the bound by
-perfect knowledge: one counter that all routers share.
+All targets are cold. Requests arrive at random routers; a router sends each to any
+target for which it has a permit left, otherwise it rejects it. Printed are the share
+of requests that were sent at once and the most requests that one target received in
+any second. The upper bound is one counter that all routers share. Every way gets the
+same load.
 """
 
 from __future__ import annotations
@@ -23,33 +24,34 @@
 from primrosescale.request.cold_targets import WINDOW_SECONDS
 from primrosescale.request.router_shares import RouterShares
 
-TOKENS = 10
+PERMITS = 10
 TARGETS = 28
 SECONDS = 20.0
-# Requests a second for each target; as many tokens would serve exactly the last.
-LOADS = (3.0, 6.0, 9.0)
-FLEETS = (1, 4, 30, 68, 300)
-FEW = 4
+# Requests a second for each target. As many permits as the highest of these rates
+# would be just enough for it.
+REQUEST_RATES = (3.0, 6.0, 9.0)
+ROUTER_COUNTS = (1, 4, 30, 68, 300)
+ROUTERS_PER_TARGET = 4
 
 
-class Way(ABC):
-    """Says how many requests a second a router may send to a target."""
+class PermitDivision(ABC):
+    """Decides how many requests a second a router may send to a target."""
 
     name = ""
 
     @abstractmethod
-    def own(self, router, target):
-        """Return this router's requests a second."""
+    def permits(self, router, target):
+        """Return the permits of this router."""
 
-    def counter(self, router):
-        """Return by whose count the router goes: its own."""
+    def counter_key(self, router):
+        """Return whose requests count against the permits: the router's own."""
         return router
 
 
-class RingOfTokens(Way):
-    """Each token belongs to one router by a ring: the way of the product."""
+class HashedPermits(PermitDivision):
+    """Consistent hashing assigns each permit to one router, as in the product."""
 
-    name = "tokens by a ring"
+    name = "permits by consistent hashing"
 
     def __init__(self, routers):
         self.shares = []
@@ -59,17 +61,17 @@
             share.list_routers(names, 0.0, was_listed=True)
             self.shares.append(share)
 
-    def own(self, router, target):
-        return self.shares[router].own_tokens(f"m{target}", TOKENS, 100.0)
+    def permits(self, router, target):
+        return self.shares[router].own_tokens(f"m{target}", PERMITS, 100.0)
 
 
-class FewRouters(Way):
-    """A few routers for each target by hash, each with a whole part."""
+class FixedRouters(PermitDivision):
+    """Hashing picks a few routers for each target; each gets an equal whole number."""
 
-    name = f"{FEW} routers a target"
+    name = f"{ROUTERS_PER_TARGET} routers a target"
 
     def __init__(self, routers):
-        self.few = min(FEW, routers)
+        self.routers_per_target = min(ROUTERS_PER_TARGET, routers)
         self.owners = [
             sorted(
                 range(routers), key=lambda n, t=t: random.Random(f"{n} {t}").random()
@@ -77,64 +79,70 @@
             for t in range(TARGETS)
         ]
 
-    def own(self, router, target):
-        return TOKENS // self.few * (router in self.owners[target][: self.few])
+    def permits(self, router, target):
+        return (
+            PERMITS
+            // self.routers_per_target
+            * (router in self.owners[target][: self.routers_per_target])
+        )
 
 
-class EqualParts(Way):
-    """The same whole part for each router."""
+class EqualPermits(PermitDivision):
+    """Every router gets the same whole number of permits."""
 
-    name = "equal parts"
+    name = "equal whole numbers"
 
     def __init__(self, routers):
-        self.part = TOKENS // routers
+        self.permits_per_router = PERMITS // routers
 
-    def own(self, router, target):
-        return self.part
+    def permits(self, router, target):
+        return self.permits_per_router
 
 
-class OneCounter(Way):
-    """All routers share one counter."""
+class SharedCounter(PermitDivision):
+    """All routers share one counter: the upper bound."""
 
-    name = "perfect knowledge"
+    name = "one shared counter"
 
     def __init__(self, routers):
         pass
 
-    def own(self, router, target):
-        return TOKENS
+    def permits(self, router, target):
+        return PERMITS
 
-    def counter(self, router):
+    def counter_key(self, router):
         return 0
 
 
-def play(way, routers, load, seed):
-    """Return the share that found a target, and the most in a second."""
+def simulate(division, routers, load, seed):
+    """Return the share of requests sent and the most at one target in a second."""
     rng = random.Random(seed)
-    sent = defaultdict(deque)
+    sent_times = defaultdict(deque)
     arrivals = defaultdict(list)
-    now, found, asked = 0.0, 0, 0
-    own = {}
+    now, sent_count, requests = 0.0, 0, 0
+    permits = {}
     while now < SECONDS:
         now += rng.expovariate(load * TARGETS)
         router = rng.randrange(routers)
-        asked += 1
+        requests += 1
         for target in rng.sample(range(TARGETS), TARGETS):
-            key = (way.counter(router), target)
-            if key not in own:
-                own[key] = way.own(router, target)
-            lately = sent[key]
-            while lately and lately[0] <= now - WINDOW_SECONDS:
-                lately.popleft()
-            if len(lately) < own[key]:
-                lately.append(now)
+            key = (division.counter_key(router), target)
+            if key not in permits:
+                permits[key] = division.permits(router, target)
+            recent = sent_times[key]
+            while recent and recent[0] <= now - WINDOW_SECONDS:
+                recent.popleft()
+            if len(recent) < permits[key]:
+                recent.append(now)
                 arrivals[target].append(now)
-                found += 1
+                sent_count += 1
                 break
-    return found / asked, max(map(most_in_a_second, arrivals.values()), default=0)
+    return sent_count / requests, max(
+        map(max_in_one_second, arrivals.values()), default=0
+    )
 
 
-def most_in_a_second(times):
+def max_in_one_second(times):
     first = most = 0
     for last, at in enumerate(times):
         while times[first] <= at - 1.0:
@@ -144,14 +152,18 @@
 
 
 def main():
-    print("| routers | way | " + " | ".join(f"{x:g} a second" for x in LOADS) + " |")
-    print("| --- | --- |" + " --- |" * len(LOADS))
-    for routers in FLEETS:
-        for way in (RingOfTokens, FewRouters, EqualParts, OneCounter):
-            made = way(routers)
-            cells = [play(made, routers, load, 7) for load in LOADS]
-            row = " | ".join(f"{share:.3f}, {most}" for share, most in cells)
-            print(f"| {routers} | {way.name} | {row} |")
+    print(
+        "| routers | division | "
+        + " | ".join(f"{x:g} a second" for x in REQUEST_RATES)
+        + " |"
+    )
+    print("| --- | --- |" + " --- |" * len(REQUEST_RATES))
+    for routers in ROUTER_COUNTS:
+        for kind in (HashedPermits, FixedRouters, EqualPermits, SharedCounter):
+            division = kind(routers)
+            cells = [simulate(division, routers, load, 7) for load in REQUEST_RATES]
+            row = " | ".join(f"{share:.3f}, {peak}" for share, peak in cells)
+            print(f"| {routers} | {kind.name} | {row} |")
 
 
 if __name__ == "__main__":
