--- a/benchmarks/config_spread.py
+++ b/benchmarks/config_spread.py
@@ -1,4 +1,4 @@
-"""Seconds from acceptance to in force everywhere, over real processes."""
+"""Measure the seconds from acceptance of a version until all processes adopted it."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from support import free_port
 from support import save
 
-SIZES = (10, 40, 100)
+PROCESS_COUNTS = (10, 40, 100)
 ROUTER_SHARE = 0.2
 DOMAINS = 4
 CHANGES = 5
-LIMIT = 20.0
+TIMEOUT_SECONDS = 20.0
 
 
 def run(size):
@@ -39,7 +39,7 @@
         for number in range(CHANGES):
             changed = f"{text}[organisation new-{number}]\nkey_hashes =\n"
             fleet.roll_out(changed)
-            seconds.append(wait(fleet, number + 2))
+            seconds.append(adoption_seconds(fleet, number + 2))
         memory = sum(child.memory() for child in fleet.children)
         return {
             "routers": routers,
@@ -52,18 +52,18 @@
         fleet.end()
 
 
-def wait(fleet, version):
-    """Return the seconds until each process's log says it has the version.
+def adoption_seconds(fleet, version):
+    """Return the seconds from acceptance until every process logged its adoption.
 
-    The logs are read rather than the status, whose own news is a second old.
+    The logs are read because the status that routers report can be a second old.
     """
-    until = time.monotonic() + LIMIT
+    until = time.monotonic() + TIMEOUT_SECONDS
     while time.monotonic() < until:
         adopted = [adoption_time(c, version) for c in fleet.routers + fleet.agents]
         if all(adopted):
             return max(adopted) - fleet.accepted_at
         time.sleep(0.1)
-    return LIMIT
+    return TIMEOUT_SECONDS
 
 
 def adoption_time(child, version):
@@ -76,7 +76,7 @@
 
 
 def main():
-    sizes = [int(word) for word in sys.argv[1:]] or SIZES
+    sizes = [int(argument) for argument in sys.argv[1:]] or PROCESS_COUNTS
     figures = {f"processes_{size}": run(size) for size in sizes}
     points = [(size, figures[f"processes_{size}"]["worst_seconds"]) for size in sizes]
     if len(points) > 1:
