--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -1,4 +1,8 @@
-"""Microseconds of the decisions on a request's way, at the design's size."""
+"""Measure processor time of decisions and messages at the size designed for.
+
+Covers target order, admission, rate limits, heartbeats, load reports, the codec and
+the application of a change to the configuration; times are in microseconds.
+"""
 
 from __future__ import annotations
 
@@ -41,12 +45,12 @@
 HEAD = wire.Head(9, "d" * 40, "approver", b"s" * 64)
 
 
-def timed(act, rounds=ROUNDS):
+def microseconds(function, rounds=ROUNDS):
     best = float("inf")
     for _ in range(3):
         began = time.process_time()
         for number in range(rounds):
-            act(number)
+            function(number)
         best = min(best, time.process_time() - began)
     return 1e6 * best / rounds
 
@@ -57,7 +61,7 @@
         Target(f"e{n}", Endpoint("127.0.0.1", n), "m", "d", "r") for n in range(count)
     )
     keys = [f"organisation-{n % 100}/chat-{n}" for n in range(1000)]
-    return timed(lambda n: targets.order(keys[n % 1000], 8))
+    return microseconds(lambda n: targets.order(keys[n % 1000], 8))
 
 
 def admission_cost(queued):
@@ -69,16 +73,16 @@
         admission.offer(QueuedCall(f"o{number % 50}", 1, 5, 10, 1e9, None), 0.0)
     admission.start_next(0.0)
 
-    def act(number):
+    def function(number):
         call = QueuedCall(f"o{number % 50}", 1, 5, 10, 1e9, None)
         admission.offer(call, 1.0)
         for started in admission.start_next(1.0):
             admission.finished(started, 1.0)
 
-    return timed(act)
+    return microseconds(function)
 
 
-def beat(number):
+def heartbeat(number):
     return wire.Heartbeat(
         f"agent-{number % 26}",
         1,
@@ -92,13 +96,13 @@
     )
 
 
-def report(number):
+def peer_report(number):
     sums = [wire.ServiceSum(f"model-{n}", 12_345_678, 3) for n in range(11)]
     origin = f"router-{number % 52}"
     return wire.PeerReport(origin, 1, number, sums, 1, 9, 9, 26, [], [], [], False)
 
 
-class Quiet(VersionObserver):
+class IgnoringObserver(VersionObserver):
     def adopted(self, view):
         pass
 
@@ -109,12 +113,12 @@
         raise RuntimeError(detail)
 
 
-class Trusting(HeadCheck):
+class AcceptAllHeads(HeadCheck):
     def verify(self, head):
         pass
 
 
-class Whole(SectionSource):
+class TreeSource(SectionSource):
     def __init__(self, tree):
         self.tree = tree
 
@@ -123,12 +127,14 @@
 
 
 def change_cost(organisations):
-    """Return bytes and microseconds of a change of one organisation."""
+    """Return bytes and microseconds of a change of one organisation, and root bytes."""
     text = "".join(
         f"[organisation org-{n:05d}]\nkey_hashes = {n:064x}\nteam = t\nweight = 2\n"
         for n in range(organisations)
     )
-    keeper = VersionKeeper(Trusting({}), Quiet(), needs_organisations=True)
+    keeper = VersionKeeper(
+        AcceptAllHeads({}), IgnoringObserver(), needs_organisations=True
+    )
     trees = []
     for version in range(1, 12):
         changed = (
@@ -141,16 +147,16 @@
         )
         bundle = Bundle.from_ini(changed, "t")
         trees.append(build_tree(bundle, version, "", "a", 0))
-    keeper.hear(VersionHead(1, trees[0].digest, "a", b""), Whole(trees[0]))
+    keeper.hear(VersionHead(1, trees[0].digest, "a", b""), TreeSource(trees[0]))
     before = keeper.pulled_bytes
     began = time.process_time()
     for tree in trees[1:]:
         head = VersionHead(tree.root.version, tree.digest, "a", b"")
-        keeper.hear(head, Whole(tree))
-    used = time.process_time() - began
+        keeper.hear(head, TreeSource(tree))
+    elapsed = time.process_time() - began
     changes = len(trees) - 1
     root = len(trees[0].root.encode())
-    return (keeper.pulled_bytes - before) / changes, 1e6 * used / changes, root
+    return (keeper.pulled_bytes - before) / changes, 1e6 * elapsed / changes, root
 
 
 def main():
@@ -160,7 +166,7 @@
     domain = DomainSums(SumSettings(), "d", "r")
     fleet = FleetSums(SumSettings())
     for number in range(52):
-        domain.hear(report(number), 0.0)
+        domain.hear(peer_report(number), 0.0)
     for name in range(8):
         summary = domain.summary(0.0)
         summary.domain = f"d{name}"
@@ -188,9 +194,9 @@
     )
     chunk = wire.AnswerChunk(1 << 50, 12_345, 1000, b"x" * 120)
     messages = {
-        "heartbeat": beat(1),
+        "heartbeat": heartbeat(1),
         "heartbeat_reply": reply,
-        "peer_report": report(1),
+        "peer_report": peer_report(1),
         "peer_reply": peer_reply,
         "domain_sums": wire.DomainSums(domain.summary(0.0), HEAD),
         "answer_chunk": chunk,
@@ -203,19 +209,25 @@
         "order_11000_targets_us": order_cost(11_000),
         "admission_empty_us": admission_cost(0),
         "admission_200_waiting_us": admission_cost(200),
-        "limiter_us": timed(lambda n: limiter.admit(f"o{n % 14000}", 50.0, n * 1e-4)),
-        "hear_heartbeat_us": timed(lambda n: sums.hear(beat(n), n * 0.01)),
-        "hear_report_us": timed(lambda n: domain.hear(report(n), n * 0.01), 2000),
-        "sum_domain_us": timed(lambda _: domain.summary(0.0), 500),
-        "sum_fleet_us": timed(lambda _: fleet.means(0.0), 2000),
-        "build_report_us": timed(lambda _: sums.sums(), 2000),
+        "limiter_us": microseconds(
+            lambda n: limiter.admit(f"o{n % 14000}", 50.0, n * 1e-4)
+        ),
+        "hear_heartbeat_us": microseconds(lambda n: sums.hear(heartbeat(n), n * 0.01)),
+        "hear_report_us": microseconds(
+            lambda n: domain.hear(peer_report(n), n * 0.01), 2000
+        ),
+        "sum_domain_us": microseconds(lambda _: domain.summary(0.0), 500),
+        "sum_fleet_us": microseconds(lambda _: fleet.means(0.0), 2000),
+        "build_report_us": microseconds(lambda _: sums.sums(), 2000),
         "seed": rng.random(),
     }
     for name, message in messages.items():
         frame = encode(message)
         figures[f"{name}_bytes"] = len(frame) + 4
-        figures[f"{name}_encode_us"] = timed(lambda _, m=message: encode(m), 5000)
-        figures[f"{name}_decode_us"] = timed(lambda _, f=frame: decode(f), 5000)
+        figures[f"{name}_encode_us"] = microseconds(
+            lambda _, m=message: encode(m), 5000
+        )
+        figures[f"{name}_decode_us"] = microseconds(lambda _, f=frame: decode(f), 5000)
     save("decision_cost", figures)
 
 
