--- a/benchmarks/entry_news.py
+++ b/benchmarks/entry_news.py
@@ -1,4 +1,4 @@
-"""Bytes of an entry router's news and microseconds of its choice of a target."""
+"""Measure bytes of an entry router's state updates and the time to choose a target."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 from primrosescale.request.target_state import LoadReport
 from support import save
 
-START = 1000.0
+START_TIME = 1000.0
 TARGETS = 27
-ROUTERS = (23, 68)
+ROUTER_COUNTS = (23, 68)
 RESTARTS = 5
 ROUNDS = 40
-FIRST_START = 1_790_000_000_000
+FIRST_STARTED_AT = 1_790_000_000_000
 CHOICES = 1500
 
 
-def listed(number, started_at):
+def make_target(number, started_at):
     return ServingTarget(
         name=f"i-{number:010x}",
         endpoint=Endpoint("127.0.0.1", 9000 + number),
@@ -41,17 +41,17 @@
     )
 
 
-def life(state):
+def incarnation_of(state):
     return state.incarnation
 
 
-def draw_parts(rng):
+def random_parts(rng):
     shared = [PromptPart(f"{rng.randrange(400):08x}", 300) for _ in range(2)]
     return (*shared, PromptPart(f"{rng.getrandbits(32):08x}", 20))
 
 
 class Router:
-    """A router with requests at all targets."""
+    """A router with requests in flight at all targets."""
 
     def __init__(self, routers):
         self.rng = random.Random(5)
@@ -59,12 +59,12 @@
         self.parts = PartDirectory()
         self.news = RouterNews("r0", 1, self.targets, self.parts, Freshness(5.0))
         for number in range(TARGETS):
-            self.targets.put(listed(number, FIRST_START + number), START)
+            self.targets.put(make_target(number, FIRST_STARTED_AT + number), START_TIME)
         for number in range(1, routers):
             endpoint = Endpoint("127.0.0.1", 7000 + number)
-            self.news.put(OtherRouter(f"r{number}", endpoint), START)
+            self.news.put(OtherRouter(f"r{number}", endpoint), START_TIME)
 
-    def work(self, now):
+    def send_requests(self, now):
         for state in self.targets.states:
             for _ in range(self.rng.randrange(3)):
                 state.sent(now)
@@ -72,63 +72,65 @@
             if self.rng.random() < 0.1:
                 state.failed(now)
         for state in self.rng.sample(list(self.targets.states), 6):
-            self.parts.note_own(life(state), draw_parts(self.rng), now)
+            self.parts.note_own(incarnation_of(state), random_parts(self.rng), now)
 
-    def rest(self):
+    def finish_requests(self):
         for state in self.targets.states:
             while state.own_running:
                 state.ended()
 
     def restart(self, count, now):
         for state in self.rng.sample(list(self.targets.states), count):
-            begun = replace(state.target, started_at=state.target.started_at + 5000)
-            self.parts.forget_target(life(state))
-            self.targets.put(begun, now)
+            restarted = replace(state.target, started_at=state.target.started_at + 5000)
+            self.parts.forget_target(incarnation_of(state))
+            self.targets.put(restarted, now)
 
 
-def bytes_a_round(routers, restarts):
+def bytes_per_round(routers, restarts):
     router = Router(routers)
     total = 0
     for number in range(ROUNDS):
-        now = START + number * router.news.interval
-        router.work(now)
+        now = START_TIME + number * router.news.interval
+        router.send_requests(now)
         if number == ROUNDS // 2:
             router.restart(restarts, now)
-        total += sum(len(encode(said)) for _, said in router.news.compose(1, now))
-        router.rest()
+        total += sum(len(encode(message)) for _, message in router.news.compose(1, now))
+        router.finish_requests()
     return total / ROUNDS
 
 
-def choice_cost(is_prompt):
+def choice_microseconds(has_prompt):
     router = Router(1)
     rng = router.rng
     states = list(router.targets.states)
     for state in states:
         for _ in range(200):
-            router.parts.note_own(life(state), draw_parts(rng), START)
-        state.reported(LoadReport(3, 0, 8), START)
+            router.parts.note_own(incarnation_of(state), random_parts(rng), START_TIME)
+        state.reported(LoadReport(3, 0, 8), START_TIME)
     chooser = TargetChooser(ChoiceSettings(), router.parts, rng, lambda: 0.25)
-    prompts = [Prompt(draw_parts(rng), 620, 100, "m") for _ in range(300)]
+    prompts = [Prompt(random_parts(rng), 620, 100, "m") for _ in range(300)]
     best = float("inf")
     for _ in range(5):
         began = time.process_time()
         for number in range(CHOICES):
-            wanted = prompts[number % 300] if is_prompt else None
-            chooser.choose(states, {life(states[3])}, wanted, START + 0.1)
+            prompt = prompts[number % 300] if has_prompt else None
+            chooser.choose(
+                states, {incarnation_of(states[3])}, prompt, START_TIME + 0.1
+            )
         best = min(best, time.process_time() - began)
     return 1e6 * best / CHOICES
 
 
 def main():
     figures = {
-        f"round_bytes_{routers}_routers_{restarts}_restarts": bytes_a_round(
+        f"round_bytes_{routers}_routers_{restarts}_restarts": bytes_per_round(
             routers, restarts
         )
-        for routers in ROUTERS
+        for routers in ROUTER_COUNTS
         for restarts in (0, RESTARTS)
     }
-    figures["choose_plain_us"] = choice_cost(is_prompt=False)
-    figures["choose_prompt_us"] = choice_cost(is_prompt=True)
+    figures["choose_plain_us"] = choice_microseconds(has_prompt=False)
+    figures["choose_prompt_us"] = choice_microseconds(has_prompt=True)
     save("entry_news", figures)
 
 
