--- a/benchmarks/cold_shares.py
+++ b/benchmarks/cold_shares.py
@@ -90,7 +90,7 @@
 class EqualPermits(PermitDivision):
     """Every router gets the same whole number of permits."""
 
-    name = "equal whole numbers"
+    name = "equal permits"
 
     def __init__(self, routers):
         self.permits_per_router = PERMITS // routers
--- a/benchmarks/config_spread.py
+++ b/benchmarks/config_spread.py
@@ -9,7 +9,7 @@
 from fleet import BUNDLE
 from fleet import KEY
 from fleet import Fleet
-from fleet import hashed
+from fleet import sha256_hex
 from support import ROOT
 from support import fit
 from support import free_port
@@ -32,7 +32,7 @@
         fleet.add_target([str(ROOT / "bare_server.py")], target)
         for number in range(size - routers):
             fleet.add_agent("plain", target, f"d{number % DOMAINS}")
-        text = BUNDLE.format(key=hashed(KEY))
+        text = BUNDLE.format(key=sha256_hex(KEY))
         fleet.roll_out(text)
         fleet.settle(120)
         seconds = []
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes for benchmarks."""
+"""Start a fleet of real processes for benchmarks and roll out its configuration."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from primrosescale.version.head import sign
 from support import Child
 from support import free_port
-from support import run_command
+from support import start_daemon
 from support import wait_for
 
 KEY = "bench-key"
@@ -37,12 +37,12 @@
 """
 
 
-def hashed(text):
+def sha256_hex(text):
     return hashlib.sha256(text.encode()).hexdigest()
 
 
 class Fleet:
-    """A platform, routers and agents, each a process."""
+    """A stand-in platform, routers, agents and targets, each in its own process."""
 
     def __init__(self, interval=1.0, target=None, latency=0.001):
         self.folder = Path(tempfile.mkdtemp())
@@ -60,11 +60,11 @@
     def start(self, role, name, text, cpu=None):
         path = self.folder / f"{name}.ini"
         path.write_text(text)
-        child = run_command(role, path, cpu)
+        child = start_daemon(role, path, cpu)
         self.children.append(child)
         return child
 
-    def common(self, name, role, domain):
+    def common_settings(self, name, role, domain):
         public = self.signing.public_key().public_bytes_raw()
         approver = base64.b64encode(public).decode()
         return (
@@ -72,13 +72,14 @@
             f"stop_within = 1\n[platform]\nport = {self.platform_port}\n"
             f"[sums]\ninterval = {self.interval}\n"
             f"[trust]\napprovers = approver:{approver}\n"
-            f"operators = author:{hashed(AUTHOR)}, approver:{hashed(APPROVER)}\n"
+            f"operators = author:{sha256_hex(AUTHOR)}, "
+            f"approver:{sha256_hex(APPROVER)}\n"
         )
 
     def add_router(self, domain="d0", cpu=None):
         name = f"r{len(self.routers)}"
         ports = [free_port() for _ in range(3)]
-        text = self.common(name, "router", domain)
+        text = self.common_settings(name, "router", domain)
         text += (
             f"[router]\nport = {ports[0]}\nadmin_port = {ports[1]}\n"
             f"link_port = {ports[2]}\ncalls_limit = 100000\n"
@@ -93,9 +94,9 @@
     def add_agent(self, service, target_port, domain="d0", cpu=None, extra=""):
         name = f"a{len(self.agents)}"
         port = free_port()
-        near = [r for r in self.routers if r.domain == domain] or self.routers
-        seeds = ", ".join(f"127.0.0.1:{r.link}" for r in near[:4])
-        text = self.common(name, "agent", domain)
+        same_domain = [r for r in self.routers if r.domain == domain] or self.routers
+        seeds = ", ".join(f"127.0.0.1:{r.link}" for r in same_domain[:4])
+        text = self.common_settings(name, "agent", domain)
         text += (
             f"[agent]\nservice = {service}\ntarget_port = {target_port}\n"
             f"port = {port}\nrouters = {seeds}\nmust_echo = no\n{extra}"
@@ -105,8 +106,8 @@
         self.agents.append(child)
         return child
 
-    def add_target(self, words, port, cpu=None):
-        child = Child([*words, str(port)], cpu)
+    def add_target(self, arguments, port, cpu=None):
+        child = Child([*arguments, str(port)], cpu)
         self.children.append(child)
         self.wait_port(port)
         return child
@@ -136,7 +137,7 @@
         return fields
 
     def roll_out(self, text=None):
-        text = text or BUNDLE.format(key=hashed(KEY))
+        text = text or BUNDLE.format(key=sha256_hex(KEY))
         digest = self.admin("POST", "bundles", AUTHOR, text)["digest"]
         signature = sign(digest, self.signing.private_bytes_raw()).hex()
         body = json.dumps({"signature": signature})
--- a/benchmarks/fleet_news.py
+++ b/benchmarks/fleet_news.py
@@ -1,8 +1,9 @@
-"""Ways of news between routers, weighed by where work then goes.
+"""Compare settings of the state exchange by the target choices that follow from it.
 
-Drives the product's own news, knowledge and choice on a virtual clock: routers
-before model engines, 4.6 requests a second a router, prompts with long shared
-parts. Decisions only; what they cost is measured elsewhere.
+Drives the product's state exchange, prefix cache index and target choice on a virtual
+clock: routers before model engines, 4.6 requests a second a router, prompts with long
+shared parts. Only decisions and bytes are counted; entry_news.py and choice_cost.py
+measure processor time.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
 from support import percentile
 from support import save
 
-# The fleet of the tests, whose folder has a package of this folder's name.
+# Loaded by path: the tests' package "support" has the name of a module here.
 FLEET = ROOT.parent / "tests/support/router_fleet.py"
 Fleet = SourceFileLoader("router_fleet", str(FLEET)).load_module().Fleet
 
 REQUESTS_PER_ROUTER = 4.63
-# Routers, engines, failure domains, seconds before and while it is counted.
-SIZES = (
+# Routers, engines, failure domains, seconds of warm-up, seconds measured.
+FLEET_SIZES = (
     (4, 5, 4, 6.0, 6.0),
     (23, 22, 5, 6.0, 6.0),
     (68, 60, 6, 6.0, 5.0),
@@ -28,47 +29,49 @@
     (420, 370, 8, 4.0, 1.5),
 )
 SEED = 1
-ALL_TELL_ALL = NewsSettings(most_direct=10_000)
+FULL_MESH = NewsSettings(most_direct=10_000)
 
 
-def play(size, settings, *, relies_on_homes=True):
-    """Return where work went, and what the news took."""
-    routers, engines, domains, warm, counted = size
+def simulate(size, settings, *, relies_on_homes=True):
+    """Return load and cache figures of the choices, and bytes sent in the exchange."""
+    routers, engines, domains, warm_up_seconds, measured_seconds = size
     rate = REQUESTS_PER_ROUTER * routers
     fleet = Fleet(routers, engines, domains, rate, SEED, settings=settings)
     if not relies_on_homes:
         for router in fleet.routers:
             router.chooser._relies_on_homes = lambda: False
     fleet.begin()
-    fleet.run(warm)
+    fleet.run(warm_up_seconds)
     fleet.settle()
     before = fleet.bytes_out()
-    fleet.run(counted)
+    fleet.run(measured_seconds)
     pairs = zip(before, fleet.bytes_out(), strict=True)
-    spent = [(end - begin) / counted / 1000 for begin, end in pairs]
+    kilobytes_per_second = [
+        (end - begin) / measured_seconds / 1000 for begin, end in pairs
+    ]
     return {
         "over_bound": fleet.over_share,
         "read": fleet.read_share,
         "moved": fleet.fetched_share,
         "load_age_p95": percentile(fleet.ages, 0.95),
-        "mean_kb_s": sum(spent) / routers,
-        "most_kb_s": max(spent),
+        "mean_kb_s": sum(kilobytes_per_second) / routers,
+        "most_kb_s": max(kilobytes_per_second),
     }
 
 
 def main():
     figures = {}
-    for size in SIZES:
+    for size in FLEET_SIZES:
         routers = size[0]
-        figures[f"{routers}_usual"] = play(size, NewsSettings())
+        figures[f"{routers}_usual"] = simulate(size, NewsSettings())
         if routers in {68, 150}:
-            figures[f"{routers}_all_tell_all"] = play(size, ALL_TELL_ALL)
+            figures[f"{routers}_all_tell_all"] = simulate(size, FULL_MESH)
         if routers == 68:
-            figures["68_without_homes"] = play(
+            figures["68_without_homes"] = simulate(
                 size, NewsSettings(), relies_on_homes=False
             )
             slow = NewsSettings(interval=0.25)
-            figures["68_interval_0.25"] = play(size, slow)
+            figures["68_interval_0.25"] = simulate(size, slow)
     save("fleet_news", figures)
 
 
--- a/benchmarks/ledger_rate.py
+++ b/benchmarks/ledger_rate.py
@@ -1,4 +1,4 @@
-"""Claims a store write, and the time of a claim, as the rate grows."""
+"""Measure claims per store write and the latency of a claim at growing rates."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from support import percentile
 from support import save
 
-SECONDS = 20
+SIMULATED_SECONDS = 20
 ANSWER = wire.StoredAnswer(200, [], b"x" * 200, True)
 
 
 def run(rate, buckets):
-    """Claim and record at a rate, one writer for all buckets."""
+    """Return figures of claims and records at a rate, one writer for all buckets."""
     rng = random.Random(3)
     clock = Clock()
     store = ObjectStore(StoreSettings(latency=0.004), 0.0)
@@ -31,40 +31,40 @@
     writer = ClaimWriter(
         LedgerSettings(buckets=buckets), platform, clock, clock.seconds
     )
-    waits = []
+    latencies = []
     states = []
 
     def claim():
         key = rng.randbytes(16)
         began = clock.seconds()
-        asked = wire.ClaimRequest(1, ClaimVerb.CLAIM, key, key, key, None)
+        request = wire.ClaimRequest(1, ClaimVerb.CLAIM, key, key, key, None)
 
         def claimed(reply):
-            waits.append(clock.seconds() - began)
+            latencies.append(clock.seconds() - began)
             states.append(reply.state)
             if reply.state == ClaimState.GRANTED:
                 verb = ClaimVerb.RECORD
                 writer.submit(wire.ClaimRequest(2, verb, key, key, key, ANSWER))
 
-        writer.submit(asked).addCallback(claimed)
+        writer.submit(request).addCallback(claimed)
 
     began = time.process_time()
-    due = 0.0
-    while clock.seconds() < SECONDS:
+    next_claim_at = 0.0
+    while clock.seconds() < SIMULATED_SECONDS:
         clock.advance(0.002)
-        while due < clock.seconds():
+        while next_claim_at < clock.seconds():
             claim()
-            due += rng.expovariate(rate)
-    used = time.process_time() - began
+            next_claim_at += rng.expovariate(rate)
+    elapsed = time.process_time() - began
     granted = sum(state == ClaimState.GRANTED for state in states)
     return {
-        "claims_per_second": len(states) / SECONDS,
+        "claims_per_second": len(states) / SIMULATED_SECONDS,
         "granted_share": granted / max(1, len(states)),
         "claims_per_write": len(states) / max(1, writer.writes),
-        "writes_per_second": writer.writes / SECONDS,
-        "claim_p50_ms": 1000 * percentile(waits, 0.5),
-        "claim_p99_ms": 1000 * percentile(waits, 0.99),
-        "cpu_us_per_claim": 1e6 * used / max(1, len(states)),
+        "writes_per_second": writer.writes / SIMULATED_SECONDS,
+        "claim_p50_ms": 1000 * percentile(latencies, 0.5),
+        "claim_p99_ms": 1000 * percentile(latencies, 0.99),
+        "cpu_us_per_claim": 1e6 * elapsed / max(1, len(states)),
     }
 
 
--- a/benchmarks/load_client.py
+++ b/benchmarks/load_client.py
@@ -1,4 +1,4 @@
-"""A closed-loop load over raw sockets, cheap enough not to be the limit."""
+"""Generate closed-loop load over raw sockets, at little processor time of its own."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
         self.buffer = b""
         self.sent_at = 0.0
 
-    def take(self):
-        """Return whether one whole answer has come; check its status."""
+    def read_answer(self):
+        """Read what has arrived; return whether the answer is complete, status 200."""
         data = self.socket.recv(262144)
         if not data:
             raise RuntimeError(f"connection closed: {self.buffer[:300]!r}")
         self.buffer += data
-        head, mark, rest = self.buffer.partition(b"\r\n\r\n")
-        if not mark:
+        head, separator, rest = self.buffer.partition(b"\r\n\r\n")
+        if not separator:
             return False
         if not head.startswith(b"HTTP/1.1 200"):
             raise RuntimeError((head + rest)[:600].decode())
@@ -43,31 +43,31 @@
 
 
 def run(port, make_request, connections, count):
-    """Make requests; return wall seconds and each request's seconds."""
+    """Send requests; return elapsed seconds and the seconds of each request."""
     selector = selectors.DefaultSelector()
     times = []
-    left = count
+    unsent = count
     began = time.perf_counter()
     for _ in range(connections):
         connection = Connection(port)
         selector.register(connection.socket, selectors.EVENT_READ, connection)
         connection.sent_at = time.perf_counter()
         connection.socket.sendall(make_request())
-        left -= 1
-    waiting = connections
-    while waiting:
+        unsent -= 1
+    open_connections = connections
+    while open_connections:
         for key, _ in selector.select(30):
             connection = key.data
-            if not connection.take():
+            if not connection.read_answer():
                 continue
             now = time.perf_counter()
             times.append(now - connection.sent_at)
-            if left > 0:
-                left -= 1
+            if unsent > 0:
+                unsent -= 1
                 connection.sent_at = now
                 connection.socket.sendall(make_request())
             else:
-                waiting -= 1
+                open_connections -= 1
                 selector.unregister(connection.socket)
                 connection.socket.close()
     return time.perf_counter() - began, times
--- a/benchmarks/path_cost.py
+++ b/benchmarks/path_cost.py
@@ -1,4 +1,4 @@
-"""CPU per request and per streamed chunk, against bare twisted.web servers."""
+"""Measure CPU time per request and per streamed chunk, against bare twisted.web."""
 
 from __future__ import annotations
 
@@ -25,9 +25,11 @@
     load_client.run(port, make_request, connections, connections * 5)
     before = [child.cpu() for child in children]
     _, times = load_client.run(port, make_request, connections, count)
-    used = [child.cpu() - old for child, old in zip(children, before, strict=True)]
-    micro = [1e6 * seconds / count for seconds in used]
-    return micro, times
+    used = [
+        child.cpu() - earlier for child, earlier in zip(children, before, strict=True)
+    ]
+    microseconds = [1e6 * seconds / count for seconds in used]
+    return microseconds, times
 
 
 def main():
@@ -45,7 +47,7 @@
         fleet.settle()
         bare_request = load_client.request_bytes("/", BODY, {})
         headers = {"Authorization": f"Bearer {KEY}"}
-        routed = load_client.request_bytes("/services/plain/", BODY, headers)
+        routed_request = load_client.request_bytes("/services/plain/", BODY, headers)
         stream = json.dumps(
             {
                 "model": "m",
@@ -60,24 +62,24 @@
             stream,
             headers,
         )
-        echo, _ = measure(
+        bare_cost, _ = measure(
             [bare], bare_port, lambda: bare_request, CONNECTIONS, REQUESTS
         )
-        unstreamed, times = measure(
+        routed_cost, times = measure(
             [router, plain],
             router.http,
-            lambda: routed,
+            lambda: routed_request,
             CONNECTIONS,
             REQUESTS,
         )
-        bare_chunks, _ = measure(
+        bare_stream_cost, _ = measure(
             [bare],
             bare_port,
             lambda: bare_stream,
             STREAM_CONNECTIONS,
             STREAMS,
         )
-        chunks, _ = measure(
+        routed_stream_cost, _ = measure(
             [router, chat],
             router.http,
             lambda: routed_stream,
@@ -88,16 +90,16 @@
             "path_cost",
             {
                 "requests": REQUESTS,
-                "bare_echo_us": echo[0],
-                "router_us": unstreamed[0],
-                "agent_us": unstreamed[1],
-                "request_ratio": sum(unstreamed) / echo[0],
+                "bare_echo_us": bare_cost[0],
+                "router_us": routed_cost[0],
+                "agent_us": routed_cost[1],
+                "request_ratio": sum(routed_cost) / bare_cost[0],
                 "request_p50_ms": 1000 * percentile(times, 0.5),
                 "request_p95_ms": 1000 * percentile(times, 0.95),
-                "bare_chunk_us": bare_chunks[0] / TOKENS,
-                "router_chunk_us": chunks[0] / TOKENS,
-                "agent_chunk_us": chunks[1] / TOKENS,
-                "chunk_ratio": sum(chunks) / bare_chunks[0],
+                "bare_chunk_us": bare_stream_cost[0] / TOKENS,
+                "router_chunk_us": routed_stream_cost[0] / TOKENS,
+                "agent_chunk_us": routed_stream_cost[1] / TOKENS,
+                "chunk_ratio": sum(routed_stream_cost) / bare_stream_cost[0],
                 "router_memory_mb": router.memory() / 1e6,
                 "agent_memory_mb": plain.memory() / 1e6,
             },
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,8 +1,8 @@
-"""Placement compared: cache reuse while engines churn, and skew of load.
+"""Compare placement policies by prefix cache reuse, load skew and rejections.
 
-Drives the product's own ring, bound, directory and load table for one model
-on a virtual clock; engines are a number of slots and a prefix cache. Every
-policy sees the same arrivals.
+Drives the product's rendezvous order, load bound and chat directory for one model on
+a virtual clock, while engines are replaced. An engine is simulated as a number of
+slots and a prefix cache. Every policy gets the same arrivals.
 """
 
 from __future__ import annotations
@@ -27,19 +27,19 @@
 from support import save
 
 ENGINES = 100
-SECONDS = 900
-WARM = 300
+SIMULATED_SECONDS = 900
+WARM_UP_SECONDS = 300
 SLOTS = 16
-RATE = 20.0
+TOKENS_PER_SECOND = 20.0
 REQUESTS_PER_ENGINE = 0.75
 CHATS_PER_ENGINE = 120
 CACHE_TOKENS = 400_000
-FLOOR = 1000
-MULTIPLE = 1.5
-MARGIN = 0.92
-REPORT_LAG = 2
+LOAD_FLOOR = 1000
+BOUND_MULTIPLE = 1.5
+BOUND_MARGIN = 0.92
+REPORT_LAG_SECONDS = 2
 CANDIDATES = 8
-CHURN_PER_ENGINE_HOUR = 740 / 11_000 / 24
+REPLACEMENTS_PER_ENGINE_HOUR = 740 / 11_000 / 24
 SEED = 11
 
 
@@ -47,13 +47,15 @@
     def __init__(self, name, now, multiple):
         self.name = name
         self.cache = PrefixCache(CACHE_TOKENS)
-        settings = BoundSettings(multiple=multiple, margin=1.0, floor=FLOOR)
+        settings = BoundSettings(multiple=multiple, margin=1.0, floor=LOAD_FLOOR)
         self.bound = LoadBound(settings, now)
         self.directory = ChatDirectory(8192, 14_400.0)
         self.load = 0
         self.running = 0
         self.waiting = deque()
-        self.reports = deque([0] * (REPORT_LAG + 1), maxlen=REPORT_LAG + 1)
+        self.reports = deque(
+            [0] * (REPORT_LAG_SECONDS + 1), maxlen=REPORT_LAG_SECONDS + 1
+        )
 
 
 class Call:
@@ -67,8 +69,8 @@
         self.work = 0
 
 
-def arrivals(rng, seconds=SECONDS):
-    """Return times and chats: most return within minutes."""
+def arrivals(rng, seconds=SIMULATED_SECONDS):
+    """Return time, chat, prompt and output tokens; most chats return within minutes."""
     chats = ENGINES * CHATS_PER_ENGINE
     now = 0.0
     found = []
@@ -83,11 +85,17 @@
     return found
 
 
-class Run:
-    """One policy over one list of arrivals."""
+class Simulation:
+    """Simulates one policy over one list of arrivals."""
 
     def __init__(
-        self, policy, calls, churn, multiple=MULTIPLE, margin=MARGIN, count=CANDIDATES
+        self,
+        policy,
+        calls,
+        churn,
+        multiple=BOUND_MULTIPLE,
+        margin=BOUND_MARGIN,
+        count=CANDIDATES,
     ):
         self.candidates = count
         self.policy = policy
@@ -97,7 +105,7 @@
         self.engines = {}
         self.targets = ServiceTargets(Locality("r", "d0"))
         self.estimator = WorkEstimator(WorkSettings())
-        self.lagged = {}
+        self.reported_loads = {}
         self.next_name = 0
         self.turn = 0
         self.events = []
@@ -109,35 +117,35 @@
         self.skews = []
         self.now = 0.0
         for _ in range(ENGINES):
-            self.join()
-        churns = self.rng
-        at = churns.expovariate(churn * ENGINES / 3600) if churn else SECONDS * 2
-        while at < SECONDS:
-            self.at(at, self.replace)
-            at += churns.expovariate(churn * ENGINES / 3600)
-        for second in range(1, SECONDS):
-            self.at(second, self.report)
-
-    def at(self, when, act, *args):
+            self.add_engine()
+        rng = self.rng
+        at = rng.expovariate(churn * ENGINES / 3600) if churn else SIMULATED_SECONDS * 2
+        while at < SIMULATED_SECONDS:
+            self.schedule(at, self.replace_engine)
+            at += rng.expovariate(churn * ENGINES / 3600)
+        for second in range(1, SIMULATED_SECONDS):
+            self.schedule(second, self.report_loads)
+
+    def schedule(self, when, function, *args):
         self.count += 1
-        heapq.heappush(self.events, (when, self.count, act, args))
+        heapq.heappush(self.events, (when, self.count, function, args))
 
-    def join(self):
+    def add_engine(self):
         name = f"e{self.next_name}"
         self.next_name += 1
         self.engines[name] = Engine(name, self.now, self.multiple)
-        place = Target(name, Endpoint("127.0.0.1", self.next_name), "m", "d0", "r")
-        self.targets.put(place)
+        target = Target(name, Endpoint("127.0.0.1", self.next_name), "m", "d0", "r")
+        self.targets.put(target)
 
-    def replace(self):
-        """An engine goes, with its cache and its work; a new one comes."""
+    def replace_engine(self):
+        """Replace an engine, whose cache and work are lost, by a new one."""
         name = self.rng.choice(sorted(self.engines))
         self.targets.remove(name)
         del self.engines[name]
-        self.join()
+        self.add_engine()
 
-    def report(self):
-        """Agents hear the sums of some seconds ago."""
+    def report_loads(self):
+        """Update the agents with the load sums of ``REPORT_LAG_SECONDS`` ago."""
         engines = list(self.engines.values())
         for engine in engines:
             engine.reports.append(engine.load)
@@ -145,30 +153,30 @@
         for engine in engines:
             view = MeanView(total, len(engines), engine.reports[0], self.now)
             engine.bound.hear(view)
-            self.lagged[engine.name] = engine.reports[0]
-        if self.now > WARM:
+            self.reported_loads[engine.name] = engine.reports[0]
+        if self.now > WARM_UP_SECONDS:
             loads = [engine.load for engine in engines]
             self.skews.append(max(loads) * len(loads) / max(1, sum(loads)))
 
     def run(self):
         for when, chat, prompt, output in self.calls:
             while self.events and self.events[0][0] <= when:
-                self.now, _, act, args = heapq.heappop(self.events)
-                act(*args)
+                self.now, _, function, args = heapq.heappop(self.events)
+                function(*args)
             self.now = when
-            self.place(Call(chat, prompt, output))
+            self.dispatch(Call(chat, prompt, output))
         return self
 
-    def place(self, call):
+    def dispatch(self, call):
         engine = getattr(self, f"choose_{self.policy}")(call)
         if engine is None:
             self.refused += 1
             return
-        self.give(call, engine)
+        self.assign(call, engine)
 
-    def give(self, call, engine):
+    def assign(self, call, engine):
         cached = engine.cache.hit(call.chat, call.prompt)
-        if self.now > WARM and call.prompt > 1350:
+        if self.now > WARM_UP_SECONDS and call.prompt > 1350:
             self.prompt += call.prompt
             self.cached += cached
         if not call.work:
@@ -183,9 +191,9 @@
     def start(self, call):
         engine = call.engine
         engine.running += 1
-        fresh = call.prompt - engine.cache.hit(call.chat, call.prompt)
-        seconds = (fresh * 0.05 + call.output) / RATE
-        self.at(self.now + seconds, self.end, call)
+        uncached = call.prompt - engine.cache.hit(call.chat, call.prompt)
+        seconds = (uncached * 0.05 + call.output) / TOKENS_PER_SECOND
+        self.schedule(self.now + seconds, self.end, call)
 
     def end(self, call):
         engine = call.engine
@@ -196,14 +204,14 @@
         if engine.waiting:
             self.start(engine.waiting.popleft())
 
-    def work_at(self, call, engine):
+    def estimate_work(self, call, engine):
         record = engine.directory.find(call.chat, self.now)
         known = record.tokens if record is not None else 0
         return self.estimator.estimate(call.prompt, known, 0)
 
     def admits(self, call, engine):
         self.hops += 1
-        work = self.work_at(call, engine)
+        work = self.estimate_work(call, engine)
         if not engine.bound.admits(engine.load, work, self.now):
             return False
         call.work = work
@@ -230,7 +238,7 @@
         return self.engines[names[self.turn % len(names)]]
 
     def choose_least_lagging(self, call):
-        name = min(self.engines, key=lambda n: self.lagged.get(n, 0))
+        name = min(self.engines, key=lambda n: self.reported_loads.get(n, 0))
         return self.engines[name]
 
     def choose_rendezvous(self, call):
@@ -252,10 +260,10 @@
         order = self.order(call)
         home = order[0]
         record = home.directory.find(call.chat, self.now)
-        place = self.engines.get(record.place) if record is not None else None
-        if place is not None and place is not home:
+        holder = self.engines.get(record.place) if record is not None else None
+        if holder is not None and holder is not home:
             self.hops += 1
-            order = [place, *[e for e in order if e is not place]]
+            order = [holder, *[e for e in order if e is not holder]]
         for engine in order:
             if self.admits(call, engine):
                 if engine is not home:
@@ -288,19 +296,23 @@
 
 def main():
     calls = arrivals(random.Random(SEED))
-    figures = {"requests": len(calls), "engines": ENGINES, "multiple": MULTIPLE}
+    figures = {"requests": len(calls), "engines": ENGINES, "multiple": BOUND_MULTIPLE}
     for factor in (1, 10, 100):
-        churn = CHURN_PER_ENGINE_HOUR * factor
+        churn = REPLACEMENTS_PER_ENGINE_HOUR * factor
         for policy in POLICIES:
-            run = Run(policy, calls, churn).run()
+            run = Simulation(policy, calls, churn).run()
             figures[f"churn_x{factor}_{policy}"] = run.figures()
     for count in (2, 4, 8, 12):
         for policy in ("bounded", "directory"):
-            run = Run(policy, calls, CHURN_PER_ENGINE_HOUR, count=count).run()
+            run = Simulation(
+                policy, calls, REPLACEMENTS_PER_ENGINE_HOUR, count=count
+            ).run()
             figures[f"candidates_{count}_{policy}"] = run.figures()
     for margin in (1.0, 0.92):
         for multiple in (1.25, 1.5, 2.0):
-            run = Run("directory", calls, CHURN_PER_ENGINE_HOUR, multiple, margin).run()
+            run = Simulation(
+                "directory", calls, REPLACEMENTS_PER_ENGINE_HOUR, multiple, margin
+            ).run()
             figures[f"multiple_{multiple}_margin_{margin}"] = run.figures()
     save("placement", figures)
 
--- a/benchmarks/rest_use.py
+++ b/benchmarks/rest_use.py
@@ -1,14 +1,14 @@
-"""Whether a router sends anything to a target in the rest that it has asked for.
+"""Compare sending nothing or a few trials to a target during its requested pause.
 
     python benchmarks/rest_use.py
 
-Callers come at random routers, more than the targets take, or while targets turn all
-away for some seconds. A router sends to the open target that has fewest of its own
-requests. A target that is full turns a request away and asks for a rest.
-Ways: nothing in a rest (the way of the product), or one or two requests of each
-router, spread over the rest, where no target is open. Shown: the share of callers
-served, and the share that was sent to a target and turned away; beside it what
-perfect knowledge serves.
+Requests arrive at random routers, more than the targets accept, or while all targets
+reject everything for some seconds. A router sends to the available target with the
+fewest of its own requests in flight. A target that is full rejects a request and
+requests a pause. Policies: send nothing during the pause, as the product does, or one
+or two trial requests of each router, spread over the pause, if no target is available.
+Printed are the share of requests served, the share sent to a target and rejected, and
+the share that the capacity of the targets would allow.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 TARGETS = 4
 SLOTS = 8
 SERVICE_SECONDS = 0.2
-REST = 3.0
-SECONDS = 60.0
+PAUSE_SECONDS = 3.0
+SIMULATED_SECONDS = 60.0
 LOADS = (0.8, 1.2, 2.0)
-FLEETS = (1, 4, 30)
-# Between these seconds all targets turn all away, in the second table.
-CLOSED = (20.0, 30.0)
+ROUTER_COUNTS = (1, 4, 30)
+# Seconds between which all targets reject everything, in the second table.
+REJECTING_SECONDS = (20.0, 30.0)
 SEED = 7
 
 
@@ -51,101 +51,106 @@
 
 
 class Target:
-    """A target that runs some requests at once and turns others away."""
+    """A target that runs a limited number of requests at once and rejects others."""
 
-    def __init__(self, closed):
+    def __init__(self, rejecting):
         self.running = 0
-        self._closed = closed
+        self._rejecting = rejecting
 
-    def takes(self, now):
-        return self.running < SLOTS and not self._closed[0] <= now < self._closed[1]
+    def accepts(self, now):
+        return (
+            self.running < SLOTS and not self._rejecting[0] <= now < self._rejecting[1]
+        )
 
 
-class Seen:
-    """What one router knows of one target."""
+class TargetView:
+    """The state that one router keeps of one target."""
 
-    def __init__(self, uses, rng):
-        self.statements = TargetStatements()
+    def __init__(self, trials, rng):
+        self.self_reports = TargetStatements()
         self.running = 0
-        self._uses = uses
+        self._trials = trials
         self._rng = rng
         self._due = []
 
     def wait(self, now):
-        return self.statements.wait(now)
+        return self.self_reports.wait(now)
 
-    def may_try(self, now):
-        """Tell whether one of the requests of a rest is due."""
+    def is_trial_due(self, now):
+        """Return whether a trial request of this pause is due."""
         return bool(self._due) and now >= self._due[0]
 
-    def tried(self):
+    def take_trial(self):
         self._due.pop(0)
 
-    def declined(self, now):
-        is_new = not self.statements.is_resting(now)
-        self.statements.take(head(503, rest=REST), SLOTS, now)
-        if is_new:
+    def reject(self, now):
+        is_new_pause = not self.self_reports.is_resting(now)
+        self.self_reports.take(head(503, rest=PAUSE_SECONDS), SLOTS, now)
+        if is_new_pause:
             self._due = sorted(
-                now + self._rng.uniform(0.5, REST) for _ in range(self._uses)
+                now + self._rng.uniform(0.5, PAUSE_SECONDS) for _ in range(self._trials)
             )
 
-    def answered(self, now):
-        self.statements.take(head(200), SLOTS, now)
+    def succeed(self, now):
+        self.self_reports.take(head(200), SLOTS, now)
 
 
-def play(routers, uses, load, closed):
-    """Return the shares of callers served and turned away by a target."""
+def simulate(routers, trials, load, rejecting):
+    """Return the shares of requests served and rejected by a target."""
     rng = random.Random(SEED)
-    targets = [Target(closed) for _ in range(TARGETS)]
-    known = [[Seen(uses, rng) for _ in targets] for _ in range(routers)]
+    targets = [Target(rejecting) for _ in range(TARGETS)]
+    views = [[TargetView(trials, rng) for _ in targets] for _ in range(routers)]
     rate = load * TARGETS * SLOTS / SERVICE_SECONDS
     order = itertools.count()
     due = [(rng.expovariate(rate), next(order), None, None)]
-    callers = served = declined = 0
+    requests = served = rejected = 0
     while due:
-        now, _, seen, target = heapq.heappop(due)
-        if now >= SECONDS:
+        now, _, view, target = heapq.heappop(due)
+        if now >= SIMULATED_SECONDS:
             break
-        if seen is not None:
+        if view is not None:
             target.running -= 1
-            seen.running -= 1
-            seen.answered(now)
+            view.running -= 1
+            view.succeed(now)
             served += 1
             continue
         heapq.heappush(due, (now + rng.expovariate(rate), next(order), None, None))
-        callers += 1
-        mine = rng.choice(known)
-        usable = [n for n in range(TARGETS) if not mine[n].wait(now)]
+        requests += 1
+        router_views = rng.choice(views)
+        usable = [n for n in range(TARGETS) if not router_views[n].wait(now)]
         if not usable:
-            usable = [n for n in range(TARGETS) if mine[n].may_try(now)]
+            usable = [n for n in range(TARGETS) if router_views[n].is_trial_due(now)]
             if not usable:
                 continue
             number = rng.choice(usable)
-            mine[number].tried()
+            router_views[number].take_trial()
         else:
-            number = min(usable, key=lambda n: (mine[n].running, rng.random()))
-        target, seen = targets[number], mine[number]
-        seen.statements.sent(now)
-        if not target.takes(now):
-            seen.declined(now)
-            declined += 1
+            number = min(usable, key=lambda n: (router_views[n].running, rng.random()))
+        target, view = targets[number], router_views[number]
+        view.self_reports.sent(now)
+        if not target.accepts(now):
+            view.reject(now)
+            rejected += 1
             continue
         target.running += 1
-        seen.running += 1
-        heapq.heappush(due, (now + SERVICE_SECONDS, next(order), seen, target))
-    return served / callers, declined / callers
+        view.running += 1
+        heapq.heappush(due, (now + SERVICE_SECONDS, next(order), view, target))
+    return served / requests, rejected / requests
 
 
 def main():
-    for title, closed in (
-        ("targets that are full", (0.0, 0.0)),
-        ("all turn all away for 10 of 60 s", CLOSED),
+    for title, rejecting in (
+        ("targets at their limit", (0.0, 0.0)),
+        ("all targets reject everything for 10 of 60 s", REJECTING_SECONDS),
     ):
         print(title)
-        print("load | routers | none, one, two in a rest: served (turned away)")
-        for load, routers in itertools.product(LOADS, FLEETS):
-            found = [play(routers, uses, load, closed) for uses in (0, 1, 2)]
-            shown = ", ".join(f"{good:.3f} ({bad:.3f})" for good, bad in found)
+        print("load | routers | no, one, two trials in a pause: served (rejected)")
+        for load, routers in itertools.product(LOADS, ROUTER_COUNTS):
+            found = [simulate(routers, trials, load, rejecting) for trials in (0, 1, 2)]
+            shown = ", ".join(
+                f"{served_share:.3f} ({rejected_share:.3f})"
+                for served_share, rejected_share in found
+            )
             print(f"{load:4} | {routers:7} | {shown} | {min(1.0, 1 / load):.3f}")
 
 
--- a/benchmarks/run.py
+++ b/benchmarks/run.py
@@ -1,4 +1,4 @@
-"""Run all benchmarks, one after the other."""
+"""Run the benchmarks listed here, or those given, one after the other."""
 
 from __future__ import annotations
 
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of memory and processor time that docs/CAPACITY.md is worked out from."""
+"""Measure memory and CPU time against fleet size and fit the slopes for capacity.py."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from support import free_port
 from support import save
 
-TARGETS = (2000, 5500, 11_000)
-ORGANISATIONS = (2000, 7000, 14_000)
-CHATS = (2000, 5000, 10_000)
-KEYS = (200_000, 500_000, 1_000_000)
-AGENTS = (4, 12, 24)
+TARGET_COUNTS = (2000, 5500, 11_000)
+ORGANISATION_COUNTS = (2000, 7000, 14_000)
+CHAT_COUNTS = (2000, 5000, 10_000)
+KEY_COUNTS = (200_000, 500_000, 1_000_000)
+AGENT_COUNTS = (4, 12, 24)
 IDLE_SECONDS = 10
-PRELUDE = """
+SETUP_CODE = """
 import sys, gc
 sys.path.insert(0, {root!r})
 from primrosescale.process.daemons import agent, router
@@ -27,7 +27,7 @@
     return int(open('/proc/self/statm').read().split()[1]) * 4096
 base = memory()
 """
-BODIES = {
+MEASURED_CODE = {
     "router_base": "pass",
     "targets": """
 from primrosescale.process.membership.members import Members
@@ -48,11 +48,11 @@
 from primrosescale.process.configuration.version_keeper import VersionKeeper, VersionObserver, SectionSource
 from twisted.internet.defer import succeed
 import subprocess, pickle
-class Quiet(VersionObserver):
+class IgnoringObserver(VersionObserver):
     def adopted(self, view): pass
     def head_refused(self, error): raise error
     def pull_failed(self, version, detail): raise RuntimeError(detail)
-class All(HeadCheck):
+class AcceptAllHeads(HeadCheck):
     def verify(self, head): pass
 code = '''
 import pickle, sys
@@ -66,7 +66,7 @@
 class Source(SectionSource):
     def fetch(self, wanted): return succeed(sections[wanted])
 base = memory()
-keeper = VersionKeeper(All({{}}), Quiet(), needs_organisations=True)
+keeper = VersionKeeper(AcceptAllHeads({{}}), IgnoringObserver(), needs_organisations=True)
 keeper.hear(VersionHead(1, digest, 'a', b''), Source())
 assert keeper.version == 1
 """,
@@ -94,7 +94,7 @@
 
 
 def memory_of(kind, count):
-    code = (PRELUDE + BODIES[kind]).format(root=str(ROOT), count=count)
+    code = (SETUP_CODE + MEASURED_CODE[kind]).format(root=str(ROOT), count=count)
     code += "\nprint(memory() - base, base)\n"
     found = subprocess.run(
         [sys.executable, "-c", code],
@@ -109,11 +109,11 @@
 def memory_slopes():
     figures = {"router_base_bytes": memory_of("router_base", 0)[1]}
     for kind, counts in (
-        ("targets", TARGETS),
-        ("organisations", ORGANISATIONS),
-        ("chats", CHATS),
-        ("sealed_keys", KEYS),
-        ("meters", ORGANISATIONS),
+        ("targets", TARGET_COUNTS),
+        ("organisations", ORGANISATION_COUNTS),
+        ("chats", CHAT_COUNTS),
+        ("sealed_keys", KEY_COUNTS),
+        ("meters", ORGANISATION_COUNTS),
     ):
         points = [(count, memory_of(kind, count)[0]) for count in counts]
         figures[f"{kind}_bytes"] = {"points": points, **fit(points)}
@@ -121,7 +121,7 @@
 
 
 def idle_cpu(agents):
-    """Return the CPU share of one router with agents, and of an agent."""
+    """Return CPU shares and memory bytes of a router with idle agents and of an agent."""
     fleet = Fleet()
     try:
         router = fleet.add_router()
@@ -145,7 +145,7 @@
 
 
 def cpu_slopes():
-    found = [(count, idle_cpu(count)) for count in AGENTS]
+    found = [(count, idle_cpu(count)) for count in AGENT_COUNTS]
     router = [(count, 1e6 * cpu[0]) for count, cpu in found]
     agent = [(count, 1e6 * cpu[1]) for count, cpu in found]
     return {
--- a/benchmarks/support.py
+++ b/benchmarks/support.py
@@ -1,4 +1,4 @@
-"""Parts the benchmarks share: processes, their CPU and memory, results."""
+"""Shared by the benchmarks: child processes, their CPU and memory, results files."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 ROOT = Path(__file__).resolve().parent
 RESULTS = ROOT / "results"
-TICKS = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 PORTS = iter(range(20_000 + os.getpid() % 5000, 32_000))
-PAGE = os.sysconf("SC_PAGE_SIZE")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 class Child:
-    """A process of a benchmark, ended with it."""
+    """A child process whose output goes to a temporary file."""
 
-    def __init__(self, words, cpu=None):
+    def __init__(self, arguments, cpu=None):
         self.log = tempfile.NamedTemporaryFile("w+", suffix=".log")  # noqa: SIM115
-        command = [sys.executable, *words]
+        command = [sys.executable, *arguments]
         if cpu is not None:
             command = ["taskset", "-c", str(cpu), *command]
         self.process = subprocess.Popen(
@@ -39,17 +39,17 @@
     def cpu(self):
         """Return the processor seconds used so far."""
         fields = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / TICKS
+        return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
     def memory(self):
         """Return the resident bytes."""
-        return int(Path(f"/proc/{self.pid}/statm").read_text().split()[1]) * PAGE
+        return int(Path(f"/proc/{self.pid}/statm").read_text().split()[1]) * PAGE_BYTES
 
-    def end(self, patience=10):
-        """Stop the process gracefully, then at once."""
+    def end(self, timeout=10):
+        """Terminate the process, and kill it if it still runs after the time-out."""
         self.process.terminate()
         try:
-            self.process.wait(patience)
+            self.process.wait(timeout)
         except subprocess.TimeoutExpired:
             self.process.kill()
             self.process.wait()
@@ -59,14 +59,14 @@
         return self.log.read()
 
 
-def run_command(name, settings_path, cpu=None):
+def start_daemon(name, settings_path, cpu=None):
     """Start one daemon of the product."""
-    words = ["-m", "primrosescale", name, "--settings", str(settings_path)]
-    return Child(words, cpu)
+    arguments = ["-m", "primrosescale", name, "--settings", str(settings_path)]
+    return Child(arguments, cpu)
 
 
 def free_port():
-    """Return a port that nothing listens on, below those of outgoing connections."""
+    """Return a free port below the range that the system uses for outgoing ones."""
     for port in PORTS:
         with socket.socket() as probe:
             try:
@@ -78,7 +78,7 @@
 
 
 def wait_for(check, seconds=20.0):
-    """Poll until a check is true."""
+    """Poll until a check returns true; connection errors count as false."""
     until = time.monotonic() + seconds
     while time.monotonic() < until:
         try:
@@ -87,11 +87,11 @@
         except OSError:
             pass
         time.sleep(0.05)
-    raise RuntimeError("a benchmark's processes did not come up")
+    raise RuntimeError("the benchmark's processes were not ready in time")
 
 
 def commit():
-    """Return the commit that is measured."""
+    """Return the commit that is measured, marked if the tree has changes."""
     found = subprocess.run(
         ["git", "describe", "--always", "--dirty"],
         capture_output=True,
@@ -116,8 +116,8 @@
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
+    squared_deviations = sum((x - mean_x) ** 2 for x, _ in points)
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / squared_deviations
     base = mean_y - slope * mean_x
     errors = [(y - base - slope * x) ** 2 for x, y in points]
     return {"base": base, "slope": slope, "error": (sum(errors) / count) ** 0.5}
