--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -1,4 +1,4 @@
-"""Works the capacity tables out from measured slopes."""
+"""Calculate the tables of the capacity page from the results of the benchmarks."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 from pathlib import Path
 
 RESULTS = Path(__file__).resolve().parent.parent / "benchmarks/results"
-CONTROL_BYTES = 22_000
-CONTROL_CPU = 0.014
-MEMORY = 64e6
-STORE_WRITES = 400
-STORE_READS = 2000
+MAX_CONTROL_BYTES_PER_SECOND = 22_000
+MAX_CONTROL_CPU_SHARE = 0.014
+MAX_MEMORY_BYTES = 64e6
+MAX_STORE_WRITES_PER_SECOND = 400
+MAX_STORE_READS_PER_SECOND = 2000
 CLAIM_SHARE = 0.1
 CHAT_SECONDS = 17
 LEDGER_BUCKETS = 64
-WRITES_PER_BUCKET = 4
+MAX_BUCKET_WRITES_PER_SECOND = 4
 TAIL_ENTRIES = 1000
 ENTRY_BYTES = 270
-RETENTION = 86_400
-FRAME = 4
+RETENTION_SECONDS = 86_400
+FRAME_BYTES = 4
 SERVED_PULLS = 3
 CHANGE_SECTIONS = 5
 ADMIN_WRITES = 11
 
 
 @dataclass(frozen=True)
-class Site:
-    """A size to work the tables out for."""
+class DeploymentSize:
+    """The size of a deployment for which the tables are calculated."""
 
     name: str
     routers: int
@@ -43,37 +43,40 @@
 
 
 MEASURED = "built, measured"
-SLOPE = "built, slope measured"
-PARTS = "built, worked out from measured parts"
+FITTED = "built, slope measured"
+DERIVED = "built, worked out from measured parts"
 MECHANISMS = {
     "heartbeats of its agents": (
         "one router an agent, `process/membership/heartbeat.py`",
-        PARTS,
+        DERIVED,
     ),
-    "its report and the reply": ("`process/daemons/router_control.py`", PARTS),
+    "its report and the reply": ("`process/daemons/router_control.py`", DERIVED),
     "changes pulled": (
         "sections by digest, `process/configuration/version_keeper.py`",
         MEASURED,
     ),
-    "changes served to routers": ("three pulls, then holders are named", PARTS),
-    "roots served to agents": ("agents skip organisations", PARTS),
+    "changes served to routers": ("three pulls, then holders are named", DERIVED),
+    "roots served to agents": ("agents skip organisations", DERIVED),
     "reports of its domain's routers": (
         "aggregators in turn, `process/membership/load_sums.py`",
-        PARTS,
+        DERIVED,
     ),
     "sums to and from other domains": (
         "sums by origin, `process/membership/load_sums.py`",
-        PARTS,
+        DERIVED,
+    ),
+    "idle, with its agents' heartbeats": (
+        "`process/daemons/router_control.py`",
+        FITTED,
     ),
-    "idle, with its agents' heartbeats": ("`process/daemons/router_control.py`", SLOPE),
     "changes applied": ("only the changed group, `version/view.py`", MEASURED),
-    "sums of domains": ("`process/membership/load_sums.py`", PARTS),
+    "sums of domains": ("`process/membership/load_sums.py`", DERIVED),
     "interpreter, libraries, code": ("imports of a router", MEASURED),
-    "hosts": ("`process/membership/members.py`, `request/candidates.py`", SLOPE),
-    "organisations": ("`version/view.py`, `version/section.py`", SLOPE),
-    "meters of limits, all busy": ("`request/rate_limit.py`", SLOPE),
+    "hosts": ("`process/membership/members.py`, `request/candidates.py`", FITTED),
+    "organisations": ("`version/view.py`, `version/section.py`", FITTED),
+    "meters of limits, all busy": ("`request/rate_limit.py`", FITTED),
 }
-DESIGN = Site(
+DESIGN_SIZE = DeploymentSize(
     "size to design for",
     420,
     11_000,
@@ -86,15 +89,17 @@
     11,
     40_000 / 86_400,
 )
-TODAY = Site("Riga or Quebec today", 3, 9, 4, 1, 20, 2000, 20_000, 10, 2, 1e-3)
+CURRENT_SIZE = DeploymentSize(
+    "Riga or Quebec today", 3, 9, 4, 1, 20, 2000, 20_000, 10, 2, 1e-3
+)
 
 
 def load(name):
     return json.loads((RESULTS / f"{name}.json").read_text())
 
 
-class Slopes:
-    """The measured figures the tables are worked out from."""
+class BenchmarkResults:
+    """The benchmark results that the tables are calculated from."""
 
     def __init__(self):
         self.cost = load("decision_cost")
@@ -122,26 +127,26 @@
 
 
 class Router:
-    """One router at a site."""
+    """Costs of one router at a deployment of some size."""
 
-    def __init__(self, site, slopes, *, is_aggregator):
+    def __init__(self, site, results, *, is_aggregator):
         self.site = site
-        self.s = slopes
+        self.s = results
         self.is_aggregator = is_aggregator
         self.agents = site.agents / site.routers
         self.peers = site.routers / site.domains
 
     def bytes(self):
         c = self.s.cost
-        beat = c["heartbeat_bytes"] + c["heartbeat_reply_bytes"]
+        heartbeat_bytes = c["heartbeat_bytes"] + c["heartbeat_reply_bytes"]
         rows = {
-            "heartbeats of its agents": self.agents * beat,
+            "heartbeats of its agents": self.agents * heartbeat_bytes,
             "its report and the reply": c["peer_report_bytes"] + c["peer_reply_bytes"],
             "changes pulled": self.site.changes * c["change_bytes"],
             "changes served to routers": self.site.changes * c["change_bytes"],
             "roots served to agents": self.agents
             * self.site.changes
-            * (c["root_bytes"] + 2 * FRAME + 60),
+            * (c["root_bytes"] + 2 * FRAME_BYTES + 60),
         }
         if self.is_aggregator:
             reports = max(0.0, self.peers - 1) / 2
@@ -208,10 +213,14 @@
 
 
 def router_table(kind, limit, scale, unit):
-    slopes = Slopes()
+    results = BenchmarkResults()
     columns = [
-        Router(site, slopes, is_aggregator=aggregator)
-        for site, aggregator in ((TODAY, True), (DESIGN, False), (DESIGN, True))
+        Router(site, results, is_aggregator=aggregator)
+        for site, aggregator in (
+            (CURRENT_SIZE, True),
+            (DESIGN_SIZE, False),
+            (DESIGN_SIZE, True),
+        )
     ]
     found = [getattr(column, kind)() for column in columns]
     names = list(found[-1])
@@ -228,19 +237,23 @@
 
 
 def fits(value, limit):
-    word = "fits" if value <= limit else "**does not fit**"
-    return f"{100 * value / limit:.0f} %, {word}"
+    verdict = "fits" if value <= limit else "**does not fit**"
+    return f"{100 * value / limit:.0f} %, {verdict}"
 
 
 def router_bytes():
-    return router_table("bytes", CONTROL_BYTES, kb, "kB/s")
+    return router_table("bytes", MAX_CONTROL_BYTES_PER_SECOND, kb, "kB/s")
 
 
 def router_messages():
-    slopes = Slopes()
+    results = BenchmarkResults()
     found = [
-        Router(site, slopes, is_aggregator=aggregator).messages()
-        for site, aggregator in ((TODAY, True), (DESIGN, False), (DESIGN, True))
+        Router(site, results, is_aggregator=aggregator).messages()
+        for site, aggregator in (
+            (CURRENT_SIZE, True),
+            (DESIGN_SIZE, False),
+            (DESIGN_SIZE, True),
+        )
     ]
     rows = [
         [name, *[f"{part[place][1]:.1f}" for part in found]]
@@ -251,19 +264,21 @@
 
 
 def router_cpu():
-    return router_table("cpu", CONTROL_CPU * 1e6, lambda v: share(v / 1e6), "of a core")
+    return router_table(
+        "cpu", MAX_CONTROL_CPU_SHARE * 1e6, lambda v: share(v / 1e6), "of a core"
+    )
 
 
 def router_memory():
-    return router_table("memory", MEMORY, mb, "MB")
+    return router_table("memory", MAX_MEMORY_BYTES, mb, "MB")
 
 
 def serving():
-    slopes = Slopes()
-    path = slopes.path
+    results = BenchmarkResults()
+    path = results.path
     rows = []
-    for site in (TODAY, DESIGN):
-        router = Router(site, slopes, is_aggregator=False)
+    for site in (CURRENT_SIZE, DESIGN_SIZE):
+        router = Router(site, results, is_aggregator=False)
         requests = site.requests / site.agents
         tokens = site.tokens / site.agents
         agent = requests * path["agent_us"] + tokens * path["agent_chunk_us"]
@@ -290,24 +305,24 @@
 
 
 def agent_table():
-    slopes = Slopes()
-    cost = slopes.cost
+    results = BenchmarkResults()
+    cost = results.cost
     rows = []
-    for site in (TODAY, DESIGN):
+    for site in (CURRENT_SIZE, DESIGN_SIZE):
         chats = site.chats / site.agents
-        memory = slopes.slopes["agent_memory_bytes"] + chats * slopes.slope(
+        memory = results.slopes["agent_memory_bytes"] + chats * results.slope(
             "chats_bytes"
         )
-        beat = cost["heartbeat_bytes"] + cost["heartbeat_reply_bytes"]
+        heartbeat_bytes = cost["heartbeat_bytes"] + cost["heartbeat_reply_bytes"]
         pulls = site.changes * (cost["root_bytes"] + 60)
-        idle = slopes.base("agent_idle_us_per_second") / 1e6
+        idle = results.base("agent_idle_us_per_second") / 1e6
         rows.append(
             [
                 site.name,
                 f"{chats:.0f}",
-                f"{mb(memory)} MB ({fits(memory, MEMORY)})",
-                f"{kb(beat + pulls)} kB/s ({fits(beat + pulls, CONTROL_BYTES)})",
-                f"{share(idle)} ({fits(idle, CONTROL_CPU)})",
+                f"{mb(memory)} MB ({fits(memory, MAX_MEMORY_BYTES)})",
+                f"{kb(heartbeat_bytes + pulls)} kB/s ({fits(heartbeat_bytes + pulls, MAX_CONTROL_BYTES_PER_SECOND)})",
+                f"{share(idle)} ({fits(idle, MAX_CONTROL_CPU_SHARE)})",
             ],
         )
     head = [
@@ -321,25 +336,25 @@
 
 
 def ledger_table():
-    slopes = Slopes()
+    results = BenchmarkResults()
     rows = []
-    for site in (TODAY, DESIGN):
+    for site in (CURRENT_SIZE, DESIGN_SIZE):
         claims = site.requests * CLAIM_SHARE
-        keys = claims * RETENTION / LEDGER_BUCKETS
-        memory = keys * slopes.slope("sealed_keys_bytes")
-        writes = min(2 * claims, LEDGER_BUCKETS * WRITES_PER_BUCKET)
-        per_bucket = min(2 * claims / LEDGER_BUCKETS, WRITES_PER_BUCKET)
+        keys = claims * RETENTION_SECONDS / LEDGER_BUCKETS
+        memory = keys * results.slope("sealed_keys_bytes")
+        writes = min(2 * claims, LEDGER_BUCKETS * MAX_BUCKET_WRITES_PER_SECOND)
+        per_bucket = min(2 * claims / LEDGER_BUCKETS, MAX_BUCKET_WRITES_PER_SECOND)
         names = keys / TAIL_ENTRIES / 2 * 45
         tail = min(TAIL_ENTRIES, keys) * ENTRY_BYTES + names
-        cpu = 2 * claims / LEDGER_BUCKETS * ledger_cpu(slopes)
+        cpu = 2 * claims / LEDGER_BUCKETS * ledger_cpu(results)
         rows.append(
             [
                 site.name,
                 f"{claims:.0f}",
-                f"{writes:.0f} of {STORE_WRITES}",
+                f"{writes:.0f} of {MAX_STORE_WRITES_PER_SECOND}",
                 f"{keys:,.0f}",
                 f"{mb(memory)} MB",
-                f"{kb(per_bucket * tail)} kB/s ({fits(per_bucket * tail, CONTROL_BYTES)})",
+                f"{kb(per_bucket * tail)} kB/s ({fits(per_bucket * tail, MAX_CONTROL_BYTES_PER_SECOND)})",
                 share(cpu / 1e6),
             ],
         )
@@ -355,35 +370,35 @@
     return table(head, rows)
 
 
-def ledger_cpu(slopes):
-    return slopes.ledger["rate_820_buckets_64"]["cpu_us_per_claim"]
+def ledger_cpu(results):
+    return results.ledger["rate_820_buckets_64"]["cpu_us_per_claim"]
 
 
 def platform_table():
-    slopes = Slopes()
+    results = BenchmarkResults()
     rows = []
-    for site in (TODAY, DESIGN):
+    for site in (CURRENT_SIZE, DESIGN_SIZE):
         aggregators = min(site.routers, 2 * site.domains)
         claims = site.requests * CLAIM_SHARE
-        ledger = min(2 * claims, LEDGER_BUCKETS * WRITES_PER_BUCKET)
+        ledger = min(2 * claims, LEDGER_BUCKETS * MAX_BUCKET_WRITES_PER_SECOND)
         reads = {
             "waiting watches": aggregators / 20 + aggregators * site.changes,
             "lists of hosts": aggregators / 2,
             "sections": aggregators * CHANGE_SECTIONS * site.changes,
         }
-        hosts = 740 / 86_400 * 3 * site.agents / DESIGN.agents
+        hosts = 740 / 86_400 * 3 * site.agents / DESIGN_SIZE.agents
         writes = ledger + ADMIN_WRITES * site.changes + hosts
         total = sum(reads.values())
         rows.append(
             [
                 site.name,
                 *[f"{value:.1f}" for value in reads.values()],
-                f"{total:.0f} of {STORE_READS} ({fits(total, STORE_READS)})",
+                f"{total:.0f} of {MAX_STORE_READS_PER_SECOND} ({fits(total, MAX_STORE_READS_PER_SECOND)})",
                 f"{ledger:.0f}",
-                f"{writes:.0f} of {STORE_WRITES} ({fits(writes, STORE_WRITES)})",
+                f"{writes:.0f} of {MAX_STORE_WRITES_PER_SECOND} ({fits(writes, MAX_STORE_WRITES_PER_SECOND)})",
             ],
         )
-    del slopes
+    del results
     head = [
         "site",
         "watches/s (built, worked out)",
@@ -397,7 +412,7 @@
 
 
 def slope_table():
-    slopes = Slopes().slopes
+    results = BenchmarkResults().slopes
     rows = []
     for name in (
         "targets_bytes",
@@ -408,7 +423,7 @@
         "router_idle_us_per_second",
         "agent_idle_us_per_second",
     ):
-        item = slopes[name]
+        item = results[name]
         points = ", ".join(f"{x:,}: {y:,.0f}" for x, y in item["points"])
         rows.append(
             [
--- a/tools/fill_docs.py
+++ b/tools/fill_docs.py
@@ -1,4 +1,7 @@
-"""Fill the generated parts of the pages; ``--check`` only compares."""
+"""Write the generated parts of the documentation pages.
+
+With ``--check`` nothing is written; stale pages are named and the exit status is 1.
+"""
 
 from __future__ import annotations
 
@@ -16,14 +19,16 @@
 
 DOCS = ROOT / "docs"
 RESULTS = ROOT / "benchmarks/results"
-MARK = re.compile(r"<!-- begin:([a-z0-9-]+) -->\n.*?<!-- end:\1 -->", re.DOTALL)
+GENERATED_PART = re.compile(
+    r"<!-- begin:([a-z0-9-]+) -->\n.*?<!-- end:\1 -->", re.DOTALL
+)
 
 
-def result(name):
+def load_result(name):
     return json.loads((RESULTS / f"{name}.json").read_text())
 
 
-def problems():
+def problem_table():
     rows = [
         [f"`urn:primrosescale:problem:{p.kind}`", p.status, p.title, p.remedy]
         for p in ALL_PROBLEMS
@@ -31,41 +36,42 @@
     return capacity.table(["type", "status", "meaning", "remedy"], rows)
 
 
-def number(value):
+def format_number(value):
     return f"{value:,.3f}" if isinstance(value, float) else f"{value:,}"
 
 
-def flat(name):
-    found = result(name)
+def scalar_table(name):
+    found = load_result(name)
     rows = [
-        [key, number(value)]
+        [key, format_number(value)]
         for key, value in sorted(found.items())
         if isinstance(value, int | float)
     ]
     return capacity.table(["figure", "value"], rows)
 
 
-def grouped(name):
-    found = result(name)
+def case_table(name):
+    found = load_result(name)
     groups = {k: v for k, v in sorted(found.items()) if isinstance(v, dict)}
     groups = {k: v for k, v in groups.items() if "points" not in v}
     columns = list(next(iter(groups.values())))
     rows = [
-        [key, *[number(value[column]) for column in columns]]
+        [key, *[format_number(value[column]) for column in columns]]
         for key, value in groups.items()
     ]
     return capacity.table(["case", *columns], rows)
 
 
-def commits():
+def commit_table():
     names = sorted(path.stem for path in RESULTS.glob("*.json"))
     rows = [
-        [n, f"`{result(n)['commit']}`", f"`python benchmarks/{n}.py`"] for n in names
+        [n, f"`{load_result(n)['commit']}`", f"`python benchmarks/{n}.py`"]
+        for n in names
     ]
     return capacity.table(["benchmark", "commit", "taken again by"], rows)
 
 
-def matrix():
+def fault_matrix():
     from support.cells import CLAIM_STEPS  # noqa: PLC0415
     from support.cells import STEPS  # noqa: PLC0415
     from support.faults import FAULTS  # noqa: PLC0415
@@ -79,33 +85,33 @@
 
 BLOCKS = {
     **capacity.BLOCKS,
-    "problems": problems,
-    "commits": commits,
-    "matrix": matrix,
-    "path-cost": lambda: flat("path_cost"),
-    "decision-cost": lambda: flat("decision_cost"),
-    "placement": lambda: grouped("placement"),
-    "fleet-news": lambda: grouped("fleet_news"),
-    "fairness": lambda: grouped("fairness"),
-    "ledger-rate": lambda: grouped("ledger_rate"),
-    "config-spread": lambda: grouped("config_spread"),
+    "problems": problem_table,
+    "commits": commit_table,
+    "matrix": fault_matrix,
+    "path-cost": lambda: scalar_table("path_cost"),
+    "decision-cost": lambda: scalar_table("decision_cost"),
+    "placement": lambda: case_table("placement"),
+    "fleet-news": lambda: case_table("fleet_news"),
+    "fairness": lambda: case_table("fairness"),
+    "ledger-rate": lambda: case_table("ledger_rate"),
+    "config-spread": lambda: case_table("config_spread"),
 }
 
 
-def filled(text):
-    """Return a page with its generated parts as they should be."""
+def fill_page(text):
+    """Return the text of a page with its generated parts up to date."""
 
     def fill(match):
         name = match[1]
         return f"<!-- begin:{name} -->\n{BLOCKS[name]()}\n<!-- end:{name} -->"
 
-    return MARK.sub(fill, text)
+    return GENERATED_PART.sub(fill, text)
 
 
 def pages():
-    """Return each page's path with the text it should have."""
+    """Return the path and up-to-date text of every page."""
     found = {
-        path: filled(path.read_text())
+        path: fill_page(path.read_text())
         for path in sorted(DOCS.rglob("*.md"))
         if path.name != "settings.md"
     }
--- a/tools/generate_wire.py
+++ b/tools/generate_wire.py
@@ -1,7 +1,7 @@
-"""Generate the committed thrift module and its type stub from the IDL.
+"""Generate the thrift module ``connection/wire`` and its type stub from the IDL.
 
-Needs the ``thrift`` compiler; the build and the tests do not, because the
-output is committed.
+This needs the ``thrift`` compiler. Builds and tests do not, because the output is
+committed.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def main() -> None:
-    """Run the compiler and write the stub next to its output."""
+    """Run the compiler and write the type stub next to its output."""
     compiler = shutil.which("thrift")
     if compiler is None:
         sys.exit("thrift compiler not found: install the package thrift-compiler")
@@ -50,14 +50,14 @@
             lines.append(f"class {name}(IntEnum):")
             lines += [f"    {m} = {int(v)}" for m, v in item.__members__.items()]
         else:
-            lines += _struct(name, item)
+            lines += _struct_stub(name, item)
         lines.append("")
     return "\n".join(lines)
 
 
-def _struct(name: str, item: type) -> list[str]:
+def _struct_stub(name: str, item: type) -> list[str]:
     fields = [
-        (spec[2], _type(spec[1], spec[3]))
+        (spec[2], _annotation(spec[1], spec[3]))
         for spec in item.thrift_spec
         if spec is not None
     ]
@@ -116,7 +116,7 @@
 BOOL, I32, I64, STRING, STRUCT, LIST = 2, 8, 10, 11, 12, 15
 
 
-def _type(code: int, argument: object) -> str:
+def _annotation(code: int, argument: object) -> str:
     if code == BOOL:
         return "bool"
     if code in {I32, I64}:
@@ -126,7 +126,7 @@
     if code == STRUCT:
         return argument[0].__name__  # type: ignore[index]
     if code == LIST:
-        return f"list[{_type(argument[0], argument[1])}]"  # type: ignore[index]
+        return f"list[{_annotation(argument[0], argument[1])}]"  # type: ignore[index]
     raise ValueError(code)
 
 
