--- a/tests/run.py
+++ b/tests/run.py
@@ -1,7 +1,7 @@
-"""Run all tests, some files at a time, and print how many tests there were.
+"""Run all test files, several at a time, and print the numbers of results.
 
-A file's tests run one after the other in a process of their own, so that files do not
-share a reactor; the order in which results are printed is that of the files' names.
+The tests of a file run one after the other in a process of their own, so that files do
+not share a reactor. Results are printed in the order of the files' names.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 ROOT = Path(__file__).resolve().parent
 KNOWN_RED = ROOT.parent / "KNOWN-RED.txt"
 ONE_FILE = "--one-file"
-# Files whose tests run at the same time; most of them wait for timers.
+# Files that run at the same time; most of their tests wait for timers.
 WORKERS = 4
 SLOWEST_PRINTED = 8
 
 
 def known_red():
-    """Return the names of tests that are known to fail, with their lines."""
+    """Return the tests that are known to fail, with their lines in KNOWN-RED.txt."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
@@ -32,61 +32,65 @@
 
 
 def run_file(path):
-    """Run the tests of one file here; print what came of them as the last line."""
+    """Run the tests of one file in this process; print the result as the last line."""
     sys.path.insert(0, str(ROOT))
     suite = unittest.TestLoader().discover(str(path.parent), path.name, str(ROOT))
     result = unittest.TextTestRunner(verbosity=1).run(suite)
-    bad = [case.id() for case, _ in [*result.failures, *result.errors]]
-    told = {"run": result.testsRun, "bad": bad, "skipped": len(result.skipped)}
-    sys.stdout.write(f"\n{json.dumps(told)}\n")
+    failed = [case.id() for case, _ in [*result.failures, *result.errors]]
+    outcome = {"run": result.testsRun, "bad": failed, "skipped": len(result.skipped)}
+    sys.stdout.write(f"\n{json.dumps(outcome)}\n")
 
 
-def run_apart(path):
-    """Run the tests of one file in a process of its own; return what came of them."""
+def run_in_child(path):
+    """Run the tests of one file in a child process; return its result."""
     began = time.monotonic()
     command = [sys.executable, __file__, ONE_FILE, str(path)]
-    # The order of sets of names would differ from run to run.
-    fixed = {**os.environ, "PYTHONHASHSEED": "0"}
+    # A fixed hash seed keeps the order of sets of names the same in every run.
+    environment = {**os.environ, "PYTHONHASHSEED": "0"}
     done = subprocess.run(
-        command, capture_output=True, text=True, check=False, env=fixed
+        command, capture_output=True, text=True, check=False, env=environment
     )
     took = time.monotonic() - began
     name = str(path.relative_to(ROOT))
     try:
-        told = json.loads(done.stdout.rstrip().rpartition("\n")[2])
+        outcome = json.loads(done.stdout.rstrip().rpartition("\n")[2])
     except ValueError:
-        told = {"run": 0, "bad": [f"{name} ended with {done.returncode}"], "skipped": 0}
-    if told["bad"]:
+        outcome = {
+            "run": 0,
+            "bad": [f"{name} ended with {done.returncode}"],
+            "skipped": 0,
+        }
+    if outcome["bad"]:
         sys.stderr.write(f"{name}:\n{done.stdout}{done.stderr}\n")
-    return {"name": name, "took": took, **told}
+    return {"name": name, "took": took, **outcome}
 
 
 def main():
-    """Run the tests; fail on any failure that is not listed as known."""
+    """Run the tests; exit with 1 on a failure not listed as known, or without tests."""
     if ONE_FILE in sys.argv:
         run_file(Path(sys.argv[-1]))
         return
     pattern = sys.argv[1] if len(sys.argv) > 1 else "test_*.py"
-    # Large files are started first, so that none is left to run alone at the end.
+    # Large files start first, so that none is left to run alone at the end.
     paths = sorted(ROOT.rglob(pattern), key=lambda path: -path.stat().st_size)
     workers = min(WORKERS, max(1, (os.cpu_count() or 1) // 2))
     with ThreadPoolExecutor(workers) as pool:
-        files = list(pool.map(run_apart, paths))
+        files = list(pool.map(run_in_child, paths))
     for file in sorted(files, key=lambda file: file["name"]):
         sys.stdout.write(f"{file['name']}: {file['run']} in {file['took']:.1f} s\n")
     slowest = sorted(files, key=lambda file: -file["took"])[:SLOWEST_PRINTED]
     names = ", ".join(f"{file['name']} {file['took']:.0f} s" for file in slowest)
     sys.stdout.write(f"slowest: {names}\n")
-    red = known_red()
-    for line in red.values():
+    known = known_red()
+    for line in known.values():
         sys.stdout.write(f"known red: {line}\n")
     run = sum(file["run"] for file in files)
-    bad = [name for file in files for name in file["bad"]]
+    failed = [name for file in files for name in file["bad"]]
     skipped = sum(file["skipped"] for file in files)
-    passed = run - len(bad) - skipped
-    sys.stdout.write(f"{passed} passed, {len(bad)} failed, {skipped} skipped\n")
-    new = [name for name in bad if name not in red]
-    sys.exit(1 if new or not run else 0)
+    passed = run - len(failed) - skipped
+    sys.stdout.write(f"{passed} passed, {len(failed)} failed, {skipped} skipped\n")
+    unexpected = [name for name in failed if name not in known]
+    sys.exit(1 if unexpected or not run else 0)
 
 
 if __name__ == "__main__":
