--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -179,7 +179,7 @@
         found = {}
         for trouble in itertools.chain(*(day.troubles for day in self.days)):
             found.setdefault(trouble["kind"], set()).update(variants_of(trouble))
-        wanted = {kind: set(ways.split(",")) for kind, ways in VARIANTS.items()}
+        wanted = {kind: set(variants.split(",")) for kind, variants in VARIANTS.items()}
         self.assertEqual(wanted, found)
         ends = [day.table["closing"] for day in self.days if "closing" in day.table]
         self.assertEqual(CLOSINGS, {(end["kind"], end.get("how", "")) for end in ends})
