--- a/benchmarks/cold_shares.py
+++ b/benchmarks/cold_shares.py
@@ -58,11 +58,11 @@
         names = frozenset(f"r{n}" for n in range(routers))
         for n in range(routers):
             share = RouterShares(f"r{n}")
-            share.list_routers(names, 0.0, was_listed=True)
+            share.set_routers(names, 0.0, was_listed=True)
             self.shares.append(share)
 
     def permits(self, router, target):
-        return self.shares[router].own_tokens(f"m{target}", PERMITS, 100.0)
+        return self.shares[router].own_permits(f"m{target}", PERMITS, 100.0)
 
 
 class FixedRouters(PermitDivision):
--- a/benchmarks/entry_news.py
+++ b/benchmarks/entry_news.py
@@ -8,13 +8,13 @@
 
 from primrosescale.connection.codec import encode
 from primrosescale.connection.endpoint import Endpoint
-from primrosescale.process.entry.other_router import OtherRouter
-from primrosescale.process.entry.router_news import RouterNews
+from primrosescale.process.entry.peer_router import PeerRouter
+from primrosescale.process.entry.state_exchange import StateExchange
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.incoming import Prompt
-from primrosescale.request.incoming import PromptPart
-from primrosescale.request.part_directory import PartDirectory
+from primrosescale.request.incoming_request import Prompt
+from primrosescale.request.incoming_request import PromptPart
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 from primrosescale.request.serving_target import ServingTarget
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
@@ -56,13 +56,13 @@
     def __init__(self, routers):
         self.rng = random.Random(5)
         self.targets = TargetList(2.0)
-        self.parts = PartDirectory()
-        self.news = RouterNews("r0", 1, self.targets, self.parts, Freshness(5.0))
+        self.parts = PrefixCacheIndex()
+        self.news = StateExchange("r0", 1, self.targets, self.parts, Freshness(5.0))
         for number in range(TARGETS):
             self.targets.put(make_target(number, FIRST_STARTED_AT + number), START_TIME)
         for number in range(1, routers):
             endpoint = Endpoint("127.0.0.1", 7000 + number)
-            self.news.put(OtherRouter(f"r{number}", endpoint), START_TIME)
+            self.news.put(PeerRouter(f"r{number}", endpoint), START_TIME)
 
     def send_requests(self, now):
         for state in self.targets.states:
@@ -72,7 +72,9 @@
             if self.rng.random() < 0.1:
                 state.failed(now)
         for state in self.rng.sample(list(self.targets.states), 6):
-            self.parts.note_own(incarnation_of(state), random_parts(self.rng), now)
+            self.parts.record_own_request(
+                incarnation_of(state), random_parts(self.rng), now
+            )
 
     def finish_requests(self):
         for state in self.targets.states:
@@ -105,8 +107,10 @@
     states = list(router.targets.states)
     for state in states:
         for _ in range(200):
-            router.parts.note_own(incarnation_of(state), random_parts(rng), START_TIME)
-        state.reported(LoadReport(3, 0, 8), START_TIME)
+            router.parts.record_own_request(
+                incarnation_of(state), random_parts(rng), START_TIME
+            )
+        state.set_load(LoadReport(3, 0, 8), START_TIME)
     chooser = TargetChooser(ChoiceSettings(), router.parts, rng, lambda: 0.25)
     prompts = [Prompt(random_parts(rng), 620, 100, "m") for _ in range(300)]
     best = float("inf")
--- a/benchmarks/fleet_news.py
+++ b/benchmarks/fleet_news.py
@@ -10,7 +10,7 @@
 
 from importlib.machinery import SourceFileLoader
 
-from primrosescale.process.entry.news_paths import NewsSettings
+from primrosescale.process.entry.relay_topology import StateExchangeSettings
 from support import ROOT
 from support import percentile
 from support import save
@@ -29,7 +29,7 @@
     (420, 370, 8, 4.0, 1.5),
 )
 SEED = 1
-FULL_MESH = NewsSettings(most_direct=10_000)
+FULL_MESH = StateExchangeSettings(most_direct=10_000)
 
 
 def simulate(size, settings, *, relies_on_homes=True):
@@ -63,14 +63,14 @@
     figures = {}
     for size in FLEET_SIZES:
         routers = size[0]
-        figures[f"{routers}_usual"] = simulate(size, NewsSettings())
+        figures[f"{routers}_usual"] = simulate(size, StateExchangeSettings())
         if routers in {68, 150}:
             figures[f"{routers}_all_tell_all"] = simulate(size, FULL_MESH)
         if routers == 68:
             figures["68_without_homes"] = simulate(
-                size, NewsSettings(), relies_on_homes=False
+                size, StateExchangeSettings(), relies_on_homes=False
             )
-            slow = NewsSettings(interval=0.25)
+            slow = StateExchangeSettings(interval=0.25)
             figures["68_interval_0.25"] = simulate(size, slow)
     save("fleet_news", figures)
 
--- a/benchmarks/rest_use.py
+++ b/benchmarks/rest_use.py
@@ -21,8 +21,8 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).resolve().parent.parent / "src"))
 
-from primrosescale.request.direct_port import AnswerHead
-from primrosescale.request.target_statements import TargetStatements
+from primrosescale.request.forwarding_interfaces import AnswerHead
+from primrosescale.request.target_statements import TargetSelfReports
 
 TARGETS = 4
 SLOTS = 8
@@ -41,7 +41,7 @@
         status=status,
         headers=(),
         request_id="r",
-        is_receipted=True,
+        has_receipt=True,
         is_not_run=rest is not None,
         is_other_incarnation=False,
         load=None,
@@ -67,7 +67,7 @@
     """The state that one router keeps of one target."""
 
     def __init__(self, trials, rng):
-        self.self_reports = TargetStatements()
+        self.self_reports = TargetSelfReports()
         self.running = 0
         self._trials = trials
         self._rng = rng
@@ -84,7 +84,7 @@
         self._due.pop(0)
 
     def reject(self, now):
-        is_new_pause = not self.self_reports.is_resting(now)
+        is_new_pause = not self.self_reports.has_requested_pause(now)
         self.self_reports.take(head(503, rest=PAUSE_SECONDS), SLOTS, now)
         if is_new_pause:
             self._due = sorted(
--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -27,7 +27,7 @@
 # Requests a second that a cold model engine bears, and how long it is cold.
 COLD_RATE = 10.0
 COLD_SECONDS = 3.0
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 # Versions whose route is still there: the newest two.
 KEPT_VERSIONS = 2
 
@@ -124,7 +124,7 @@
 
     def _cold_left(self):
         left = self.cold_until - reactor.seconds()
-        return max(0, round(left * MILLISECONDS))
+        return max(0, round(left * MILLISECONDS_PER_SECOND))
 
     def foreign(self, how):
         """Return an entry of another writer that names it, by a number below 1."""
