--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -28,7 +28,7 @@
     from primrosescale.standin.http_caller import Reply
 
 SEED = 7
-CHATS = 120
+CHAT_COUNT = 120
 TURNS = 5
 CASES = 40
 CONTEXT = "Here is the tariff file we talked about. " * 30
@@ -174,7 +174,7 @@
         names = [name for name, _ in ORGANISATIONS]
         work = [
             self._chat(self._rng.choices(names, weights)[0], f"chat-{number}")
-            for number in range(CHATS)
+            for number in range(CHAT_COUNT)
         ]
         work += [self._confirm(number) for number in range(CASES)]
         work.append(self._disturb())
