--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -29,7 +29,7 @@
 
 SEED = 7
 CHAT_COUNT = 120
-TURNS = 5
+TURNS_PER_CHAT = 5
 CASES = 40
 CONTEXT = "Here is the tariff file we talked about. " * 30
 PAUSE_BETWEEN_TURNS = 0.3
@@ -191,7 +191,7 @@
         """Take some turns, each with the whole history."""
         messages = [{"role": "user", "content": f"{CONTEXT} I am {chat}."}]
         yield self._deployment.pause(self._rng.uniform(0, 2.0))
-        for turn in range(TURNS):
+        for turn in range(TURNS_PER_CHAT):
             is_streamed = turn % 2 == 0
             fields = {
                 "model": MODEL,
