--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -30,7 +30,7 @@
 SEED = 7
 CHAT_COUNT = 120
 TURNS_PER_CHAT = 5
-CASES = 40
+CASE_COUNT = 40
 CONTEXT = "Here is the tariff file we talked about. " * 30
 PAUSE_BETWEEN_TURNS = 0.3
 SAMPLE_INTERVAL = 0.1
@@ -176,7 +176,7 @@
             self._chat(self._rng.choices(names, weights)[0], f"chat-{number}")
             for number in range(CHAT_COUNT)
         ]
-        work += [self._confirm(number) for number in range(CASES)]
+        work += [self._confirm(number) for number in range(CASE_COUNT)]
         work.append(self._disturb())
         results = yield DeferredList(work, consumeErrors=True)
         self._is_sampling = False
