--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -32,7 +32,7 @@
 TURNS_PER_CHAT = 5
 CASE_COUNT = 40
 CONTEXT = "Here is the tariff file we talked about. " * 30
-PAUSE_BETWEEN_TURNS = 0.3
+SECONDS_BETWEEN_TURNS = 0.3
 SAMPLE_INTERVAL = 0.1
 OK = 200
 CONFLICT = 409
@@ -207,7 +207,7 @@
                 self._count_reuse(reply, len(body), turn)
             messages.append({"role": "assistant", "content": "noted " * 20})
             messages.append({"role": "user", "content": f"and then, {turn}?"})
-            yield self._deployment.pause(PAUSE_BETWEEN_TURNS)
+            yield self._deployment.pause(SECONDS_BETWEEN_TURNS)
 
     @inlineCallbacks
     def _confirm(self, number: int) -> Generator[Any, Any, None]:
