--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -33,7 +33,7 @@
 CASE_COUNT = 40
 CONTEXT = "Here is the tariff file we talked about. " * 30
 SECONDS_BETWEEN_TURNS = 0.3
-SAMPLE_INTERVAL = 0.1
+SAMPLE_INTERVAL_SECONDS = 0.1
 OK = 200
 CONFLICT = 409
 RETRY_STATUSES = frozenset({409, 429, 503})
@@ -304,7 +304,7 @@
         mean = sum(loads) / max(1, len(loads))
         if mean >= FLOOR:
             self._summary.skews.append(max(loads) / mean)
-        self._reactor.callLater(SAMPLE_INTERVAL, self._sample)
+        self._reactor.callLater(SAMPLE_INTERVAL_SECONDS, self._sample)
 
 
 def _share(values: list[float], share: float) -> float:
