--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -37,7 +37,7 @@
 OK = 200
 CONFLICT = 409
 RETRY_STATUSES = frozenset({409, 429, 503})
-REPEATS = 20
+MAX_REQUESTS_PER_CALL = 20
 
 
 @dataclass(slots=True)
@@ -249,7 +249,7 @@
             **headers,
         }
         self._summary.calls += 1
-        for _ in range(REPEATS):
+        for _ in range(MAX_REQUESTS_PER_CALL):
             router = self._rng.choice(self._deployment.routers)
             url = f"http://{LOOPBACK}:{router.http_port}{path}"
             self._summary.requests += 1
