--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -177,7 +177,7 @@
             for number in range(CHAT_COUNT)
         ]
         work += [self._confirm(number) for number in range(CASE_COUNT)]
-        work.append(self._disturb())
+        work.append(self._restart_and_drain())
         results = yield DeferredList(work, consumeErrors=True)
         self._is_sampling = False
         for is_good, result in results:
@@ -226,7 +226,7 @@
                 self._summary.broken.append(f"{case} got another case's answer")
 
     @inlineCallbacks
-    def _disturb(self) -> Generator[Any, Any, None]:
+    def _restart_and_drain(self) -> Generator[Any, Any, None]:
         """Restart one engine and drain another while the load runs."""
         yield self._deployment.pause(1.5)
         yield self._deployment.stop_target("engine-2")
