--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -201,7 +201,7 @@
                 "max_tokens": 30,
             }
             body = json.dumps(fields).encode()
-            reply = yield self._ask(organisation, "/v1/chat/completions", body, {})
+            reply = yield self._call(organisation, "/v1/chat/completions", body, {})
             if reply.status == OK:
                 self._check_chat(reply, f"{organisation}/{chat}", is_streamed)
                 self._count_reuse(reply, len(body), turn)
@@ -217,7 +217,7 @@
         body = json.dumps({"case": case}).encode()
         headers = {"Idempotency-Key": f"switch-{number}"}
         for _ in range(2):
-            reply = yield self._ask(
+            reply = yield self._call(
                 "grid-exchange", "/services/portal/switches", body, headers
             )
             if reply.status != OK:
@@ -235,7 +235,7 @@
         yield self._deployment.stop_target("engine-5")
 
     @inlineCallbacks
-    def _ask(
+    def _call(
         self,
         organisation: str,
         path: str,
