--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -176,7 +176,7 @@
             self._chat(self._rng.choices(names, weights)[0], f"chat-{number}")
             for number in range(CHAT_COUNT)
         ]
-        work += [self._confirm(number) for number in range(CASE_COUNT)]
+        work += [self._confirm_switch(number) for number in range(CASE_COUNT)]
         work.append(self._restart_and_drain())
         results = yield DeferredList(work, consumeErrors=True)
         self._is_sampling = False
@@ -210,7 +210,7 @@
             yield self._deployment.pause(SECONDS_BETWEEN_TURNS)
 
     @inlineCallbacks
-    def _confirm(self, number: int) -> Generator[Any, Any, None]:
+    def _confirm_switch(self, number: int) -> Generator[Any, Any, None]:
         """Open a switch case, and ask again through another router."""
         yield self._deployment.pause(self._rng.uniform(0, 4.0))
         case = f"case-{number}"
