--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -95,8 +95,8 @@
         """
         reuse = 100 * self.cached_tokens / max(1, self.prompt_tokens)
         skew = max(self.skews, default=0.0)
-        middle = _share(self.first_bytes, 0.5) * 1000
-        late = _share(self.first_bytes, 0.95) * 1000
+        middle = _quantile(self.first_bytes, 0.5) * 1000
+        late = _quantile(self.first_bytes, 0.95) * 1000
         first = f"p50 {middle:.0f} ms, p95 {late:.0f} ms"
         lines = [
             f"calls                 {self.calls}",
@@ -307,7 +307,7 @@
         self._reactor.callLater(SAMPLE_INTERVAL_SECONDS, self._sample)
 
 
-def _share(values: list[float], share: float) -> float:
+def _quantile(values: list[float], share: float) -> float:
     """Return the value that a share of the values does not exceed."""
     if not values:
         return 0.0
