--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -169,7 +169,7 @@
         Deferred[Summary]
             What came of it.
         """
-        self._sample()
+        self._sample_load_skew()
         weights = [weight**2 for _, weight in ORGANISATIONS]
         names = [name for name, _ in ORGANISATIONS]
         work = [
@@ -292,7 +292,7 @@
         if self._summary.duplicates:
             self._summary.broken.append("a non-idempotent request ran twice")
 
-    def _sample(self) -> None:
+    def _sample_load_skew(self) -> None:
         """Compare each engine's load with its bound's own view of the mean."""
         if not self._is_sampling:
             return
@@ -304,7 +304,7 @@
         mean = sum(loads) / max(1, len(loads))
         if mean >= FLOOR:
             self._summary.skews.append(max(loads) / mean)
-        self._reactor.callLater(SAMPLE_INTERVAL_SECONDS, self._sample)
+        self._reactor.callLater(SAMPLE_INTERVAL_SECONDS, self._sample_load_skew)
 
 
 def _quantile(values: list[float], share: float) -> float:
