--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -96,8 +96,8 @@
         reuse = 100 * self.cached_tokens / max(1, self.prompt_tokens)
         skew = max(self.skews, default=0.0)
         median = _quantile(self.first_bytes, 0.5) * 1000
-        late = _quantile(self.first_bytes, 0.95) * 1000
-        first = f"p50 {median:.0f} ms, p95 {late:.0f} ms"
+        p95 = _quantile(self.first_bytes, 0.95) * 1000
+        first = f"p50 {median:.0f} ms, p95 {p95:.0f} ms"
         lines = [
             f"calls                 {self.calls}",
             f"answered whole        {self.whole}",
