--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -180,8 +180,8 @@
         work.append(self._restart_and_drain())
         results = yield DeferredList(work, consumeErrors=True)
         self._is_sampling = False
-        for is_good, result in results:
-            if not is_good:
+        for is_successful, result in results:
+            if not is_successful:
                 self._summary.broken.append(result.getErrorMessage())
         self._check_cases()
         return self._summary
