--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -260,8 +260,8 @@
             self._summary.refusals[kind] = self._summary.refusals.get(kind, 0) + 1
             refused = self._summary.refused
             refused[organisation] = refused.get(organisation, 0) + 1
-            after = float(reply.json().get("retry_after", 0.2))
-            yield self._deployment.pause(min(1.0, after))
+            retry_delay = float(reply.json().get("retry_after", 0.2))
+            yield self._deployment.pause(min(1.0, retry_delay))
         if reply.status == OK and reply.is_whole:
             self._summary.whole += 1
         elif reply.status not in RETRY_STATUSES:
