--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -119,12 +119,12 @@
         kinds = ", ".join(f"{k} {n}" for k, n in sorted(self.refusals.items()))
         mean = sum(weight for _, weight in ORGANISATIONS) / len(ORGANISATIONS)
         large = [name for name, weight in ORGANISATIONS if weight > mean]
-        theirs = sum(self.refused.get(name, 0) for name in large)
+        from_large = sum(self.refused.get(name, 0) for name in large)
         return [
             f"asked to come back    {total} of {self.requests} requests ({kinds})",
             (
-                f"  of these            {theirs} large organisations ({len(large)}),"
-                f" {total - theirs} small ones ({len(ORGANISATIONS) - len(large)})"
+                f"  of these            {from_large} large organisations ({len(large)}),"
+                f" {total - from_large} small ones ({len(ORGANISATIONS) - len(large)})"
             ),
             (
                 "  why                 all chats begin within 2 s: the bound on each"
