--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -307,7 +307,7 @@
         self._reactor.callLater(SAMPLE_INTERVAL_SECONDS, self._sample_load_skew)
 
 
-def _quantile(values: list[float], share: float) -> float:
+def _quantile(values: list[float], fraction: float) -> float:
     """Return the value that a share of the values does not exceed."""
     if not values:
         return 0.0
