--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -12,7 +12,7 @@
 from twisted.internet.defer import DeferredList
 from twisted.internet.defer import inlineCallbacks
 
-from primrosescale.standin.deployment import FLOOR
+from primrosescale.standin.deployment import FLOOR_WORK_UNITS
 from primrosescale.standin.deployment import LOOPBACK
 from primrosescale.standin.deployment import MODEL
 from primrosescale.standin.deployment import MODEL_SERVICE
@@ -302,7 +302,7 @@
             if isinstance(target.resource, EngineResource)
         ]
         mean = sum(loads) / max(1, len(loads))
-        if mean >= FLOOR:
+        if mean >= FLOOR_WORK_UNITS:
             self._summary.skews.append(max(loads) / mean)
         self._reactor.callLater(SAMPLE_INTERVAL_SECONDS, self._sample_load_skew)
 
--- a/src/primrosescale/standin/deployment.py
+++ b/src/primrosescale/standin/deployment.py
@@ -47,7 +47,7 @@
 MODEL = "riga-assistant"
 AUTHOR_KEY = "demo-author-key"
 APPROVER_KEY = "demo-approver-key"
-FLOOR = 600
+FLOOR_WORK_UNITS = 600
 TOKENS_PER_SECOND = 60.0
 SETTLE_POLL = 0.05
 SETTLE_TRIES = 200
@@ -432,4 +432,4 @@
 
 
 def _model_service() -> str:
-    return f"[service {MODEL_SERVICE}]\nkind = model\nmodels = {MODEL}\nfloor = {FLOOR}"
+    return f"[service {MODEL_SERVICE}]\nkind = model\nmodels = {MODEL}\nfloor = {FLOOR_WORK_UNITS}"
