--- a/src/primrosescale/standin/deployment.py
+++ b/src/primrosescale/standin/deployment.py
@@ -39,7 +39,7 @@
 LOOPBACK = "127.0.0.1"
 REGION = "riga"
 DOMAINS = ("d1", "d2", "d3", "d4")
-ENGINES = 5
+ENGINE_COUNT = 5
 PORTALS = 4
 ROUTERS = 3
 MODEL_SERVICE = "assistant"
@@ -166,7 +166,7 @@
         self._platform_port = self._listen(resource)
         for number in range(ROUTERS):
             yield self._start_router(number)
-        for number in range(ENGINES):
+        for number in range(ENGINE_COUNT):
             yield self.start_target(f"engine-{number + 1}", MODEL_SERVICE, number)
         for number in range(PORTALS):
             yield self.start_target(f"portal-{number + 1}", PLAIN_SERVICE, number)
