--- a/src/primrosescale/standin/deployment.py
+++ b/src/primrosescale/standin/deployment.py
@@ -40,7 +40,7 @@
 REGION = "riga"
 DOMAINS = ("d1", "d2", "d3", "d4")
 ENGINE_COUNT = 5
-PORTALS = 4
+PORTAL_COUNT = 4
 ROUTERS = 3
 MODEL_SERVICE = "assistant"
 PLAIN_SERVICE = "portal"
@@ -168,7 +168,7 @@
             yield self._start_router(number)
         for number in range(ENGINE_COUNT):
             yield self.start_target(f"engine-{number + 1}", MODEL_SERVICE, number)
-        for number in range(PORTALS):
+        for number in range(PORTAL_COUNT):
             yield self.start_target(f"portal-{number + 1}", PLAIN_SERVICE, number)
         yield self.roll_out(caller, self.bundle_text())
         yield self.settle(1)
