--- a/src/primrosescale/standin/deployment.py
+++ b/src/primrosescale/standin/deployment.py
@@ -41,7 +41,7 @@
 DOMAINS = ("d1", "d2", "d3", "d4")
 ENGINE_COUNT = 5
 PORTAL_COUNT = 4
-ROUTERS = 3
+ROUTER_COUNT = 3
 MODEL_SERVICE = "assistant"
 PLAIN_SERVICE = "portal"
 MODEL = "riga-assistant"
@@ -164,7 +164,7 @@
         """
         resource = PlatformResource(MemoryPlatform(self._store, self._reactor))
         self._platform_port = self._listen(resource)
-        for number in range(ROUTERS):
+        for number in range(ROUTER_COUNT):
             yield self._start_router(number)
         for number in range(ENGINE_COUNT):
             yield self.start_target(f"engine-{number + 1}", MODEL_SERVICE, number)
@@ -322,7 +322,7 @@
             versions = [router.keeper.version for router in self._routers]
             versions += [t.agent.keeper.version for t in self._targets.values()]
             known = [len(router.members) for router in self._routers]
-            expected = ROUTERS + len(self._targets)
+            expected = ROUTER_COUNT + len(self._targets)
             if min(versions) >= version and min(known) >= expected:
                 return
             yield self.pause(SETTLE_POLL)
