--- a/src/primrosescale/standin/deployment.py
+++ b/src/primrosescale/standin/deployment.py
@@ -49,7 +49,7 @@
 APPROVER_KEY = "demo-approver-key"
 FLOOR_WORK_UNITS = 600
 TOKENS_PER_SECOND = 60.0
-SETTLE_POLL = 0.05
+SETTLE_POLL_SECONDS = 0.05
 SETTLE_TRIES = 200
 ORGANISATIONS = (
     ("grid-exchange", 4),
@@ -325,7 +325,7 @@
             expected = ROUTER_COUNT + len(self._targets)
             if min(versions) >= version and min(known) >= expected:
                 return
-            yield self.pause(SETTLE_POLL)
+            yield self.pause(SETTLE_POLL_SECONDS)
         raise StandInError("the fleet did not settle", "look at the log for its cause")
 
     def pause(self, seconds: float) -> Deferred[None]:
