--- a/src/primrosescale/standin/deployment.py
+++ b/src/primrosescale/standin/deployment.py
@@ -50,7 +50,7 @@
 FLOOR_WORK_UNITS = 600
 TOKENS_PER_SECOND = 60.0
 SETTLE_POLL_SECONDS = 0.05
-SETTLE_TRIES = 200
+MAX_SETTLE_POLLS = 200
 ORGANISATIONS = (
     ("grid-exchange", 4),
     ("portal-north", 4),
@@ -318,7 +318,7 @@
         Deferred[None]
             When it is; fails with `StandInError` after a while.
         """
-        for _ in range(SETTLE_TRIES):
+        for _ in range(MAX_SETTLE_POLLS):
             versions = [router.keeper.version for router in self._routers]
             versions += [t.agent.keeper.version for t in self._targets.values()]
             known = [len(router.members) for router in self._routers]
