--- a/src/primrosescale/standin/deployment.py
+++ b/src/primrosescale/standin/deployment.py
@@ -373,7 +373,7 @@
 
     @inlineCallbacks
     def _start_router(self, number: int) -> Generator[Any, Any, None]:
-        text = self._common(f"router-{number + 1}", "router", DOMAINS[number])
+        text = self._common_settings(f"router-{number + 1}", "router", DOMAINS[number])
         text += "[router]\nport = 0\nadmin_port = 0\nlink_port = 0\n"
         settings = read_settings(text, "router")
         tools = Tools(settings, self._reactor)
@@ -384,7 +384,7 @@
 
     def _agent(self, name: str, service: str, domain: str, port: int) -> Agent:
         seeds = ", ".join(f"{LOOPBACK}:{r.link_port}" for r in self._routers)
-        text = self._common(name, "agent", domain)
+        text = self._common_settings(name, "agent", domain)
         text += (
             f"[agent]\nservice = {service}\ntarget_port = {port}\nport = 0\n"
             f"routers = {seeds}\n"
@@ -393,7 +393,7 @@
         tools = Tools(settings, self._reactor)
         return Agent(settings, tools, self._platform())
 
-    def _common(self, name: str, role: str, domain: str) -> str:
+    def _common_settings(self, name: str, role: str, domain: str) -> str:
         public = self._signing.public_key().public_bytes_raw()
         approver = base64.b64encode(public).decode()
         author_hash = hashlib.sha256(AUTHOR_KEY.encode()).hexdigest()
