--- a/src/primrosescale/standin/deployment.py
+++ b/src/primrosescale/standin/deployment.py
@@ -215,7 +215,7 @@
             When the agent has joined.
         """
         domain = DOMAINS[number % len(DOMAINS)]
-        resource = self._resource(name, service)
+        resource = self._make_resource(name, service)
         port = self._listen(resource)
         agent = self._agent(name, service, domain, port.getHost().port)
         agent.listen()
@@ -265,7 +265,7 @@
         yield target.port.stopListening()
         for connection in connections:
             connection.transport.abortConnection()
-        target.resource = self._resource(name, target.service)
+        target.resource = self._make_resource(name, target.service)
         target.port = self._listen(target.resource, number)
 
     def write_foreign_hosts(self, entries: list[Any]) -> None:
@@ -414,7 +414,7 @@
         self._platforms.append(platform)
         return platform
 
-    def _resource(
+    def _make_resource(
         self, name: str, service: str
     ) -> EngineResource | PlainServiceResource:
         if service == MODEL_SERVICE:
