--- a/src/primrosescale/standin/deployment.py
+++ b/src/primrosescale/standin/deployment.py
@@ -217,7 +217,7 @@
         domain = DOMAINS[number % len(DOMAINS)]
         resource = self._make_resource(name, service)
         port = self._listen(resource)
-        agent = self._agent(name, service, domain, port.getHost().port)
+        agent = self._make_agent(name, service, domain, port.getHost().port)
         agent.listen()
         self._targets[name] = DeployedTarget(
             name, service, domain, resource, port, agent
@@ -382,7 +382,7 @@
         self._routers.append(router)
         yield router.start()
 
-    def _agent(self, name: str, service: str, domain: str, port: int) -> Agent:
+    def _make_agent(self, name: str, service: str, domain: str, port: int) -> Agent:
         seeds = ", ".join(f"{LOOPBACK}:{r.link_port}" for r in self._routers)
         text = self._common_settings(name, "agent", domain)
         text += (
