--- a/src/primrosescale/standin/deployment.py
+++ b/src/primrosescale/standin/deployment.py
@@ -377,7 +377,7 @@
         text += "[router]\nport = 0\nadmin_port = 0\nlink_port = 0\n"
         settings = read_settings(text, "router")
         tools = Tools(settings, self._reactor)
-        router = Router(settings, tools, self._platform())
+        router = Router(settings, tools, self._make_platform_client())
         router.listen()
         self._routers.append(router)
         yield router.start()
@@ -391,7 +391,7 @@
         )
         settings = read_settings(text, "agent")
         tools = Tools(settings, self._reactor)
-        return Agent(settings, tools, self._platform())
+        return Agent(settings, tools, self._make_platform_client())
 
     def _common_settings(self, name: str, role: str, domain: str) -> str:
         public = self._signing.public_key().public_bytes_raw()
@@ -408,7 +408,7 @@
             f"operators = author:{author_hash}, approver:{approver_hash}\n"
         )
 
-    def _platform(self) -> HttpPlatform:
+    def _make_platform_client(self) -> HttpPlatform:
         endpoint = Endpoint(LOOPBACK, self._platform_port.getHost().port)
         platform = HttpPlatform(self._reactor, endpoint, 2.0)
         self._platforms.append(platform)
