--- a/src/primrosescale/standin/engine.py
+++ b/src/primrosescale/standin/engine.py
@@ -19,7 +19,7 @@
 
     from primrosescale.clock import Clock
 
-DEFAULT_OUTPUT = 40
+DEFAULT_OUTPUT_TOKENS = 40
 WORD_TEXT = "token "
 OK = 200
 BAD_REQUEST = 400
@@ -334,7 +334,7 @@
         except ValueError:
             _reply(request, BAD_REQUEST, {"error": "not JSON"})
             return
-        output = int(fields.get("max_tokens") or DEFAULT_OUTPUT)
+        output = int(fields.get("max_tokens") or DEFAULT_OUTPUT_TOKENS)
         self._running += 1
         Generation(
             request,
