--- a/src/primrosescale/standin/engine.py
+++ b/src/primrosescale/standin/engine.py
@@ -25,7 +25,7 @@
 BAD_REQUEST = 400
 NOT_FOUND = 404
 CONFLICT = 409
-FAILURE = 500
+INTERNAL_SERVER_ERROR = 500
 
 
 @dataclass(slots=True)
@@ -326,7 +326,9 @@
 
     def _complete(self, request: Request) -> None:
         if self._settings.fails:
-            _reply(request, FAILURE, {"error": "stand-in was told to fail"})
+            _reply(
+                request, INTERNAL_SERVER_ERROR, {"error": "stand-in was told to fail"}
+            )
             return
         body = request_body(request)
         try:
