--- a/src/primrosescale/standin/engine.py
+++ b/src/primrosescale/standin/engine.py
@@ -173,9 +173,9 @@
         settings = self._engine.settings
         self._request.setHeader(b"x-cached-tokens", str(cached).encode())
         wait = (self._prompt - cached) / settings.prefill_per_second
-        self._engine.clock.callLater(wait, self._first)
+        self._engine.clock.callLater(wait, self._start_output)
 
-    def _first(self) -> None:
+    def _start_output(self) -> None:
         if self._is_cancelled:
             return
         if self._is_streamed:
