--- a/src/primrosescale/standin/engine.py
+++ b/src/primrosescale/standin/engine.py
@@ -182,9 +182,9 @@
             self._request.setHeader(b"content-type", b"text/event-stream")
         else:
             self._request.setHeader(b"content-type", b"application/json")
-        self._token()
+        self._generate_token()
 
-    def _token(self) -> None:
+    def _generate_token(self) -> None:
         if self._is_cancelled:
             return
         self._done += 1
@@ -194,7 +194,7 @@
             self._end()
             return
         gap = 1.0 / self._engine.settings.tokens_per_second
-        self._engine.clock.callLater(gap, self._token)
+        self._engine.clock.callLater(gap, self._generate_token)
 
     def _end(self) -> None:
         self._engine.ended(self._chat, self._prompt + self._output)
