--- a/src/primrosescale/standin/engine.py
+++ b/src/primrosescale/standin/engine.py
@@ -191,12 +191,12 @@
         if self._is_streamed:
             self._request.write(_event(self._chat, self._done))
         if self._done >= self._output:
-            self._end()
+            self._finish()
             return
         gap = 1.0 / self._engine.settings.tokens_per_second
         self._engine.clock.callLater(gap, self._generate_token)
 
-    def _end(self) -> None:
+    def _finish(self) -> None:
         self._engine.ended(self._chat, self._prompt + self._output)
         if self._is_streamed:
             self._request.write(b"data: [DONE]\n\n")
