--- a/src/primrosescale/standin/engine.py
+++ b/src/primrosescale/standin/engine.py
@@ -165,7 +165,7 @@
         self._is_streamed = is_streamed
         self._done = 0
         self._is_cancelled = False
-        request.notifyFinish().addErrback(self._cancelled)
+        request.notifyFinish().addErrback(self._handle_disconnect)
 
     def begin(self) -> None:
         """Read the prompt, then generate."""
