--- a/src/primrosescale/standin/engine.py
+++ b/src/primrosescale/standin/engine.py
@@ -205,7 +205,7 @@
             self._request.write(_completion(text, self._prompt, self._output))
         self._request.finish()
 
-    def _cancelled(self, _: Any) -> None:
+    def _handle_disconnect(self, _: Any) -> None:
         if not self._is_cancelled:
             self._is_cancelled = True
             self._engine.cancelled()
