--- a/src/primrosescale/standin/engine.py
+++ b/src/primrosescale/standin/engine.py
@@ -197,7 +197,7 @@
         self._engine.clock.callLater(gap, self._generate_token)
 
     def _finish(self) -> None:
-        self._engine.ended(self._chat, self._prompt + self._output)
+        self._engine.record_answered(self._chat, self._prompt + self._output)
         if self._is_streamed:
             self._request.write(b"data: [DONE]\n\n")
         else:
