--- a/src/primrosescale/standin/engine.py
+++ b/src/primrosescale/standin/engine.py
@@ -275,7 +275,7 @@
         """Return the highest fencing number seen."""
         return self._fence
 
-    def ended(self, chat: str, tokens: int) -> None:
+    def record_answered(self, chat: str, tokens: int) -> None:
         """Take in that a request was answered.
 
         Parameters
