--- a/src/primrosescale/standin/engine.py
+++ b/src/primrosescale/standin/engine.py
@@ -208,7 +208,7 @@
     def _handle_disconnect(self, _: Any) -> None:
         if not self._is_cancelled:
             self._is_cancelled = True
-            self._engine.cancelled()
+            self._engine.record_cancelled()
 
 
 class EngineResource(Resource):
