--- a/src/primrosescale/standin/engine.py
+++ b/src/primrosescale/standin/engine.py
@@ -289,7 +289,7 @@
         self._answered += 1
         self._cache.store(chat, tokens)
 
-    def cancelled(self) -> None:
+    def record_cancelled(self) -> None:
         """Take in that a request was cancelled."""
         self._running -= 1
         self._cancelled += 1
