--- a/src/primrosescale/standin/engine.py
+++ b/src/primrosescale/standin/engine.py
@@ -311,7 +311,7 @@
         request.setHeader(b"x-request-id", echo.encode())
         path = request.path.decode()
         if path == "/v1/chat/completions":
-            self._complete(request)
+            self._serve_completion(request)
         elif path.startswith("/cache/"):
             self._move_cache(request, path[len("/cache/") :])
         elif path == "/orders":
@@ -324,7 +324,7 @@
             _reply(request, NOT_FOUND, {"error": "no such path"})
         return NOT_DONE_YET
 
-    def _complete(self, request: Request) -> None:
+    def _serve_completion(self, request: Request) -> None:
         if self._settings.fails:
             _reply(
                 request, INTERNAL_SERVER_ERROR, {"error": "stand-in was told to fail"}
