--- a/src/primrosescale/standin/engine.py
+++ b/src/primrosescale/standin/engine.py
@@ -313,7 +313,7 @@
         if path == "/v1/chat/completions":
             self._serve_completion(request)
         elif path.startswith("/cache/"):
-            self._move_cache(request, path[len("/cache/") :])
+            self._serve_cache(request, path[len("/cache/") :])
         elif path == "/orders":
             self._order(request)
         elif path == "/state":
@@ -347,7 +347,7 @@
             is_streamed=bool(fields.get("stream")),
         ).begin()
 
-    def _move_cache(self, request: Request, chat: str) -> None:
+    def _serve_cache(self, request: Request, chat: str) -> None:
         if request.method == b"GET":
             tokens = self._cache.tokens(chat)
             status = OK if tokens else NOT_FOUND
