--- a/src/primrosescale/standin/engine.py
+++ b/src/primrosescale/standin/engine.py
@@ -315,7 +315,7 @@
         elif path.startswith("/cache/"):
             self._serve_cache(request, path[len("/cache/") :])
         elif path == "/orders":
-            self._order(request)
+            self._serve_order(request)
         elif path == "/state":
             _reply(request, OK, {**self._state, "fence": self._fence})
         elif path == "/load":
@@ -357,7 +357,7 @@
         self._cache.store(chat, tokens)
         _reply(request, OK, {})
 
-    def _order(self, request: Request) -> None:
+    def _serve_order(self, request: Request) -> None:
         order = json.loads(request_body(request))
         fence = int(order.pop("fence"))
         if self._settings.checks_fence and fence < self._fence:
