--- a/src/primrosescale/standin/engine.py
+++ b/src/primrosescale/standin/engine.py
@@ -202,7 +202,7 @@
             self._request.write(b"data: [DONE]\n\n")
         else:
             text = f"{self._chat}: " + TOKEN_TEXT * self._output
-            self._request.write(_completion(text, self._prompt, self._output))
+            self._request.write(_completion_body(text, self._prompt, self._output))
         self._request.finish()
 
     def _handle_disconnect(self, _: Any) -> None:
@@ -373,7 +373,7 @@
     return b"data: " + json.dumps(delta).encode() + b"\n\n"
 
 
-def _completion(text: str, prompt: int, output: int) -> bytes:
+def _completion_body(text: str, prompt: int, output: int) -> bytes:
     message = {"role": "assistant", "content": text}
     usage = {"prompt_tokens": prompt, "completion_tokens": output}
     return json.dumps({"choices": [{"message": message}], "usage": usage}).encode()
