--- a/src/primrosescale/standin/engine.py
+++ b/src/primrosescale/standin/engine.py
@@ -189,7 +189,7 @@
             return
         self._done += 1
         if self._is_streamed:
-            self._request.write(_event(self._chat, self._done))
+            self._request.write(_stream_event(self._chat, self._done))
         if self._done >= self._output:
             self._finish()
             return
@@ -368,7 +368,7 @@
         _reply(request, OK, {**self._state, "fence": self._fence})
 
 
-def _event(chat: str, number: int) -> bytes:
+def _stream_event(chat: str, number: int) -> bytes:
     delta = {"choices": [{"delta": {"content": f"{chat}#{number} "}}]}
     return b"data: " + json.dumps(delta).encode() + b"\n\n"
 
