--- a/src/primrosescale/standin/engine.py
+++ b/src/primrosescale/standin/engine.py
@@ -317,16 +317,16 @@
         elif path == "/orders":
             self._serve_order(request)
         elif path == "/state":
-            _reply(request, OK, {**self._state, "fence": self._fence})
+            _send_json(request, OK, {**self._state, "fence": self._fence})
         elif path == "/load":
-            _reply(request, OK, {"running": self._running})
+            _send_json(request, OK, {"running": self._running})
         else:
-            _reply(request, NOT_FOUND, {"error": "no such path"})
+            _send_json(request, NOT_FOUND, {"error": "no such path"})
         return NOT_DONE_YET
 
     def _serve_completion(self, request: Request) -> None:
         if self._settings.fails:
-            _reply(
+            _send_json(
                 request, INTERNAL_SERVER_ERROR, {"error": "stand-in was told to fail"}
             )
             return
@@ -334,7 +334,7 @@
         try:
             fields = json.loads(body)
         except ValueError:
-            _reply(request, BAD_REQUEST, {"error": "not JSON"})
+            _send_json(request, BAD_REQUEST, {"error": "not JSON"})
             return
         output = int(fields.get("max_tokens") or DEFAULT_OUTPUT_TOKENS)
         self._running += 1
@@ -351,21 +351,21 @@
         if request.method == b"GET":
             tokens = self._cache.tokens(chat)
             status = OK if tokens else NOT_FOUND
-            _reply(request, status, {"tokens": tokens})
+            _send_json(request, status, {"tokens": tokens})
             return
         tokens = int(json.loads(request_body(request))["tokens"])
         self._cache.store(chat, tokens)
-        _reply(request, OK, {})
+        _send_json(request, OK, {})
 
     def _serve_order(self, request: Request) -> None:
         order = json.loads(request_body(request))
         fence = int(order.pop("fence"))
         if self._settings.checks_fence and fence < self._fence:
-            _reply(request, CONFLICT, {"error": "old fence", "fence": self._fence})
+            _send_json(request, CONFLICT, {"error": "old fence", "fence": self._fence})
             return
         self._fence = max(self._fence, fence)
         self._state.update(order)
-        _reply(request, OK, {**self._state, "fence": self._fence})
+        _send_json(request, OK, {**self._state, "fence": self._fence})
 
 
 def _stream_event(chat: str, number: int) -> bytes:
@@ -379,7 +379,7 @@
     return json.dumps({"choices": [{"message": message}], "usage": usage}).encode()
 
 
-def _reply(request: Request, status: int, fields: dict[str, Any]) -> None:
+def _send_json(request: Request, status: int, fields: dict[str, Any]) -> None:
     body = json.dumps(fields).encode()
     request.setResponseCode(status)
     request.setHeader(b"content-length", str(len(body)).encode())
