--- a/src/primrosescale/standin/http_caller.py
+++ b/src/primrosescale/standin/http_caller.py
@@ -24,7 +24,7 @@
 
     from twisted.python.failure import Failure
 
-FIRST_ERROR = 400
+FIRST_ERROR_STATUS = 400
 CONNECTIONS = 200
 
 
@@ -188,7 +188,7 @@
         text = content if isinstance(content, str) else json.dumps(content)
         headers = {"Authorization": f"Bearer {key}"}
         reply = yield self.call(method, url, headers, text.encode())
-        if not 0 < reply.status < FIRST_ERROR:
+        if not 0 < reply.status < FIRST_ERROR_STATUS:
             detail = reply.body.decode("utf-8", "replace")
             raise StandInError(f"{method} {url}: {reply.status} {detail}", "see detail")
         return reply.json()
