--- a/src/primrosescale/standin/http_caller.py
+++ b/src/primrosescale/standin/http_caller.py
@@ -25,7 +25,7 @@
     from twisted.python.failure import Failure
 
 FIRST_ERROR_STATUS = 400
-CONNECTIONS = 200
+MAX_KEPT_CONNECTIONS = 200
 
 
 @dataclass(slots=True)
@@ -100,7 +100,7 @@
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
         self._pool = HTTPConnectionPool(reactor)
-        self._pool.maxPersistentPerHost = CONNECTIONS
+        self._pool.maxPersistentPerHost = MAX_KEPT_CONNECTIONS
         self._pool.retryAutomatically = False
         self._agent = Agent(reactor, connectTimeout=2.0, pool=self._pool)
 
