--- a/src/primrosescale/standin/http_caller.py
+++ b/src/primrosescale/standin/http_caller.py
@@ -66,7 +66,7 @@
             return {}
 
 
-class _Collector(Protocol):
+class _BodyCollector(Protocol):
     """Collects a body and notes when it began."""
 
     def __init__(self, reactor: Any, began: float, result: Deferred[Any]) -> None:
@@ -155,7 +155,7 @@
             text = str(error).encode()
             return Reply(0, Headers(), text, is_whole=False, first_byte=0.0)
         collected: Deferred[Any] = Deferred()
-        response.deliverBody(_Collector(self._reactor, began, collected))
+        response.deliverBody(_BodyCollector(self._reactor, began, collected))
         content, is_whole, first = yield collected
         return Reply(response.code, response.headers, content, is_whole, first)
 
