--- a/src/primrosescale/standin/http_caller.py
+++ b/src/primrosescale/standin/http_caller.py
@@ -71,7 +71,7 @@
 
     def __init__(self, reactor: Any, began: float, result: Deferred[Any]) -> None:
         self._reactor = reactor
-        self._began = began
+        self._started_at = began
         self._result = result
         self._parts: list[bytes] = []
         self._first = 0.0
@@ -79,7 +79,7 @@
     def dataReceived(self, data: bytes) -> None:
         """Keep bytes."""
         if not self._parts:
-            self._first = self._reactor.seconds() - self._began
+            self._first = self._reactor.seconds() - self._started_at
         self._parts.append(data)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
