--- a/src/primrosescale/standin/http_caller.py
+++ b/src/primrosescale/standin/http_caller.py
@@ -69,9 +69,9 @@
 class _BodyCollector(Protocol):
     """Collects a body and notes when it began."""
 
-    def __init__(self, reactor: Any, began: float, result: Deferred[Any]) -> None:
+    def __init__(self, reactor: Any, started_at: float, result: Deferred[Any]) -> None:
         self._reactor = reactor
-        self._started_at = began
+        self._started_at = started_at
         self._result = result
         self._parts: list[bytes] = []
         self._first = 0.0
@@ -142,7 +142,7 @@
             What came back; never fails.
         """
         sent = Headers({name: [value] for name, value in headers.items()})
-        began = self._reactor.seconds()
+        started_at = self._reactor.seconds()
         producer = body_producer(body or None)
         try:
             response = yield self._agent.request(
@@ -155,7 +155,7 @@
             text = str(error).encode()
             return Reply(0, Headers(), text, is_whole=False, first_byte=0.0)
         collected: Deferred[Any] = Deferred()
-        response.deliverBody(_BodyCollector(self._reactor, began, collected))
+        response.deliverBody(_BodyCollector(self._reactor, started_at, collected))
         content, is_whole, first = yield collected
         return Reply(response.code, response.headers, content, is_whole, first)
 
