--- a/src/primrosescale/standin/http_caller.py
+++ b/src/primrosescale/standin/http_caller.py
@@ -74,18 +74,20 @@
         self._started_at = started_at
         self._result = result
         self._parts: list[bytes] = []
-        self._first = 0.0
+        self._first_byte_seconds = 0.0
 
     def dataReceived(self, data: bytes) -> None:
         """Keep bytes."""
         if not self._parts:
-            self._first = self._reactor.seconds() - self._started_at
+            self._first_byte_seconds = self._reactor.seconds() - self._started_at
         self._parts.append(data)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Hand over what came."""
         is_whole = bool(reason.check(ResponseDone))
-        self._result.callback((b"".join(self._parts), is_whole, self._first))
+        self._result.callback(
+            (b"".join(self._parts), is_whole, self._first_byte_seconds)
+        )
 
 
 class HttpCaller:
