--- a/src/primrosescale/standin/memory_platform.py
+++ b/src/primrosescale/standin/memory_platform.py
@@ -22,7 +22,7 @@
     from primrosescale.connection.wire.ttypes import HostEntry
     from primrosescale.standin.object_store import ObjectStore
 
-WATCH_STEP = 0.05
+WATCH_POLL_SECONDS = 0.05
 
 
 class MemoryPlatform(Platform):
@@ -99,7 +99,9 @@
         if found.changes or self._now() >= until:
             result.callback(found)
             return
-        self._clock.callLater(WATCH_STEP, self._poll, result, prefix, since, until)
+        self._clock.callLater(
+            WATCH_POLL_SECONDS, self._poll, result, prefix, since, until
+        )
 
     def _now(self) -> float:
         return self._clock.seconds()
