--- a/src/primrosescale/standin/memory_platform.py
+++ b/src/primrosescale/standin/memory_platform.py
@@ -47,22 +47,26 @@
 
     def get(self, key: str) -> Deferred[StoredObject | None]:
         """Read an object; see `Platform.get`."""
-        return self._later(lambda: self._store.get(key, self._now()))
+        return self._call_after_latency(lambda: self._store.get(key, self._now()))
 
     def put(self, key: str, value: bytes, expected: int) -> Deferred[int]:
         """Write an object; see `Platform.put`."""
-        return self._later(
+        return self._call_after_latency(
             lambda: self._store.put(key, value, expected, self._now()),
             is_write=True,
         )
 
     def delete(self, key: str) -> Deferred[None]:
         """Delete an object; see `Platform.delete`."""
-        return self._later(lambda: self._store.delete(key, self._now()), is_write=True)
+        return self._call_after_latency(
+            lambda: self._store.delete(key, self._now()), is_write=True
+        )
 
     def list(self, prefix: str, after: str, limit: int) -> Deferred[list[StoredObject]]:
         """Read objects; see `Platform.list`."""
-        return self._later(lambda: self._store.list(prefix, after, limit, self._now()))
+        return self._call_after_latency(
+            lambda: self._store.list(prefix, after, limit, self._now())
+        )
 
     def watch(self, prefix: str, since: int, wait: float) -> Deferred[WatchResult]:
         """Wait for a change; see `Platform.watch`."""
@@ -79,11 +83,11 @@
 
     def hosts(self, since: int) -> Deferred[HostList]:
         """Read the list of hosts; see `Platform.hosts`."""
-        return self._later(lambda: self._store.hosts(since, self._now()))
+        return self._call_after_latency(lambda: self._store.hosts(since, self._now()))
 
     def announce(self, entry: HostEntry) -> Deferred[None]:
         """Put a host on the list; see `Platform.announce`."""
-        return self._later(
+        return self._call_after_latency(
             lambda: self._store.announce(entry, self._now()),
             is_write=True,
         )
@@ -106,7 +110,7 @@
     def _now(self) -> float:
         return self._clock.seconds()
 
-    def _later(
+    def _call_after_latency(
         self, act: Callable[[], Any], *, is_write: bool = False
     ) -> Deferred[Any]:
         result: Deferred[Any] = Deferred()
