--- a/src/primrosescale/standin/memory_platform.py
+++ b/src/primrosescale/standin/memory_platform.py
@@ -115,10 +115,10 @@
     ) -> Deferred[Any]:
         result: Deferred[Any] = Deferred()
         half = self._store.settings.latency / 2
-        self._clock.callLater(half, self._act, act, result, is_write, half)
+        self._clock.callLater(half, self._run_operation, act, result, is_write, half)
         return result
 
-    def _act(
+    def _run_operation(
         self,
         act: Callable[[], Any],
         result: Deferred[Any],
