--- a/src/primrosescale/standin/memory_platform.py
+++ b/src/primrosescale/standin/memory_platform.py
@@ -111,22 +111,24 @@
         return self._clock.seconds()
 
     def _call_after_latency(
-        self, act: Callable[[], Any], *, is_write: bool = False
+        self, operation: Callable[[], Any], *, is_write: bool = False
     ) -> Deferred[Any]:
         result: Deferred[Any] = Deferred()
         half = self._store.settings.latency / 2
-        self._clock.callLater(half, self._run_operation, act, result, is_write, half)
+        self._clock.callLater(
+            half, self._run_operation, operation, result, is_write, half
+        )
         return result
 
     def _run_operation(
         self,
-        act: Callable[[], Any],
+        operation: Callable[[], Any],
         result: Deferred[Any],
         is_write: bool,
         half: float,
     ) -> None:
         try:
-            value = act()
+            value = operation()
         except PlatformError:
             self._clock.callLater(half, result.errback, Failure())
             return
