--- a/src/primrosescale/standin/memory_platform.py
+++ b/src/primrosescale/standin/memory_platform.py
@@ -114,9 +114,9 @@
         self, operation: Callable[[], Any], *, is_write: bool = False
     ) -> Deferred[Any]:
         result: Deferred[Any] = Deferred()
-        half = self._store.settings.latency / 2
+        half_latency = self._store.settings.latency / 2
         self._clock.callLater(
-            half, self._run_operation, operation, result, is_write, half
+            half_latency, self._run_operation, operation, result, is_write, half_latency
         )
         return result
 
@@ -125,17 +125,17 @@
         operation: Callable[[], Any],
         result: Deferred[Any],
         is_write: bool,
-        half: float,
+        half_latency: float,
     ) -> None:
         try:
             value = operation()
         except PlatformError:
-            self._clock.callLater(half, result.errback, Failure())
+            self._clock.callLater(half_latency, result.errback, Failure())
             return
         settings = self._store.settings
         if is_write and settings.lost_answers > 0:
             settings.lost_answers -= 1
             lost = Failure(PlatformAnswerLostError("stand-in was told to lose it"))
-            self._clock.callLater(half, result.errback, lost)
+            self._clock.callLater(half_latency, result.errback, lost)
             return
-        self._clock.callLater(half, result.callback, value)
+        self._clock.callLater(half_latency, result.callback, value)
