--- a/src/primrosescale/standin/object_store.py
+++ b/src/primrosescale/standin/object_store.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from primrosescale.connection.wire.ttypes import HostEntry
 
-HOST_HISTORY = 2000
+MAX_HOST_CHANGES = 2000
 
 
 @dataclass(slots=True)
@@ -300,7 +300,7 @@
         self._count_read(now)
         shown = [c for c in self._host_changes if c.visible_at <= now]
         version = shown[-1].version if shown else 0
-        is_full = since == 0 or version - since > HOST_HISTORY
+        is_full = since == 0 or version - since > MAX_HOST_CHANGES
         latest: dict[str, HostEntry] = {}
         for change in shown:
             if is_full or change.version > since:
