--- a/src/primrosescale/standin/object_store.py
+++ b/src/primrosescale/standin/object_store.py
@@ -59,7 +59,7 @@
 
     def __init__(self, now: float) -> None:
         self._tokens: float | None = None
-        self._at = now
+        self._updated_at = now
 
     def take(self, rate: float, now: float) -> bool:
         """Take one token.
@@ -77,8 +77,8 @@
             False when there is none.
         """
         held = rate if self._tokens is None else self._tokens
-        held = min(rate, held + (now - self._at) * rate)
-        self._at = now
+        held = min(rate, held + (now - self._updated_at) * rate)
+        self._updated_at = now
         self._tokens = held
         if held < 1.0:
             return False
