--- a/src/primrosescale/standin/object_store.py
+++ b/src/primrosescale/standin/object_store.py
@@ -298,11 +298,11 @@
             Changes since then, or the whole list.
         """
         self._count_read(now)
-        shown = [c for c in self._host_changes if c.visible_at <= now]
-        version = shown[-1].version if shown else 0
+        visible = [c for c in self._host_changes if c.visible_at <= now]
+        version = visible[-1].version if visible else 0
         is_full = since == 0 or version - since > MAX_HOST_CHANGES
         latest: dict[str, HostEntry] = {}
-        for change in shown:
+        for change in visible:
             if is_full or change.version > since:
                 latest[change.entry.name] = change.entry
         entries = tuple(e for e in latest.values() if not (is_full and e.gone))
