--- a/src/primrosescale/standin/plain_service.py
+++ b/src/primrosescale/standin/plain_service.py
@@ -67,16 +67,16 @@
         int
             `NOT_DONE_YET`.
         """
-        gone: list[bool] = []
-        request.notifyFinish().addErrback(lambda _: gone.append(True))
+        disconnects: list[bool] = []
+        request.notifyFinish().addErrback(lambda _: disconnects.append(True))
         case = _case_of(request_body(request))
         if case:
             self._runs[case] += 1
-        self._clock.callLater(self._delay, self._answer, request, case, gone)
+        self._clock.callLater(self._delay, self._answer, request, case, disconnects)
         return NOT_DONE_YET
 
-    def _answer(self, request: Request, case: str, gone: list[bool]) -> None:
-        if gone:
+    def _answer(self, request: Request, case: str, disconnects: list[bool]) -> None:
+        if disconnects:
             return
         echo = request.getHeader("X-Request-Id") or ""
         fields: dict[str, Any] = {
--- a/src/primrosescale/standin/platform_site.py
+++ b/src/primrosescale/standin/platform_site.py
@@ -67,14 +67,14 @@
         int
             `NOT_DONE_YET`: every answer takes its latency.
         """
-        gone: list[bool] = []
-        request.notifyFinish().addErrback(lambda _: gone.append(True))
+        disconnects: list[bool] = []
+        request.notifyFinish().addErrback(lambda _: disconnects.append(True))
         parts = [unquote(part.decode()) for part in request.path.split(b"/")[2:]]
         answered = self._route(request, request.method.decode(), parts)
         if answered is None:
             _answer(request, BAD_REQUEST, b"unknown call")
             return NOT_DONE_YET
-        answered.addErrback(self._fail, request, gone)
+        answered.addErrback(self._fail, request, disconnects)
         answered.addErrback(lambda failure: failure.printTraceback())
         return NOT_DONE_YET
 
@@ -124,10 +124,12 @@
             return deleted.addCallback(lambda _: _answer(request, NO_CONTENT, b""))
         return None
 
-    def _fail(self, failure: Failure, request: Request, gone: list[bool]) -> None:
+    def _fail(
+        self, failure: Failure, request: Request, disconnects: list[bool]
+    ) -> None:
         error = failure.value
         failure.trap(PlatformError)
-        if gone:
+        if disconnects:
             return
         if isinstance(error, PlatformConflictError):
             _answer(request, CONFLICT, str(error).encode(), error.current)
