--- a/src/primrosescale/standin/plain_service.py
+++ b/src/primrosescale/standin/plain_service.py
@@ -69,7 +69,7 @@
         """
         disconnects: list[bool] = []
         request.notifyFinish().addErrback(lambda _: disconnects.append(True))
-        case = _case_of(request_body(request))
+        case = _parse_case(request_body(request))
         if case:
             self._runs[case] += 1
         self._clock.callLater(self._delay, self._answer, request, case, disconnects)
@@ -93,7 +93,7 @@
         request.finish()
 
 
-def _case_of(body: bytes) -> str:
+def _parse_case(body: bytes) -> str:
     try:
         fields = json.loads(body) if body else {}
     except ValueError:
