--- a/src/primrosescale/standin/plain_service.py
+++ b/src/primrosescale/standin/plain_service.py
@@ -72,10 +72,14 @@
         case = _parse_case(request_body(request))
         if case:
             self._runs[case] += 1
-        self._clock.callLater(self._delay, self._answer, request, case, disconnects)
+        self._clock.callLater(
+            self._delay, self._send_answer, request, case, disconnects
+        )
         return NOT_DONE_YET
 
-    def _answer(self, request: Request, case: str, disconnects: list[bool]) -> None:
+    def _send_answer(
+        self, request: Request, case: str, disconnects: list[bool]
+    ) -> None:
         if disconnects:
             return
         echo = request.getHeader("X-Request-Id") or ""
