--- a/src/primrosescale/standin/platform_site.py
+++ b/src/primrosescale/standin/platform_site.py
@@ -33,7 +33,7 @@
 NO_CONTENT = 204
 BAD_REQUEST = 400
 NOT_FOUND = 404
-CONFLICT = 412
+PRECONDITION_FAILED = 412
 TOO_LARGE = 413
 UNAVAILABLE = 503
 DEFAULT_LIMIT = 500
@@ -132,7 +132,7 @@
         if disconnects:
             return
         if isinstance(error, PlatformConflictError):
-            _answer(request, CONFLICT, str(error).encode(), error.current)
+            _answer(request, PRECONDITION_FAILED, str(error).encode(), error.current)
         elif isinstance(error, PlatformLimitError):
             _answer(request, TOO_LARGE, str(error).encode())
         elif isinstance(error, PlatformAnswerLostError):
