--- a/src/primrosescale/standin/platform_site.py
+++ b/src/primrosescale/standin/platform_site.py
@@ -35,7 +35,7 @@
 NOT_FOUND = 404
 PRECONDITION_FAILED = 412
 TOO_LARGE = 413
-UNAVAILABLE = 503
+SERVICE_UNAVAILABLE = 503
 DEFAULT_LIMIT = 500
 
 
@@ -138,7 +138,7 @@
         elif isinstance(error, PlatformAnswerLostError):
             request.loseConnection()
         else:
-            _answer(request, UNAVAILABLE, str(error).encode())
+            _answer(request, SERVICE_UNAVAILABLE, str(error).encode())
 
 
 def _expected(request: Request) -> int:
