--- a/src/primrosescale/standin/platform_site.py
+++ b/src/primrosescale/standin/platform_site.py
@@ -36,7 +36,7 @@
 PRECONDITION_FAILED = 412
 TOO_LARGE = 413
 SERVICE_UNAVAILABLE = 503
-DEFAULT_LIMIT = 500
+DEFAULT_PAGE_SIZE = 500
 
 
 class PlatformResource(Resource):
@@ -89,7 +89,7 @@
         if kind == "objects" and key:
             return self._object(request, method, key)
         if kind == "objects" and method == "GET":
-            limit = int(_argument(request, "limit", str(DEFAULT_LIMIT)))
+            limit = int(_argument(request, "limit", str(DEFAULT_PAGE_SIZE)))
             prefix = _argument(request, "prefix", "")
             listed = self._platform.list(prefix, _argument(request, "after", ""), limit)
             return listed.addCallback(lambda items: _send(request, _items(items)))
