--- a/src/primrosescale/standin/platform_site.py
+++ b/src/primrosescale/standin/platform_site.py
@@ -87,7 +87,7 @@
         kind = parts[0] if parts else ""
         key = "/".join(parts[1:])
         if kind == "objects" and key:
-            return self._object(request, method, key)
+            return self._serve_object(request, method, key)
         if kind == "objects" and method == "GET":
             limit = int(_argument(request, "limit", str(DEFAULT_PAGE_SIZE)))
             prefix = _argument(request, "prefix", "")
@@ -112,7 +112,9 @@
             return announced.addCallback(lambda _: _answer(request, OK, b""))
         return None
 
-    def _object(self, request: Request, method: str, key: str) -> Deferred[Any] | None:
+    def _serve_object(
+        self, request: Request, method: str, key: str
+    ) -> Deferred[Any] | None:
         if method == "GET":
             return self._platform.get(key).addCallback(_send_object, request)
         if method == "PUT":
