--- a/src/primrosescale/standin/platform_site.py
+++ b/src/primrosescale/standin/platform_site.py
@@ -74,7 +74,7 @@
         if answered is None:
             _answer(request, BAD_REQUEST, b"unknown call")
             return NOT_DONE_YET
-        answered.addErrback(self._fail, request, disconnects)
+        answered.addErrback(self._send_error, request, disconnects)
         answered.addErrback(lambda failure: failure.printTraceback())
         return NOT_DONE_YET
 
@@ -126,7 +126,7 @@
             return deleted.addCallback(lambda _: _answer(request, NO_CONTENT, b""))
         return None
 
-    def _fail(
+    def _send_error(
         self, failure: Failure, request: Request, disconnects: list[bool]
     ) -> None:
         error = failure.value
