--- a/src/primrosescale/standin/platform_site.py
+++ b/src/primrosescale/standin/platform_site.py
@@ -89,19 +89,21 @@
         if kind == "objects" and key:
             return self._serve_object(request, method, key)
         if kind == "objects" and method == "GET":
-            limit = int(_argument(request, "limit", str(DEFAULT_PAGE_SIZE)))
-            prefix = _argument(request, "prefix", "")
-            listed = self._platform.list(prefix, _argument(request, "after", ""), limit)
+            limit = int(_query_argument(request, "limit", str(DEFAULT_PAGE_SIZE)))
+            prefix = _query_argument(request, "prefix", "")
+            listed = self._platform.list(
+                prefix, _query_argument(request, "after", ""), limit
+            )
             return listed.addCallback(lambda items: _send(request, _items(items)))
         if kind == "watch" and method == "GET":
-            since = int(_argument(request, "since", "0"))
-            wait = float(_argument(request, "wait", "0"))
+            since = int(_query_argument(request, "since", "0"))
+            wait = float(_query_argument(request, "wait", "0"))
             watched = self._platform.watch(
-                _argument(request, "prefix", ""), since, wait
+                _query_argument(request, "prefix", ""), since, wait
             )
             return watched.addCallback(lambda found: _send(request, _watch(found)))
         if kind == "hosts" and method == "GET":
-            listing = self._platform.hosts(int(_argument(request, "since", "0")))
+            listing = self._platform.hosts(int(_query_argument(request, "since", "0")))
             foreign = self._platform.store.foreign_hosts
             return listing.addCallback(
                 lambda found: _send(request, _hosts(found, foreign))
@@ -148,7 +150,7 @@
     return int(tag.strip('"')) if tag else 0
 
 
-def _argument(request: Request, name: str, default: str) -> str:
+def _query_argument(request: Request, name: str, default: str) -> str:
     values: list[bytes] = request.args.get(name.encode(), [])
     return values[0].decode() if values else default
 
