--- a/src/primrosescale/standin/platform_site.py
+++ b/src/primrosescale/standin/platform_site.py
@@ -120,7 +120,7 @@
         if method == "GET":
             return self._platform.get(key).addCallback(_send_object, request)
         if method == "PUT":
-            expected = _expected(request)
+            expected = _expected_version(request)
             written = self._platform.put(key, request_body(request), expected)
             return written.addCallback(lambda v: _answer(request, OK, b"", v))
         if method == "DELETE":
@@ -145,7 +145,7 @@
             _answer(request, SERVICE_UNAVAILABLE, str(error).encode())
 
 
-def _expected(request: Request) -> int:
+def _expected_version(request: Request) -> int:
     tag = request.getHeader("If-Match")
     return int(tag.strip('"')) if tag else 0
 
