--- a/src/primrosescale/standin/platform_site.py
+++ b/src/primrosescale/standin/platform_site.py
@@ -94,7 +94,7 @@
             listed = self._platform.list(
                 prefix, _query_argument(request, "after", ""), limit
             )
-            return listed.addCallback(lambda items: _send(request, _items(items)))
+            return listed.addCallback(lambda items: _send(request, _list_fields(items)))
         if kind == "watch" and method == "GET":
             since = int(_query_argument(request, "since", "0"))
             wait = float(_query_argument(request, "wait", "0"))
@@ -162,7 +162,7 @@
         _answer(request, OK, found.value, found.version)
 
 
-def _items(items: list[StoredObject]) -> dict[str, Any]:
+def _list_fields(items: list[StoredObject]) -> dict[str, Any]:
     return {"items": [_fields(item) for item in items]}
 
 
