--- a/src/primrosescale/standin/platform_site.py
+++ b/src/primrosescale/standin/platform_site.py
@@ -101,7 +101,9 @@
             watched = self._platform.watch(
                 _query_argument(request, "prefix", ""), since, wait
             )
-            return watched.addCallback(lambda found: _send(request, _watch(found)))
+            return watched.addCallback(
+                lambda found: _send(request, _watch_fields(found))
+            )
         if kind == "hosts" and method == "GET":
             listing = self._platform.hosts(int(_query_argument(request, "since", "0")))
             foreign = self._platform.store.foreign_hosts
@@ -166,7 +168,7 @@
     return {"items": [_fields(item) for item in items]}
 
 
-def _watch(found: WatchResult) -> dict[str, Any]:
+def _watch_fields(found: WatchResult) -> dict[str, Any]:
     items = [_fields(item) for item in found.changes]
     return {"revision": found.revision, "items": items}
 
