--- a/src/primrosescale/standin/platform_site.py
+++ b/src/primrosescale/standin/platform_site.py
@@ -108,7 +108,7 @@
             listing = self._platform.hosts(int(_query_argument(request, "since", "0")))
             foreign = self._platform.store.foreign_hosts
             return listing.addCallback(
-                lambda found: _send(request, _hosts(found, foreign))
+                lambda found: _send(request, _host_fields(found, foreign))
             )
         if kind == "hosts" and method == "PUT":
             entry = host_from_fields(json.loads(request_body(request)))
@@ -173,7 +173,7 @@
     return {"revision": found.revision, "items": items}
 
 
-def _hosts(found: HostList, foreign: list[Any]) -> dict[str, Any]:
+def _host_fields(found: HostList, foreign: list[Any]) -> dict[str, Any]:
     return {
         "version": found.version,
         "is_full": found.is_full,
