--- a/src/primrosescale/standin/platform_site.py
+++ b/src/primrosescale/standin/platform_site.py
@@ -165,11 +165,11 @@
 
 
 def _list_fields(items: list[StoredObject]) -> dict[str, Any]:
-    return {"items": [_fields(item) for item in items]}
+    return {"items": [_object_fields(item) for item in items]}
 
 
 def _watch_fields(found: WatchResult) -> dict[str, Any]:
-    items = [_fields(item) for item in found.changes]
+    items = [_object_fields(item) for item in found.changes]
     return {"revision": found.revision, "items": items}
 
 
@@ -181,7 +181,7 @@
     }
 
 
-def _fields(item: StoredObject) -> dict[str, Any]:
+def _object_fields(item: StoredObject) -> dict[str, Any]:
     value = base64.b64encode(item.value).decode()
     return {"key": item.key, "version": item.version, "value": value}
 
