--- a/src/primrosescale/standin/platform_site.py
+++ b/src/primrosescale/standin/platform_site.py
@@ -94,7 +94,9 @@
             listed = self._platform.list(
                 prefix, _query_argument(request, "after", ""), limit
             )
-            return listed.addCallback(lambda items: _send(request, _list_fields(items)))
+            return listed.addCallback(
+                lambda items: _send_json(request, _list_fields(items))
+            )
         if kind == "watch" and method == "GET":
             since = int(_query_argument(request, "since", "0"))
             wait = float(_query_argument(request, "wait", "0"))
@@ -102,13 +104,13 @@
                 _query_argument(request, "prefix", ""), since, wait
             )
             return watched.addCallback(
-                lambda found: _send(request, _watch_fields(found))
+                lambda found: _send_json(request, _watch_fields(found))
             )
         if kind == "hosts" and method == "GET":
             listing = self._platform.hosts(int(_query_argument(request, "since", "0")))
             foreign = self._platform.store.foreign_hosts
             return listing.addCallback(
-                lambda found: _send(request, _host_fields(found, foreign))
+                lambda found: _send_json(request, _host_fields(found, foreign))
             )
         if kind == "hosts" and method == "PUT":
             entry = host_from_fields(json.loads(request_body(request)))
@@ -186,7 +188,7 @@
     return {"key": item.key, "version": item.version, "value": value}
 
 
-def _send(request: Request, fields: dict[str, Any]) -> None:
+def _send_json(request: Request, fields: dict[str, Any]) -> None:
     _answer(request, OK, json.dumps(fields).encode())
 
 
