--- a/src/primrosescale/standin/platform_site.py
+++ b/src/primrosescale/standin/platform_site.py
@@ -72,7 +72,7 @@
         parts = [unquote(part.decode()) for part in request.path.split(b"/")[2:]]
         answered = self._route(request, request.method.decode(), parts)
         if answered is None:
-            _answer(request, BAD_REQUEST, b"unknown call")
+            _send_response(request, BAD_REQUEST, b"unknown call")
             return NOT_DONE_YET
         answered.addErrback(self._send_error, request, disconnects)
         answered.addErrback(lambda failure: failure.printTraceback())
@@ -115,7 +115,7 @@
         if kind == "hosts" and method == "PUT":
             entry = host_from_fields(json.loads(request_body(request)))
             announced = self._platform.announce(entry)
-            return announced.addCallback(lambda _: _answer(request, OK, b""))
+            return announced.addCallback(lambda _: _send_response(request, OK, b""))
         return None
 
     def _serve_object(
@@ -126,10 +126,12 @@
         if method == "PUT":
             expected = _expected_version(request)
             written = self._platform.put(key, request_body(request), expected)
-            return written.addCallback(lambda v: _answer(request, OK, b"", v))
+            return written.addCallback(lambda v: _send_response(request, OK, b"", v))
         if method == "DELETE":
             deleted = self._platform.delete(key)
-            return deleted.addCallback(lambda _: _answer(request, NO_CONTENT, b""))
+            return deleted.addCallback(
+                lambda _: _send_response(request, NO_CONTENT, b"")
+            )
         return None
 
     def _send_error(
@@ -140,13 +142,15 @@
         if disconnects:
             return
         if isinstance(error, PlatformConflictError):
-            _answer(request, PRECONDITION_FAILED, str(error).encode(), error.current)
+            _send_response(
+                request, PRECONDITION_FAILED, str(error).encode(), error.current
+            )
         elif isinstance(error, PlatformLimitError):
-            _answer(request, TOO_LARGE, str(error).encode())
+            _send_response(request, TOO_LARGE, str(error).encode())
         elif isinstance(error, PlatformAnswerLostError):
             request.loseConnection()
         else:
-            _answer(request, SERVICE_UNAVAILABLE, str(error).encode())
+            _send_response(request, SERVICE_UNAVAILABLE, str(error).encode())
 
 
 def _expected_version(request: Request) -> int:
@@ -161,9 +165,9 @@
 
 def _send_object(found: StoredObject | None, request: Request) -> None:
     if found is None:
-        _answer(request, NOT_FOUND, b"")
+        _send_response(request, NOT_FOUND, b"")
     else:
-        _answer(request, OK, found.value, found.version)
+        _send_response(request, OK, found.value, found.version)
 
 
 def _list_fields(items: list[StoredObject]) -> dict[str, Any]:
@@ -189,10 +193,12 @@
 
 
 def _send_json(request: Request, fields: dict[str, Any]) -> None:
-    _answer(request, OK, json.dumps(fields).encode())
+    _send_response(request, OK, json.dumps(fields).encode())
 
 
-def _answer(request: Request, status: int, body: bytes, version: int = 0) -> None:
+def _send_response(
+    request: Request, status: int, body: bytes, version: int = 0
+) -> None:
     if request.finished or getattr(request, "_disconnected", False):
         return
     request.setResponseCode(status)
