--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -21,7 +21,7 @@
     from collections.abc import Callable
 
 OK = 200
-FAILED = 500
+INTERNAL_SERVER_ERROR = 500
 FULL = 503
 MISDIRECTED = 421
 RECEIPT = b"3e1b.07"
@@ -295,7 +295,7 @@
         elif fault is EngineFault.RESET:
             channel.transport.abortConnection()
         elif fault is EngineFault.FAIL:
-            self._head(FAILED, fault)
+            self._head(INTERNAL_SERVER_ERROR, fault)
             self._end()
         elif fault is EngineFault.DECLINE:
             self.responseHeaders.setRawHeaders(names.NOT_RUN, [b"1"])
