--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -22,7 +22,7 @@
 
 OK = 200
 INTERNAL_SERVER_ERROR = 500
-FULL = 503
+SERVICE_UNAVAILABLE = 503
 MISDIRECTED = 421
 RECEIPT = b"3e1b.07"
 REPORT = b"/api/report"
@@ -302,7 +302,7 @@
             if self._script.rest is not None:
                 rest = b"%g" % self._script.rest
                 self.responseHeaders.setRawHeaders(names.RETRY_AFTER, [rest])
-            self._head(FULL, fault)
+            self._head(SERVICE_UNAVAILABLE, fault)
             self._end()
         elif fault is not EngineFault.SILENT:
             channel.later(self._script.delay, lambda: self._run(fault))
