--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -24,7 +24,7 @@
 INTERNAL_SERVER_ERROR = 500
 SERVICE_UNAVAILABLE = 503
 MISDIRECTED = 421
-RECEIPT = b"3e1b.07"
+DEFAULT_SIGNATURE = b"3e1b.07"
 REPORT = b"/api/report"
 HELD_PARTS = b"/api/kv-list"
 INCARNATION = b"Primrosescale-Instance-Id"
@@ -165,7 +165,7 @@
     delay: float = 0.0
     arrivals: list[Arrival] = field(default_factory=list)
     names_request: bool = False
-    receipt: bytes = RECEIPT
+    receipt: bytes = DEFAULT_SIGNATURE
     health_path: bytes = b""
     on_arrival: Callable[[Arrival], None] | None = None
     is_leaving: bool = False
