--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -26,7 +26,7 @@
 MISDIRECTED = 421
 DEFAULT_SIGNATURE = b"3e1b.07"
 REPORT_PATH = b"/api/report"
-HELD_PARTS = b"/api/kv-list"
+HELD_PARTS_PATH = b"/api/kv-list"
 INCARNATION = b"Primrosescale-Instance-Id"
 
 
@@ -195,9 +195,13 @@
         """
         asked = path.partition(b"?")[0]
         life = self.life
-        if method != b"GET" or asked not in {REPORT_PATH, HELD_PARTS, self.health_path}:
+        if method != b"GET" or asked not in {
+            REPORT_PATH,
+            HELD_PARTS_PATH,
+            self.health_path,
+        }:
             return None
-        if asked == HELD_PARTS:
+        if asked == HELD_PARTS_PATH:
             held = [["", part, tokens, "m"] for part, tokens in life.held]
             return life.said(epoch=life.started_at or 0, next=len(held), held=held)
         if asked == REPORT_PATH:
