--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -27,7 +27,7 @@
 DEFAULT_SIGNATURE = b"3e1b.07"
 REPORT_PATH = b"/api/report"
 HELD_PARTS_PATH = b"/api/kv-list"
-INCARNATION = b"Primrosescale-Instance-Id"
+INCARNATION_HEADER = b"Primrosescale-Instance-Id"
 
 
 class EngineFault(Enum):
@@ -281,7 +281,9 @@
         if self._disconnected:
             return
         body = json.dumps(words).encode()
-        self.responseHeaders.setRawHeaders(INCARNATION, [self._script.name.encode()])
+        self.responseHeaders.setRawHeaders(
+            INCARNATION_HEADER, [self._script.name.encode()]
+        )
         if self._script.is_leaving:
             self.responseHeaders.setRawHeaders(names.LEAVING, [b"1"])
         self.responseHeaders.setRawHeaders(b"Content-Type", [b"application/json"])
