--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -74,7 +74,7 @@
 
 
 @dataclass(slots=True)
-class EngineLife:
+class EngineIncarnation:
     """All that belongs to one life of an engine, replaced whole at a start.
 
     Parameters
@@ -152,7 +152,7 @@
         Seconds without requests that it asks for when it declines one.
     is_resting : bool
         Whether it declines all requests.
-    life : EngineLife
+    life : EngineIncarnation
         What belongs to its present life.
     """
 
@@ -171,7 +171,7 @@
     is_leaving: bool = False
     rest: float | None = None
     is_resting: bool = False
-    life: EngineLife = field(default_factory=EngineLife)
+    life: EngineIncarnation = field(default_factory=EngineIncarnation)
 
     @property
     def running(self) -> int:
@@ -247,7 +247,7 @@
         """Answer by the script."""
         channel: Any = self.channel
         self._script: EngineScript = channel.script
-        self._life: EngineLife = channel.life
+        self._life: EngineIncarnation = channel.life
         words = self._script.own_words(self.method, self.uri)
         if words is not None:
             channel.when_awake(lambda: self._say(words))
@@ -464,7 +464,7 @@
         started_at : int | None
             Start of the new life in Unix milliseconds; None to tell none.
         """
-        self._script.life = EngineLife(started_at)
+        self._script.life = EngineIncarnation(started_at)
         self._script.faults.clear()
         for channel in list(self._open):
             channel.transport.abortConnection()
