--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -152,7 +152,7 @@
         Seconds without requests that it asks for when it declines one.
     is_resting : bool
         Whether it declines all requests.
-    life : EngineIncarnation
+    current_incarnation : EngineIncarnation
         What belongs to its present life.
     """
 
@@ -171,12 +171,12 @@
     is_leaving: bool = False
     rest: float | None = None
     is_resting: bool = False
-    life: EngineIncarnation = field(default_factory=EngineIncarnation)
+    current_incarnation: EngineIncarnation = field(default_factory=EngineIncarnation)
 
     @property
     def running(self) -> int:
         """Return how many requests its present life works on."""
-        return self.life.running
+        return self.current_incarnation.running
 
     def own_words(self, method: bytes, path: bytes) -> dict[str, Any] | None:
         """Return what it says of itself when asked for that.
@@ -194,7 +194,7 @@
             The fields; None for a caller's request.
         """
         asked = path.partition(b"?")[0]
-        life = self.life
+        current_incarnation = self.current_incarnation
         if method != b"GET" or asked not in {
             REPORT_PATH,
             HELD_PARTS_PATH,
@@ -202,21 +202,25 @@
         }:
             return None
         if asked == HELD_PARTS_PATH:
-            held = [["", part, tokens, "m"] for part, tokens in life.held]
-            return life.said(epoch=life.started_at or 0, next=len(held), held=held)
+            held = [
+                ["", part, tokens, "m"] for part, tokens in current_incarnation.held
+            ]
+            return current_incarnation.said(
+                epoch=current_incarnation.started_at or 0, next=len(held), held=held
+            )
         if asked == REPORT_PATH:
-            return life.said(
+            return current_incarnation.said(
                 stage="both",
                 models=[{"name": "m", "version": 1, "adapters": []}],
                 busy=False,
-                sequence=life.sequence,
+                sequence=current_incarnation.sequence,
                 waiting=0,
-                running=life.running,
-                kv_used=sum(tokens for _, tokens in life.held),
+                running=current_incarnation.running,
+                kv_used=sum(tokens for _, tokens in current_incarnation.held),
                 kv_total=90000,
                 handles=0,
             )
-        return life.said()
+        return current_incarnation.said()
 
     def answer_to(self, request_id: bytes) -> bytes:
         """Return the whole plain answer to a request.
@@ -247,7 +251,7 @@
         """Answer by the script."""
         channel: Any = self.channel
         self._script: EngineScript = channel.script
-        self._life: EngineIncarnation = channel.life
+        self._life: EngineIncarnation = channel.current_incarnation
         words = self._script.own_words(self.method, self.uri)
         if words is not None:
             channel.when_awake(lambda: self._say(words))
@@ -411,7 +415,7 @@
     ) -> None:
         super().__init__()
         self.script = script
-        self.life = script.life
+        self.current_incarnation = script.current_incarnation
         self._reactor = reactor
         self._open = open_channels
         open_channels.add(self)
@@ -422,7 +426,7 @@
 
     def when_awake(self, act: Callable[[], Any]) -> None:
         """Do something once the engine sends again: now, unless it is silent."""
-        left = self.life.silent_until - self._reactor.seconds()
+        left = self.current_incarnation.silent_until - self._reactor.seconds()
         if left > 0:
             self._reactor.callLater(left, self.when_awake, act)
         else:
@@ -464,7 +468,7 @@
         started_at : int | None
             Start of the new life in Unix milliseconds; None to tell none.
         """
-        self._script.life = EngineIncarnation(started_at)
+        self._script.current_incarnation = EngineIncarnation(started_at)
         self._script.faults.clear()
         for channel in list(self._open):
             channel.transport.abortConnection()
@@ -477,7 +481,9 @@
         seconds : float
             How long.
         """
-        self._script.life.silent_until = self._reactor.seconds() + seconds
+        self._script.current_incarnation.silent_until = (
+            self._reactor.seconds() + seconds
+        )
 
     def buildProtocol(self, addr: Any) -> HTTPChannel:
         """Return the protocol of a new connection.
