--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -251,7 +251,7 @@
         """Answer by the script."""
         channel: Any = self.channel
         self._script: EngineScript = channel.script
-        self._life: EngineIncarnation = channel.current_incarnation
+        self._incarnation: EngineIncarnation = channel.current_incarnation
         words = self._script.own_words(self.method, self.uri)
         if words is not None:
             channel.when_awake(lambda: self._say(words))
@@ -276,7 +276,7 @@
         is_other = expected is not None and expected.decode() != self._script.name
         self._is_working = not is_other and fault is not EngineFault.DECLINE
         self._arrival.has_run = self._is_working
-        self._life.running += self._is_working
+        self._incarnation.running += self._is_working
         if self._script.on_arrival is not None:
             self._script.on_arrival(self._arrival)
         channel.when_awake(lambda: self._begin(fault, is_other=is_other))
@@ -325,7 +325,7 @@
             self._stop_working()
 
     def _stop_working(self) -> None:
-        self._life.running -= self._is_working
+        self._incarnation.running -= self._is_working
         self._is_working = False
 
     def _run(self, fault: EngineFault | None) -> None:
