--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -178,7 +178,7 @@
         """Return how many requests its present life works on."""
         return self.current_incarnation.running
 
-    def own_words(self, method: bytes, path: bytes) -> dict[str, Any] | None:
+    def self_description(self, method: bytes, path: bytes) -> dict[str, Any] | None:
         """Return what it says of itself when asked for that.
 
         Parameters
@@ -252,7 +252,7 @@
         channel: Any = self.channel
         self._script: EngineScript = channel.script
         self._incarnation: EngineIncarnation = channel.current_incarnation
-        words = self._script.own_words(self.method, self.uri)
+        words = self._script.self_description(self.method, self.uri)
         if words is not None:
             channel.when_awake(lambda: self._say(words))
             return
