--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -98,7 +98,7 @@
     running: int = 0
     silent_until: float = 0.0
 
-    def said(self, **fields: Any) -> dict[str, Any]:
+    def with_start(self, **fields: Any) -> dict[str, Any]:
         """Return what it says of itself, with its start if it tells one.
 
         Parameters
@@ -205,11 +205,11 @@
             held = [
                 ["", part, tokens, "m"] for part, tokens in current_incarnation.held
             ]
-            return current_incarnation.said(
+            return current_incarnation.with_start(
                 epoch=current_incarnation.started_at or 0, next=len(held), held=held
             )
         if asked == REPORT_PATH:
-            return current_incarnation.said(
+            return current_incarnation.with_start(
                 stage="both",
                 models=[{"name": "m", "version": 1, "adapters": []}],
                 busy=False,
@@ -220,7 +220,7 @@
                 kv_total=90000,
                 handles=0,
             )
-        return current_incarnation.said()
+        return current_incarnation.with_start()
 
     def answer_to(self, request_id: bytes) -> bytes:
         """Return the whole plain answer to a request.
