--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -111,8 +111,8 @@
         dict[str, Any]
             The fields.
         """
-        told = {} if self.started_at is None else {"born": self.started_at}
-        return {**fields, **told}
+        start = {} if self.started_at is None else {"born": self.started_at}
+        return {**fields, **start}
 
 
 @dataclass(slots=True)
