--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -222,7 +222,7 @@
             )
         return current_incarnation.with_start()
 
-    def answer_to(self, request_id: bytes) -> bytes:
+    def plain_answer(self, request_id: bytes) -> bytes:
         """Return the whole plain answer to a request.
 
         Parameters
@@ -336,7 +336,7 @@
             self._unframed(is_reset=fault is EngineFault.NO_LENGTH_RESET)
             return
         if not self._script.events:
-            body = self._script.answer_to(self._id)
+            body = self._script.plain_answer(self._id)
             self._head(OK, fault, len(body))
             cut = fault is EngineFault.CUT
             self.write(body[:2] if cut else body)
@@ -370,7 +370,7 @@
 
     def _unframed(self, *, is_reset: bool) -> None:
         channel: Any = self.channel
-        body = self._script.answer_to(self._id)
+        body = self._script.plain_answer(self._id)
         channel.transport.write(
             b"HTTP/1.1 200 OK\r\nConnection: close\r\n%b: %b\r\n%b: %b\r\n\r\n%b"
             % (names.REQUEST_ID, self._id, names.RECEIPT, self._receipt, body),
