--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -252,9 +252,9 @@
         channel: Any = self.channel
         self._script: EngineScript = channel.script
         self._incarnation: EngineIncarnation = channel.current_incarnation
-        words = self._script.self_description(self.method, self.uri)
-        if words is not None:
-            channel.when_awake(lambda: self._say(words))
+        description = self._script.self_description(self.method, self.uri)
+        if description is not None:
+            channel.when_awake(lambda: self._say(description))
             return
         self._has_arrived = True
         content: Any = self.content
@@ -281,10 +281,10 @@
             self._script.on_arrival(self._arrival)
         channel.when_awake(lambda: self._begin(fault, is_other=is_other))
 
-    def _say(self, words: dict[str, Any]) -> None:
+    def _say(self, description: dict[str, Any]) -> None:
         if self._disconnected:
             return
-        body = json.dumps(words).encode()
+        body = json.dumps(description).encode()
         self.responseHeaders.setRawHeaders(
             INCARNATION_HEADER, [self._script.name.encode()]
         )
