--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -254,7 +254,7 @@
         self._incarnation: EngineIncarnation = channel.current_incarnation
         description = self._script.self_description(self.method, self.uri)
         if description is not None:
-            channel.when_awake(lambda: self._say(description))
+            channel.when_awake(lambda: self._send_description(description))
             return
         self._has_arrived = True
         content: Any = self.content
@@ -281,7 +281,7 @@
             self._script.on_arrival(self._arrival)
         channel.when_awake(lambda: self._begin(fault, is_other=is_other))
 
-    def _say(self, description: dict[str, Any]) -> None:
+    def _send_description(self, description: dict[str, Any]) -> None:
         if self._disconnected:
             return
         body = json.dumps(description).encode()
