--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -254,7 +254,7 @@
         self._incarnation: EngineIncarnation = channel.current_incarnation
         description = self._script.self_description(self.method, self.uri)
         if description is not None:
-            channel.when_awake(lambda: self._send_description(description))
+            channel.when_not_silent(lambda: self._send_description(description))
             return
         self._has_arrived = True
         content: Any = self.content
@@ -279,7 +279,7 @@
         self._incarnation.running += self._is_working
         if self._script.on_arrival is not None:
             self._script.on_arrival(self._arrival)
-        channel.when_awake(lambda: self._begin(fault, is_other=is_other))
+        channel.when_not_silent(lambda: self._begin(fault, is_other=is_other))
 
     def _send_description(self, description: dict[str, Any]) -> None:
         if self._disconnected:
@@ -422,13 +422,13 @@
 
     def later(self, seconds: float, act: Callable[[], Any]) -> None:
         """Do something later."""
-        self._reactor.callLater(seconds, self.when_awake, act)
+        self._reactor.callLater(seconds, self.when_not_silent, act)
 
-    def when_awake(self, act: Callable[[], Any]) -> None:
+    def when_not_silent(self, act: Callable[[], Any]) -> None:
         """Do something once the engine sends again: now, unless it is silent."""
         left = self.current_incarnation.silent_until - self._reactor.seconds()
         if left > 0:
-            self._reactor.callLater(left, self.when_awake, act)
+            self._reactor.callLater(left, self.when_not_silent, act)
         else:
             act()
 
