--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -315,7 +315,7 @@
             self._head(SERVICE_UNAVAILABLE, fault)
             self._end()
         elif fault is not EngineFault.SILENT:
-            channel.later(self._script.delay, lambda: self._run(fault))
+            channel.call_later(self._script.delay, lambda: self._run(fault))
 
     def connectionLost(self, reason: Any) -> None:
         """Note that the connection ended early."""
@@ -362,11 +362,11 @@
             return
         if fault is EngineFault.CUT and number > self._script.cut_after:
             self.write(b"id: %d\nda" % number)
-            channel.later(0.01, channel.transport.abortConnection)
+            channel.call_later(0.01, channel.transport.abortConnection)
             return
         word = self._id if self._script.names_request else b"word"
         self.write(b"id: %d\ndata: %b\n\n" % (number, word))
-        channel.later(self._script.gap, lambda: self._event(number + 1, fault))
+        channel.call_later(self._script.gap, lambda: self._event(number + 1, fault))
 
     def _unframed(self, *, is_reset: bool) -> None:
         channel: Any = self.channel
@@ -376,7 +376,7 @@
             % (names.REQUEST_ID, self._id, names.RECEIPT, self._receipt, body),
         )
         if is_reset:
-            channel.later(0.01, channel.transport.abortConnection)
+            channel.call_later(0.01, channel.transport.abortConnection)
         else:
             channel.transport.loseConnection()
 
@@ -420,7 +420,7 @@
         self._open = open_channels
         open_channels.add(self)
 
-    def later(self, seconds: float, act: Callable[[], Any]) -> None:
+    def call_later(self, seconds: float, act: Callable[[], Any]) -> None:
         """Do something later."""
         self._reactor.callLater(seconds, self.when_not_silent, act)
 
