--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -426,9 +426,9 @@
 
     def when_not_silent(self, act: Callable[[], Any]) -> None:
         """Do something once the engine sends again: now, unless it is silent."""
-        left = self.current_incarnation.silent_until - self._reactor.seconds()
-        if left > 0:
-            self._reactor.callLater(left, self.when_not_silent, act)
+        remaining = self.current_incarnation.silent_until - self._reactor.seconds()
+        if remaining > 0:
+            self._reactor.callLater(remaining, self.when_not_silent, act)
         else:
             act()
 
