--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -417,7 +417,7 @@
         self.script = script
         self.current_incarnation = script.current_incarnation
         self._reactor = reactor
-        self._open = open_channels
+        self._open_channels = open_channels
         open_channels.add(self)
 
     def call_later(self, seconds: float, act: Callable[[], Any]) -> None:
@@ -434,7 +434,7 @@
 
     def connectionLost(self, reason: Any = connectionDone) -> None:
         """Note that the connection has ended."""
-        self._open.discard(self)
+        self._open_channels.discard(self)
         super().connectionLost(reason)
 
 
@@ -454,7 +454,7 @@
     def __init__(self, script: EngineScript, reactor: Any = default_reactor) -> None:
         self._script = script
         self._reactor = reactor
-        self._open: set[Any] = set()
+        self._open_channels: set[Any] = set()
 
     def restart(self, started_at: int | None) -> None:
         """Start again under the same name: all of the former life is gone.
@@ -470,7 +470,7 @@
         """
         self._script.current_incarnation = EngineIncarnation(started_at)
         self._script.faults.clear()
-        for channel in list(self._open):
+        for channel in list(self._open_channels):
             channel.transport.abortConnection()
 
     def fall_silent(self, seconds: float) -> None:
@@ -498,7 +498,7 @@
         HTTPChannel
             The protocol.
         """
-        return _EngineChannel(self._script, self._reactor, self._open)
+        return _EngineChannel(self._script, self._reactor, self._open_channels)
 
     def log(self, request: Any) -> None:
         """Write no access log.
