--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -300,19 +300,19 @@
         if self._arrival.is_left:
             return
         if is_other:
-            self._head(MISDIRECTED, fault)
+            self._send_head(MISDIRECTED, fault)
             self._end()
         elif fault is EngineFault.RESET:
             channel.transport.abortConnection()
         elif fault is EngineFault.FAIL:
-            self._head(INTERNAL_SERVER_ERROR, fault)
+            self._send_head(INTERNAL_SERVER_ERROR, fault)
             self._end()
         elif fault is EngineFault.DECLINE:
             self.responseHeaders.setRawHeaders(names.NOT_RUN, [b"1"])
             if self._script.rest is not None:
                 rest = b"%g" % self._script.rest
                 self.responseHeaders.setRawHeaders(names.RETRY_AFTER, [rest])
-            self._head(SERVICE_UNAVAILABLE, fault)
+            self._send_head(SERVICE_UNAVAILABLE, fault)
             self._end()
         elif fault is not EngineFault.SILENT:
             channel.call_later(self._script.delay, lambda: self._run(fault))
@@ -337,7 +337,7 @@
             return
         if not self._script.events:
             body = self._script.plain_answer(self._id)
-            self._head(OK, fault, len(body))
+            self._send_head(OK, fault, len(body))
             cut = fault is EngineFault.CUT
             self.write(body[:2] if cut else body)
             if cut:
@@ -350,7 +350,7 @@
             self._end()
             return
         last = self._arrival.headers.get(names.LAST_EVENT.lower(), b"0")
-        self._head(OK, fault)
+        self._send_head(OK, fault)
         self._event(int(last) + 1, fault)
 
     def _event(self, number: int, fault: EngineFault | None) -> None:
@@ -380,7 +380,7 @@
         else:
             channel.transport.loseConnection()
 
-    def _head(
+    def _send_head(
         self, status: int, fault: EngineFault | None, length: int | None = None
     ) -> None:
         self.setResponseCode(status)
