--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -351,9 +351,9 @@
             return
         last = self._arrival.headers.get(names.LAST_EVENT.lower(), b"0")
         self._send_head(OK, fault)
-        self._event(int(last) + 1, fault)
+        self._send_event(int(last) + 1, fault)
 
-    def _event(self, number: int, fault: EngineFault | None) -> None:
+    def _send_event(self, number: int, fault: EngineFault | None) -> None:
         channel: Any = self.channel
         if self._arrival.is_left:
             return
@@ -366,7 +366,9 @@
             return
         word = self._id if self._script.names_request else b"word"
         self.write(b"id: %d\ndata: %b\n\n" % (number, word))
-        channel.call_later(self._script.gap, lambda: self._event(number + 1, fault))
+        channel.call_later(
+            self._script.gap, lambda: self._send_event(number + 1, fault)
+        )
 
     def _unframed(self, *, is_reset: bool) -> None:
         channel: Any = self.channel
