--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -315,7 +315,7 @@
             self._send_head(SERVICE_UNAVAILABLE, fault)
             self._end()
         elif fault is not EngineFault.SILENT:
-            channel.call_later(self._script.delay, lambda: self._run(fault))
+            channel.call_later(self._script.delay, lambda: self._answer(fault))
 
     def connectionLost(self, reason: Any) -> None:
         """Note that the connection ended early."""
@@ -328,7 +328,7 @@
         self._incarnation.running -= self._is_working
         self._is_working = False
 
-    def _run(self, fault: EngineFault | None) -> None:
+    def _answer(self, fault: EngineFault | None) -> None:
         if self._arrival.is_left:
             return
         channel: Any = self.channel
