--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -279,7 +279,7 @@
         self._incarnation.running += self._is_working
         if self._script.on_arrival is not None:
             self._script.on_arrival(self._arrival)
-        channel.when_not_silent(lambda: self._begin(fault, is_other=is_other))
+        channel.when_not_silent(lambda: self._begin_answer(fault, is_other=is_other))
 
     def _send_description(self, description: dict[str, Any]) -> None:
         if self._disconnected:
@@ -295,7 +295,7 @@
         self.write(body)
         self.finish()
 
-    def _begin(self, fault: EngineFault | None, *, is_other: bool) -> None:
+    def _begin_answer(self, fault: EngineFault | None, *, is_other: bool) -> None:
         channel: Any = self.channel
         if self._arrival.is_left:
             return
