--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -333,7 +333,7 @@
             return
         channel: Any = self.channel
         if fault in {EngineFault.NO_LENGTH, EngineFault.NO_LENGTH_RESET}:
-            self._unframed(is_reset=fault is EngineFault.NO_LENGTH_RESET)
+            self._send_unframed(is_reset=fault is EngineFault.NO_LENGTH_RESET)
             return
         if not self._script.events:
             body = self._script.plain_answer(self._id)
@@ -370,7 +370,7 @@
             self._script.gap, lambda: self._send_event(number + 1, fault)
         )
 
-    def _unframed(self, *, is_reset: bool) -> None:
+    def _send_unframed(self, *, is_reset: bool) -> None:
         channel: Any = self.channel
         body = self._script.plain_answer(self._id)
         channel.transport.write(
