--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -301,19 +301,19 @@
             return
         if is_other:
             self._send_head(MISDIRECTED, fault)
-            self._end()
+            self._finish_answer()
         elif fault is EngineFault.RESET:
             channel.transport.abortConnection()
         elif fault is EngineFault.FAIL:
             self._send_head(INTERNAL_SERVER_ERROR, fault)
-            self._end()
+            self._finish_answer()
         elif fault is EngineFault.DECLINE:
             self.responseHeaders.setRawHeaders(names.NOT_RUN, [b"1"])
             if self._script.rest is not None:
                 rest = b"%g" % self._script.rest
                 self.responseHeaders.setRawHeaders(names.RETRY_AFTER, [rest])
             self._send_head(SERVICE_UNAVAILABLE, fault)
-            self._end()
+            self._finish_answer()
         elif fault is not EngineFault.SILENT:
             channel.call_later(self._script.delay, lambda: self._answer(fault))
 
@@ -347,7 +347,7 @@
                 channel.transport.write(
                     b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"
                 )
-            self._end()
+            self._finish_answer()
             return
         last = self._arrival.headers.get(names.LAST_EVENT.lower(), b"0")
         self._send_head(OK, fault)
@@ -358,7 +358,7 @@
         if self._arrival.is_left:
             return
         if number > self._script.events:
-            self._end()
+            self._finish_answer()
             return
         if fault is EngineFault.CUT and number > self._script.cut_after:
             self.write(b"id: %d\nda" % number)
@@ -401,7 +401,7 @@
     def _id(self) -> bytes:
         return self._arrival.headers.get(names.REQUEST_ID.lower(), b"")
 
-    def _end(self) -> None:
+    def _finish_answer(self) -> None:
         self._stop_working()
         if not self._arrival.is_left:
             self.finish()
