--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -322,9 +322,9 @@
         super().connectionLost(reason)
         if self._has_arrived:
             self._arrival.is_left = True
-            self._stop_working()
+            self._count_finished()
 
-    def _stop_working(self) -> None:
+    def _count_finished(self) -> None:
         self._incarnation.running -= self._is_working
         self._is_working = False
 
@@ -402,7 +402,7 @@
         return self._arrival.headers.get(names.REQUEST_ID.lower(), b"")
 
     def _finish_answer(self) -> None:
-        self._stop_working()
+        self._count_finished()
         if not self._arrival.is_left:
             self.finish()
 
