--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -273,13 +273,15 @@
         if self._script.is_resting:
             fault = EngineFault.DECLINE
         expected = self._arrival.headers.get(names.EXPECTED_INCARNATION.lower())
-        is_other = expected is not None and expected.decode() != self._script.name
-        self._is_working = not is_other and fault is not EngineFault.DECLINE
+        is_misdirected = expected is not None and expected.decode() != self._script.name
+        self._is_working = not is_misdirected and fault is not EngineFault.DECLINE
         self._arrival.has_run = self._is_working
         self._incarnation.running += self._is_working
         if self._script.on_arrival is not None:
             self._script.on_arrival(self._arrival)
-        channel.when_not_silent(lambda: self._begin_answer(fault, is_other=is_other))
+        channel.when_not_silent(
+            lambda: self._begin_answer(fault, is_misdirected=is_misdirected)
+        )
 
     def _send_description(self, description: dict[str, Any]) -> None:
         if self._disconnected:
@@ -295,11 +297,11 @@
         self.write(body)
         self.finish()
 
-    def _begin_answer(self, fault: EngineFault | None, *, is_other: bool) -> None:
+    def _begin_answer(self, fault: EngineFault | None, *, is_misdirected: bool) -> None:
         channel: Any = self.channel
         if self._arrival.is_left:
             return
-        if is_other:
+        if is_misdirected:
             self._send_head(MISDIRECTED, fault)
             self._finish_answer()
         elif fault is EngineFault.RESET:
