--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -244,7 +244,7 @@
     """One request at the engine."""
 
     # A connection may be lost before its request is whole.
-    _has_arrived = False
+    _is_received = False
     _is_working = False
 
     def process(self) -> None:
@@ -256,7 +256,7 @@
         if description is not None:
             channel.when_not_silent(lambda: self._send_description(description))
             return
-        self._has_arrived = True
+        self._is_received = True
         content: Any = self.content
         self._arrival = Arrival(
             self.method,
@@ -322,7 +322,7 @@
     def connectionLost(self, reason: Any) -> None:
         """Note that the connection ended early."""
         super().connectionLost(reason)
-        if self._has_arrived:
+        if self._is_received:
             self._arrival.is_left = True
             self._count_finished()
 
