--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -245,7 +245,7 @@
 
     # A connection may be lost before its request is whole.
     _is_received = False
-    _is_working = False
+    _is_running = False
 
     def process(self) -> None:
         """Answer by the script."""
@@ -274,9 +274,9 @@
             fault = EngineFault.DECLINE
         expected = self._arrival.headers.get(names.EXPECTED_INCARNATION.lower())
         is_misdirected = expected is not None and expected.decode() != self._script.name
-        self._is_working = not is_misdirected and fault is not EngineFault.DECLINE
-        self._arrival.has_run = self._is_working
-        self._incarnation.running += self._is_working
+        self._is_running = not is_misdirected and fault is not EngineFault.DECLINE
+        self._arrival.has_run = self._is_running
+        self._incarnation.running += self._is_running
         if self._script.on_arrival is not None:
             self._script.on_arrival(self._arrival)
         channel.when_not_silent(
@@ -327,8 +327,8 @@
             self._count_finished()
 
     def _count_finished(self) -> None:
-        self._incarnation.running -= self._is_working
-        self._is_working = False
+        self._incarnation.running -= self._is_running
+        self._is_running = False
 
     def _answer(self, fault: EngineFault | None) -> None:
         if self._arrival.is_left:
