--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -258,7 +258,7 @@
             return
         self._is_received = True
         content: Any = self.content
-        self._arrival = Arrival(
+        self._received = Arrival(
             self.method,
             self.uri,
             {
@@ -268,17 +268,17 @@
             content.read(),
         )
         self._receipt = self._script.receipt
-        self._script.arrivals.append(self._arrival)
+        self._script.arrivals.append(self._received)
         fault = self._script.faults.pop(0) if self._script.faults else None
         if self._script.is_resting:
             fault = EngineFault.DECLINE
-        expected = self._arrival.headers.get(names.EXPECTED_INCARNATION.lower())
+        expected = self._received.headers.get(names.EXPECTED_INCARNATION.lower())
         is_misdirected = expected is not None and expected.decode() != self._script.name
         self._is_running = not is_misdirected and fault is not EngineFault.DECLINE
-        self._arrival.has_run = self._is_running
+        self._received.has_run = self._is_running
         self._incarnation.running += self._is_running
         if self._script.on_arrival is not None:
-            self._script.on_arrival(self._arrival)
+            self._script.on_arrival(self._received)
         channel.when_not_silent(
             lambda: self._begin_answer(fault, is_misdirected=is_misdirected)
         )
@@ -299,7 +299,7 @@
 
     def _begin_answer(self, fault: EngineFault | None, *, is_misdirected: bool) -> None:
         channel: Any = self.channel
-        if self._arrival.is_left:
+        if self._received.is_left:
             return
         if is_misdirected:
             self._send_head(MISDIRECTED, fault)
@@ -323,7 +323,7 @@
         """Note that the connection ended early."""
         super().connectionLost(reason)
         if self._is_received:
-            self._arrival.is_left = True
+            self._received.is_left = True
             self._count_finished()
 
     def _count_finished(self) -> None:
@@ -331,7 +331,7 @@
         self._is_running = False
 
     def _answer(self, fault: EngineFault | None) -> None:
-        if self._arrival.is_left:
+        if self._received.is_left:
             return
         channel: Any = self.channel
         if fault in {EngineFault.NO_LENGTH, EngineFault.NO_LENGTH_RESET}:
@@ -351,13 +351,13 @@
                 )
             self._finish_answer()
             return
-        last = self._arrival.headers.get(names.LAST_EVENT.lower(), b"0")
+        last = self._received.headers.get(names.LAST_EVENT.lower(), b"0")
         self._send_head(OK, fault)
         self._send_event(int(last) + 1, fault)
 
     def _send_event(self, number: int, fault: EngineFault | None) -> None:
         channel: Any = self.channel
-        if self._arrival.is_left:
+        if self._received.is_left:
             return
         if number > self._script.events:
             self._finish_answer()
@@ -401,11 +401,11 @@
 
     @property
     def _id(self) -> bytes:
-        return self._arrival.headers.get(names.REQUEST_ID.lower(), b"")
+        return self._received.headers.get(names.REQUEST_ID.lower(), b"")
 
     def _finish_answer(self) -> None:
         self._count_finished()
-        if not self._arrival.is_left:
+        if not self._received.is_left:
             self.finish()
 
 
