--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -338,7 +338,7 @@
             self._send_unframed(is_reset=fault is EngineFault.NO_LENGTH_RESET)
             return
         if not self._script.events:
-            body = self._script.plain_answer(self._id)
+            body = self._script.plain_answer(self._request_id)
             self._send_head(OK, fault, len(body))
             cut = fault is EngineFault.CUT
             self.write(body[:2] if cut else body)
@@ -366,7 +366,7 @@
             self.write(b"id: %d\nda" % number)
             channel.call_later(0.01, channel.transport.abortConnection)
             return
-        word = self._id if self._script.names_request else b"word"
+        word = self._request_id if self._script.names_request else b"word"
         self.write(b"id: %d\ndata: %b\n\n" % (number, word))
         channel.call_later(
             self._script.gap, lambda: self._send_event(number + 1, fault)
@@ -374,10 +374,10 @@
 
     def _send_unframed(self, *, is_reset: bool) -> None:
         channel: Any = self.channel
-        body = self._script.plain_answer(self._id)
+        body = self._script.plain_answer(self._request_id)
         channel.transport.write(
             b"HTTP/1.1 200 OK\r\nConnection: close\r\n%b: %b\r\n%b: %b\r\n\r\n%b"
-            % (names.REQUEST_ID, self._id, names.RECEIPT, self._receipt, body),
+            % (names.REQUEST_ID, self._request_id, names.RECEIPT, self._receipt, body),
         )
         if is_reset:
             channel.call_later(0.01, channel.transport.abortConnection)
@@ -388,7 +388,7 @@
         self, status: int, fault: EngineFault | None, length: int | None = None
     ) -> None:
         self.setResponseCode(status)
-        echoed = b"another" if fault is EngineFault.WRONG_ID else self._id
+        echoed = b"another" if fault is EngineFault.WRONG_ID else self._request_id
         self.responseHeaders.setRawHeaders(names.REQUEST_ID, [echoed])
         if fault is not EngineFault.NO_RECEIPT:
             self.responseHeaders.setRawHeaders(names.RECEIPT, [self._receipt])
@@ -400,7 +400,7 @@
         self.write(b"")
 
     @property
-    def _id(self) -> bytes:
+    def _request_id(self) -> bytes:
         return self._received.headers.get(names.REQUEST_ID.lower(), b"")
 
     def _finish_answer(self) -> None:
