--- a/src/primrosescale/standin/users_store.py
+++ b/src/primrosescale/standin/users_store.py
@@ -23,7 +23,7 @@
 CONFLICT = 409
 HISTORY_GONE = 410
 UNAVAILABLE = 503
-PAGE = 500
+DEFAULT_PAGE_SIZE = 500
 
 
 @dataclass(frozen=True, slots=True)
@@ -120,7 +120,7 @@
 
     next_calls: list[StoreFault] = field(default_factory=list)
     all_calls: StoreFault | None = None
-    page: int = PAGE
+    page: int = DEFAULT_PAGE_SIZE
     is_deaf: bool = False
     is_stale: bool = False
 
