--- a/src/primrosescale/standin/users_store.py
+++ b/src/primrosescale/standin/users_store.py
@@ -124,7 +124,7 @@
     is_deaf: bool = False
     is_stale: bool = False
 
-    def take(self) -> StoreFault | None:
+    def next_fault(self) -> StoreFault | None:
         """Return the fault of a call.
 
         Returns
@@ -269,7 +269,7 @@
             `NOT_DONE_YET`: it may be answered later or never.
         """
         self.calls.append(f"{request.method.decode()} {request.uri.decode()}")
-        fault = self.faults.take()
+        fault = self.faults.next_fault()
         parts = [part.decode() for part in request.path.split(b"/")[3:]]
         kind, name = parts[0], "/".join(parts[1:])
         if fault in {StoreFault.BUSY, StoreFault.MANY}:
