--- a/src/primrosescale/standin/users_store.py
+++ b/src/primrosescale/standin/users_store.py
@@ -91,7 +91,7 @@
 
 
 @dataclass(slots=True)
-class _Watcher:
+class _WaitingWatch:
     """A watch that waits."""
 
     request: Any
@@ -155,7 +155,7 @@
         self._revision = 1
         self._forgotten = 0
         self._history: list[tuple[int, str, bool, dict[str, Any]]] = []
-        self._watchers: list[_Watcher] = []
+        self._watchers: list[_WaitingWatch] = []
         # What stale reads find, with its revision.
         self._stale: tuple[dict[str, dict[str, dict[str, Any]]], int] = ({}, 1)
         self.faults = StoreFaults()
@@ -352,20 +352,20 @@
         wait = int(request.args.get(b"wait_ms", [b"0"])[0]) / 1000
         if events or not wait:
             return OK, {"events": events, "current_rev": self._revision}
-        watcher = _Watcher(request, kind, since)
+        watcher = _WaitingWatch(request, kind, since)
         watcher.timer = self._reactor.callLater(wait, self._end_watch, watcher)
         self._watchers.append(watcher)
         request.notifyFinish().addErrback(lambda _: self._drop(watcher))
         return OK, None
 
-    def _end_watch(self, watcher: _Watcher) -> None:
+    def _end_watch(self, watcher: _WaitingWatch) -> None:
         self._watchers.remove(watcher)
         events = (
             [] if self.faults.is_deaf else self._events(watcher.kind, watcher.since)
         )
         _answer(watcher.request, OK, {"events": events, "current_rev": self._revision})
 
-    def _drop(self, watcher: _Watcher) -> None:
+    def _drop(self, watcher: _WaitingWatch) -> None:
         if watcher in self._watchers:
             self._watchers.remove(watcher)
             watcher.timer.cancel()
