--- a/src/primrosescale/standin/users_store.py
+++ b/src/primrosescale/standin/users_store.py
@@ -155,7 +155,7 @@
         self._revision = 1
         self._forgotten = 0
         self._history: list[tuple[int, str, bool, dict[str, Any]]] = []
-        self._watchers: list[_WaitingWatch] = []
+        self._waiting_watches: list[_WaitingWatch] = []
         # What stale reads find, with its revision.
         self._stale: tuple[dict[str, dict[str, dict[str, Any]]], int] = ({}, 1)
         self.faults = StoreFaults()
@@ -241,7 +241,7 @@
     def catch_up(self) -> None:
         """Have stale reads find the present again, and tell watches of it."""
         self.faults.is_stale = self.faults.is_deaf = False
-        for watcher in list(self._watchers):
+        for watcher in list(self._waiting_watches):
             if self._events(watcher.kind, watcher.since):
                 watcher.timer.cancel()
                 self._end_watch(watcher)
@@ -250,8 +250,8 @@
         """Forget all changes so far and cut all watches."""
         self._forgotten = self._revision
         self._history.clear()
-        for watcher in list(self._watchers):
-            self._watchers.remove(watcher)
+        for watcher in list(self._waiting_watches):
+            self._waiting_watches.remove(watcher)
             watcher.timer.cancel()
             watcher.request.transport.abortConnection()
 
@@ -325,7 +325,7 @@
         int
             Watches.
         """
-        return sum(1 for watcher in self._watchers if watcher.kind == kind)
+        return sum(1 for watcher in self._waiting_watches if watcher.kind == kind)
 
     def _list(self, request: Any, kind: str) -> dict[str, Any]:
         after = request.args.get(b"after", [b""])[0].decode()
@@ -354,20 +354,20 @@
             return OK, {"events": events, "current_rev": self._revision}
         watcher = _WaitingWatch(request, kind, since)
         watcher.timer = self._reactor.callLater(wait, self._end_watch, watcher)
-        self._watchers.append(watcher)
+        self._waiting_watches.append(watcher)
         request.notifyFinish().addErrback(lambda _: self._drop(watcher))
         return OK, None
 
     def _end_watch(self, watcher: _WaitingWatch) -> None:
-        self._watchers.remove(watcher)
+        self._waiting_watches.remove(watcher)
         events = (
             [] if self.faults.is_deaf else self._events(watcher.kind, watcher.since)
         )
         _answer(watcher.request, OK, {"events": events, "current_rev": self._revision})
 
     def _drop(self, watcher: _WaitingWatch) -> None:
-        if watcher in self._watchers:
-            self._watchers.remove(watcher)
+        if watcher in self._waiting_watches:
+            self._waiting_watches.remove(watcher)
             watcher.timer.cancel()
 
     def _events(self, kind: str, since: int) -> list[dict[str, Any]]:
@@ -381,7 +381,7 @@
 
     def _note(self, kind: str, item: dict[str, Any], *, is_deleted: bool) -> None:
         self._history.append((self._revision, kind, is_deleted, copy.deepcopy(item)))
-        for watcher in list(self._watchers):
+        for watcher in list(self._waiting_watches):
             if watcher.kind == kind and not self.faults.is_deaf:
                 watcher.timer.cancel()
                 self._end_watch(watcher)
