--- a/src/primrosescale/standin/users_store.py
+++ b/src/primrosescale/standin/users_store.py
@@ -241,19 +241,19 @@
     def catch_up(self) -> None:
         """Have stale reads find the present again, and tell watches of it."""
         self.faults.is_stale = self.faults.is_deaf = False
-        for watcher in list(self._waiting_watches):
-            if self._events(watcher.kind, watcher.since):
-                watcher.timer.cancel()
-                self._end_watch(watcher)
+        for waiting_watch in list(self._waiting_watches):
+            if self._events(waiting_watch.kind, waiting_watch.since):
+                waiting_watch.timer.cancel()
+                self._end_watch(waiting_watch)
 
     def forget_history(self) -> None:
         """Forget all changes so far and cut all watches."""
         self._forgotten = self._revision
         self._history.clear()
-        for watcher in list(self._waiting_watches):
-            self._waiting_watches.remove(watcher)
-            watcher.timer.cancel()
-            watcher.request.transport.abortConnection()
+        for waiting_watch in list(self._waiting_watches):
+            self._waiting_watches.remove(waiting_watch)
+            waiting_watch.timer.cancel()
+            waiting_watch.request.transport.abortConnection()
 
     def render(self, request: Any) -> int:
         """Answer one call.
@@ -325,7 +325,9 @@
         int
             Watches.
         """
-        return sum(1 for watcher in self._waiting_watches if watcher.kind == kind)
+        return sum(
+            1 for waiting_watch in self._waiting_watches if waiting_watch.kind == kind
+        )
 
     def _list(self, request: Any, kind: str) -> dict[str, Any]:
         after = request.args.get(b"after", [b""])[0].decode()
@@ -352,23 +354,29 @@
         wait = int(request.args.get(b"wait_ms", [b"0"])[0]) / 1000
         if events or not wait:
             return OK, {"events": events, "current_rev": self._revision}
-        watcher = _WaitingWatch(request, kind, since)
-        watcher.timer = self._reactor.callLater(wait, self._end_watch, watcher)
-        self._waiting_watches.append(watcher)
-        request.notifyFinish().addErrback(lambda _: self._drop(watcher))
+        waiting_watch = _WaitingWatch(request, kind, since)
+        waiting_watch.timer = self._reactor.callLater(
+            wait, self._end_watch, waiting_watch
+        )
+        self._waiting_watches.append(waiting_watch)
+        request.notifyFinish().addErrback(lambda _: self._drop(waiting_watch))
         return OK, None
 
-    def _end_watch(self, watcher: _WaitingWatch) -> None:
-        self._waiting_watches.remove(watcher)
+    def _end_watch(self, waiting_watch: _WaitingWatch) -> None:
+        self._waiting_watches.remove(waiting_watch)
         events = (
-            [] if self.faults.is_deaf else self._events(watcher.kind, watcher.since)
+            []
+            if self.faults.is_deaf
+            else self._events(waiting_watch.kind, waiting_watch.since)
+        )
+        _answer(
+            waiting_watch.request, OK, {"events": events, "current_rev": self._revision}
         )
-        _answer(watcher.request, OK, {"events": events, "current_rev": self._revision})
 
-    def _drop(self, watcher: _WaitingWatch) -> None:
-        if watcher in self._waiting_watches:
-            self._waiting_watches.remove(watcher)
-            watcher.timer.cancel()
+    def _drop(self, waiting_watch: _WaitingWatch) -> None:
+        if waiting_watch in self._waiting_watches:
+            self._waiting_watches.remove(waiting_watch)
+            waiting_watch.timer.cancel()
 
     def _events(self, kind: str, since: int) -> list[dict[str, Any]]:
         if self.faults.is_deaf:
@@ -381,10 +389,10 @@
 
     def _note(self, kind: str, item: dict[str, Any], *, is_deleted: bool) -> None:
         self._history.append((self._revision, kind, is_deleted, copy.deepcopy(item)))
-        for watcher in list(self._waiting_watches):
-            if watcher.kind == kind and not self.faults.is_deaf:
-                watcher.timer.cancel()
-                self._end_watch(watcher)
+        for waiting_watch in list(self._waiting_watches):
+            if waiting_watch.kind == kind and not self.faults.is_deaf:
+                waiting_watch.timer.cancel()
+                self._end_watch(waiting_watch)
 
 
 def _answer(request: Any, status: int, fields: Any) -> None:
