--- a/src/primrosescale/standin/users_store.py
+++ b/src/primrosescale/standin/users_store.py
@@ -180,11 +180,11 @@
         """
         self._revision += 1
         known = self._objects.setdefault(kind, {}).get(name)
-        made = known["metadata"]["create_revision"] if known else self._revision
+        created = known["metadata"]["create_revision"] if known else self._revision
         meta: dict[str, Any] = {
             "name": name,
             "revision": self._revision,
-            "create_revision": made,
+            "create_revision": created,
             "finalizers": [],
             "deleting": False,
         }
