--- a/src/primrosescale/standin/users_store.py
+++ b/src/primrosescale/standin/users_store.py
@@ -190,7 +190,7 @@
         }
         item: dict[str, Any] = {"metadata": meta, "spec": spec, "status": None}
         self._objects[kind][name] = item
-        self._note(kind, item, is_deleted=False)
+        self._record_change(kind, item, is_deleted=False)
         return self._revision
 
     def remove(self, kind: str, name: str) -> bool:
@@ -212,7 +212,7 @@
         if item is None:
             return False
         self._revision += 1
-        self._note(kind, item, is_deleted=True)
+        self._record_change(kind, item, is_deleted=True)
         return True
 
     def content(self, kind: str, name: str) -> Any:
@@ -387,7 +387,9 @@
             if revision > since and of_kind == kind
         ]
 
-    def _note(self, kind: str, item: dict[str, Any], *, is_deleted: bool) -> None:
+    def _record_change(
+        self, kind: str, item: dict[str, Any], *, is_deleted: bool
+    ) -> None:
         self._history.append((self._revision, kind, is_deleted, copy.deepcopy(item)))
         for waiting_watch in list(self._waiting_watches):
             if waiting_watch.kind == kind and not self.faults.is_deaf:
