--- a/src/primrosescale/standin/users_store.py
+++ b/src/primrosescale/standin/users_store.py
@@ -153,7 +153,7 @@
         self._reactor = reactor
         self._objects: dict[str, dict[str, dict[str, Any]]] = {}
         self._revision = 1
-        self._forgotten = 0
+        self._forgotten_revision = 0
         self._history: list[tuple[int, str, bool, dict[str, Any]]] = []
         self._waiting_watches: list[_WaitingWatch] = []
         # What stale reads find, with its revision.
@@ -248,7 +248,7 @@
 
     def forget_history(self) -> None:
         """Forget all changes so far and cut all watches."""
-        self._forgotten = self._revision
+        self._forgotten_revision = self._revision
         self._history.clear()
         for waiting_watch in list(self._waiting_watches):
             self._waiting_watches.remove(waiting_watch)
@@ -348,7 +348,7 @@
 
     def _watch(self, request: Any, kind: str) -> tuple[int, Any]:
         since = int(request.args[b"watch"][0])
-        if since < self._forgotten:
+        if since < self._forgotten_revision:
             return HISTORY_GONE, {"error": "gone"}
         events = self._events(kind, since)
         wait = int(request.args.get(b"wait_ms", [b"0"])[0]) / 1000
