--- a/src/primrosescale/standin/users_store.py
+++ b/src/primrosescale/standin/users_store.py
@@ -359,7 +359,7 @@
             wait, self._end_watch, waiting_watch
         )
         self._waiting_watches.append(waiting_watch)
-        request.notifyFinish().addErrback(lambda _: self._drop(waiting_watch))
+        request.notifyFinish().addErrback(lambda _: self._remove_watch(waiting_watch))
         return OK, None
 
     def _end_watch(self, waiting_watch: _WaitingWatch) -> None:
@@ -373,7 +373,7 @@
             waiting_watch.request, OK, {"events": events, "current_rev": self._revision}
         )
 
-    def _drop(self, waiting_watch: _WaitingWatch) -> None:
+    def _remove_watch(self, waiting_watch: _WaitingWatch) -> None:
         if waiting_watch in self._waiting_watches:
             self._waiting_watches.remove(waiting_watch)
             waiting_watch.timer.cancel()
