--- a/src/primrosescale/standin/users_store.py
+++ b/src/primrosescale/standin/users_store.py
@@ -273,7 +273,7 @@
         parts = [part.decode() for part in request.path.split(b"/")[3:]]
         kind, name = parts[0], "/".join(parts[1:])
         if fault in {StoreFault.BUSY, StoreFault.MANY}:
-            _answer(request, int(fault.value), {"error": "busy"})
+            _send_json(request, int(fault.value), {"error": "busy"})
         elif fault is StoreFault.RESET:
             request.transport.abortConnection()
         elif fault is StoreFault.NONSENSE:
@@ -284,7 +284,7 @@
         elif fault is None:
             status, fields = self._execute(request, kind, name)
             if fields is not None:
-                _answer(request, status, fields)
+                _send_json(request, status, fields)
         return NOT_DONE_YET
 
     def _execute(self, request: Any, kind: str, name: str) -> tuple[int, Any]:
@@ -369,7 +369,7 @@
             if self.faults.is_deaf
             else self._events(waiting_watch.kind, waiting_watch.since)
         )
-        _answer(
+        _send_json(
             waiting_watch.request, OK, {"events": events, "current_rev": self._revision}
         )
 
@@ -397,7 +397,7 @@
                 self._end_watch(waiting_watch)
 
 
-def _answer(request: Any, status: int, fields: Any) -> None:
+def _send_json(request: Any, status: int, fields: Any) -> None:
     raw: dict[bytes, bytes] = {}
 
     def stand_for(content: RawContent) -> str:
