--- a/src/primrosescale/standin/users_store.py
+++ b/src/primrosescale/standin/users_store.py
@@ -277,7 +277,7 @@
         elif fault is StoreFault.RESET:
             request.transport.abortConnection()
         elif fault is StoreFault.NONSENSE:
-            _write(request, OK, b"<html>")
+            _send_response(request, OK, b"<html>")
         elif fault is StoreFault.LOST:
             self._execute(request, kind, name)
             request.transport.abortConnection()
@@ -408,10 +408,10 @@
     body = json.dumps(fields, default=stand_for).encode()
     for name, data in raw.items():
         body = body.replace(name, data, 1)
-    _write(request, status, body)
+    _send_response(request, status, body)
 
 
-def _write(request: Any, status: int, body: bytes) -> None:
+def _send_response(request: Any, status: int, body: bytes) -> None:
     if request.finished or request._disconnected:  # noqa: SLF001 - twisted has no property
         return
     request.setResponseCode(status)
