--- a/src/primrosescale/standin/users_store.py
+++ b/src/primrosescale/standin/users_store.py
@@ -400,12 +400,12 @@
 def _send_json(request: Any, status: int, fields: Any) -> None:
     raw: dict[bytes, bytes] = {}
 
-    def stand_for(content: RawContent) -> str:
+    def placeholder(content: RawContent) -> str:
         name = f"raw content {len(raw)}"
         raw[json.dumps(name).encode()] = content.data
         return name
 
-    body = json.dumps(fields, default=stand_for).encode()
+    body = json.dumps(fields, default=placeholder).encode()
     for name, data in raw.items():
         body = body.replace(name, data, 1)
     _send_response(request, status, body)
