--- a/src/primrosescale/standin/users_store.py
+++ b/src/primrosescale/standin/users_store.py
@@ -69,8 +69,8 @@
     for name, values in odd.items():
         for value in values:
             found[f"{name} {value!a}"] = {**good, name: value}
-    wholes: list[Any] = [None, 7, True, "text", [], {}, [good]]
-    found.update({f"whole {whole!a:.20}": whole for whole in wholes})
+    whole_contents: list[Any] = [None, 7, True, "text", [], {}, [good]]
+    found.update({f"whole {whole!a:.20}": whole for whole in whole_contents})
     text = json.dumps(good).encode()
     found["bytes, none of a text"] = RawContent(b'"\xff\xfe\x80"')
     found["bytes, beside a good text"] = RawContent(
