--- a/src/primrosescale/standin/users_store.py
+++ b/src/primrosescale/standin/users_store.py
@@ -52,7 +52,7 @@
     dict[str, Any]
         Contents that name no target to use, by what is wrong with them.
     """
-    odd: dict[str, list[Any]] = {
+    bad_values: dict[str, list[Any]] = {
         "service": [None, 7, "nobody-knows-it", ["portal"], "\ud800"],
         "address": [None, 7, "nowhere", "127.0.0.1", "127.0.0.1:0", ":80", ["a", 1]],
         "zone": [None, 7, True, {}],
@@ -62,11 +62,11 @@
     }
     found: dict[str, Any] = {
         f"no {name}": {k: v for k, v in good.items() if k != name}
-        for name in odd
+        for name in bad_values
         # Not every writer tells its start.
         if name != "born"
     }
-    for name, values in odd.items():
+    for name, values in bad_values.items():
         for value in values:
             found[f"{name} {value!a}"] = {**good, name: value}
     whole_contents: list[Any] = [None, 7, True, "text", [], {}, [good]]
