--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -194,7 +194,7 @@
             The fields; None for a caller's request.
         """
         asked = path.partition(b"?")[0]
-        current_incarnation = self.current_incarnation
+        incarnation = self.current_incarnation
         if method != b"GET" or asked not in {
             REPORT_PATH,
             HELD_PARTS_PATH,
@@ -202,25 +202,23 @@
         }:
             return None
         if asked == HELD_PARTS_PATH:
-            held = [
-                ["", part, tokens, "m"] for part, tokens in current_incarnation.held
-            ]
-            return current_incarnation.with_start(
-                epoch=current_incarnation.started_at or 0, next=len(held), held=held
+            held = [["", part, tokens, "m"] for part, tokens in incarnation.held]
+            return incarnation.with_start(
+                epoch=incarnation.started_at or 0, next=len(held), held=held
             )
         if asked == REPORT_PATH:
-            return current_incarnation.with_start(
+            return incarnation.with_start(
                 stage="both",
                 models=[{"name": "m", "version": 1, "adapters": []}],
                 busy=False,
-                sequence=current_incarnation.sequence,
+                sequence=incarnation.sequence,
                 waiting=0,
-                running=current_incarnation.running,
-                kv_used=sum(tokens for _, tokens in current_incarnation.held),
+                running=incarnation.running,
+                kv_used=sum(tokens for _, tokens in incarnation.held),
                 kv_total=90000,
                 handles=0,
             )
-        return current_incarnation.with_start()
+        return incarnation.with_start()
 
     def plain_answer(self, request_id: bytes) -> bytes:
         """Return the whole plain answer to a request.
@@ -251,7 +249,7 @@
         """Answer by the script."""
         channel: Any = self.channel
         self._script: EngineScript = channel.script
-        self._incarnation: EngineIncarnation = channel.current_incarnation
+        self._incarnation: EngineIncarnation = channel.incarnation
         description = self._script.self_description(self.method, self.uri)
         if description is not None:
             channel.when_not_silent(lambda: self._send_description(description))
@@ -419,7 +417,7 @@
     ) -> None:
         super().__init__()
         self.script = script
-        self.current_incarnation = script.current_incarnation
+        self.incarnation = script.current_incarnation
         self._reactor = reactor
         self._open_channels = open_channels
         open_channels.add(self)
@@ -430,7 +428,7 @@
 
     def when_not_silent(self, act: Callable[[], Any]) -> None:
         """Do something once the engine sends again: now, unless it is silent."""
-        remaining = self.current_incarnation.silent_until - self._reactor.seconds()
+        remaining = self.incarnation.silent_until - self._reactor.seconds()
         if remaining > 0:
             self._reactor.callLater(remaining, self.when_not_silent, act)
         else:
--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -73,7 +73,7 @@
         self.script.name = f"{self._base}-{self.life}"
         self.script.faults.clear()
         self._start()
-        self.script.life.started_at = self.start
+        self.script.current_incarnation.started_at = self.start
 
     def end(self, *, moves):
         """End at once; what starts in its place is elsewhere or here at once."""
@@ -112,7 +112,7 @@
             "state": state,
             "slots": SLOTS,
             "cold_remaining_ms": self._cold_left(),
-            "sequence": self.script.life.sequence,
+            "sequence": self.script.current_incarnation.sequence,
             "born": self.start,
         }
 
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -345,10 +345,10 @@
 
         Whatever else is done to the target meanwhile, unless that ends the run.
         """
-        life = target.script.life
+        life = target.script.current_incarnation
 
         def end():
-            if target.script.life is life:
+            if target.script.current_incarnation is life:
                 self._end(target, harm)
 
         reactor.callLater(HARM_WORK * self._beside.uniform(0.2, 1.0), end)
--- a/tests/standin/test_users_engine.py
+++ b/tests/standin/test_users_engine.py
@@ -51,9 +51,9 @@
 
     def test_a_new_life_has_forgotten_all(self):
         self.engine.restart(FIRST_START)
-        current_incarnation = self.script.current_incarnation
-        current_incarnation.sequence = 5
-        current_incarnation.held.append(("aa", 200))
+        incarnation = self.script.current_incarnation
+        incarnation.sequence = 5
+        incarnation.held.append(("aa", 200))
         self.ask(b"/story/x")
         self.assertEqual(1, self.script.running)
         self.engine.restart(FIRST_START + 1)
