--- a/src/primrosescale/standin/__init__.py
+++ b/src/primrosescale/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of the systems the product talks to."""
+"""Small stand-ins for the systems that routers and agents communicate with."""
