--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -1,4 +1,8 @@
-"""The main job on a small deployment, with its outcome checked."""
+"""The demo's workload on a small deployment, and the checks of its outcome.
+
+Callers hold chats of several turns and send switch requests twice, each through a
+router chosen at random, while one engine is restarted and another is drained.
+"""
 
 from __future__ import annotations
 
@@ -42,34 +46,34 @@
 
 @dataclass(slots=True)
 class Summary:
-    """What a run did.
+    """Counts and measurements of one run.
 
     Parameters
     ----------
     calls : int
-        Calls that had to be answered, however often they were asked.
+        Calls that had to be answered, however often they were retried.
     requests : int
-        Requests made, those that came back after a refusal included.
+        Requests made, including retries after a refusal.
     whole : int
-        Answers that were whole and the caller's own.
+        Complete answers with status 200.
     refusals : dict[str, int]
         Refusals by kind.
     refused : dict[str, int]
         Refusals by organisation.
     broken : list[str]
-        Invariants that did not hold, in words.
+        Descriptions of the invariants that did not hold.
     first_bytes : list[float]
         Seconds to the first token of streamed answers.
     prompt_tokens : int
-        Tokens of prompts that followed an earlier turn.
+        Prompt tokens of all turns but the first of each chat.
     cached_tokens : int
-        Those of them that came from a cache.
+        Those of them that an engine had in its prefix cache.
     skews : list[float]
-        Highest load over the bound's mean, sampled.
+        Sampled ratios of the highest load of an engine to the mean load.
     cases : int
-        Switch cases opened.
+        Switch cases opened; each is to run once.
     duplicates : int
-        Runs of a case beyond its first.
+        Runs of a case after its first.
     """
 
     calls: int = 0
@@ -86,7 +90,7 @@
     duplicates: int = 0
 
     def text(self) -> str:
-        """Return the summary for people.
+        """Format the summary for people.
 
         Returns
         -------
@@ -100,7 +104,7 @@
         first = f"p50 {median:.0f} ms, p95 {p95:.0f} ms"
         lines = [
             f"calls                 {self.calls}",
-            f"answered whole        {self.whole}",
+            f"complete answers      {self.whole}",
             *self._refusal_lines(),
             f"switch cases          {self.cases} opened, {self.duplicates} duplicates",
             f"cache reuse           {reuse:.1f} % of returning prompts' tokens",
@@ -112,38 +116,38 @@
         return "\n".join(lines)
 
     def _refusal_lines(self) -> list[str]:
-        """Tell who had to come back; in a surge large organisations give way."""
+        """Format the refusals; in a surge large organisations are refused first."""
         total = sum(self.refusals.values())
         if not total:
-            return ["asked to come back    none"]
+            return ["told to retry         none"]
         kinds = ", ".join(f"{k} {n}" for k, n in sorted(self.refusals.items()))
         mean = sum(weight for _, weight in ORGANISATIONS) / len(ORGANISATIONS)
         large = [name for name, weight in ORGANISATIONS if weight > mean]
         from_large = sum(self.refused.get(name, 0) for name in large)
         return [
-            f"asked to come back    {total} of {self.requests} requests ({kinds})",
+            f"told to retry         {total} of {self.requests} requests ({kinds})",
             (
                 f"  of these            {from_large} large organisations ({len(large)}),"
                 f" {total - from_large} small ones ({len(ORGANISATIONS) - len(large)})"
             ),
             (
                 "  why                 all chats begin within 2 s: the bound on each"
-                " engine's load holds,"
+                " engine's load holds;"
             ),
             (
-                "                      and who has most waiting gives way; each came"
-                " back when told to"
+                "                      the organisation with the most queued calls is"
+                " refused, and its callers retry as told"
             ),
         ]
 
 
 class DemoRun:
-    """Returning chats, confirmations, a restart and a drain.
+    """Runs chats with several turns, switch requests, a restart and a drain.
 
     Parameters
     ----------
     deployment : Deployment
-        What is called.
+        The deployment that is called.
     caller : HttpCaller
         Makes the calls.
     reactor : Any
@@ -162,12 +166,12 @@
 
     @inlineCallbacks
     def run(self) -> Generator[Any, Any, Summary]:
-        """Do the whole run.
+        """Run the workload and check its outcome.
 
         Returns
         -------
         Deferred[Summary]
-            What came of it.
+            Its counts, measurements and broken invariants.
         """
         self._sample_load_skew()
         weights = [weight**2 for _, weight in ORGANISATIONS]
@@ -188,7 +192,7 @@
 
     @inlineCallbacks
     def _chat(self, organisation: str, chat: str) -> Generator[Any, Any, None]:
-        """Take some turns, each with the whole history."""
+        """Run the turns of a chat; each sends the whole history."""
         messages = [{"role": "user", "content": f"{CONTEXT} I am {chat}."}]
         yield self._deployment.pause(self._rng.uniform(0, 2.0))
         for turn in range(TURNS_PER_CHAT):
@@ -211,7 +215,7 @@
 
     @inlineCallbacks
     def _confirm_switch(self, number: int) -> Generator[Any, Any, None]:
-        """Open a switch case, and ask again through another router."""
+        """Send a switch request twice; the second may reach another router."""
         yield self._deployment.pause(self._rng.uniform(0, 4.0))
         case = f"case-{number}"
         body = json.dumps({"case": case}).encode()
@@ -242,7 +246,7 @@
         body: bytes,
         headers: dict[str, str],
     ) -> Generator[Any, Any, Any]:
-        """Make a request, and come back when told to."""
+        """Send a request, and retry it after the time that a refusal names."""
         sent = {
             "Authorization": f"Bearer {organisation_key(organisation)}",
             "Content-Type": "application/json",
@@ -274,9 +278,11 @@
         if is_streamed:
             self._summary.first_bytes.append(reply.first_byte)
             if not text.rstrip().endswith("[DONE]"):
-                self._summary.broken.append(f"{chat}: stream without its end")
+                self._summary.broken.append(
+                    f"{chat}: stream ended without its last event"
+                )
         if chat not in text:
-            self._summary.broken.append(f"{chat}: answer of another chat")
+            self._summary.broken.append(f"{chat}: answer belongs to another chat")
 
     def _count_reuse(self, reply: Reply, size: int, turn: int) -> None:
         if turn == 0:
@@ -293,7 +299,7 @@
             self._summary.broken.append("a non-idempotent request ran twice")
 
     def _sample_load_skew(self) -> None:
-        """Compare each engine's load with its bound's own view of the mean."""
+        """Record the ratio of the highest load to the mean, above the load floor."""
         if not self._is_sampling:
             return
         loads = [
@@ -308,7 +314,7 @@
 
 
 def _quantile(values: list[float], fraction: float) -> float:
-    """Return the value that a share of the values does not exceed."""
+    """Return the value that the given fraction of the values does not exceed."""
     if not values:
         return 0.0
     ordered = sorted(values)
