--- a/src/primrosescale/standin/deployment.py
+++ b/src/primrosescale/standin/deployment.py
@@ -1,4 +1,7 @@
-"""A whole deployment in one process, over real sockets on the loopback."""
+"""A deployment in one process: routers, agents and stand-ins for the rest.
+
+All of them communicate over TCP on the loopback interface.
+"""
 
 from __future__ import annotations
 
@@ -83,7 +86,7 @@
 
 @dataclass(slots=True)
 class DeployedTarget:
-    """A target and the agent before it.
+    """A target and the agent in front of it.
 
     Parameters
     ----------
@@ -94,11 +97,11 @@
     domain : str
         Its failure domain.
     resource : EngineResource | PlainServiceResource
-        The stand-in.
+        The stand-in for the target.
     port : Any
-        Where the stand-in listens.
+        The port on which the stand-in listens.
     agent : Agent
-        The agent.
+        The agent in front of it.
     """
 
     name: str
@@ -110,7 +113,7 @@
 
 
 class Deployment:
-    """Riga's deployment on stand-ins.
+    """Routers, agents and targets of the region riga, on stand-ins.
 
     Parameters
     ----------
@@ -130,7 +133,7 @@
 
     @property
     def store(self) -> ObjectStore:
-        """Return what the platform keeps."""
+        """Return the platform's object store."""
         return self._store
 
     @property
@@ -145,22 +148,22 @@
 
     @property
     def runs(self) -> Counter[str]:
-        """Return how often the portal ran each case."""
+        """Return how often the portal service ran each case."""
         return self._runs
 
     @inlineCallbacks
     def start(self, caller: HttpCaller) -> Generator[Any, Any, None]:
-        """Start everything and roll the first bundle out.
+        """Start all processes and roll out the first bundle.
 
         Parameters
         ----------
         caller : HttpCaller
-            Makes the operators' calls.
+            Client for the operators' calls.
 
         Returns
         -------
         Deferred[None]
-            When the bundle is in force everywhere.
+            Fires when the bundle is in force everywhere.
         """
         resource = PlatformResource(MemoryPlatform(self._store, self._reactor))
         self._platform_port = self._listen(resource)
@@ -175,12 +178,12 @@
 
     @inlineCallbacks
     def stop(self) -> Generator[Any, Any, None]:
-        """Stop everything.
+        """Stop all processes and close their ports.
 
         Returns
         -------
         Deferred[None]
-            When all ports are closed.
+            Fires when all ports are closed.
         """
         for target in list(self._targets.values()):
             yield target.agent.stop()
@@ -207,12 +210,12 @@
         service : str
             Its service.
         number : int
-            Chooses its failure domain.
+            Number from which its failure domain follows.
 
         Returns
         -------
         Deferred[None]
-            When the agent has joined.
+            Fires when the agent has joined.
         """
         domain = DOMAINS[number % len(DOMAINS)]
         resource = self._make_resource(name, service)
@@ -236,7 +239,7 @@
         Returns
         -------
         Deferred[None]
-            When it has gone.
+            Fires when both have stopped.
         """
         target = self._targets.pop(name)
         yield target.agent.stop()
@@ -244,10 +247,10 @@
 
     @inlineCallbacks
     def restart_target(self, name: str) -> Generator[Any, Any, None]:
-        """Start a target again behind its agent: same name, same address.
+        """Restart a target behind its agent, with the same name and address.
 
-        What it was working on is cut off, and it has forgotten all. One that
-        moves is stopped and started, with a new agent; see `stop_target`.
+        Its connections are aborted and its state is lost. A target that moves to
+        another address is stopped with `stop_target` and started with a new agent.
 
         Parameters
         ----------
@@ -257,7 +260,7 @@
         Returns
         -------
         Deferred[None]
-            When the new life takes calls.
+            Fires when the new incarnation accepts calls.
         """
         target = self._targets[name]
         number = target.port.getHost().port
@@ -269,30 +272,30 @@
         target.port = self._listen(target.resource, number)
 
     def write_foreign_hosts(self, entries: list[Any]) -> None:
-        """Have another writer's entries stand in the list of hosts.
+        """Put entries of another writer into the list of hosts.
 
         Parameters
         ----------
         entries : list[Any]
-            What stands there besides the fleet's own; empty to take it away.
+            Entries beside the fleet's own; empty to remove them.
         """
         self._store.foreign_hosts = entries
 
     @inlineCallbacks
     def roll_out(self, caller: HttpCaller, text: str) -> Generator[Any, Any, int]:
-        """Create, sign and roll out a bundle as operators do.
+        """Create, sign and roll out a bundle through the admin API.
 
         Parameters
         ----------
         caller : HttpCaller
-            Makes the calls.
+            Client for the calls.
         text : str
             The bundle's INI text.
 
         Returns
         -------
         Deferred[int]
-            Its version.
+            The bundle's version.
         """
         base = f"http://{LOOPBACK}:{self._routers[0].admin_port}/admin/v1"
         created = yield caller.json("POST", f"{base}/bundles", AUTHOR_KEY, text)
@@ -306,7 +309,7 @@
 
     @inlineCallbacks
     def settle(self, version: int) -> Generator[Any, Any, None]:
-        """Wait until a version is in force everywhere.
+        """Wait until a version is in force everywhere and all members are known.
 
         Parameters
         ----------
@@ -316,7 +319,7 @@
         Returns
         -------
         Deferred[None]
-            When it is; fails with `StandInError` after a while.
+            Fires then; fails with `StandInError` after `MAX_SETTLE_POLLS` polls.
         """
         for _ in range(MAX_SETTLE_POLLS):
             versions = [router.keeper.version for router in self._routers]
@@ -326,32 +329,34 @@
             if min(versions) >= version and min(known) >= expected:
                 return
             yield self.pause(SETTLE_POLL_SECONDS)
-        raise StandInError("the fleet did not settle", "look at the log for its cause")
+        raise StandInError(
+            "the deployment did not settle in time", "see the log for the cause"
+        )
 
     def pause(self, seconds: float) -> Deferred[None]:
-        """Wait.
+        """Wait for some time.
 
         Parameters
         ----------
         seconds : float
-            How long.
+            Time to wait, in seconds.
 
         Returns
         -------
         Deferred[None]
-            When the time is over.
+            Fires after that time.
         """
         result: Deferred[None] = Deferred()
         self._reactor.callLater(seconds, result.callback, None)
         return result
 
     def bundle_text(self, *, limit: float = 0.0) -> str:
-        """Return the deployment's bundle.
+        """Return the text of the deployment's bundle.
 
         Parameters
         ----------
         limit : float
-            Requests a second of each organisation; 0 for no limit.
+            Rate limit of each organisation in requests a second; 0 for none.
 
         Returns
         -------
@@ -423,7 +428,7 @@
         return PlainServiceResource(name, 0.01, self._reactor, self._runs)
 
     def _listen(self, resource: Any, number: int = 0) -> Any:
-        """Serve a resource; its port knows the connections that are open."""
+        """Serve a resource on a port whose factory keeps track of its connections."""
         site = Site(resource)
         site.noisy = False
         factory = WrappingFactory(site)
