--- a/src/primrosescale/standin/engine.py
+++ b/src/primrosescale/standin/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in of a model engine: batches, caches prefixes, takes orders."""
+"""A stand-in for a model engine: generates tokens, caches prefixes, takes orders."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
 
 @dataclass(slots=True)
 class EngineSettings:
-    """How a stand-in engine behaves; may be changed while it runs.
+    """Behaviour of a stand-in engine; may be changed while it runs.
 
     Parameters
     ----------
     tokens_per_second : float
-        Tokens generated for one request in a second.
+        Tokens generated for one request per second.
     prefill_per_second : float
-        Prompt tokens read in a second.
+        Prompt tokens processed per second.
     cache_tokens : int
-        Prompt tokens its cache holds.
+        Capacity of its prefix cache, in tokens.
     checks_fence : bool
-        Whether it refuses an order with an old fencing number.
+        Whether it refuses an order with a stale fencing number.
     fails : bool
-        Whether it answers every request with an error at once.
+        Whether it answers every chat completion with an error at once.
     """
 
     tokens_per_second: float = 200.0
@@ -54,12 +54,12 @@
 
 
 class PrefixCache:
-    """Prompt tokens by chat, the least recently used dropped first.
+    """Number of cached tokens by chat; evicts the least recently stored chat first.
 
     Parameters
     ----------
     limit : int
-        Tokens held at the most.
+        Capacity in tokens.
     """
 
     def __init__(self, limit: int) -> None:
@@ -69,15 +69,15 @@
 
     @property
     def chats(self) -> list[str]:
-        """Return the chats that have tokens here."""
+        """Return the chats that have cached tokens."""
         return list(self._chats)
 
     def __contains__(self, chat: object) -> bool:
-        """Tell whether a chat has tokens here."""
+        """Tell whether a chat has cached tokens."""
         return chat in self._chats
 
     def hit(self, chat: str, prompt: int) -> int:
-        """Return the tokens of a prompt that are held.
+        """Return how many tokens of a prompt are cached.
 
         Parameters
         ----------
@@ -89,20 +89,20 @@
         Returns
         -------
         int
-            At most the prompt's.
+            At most the tokens of the prompt.
         """
         held = self._chats.get(chat, 0) if chat else 0
         return min(held, prompt)
 
     def store(self, chat: str, tokens: int) -> None:
-        """Hold a chat's tokens.
+        """Set the number of cached tokens of a chat.
 
         Parameters
         ----------
         chat : str
             The chat; empty for none.
         tokens : int
-            How many.
+            Number of tokens.
         """
         if not chat:
             return
@@ -113,7 +113,7 @@
             self._total -= dropped
 
     def tokens(self, chat: str) -> int:
-        """Return the tokens held of a chat.
+        """Return how many tokens of a chat are cached.
 
         Parameters
         ----------
@@ -123,13 +123,13 @@
         Returns
         -------
         int
-            0 for none.
+            0 when the chat is not cached.
         """
         return self._chats.get(chat, 0)
 
 
 class Generation:
-    """One request the engine is working on.
+    """One chat completion that the engine generates.
 
     Parameters
     ----------
@@ -144,7 +144,7 @@
     output : int
         Tokens it will generate.
     is_streamed : bool
-        Whether tokens go out as they come.
+        Whether each token is sent as an event.
     """
 
     def __init__(
@@ -168,7 +168,7 @@
         request.notifyFinish().addErrback(self._handle_disconnect)
 
     def begin(self) -> None:
-        """Read the prompt, then generate."""
+        """Process the prompt tokens that are not cached, then generate."""
         cached = self._engine.cache.hit(self._chat, self._prompt)
         settings = self._engine.settings
         self._request.setHeader(b"x-cached-tokens", str(cached).encode())
@@ -212,12 +212,12 @@
 
 
 class EngineResource(Resource):
-    """Serves chat completions, cache, load and orders.
+    """Serves chat completions, cache entries, load and orders over HTTP.
 
     Parameters
     ----------
     settings : EngineSettings
-        How it behaves.
+        Behaviour of the engine.
     clock : Clock
         Source of timers.
     """
@@ -237,60 +237,60 @@
 
     @property
     def settings(self) -> EngineSettings:
-        """Return how it behaves."""
+        """Return the settings, which may be changed in place."""
         return self._settings
 
     @property
     def clock(self) -> Clock:
-        """Return its source of timers."""
+        """Return the source of timers."""
         return self._clock
 
     @property
     def cache(self) -> PrefixCache:
-        """Return its prefix cache."""
+        """Return the prefix cache."""
         return self._cache
 
     @property
     def running(self) -> int:
-        """Return how many requests it is working on."""
+        """Return the number of requests in flight."""
         return self._running
 
     @property
     def cancelled_count(self) -> int:
-        """Return how many requests were cancelled."""
+        """Return how many requests were cancelled by a disconnect."""
         return self._cancelled
 
     @property
     def answered_count(self) -> int:
-        """Return how many requests were answered whole."""
+        """Return how many requests were answered completely."""
         return self._answered
 
     @property
     def state(self) -> dict[str, Any]:
-        """Return what orders have made of it."""
+        """Return the model, version and role that orders have set."""
         return self._state
 
     @property
     def fence(self) -> int:
-        """Return the highest fencing number seen."""
+        """Return the highest fencing number received."""
         return self._fence
 
     def record_answered(self, chat: str, tokens: int) -> None:
-        """Take in that a request was answered.
+        """Record that a request was answered completely.
 
         Parameters
         ----------
         chat : str
             Its chat.
         tokens : int
-            Tokens of prompt and answer.
+            Tokens of the prompt and the answer.
         """
         self._running -= 1
         self._answered += 1
         self._cache.store(chat, tokens)
 
     def record_cancelled(self) -> None:
-        """Take in that a request was cancelled."""
+        """Record that a request was cancelled."""
         self._running -= 1
         self._cancelled += 1
 
