--- a/src/primrosescale/standin/http_caller.py
+++ b/src/primrosescale/standin/http_caller.py
@@ -1,4 +1,4 @@
-"""A small HTTP client for callers and operators of the stand-ins."""
+"""A small HTTP client for callers and operators of the demo deployment."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
 
 @dataclass(slots=True)
 class Reply:
-    """What came back.
+    """An answer, or the error in place of one.
 
     Parameters
     ----------
     status : int
-        HTTP status; 0 when the connection broke before it came.
+        HTTP status; 0 when no response head was received.
     headers : Headers
-        Headers.
+        Headers of the response.
     body : bytes
-        Content as far as it came.
+        Content as far as it was received; the error's text for status 0.
     is_whole : bool
-        Whether the content ended as it should.
+        Whether the content was received completely.
     first_byte : float
-        Seconds until the first byte of content.
+        Seconds from the request to the first byte of content.
     """
 
     status: int
@@ -58,7 +58,7 @@
         Returns
         -------
         Any
-            Empty when it is none.
+            The parsed content; an empty dict when it is not JSON.
         """
         try:
             return json.loads(self.body)
@@ -67,7 +67,7 @@
 
 
 class _BodyCollector(Protocol):
-    """Collects a body and notes when it began."""
+    """Collects a body and measures the time to its first byte."""
 
     def __init__(self, reactor: Any, started_at: float, result: Deferred[Any]) -> None:
         self._reactor = reactor
@@ -77,13 +77,13 @@
         self._first_byte_seconds = 0.0
 
     def dataReceived(self, data: bytes) -> None:
-        """Keep bytes."""
+        """Append received bytes."""
         if not self._parts:
             self._first_byte_seconds = self._reactor.seconds() - self._started_at
         self._parts.append(data)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Hand over what came."""
+        """Pass on the received content and whether it is complete."""
         is_whole = bool(reason.check(ResponseDone))
         self._result.callback(
             (b"".join(self._parts), is_whole, self._first_byte_seconds)
@@ -91,7 +91,7 @@
 
 
 class HttpCaller:
-    """Makes calls with bearer keys.
+    """HTTP client that keeps connections open and never retries by itself.
 
     Parameters
     ----------
@@ -107,12 +107,12 @@
         self._agent = Agent(reactor, connectTimeout=2.0, pool=self._pool)
 
     def close(self) -> Deferred[None]:
-        """Close kept connections.
+        """Close the idle connections.
 
         Returns
         -------
         Deferred[None]
-            When they are closed.
+            Fires when they are closed.
         """
         closed: Deferred[None] = self._pool.closeCachedConnections()
         return closed
@@ -125,23 +125,23 @@
         headers: dict[str, str],
         body: bytes,
     ) -> Generator[Any, Any, Reply]:
-        """Make one call.
+        """Send one request.
 
         Parameters
         ----------
         method : str
             HTTP method.
         url : str
-            Whole address.
+            Absolute URL.
         headers : dict[str, str]
-            Headers.
+            Request headers.
         body : bytes
-            Content.
+            Request content.
 
         Returns
         -------
         Deferred[Reply]
-            What came back; never fails.
+            The answer; an error is returned as a reply with status 0.
         """
         sent = Headers({name: [value] for name, value in headers.items()})
         started_at = self._reactor.seconds()
@@ -153,7 +153,7 @@
                 sent,
                 producer,
             )
-        except Exception as error:  # noqa: BLE001 - told to the caller as a reply
+        except Exception as error:  # noqa: BLE001 - returned as a reply
             text = str(error).encode()
             return Reply(0, Headers(), text, is_whole=False, first_byte=0.0)
         collected: Deferred[Any] = Deferred()
@@ -169,14 +169,14 @@
         key: str,
         content: Any,
     ) -> Generator[Any, Any, Any]:
-        """Make one call that must succeed.
+        """Send one request that must succeed.
 
         Parameters
         ----------
         method : str
             HTTP method.
         url : str
-            Whole address.
+            Absolute URL.
         key : str
             Bearer key.
         content : Any
@@ -185,12 +185,14 @@
         Returns
         -------
         Deferred[Any]
-            The answer's fields; fails with `StandInError`.
+            The answer's JSON; fails with `StandInError` for an error status.
         """
         text = content if isinstance(content, str) else json.dumps(content)
         headers = {"Authorization": f"Bearer {key}"}
         reply = yield self.call(method, url, headers, text.encode())
         if not 0 < reply.status < FIRST_ERROR_STATUS:
             detail = reply.body.decode("utf-8", "replace")
-            raise StandInError(f"{method} {url}: {reply.status} {detail}", "see detail")
+            raise StandInError(
+                f"{method} {url}: {reply.status} {detail}", "see the answer's content"
+            )
         return reply.json()
