--- a/src/primrosescale/standin/memory_platform.py
+++ b/src/primrosescale/standin/memory_platform.py
@@ -1,4 +1,4 @@
-"""The stand-in platform without a network between, for tests and the demo."""
+"""The platform interface on an object store in memory, without a network."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 class MemoryPlatform(Platform):
-    """Calls an object store after its latency.
+    """Performs calls on an object store in memory, after the store's latency.
 
     Parameters
     ----------
     store : ObjectStore
-        What is kept.
+        The object store.
     clock : Clock
         Source of time and timers.
     """
@@ -42,7 +42,7 @@
 
     @property
     def store(self) -> ObjectStore:
-        """Return what is kept."""
+        """Return the object store."""
         return self._store
 
     def get(self, key: str) -> Deferred[StoredObject | None]:
@@ -135,7 +135,7 @@
         settings = self._store.settings
         if is_write and settings.lost_answers > 0:
             settings.lost_answers -= 1
-            lost = Failure(PlatformAnswerLostError("stand-in was told to lose it"))
+            lost = Failure(PlatformAnswerLostError("lost by the stand-in's settings"))
             self._clock.callLater(half_latency, result.errback, lost)
             return
         self._clock.callLater(half_latency, result.callback, value)
