--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -90,12 +90,12 @@
     duplicates: int = 0
 
     def text(self) -> str:
-        """Format the summary for people.
+        """Format the summary as text.
 
         Returns
         -------
         str
-            A few lines.
+            One line for each figure.
         """
         reuse = 100 * self.cached_tokens / max(1, self.prompt_tokens)
         skew = max(self.skews, default=0.0)
