--- a/src/primrosescale/standin/object_store.py
+++ b/src/primrosescale/standin/object_store.py
@@ -1,4 +1,4 @@
-"""What the stand-in of the platform keeps, with its limits and faults."""
+"""The object store and host list of the stand-in platform, with limits and faults."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 
 @dataclass(slots=True)
 class StoreSettings:
-    """Limits and faults of the stand-in; all may be changed while it runs.
+    """Limits and faults of the store; all may be changed while it runs.
 
     Parameters
     ----------
     writes_per_second : float
-        Writes it takes.
+        Writes accepted per second.
     reads_per_second : float
-        Reads it takes, a waiting watch counting as one.
+        Reads accepted per second; a watch counts as one.
     latency : float
-        Seconds until an answer.
+        Seconds from a call to its answer.
     is_down : bool
         Whether it refuses every call.
     lost_answers : int
-        Writes still to come that take effect while their answer is lost.
+        Number of coming writes that take effect while their answer is lost.
     host_lag : float
-        Seconds by which the list of hosts lags.
+        Seconds until an announced host shows on the list of hosts.
     """
 
     writes_per_second: float = 400.0
@@ -49,7 +49,7 @@
 
 
 class TokenBucket:
-    """A rate with a burst of one second.
+    """A token bucket whose burst is one second of its rate.
 
     Parameters
     ----------
@@ -67,14 +67,14 @@
         Parameters
         ----------
         rate : float
-            Tokens a second, and at the most.
+            Tokens added per second, and the bucket's capacity.
         now : float
             Present time in seconds.
 
         Returns
         -------
         bool
-            False when there is none.
+            False when no token is left.
         """
         held = rate if self._tokens is None else self._tokens
         held = min(rate, held + (now - self._updated_at) * rate)
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _HostChange:
-    """One change of the list of hosts and when it shows."""
+    """One change of the list of hosts and the time from which it is visible."""
 
     version: int
     visible_at: float
@@ -114,7 +114,7 @@
         self._writes = TokenBucket(now)
         self._host_changes: list[_HostChange] = []
         self._host_version = 0
-        # Entries of another writer, as they stand in the list of hosts.
+        # Entries of another writer, served beside the announced hosts.
         self.foreign_hosts: list[Any] = []
         self._read_count = 0
         self._write_count = 0
@@ -131,12 +131,12 @@
 
     @property
     def read_count(self) -> int:
-        """Return the reads taken so far."""
+        """Return the number of reads accepted so far."""
         return self._read_count
 
     @property
     def write_count(self) -> int:
-        """Return the writes taken so far."""
+        """Return the number of writes accepted so far."""
         return self._write_count
 
     def get(self, key: str, now: float) -> StoredObject | None:
@@ -145,29 +145,29 @@
         Parameters
         ----------
         key : str
-            Its name.
+            The object's key.
         now : float
             Present time in seconds.
 
         Returns
         -------
         StoredObject | None
-            The object, unless it does not exist.
+            The object; None when it does not exist.
         """
         self._count_read(now)
         return self._objects.get(key)
 
     def put(self, key: str, value: bytes, expected: int, now: float) -> int:
-        """Write an object if it is still at a version.
+        """Write an object if it still has an expected version.
 
         Parameters
         ----------
         key : str
-            Its name.
+            The object's key.
         value : bytes
             Its new content.
         expected : int
-            Version it must have; 0 to create it.
+            Version that it must have; 0 to create it.
         now : float
             Present time in seconds.
 
@@ -179,7 +179,7 @@
         Raises
         ------
         PlatformConflictError
-            When it is at another version.
+            When it has another version.
         PlatformLimitError
             When the value is too large.
         """
@@ -200,7 +200,7 @@
         Parameters
         ----------
         key : str
-            Its name.
+            The object's key.
         now : float
             Present time in seconds.
         """
@@ -211,16 +211,16 @@
     def list(
         self, prefix: str, after: str, limit: int, now: float
     ) -> list[StoredObject]:
-        """Read objects in the order of their names.
+        """Read objects in the order of their keys.
 
         Parameters
         ----------
         prefix : str
-            What their names begin with.
+            Prefix of their keys.
         after : str
-            Name after which to begin.
+            Key after which to begin.
         limit : int
-            How many at the most.
+            Maximum number of objects.
         now : float
             Present time in seconds.
 
@@ -244,12 +244,12 @@
         self._count_read(now)
 
     def changes(self, prefix: str, since: int) -> WatchResult:
-        """Return what changed below a prefix.
+        """Return the objects that changed below a prefix.
 
         Parameters
         ----------
         prefix : str
-            What the objects' names begin with.
+            Prefix of the objects' keys.
         since : int
             Revision after which changes count.
 
@@ -267,12 +267,12 @@
         return WatchResult(self._revision, tuple(found))
 
     def announce(self, entry: HostEntry, now: float) -> None:
-        """Take a host onto the list; it shows after the lag.
+        """Add or update a host on the list; it is visible after the lag.
 
         Parameters
         ----------
         entry : HostEntry
-            The host.
+            The host's entry.
         now : float
             Present time in seconds.
         """
@@ -283,19 +283,19 @@
         self._host_changes.append(_HostChange(self._host_version, visible_at, entry))
 
     def hosts(self, since: int, now: float) -> HostList:
-        """Return the list of hosts as far as it shows.
+        """Return the visible changes of the list of hosts.
 
         Parameters
         ----------
         since : int
-            Version that is known.
+            Version that the caller has.
         now : float
             Present time in seconds.
 
         Returns
         -------
         HostList
-            Changes since then, or the whole list.
+            Changes since that version, or the whole list.
         """
         self._count_read(now)
         visible = [c for c in self._host_changes if c.visible_at <= now]
