--- a/src/primrosescale/standin/plain_service.py
+++ b/src/primrosescale/standin/plain_service.py
@@ -1,4 +1,4 @@
-"""A stand-in of a plain service that counts what it was made to do."""
+"""A stand-in for a plain service that counts how often it ran each case."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 
 class PlainServiceResource(Resource):
-    """Answers every call after a while and counts runs by their subject.
+    """Answers every request after a delay and counts runs by case.
 
     Parameters
     ----------
     name : str
         Name of the target.
     delay : float
-        Seconds a call takes.
+        Seconds until a request is answered.
     clock : Clock
         Source of timers.
     runs : Counter[str]
-        Runs by the ``case`` that a call's body names; may be shared.
+        Number of runs by the ``case`` in a request's body; may be shared.
     """
 
     isLeaf = True
@@ -51,7 +51,7 @@
 
     @property
     def runs(self) -> Counter[str]:
-        """Return the runs by subject."""
+        """Return the number of runs by case."""
         return self._runs
 
     def render(self, request: Request) -> int:
