--- a/src/primrosescale/standin/platform_site.py
+++ b/src/primrosescale/standin/platform_site.py
@@ -1,4 +1,4 @@
-"""The stand-in platform over HTTP."""
+"""Serves the stand-in platform over HTTP."""
 
 from __future__ import annotations
 
@@ -40,12 +40,12 @@
 
 
 class PlatformResource(Resource):
-    """Serves objects, watches and the list of hosts.
+    """HTTP resource for objects, watches and the list of hosts.
 
     Parameters
     ----------
     platform : MemoryPlatform
-        What is served.
+        The platform that is served.
     """
 
     isLeaf = True
@@ -65,7 +65,7 @@
         Returns
         -------
         int
-            `NOT_DONE_YET`: every answer takes its latency.
+            `NOT_DONE_YET`: every answer comes after the store's latency.
         """
         disconnects: list[bool] = []
         request.notifyFinish().addErrback(lambda _: disconnects.append(True))
