--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -1,4 +1,4 @@
-"""A stand-in of the users' targets: plain answers, streams and their faults."""
+"""A stand-in for the users' targets: plain answers, event streams and faults."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class EngineFault(Enum):
-    """What becomes of one request."""
+    """Fault with which a request is answered, or not answered."""
 
     FAIL = "fail"
     DECLINE = "decline"
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class Arrival:
-    """A request as it arrived.
+    """A request as the engine received it.
 
     Parameters
     ----------
@@ -60,9 +60,9 @@
     body : bytes
         Body.
     is_left : bool
-        Whether its connection was closed before the answer was whole.
+        Whether its connection was closed before the answer was complete.
     has_run : bool
-        Whether the engine began to work on it.
+        Whether the engine began to run it.
     """
 
     method: bytes
@@ -75,21 +75,21 @@
 
 @dataclass(slots=True)
 class EngineIncarnation:
-    """All that belongs to one life of an engine, replaced whole at a start.
+    """State of one incarnation of an engine; replaced as a whole at a restart.
 
     Parameters
     ----------
     started_at : int | None
-        Its start in Unix milliseconds; None for an engine that tells none.
+        Its start in Unix milliseconds; None for an engine that reports none.
     sequence : int
-        Orders that it has accepted.
+        Number of orders that it has accepted.
     held : list[tuple[str, int]]
-        Prompt parts that it holds, with their tokens.
+        Prompt parts in its prefix cache, with their tokens.
     running : int
-        Requests that are being worked on.
+        Number of requests in flight.
     silent_until : float
-        Until when it sends nothing to anyone, in seconds of its source of
-        time: it reads, works and keeps its connections.
+        Time until which it sends nothing to anyone, in seconds of the engine's
+        reactor; it still reads, runs requests and keeps its connections.
     """
 
     started_at: int | None = None
@@ -99,12 +99,12 @@
     silent_until: float = 0.0
 
     def with_start(self, **fields: Any) -> dict[str, Any]:
-        """Return what it says of itself, with its start if it tells one.
+        """Return fields with the start added, if the engine reports one.
 
         Parameters
         ----------
         **fields : Any
-            What else it says.
+            The other fields.
 
         Returns
         -------
@@ -117,43 +117,43 @@
 
 @dataclass(slots=True)
 class EngineScript:
-    """How an engine behaves; may be changed while it runs.
+    """Behaviour of an engine and what it received; may be changed while it runs.
 
     Parameters
     ----------
     name : str
-        Its name; another one for what is another target.
+        Its unique name; another one makes it another target.
     faults : list[EngineFault]
-        Faults of the requests to come, in order.
+        Faults of the next requests, in order.
     events : int
-        Events of a stream; 0 for plain answers.
+        Number of events of a stream; 0 for plain answers.
     cut_after : int
-        Events after which a cut stream ends.
+        Number of events after which a cut stream ends.
     gap : float
         Seconds between events.
     body : bytes
-        A plain answer.
+        Body of a plain answer.
     delay : float
         Seconds before a plain answer.
     arrivals : list[Arrival]
-        Requests so far.
+        Requests received so far.
     names_request : bool
-        Whether answers and events hold the request's name, so that a caller
-        can tell its own from others.
+        Whether answers and events contain the request id, so that a caller can
+        tell its own answer from others.
     receipt : bytes
-        What its answers are signed with.
+        Signature of its answers.
     health_path : bytes
-        Where it says that it is healthy; empty for nowhere.
+        Path of its health check; empty for none.
     on_arrival : Callable[[Arrival], None] | None
-        Told of each request, once it is decided whether it runs.
+        Called for each request, once it is decided whether it runs.
     is_leaving : bool
-        Whether its answers say that it leaves.
+        Whether its answers report that it leaves.
     rest : float | None
-        Seconds without requests that it asks for when it declines one.
+        Pause in seconds that it requests when it declines a request.
     is_resting : bool
         Whether it declines all requests.
     current_incarnation : EngineIncarnation
-        What belongs to its present life.
+        State of its present incarnation.
     """
 
     name: str = "i-1"
@@ -175,11 +175,11 @@
 
     @property
     def running(self) -> int:
-        """Return how many requests its present life works on."""
+        """Return how many requests the present incarnation has in flight."""
         return self.current_incarnation.running
 
     def self_description(self, method: bytes, path: bytes) -> dict[str, Any] | None:
-        """Return what it says of itself when asked for that.
+        """Return its report, cache contents or health when a request asks for one.
 
         Parameters
         ----------
@@ -221,12 +221,12 @@
         return incarnation.with_start()
 
     def plain_answer(self, request_id: bytes) -> bytes:
-        """Return the whole plain answer to a request.
+        """Return the body of the complete plain answer to a request.
 
         Parameters
         ----------
         request_id : bytes
-            Name of the request.
+            Id of the request.
 
         Returns
         -------
@@ -239,14 +239,14 @@
 
 
 class _EngineRequest(Request):
-    """One request at the engine."""
+    """One request at the engine, answered as the script says."""
 
-    # A connection may be lost before its request is whole.
+    # A connection may be lost before its request is received completely.
     _is_received = False
     _is_running = False
 
     def process(self) -> None:
-        """Answer by the script."""
+        """Answer the request as the script says."""
         channel: Any = self.channel
         self._script: EngineScript = channel.script
         self._incarnation: EngineIncarnation = channel.incarnation
@@ -318,7 +318,7 @@
             channel.call_later(self._script.delay, lambda: self._answer(fault))
 
     def connectionLost(self, reason: Any) -> None:
-        """Note that the connection ended early."""
+        """Record that the connection ended before the answer was complete."""
         super().connectionLost(reason)
         if self._is_received:
             self._received.is_left = True
@@ -423,11 +423,11 @@
         open_channels.add(self)
 
     def call_later(self, seconds: float, act: Callable[[], Any]) -> None:
-        """Do something later."""
+        """Call a function after some seconds, once the engine is not silent."""
         self._reactor.callLater(seconds, self.when_not_silent, act)
 
     def when_not_silent(self, act: Callable[[], Any]) -> None:
-        """Do something once the engine sends again: now, unless it is silent."""
+        """Call a function now, or once the engine's silence has ended."""
         remaining = self.incarnation.silent_until - self._reactor.seconds()
         if remaining > 0:
             self._reactor.callLater(remaining, self.when_not_silent, act)
@@ -435,18 +435,18 @@
             act()
 
     def connectionLost(self, reason: Any = connectionDone) -> None:
-        """Note that the connection has ended."""
+        """Remove the connection from the open ones."""
         self._open_channels.discard(self)
         super().connectionLost(reason)
 
 
 class UsersEngine(ServerFactory):
-    """Makes connections of one engine.
+    """Server factory of one engine; its connections share the script.
 
     Parameters
     ----------
     script : EngineScript
-        How it behaves.
+        Behaviour of the engine.
     reactor : Any
         Source of time and timers.
     """
@@ -459,16 +459,16 @@
         self._open_channels: set[Any] = set()
 
     def restart(self, started_at: int | None) -> None:
-        """Start again under the same name: all of the former life is gone.
+        """Restart under the same name with the state of a new incarnation.
 
-        What was running is cut off, and nothing of it is remembered. Where it
-        listens does not change; a caller that moves it makes another port with
-        this factory and closes the former one.
+        Open connections are aborted and the faults to come are cleared. The engine
+        keeps its port; a caller that moves it listens on another port with this
+        factory and closes the former one.
 
         Parameters
         ----------
         started_at : int | None
-            Start of the new life in Unix milliseconds; None to tell none.
+            Start of the new incarnation in Unix milliseconds; None to report none.
         """
         self._script.current_incarnation = EngineIncarnation(started_at)
         self._script.faults.clear()
@@ -476,12 +476,12 @@
             channel.transport.abortConnection()
 
     def fall_silent(self, seconds: float) -> None:
-        """Send nothing to anyone for a while, as when a long prompt is read.
+        """Send nothing for some seconds, as an engine does that reads a long prompt.
 
         Parameters
         ----------
         seconds : float
-            How long.
+            Length of the silence in seconds.
         """
         self._script.current_incarnation.silent_until = (
             self._reactor.seconds() + seconds
@@ -493,7 +493,7 @@
         Parameters
         ----------
         addr : Any
-            Where it comes from.
+            Address of the peer.
 
         Returns
         -------
