--- a/src/primrosescale/standin/users_store.py
+++ b/src/primrosescale/standin/users_store.py
@@ -1,7 +1,7 @@
-"""A stand-in of the users' object store, with its faults.
+"""A stand-in for the users' object store, with its faults.
 
-It speaks the other side of ``platform/object_platform.py``, so this module and
-that package are the only ones that know the store's fields.
+It is the server for the client in ``platform/object_platform.py``; only this module
+and the ``platform`` package contain the store's field names.
 """
 
 from __future__ import annotations
@@ -28,19 +28,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RawContent:
-    """Content that is answered as it is, whether it can be read or not.
+    """Content that is sent as it is, whether it can be decoded or not.
 
     Parameters
     ----------
     data : bytes
-        Bytes in the place of the content's JSON text.
+        Bytes sent in place of the content's JSON text.
     """
 
     data: bytes
 
 
 def foreign_entries(good: dict[str, Any]) -> dict[str, Any]:
-    """Return what another writer might put in the place of a target's entry.
+    """Return unusable contents that another writer might write as a target's entry.
 
     Parameters
     ----------
@@ -63,7 +63,7 @@
     found: dict[str, Any] = {
         f"no {name}": {k: v for k, v in good.items() if k != name}
         for name in bad_values
-        # Not every writer tells its start.
+        # An entry without a start is valid: not every writer reports one.
         if name != "born"
     }
     for name, values in bad_values.items():
@@ -80,7 +80,7 @@
 
 
 class StoreFault(Enum):
-    """What becomes of one call."""
+    """Fault with which a call is answered, or not answered."""
 
     BUSY = 503
     MANY = 429
@@ -92,7 +92,7 @@
 
 @dataclass(slots=True)
 class _WaitingWatch:
-    """A watch that waits."""
+    """A watch that waits for a change."""
 
     request: Any
     kind: str
@@ -102,20 +102,20 @@
 
 @dataclass(slots=True)
 class StoreFaults:
-    """Faults to come; may be changed while the store runs.
+    """Faults of the store; may be changed while it runs.
 
     Parameters
     ----------
     next_calls : list[StoreFault]
-        Faults of the calls to come, in order.
+        Faults of the next calls, in order.
     all_calls : StoreFault | None
-        Fault of every call while it is set.
+        Fault of every call; None for none.
     page : int
-        Objects on one page of a list.
+        Maximum number of objects on one page of a list.
     is_deaf : bool
-        Whether watches hear nothing.
+        Whether watches report no changes.
     is_stale : bool
-        Whether calls that allow it read what was there when it began.
+        Whether reads that allow stale data get a copy; see `UsersStore.fall_behind`.
     """
 
     next_calls: list[StoreFault] = field(default_factory=list)
@@ -125,12 +125,12 @@
     is_stale: bool = False
 
     def next_fault(self) -> StoreFault | None:
-        """Return the fault of a call.
+        """Return the fault of the next call.
 
         Returns
         -------
         StoreFault | None
-            The fault; None for a call that works.
+            The fault; None for a call that succeeds.
         """
         if self.all_calls is not None:
             return self.all_calls
@@ -138,7 +138,7 @@
 
 
 class UsersStore(Resource):
-    """Objects of kinds, with revisions, conditions and watches.
+    """Objects by kind and name, with revisions, conditional writes and watches.
 
     Parameters
     ----------
@@ -156,13 +156,13 @@
         self._forgotten_revision = 0
         self._history: list[tuple[int, str, bool, dict[str, Any]]] = []
         self._waiting_watches: list[_WaitingWatch] = []
-        # What stale reads find, with its revision.
+        # The objects that stale reads return, with their revision.
         self._stale: tuple[dict[str, dict[str, dict[str, Any]]], int] = ({}, 1)
         self.faults = StoreFaults()
         self.calls: list[str] = []
 
     def write(self, kind: str, name: str, spec: Any) -> int:
-        """Write an object as the operator or a target does.
+        """Write an object unconditionally, as the operator or a target does.
 
         Parameters
         ----------
@@ -206,7 +206,7 @@
         Returns
         -------
         bool
-            Whether it was there.
+            Whether it existed.
         """
         item = self._objects.get(kind, {}).pop(name, None)
         if item is None:
@@ -216,7 +216,7 @@
         return True
 
     def content(self, kind: str, name: str) -> Any:
-        """Return the content of an object, to be written again or changed.
+        """Return a copy of an object's content, to be written again or changed.
 
         Parameters
         ----------
@@ -228,18 +228,18 @@
         Returns
         -------
         Any
-            A copy of the content; None where there is no such object.
+            The copy; None when there is no such object.
         """
         item = self._objects.get(kind, {}).get(name)
         return copy.deepcopy(item["spec"]) if item else None
 
     def fall_behind(self) -> None:
-        """From now on, reads that may be stale find what is there now."""
+        """Have stale reads return the present objects from now on."""
         self._stale = (copy.deepcopy(self._objects), self._revision)
         self.faults.is_stale = True
 
     def catch_up(self) -> None:
-        """Have stale reads find the present again, and tell watches of it."""
+        """End stale reads and report the missed changes to waiting watches."""
         self.faults.is_stale = self.faults.is_deaf = False
         for waiting_watch in list(self._waiting_watches):
             if self._events(waiting_watch.kind, waiting_watch.since):
@@ -247,7 +247,7 @@
                 self._end_watch(waiting_watch)
 
     def forget_history(self) -> None:
-        """Forget all changes so far and cut all watches."""
+        """Drop the history of changes and abort all waiting watches."""
         self._forgotten_revision = self._revision
         self._history.clear()
         for waiting_watch in list(self._waiting_watches):
@@ -266,7 +266,7 @@
         Returns
         -------
         int
-            `NOT_DONE_YET`: it may be answered later or never.
+            `NOT_DONE_YET`: the answer may come later or never.
         """
         self.calls.append(f"{request.method.decode()} {request.uri.decode()}")
         fault = self.faults.next_fault()
@@ -323,7 +323,7 @@
         Returns
         -------
         int
-            Watches.
+            Number of watches.
         """
         return sum(
             1 for waiting_watch in self._waiting_watches if waiting_watch.kind == kind
@@ -341,7 +341,7 @@
         }
 
     def _read(self, request: Any) -> tuple[dict[str, dict[str, dict[str, Any]]], int]:
-        """Return what a call reads, and its revision."""
+        """Return the objects that a call reads, and their revision."""
         if self.faults.is_stale and request.args.get(b"allow_stale") == [b"1"]:
             return self._stale
         return self._objects, self._revision
