--- a/src/primrosescale/standin/engine.py
+++ b/src/primrosescale/standin/engine.py
@@ -20,7 +20,7 @@
     from primrosescale.clock import Clock
 
 DEFAULT_OUTPUT_TOKENS = 40
-TOKEN_TEXT = "token "
+GENERATED_WORD = "token "
 OK = 200
 BAD_REQUEST = 400
 NOT_FOUND = 404
@@ -201,7 +201,7 @@
         if self._is_streamed:
             self._request.write(b"data: [DONE]\n\n")
         else:
-            text = f"{self._chat}: " + TOKEN_TEXT * self._output
+            text = f"{self._chat}: " + GENERATED_WORD * self._output
             self._request.write(_completion_body(text, self._prompt, self._output))
         self._request.finish()
 
