--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -137,7 +137,7 @@
         Seconds before a plain answer.
     arrivals : list[Arrival]
         Requests received so far.
-    names_request : bool
+    echoes_request_id : bool
         Whether answers and events contain the request id, so that a caller can
         tell its own answer from others.
     receipt : bytes
@@ -164,7 +164,7 @@
     body: bytes = b"done"
     delay: float = 0.0
     arrivals: list[Arrival] = field(default_factory=list)
-    names_request: bool = False
+    echoes_request_id: bool = False
     receipt: bytes = DEFAULT_SIGNATURE
     health_path: bytes = b""
     on_arrival: Callable[[Arrival], None] | None = None
@@ -234,7 +234,9 @@
             The body.
         """
         return (
-            b"%b for %b" % (self.body, request_id) if self.names_request else self.body
+            b"%b for %b" % (self.body, request_id)
+            if self.echoes_request_id
+            else self.body
         )
 
 
@@ -364,7 +366,7 @@
             self.write(b"id: %d\nda" % number)
             channel.call_later(0.01, channel.transport.abortConnection)
             return
-        word = self._request_id if self._script.names_request else b"word"
+        word = self._request_id if self._script.echoes_request_id else b"word"
         self.write(b"id: %d\ndata: %b\n\n" % (number, word))
         channel.call_later(
             self._script.gap, lambda: self._send_event(number + 1, fault)
--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -52,7 +52,7 @@
             events=0 if plain else EVENTS,
             gap=rng.uniform(0.01, 0.05),
             delay=rng.uniform(0.02, 0.09) if plain else 0.03,
-            names_request=True,
+            echoes_request_id=True,
             on_arrival=self._arrived,
         )
         self.engine = UsersEngine(self.script)
