--- a/src/primrosescale/standin/deployment.py
+++ b/src/primrosescale/standin/deployment.py
@@ -437,4 +437,7 @@
 
 
 def _model_service() -> str:
-    return f"[service {MODEL_SERVICE}]\nkind = model\nmodels = {MODEL}\nfloor = {FLOOR_WORK_UNITS}"
+    return (
+        f"[service {MODEL_SERVICE}]\nkind = model\nmodels = {MODEL}\n"
+        f"floor = {FLOOR_WORK_UNITS}"
+    )
--- a/src/primrosescale/standin/users_store.py
+++ b/src/primrosescale/standin/users_store.py
@@ -45,12 +45,12 @@
     Parameters
     ----------
     good : dict[str, Any]
-        An entry that can be used, with all its fields.
+        A valid entry with all its fields.
 
     Returns
     -------
     dict[str, Any]
-        Contents that name no target to use, by what is wrong with them.
+        Contents that name no usable target, by what is wrong with them.
     """
     bad_values: dict[str, list[Any]] = {
         "service": [None, 7, "nobody-knows-it", ["portal"], "\ud800"],
