--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -123,12 +123,12 @@
         kinds = ", ".join(f"{k} {n}" for k, n in sorted(self.refusals.items()))
         mean = sum(weight for _, weight in ORGANISATIONS) / len(ORGANISATIONS)
         large = [name for name, weight in ORGANISATIONS if weight > mean]
-        from_large = sum(self.refused.get(name, 0) for name in large)
+        of_large = sum(self.refused.get(name, 0) for name in large)
         return [
             f"told to retry         {total} of {self.requests} requests ({kinds})",
             (
-                f"  of these            {from_large} large organisations ({len(large)}),"
-                f" {total - from_large} small ones ({len(ORGANISATIONS) - len(large)})"
+                f"  of these            {of_large} large organisations ({len(large)}),"
+                f" {total - of_large} small ones ({len(ORGANISATIONS) - len(large)})"
             ),
             (
                 "  why                 all chats begin within 2 s: the bound on each"
