--- a/src/primrosescale/standin/plain_service.py
+++ b/src/primrosescale/standin/plain_service.py
@@ -67,20 +67,16 @@
         int
             `NOT_DONE_YET`.
         """
-        disconnects: list[bool] = []
-        request.notifyFinish().addErrback(lambda _: disconnects.append(True))
+        gone: list[bool] = []
+        request.notifyFinish().addErrback(lambda _: gone.append(True))
         case = _parse_case(request_body(request))
         if case:
             self._runs[case] += 1
-        self._clock.callLater(
-            self._delay, self._send_answer, request, case, disconnects
-        )
+        self._clock.callLater(self._delay, self._send_answer, request, case, gone)
         return NOT_DONE_YET
 
-    def _send_answer(
-        self, request: Request, case: str, disconnects: list[bool]
-    ) -> None:
-        if disconnects:
+    def _send_answer(self, request: Request, case: str, gone: list[bool]) -> None:
+        if gone:
             return
         echo = request.getHeader("X-Request-Id") or ""
         fields: dict[str, Any] = {
--- a/src/primrosescale/standin/platform_site.py
+++ b/src/primrosescale/standin/platform_site.py
@@ -67,14 +67,14 @@
         int
             `NOT_DONE_YET`: every answer comes after the store's latency.
         """
-        disconnects: list[bool] = []
-        request.notifyFinish().addErrback(lambda _: disconnects.append(True))
+        gone: list[bool] = []
+        request.notifyFinish().addErrback(lambda _: gone.append(True))
         parts = [unquote(part.decode()) for part in request.path.split(b"/")[2:]]
         answered = self._route(request, request.method.decode(), parts)
         if answered is None:
             _send_response(request, BAD_REQUEST, b"unknown call")
             return NOT_DONE_YET
-        answered.addErrback(self._send_error, request, disconnects)
+        answered.addErrback(self._send_error, request, gone)
         answered.addErrback(lambda failure: failure.printTraceback())
         return NOT_DONE_YET
 
@@ -134,12 +134,10 @@
             )
         return None
 
-    def _send_error(
-        self, failure: Failure, request: Request, disconnects: list[bool]
-    ) -> None:
+    def _send_error(self, failure: Failure, request: Request, gone: list[bool]) -> None:
         error = failure.value
         failure.trap(PlatformError)
-        if disconnects:
+        if gone:
             return
         if isinstance(error, PlatformConflictError):
             _send_response(
