--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -61,7 +61,7 @@
 def at_most_once(history):
     """Nothing that may run once runs twice."""
     for name, runs in history.runs_of().items():
-        asked = history.asked.get(name)
+        asked = history.sent_requests.get(name)
         if asked is None:
             yield f"{name} ran though nobody sent it"
         elif not asked.may_repeat and len(runs) > 1:
@@ -71,7 +71,7 @@
 def not_run_is_true(history):
     """A refusal that says "not run" is never contradicted by a target."""
     runs = history.runs_of()
-    for asked in history.asked.values():
+    for asked in history.sent_requests.values():
         refused = asked.outcome == ANSWERED and asked.status in REFUSALS
         if refused and asked.name in runs:
             yield f"{asked.name} was refused with {asked.status} and has run"
@@ -79,7 +79,7 @@
 
 def answers_are_whole(history, events):
     """A success is the whole answer to the caller's own request."""
-    for asked in history.asked.values():
+    for asked in history.sent_requests.values():
         if asked.outcome != ANSWERED or asked.status != OK:
             continue
         if asked.echoed != asked.name:
@@ -105,7 +105,7 @@
         if later:
             gone_at[key] = min(later)
     for name in history.runs_of():
-        asked = history.asked.get(name)
+        asked = history.sent_requests.get(name)
         if asked is None or asked.key not in gone_at:
             continue
         late = asked.sent_at - gone_at[asked.key]
@@ -124,7 +124,7 @@
         if run.is_misdirected or _was_held_back(history, run):
             continue
         told_at = history.draining.get((run.target, run.start))
-        asked = history.asked.get(run.name)
+        asked = history.sent_requests.get(run.name)
         if told_at is None or asked is None:
             continue
         late = run.at - told_at
@@ -152,7 +152,7 @@
 def planned_stops_cut_nothing(history):
     """A router that is asked to stop finishes what it has."""
     for router, life, told_at in history.stops:
-        for asked in history.asked.values():
+        for asked in history.sent_requests.values():
             if (asked.router, asked.life) != (router, life) or asked.outcome != CUT:
                 continue
             ended = asked.ended_at or asked.sent_at
@@ -169,7 +169,9 @@
     """A version is in force in time and is never left for an older one."""
     acked = {version.number: version for version in history.versions}
     seen = {}
-    probes = [a for a in history.asked.values() if a.version and a.outcome == ANSWERED]
+    probes = [
+        a for a in history.sent_requests.values() if a.version and a.outcome == ANSWERED
+    ]
     for asked in sorted(probes, key=lambda a: a.ended_at):
         life = (asked.router, asked.life)
         if asked.status == OK and asked.version > seen.get(life, (0, 0.0))[0]:
@@ -203,7 +205,9 @@
             arrivals.setdefault(run.service, []).append(run.at)
         seen.add(run.name)
     for service, times in arrivals.items():
-        sent = [a.sent_at for a in history.asked.values() if a.service == service]
+        sent = [
+            a.sent_at for a in history.sent_requests.values() if a.service == service
+        ]
         for end in times:
             repeats = sum(1 for at in times if end - BUDGET_WINDOW < at <= end)
             asked = max(
@@ -233,7 +237,7 @@
 
 def answers_come_in_time(history):
     """A calm router leaves no caller without an answer at the deadline."""
-    for asked in history.asked.values():
+    for asked in history.sent_requests.values():
         ended = asked.ended_at
         if ended is None:
             continue
@@ -247,7 +251,7 @@
 def former_lives_are_over(history):
     """An answer is of a life that ran the request, and comes while it lasts."""
     runs = history.runs_of()
-    for asked in history.asked.values():
+    for asked in history.sent_requests.values():
         if asked.outcome != ANSWERED or asked.status != OK or not asked.signed:
             continue
         target, _, start = asked.signed.rpartition("/")
@@ -284,7 +288,7 @@
     asked_by = _asked_by_router(history)
     came = {}
     for run in history.ran:
-        if run.name in history.asked:
+        if run.name in history.sent_requests:
             came.setdefault((run.target, run.start), []).append(run)
     for entry in history.listed:
         gone_at = _untouched_until(history, entry)
@@ -310,7 +314,8 @@
             if until > gone_at:
                 continue
             has_worked = any(
-                since <= run.at <= until and history.asked[run.name].router in group
+                since <= run.at <= until
+                and history.sent_requests[run.name].router in group
                 for run in came.get((entry.target, entry.start), ())
             )
             yield entry, " and ".join(group), until, has_worked
@@ -340,7 +345,7 @@
     """Return what each router was asked and could pass on, in order."""
     newest = set(history.versions[-1].keys) if history.versions else set()
     found = {}
-    for asked in sorted(history.asked.values(), key=lambda a: a.sent_at):
+    for asked in sorted(history.sent_requests.values(), key=lambda a: a.sent_at):
         if asked.key in newest and not asked.version:
             found.setdefault(asked.router, []).append(asked)
     return found
@@ -350,7 +355,7 @@
     """What another writer's entry names gets no request once that is known."""
     for entry in history.foreign:
         for run in history.ran:
-            asked = history.asked.get(run.name)
+            asked = history.sent_requests.get(run.name)
             if run.target != entry.target or asked is None or run.at > entry.until:
                 continue
             if run.is_misdirected:
@@ -411,7 +416,7 @@
     runs = history.runs_of()
     found = []
     for silence in history.silences:
-        for asked in history.asked.values():
+        for asked in history.sent_requests.values():
             ran = [r for r in runs.get(asked.name, ()) if r.at < silence.ended]
             if asked.kind not in STREAMS or asked.outcome == LEFT:
                 continue
@@ -468,7 +473,7 @@
     """Return each run in an evacuated domain, and how late it was sent there."""
     for evacuation in history.evacuations:
         for run in history.ran:
-            asked = history.asked.get(run.name)
+            asked = history.sent_requests.get(run.name)
             if run.domain != evacuation.domain or asked is None or not run.has_run:
                 continue
             if not evacuation.at < run.at < evacuation.until:
@@ -502,7 +507,7 @@
     """A router that passed on that a target leaves sends it nothing after the bound."""
     first = _first_leaving_answers(history)
     for run in history.ran:
-        asked = history.asked.get(run.name)
+        asked = history.sent_requests.get(run.name)
         if asked is None:
             continue
         told_at = first.get((run.target, run.start, asked.router, asked.life))
@@ -516,7 +521,7 @@
 def _first_leaving_answers(history):
     """Return when each router first passed on that a life of a target leaves."""
     first = {}
-    for asked in history.asked.values():
+    for asked in history.sent_requests.values():
         if asked.left_at is None or not asked.signed:
             continue
         target, _, start = asked.signed.rpartition("/")
@@ -539,7 +544,7 @@
     for run in history.ran:
         by_target.setdefault((run.target, run.start), []).append(run)
     for rest in history.rests:
-        asker = history.asked.get(rest.name)
+        asker = history.sent_requests.get(rest.name)
         if asker is None:
             continue
         until = rest.at + rest.seconds
@@ -547,9 +552,9 @@
             run
             for run in by_target.get((rest.target, rest.start), ())
             if rest.at + REST_BEGINS < run.at < until - SLACK
-            and run.name in history.asked
-            and history.asked[run.name].router == asker.router
-            and history.asked[run.name].life == asker.life
+            and run.name in history.sent_requests
+            and history.sent_requests[run.name].router == asker.router
+            and history.sent_requests[run.name].life == asker.life
         ]
         if _is_link_harmed(history, rest.target, rest.at, until):
             continue
@@ -584,7 +589,9 @@
     if history.quiet_from is None:
         return
     since = history.quiet_from + RECOVERED_AFTER
-    late = [a for a in history.asked.values() if a.sent_at > since and a.ended_at]
+    late = [
+        a for a in history.sent_requests.values() if a.sent_at > since and a.ended_at
+    ]
     late = [a for a in late if a.key in history.versions[-1].keys and not a.version]
     good = [a for a in late if a.outcome == ANSWERED and a.status == OK]
     if not late:
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -566,7 +566,7 @@
     """Return what a run was made of."""
     history = soak.history
     outcomes = {}
-    for asked in history.asked.values():
+    for asked in history.sent_requests.values():
         key = f"{asked.outcome or 'open'} {asked.status or ''}".strip()
         outcomes[key] = outcomes.get(key, 0) + 1
     kinds = {}
--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -107,7 +107,7 @@
         """Return the share of callers served that came in a time."""
         owed = [
             asked
-            for asked in self.history.asked.values()
+            for asked in self.history.sent_requests.values()
             if began <= asked.sent_at < ended
             and asked.ended_at is not None
             and asked.outcome != LEFT
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -58,7 +58,7 @@
     def put(self, *items):
         for item in items:
             if isinstance(item, Asked):
-                self.history.asked[item.name] = item
+                self.history.sent_requests[item.name] = item
             else:
                 self.history.ran.append(item)
 
@@ -134,17 +134,17 @@
         self.history.versions.append(Version(2, 97.0, ("k0",)))
         self.put(asked(kind="probe", version=2, status=404))
         self.assertEqual(["versions"], self.broken())
-        self.history.asked["a"].sent_at = 98.5
+        self.history.sent_requests["a"].sent_at = 98.5
         self.assertEqual([], self.broken())
 
     def test_a_version_that_goes_back(self):
         self.history.versions += [Version(n, 90.0, ("k0",)) for n in (2, 3, 4)]
         self.put(asked("new", kind="probe", version=4, ended_at=100.0))
-        self.history.asked["new"].body = b"done for new"
+        self.history.sent_requests["new"].body = b"done for new"
         self.put(asked(kind="probe", version=2, sent_at=101.0, ended_at=101.1))
         self.put(ran("new"), ran())
         self.assertEqual(["versions"], self.broken())
-        self.history.asked["a"].life = 2
+        self.history.sent_requests["a"].life = 2
         self.assertEqual([], self.broken())
 
     def test_a_storm_of_repeats(self):
@@ -189,7 +189,7 @@
     def test_an_answer_of_a_life_that_never_ran_it(self):
         self.put(asked(signed="t0/2"), ran(start=1))
         self.assertEqual(["former lives"], self.broken())
-        self.history.asked["a"].signed = "t0/1"
+        self.history.sent_requests["a"].signed = "t0/1"
         self.assertEqual([], self.broken())
 
     def test_an_answer_of_a_life_that_has_ended(self):
@@ -296,7 +296,7 @@
     def test_streams_that_a_silence_has_not_ended(self):
         self.history.silences.append(Silence("t0", 100.2, 101.2))
         for fields in ({}, {"outcome": LEFT}, {"outcome": CUT, "ended_at": 100.1}):
-            self.history.asked.clear()
+            self.history.sent_requests.clear()
             self.history.ran.clear()
             self.put_stream(**fields)
             self.assertEqual([], self.broken(), fields)
