--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -156,7 +156,7 @@
 class History:
     """Everything the checks need."""
 
-    asked: dict[str, Asked] = field(default_factory=dict)
+    sent_requests: dict[str, Asked] = field(default_factory=dict)
     ran: list[Ran] = field(default_factory=list)
     troubles: list[Trouble] = field(default_factory=list)
     versions: list[Version] = field(default_factory=list)
