--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -20,7 +20,7 @@
 from soak.history import ANSWERED
 from soak.history import CUT
 from soak.history import LEFT
-from soak.history import Asked
+from soak.history import CallerRequest
 from soak.history import Harm
 
 CONNECT_TIMEOUT = 1
@@ -158,7 +158,7 @@
         prefix = f"v{version}" if version else "plain" if kind == "probe" else kind
         self._count += 1
         name = f"c{self._number}-{self._count}"
-        asked = Asked(
+        asked = CallerRequest(
             name=name,
             kind=kind,
             path=f"/{prefix}/x",
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -14,7 +14,7 @@
 
 
 @dataclass
-class Asked:
+class CallerRequest:
     """One attempt of a caller, with a name of its own."""
 
     name: str
@@ -156,7 +156,7 @@
 class History:
     """Everything the checks need."""
 
-    sent_requests: dict[str, Asked] = field(default_factory=dict)
+    sent_requests: dict[str, CallerRequest] = field(default_factory=dict)
     ran: list[Ran] = field(default_factory=list)
     troubles: list[Trouble] = field(default_factory=list)
     versions: list[Version] = field(default_factory=list)
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -8,7 +8,7 @@
 from soak.history import ANSWERED
 from soak.history import CUT
 from soak.history import LEFT
-from soak.history import Asked
+from soak.history import CallerRequest
 from soak.history import Cold
 from soak.history import Entry
 from soak.history import Evacuation
@@ -42,7 +42,7 @@
         "body": b"done for " + name.encode(),
         "echoed": name,
     }
-    return Asked(**{**values, **fields})
+    return CallerRequest(**{**values, **fields})
 
 
 def ran(name="a", at=100.1, **fields):
@@ -57,7 +57,7 @@
 
     def put(self, *items):
         for item in items:
-            if isinstance(item, Asked):
+            if isinstance(item, CallerRequest):
                 self.history.sent_requests[item.name] = item
             else:
                 self.history.ran.append(item)
