--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -215,14 +215,14 @@
                 parts = b"f%x%x:1740" % (self._number, self._count)
             headers[names.PROMPT_PARTS] = parts
             headers[names.TOKENS] = b"1740,60"
-        request = Request._construct(
+        http_request = Request._construct(
             method.encode(),
             asked.path.encode(),
             Headers({name: [value] for name, value in headers.items()}),
             body_producer(body),
             persistent=True,
         )
-        response = yield channel.request(request)
+        response = yield channel.http_request(http_request)
         asked.status = response.code
         asked.echoed = (response.headers.getRawHeaders(names.REQUEST_ID) or [b""])[
             0
