--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -158,7 +158,7 @@
         prefix = f"v{version}" if version else "plain" if kind == "probe" else kind
         self._count += 1
         name = f"c{self._number}-{self._count}"
-        asked = CallerRequest(
+        request = CallerRequest(
             name=name,
             kind=kind,
             path=f"/{prefix}/x",
@@ -170,8 +170,8 @@
             deadline=limit,
             version=version,
         )
-        self._history.asked[name] = asked
-        return asked, method
+        self._history.request[name] = request
+        return request, method
 
     @inlineCallbacks
     def _ask(self):
@@ -180,63 +180,63 @@
                 yield self._connect()
             except Exception:  # noqa: BLE001 - a caller tries again elsewhere
                 return
-        asked, method = self._draw()
-        limit = asked.deadline + PATIENCE
+        request, method = self._draw()
+        limit = request.deadline + PATIENCE
         if self._rng.random() < LEAVES_EARLY:
             limit = self._rng.uniform(0.02, 0.3)
         channel = self._channel
-        leaving = reactor.callLater(limit, self._leave, asked, channel)
+        leaving = reactor.callLater(limit, self._leave, request, channel)
         try:
-            yield self._exchange(asked, method, channel)
+            yield self._exchange(request, method, channel)
         except Exception:  # noqa: BLE001 - any failure is a cut exchange
-            asked.outcome = asked.outcome or CUT
+            request.outcome = request.outcome or CUT
         finally:
             if leaving.active():
                 leaving.cancel()
-        asked.ended_at = reactor.seconds()
-        if asked.outcome != ANSWERED:
+        request.ended_at = reactor.seconds()
+        if request.outcome != ANSWERED:
             channel.transport.abortConnection()
             self._channel = None
 
     @inlineCallbacks
-    def _exchange(self, asked, method, channel):
+    def _exchange(self, request, method, channel):
         body = b"b" * 300 if method == "POST" else None
         headers = {
             b"Host": b"desk.example",
-            names.REQUEST_ID: asked.name.encode(),
-            names.TIME_LEFT: b"%d" % (asked.deadline * 1000),
-            names.AUTHORIZATION: b"Bearer " + asked.key.encode(),
+            names.REQUEST_ID: request.name.encode(),
+            names.TIME_LEFT: b"%d" % (request.deadline * 1000),
+            names.AUTHORIZATION: b"Bearer " + request.key.encode(),
         }
-        if asked.service == "model":
+        if request.service == "model":
             chat = self._rng.randrange(12)
             parts = b"aa:200,b%d:1500,d%d:40" % (chat, self._count)
-            asked.is_new = self._rng.random() < NEW_CHATS
-            if asked.is_new:
+            request.is_new = self._rng.random() < NEW_CHATS
+            if request.is_new:
                 parts = b"f%x%x:1740" % (self._number, self._count)
             headers[names.PROMPT_PARTS] = parts
             headers[names.TOKENS] = b"1740,60"
         http_request = Request._construct(
             method.encode(),
-            asked.path.encode(),
+            request.path.encode(),
             Headers({name: [value] for name, value in headers.items()}),
             body_producer(body),
             persistent=True,
         )
         response = yield channel.http_request(http_request)
-        asked.status = response.code
-        asked.echoed = (response.headers.getRawHeaders(names.REQUEST_ID) or [b""])[
+        request.status = response.code
+        request.echoed = (response.headers.getRawHeaders(names.REQUEST_ID) or [b""])[
             0
         ].decode()
         signature = response.headers.getRawHeaders(names.RECEIPT) or [b""]
-        asked.signed = signature[0].decode()
+        request.signed = signature[0].decode()
         if response.headers.hasHeader(names.LEAVING):
-            asked.left_at = reactor.seconds()
+            request.left_at = reactor.seconds()
         collected = _Body()
         response.deliverBody(collected)
         is_whole = yield collected.ended
-        asked.body = collected.data
-        asked.outcome = asked.outcome or (ANSWERED if is_whole else CUT)
+        request.body = collected.data
+        request.outcome = request.outcome or (ANSWERED if is_whole else CUT)
 
-    def _leave(self, asked, channel):
-        asked.outcome = LEFT
+    def _leave(self, request, channel):
+        request.outcome = LEFT
         channel.transport.abortConnection()
--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -106,14 +106,16 @@
     def served(self, began, ended):
         """Return the share of callers served that came in a time."""
         owed = [
-            asked
-            for asked in self.history.sent_requests.values()
-            if began <= asked.sent_at < ended
-            and asked.ended_at is not None
-            and asked.outcome != LEFT
-            and asked.status not in NOT_OWED
+            request
+            for request in self.history.sent_requests.values()
+            if began <= request.sent_at < ended
+            and request.ended_at is not None
+            and request.outcome != LEFT
+            and request.status not in NOT_OWED
         ]
-        good = sum(asked.outcome == ANSWERED and asked.status == 200 for asked in owed)
+        good = sum(
+            request.outcome == ANSWERED and request.status == 200 for request in owed
+        )
         return good / len(owed) if owed else 0.0
 
     def stop(self):
