--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -210,7 +210,7 @@
         ]
         for end in times:
             repeats = sum(1 for at in times if end - BUDGET_WINDOW < at <= end)
-            asked = max(
+            sent_count = max(
                 sum(1 for at in sent if end - back - BUDGET_WINDOW < at <= end - back)
                 for back in (0.0, BUDGET_WINDOW / 2, BUDGET_WINDOW)
             )
