--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -215,7 +215,7 @@
                 for back in (0.0, BUDGET_WINDOW / 2, BUDGET_WINDOW)
             )
             if repeats > BUDGET_RATIO * sent_count + BUDGET_EXTRA:
-                yield f"{service} got {repeats} repeats for {asked} requests"
+                yield f"{service} got {repeats} repeats for {sent_count} requests"
                 break
 
 
