--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -61,36 +61,36 @@
 def at_most_once(history):
     """Nothing that may run once runs twice."""
     for name, runs in history.runs_of().items():
-        asked = history.sent_requests.get(name)
-        if asked is None:
+        request = history.sent_requests.get(name)
+        if request is None:
             yield f"{name} ran though nobody sent it"
-        elif not asked.may_repeat and len(runs) > 1:
-            yield f"{name} ({asked.kind}) ran {len(runs)} times"
+        elif not request.may_repeat and len(runs) > 1:
+            yield f"{name} ({request.kind}) ran {len(runs)} times"
 
 
 def not_run_is_true(history):
     """A refusal that says "not run" is never contradicted by a target."""
     runs = history.runs_of()
-    for asked in history.sent_requests.values():
-        refused = asked.outcome == ANSWERED and asked.status in REFUSALS
-        if refused and asked.name in runs:
-            yield f"{asked.name} was refused with {asked.status} and has run"
+    for request in history.sent_requests.values():
+        refused = request.outcome == ANSWERED and request.status in REFUSALS
+        if refused and request.name in runs:
+            yield f"{request.name} was refused with {request.status} and has run"
 
 
 def answers_are_whole(history, events):
     """A success is the whole answer to the caller's own request."""
-    for asked in history.sent_requests.values():
-        if asked.outcome != ANSWERED or asked.status != OK:
+    for request in history.sent_requests.values():
+        if request.outcome != ANSWERED or request.status != OK:
             continue
-        if asked.echoed != asked.name:
-            yield f"{asked.name} got the answer to {asked.echoed or 'nobody'}"
-        elif asked.kind in STREAMS:
-            found = EVENT.findall(asked.body)
-            wanted = [(b"%d" % n, asked.name.encode()) for n in range(1, events + 1)]
+        if request.echoed != request.name:
+            yield f"{request.name} got the answer to {request.echoed or 'nobody'}"
+        elif request.kind in STREAMS:
+            found = EVENT.findall(request.body)
+            wanted = [(b"%d" % n, request.name.encode()) for n in range(1, events + 1)]
             if found != wanted:
-                yield f"{asked.name} got events {[int(n) for n, _ in found]} as whole"
-        elif asked.body != b"done for %b" % asked.name.encode():
-            yield f"{asked.name} got another body: {asked.body[:60]!r}"
+                yield f"{request.name} got events {[int(n) for n, _ in found]} as whole"
+        elif request.body != b"done for %b" % request.name.encode():
+            yield f"{request.name} got another body: {request.body[:60]!r}"
 
 
 def withdrawn_keys_end(history):
@@ -105,10 +105,10 @@
         if later:
             gone_at[key] = min(later)
     for name in history.runs_of():
-        asked = history.sent_requests.get(name)
-        if asked is None or asked.key not in gone_at:
+        request = history.sent_requests.get(name)
+        if request is None or request.key not in gone_at:
             continue
-        late = asked.sent_at - gone_at[asked.key]
+        late = request.sent_at - gone_at[request.key]
         if late > REVOKE + SLACK:
             yield f"{name} ran with a key withdrawn {late:.2f} s before"
 
@@ -124,11 +124,11 @@
         if run.is_misdirected or _was_held_back(history, run):
             continue
         told_at = history.draining.get((run.target, run.start))
-        asked = history.sent_requests.get(run.name)
-        if told_at is None or asked is None:
+        request = history.sent_requests.get(run.name)
+        if told_at is None or request is None:
             continue
         late = run.at - told_at
-        scopes = {asked.router, "store", f"store of {asked.router}"}
+        scopes = {request.router, "store", f"store of {request.router}"}
         if late > DRAIN + SLACK and history.is_calm(told_at, run.at, scopes):
             yield f"{run.name} reached {run.target} {late:.2f} s after its notice"
 
@@ -152,17 +152,20 @@
 def planned_stops_cut_nothing(history):
     """A router that is asked to stop finishes what it has."""
     for router, life, told_at in history.stops:
-        for asked in history.sent_requests.values():
-            if (asked.router, asked.life) != (router, life) or asked.outcome != CUT:
+        for request in history.sent_requests.values():
+            if (request.router, request.life) != (
+                router,
+                life,
+            ) or request.outcome != CUT:
                 continue
-            ended = asked.ended_at or asked.sent_at
-            if not told_at - STOP_GRACE <= asked.sent_at <= told_at + 2.0:
+            ended = request.ended_at or request.sent_at
+            if not told_at - STOP_GRACE <= request.sent_at <= told_at + 2.0:
                 continue
             if ended < told_at or ended - told_at > STOP_GRACE - 1.0:
                 continue
             everything = {t.scope for t in history.troubles if not t.is_planned}
-            if history.is_calm(asked.sent_at, ended, everything):
-                yield f"{asked.name} was cut by the planned stop of {router}"
+            if history.is_calm(request.sent_at, ended, everything):
+                yield f"{request.name} was cut by the planned stop of {router}"
 
 
 def versions_come_and_stay(history):
@@ -172,28 +175,28 @@
     probes = [
         a for a in history.sent_requests.values() if a.version and a.outcome == ANSWERED
     ]
-    for asked in sorted(probes, key=lambda a: a.ended_at):
-        life = (asked.router, asked.life)
-        if asked.status == OK and asked.version > seen.get(life, (0, 0.0))[0]:
-            seen[life] = (asked.version, asked.ended_at)
-    for asked in probes:
-        life = (asked.router, asked.life)
+    for request in sorted(probes, key=lambda a: a.ended_at):
+        life = (request.router, request.life)
+        if request.status == OK and request.version > seen.get(life, (0, 0.0))[0]:
+            seen[life] = (request.version, request.ended_at)
+    for request in probes:
+        life = (request.router, request.life)
         newest, since = seen.get(life, (0, 0.0))
-        version = acked[asked.version]
-        since_then = [v for v in history.versions if v.number >= asked.version]
-        is_held = all(asked.key in v.keys for v in since_then)
-        is_dropped = since_then[-1].number > asked.version + 1
-        scopes = {asked.router, "store", f"store of {asked.router}"}
-        after = asked.sent_at - version.acked_at
-        if asked.status in DENIALS and is_held and not is_dropped:
-            is_calm = history.is_calm(version.acked_at, asked.ended_at, scopes)
+        version = acked[request.version]
+        since_then = [v for v in history.versions if v.number >= request.version]
+        is_held = all(request.key in v.keys for v in since_then)
+        is_dropped = since_then[-1].number > request.version + 1
+        scopes = {request.router, "store", f"store of {request.router}"}
+        after = request.sent_at - version.acked_at
+        if request.status in DENIALS and is_held and not is_dropped:
+            is_calm = history.is_calm(version.acked_at, request.ended_at, scopes)
             if after > IN_FORCE + SLACK and is_calm:
-                yield f"{asked.name} on version {asked.version} got {asked.status}"
-            if newest >= asked.version and asked.sent_at > since + NEVER_BACK:
-                yield f"{asked.name}: {asked.router} went back before {newest}"
-        if asked.status == OK and newest > asked.version + 1:
-            if asked.sent_at > since + NEVER_BACK:
-                yield f"{asked.name}: {asked.router} went back from {newest}"
+                yield f"{request.name} on version {request.version} got {request.status}"
+            if newest >= request.version and request.sent_at > since + NEVER_BACK:
+                yield f"{request.name}: {request.router} went back before {newest}"
+        if request.status == OK and newest > request.version + 1:
+            if request.sent_at > since + NEVER_BACK:
+                yield f"{request.name}: {request.router} went back from {newest}"
 
 
 def repeats_are_bounded(history):
@@ -237,36 +240,38 @@
 
 def answers_come_in_time(history):
     """A calm router leaves no caller without an answer at the deadline."""
-    for asked in history.sent_requests.values():
-        ended = asked.ended_at
+    for request in history.sent_requests.values():
+        ended = request.ended_at
         if ended is None:
             continue
-        late = ended - asked.sent_at - asked.deadline
+        late = ended - request.sent_at - request.deadline
         if late > ANSWER_SLACK and history.is_calm(
-            asked.sent_at, ended, {asked.router, "store", f"store of {asked.router}"}
+            request.sent_at,
+            ended,
+            {request.router, "store", f"store of {request.router}"},
         ):
-            yield f"{asked.name} had no answer {late:.2f} s after its deadline"
+            yield f"{request.name} had no answer {late:.2f} s after its deadline"
 
 
 def former_lives_are_over(history):
     """An answer is of a life that ran the request, and comes while it lasts."""
     runs = history.runs_of()
-    for asked in history.sent_requests.values():
-        if asked.outcome != ANSWERED or asked.status != OK or not asked.signed:
+    for request in history.sent_requests.values():
+        if request.outcome != ANSWERED or request.status != OK or not request.signed:
             continue
-        target, _, start = asked.signed.rpartition("/")
-        lives = {(run.target, run.start) for run in runs.get(asked.name, ())}
+        target, _, start = request.signed.rpartition("/")
+        lives = {(run.target, run.start) for run in runs.get(request.name, ())}
         if (target, int(start)) not in lives:
-            yield f"{asked.name} got an answer of {asked.signed}, where it never ran"
+            yield f"{request.name} got an answer of {request.signed}, where it never ran"
             continue
         ends = [history.ended.get(life) for life in lives]
         if None in ends:
             continue
-        late = asked.ended_at - max(ends)
+        late = request.ended_at - max(ends)
         if late > LIFE_OVER and history.is_calm(
-            max(ends), asked.ended_at, {asked.router}
+            max(ends), request.ended_at, {request.router}
         ):
-            yield f"{asked.name} got an answer of {target} {late:.2f} s after its end"
+            yield f"{request.name} got an answer of {target} {late:.2f} s after its end"
 
 
 def good_entries_get_work(history):
@@ -300,13 +305,13 @@
             scopes |= {f"store of {router}" for router in group}
             since = history.calm_since(entry.at, gone_at, scopes)
             times = sorted(
-                asked.sent_at
+                request.sent_at
                 for router in group
-                for asked in asked_by[router]
-                if asked.service == entry.service
-                and asked.is_new
+                for request in asked_by[router]
+                if request.service == entry.service
+                and request.is_new
                 # Its news of the entry needs a moment to come.
-                and since + IN_FORCE < asked.sent_at < gone_at
+                and since + IN_FORCE < request.sent_at < gone_at
             )
             if len(times) < least:
                 continue
@@ -345,9 +350,9 @@
     """Return what each router was asked and could pass on, in order."""
     newest = set(history.versions[-1].keys) if history.versions else set()
     found = {}
-    for asked in sorted(history.sent_requests.values(), key=lambda a: a.sent_at):
-        if asked.key in newest and not asked.version:
-            found.setdefault(asked.router, []).append(asked)
+    for request in sorted(history.sent_requests.values(), key=lambda a: a.sent_at):
+        if request.key in newest and not request.version:
+            found.setdefault(request.router, []).append(request)
     return found
 
 
@@ -355,13 +360,13 @@
     """What another writer's entry names gets no request once that is known."""
     for entry in history.foreign:
         for run in history.ran:
-            asked = history.sent_requests.get(run.name)
-            if run.target != entry.target or asked is None or run.at > entry.until:
+            request = history.sent_requests.get(run.name)
+            if run.target != entry.target or request is None or run.at > entry.until:
                 continue
             if run.is_misdirected:
                 # Sent by the entry of the target before it at that address.
                 continue
-            scopes = {asked.router, "store", f"store of {asked.router}"}
+            scopes = {request.router, "store", f"store of {request.router}"}
             late = run.at - history.calm_since(entry.at, run.at, scopes)
             if late > IN_FORCE + SLACK:
                 yield f"{run.name} reached {run.target} {late:.2f} s after its entry"
@@ -396,16 +401,17 @@
         for router, all_asked in _asked_by_router(history).items():
             scopes = {router, "store", f"store of {router}"}
             sent = [
-                asked
-                for asked in all_asked
-                if asked.service == entry.service
-                and asked.sent_at < entry.until - asked.deadline / 2
-                and asked.sent_at > history.calm_since(entry.at, asked.sent_at, scopes)
+                request
+                for request in all_asked
+                if request.service == entry.service
+                and request.sent_at < entry.until - request.deadline / 2
+                and request.sent_at
+                > history.calm_since(entry.at, request.sent_at, scopes)
             ]
             got = [
-                asked
-                for asked in sent
-                if any(r.target != entry.target for r in runs.get(asked.name, ()))
+                request
+                for request in sent
+                if any(r.target != entry.target for r in runs.get(request.name, ()))
             ]
             if len(sent) >= NEIGHBOURS_LEAST:
                 yield entry, router, len(sent), len(got)
@@ -416,27 +422,27 @@
     runs = history.runs_of()
     found = []
     for silence in history.silences:
-        for asked in history.sent_requests.values():
-            ran = [r for r in runs.get(asked.name, ()) if r.at < silence.ended]
-            if asked.kind not in STREAMS or asked.outcome == LEFT:
+        for request in history.sent_requests.values():
+            ran = [r for r in runs.get(request.name, ()) if r.at < silence.ended]
+            if request.kind not in STREAMS or request.outcome == LEFT:
                 continue
-            if silence.target not in {r.target for r in ran} or not asked.ended_at:
+            if silence.target not in {r.target for r in ran} or not request.ended_at:
                 continue
-            places = {r.target for r in runs[asked.name]}
+            places = {r.target for r in runs[request.name]}
             scopes = {f"{of}{name}" for name in places for of in ("", "life of ")}
-            if asked.ended_at > silence.began and history.is_calm(
-                asked.sent_at, asked.ended_at, {asked.router, *scopes}
+            if request.ended_at > silence.began and history.is_calm(
+                request.sent_at, request.ended_at, {request.router, *scopes}
             ):
-                found.append((asked, silence))
+                found.append((request, silence))
     return found
 
 
 def silence_ends_no_answer(history):
     """A stream at a target that falls silent for a while ends whole."""
-    for asked, silence in _over_a_silence(history):
-        if asked.outcome != ANSWERED or asked.status != OK:
-            how = f"{asked.outcome} {asked.status}"
-            yield f"{asked.name} at {silence.target}, which was silent, ended: {how}"
+    for request, silence in _over_a_silence(history):
+        if request.outcome != ANSWERED or request.status != OK:
+            how = f"{request.outcome} {request.status}"
+            yield f"{request.name} at {silence.target}, which was silent, ended: {how}"
 
 
 def judged(history):
@@ -473,12 +479,12 @@
     """Return each run in an evacuated domain, and how late it was sent there."""
     for evacuation in history.evacuations:
         for run in history.ran:
-            asked = history.sent_requests.get(run.name)
-            if run.domain != evacuation.domain or asked is None or not run.has_run:
+            request = history.sent_requests.get(run.name)
+            if run.domain != evacuation.domain or request is None or not run.has_run:
                 continue
             if not evacuation.at < run.at < evacuation.until:
                 continue
-            scopes = {asked.router, "store", f"store of {asked.router}"}
+            scopes = {request.router, "store", f"store of {request.router}"}
             if history.is_calm(evacuation.at, run.at, scopes):
                 yield run, evacuation, run.at - evacuation.at
 
@@ -507,26 +513,26 @@
     """A router that passed on that a target leaves sends it nothing after the bound."""
     first = _first_leaving_answers(history)
     for run in history.ran:
-        asked = history.sent_requests.get(run.name)
-        if asked is None:
+        request = history.sent_requests.get(run.name)
+        if request is None:
             continue
-        told_at = first.get((run.target, run.start, asked.router, asked.life))
-        if told_at is None or asked.sent_at - told_at <= DRAIN + SLACK:
+        told_at = first.get((run.target, run.start, request.router, request.life))
+        if told_at is None or request.sent_at - told_at <= DRAIN + SLACK:
             continue
-        if history.is_calm(told_at, run.at, {asked.router}):
-            late = asked.sent_at - told_at
+        if history.is_calm(told_at, run.at, {request.router}):
+            late = request.sent_at - told_at
             yield f"{run.name} reached {run.target} {late:.2f} s after its own notice"
 
 
 def _first_leaving_answers(history):
     """Return when each router first passed on that a life of a target leaves."""
     first = {}
-    for asked in history.sent_requests.values():
-        if asked.left_at is None or not asked.signed:
+    for request in history.sent_requests.values():
+        if request.left_at is None or not request.signed:
             continue
-        target, _, start = asked.signed.rpartition("/")
-        key = (target, int(start), asked.router, asked.life)
-        first[key] = min(asked.left_at, first.get(key, asked.left_at))
+        target, _, start = request.signed.rpartition("/")
+        key = (target, int(start), request.router, request.life)
+        first[key] = min(request.left_at, first.get(key, request.left_at))
     return first
 
 
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -566,8 +566,8 @@
     """Return what a run was made of."""
     history = soak.history
     outcomes = {}
-    for asked in history.sent_requests.values():
-        key = f"{asked.outcome or 'open'} {asked.status or ''}".strip()
+    for request in history.sent_requests.values():
+        key = f"{request.outcome or 'open'} {request.status or ''}".strip()
         outcomes[key] = outcomes.get(key, 0) + 1
     kinds = {}
     for trouble in history.troubles:
