--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -398,11 +398,11 @@
         # There has to be something beside it that may get work.
         if not others:
             continue
-        for router, all_asked in _asked_by_router(history).items():
+        for router, all_requests in _asked_by_router(history).items():
             scopes = {router, "store", f"store of {router}"}
             sent = [
                 request
-                for request in all_asked
+                for request in all_requests
                 if request.service == entry.service
                 and request.sent_at < entry.until - request.deadline / 2
                 and request.sent_at
