--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -290,15 +290,15 @@
     from it for longer. Model engines are chosen by what they hold, so only new
     chats count there, and all routers as one.
     """
-    asked_by = _asked_by_router(history)
+    requests_by_router = _asked_by_router(history)
     came = {}
     for run in history.ran:
         if run.name in history.sent_requests:
             came.setdefault((run.target, run.start), []).append(run)
     for entry in history.listed:
         gone_at = _untouched_until(history, entry)
-        each = [(router,) for router in asked_by]
-        groups = [tuple(asked_by)] if entry.service == "model" else each
+        each = [(router,) for router in requests_by_router]
+        groups = [tuple(requests_by_router)] if entry.service == "model" else each
         least = AT_WORK_LEAST[entry.service]
         for group in groups:
             scopes = {"store", *group}
@@ -307,7 +307,7 @@
             times = sorted(
                 request.sent_at
                 for router in group
-                for request in asked_by[router]
+                for request in requests_by_router[router]
                 if request.service == entry.service
                 and request.is_new
                 # Its news of the entry needs a moment to come.
