--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -290,7 +290,7 @@
     from it for longer. Model engines are chosen by what they hold, so only new
     chats count there, and all routers as one.
     """
-    requests_by_router = _asked_by_router(history)
+    requests_by_router = _requests_by_router(history)
     came = {}
     for run in history.ran:
         if run.name in history.sent_requests:
@@ -346,7 +346,7 @@
     return min([entry.until, *began, *said])
 
 
-def _asked_by_router(history):
+def _requests_by_router(history):
     """Return what each router was asked and could pass on, in order."""
     newest = set(history.versions[-1].keys) if history.versions else set()
     found = {}
@@ -398,7 +398,7 @@
         # There has to be something beside it that may get work.
         if not others:
             continue
-        for router, all_requests in _asked_by_router(history).items():
+        for router, all_requests in _requests_by_router(history).items():
             scopes = {router, "store", f"store of {router}"}
             sent = [
                 request
