--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -120,7 +120,7 @@
     for neither: the target says that it is another one. Nor does what the link to it
     has held back.
     """
-    for run in history.ran:
+    for run in history.deliveries:
         if run.is_misdirected or _was_held_back(history, run):
             continue
         told_at = history.draining.get((run.target, run.start))
@@ -203,7 +203,7 @@
     """Retries of all routers together stay within their budget."""
     seen = set()
     arrivals = {}
-    for run in sorted(history.ran, key=lambda r: r.at):
+    for run in sorted(history.deliveries, key=lambda r: r.at):
         if run.name in seen:
             arrivals.setdefault(run.service, []).append(run.at)
         seen.add(run.name)
@@ -226,7 +226,7 @@
     """No target holds more than a multiple of its service's mean in calm times."""
     calm = [
         run
-        for run in history.ran
+        for run in history.deliveries
         if history.is_calm(
             run.at - 2.0,
             run.at,
@@ -292,7 +292,7 @@
     """
     requests_by_router = _requests_by_router(history)
     came = {}
-    for run in history.ran:
+    for run in history.deliveries:
         if run.name in history.sent_requests:
             came.setdefault((run.target, run.start), []).append(run)
     for entry in history.listed:
@@ -359,7 +359,7 @@
 def foreign_entries_get_no_work(history):
     """What another writer's entry names gets no request once that is known."""
     for entry in history.foreign:
-        for run in history.ran:
+        for run in history.deliveries:
             request = history.sent_requests.get(run.name)
             if run.target != entry.target or request is None or run.at > entry.until:
                 continue
@@ -478,7 +478,7 @@
 def _in_evacuated(history):
     """Return each run in an evacuated domain, and how late it was sent there."""
     for evacuation in history.evacuations:
-        for run in history.ran:
+        for run in history.deliveries:
             request = history.sent_requests.get(run.name)
             if run.domain != evacuation.domain or request is None or not run.has_run:
                 continue
@@ -502,7 +502,7 @@
 def _runs_while_cold(history, cold):
     return sorted(
         run.at
-        for run in history.ran
+        for run in history.deliveries
         if (run.target, run.start) == (cold.target, cold.start)
         and run.has_run
         and cold.at <= run.at <= cold.until
@@ -512,7 +512,7 @@
 def leaving_answers_end_work(history):
     """A router that passed on that a target leaves sends it nothing after the bound."""
     first = _first_leaving_answers(history)
-    for run in history.ran:
+    for run in history.deliveries:
         request = history.sent_requests.get(run.name)
         if request is None:
             continue
@@ -547,7 +547,7 @@
 def _in_rests(history):
     """Return each rest, its router, and the requests that came from it meanwhile."""
     by_target = {}
-    for run in history.ran:
+    for run in history.deliveries:
         by_target.setdefault((run.target, run.start), []).append(run)
     for rest in history.rests:
         asker = history.sent_requests.get(rest.name)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -574,7 +574,7 @@
         kinds[trouble.kind] = kinds.get(trouble.kind, 0) + 1
     return {
         "requests": outcomes,
-        "runs": len(history.ran),
+        "runs": len(history.deliveries),
         "troubles": kinds,
         "judged": promises.judged(history),
         "held up": f"{soak.held_up:.2f} s",
