--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -157,7 +157,7 @@
     """Everything the checks need."""
 
     sent_requests: dict[str, CallerRequest] = field(default_factory=dict)
-    ran: list[Ran] = field(default_factory=list)
+    deliveries: list[Ran] = field(default_factory=list)
     troubles: list[Trouble] = field(default_factory=list)
     versions: list[Version] = field(default_factory=list)
     # By name and start.
