--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -15,7 +15,7 @@
 from soak.fault_proxy import FaultProxy
 from soak.history import Cold
 from soak.history import Entry
-from soak.history import Ran
+from soak.history import Delivery
 from soak.history import Rest
 from soak.history import Version
 
@@ -150,7 +150,7 @@
         load = self.script.running
         now = reactor.seconds()
         self._history.ran.append(
-            Ran(
+            Delivery(
                 name,
                 self.name,
                 self.service,
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -45,7 +45,7 @@
 
 
 @dataclass
-class Ran:
+class Delivery:
     """An arrival at a target; `has_run` tells whether it began to work."""
 
     name: str
@@ -157,7 +157,7 @@
     """Everything the checks need."""
 
     sent_requests: dict[str, CallerRequest] = field(default_factory=dict)
-    deliveries: list[Ran] = field(default_factory=list)
+    deliveries: list[Delivery] = field(default_factory=list)
     troubles: list[Trouble] = field(default_factory=list)
     versions: list[Version] = field(default_factory=list)
     # By name and start.
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -14,7 +14,7 @@
 from soak.history import Evacuation
 from soak.history import Harm
 from soak.history import History
-from soak.history import Ran
+from soak.history import Delivery
 from soak.history import Rest
 from soak.history import Silence
 from soak.history import Trouble
@@ -47,7 +47,7 @@
 
 def ran(name="a", at=100.1, **fields):
     values = {"target": "t0", "service": "portal", "has_run": True}
-    return Ran(name=name, at=at, **{**values, **fields})
+    return Delivery(name=name, at=at, **{**values, **fields})
 
 
 class PromisesTest(TestCase):
