--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -423,7 +423,7 @@
     found = []
     for silence in history.silences:
         for request in history.sent_requests.values():
-            ran = [r for r in runs.get(request.name, ()) if r.at < silence.ended]
+            delivered = [r for r in runs.get(request.name, ()) if r.at < silence.ended]
             if request.kind not in STREAMS or request.outcome == LEFT:
                 continue
             if silence.target not in {r.target for r in ran} or not request.ended_at:
