--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -426,7 +426,10 @@
             delivered = [r for r in runs.get(request.name, ()) if r.at < silence.ended]
             if request.kind not in STREAMS or request.outcome == LEFT:
                 continue
-            if silence.target not in {r.target for r in ran} or not request.ended_at:
+            if (
+                silence.target not in {r.target for r in delivered}
+                or not request.ended_at
+            ):
                 continue
             places = {r.target for r in runs[request.name]}
             scopes = {f"{of}{name}" for name in places for of in ("", "life of ")}
