--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -45,7 +45,7 @@
     return CallerRequest(**{**values, **fields})
 
 
-def ran(name="a", at=100.1, **fields):
+def delivery(name="a", at=100.1, **fields):
     values = {"target": "t0", "service": "portal", "has_run": True}
     return Delivery(name=name, at=at, **{**values, **fields})
 
@@ -67,24 +67,26 @@
 
     def test_a_proper_exchange_breaks_nothing(self):
         body = b"id: 1\ndata: s\n\nid: 2\ndata: s\n\n"
-        self.put(request(), ran(), request("s", kind="story", body=body), ran("s"))
+        self.put(
+            request(), delivery(), request("s", kind="story", body=body), delivery("s")
+        )
         self.assertEqual([], self.broken())
 
     def test_a_second_run_of_what_may_run_once(self):
-        self.put(request(kind="once"), ran(), ran(at=100.3, target="t1"))
+        self.put(request(kind="once"), delivery(), delivery(at=100.3, target="t1"))
         self.assertEqual(["at most once"], self.broken())
 
     def test_a_second_run_of_what_may_repeat_is_allowed(self):
-        self.put(request(), ran(), ran(at=100.3, target="t1"))
+        self.put(request(), delivery(), delivery(at=100.3, target="t1"))
         self.assertEqual([], self.broken())
 
     def test_a_run_that_nobody_asked_for(self):
-        self.put(ran("ghost"))
+        self.put(delivery("ghost"))
         self.assertEqual(["at most once"], self.broken())
 
     def test_a_refusal_of_what_has_run(self):
         for status in (408, 421, 429, 503):
-            self.put(request(status=status), ran())
+            self.put(request(status=status), delivery())
             self.assertEqual(["not run is true"], self.broken())
 
     def test_answers_that_are_not_whole_or_another_s(self):
@@ -102,7 +104,7 @@
 
     def test_a_withdrawn_key_that_is_accepted_too_long(self):
         self.history.versions.append(Version(2, 94.0, ("k1",)))
-        self.put(request(), ran())
+        self.put(request(), delivery())
         self.assertEqual(["withdrawn keys"], self.broken())
         self.history.versions[-1].acked_at = 96.0
         self.assertEqual([], self.broken())
@@ -118,7 +120,7 @@
 
     def test_work_for_a_target_that_leaves(self):
         self.history.draining["t0", 0] = 97.0
-        self.put(request(), ran())
+        self.put(request(), delivery())
         self.assertEqual(["leaving targets"], self.broken())
         self.history.troubles.append(Trouble("silent", "store of r0", 98.0, 99.0))
         self.assertEqual([], self.broken())
@@ -142,7 +144,7 @@
         self.put(request("new", kind="probe", version=4, ended_at=100.0))
         self.history.sent_requests["new"].body = b"done for new"
         self.put(request(kind="probe", version=2, sent_at=101.0, ended_at=101.1))
-        self.put(ran("new"), ran())
+        self.put(delivery("new"), delivery())
         self.assertEqual(["versions"], self.broken())
         self.history.sent_requests["a"].life = 2
         self.assertEqual([], self.broken())
@@ -150,13 +152,15 @@
     def test_a_storm_of_repeats(self):
         for number in range(40):
             name = f"n{number}"
-            self.put(request(name), ran(name), ran(name, at=100.2, target="t1"))
+            self.put(
+                request(name), delivery(name), delivery(name, at=100.2, target="t1")
+            )
         self.assertEqual(["repeats"], self.broken())
 
     def test_a_target_that_holds_too_much_in_calm_times(self):
         for number in range(30):
             name = f"n{number}"
-            self.put(request(name), ran(name, load=9, mean=2.0))
+            self.put(request(name), delivery(name, load=9, mean=2.0))
         self.assertEqual(["load"], self.broken())
         self.history.troubles.append(Trouble("kill", "r1", 99.0, 99.5))
         self.assertEqual([], self.broken())
@@ -172,37 +176,37 @@
     def test_service_that_does_not_come_back(self):
         self.history.quiet_from = 90.0
         self.assertEqual(["recovery"], self.broken())
-        self.put(request(), ran(), request("b", status=502))
+        self.put(request(), delivery(), request("b", status=502))
         self.assertEqual(["recovery"], self.broken())
         self.put(request("b", status=502, sent_at=95.0, ended_at=95.2))
         self.assertEqual([], self.broken())
 
     def test_what_may_run_once_runs_at_both_lives_of_a_target(self):
-        self.put(request(kind="once"), ran(start=1), ran(at=100.3, start=2))
+        self.put(request(kind="once"), delivery(start=1), delivery(at=100.3, start=2))
         self.assertEqual(["at most once"], self.broken())
 
     def test_not_run_is_said_of_what_a_former_life_ran(self):
         self.history.ended["t0", 1] = 100.15
-        self.put(request(kind="once", status=503), ran(start=1))
+        self.put(request(kind="once", status=503), delivery(start=1))
         self.assertEqual(["not run is true"], self.broken())
 
     def test_an_answer_of_a_life_that_never_ran_it(self):
-        self.put(request(signed="t0/2"), ran(start=1))
+        self.put(request(signed="t0/2"), delivery(start=1))
         self.assertEqual(["former lives"], self.broken())
         self.history.sent_requests["a"].signed = "t0/1"
         self.assertEqual([], self.broken())
 
     def test_an_answer_of_a_life_that_has_ended(self):
         self.history.ended["t0", 1] = 99.0
-        self.put(request(**LIVES), ran(at=98.9, start=1))
+        self.put(request(**LIVES), delivery(at=98.9, start=1))
         self.assertEqual(["former lives"], self.broken())
         # A stream that went on at another life keeps its first signature.
-        self.put(ran(start=2))
+        self.put(delivery(start=2))
         self.assertEqual([], self.broken())
 
     def test_an_answer_of_a_life_that_ends_while_it_is_sent(self):
         self.history.ended["t0", 1] = 99.5
-        self.put(request(**LIVES), ran(at=99.4, start=1))
+        self.put(request(**LIVES), delivery(at=99.4, start=1))
         self.assertEqual([], self.broken())
 
     def put_requests(self, count, *, target, since=100.0, **fields):
@@ -210,7 +214,7 @@
         for number in range(count):
             name, at = f"{target}-{number}", since + number / 10
             self.put(request(name, sent_at=at, ended_at=at + 0.1))
-            self.put(ran(name, at + 0.05, target=target, **fields))
+            self.put(delivery(name, at + 0.05, target=target, **fields))
 
     def test_a_new_life_that_gets_no_work(self):
         self.history.listed.append(Entry("t0", "portal", 2, 95.0))
@@ -225,7 +229,7 @@
     def test_one_router_that_stopped_following_the_list(self):
         self.history.listed.append(Entry("t0", "portal", 2, 95.0))
         self.put_requests(60, target="t1")
-        self.put(request("b", router="r1"), ran("b", start=2))
+        self.put(request("b", router="r1"), delivery("b", start=2))
         self.assertEqual(["good entries"], self.broken())
         # Only what comes after the last trouble counts.
         self.history.troubles.append(Trouble("kill", "r0", 96.0, 97.0))
@@ -254,7 +258,7 @@
     def test_work_for_what_another_writer_s_entry_names(self):
         entry = Entry("t0", "portal", 1, 97.0, until=100.3)
         self.history.foreign.append(entry)
-        self.put(request(), ran())
+        self.put(request(), delivery())
         self.assertEqual(["foreign entries"], self.broken())
         # Sent by the entry of the target before it at that address.
         self.history.deliveries[-1].is_misdirected = True
@@ -282,7 +286,7 @@
 
     def put_stream(self, **fields):
         values = {"kind": "draft", "body": STREAM, "deadline": 6.0, "ended_at": 101.5}
-        self.put(request("s", **{**values, **fields}), ran("s"))
+        self.put(request("s", **{**values, **fields}), delivery("s"))
 
     def test_a_stream_that_ends_as_its_engine_is_silent(self):
         self.history.silences.append(Silence("t0", 100.2, 101.2))
@@ -311,24 +315,26 @@
 
     def test_what_reaches_an_evacuated_domain_late_is_found(self):
         self.evacuate()
-        self.put(request(), ran(at=104.9, domain="a"))
+        self.put(request(), delivery(at=104.9, domain="a"))
         self.assertEqual([], self.late())
-        self.put(ran(at=105.2, domain="a"))
+        self.put(delivery(at=105.2, domain="a"))
         self.assertEqual(1, len(self.late()))
 
     def test_other_domains_and_what_comes_after_the_return_are_not(self):
         self.evacuate(until=110.0)
-        self.put(request(), ran(at=106.0, domain="b"), ran(at=110.1, domain="a"))
+        self.put(
+            request(), delivery(at=106.0, domain="b"), delivery(at=110.1, domain="a")
+        )
         self.assertEqual([], self.late())
 
     def test_nor_is_what_another_target_in_its_place_did_not_run(self):
         self.evacuate()
-        self.put(request(), ran(at=106.0, domain="a", has_run=False))
+        self.put(request(), delivery(at=106.0, domain="a", has_run=False))
         self.assertEqual([], self.late())
 
     def test_nor_is_a_router_that_lost_the_store(self):
         self.evacuate()
-        self.put(request(), ran(at=106.0, domain="a"))
+        self.put(request(), delivery(at=106.0, domain="a"))
         self.history.troubles.append(Trouble("cut", "store of r0", 101.0, 104.0))
         self.assertEqual([], self.late())
 
@@ -336,7 +342,7 @@
         for number in range(60):
             at = 100.0 + number / 10
             self.put(request(f"a{number}", sent_at=at, ended_at=at + 0.1))
-            self.put(ran(f"a{number}", at + 0.05, target="t1"))
+            self.put(delivery(f"a{number}", at + 0.05, target="t1"))
         entry = Entry("t0", "portal", 2, 95.0, domain="a")
         self.history.listed.append(entry)
         due = list(promises.good_entries_get_work(self.history))
@@ -351,7 +357,7 @@
         for number in range(60):
             at = 100.0 + number / 10
             self.put(request(f"a{number}", sent_at=at, ended_at=at + 0.1))
-            self.put(ran(f"a{number}", at + 0.05, target="t1"))
+            self.put(delivery(f"a{number}", at + 0.05, target="t1"))
         self.history.listed.append(Entry("t0", "portal", 2, 95.0))
         due = list(promises.good_entries_get_work(self.history))
         self.assertEqual(1, len(due))
@@ -364,14 +370,16 @@
     def test_what_was_meant_for_a_former_target_is_no_work_for_a_leaving_one(self):
         self.history.draining["t0", 0] = 100.0
         self.put(request(sent_at=103.0, ended_at=103.2))
-        self.put(ran(at=103.1, has_run=False))
+        self.put(delivery(at=103.1, has_run=False))
         self.assertEqual(["leaving targets"], self.broken())
         self.history.deliveries[-1].is_misdirected = True
         self.assertEqual([], self.broken())
 
     def test_what_a_link_held_back_is_no_new_work_for_a_leaving_target(self):
         self.history.draining["t0", 0] = 100.0
-        self.put(request(sent_at=99.9, ended_at=103.2, deadline=6.0), ran(at=103.1))
+        self.put(
+            request(sent_at=99.9, ended_at=103.2, deadline=6.0), delivery(at=103.1)
+        )
         self.assertEqual(["leaving targets"], self.broken())
         for began, ended, wanted in (
             (99.0, 103.0, []),
@@ -383,53 +391,62 @@
             self.assertEqual(wanted, self.broken(), (began, ended))
 
     def test_work_for_a_target_after_its_own_notice(self):
-        self.put(request(left_at=100.1, **LIVES), ran(start=1))
+        self.put(request(left_at=100.1, **LIVES), delivery(start=1))
         late = 100.1 + promises.DRAIN + promises.SLACK
-        self.put(request("b", sent_at=late, ended_at=late + 1), ran("b", late, start=1))
+        self.put(
+            request("b", sent_at=late, ended_at=late + 1), delivery("b", late, start=1)
+        )
         self.assertEqual([], self.broken())
         self.put(request("c", sent_at=late + 1, ended_at=late + 2))
-        self.put(ran("c", late + 1.1, start=1))
+        self.put(delivery("c", late + 1.1, start=1))
         self.assertEqual(["leaving answers"], self.broken())
 
     def test_another_router_life_or_target_has_not_passed_it_on(self):
-        self.put(request(left_at=100.1, **LIVES), ran(start=1))
+        self.put(request(left_at=100.1, **LIVES), delivery(start=1))
         for n, fields in enumerate(({"router": "r1"}, {"life": 2})):
             self.put(request(f"b{n}", sent_at=105.0, ended_at=105.2, **fields))
-            self.put(ran(f"b{n}", 105.1, start=1))
-        self.put(request("c", sent_at=105.0, ended_at=105.2), ran("c", 105.1, start=2))
+            self.put(delivery(f"b{n}", 105.1, start=1))
+        self.put(
+            request("c", sent_at=105.0, ended_at=105.2), delivery("c", 105.1, start=2)
+        )
         self.assertEqual([], self.broken())
 
     def test_a_pause_of_the_router_excuses_it(self):
-        self.put(request(left_at=100.1, **LIVES), ran(start=1))
-        self.put(request("b", sent_at=105.0, ended_at=105.2), ran("b", 105.1, start=1))
+        self.put(request(left_at=100.1, **LIVES), delivery(start=1))
+        self.put(
+            request("b", sent_at=105.0, ended_at=105.2), delivery("b", 105.1, start=1)
+        )
         self.assertEqual(["leaving answers"], self.broken())
         self.history.troubles.append(Trouble("pause", "r0", 102.0, 103.0))
         self.assertEqual([], self.broken())
 
     def rest(self, at=100.0, seconds=3.0):
-        self.put(request("turned", sent_at=at), ran("turned", at, has_run=False))
+        self.put(request("turned", sent_at=at), delivery("turned", at, has_run=False))
         self.history.rests.append(Rest("t0", 0, "turned", at, seconds))
 
     def test_more_than_two_requests_in_a_rest(self):
         self.rest()
         for n, at in enumerate((100.4, 100.6, 102.0, 103.1)):
-            self.put(request(f"b{n}", sent_at=at, ended_at=at + 0.2), ran(f"b{n}", at))
+            self.put(
+                request(f"b{n}", sent_at=at, ended_at=at + 0.2), delivery(f"b{n}", at)
+            )
         self.assertEqual([], self.broken())
-        self.put(request("c", sent_at=101.0, ended_at=101.2), ran("c", 101.1))
+        self.put(request("c", sent_at=101.0, ended_at=101.2), delivery("c", 101.1))
         self.assertEqual(["rests"], self.broken())
 
     def test_of_other_routers_any_number_may_come_in_a_rest(self):
         self.rest()
         for n in range(9):
             self.put(request(f"b{n}", sent_at=101.0, ended_at=101.2, router="r1"))
-            self.put(ran(f"b{n}", 101.1))
+            self.put(delivery(f"b{n}", 101.1))
         self.assertEqual([], self.broken())
 
     def test_a_link_that_held_requests_back_excuses_them(self):
         self.rest()
         for n in range(9):
             self.put(
-                request(f"b{n}", sent_at=101.0, ended_at=101.2), ran(f"b{n}", 101.1)
+                request(f"b{n}", sent_at=101.0, ended_at=101.2),
+                delivery(f"b{n}", 101.1),
             )
         self.assertEqual(["rests"], self.broken())
         self.history.troubles.append(Trouble("link delay", "t0", 99.0, 100.2))
@@ -444,19 +461,19 @@
     def test_a_cold_target_that_gets_too_much_in_a_second_is_found(self):
         self.chill()
         for n in range(promises.COLD_MOST):
-            self.put(ran(at=101.0 + n * 0.04))
+            self.put(delivery(at=101.0 + n * 0.04))
         self.assertEqual([], self.over())
-        self.put(ran(at=101.9))
+        self.put(delivery(at=101.9))
         self.assertEqual(1, len(self.over()))
 
     def test_what_is_spread_is_not(self):
         self.chill()
         for n in range(55):
-            self.put(ran(at=100.0 + n * 0.053))
+            self.put(delivery(at=100.0 + n * 0.053))
         self.assertEqual([], self.over())
 
     def test_nor_what_another_life_of_it_gets_or_what_comes_when_it_is_warm(self):
         self.chill(start=7)
         for n in range(60):
-            self.put(ran(at=101.0 + n * 0.01), ran(at=103.01, start=7))
+            self.put(delivery(at=101.0 + n * 0.01), delivery(at=103.01, start=7))
         self.assertEqual([], self.over())
