--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -120,22 +120,24 @@
     for neither: the target says that it is another one. Nor does what the link to it
     has held back.
     """
-    for run in history.deliveries:
-        if run.is_misdirected or _was_held_back(history, run):
+    for delivery in history.deliveries:
+        if delivery.is_misdirected or _was_held_back(history, delivery):
             continue
-        told_at = history.draining.get((run.target, run.start))
-        request = history.sent_requests.get(run.name)
+        told_at = history.draining.get((delivery.target, delivery.start))
+        request = history.sent_requests.get(delivery.name)
         if told_at is None or request is None:
             continue
-        late = run.at - told_at
+        late = delivery.at - told_at
         scopes = {request.router, "store", f"store of {request.router}"}
-        if late > DRAIN + SLACK and history.is_calm(told_at, run.at, scopes):
-            yield f"{run.name} reached {run.target} {late:.2f} s after its notice"
+        if late > DRAIN + SLACK and history.is_calm(told_at, delivery.at, scopes):
+            yield f"{delivery.name} reached {delivery.target} {late:.2f} s after its notice"
 
 
-def _was_held_back(history, run):
+def _was_held_back(history, delivery):
     """Tell whether the link to a run's target was harmed just before it came."""
-    return _is_link_harmed(history, run.target, run.at - LINK_CALM, run.at)
+    return _is_link_harmed(
+        history, delivery.target, delivery.at - LINK_CALM, delivery.at
+    )
 
 
 def _is_link_harmed(history, target, began, ended):
@@ -203,10 +205,10 @@
     """Retries of all routers together stay within their budget."""
     seen = set()
     arrivals = {}
-    for run in sorted(history.deliveries, key=lambda r: r.at):
-        if run.name in seen:
-            arrivals.setdefault(run.service, []).append(run.at)
-        seen.add(run.name)
+    for delivery in sorted(history.deliveries, key=lambda r: r.at):
+        if delivery.name in seen:
+            arrivals.setdefault(delivery.service, []).append(delivery.at)
+        seen.add(delivery.name)
     for service, times in arrivals.items():
         sent = [
             a.sent_at for a in history.sent_requests.values() if a.service == service
@@ -225,11 +227,11 @@
 def load_is_even(history):
     """No target holds more than a multiple of its service's mean in calm times."""
     calm = [
-        run
-        for run in history.deliveries
+        delivery
+        for delivery in history.deliveries
         if history.is_calm(
-            run.at - 2.0,
-            run.at,
+            delivery.at - 2.0,
+            delivery.at,
             {t.scope for t in history.troubles if not t.is_planned},
         )
     ]
@@ -260,7 +262,9 @@
         if request.outcome != ANSWERED or request.status != OK or not request.signed:
             continue
         target, _, start = request.signed.rpartition("/")
-        lives = {(run.target, run.start) for run in runs.get(request.name, ())}
+        lives = {
+            (delivery.target, delivery.start) for delivery in runs.get(request.name, ())
+        }
         if (target, int(start)) not in lives:
             yield f"{request.name} got an answer of {request.signed}, where it never ran"
             continue
@@ -292,9 +296,9 @@
     """
     requests_by_router = _requests_by_router(history)
     came = {}
-    for run in history.deliveries:
-        if run.name in history.sent_requests:
-            came.setdefault((run.target, run.start), []).append(run)
+    for delivery in history.deliveries:
+        if delivery.name in history.sent_requests:
+            came.setdefault((delivery.target, delivery.start), []).append(delivery)
     for entry in history.listed:
         gone_at = _untouched_until(history, entry)
         each = [(router,) for router in requests_by_router]
@@ -319,9 +323,9 @@
             if until > gone_at:
                 continue
             has_worked = any(
-                since <= run.at <= until
-                and history.sent_requests[run.name].router in group
-                for run in came.get((entry.target, entry.start), ())
+                since <= delivery.at <= until
+                and history.sent_requests[delivery.name].router in group
+                for delivery in came.get((entry.target, entry.start), ())
             )
             yield entry, " and ".join(group), until, has_worked
 
@@ -359,17 +363,21 @@
 def foreign_entries_get_no_work(history):
     """What another writer's entry names gets no request once that is known."""
     for entry in history.foreign:
-        for run in history.deliveries:
-            request = history.sent_requests.get(run.name)
-            if run.target != entry.target or request is None or run.at > entry.until:
+        for delivery in history.deliveries:
+            request = history.sent_requests.get(delivery.name)
+            if (
+                delivery.target != entry.target
+                or request is None
+                or delivery.at > entry.until
+            ):
                 continue
-            if run.is_misdirected:
+            if delivery.is_misdirected:
                 # Sent by the entry of the target before it at that address.
                 continue
             scopes = {request.router, "store", f"store of {request.router}"}
-            late = run.at - history.calm_since(entry.at, run.at, scopes)
+            late = delivery.at - history.calm_since(entry.at, delivery.at, scopes)
             if late > IN_FORCE + SLACK:
-                yield f"{run.name} reached {run.target} {late:.2f} s after its entry"
+                yield f"{delivery.name} reached {delivery.target} {late:.2f} s after its entry"
 
 
 def neighbours_keep_work(history):
@@ -473,23 +481,27 @@
 
 def evacuated_domains_get_no_work(history):
     """A target of a failure domain that was evacuated gets nothing after the bound."""
-    for run, evacuation, late in _in_evacuated(history):
+    for delivery, evacuation, late in _in_evacuated(history):
         if late > EVACUATED + SLACK:
-            yield f"{run.name} reached {run.target} {late:.2f} s after {evacuation.at}"
+            yield f"{delivery.name} reached {delivery.target} {late:.2f} s after {evacuation.at}"
 
 
 def _in_evacuated(history):
     """Return each run in an evacuated domain, and how late it was sent there."""
     for evacuation in history.evacuations:
-        for run in history.deliveries:
-            request = history.sent_requests.get(run.name)
-            if run.domain != evacuation.domain or request is None or not run.has_run:
+        for delivery in history.deliveries:
+            request = history.sent_requests.get(delivery.name)
+            if (
+                delivery.domain != evacuation.domain
+                or request is None
+                or not delivery.has_run
+            ):
                 continue
-            if not evacuation.at < run.at < evacuation.until:
+            if not evacuation.at < delivery.at < evacuation.until:
                 continue
             scopes = {request.router, "store", f"store of {request.router}"}
-            if history.is_calm(evacuation.at, run.at, scopes):
-                yield run, evacuation, run.at - evacuation.at
+            if history.is_calm(evacuation.at, delivery.at, scopes):
+                yield delivery, evacuation, delivery.at - evacuation.at
 
 
 def cold_targets_get_their_rate(history):
@@ -504,27 +516,29 @@
 
 def _runs_while_cold(history, cold):
     return sorted(
-        run.at
-        for run in history.deliveries
-        if (run.target, run.start) == (cold.target, cold.start)
-        and run.has_run
-        and cold.at <= run.at <= cold.until
+        delivery.at
+        for delivery in history.deliveries
+        if (delivery.target, delivery.start) == (cold.target, cold.start)
+        and delivery.has_run
+        and cold.at <= delivery.at <= cold.until
     )
 
 
 def leaving_answers_end_work(history):
     """A router that passed on that a target leaves sends it nothing after the bound."""
     first = _first_leaving_answers(history)
-    for run in history.deliveries:
-        request = history.sent_requests.get(run.name)
+    for delivery in history.deliveries:
+        request = history.sent_requests.get(delivery.name)
         if request is None:
             continue
-        told_at = first.get((run.target, run.start, request.router, request.life))
+        told_at = first.get(
+            (delivery.target, delivery.start, request.router, request.life)
+        )
         if told_at is None or request.sent_at - told_at <= DRAIN + SLACK:
             continue
-        if history.is_calm(told_at, run.at, {request.router}):
+        if history.is_calm(told_at, delivery.at, {request.router}):
             late = request.sent_at - told_at
-            yield f"{run.name} reached {run.target} {late:.2f} s after its own notice"
+            yield f"{delivery.name} reached {delivery.target} {late:.2f} s after its own notice"
 
 
 def _first_leaving_answers(history):
@@ -550,20 +564,20 @@
 def _in_rests(history):
     """Return each rest, its router, and the requests that came from it meanwhile."""
     by_target = {}
-    for run in history.deliveries:
-        by_target.setdefault((run.target, run.start), []).append(run)
+    for delivery in history.deliveries:
+        by_target.setdefault((delivery.target, delivery.start), []).append(delivery)
     for rest in history.rests:
         asker = history.sent_requests.get(rest.name)
         if asker is None:
             continue
         until = rest.at + rest.seconds
         came = [
-            run
-            for run in by_target.get((rest.target, rest.start), ())
-            if rest.at + REST_BEGINS < run.at < until - SLACK
-            and run.name in history.sent_requests
-            and history.sent_requests[run.name].router == asker.router
-            and history.sent_requests[run.name].life == asker.life
+            delivery
+            for delivery in by_target.get((rest.target, rest.start), ())
+            if rest.at + REST_BEGINS < delivery.at < until - SLACK
+            and delivery.name in history.sent_requests
+            and history.sent_requests[delivery.name].router == asker.router
+            and history.sent_requests[delivery.name].life == asker.life
         ]
         if _is_link_harmed(history, rest.target, rest.at, until):
             continue
