--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -63,7 +63,7 @@
 
 
 @dataclass
-class Trouble:
+class Disturbance:
     """A fault or planned work, and whom it touches."""
 
     kind: str
@@ -158,7 +158,7 @@
 
     sent_requests: dict[str, CallerRequest] = field(default_factory=dict)
     deliveries: list[Delivery] = field(default_factory=list)
-    troubles: list[Trouble] = field(default_factory=list)
+    troubles: list[Disturbance] = field(default_factory=list)
     versions: list[Version] = field(default_factory=list)
     # By name and start.
     draining: dict[tuple[str, int], float] = field(default_factory=dict)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -40,7 +40,7 @@
 from soak.history import Evacuation
 from soak.history import History
 from soak.history import Silence
-from soak.history import Trouble
+from soak.history import Disturbance
 
 PORTALS = 4
 MODELS = 4
@@ -209,7 +209,7 @@
 
     def _begin(self, kind, scope, lasts, undo=None, *, is_planned=False):
         now = reactor.seconds()
-        trouble = Trouble(kind, scope, now, is_planned=is_planned)
+        trouble = Disturbance(kind, scope, now, is_planned=is_planned)
         self.history.troubles.append(trouble)
         self._ending.append(now + lasts)
 
