--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -180,18 +180,18 @@
     def is_calm(self, began, ended, scopes):
         """Tell whether no trouble touched any of the scopes, or just before."""
         return not any(
-            trouble.scope in scopes
-            and trouble.began <= ended
-            and (trouble.ended is None or trouble.ended + CALM_AFTER >= began)
-            for trouble in self.troubles
+            disturbance.scope in scopes
+            and disturbance.began <= ended
+            and (disturbance.ended is None or disturbance.ended + CALM_AFTER >= began)
+            for disturbance in self.troubles
         )
 
     def calm_since(self, began, until, scopes):
         """Return from when on no trouble touched any of the scopes."""
         ends = (
-            inf if trouble.ended is None else trouble.ended + CALM_AFTER
-            for trouble in self.troubles
-            if trouble.scope in scopes and trouble.began < until
+            inf if disturbance.ended is None else disturbance.ended + CALM_AFTER
+            for disturbance in self.troubles
+            if disturbance.scope in scopes and disturbance.began < until
         )
         return max([began, *ends])
 
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -143,11 +143,11 @@
 def _is_link_harmed(history, target, began, ended):
     """Tell whether the link to a target was harmed at some moment of a time."""
     return any(
-        trouble.scope == target
-        and trouble.kind.startswith("link")
-        and trouble.began <= ended
-        and (trouble.ended is None or trouble.ended >= began)
-        for trouble in history.troubles
+        disturbance.scope == target
+        and disturbance.kind.startswith("link")
+        and disturbance.began <= ended
+        and (disturbance.ended is None or disturbance.ended >= began)
+        for disturbance in history.troubles
     )
 
 
@@ -337,10 +337,10 @@
     that its entry stands there.
     """
     began = (
-        max(trouble.began, entry.at)
-        for trouble in history.troubles
-        if trouble.scope in entry.scopes
-        and (trouble.ended is None or trouble.ended > entry.at)
+        max(disturbance.began, entry.at)
+        for disturbance in history.troubles
+        if disturbance.scope in entry.scopes
+        and (disturbance.ended is None or disturbance.ended > entry.at)
     )
     said = (
         told_at
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -209,12 +209,12 @@
 
     def _begin(self, kind, scope, lasts, undo=None, *, is_planned=False):
         now = reactor.seconds()
-        trouble = Disturbance(kind, scope, now, is_planned=is_planned)
-        self.history.troubles.append(trouble)
+        disturbance = Disturbance(kind, scope, now, is_planned=is_planned)
+        self.history.troubles.append(disturbance)
         self._ending.append(now + lasts)
 
         def end():
-            trouble.ended = reactor.seconds()
+            disturbance.ended = reactor.seconds()
             if undo is not None:
                 undo()
 
@@ -570,8 +570,8 @@
         key = f"{request.outcome or 'open'} {request.status or ''}".strip()
         outcomes[key] = outcomes.get(key, 0) + 1
     kinds = {}
-    for trouble in history.troubles:
-        kinds[trouble.kind] = kinds.get(trouble.kind, 0) + 1
+    for disturbance in history.troubles:
+        kinds[disturbance.kind] = kinds.get(disturbance.kind, 0) + 1
     return {
         "requests": outcomes,
         "runs": len(history.deliveries),
