--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -158,7 +158,7 @@
 
     sent_requests: dict[str, CallerRequest] = field(default_factory=dict)
     deliveries: list[Delivery] = field(default_factory=list)
-    troubles: list[Disturbance] = field(default_factory=list)
+    disturbances: list[Disturbance] = field(default_factory=list)
     versions: list[Version] = field(default_factory=list)
     # By name and start.
     draining: dict[tuple[str, int], float] = field(default_factory=dict)
@@ -183,14 +183,14 @@
             disturbance.scope in scopes
             and disturbance.began <= ended
             and (disturbance.ended is None or disturbance.ended + CALM_AFTER >= began)
-            for disturbance in self.troubles
+            for disturbance in self.disturbances
         )
 
     def calm_since(self, began, until, scopes):
         """Return from when on no trouble touched any of the scopes."""
         ends = (
             inf if disturbance.ended is None else disturbance.ended + CALM_AFTER
-            for disturbance in self.troubles
+            for disturbance in self.disturbances
             if disturbance.scope in scopes and disturbance.began < until
         )
         return max([began, *ends])
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -147,7 +147,7 @@
         and disturbance.kind.startswith("link")
         and disturbance.began <= ended
         and (disturbance.ended is None or disturbance.ended >= began)
-        for disturbance in history.troubles
+        for disturbance in history.disturbances
     )
 
 
@@ -165,7 +165,7 @@
                 continue
             if ended < told_at or ended - told_at > STOP_GRACE - 1.0:
                 continue
-            everything = {t.scope for t in history.troubles if not t.is_planned}
+            everything = {t.scope for t in history.disturbances if not t.is_planned}
             if history.is_calm(request.sent_at, ended, everything):
                 yield f"{request.name} was cut by the planned stop of {router}"
 
@@ -232,7 +232,7 @@
         if history.is_calm(
             delivery.at - 2.0,
             delivery.at,
-            {t.scope for t in history.troubles if not t.is_planned},
+            {t.scope for t in history.disturbances if not t.is_planned},
         )
     ]
     over = [r for r in calm if r.load > LOAD_MULTIPLE * r.mean + LOAD_MARGIN]
@@ -338,7 +338,7 @@
     """
     began = (
         max(disturbance.began, entry.at)
-        for disturbance in history.troubles
+        for disturbance in history.disturbances
         if disturbance.scope in entry.scopes
         and (disturbance.ended is None or disturbance.ended > entry.at)
     )
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -210,7 +210,7 @@
     def _begin(self, kind, scope, lasts, undo=None, *, is_planned=False):
         now = reactor.seconds()
         disturbance = Disturbance(kind, scope, now, is_planned=is_planned)
-        self.history.troubles.append(disturbance)
+        self.history.disturbances.append(disturbance)
         self._ending.append(now + lasts)
 
         def end():
@@ -570,7 +570,7 @@
         key = f"{request.outcome or 'open'} {request.status or ''}".strip()
         outcomes[key] = outcomes.get(key, 0) + 1
     kinds = {}
-    for disturbance in history.troubles:
+    for disturbance in history.disturbances:
         kinds[disturbance.kind] = kinds.get(disturbance.kind, 0) + 1
     return {
         "requests": outcomes,
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -122,14 +122,16 @@
         self.history.draining["t0", 0] = 97.0
         self.put(request(), delivery())
         self.assertEqual(["leaving targets"], self.broken())
-        self.history.troubles.append(Disturbance("silent", "store of r0", 98.0, 99.0))
+        self.history.disturbances.append(
+            Disturbance("silent", "store of r0", 98.0, 99.0)
+        )
         self.assertEqual([], self.broken())
 
     def test_a_planned_stop_that_cuts(self):
         self.history.stops.append(("r0", 1, 100.1))
         self.put(request(outcome=CUT, status=0))
         self.assertEqual(["planned stops"], self.broken())
-        self.history.troubles.append(Disturbance("silent", "t3", 99.0, 101.0))
+        self.history.disturbances.append(Disturbance("silent", "t3", 99.0, 101.0))
         self.assertEqual([], self.broken())
 
     def test_a_version_that_is_late(self):
@@ -162,7 +164,7 @@
             name = f"n{number}"
             self.put(request(name), delivery(name, load=9, mean=2.0))
         self.assertEqual(["load"], self.broken())
-        self.history.troubles.append(Disturbance("kill", "r1", 99.0, 99.5))
+        self.history.disturbances.append(Disturbance("kill", "r1", 99.0, 99.5))
         self.assertEqual([], self.broken())
 
     def test_a_caller_left_waiting(self):
@@ -232,9 +234,9 @@
         self.put(request("b", router="r1"), delivery("b", start=2))
         self.assertEqual(["good entries"], self.broken())
         # Only what comes after the last trouble counts.
-        self.history.troubles.append(Disturbance("kill", "r0", 96.0, 97.0))
+        self.history.disturbances.append(Disturbance("kill", "r0", 96.0, 97.0))
         self.assertEqual([], self.broken())
-        self.history.troubles[0].ended = 92.0
+        self.history.disturbances[0].ended = 92.0
         self.assertEqual(["good entries"], self.broken())
 
     def test_a_target_with_troubles_of_its_own_may_get_no_work(self):
@@ -247,7 +249,7 @@
             (93.0, 94.9, ["good entries"]),
             (105.5, None, ["good entries"]),
         ):
-            self.history.troubles[:] = [Disturbance("link", "t0", began, ended)]
+            self.history.disturbances[:] = [Disturbance("link", "t0", began, ended)]
             self.assertEqual(wanted, self.broken(), (began, ended))
 
     def test_an_entry_that_went_before_enough_was_asked(self):
@@ -269,7 +271,9 @@
             vars(entry).update(changed)
             self.assertEqual([], self.broken(), changed)
             vars(entry).update(was)
-        self.history.troubles.append(Disturbance("silent", "store of r0", 98.0, 99.0))
+        self.history.disturbances.append(
+            Disturbance("silent", "store of r0", 98.0, 99.0)
+        )
         self.assertEqual([], self.broken())
 
     def test_neighbours_of_another_writer_s_entry_that_lose_their_work(self):
@@ -294,7 +298,7 @@
             self.history.deliveries.clear()
             self.put_stream(**fields)
             self.assertEqual(["silence"], self.broken(), fields)
-        self.history.troubles.append(Disturbance("faults", "t0", 99.0, 101.0))
+        self.history.disturbances.append(Disturbance("faults", "t0", 99.0, 101.0))
         self.assertEqual([], self.broken())
 
     def test_streams_that_a_silence_has_not_ended(self):
@@ -335,7 +339,9 @@
     def test_nor_is_a_router_that_lost_the_store(self):
         self.evacuate()
         self.put(request(), delivery(at=106.0, domain="a"))
-        self.history.troubles.append(Disturbance("cut", "store of r0", 101.0, 104.0))
+        self.history.disturbances.append(
+            Disturbance("cut", "store of r0", 101.0, 104.0)
+        )
         self.assertEqual([], self.late())
 
     def test_a_target_of_an_evacuated_domain_may_get_no_work(self):
@@ -348,7 +354,9 @@
         due = list(promises.good_entries_get_work(self.history))
         self.assertEqual(1, len(due))
         # Listed while it was evacuated, under a name of its own.
-        self.history.troubles.append(Disturbance("evacuate", "domain a", 93.0, 110.0))
+        self.history.disturbances.append(
+            Disturbance("evacuate", "domain a", 93.0, 110.0)
+        )
         self.assertEqual([], list(promises.good_entries_get_work(self.history)))
         entry.domain = "b"
         self.assertEqual(due, list(promises.good_entries_get_work(self.history)))
@@ -387,7 +395,9 @@
             (96.0, 100.0, ["leaving targets"]),
             (103.2, None, ["leaving targets"]),
         ):
-            self.history.troubles[:] = [Disturbance("link silent", "t0", began, ended)]
+            self.history.disturbances[:] = [
+                Disturbance("link silent", "t0", began, ended)
+            ]
             self.assertEqual(wanted, self.broken(), (began, ended))
 
     def test_work_for_a_target_after_its_own_notice(self):
@@ -417,7 +427,7 @@
             request("b", sent_at=105.0, ended_at=105.2), delivery("b", 105.1, start=1)
         )
         self.assertEqual(["leaving answers"], self.broken())
-        self.history.troubles.append(Disturbance("pause", "r0", 102.0, 103.0))
+        self.history.disturbances.append(Disturbance("pause", "r0", 102.0, 103.0))
         self.assertEqual([], self.broken())
 
     def rest(self, at=100.0, seconds=3.0):
@@ -449,7 +459,7 @@
                 delivery(f"b{n}", 101.1),
             )
         self.assertEqual(["rests"], self.broken())
-        self.history.troubles.append(Disturbance("link delay", "t0", 99.0, 100.2))
+        self.history.disturbances.append(Disturbance("link delay", "t0", 99.0, 100.2))
         self.assertEqual([], self.broken())
 
     def over(self):
