--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -16,7 +16,7 @@
 from soak.history import Cold
 from soak.history import Entry
 from soak.history import Delivery
-from soak.history import Rest
+from soak.history import PauseRequest
 from soak.history import Version
 
 LOOPBACK = "127.0.0.1"
@@ -144,7 +144,9 @@
         # What was meant for another target at the address is told so, and no rest.
         if self.script.is_resting and not self._is_misdirected(arrival):
             now, rest = reactor.seconds(), self.script.rest
-            self._history.rests.append(Rest(self.name, self.start, name, now, rest))
+            self._history.rests.append(
+                PauseRequest(self.name, self.start, name, now, rest)
+            )
         peers = [t for t in self._peers if t.service == self.service]
         mean = sum(t.script.running for t in peers) / len(peers)
         load = self.script.running
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -130,7 +130,7 @@
 
 
 @dataclass
-class Rest:
+class PauseRequest:
     """That a target turned a request away and asked its router for a rest."""
 
     target: str
@@ -170,7 +170,7 @@
     evacuations: list[Evacuation] = field(default_factory=list)
     cold: list[Cold] = field(default_factory=list)
     silences: list[Silence] = field(default_factory=list)
-    rests: list[Rest] = field(default_factory=list)
+    rests: list[PauseRequest] = field(default_factory=list)
     # By content.
     harm: dict[bytes, Harm] = field(default_factory=dict)
     own_ends: list[str] = field(default_factory=list)
