--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -144,7 +144,7 @@
         # What was meant for another target at the address is told so, and no rest.
         if self.script.is_resting and not self._is_misdirected(arrival):
             now, rest = reactor.seconds(), self.script.rest
-            self._history.rests.append(
+            self._history.pause_requests.append(
                 PauseRequest(self.name, self.start, name, now, rest)
             )
         peers = [t for t in self._peers if t.service == self.service]
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -170,7 +170,7 @@
     evacuations: list[Evacuation] = field(default_factory=list)
     cold: list[Cold] = field(default_factory=list)
     silences: list[Silence] = field(default_factory=list)
-    rests: list[PauseRequest] = field(default_factory=list)
+    pause_requests: list[PauseRequest] = field(default_factory=list)
     # By content.
     harm: dict[bytes, Harm] = field(default_factory=dict)
     own_ends: list[str] = field(default_factory=list)
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -566,7 +566,7 @@
     by_target = {}
     for delivery in history.deliveries:
         by_target.setdefault((delivery.target, delivery.start), []).append(delivery)
-    for rest in history.rests:
+    for rest in history.pause_requests:
         asker = history.sent_requests.get(rest.name)
         if asker is None:
             continue
--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -99,8 +99,10 @@
         yield wait(REST + RETURN_SECONDS + AFTER_SECONDS)
         for caller in self._callers:
             caller.stop()
-        rests = [rest.at + rest.seconds for rest in self.history.rests]
-        back_at = max([ended, *rests]) + RETURN_SECONDS
+        pause_requests = [
+            rest.at + rest.seconds for rest in self.history.pause_requests
+        ]
+        back_at = max([ended, *pause_requests]) + RETURN_SECONDS
         return self.served(began, ended), self.served(back_at, back_at + AFTER_SECONDS)
 
     def served(self, began, ended):
@@ -164,11 +166,11 @@
         served, after = yield play.run(begin, end)
     finally:
         play.stop()
-    rests = list(promises._in_rests(play.history))
-    most = max((len(came) for _, _, came in rests), default=0)
+    pause_requests = list(promises._in_rests(play.history))
+    most = max((len(came) for _, _, came in pause_requests), default=0)
     broken = sum(1 for _ in promises.rests_are_kept(play.history))
     return (
-        f"{count} rest: {broken} of {len(rests)} rests broken, most in one {most}; "
+        f"{count} rest: {broken} of {len(pause_requests)} rests broken, most in one {most}; "
         f"served {served:.3f}, after it {after:.3f}"
     )
 
--- a/tests/soak/test_backends.py
+++ b/tests/soak/test_backends.py
@@ -30,7 +30,7 @@
         if expected:
             headers[names.EXPECTED_INCARNATION.lower()] = expected.encode()
         self.target._arrived(Arrival(b"POST", b"/plain/x", headers, b""))
-        return len(self.history.rests)
+        return len(self.history.pause_requests)
 
     def test_it_asks_for_a_rest_of_requests_that_are_meant_for_it(self):
         self.assertEqual(1, self.arrive(self.target.name))
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -432,7 +432,7 @@
 
     def rest(self, at=100.0, seconds=3.0):
         self.put(request("turned", sent_at=at), delivery("turned", at, has_run=False))
-        self.history.rests.append(PauseRequest("t0", 0, "turned", at, seconds))
+        self.history.pause_requests.append(PauseRequest("t0", 0, "turned", at, seconds))
 
     def test_more_than_two_requests_in_a_rest(self):
         self.rest()
