--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -13,7 +13,7 @@
 from primrosescale.standin.users_store import UsersStore
 from primrosescale.standin.users_store import foreign_entries
 from soak.fault_proxy import FaultProxy
-from soak.history import Cold
+from soak.history import ColdPeriod
 from soak.history import Entry
 from soak.history import Delivery
 from soak.history import PauseRequest
@@ -120,7 +120,7 @@
         """Become cold for a while, from now on."""
         now = reactor.seconds()
         self.cold_until = now + seconds
-        self._history.cold.append(Cold(self.name, self.start, now, now + seconds))
+        self._history.cold.append(ColdPeriod(self.name, self.start, now, now + seconds))
 
     def _cold_left(self):
         left = self.cold_until - reactor.seconds()
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -109,7 +109,7 @@
 
 
 @dataclass
-class Cold:
+class ColdPeriod:
     """A time in which a life of a target was cold."""
 
     target: str
@@ -168,7 +168,7 @@
     # Entries of other writers; the target is what they name.
     foreign: list[Entry] = field(default_factory=list)
     evacuations: list[Evacuation] = field(default_factory=list)
-    cold: list[Cold] = field(default_factory=list)
+    cold: list[ColdPeriod] = field(default_factory=list)
     silences: list[Silence] = field(default_factory=list)
     pause_requests: list[PauseRequest] = field(default_factory=list)
     # By content.
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -9,7 +9,7 @@
 from soak.history import CUT
 from soak.history import LEFT
 from soak.history import CallerRequest
-from soak.history import Cold
+from soak.history import ColdPeriod
 from soak.history import Entry
 from soak.history import Evacuation
 from soak.history import Harm
@@ -466,7 +466,7 @@
         return list(promises.cold_targets_get_their_rate(self.history))
 
     def chill(self, start=0):
-        self.history.cold.append(Cold("t0", start, 100.0, 103.0))
+        self.history.cold.append(ColdPeriod("t0", start, 100.0, 103.0))
 
     def test_a_cold_target_that_gets_too_much_in_a_second_is_found(self):
         self.chill()
