--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -21,7 +21,7 @@
 from soak.history import CUT
 from soak.history import LEFT
 from soak.history import CallerRequest
-from soak.history import Harm
+from soak.history import HarmfulContent
 
 CONNECT_TIMEOUT = 1
 # Seconds that a caller waits beyond its deadline before it leaves.
@@ -63,7 +63,7 @@
         self._body = body
         self._rng = rng
         self._fleet = fleet
-        self._harm = history.harm[body] = Harm()
+        self._harm = history.harm[body] = HarmfulContent()
         self._is_stopped = False
 
     def stop(self):
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -142,7 +142,7 @@
 
 
 @dataclass
-class Harm:
+class HarmfulContent:
     """What became of the requests for one content that ends targets."""
 
     # Routers that requests were sent to, by the requests' names.
@@ -172,7 +172,7 @@
     silences: list[Silence] = field(default_factory=list)
     pause_requests: list[PauseRequest] = field(default_factory=list)
     # By content.
-    harm: dict[bytes, Harm] = field(default_factory=dict)
+    harm: dict[bytes, HarmfulContent] = field(default_factory=dict)
     own_ends: list[str] = field(default_factory=list)
     stops: list[tuple[str, int, float]] = field(default_factory=list)
     quiet_from: float | None = None
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -12,7 +12,7 @@
 from soak.history import ColdPeriod
 from soak.history import Entry
 from soak.history import Evacuation
-from soak.history import Harm
+from soak.history import HarmfulContent
 from soak.history import History
 from soak.history import Delivery
 from soak.history import PauseRequest
@@ -110,7 +110,7 @@
         self.assertEqual([], self.broken())
 
     def test_a_harmful_request_that_reaches_many_targets(self):
-        harm = self.history.harm[b"x"] = Harm(ends=[100.0, 101.0, 102.0])
+        harm = self.history.harm[b"x"] = HarmfulContent(ends=[100.0, 101.0, 102.0])
         for number in range(8):
             harm.routers[f"h{number}"] = "r0"
             harm.arrivals.append((f"h{number}", 102.5 + number))
