--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -63,7 +63,7 @@
         self._body = body
         self._rng = rng
         self._fleet = fleet
-        self._harm = history.harm[body] = HarmfulContent()
+        self._harm = history.harmful_contents[body] = HarmfulContent()
         self._is_stopped = False
 
     def stop(self):
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -463,7 +463,9 @@
         "streams over a silence": len(streams),
         "at the only target": sum(1 for _, s in streams if s.is_alone),
         "silences": len(history.silences),
-        "targets ended by requests": sum(len(h.ends) for h in history.harm.values()),
+        "targets ended by requests": sum(
+            len(h.ends) for h in history.harmful_contents.values()
+        ),
         "restarts": len(history.ended),
         "evacuations": len(history.evacuations),
         "runs in evacuated domains": sum(1 for _ in _in_evacuated(history)),
@@ -587,7 +589,7 @@
 
 def harmful_requests_are_held_back(history):
     """What ends targets reaches few more once routers had time to hear of it."""
-    for body, harm in history.harm.items():
+    for body, harm in history.harmful_contents.items():
         ends = sorted(harm.ends)
         if len(ends) < HARM_ENDS:
             continue
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -110,7 +110,9 @@
         self.assertEqual([], self.broken())
 
     def test_a_harmful_request_that_reaches_many_targets(self):
-        harm = self.history.harm[b"x"] = HarmfulContent(ends=[100.0, 101.0, 102.0])
+        harm = self.history.harmful_contents[b"x"] = HarmfulContent(
+            ends=[100.0, 101.0, 102.0]
+        )
         for number in range(8):
             harm.routers[f"h{number}"] = "r0"
             harm.arrivals.append((f"h{number}", 102.5 + number))
