--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -172,7 +172,7 @@
     silences: list[Silence] = field(default_factory=list)
     pause_requests: list[PauseRequest] = field(default_factory=list)
     # By content.
-    harm: dict[bytes, HarmfulContent] = field(default_factory=dict)
+    harmful_contents: dict[bytes, HarmfulContent] = field(default_factory=dict)
     own_ends: list[str] = field(default_factory=list)
     stops: list[tuple[str, int, float]] = field(default_factory=list)
     quiet_from: float | None = None
