--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -362,7 +362,7 @@
 
 def foreign_entries_get_no_work(history):
     """What another writer's entry names gets no request once that is known."""
-    for entry in history.foreign:
+    for entry in history.foreign_entries:
         for delivery in history.deliveries:
             request = history.sent_requests.get(delivery.name)
             if (
@@ -393,7 +393,7 @@
 def _beside_foreign(history):
     """Return each foreign entry and router, what it was sent and passed on."""
     runs = history.runs_of()
-    for entry in history.foreign:
+    for entry in history.foreign_entries:
         others = {
             good.target
             for good in history.listed
@@ -476,7 +476,7 @@
             len(_runs_while_cold(history, cold)) for cold in history.cold
         ),
         "good entries at a router": sum(1 for _ in _at_work(history)),
-        "entries of other writers": len(history.foreign),
+        "entries of other writers": len(history.foreign_entries),
         "their neighbours at a router": sum(1 for _ in _beside_foreign(history)),
     }
 
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -261,7 +261,7 @@
 
     def test_work_for_what_another_writer_s_entry_names(self):
         entry = Entry("t0", "portal", 1, 97.0, until=100.3)
-        self.history.foreign.append(entry)
+        self.history.foreign_entries.append(entry)
         self.put(request(), delivery())
         self.assertEqual(["foreign entries"], self.broken())
         # Sent by the entry of the target before it at that address.
@@ -279,7 +279,7 @@
         self.assertEqual([], self.broken())
 
     def test_neighbours_of_another_writer_s_entry_that_lose_their_work(self):
-        self.history.foreign.append(Entry("t0", "portal", 1, 99.0, until=104.0))
+        self.history.foreign_entries.append(Entry("t0", "portal", 1, 99.0, until=104.0))
         for name in ("t1", "t2"):
             self.history.listed.append(Entry(name, "portal", 1, 50.0, until=104.0))
         self.put_requests(30, target="t1")
