--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -166,7 +166,7 @@
     ended: dict[tuple[str, int], float] = field(default_factory=dict)
     listed: list[Entry] = field(default_factory=list)
     # Entries of other writers; the target is what they name.
-    foreign: list[Entry] = field(default_factory=list)
+    foreign_entries: list[Entry] = field(default_factory=list)
     evacuations: list[Evacuation] = field(default_factory=list)
     cold: list[ColdPeriod] = field(default_factory=list)
     silences: list[Silence] = field(default_factory=list)
