--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -138,7 +138,9 @@
             # The interpreter itself was still starting; nobody was connected.
             expected.add(-signal.SIGTERM)
         if status not in expected:
-            self._history.own_ends.append(f"{self.name} ended with status {status}")
+            self._history.unexpected_exits.append(
+                f"{self.name} ended with status {status}"
+            )
         self._child = None
         self.write_settings()
         reactor.callLater(RESTART_AFTER, self._start_again)
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -173,7 +173,7 @@
     pause_requests: list[PauseRequest] = field(default_factory=list)
     # By content.
     harmful_contents: dict[bytes, HarmfulContent] = field(default_factory=dict)
-    own_ends: list[str] = field(default_factory=list)
+    unexpected_exits: list[str] = field(default_factory=list)
     stops: list[tuple[str, int, float]] = field(default_factory=list)
     quiet_from: float | None = None
 
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -606,7 +606,7 @@
 
 def processes_stay(history):
     """No router ends by itself."""
-    yield from history.own_ends
+    yield from history.unexpected_exits
 
 
 def service_recovers(history):
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -174,7 +174,7 @@
         self.assertEqual(["in time"], self.broken())
 
     def test_a_process_that_ends_by_itself(self):
-        self.history.own_ends.append("r0 ended with status 1")
+        self.history.unexpected_exits.append("r0 ended with status 1")
         self.assertEqual(["processes"], self.broken())
 
     def test_service_that_does_not_come_back(self):
