--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -174,7 +174,7 @@
     # By content.
     harmful_contents: dict[bytes, HarmfulContent] = field(default_factory=dict)
     unexpected_exits: list[str] = field(default_factory=list)
-    stops: list[tuple[str, int, float]] = field(default_factory=list)
+    planned_stops: list[tuple[str, int, float]] = field(default_factory=list)
     quiet_from: float | None = None
 
     def is_calm(self, began, ended, scopes):
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -153,7 +153,7 @@
 
 def planned_stops_cut_nothing(history):
     """A router that is asked to stop finishes what it has."""
-    for router, life, told_at in history.stops:
+    for router, life, told_at in history.planned_stops:
         for request in history.sent_requests.values():
             if (request.router, request.life) != (
                 router,
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -261,7 +261,7 @@
             return
         life = router.life
         now = reactor.seconds()
-        self.history.stops.append((router.name, life, now))
+        self.history.planned_stops.append((router.name, life, now))
         router.ask_to_stop()
 
         def kill_late():
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -130,7 +130,7 @@
         self.assertEqual([], self.broken())
 
     def test_a_planned_stop_that_cuts(self):
-        self.history.stops.append(("r0", 1, 100.1))
+        self.history.planned_stops.append(("r0", 1, 100.1))
         self.put(request(outcome=CUT, status=0))
         self.assertEqual(["planned stops"], self.broken())
         self.history.disturbances.append(Disturbance("silent", "t3", 99.0, 101.0))
