--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -175,7 +175,7 @@
     harmful_contents: dict[bytes, HarmfulContent] = field(default_factory=dict)
     unexpected_exits: list[str] = field(default_factory=list)
     planned_stops: list[tuple[str, int, float]] = field(default_factory=list)
-    quiet_from: float | None = None
+    last_disturbance_ended: float | None = None
 
     def is_calm(self, began, ended, scopes):
         """Tell whether no trouble touched any of the scopes, or just before."""
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -611,9 +611,9 @@
 
 def service_recovers(history):
     """Callers are served again soon after the last trouble."""
-    if history.quiet_from is None:
+    if history.last_disturbance_ended is None:
         return
-    since = history.quiet_from + RECOVERED_AFTER
+    since = history.last_disturbance_ended + RECOVERED_AFTER
     late = [
         a for a in history.sent_requests.values() if a.sent_at > since and a.ended_at
     ]
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -175,7 +175,7 @@
         for caller in self._harmful:
             caller.stop()
         yield self._wait(max(self._ending, default=0.0) - reactor.seconds())
-        self.history.quiet_from = reactor.seconds()
+        self.history.last_disturbance_ended = reactor.seconds()
         yield self._wait(QUIET_SECONDS)
         for caller in self._callers:
             caller.stop()
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -178,7 +178,7 @@
         self.assertEqual(["processes"], self.broken())
 
     def test_service_that_does_not_come_back(self):
-        self.history.quiet_from = 90.0
+        self.history.last_disturbance_ended = 90.0
         self.assertEqual(["recovery"], self.broken())
         self.put(request(), delivery(), request("b", status=502))
         self.assertEqual(["recovery"], self.broken())
