--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -210,8 +210,8 @@
         if request.service == "model":
             chat = self._rng.randrange(12)
             parts = b"aa:200,b%d:1500,d%d:40" % (chat, self._count)
-            request.is_new = self._rng.random() < NEW_CHATS
-            if request.is_new:
+            request.is_new_chat = self._rng.random() < NEW_CHATS
+            if request.is_new_chat:
                 parts = b"f%x%x:1740" % (self._number, self._count)
             headers[names.PROMPT_PARTS] = parts
             headers[names.TOKENS] = b"1740,60"
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -33,7 +33,7 @@
     body: bytes = b""
     echoed: str = ""
     # Whether no engine can hold a part of its prompt.
-    is_new: bool = True
+    is_new_chat: bool = True
     # Target and life that signed the answer.
     signed: str = ""
     # When the head of an answer came that says that its target leaves.
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -313,7 +313,7 @@
                 for router in group
                 for request in requests_by_router[router]
                 if request.service == entry.service
-                and request.is_new
+                and request.is_new_chat
                 # Its news of the entry needs a moment to come.
                 and since + IN_FORCE < request.sent_at < gone_at
             )
