--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -230,7 +230,7 @@
         signature = response.headers.getRawHeaders(names.RECEIPT) or [b""]
         request.signed = signature[0].decode()
         if response.headers.hasHeader(names.LEAVING):
-            request.left_at = reactor.seconds()
+            request.leaving_reported_at = reactor.seconds()
         collected = _Body()
         response.deliverBody(collected)
         is_whole = yield collected.ended
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -37,7 +37,7 @@
     # Target and life that signed the answer.
     signed: str = ""
     # When the head of an answer came that says that its target leaves.
-    left_at: float | None = None
+    leaving_reported_at: float | None = None
 
     @property
     def may_repeat(self):
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -547,11 +547,13 @@
     """Return when each router first passed on that a life of a target leaves."""
     first = {}
     for request in history.sent_requests.values():
-        if request.left_at is None or not request.signed:
+        if request.leaving_reported_at is None or not request.signed:
             continue
         target, _, start = request.signed.rpartition("/")
         key = (target, int(start), request.router, request.life)
-        first[key] = min(request.left_at, first.get(key, request.left_at))
+        first[key] = min(
+            request.leaving_reported_at, first.get(key, request.leaving_reported_at)
+        )
     return first
 
 
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -373,7 +373,9 @@
         self.assertEqual(1, len(due))
         # By a router of its own; another start of the target did not say so.
         for start, wanted in ((1, due), (2, [])):
-            said = request("said", router="r9", left_at=97.0, signed=f"t0/{start}")
+            said = request(
+                "said", router="r9", leaving_reported_at=97.0, signed=f"t0/{start}"
+            )
             self.put(said)
             self.assertEqual(wanted, list(promises.good_entries_get_work(self.history)))
 
@@ -403,7 +405,7 @@
             self.assertEqual(wanted, self.broken(), (began, ended))
 
     def test_work_for_a_target_after_its_own_notice(self):
-        self.put(request(left_at=100.1, **LIVES), delivery(start=1))
+        self.put(request(leaving_reported_at=100.1, **LIVES), delivery(start=1))
         late = 100.1 + promises.DRAIN + promises.SLACK
         self.put(
             request("b", sent_at=late, ended_at=late + 1), delivery("b", late, start=1)
@@ -414,7 +416,7 @@
         self.assertEqual(["leaving answers"], self.broken())
 
     def test_another_router_life_or_target_has_not_passed_it_on(self):
-        self.put(request(left_at=100.1, **LIVES), delivery(start=1))
+        self.put(request(leaving_reported_at=100.1, **LIVES), delivery(start=1))
         for n, fields in enumerate(({"router": "r1"}, {"life": 2})):
             self.put(request(f"b{n}", sent_at=105.0, ended_at=105.2, **fields))
             self.put(delivery(f"b{n}", 105.1, start=1))
@@ -424,7 +426,7 @@
         self.assertEqual([], self.broken())
 
     def test_a_pause_of_the_router_excuses_it(self):
-        self.put(request(left_at=100.1, **LIVES), delivery(start=1))
+        self.put(request(leaving_reported_at=100.1, **LIVES), delivery(start=1))
         self.put(
             request("b", sent_at=105.0, ended_at=105.2), delivery("b", 105.1, start=1)
         )
