--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -40,7 +40,7 @@
     leaving_reported_at: float | None = None
 
     @property
-    def may_repeat(self):
+    def may_retry(self):
         return self.kind in {"plain", "story", "probe"}
 
 
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -64,7 +64,7 @@
         request = history.sent_requests.get(name)
         if request is None:
             yield f"{name} ran though nobody sent it"
-        elif not request.may_repeat and len(runs) > 1:
+        elif not request.may_retry and len(runs) > 1:
             yield f"{name} ({request.kind}) ran {len(runs)} times"
 
 
