--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -177,7 +177,7 @@
     planned_stops: list[tuple[str, int, float]] = field(default_factory=list)
     last_disturbance_ended: float | None = None
 
-    def is_calm(self, began, ended, scopes):
+    def is_undisturbed(self, began, ended, scopes):
         """Tell whether no trouble touched any of the scopes, or just before."""
         return not any(
             disturbance.scope in scopes
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -129,7 +129,9 @@
             continue
         late = delivery.at - told_at
         scopes = {request.router, "store", f"store of {request.router}"}
-        if late > DRAIN + SLACK and history.is_calm(told_at, delivery.at, scopes):
+        if late > DRAIN + SLACK and history.is_undisturbed(
+            told_at, delivery.at, scopes
+        ):
             yield f"{delivery.name} reached {delivery.target} {late:.2f} s after its notice"
 
 
@@ -166,7 +168,7 @@
             if ended < told_at or ended - told_at > STOP_GRACE - 1.0:
                 continue
             everything = {t.scope for t in history.disturbances if not t.is_planned}
-            if history.is_calm(request.sent_at, ended, everything):
+            if history.is_undisturbed(request.sent_at, ended, everything):
                 yield f"{request.name} was cut by the planned stop of {router}"
 
 
@@ -191,8 +193,10 @@
         scopes = {request.router, "store", f"store of {request.router}"}
         after = request.sent_at - version.acked_at
         if request.status in DENIALS and is_held and not is_dropped:
-            is_calm = history.is_calm(version.acked_at, request.ended_at, scopes)
-            if after > IN_FORCE + SLACK and is_calm:
+            is_undisturbed = history.is_undisturbed(
+                version.acked_at, request.ended_at, scopes
+            )
+            if after > IN_FORCE + SLACK and is_undisturbed:
                 yield f"{request.name} on version {request.version} got {request.status}"
             if newest >= request.version and request.sent_at > since + NEVER_BACK:
                 yield f"{request.name}: {request.router} went back before {newest}"
@@ -229,7 +233,7 @@
     calm = [
         delivery
         for delivery in history.deliveries
-        if history.is_calm(
+        if history.is_undisturbed(
             delivery.at - 2.0,
             delivery.at,
             {t.scope for t in history.disturbances if not t.is_planned},
@@ -247,7 +251,7 @@
         if ended is None:
             continue
         late = ended - request.sent_at - request.deadline
-        if late > ANSWER_SLACK and history.is_calm(
+        if late > ANSWER_SLACK and history.is_undisturbed(
             request.sent_at,
             ended,
             {request.router, "store", f"store of {request.router}"},
@@ -272,7 +276,7 @@
         if None in ends:
             continue
         late = request.ended_at - max(ends)
-        if late > LIFE_OVER and history.is_calm(
+        if late > LIFE_OVER and history.is_undisturbed(
             max(ends), request.ended_at, {request.router}
         ):
             yield f"{request.name} got an answer of {target} {late:.2f} s after its end"
@@ -401,7 +405,7 @@
             and good.target != entry.target
             and good.at < entry.at
             and good.until >= entry.until
-            and history.is_calm(entry.at, entry.until, good.scopes)
+            and history.is_undisturbed(entry.at, entry.until, good.scopes)
         }
         # There has to be something beside it that may get work.
         if not others:
@@ -441,7 +445,7 @@
                 continue
             places = {r.target for r in runs[request.name]}
             scopes = {f"{of}{name}" for name in places for of in ("", "life of ")}
-            if request.ended_at > silence.began and history.is_calm(
+            if request.ended_at > silence.began and history.is_undisturbed(
                 request.sent_at, request.ended_at, {request.router, *scopes}
             ):
                 found.append((request, silence))
@@ -502,7 +506,7 @@
             if not evacuation.at < delivery.at < evacuation.until:
                 continue
             scopes = {request.router, "store", f"store of {request.router}"}
-            if history.is_calm(evacuation.at, delivery.at, scopes):
+            if history.is_undisturbed(evacuation.at, delivery.at, scopes):
                 yield delivery, evacuation, delivery.at - evacuation.at
 
 
@@ -538,7 +542,7 @@
         )
         if told_at is None or request.sent_at - told_at <= DRAIN + SLACK:
             continue
-        if history.is_calm(told_at, delivery.at, {request.router}):
+        if history.is_undisturbed(told_at, delivery.at, {request.router}):
             late = request.sent_at - told_at
             yield f"{delivery.name} reached {delivery.target} {late:.2f} s after its own notice"
 
@@ -585,7 +589,7 @@
         ]
         if _is_link_harmed(history, rest.target, rest.at, until):
             continue
-        if history.is_calm(rest.at, until, {asker.router}):
+        if history.is_undisturbed(rest.at, until, {asker.router}):
             yield rest, asker.router, came
 
 
@@ -600,7 +604,7 @@
             name
             for name, at in harm.arrivals
             if at > known_at
-            and history.is_calm(at - HARM_HEARD, at, {harm.routers[name]})
+            and history.is_undisturbed(at - HARM_HEARD, at, {harm.routers[name]})
         ]
         if len(late) > HARM_MORE:
             yield f"{body!r} reached {len(late)} more targets, {len(ends)} ended"
