--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -186,7 +186,7 @@
             for disturbance in self.disturbances
         )
 
-    def calm_since(self, began, until, scopes):
+    def undisturbed_since(self, began, until, scopes):
         """Return from when on no trouble touched any of the scopes."""
         ends = (
             inf if disturbance.ended is None else disturbance.ended + CALM_AFTER
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -311,7 +311,7 @@
         for group in groups:
             scopes = {"store", *group}
             scopes |= {f"store of {router}" for router in group}
-            since = history.calm_since(entry.at, gone_at, scopes)
+            since = history.undisturbed_since(entry.at, gone_at, scopes)
             times = sorted(
                 request.sent_at
                 for router in group
@@ -379,7 +379,9 @@
                 # Sent by the entry of the target before it at that address.
                 continue
             scopes = {request.router, "store", f"store of {request.router}"}
-            late = delivery.at - history.calm_since(entry.at, delivery.at, scopes)
+            late = delivery.at - history.undisturbed_since(
+                entry.at, delivery.at, scopes
+            )
             if late > IN_FORCE + SLACK:
                 yield f"{delivery.name} reached {delivery.target} {late:.2f} s after its entry"
 
@@ -418,7 +420,7 @@
                 if request.service == entry.service
                 and request.sent_at < entry.until - request.deadline / 2
                 and request.sent_at
-                > history.calm_since(entry.at, request.sent_at, scopes)
+                > history.undisturbed_since(entry.at, request.sent_at, scopes)
             ]
             got = [
                 request
