--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -10,7 +10,7 @@
 CUT = "cut"
 LEFT = "left"
 # Time without trouble after which a router counts as calm, in seconds.
-CALM_AFTER = 3.0
+SETTLE_SECONDS = 3.0
 
 
 @dataclass
@@ -182,14 +182,16 @@
         return not any(
             disturbance.scope in scopes
             and disturbance.began <= ended
-            and (disturbance.ended is None or disturbance.ended + CALM_AFTER >= began)
+            and (
+                disturbance.ended is None or disturbance.ended + SETTLE_SECONDS >= began
+            )
             for disturbance in self.disturbances
         )
 
     def undisturbed_since(self, began, until, scopes):
         """Return from when on no trouble touched any of the scopes."""
         ends = (
-            inf if disturbance.ended is None else disturbance.ended + CALM_AFTER
+            inf if disturbance.ended is None else disturbance.ended + SETTLE_SECONDS
             for disturbance in self.disturbances
             if disturbance.scope in scopes and disturbance.began < until
         )
