--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -197,7 +197,7 @@
         )
         return max([began, *ends])
 
-    def runs_of(self):
+    def runs_by_request(self):
         """Return the runs of each request, by its name."""
         found = {}
         for run in self.ran:
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -60,7 +60,7 @@
 
 def at_most_once(history):
     """Nothing that may run once runs twice."""
-    for name, runs in history.runs_of().items():
+    for name, runs in history.runs_by_request().items():
         request = history.sent_requests.get(name)
         if request is None:
             yield f"{name} ran though nobody sent it"
@@ -70,7 +70,7 @@
 
 def not_run_is_true(history):
     """A refusal that says "not run" is never contradicted by a target."""
-    runs = history.runs_of()
+    runs = history.runs_by_request()
     for request in history.sent_requests.values():
         refused = request.outcome == ANSWERED and request.status in REFUSALS
         if refused and request.name in runs:
@@ -104,7 +104,7 @@
         later = [v.acked_at for v in history.versions if v.number > number]
         if later:
             gone_at[key] = min(later)
-    for name in history.runs_of():
+    for name in history.runs_by_request():
         request = history.sent_requests.get(name)
         if request is None or request.key not in gone_at:
             continue
@@ -261,7 +261,7 @@
 
 def former_lives_are_over(history):
     """An answer is of a life that ran the request, and comes while it lasts."""
-    runs = history.runs_of()
+    runs = history.runs_by_request()
     for request in history.sent_requests.values():
         if request.outcome != ANSWERED or request.status != OK or not request.signed:
             continue
@@ -398,7 +398,7 @@
 
 def _beside_foreign(history):
     """Return each foreign entry and router, what it was sent and passed on."""
-    runs = history.runs_of()
+    runs = history.runs_by_request()
     for entry in history.foreign_entries:
         others = {
             good.target
@@ -433,7 +433,7 @@
 
 def _over_a_silence(history):
     """Return the streams that were at a silent target, and the silence."""
-    runs = history.runs_of()
+    runs = history.runs_by_request()
     found = []
     for silence in history.silences:
         for request in history.sent_requests.values():
