--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -148,7 +148,7 @@
         way = TCP4ClientEndpoint(reactor, router.address, CALLERS_PORT, CONNECT_TIMEOUT)
         protocol = HTTP11ClientProtocol(lambda _: None)
         channel = yield connectProtocol(way, protocol)
-        self._channel, self._router, self._life = channel, router, router.life
+        self._channel, self._router, self._life = channel, router, router.process_number
 
     def _draw(self):
         kinds = list(KINDS)
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -71,7 +71,7 @@
     def __init__(self, number, folder, store_port, history):
         self.name = name = f"r{number}"
         self.address = own_address(number)
-        self.life = 0
+        self.process_number = 0
         self.misses = 0
         self.is_paused = False
         self.is_stopping = False
@@ -112,7 +112,7 @@
         """Start the program; it is started again whenever it ends."""
         self._wanted = True
         self.is_stopping = self.is_paused = False
-        self.life += 1
+        self.process_number += 1
         self.misses = 0
         self._child = subprocess.Popen(
             [sys.executable, "-S", "-OO", "-m", "primrosescale.platform"],
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -157,7 +157,7 @@
     """A router that is asked to stop finishes what it has."""
     for router, life, told_at in history.planned_stops:
         for request in history.sent_requests.values():
-            if (request.router, request.life) != (
+            if (request.router, request.process_number) != (
                 router,
                 life,
             ) or request.outcome != CUT:
@@ -180,11 +180,11 @@
         a for a in history.sent_requests.values() if a.version and a.outcome == ANSWERED
     ]
     for request in sorted(probes, key=lambda a: a.ended_at):
-        life = (request.router, request.life)
+        life = (request.router, request.process_number)
         if request.status == OK and request.version > seen.get(life, (0, 0.0))[0]:
             seen[life] = (request.version, request.ended_at)
     for request in probes:
-        life = (request.router, request.life)
+        life = (request.router, request.process_number)
         newest, since = seen.get(life, (0, 0.0))
         version = acked[request.version]
         since_then = [v for v in history.versions if v.number >= request.version]
@@ -540,7 +540,7 @@
         if request is None:
             continue
         told_at = first.get(
-            (delivery.target, delivery.start, request.router, request.life)
+            (delivery.target, delivery.start, request.router, request.process_number)
         )
         if told_at is None or request.sent_at - told_at <= DRAIN + SLACK:
             continue
@@ -556,7 +556,7 @@
         if request.leaving_reported_at is None or not request.signed:
             continue
         target, _, start = request.signed.rpartition("/")
-        key = (target, int(start), request.router, request.life)
+        key = (target, int(start), request.router, request.process_number)
         first[key] = min(
             request.leaving_reported_at, first.get(key, request.leaving_reported_at)
         )
@@ -587,7 +587,7 @@
             if rest.at + REST_BEGINS < delivery.at < until - SLACK
             and delivery.name in history.sent_requests
             and history.sent_requests[delivery.name].router == asker.router
-            and history.sent_requests[delivery.name].life == asker.life
+            and history.sent_requests[delivery.name].life == asker.process_number
         ]
         if _is_link_harmed(history, rest.target, rest.at, until):
             continue
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -245,11 +245,11 @@
         if router.is_paused:
             return
         router.is_paused = True
-        life = router.life
+        life = router.process_number
 
         def resume():
             router.is_paused = False
-            if router.life == life:
+            if router.process_number == life:
                 router.signal(signal.SIGCONT)
 
         router.signal(signal.SIGSTOP)
@@ -259,13 +259,13 @@
         router = self._router(step)
         if router.is_stopping or not router.is_running:
             return
-        life = router.life
+        life = router.process_number
         now = reactor.seconds()
         self.history.planned_stops.append((router.name, life, now))
         router.ask_to_stop()
 
         def kill_late():
-            if router.life == life and router.is_running:
+            if router.process_number == life and router.is_running:
                 router.signal(signal.SIGCONT)
                 router.signal(signal.SIGKILL)
 
