--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -23,7 +23,7 @@
     service: str
     key: str
     router: str
-    life: int
+    process_number: int
     sent_at: float
     deadline: float
     version: int = 0
