--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -33,7 +33,7 @@
         "service": "portal",
         "key": "k0",
         "router": "r0",
-        "life": 1,
+        "process_number": 1,
         "sent_at": 100.0,
         "deadline": 1.5,
         "ended_at": 100.2,
@@ -417,7 +417,7 @@
 
     def test_another_router_life_or_target_has_not_passed_it_on(self):
         self.put(request(leaving_reported_at=100.1, **LIVES), delivery(start=1))
-        for n, fields in enumerate(({"router": "r1"}, {"life": 2})):
+        for n, fields in enumerate(({"router": "r1"}, {"process_number": 2})):
             self.put(request(f"b{n}", sent_at=105.0, ended_at=105.2, **fields))
             self.put(delivery(f"b{n}", 105.1, start=1))
         self.put(
