--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -124,7 +124,7 @@
         self._operator = operator
         self._channel = None
         self._router = None
-        self._life = 0
+        self._process_number = 0
         self._count = 0
         self._is_stopped = False
 
@@ -148,7 +148,11 @@
         way = TCP4ClientEndpoint(reactor, router.address, CALLERS_PORT, CONNECT_TIMEOUT)
         protocol = HTTP11ClientProtocol(lambda _: None)
         channel = yield connectProtocol(way, protocol)
-        self._channel, self._router, self._life = channel, router, router.process_number
+        self._channel, self._router, self._process_number = (
+            channel,
+            router,
+            router.process_number,
+        )
 
     def _draw(self):
         kinds = list(KINDS)
@@ -165,7 +169,7 @@
             service=service,
             key=self._operator.key(self._rng),
             router=self._router.name,
-            life=self._life,
+            life=self._process_number,
             sent_at=reactor.seconds(),
             deadline=limit,
             version=version,
