--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -169,7 +169,7 @@
             service=service,
             key=self._operator.key(self._rng),
             router=self._router.name,
-            life=self._process_number,
+            process_number=self._process_number,
             sent_at=reactor.seconds(),
             deadline=limit,
             version=version,
