--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -40,7 +40,7 @@
         self.domain = domain
         self.cold_until = 0.0
         self.service = service
-        self.life = 0
+        self.generation = 0
         self.start = 0
         # Changes whenever something is done to it that undoes what was planned.
         self.turn = 0
@@ -69,8 +69,8 @@
 
     def begin(self):
         """Become another target at the same address; what runs goes on."""
-        self.life += 1
-        self.script.name = f"{self._base}-{self.life}"
+        self.generation += 1
+        self.script.name = f"{self._base}-{self.generation}"
         self.script.faults.clear()
         self._start()
         self.script.current_incarnation.started_at = self.start
