--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -43,7 +43,7 @@
         self.generation = 0
         self.start = 0
         # Changes whenever something is done to it that undoes what was planned.
-        self.turn = 0
+        self.change_count = 0
         self._base = name
         self._history = history
         self._peers = peers
@@ -97,7 +97,7 @@
             self._listen()
 
     def _start(self):
-        self.turn += 1
+        self.change_count += 1
         self.script.is_leaving = self.script.is_resting = False
         self.start = max(int(time.time() * 1000), self.start + 1)
         self.script.receipt = f"{self.name}/{self.start}".encode()
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -420,13 +420,13 @@
         return (target.name, target.start) in self.history.draining
 
     def _leave(self, target, back_after):
-        target.turn += 1
-        name, turn = target.name, target.turn
+        target.change_count += 1
+        name, change_count = target.name, target.change_count
         self._backends.list(target, "draining")
         self.history.draining[name, target.start] = reactor.seconds()
 
         def leave():
-            if target.turn == turn:
+            if target.change_count == change_count:
                 self._backends.delist(target)
                 target.begin()
                 self._later(target, back_after, self._backends.list, target)
@@ -435,10 +435,10 @@
 
     def _later(self, target, seconds, act, *values):
         """Do something unless something else is done to the target before."""
-        turn = target.turn
+        change_count = target.change_count
 
         def act_then():
-            if target.turn == turn:
+            if target.change_count == change_count:
                 act(*values)
 
         reactor.callLater(seconds, act_then)
@@ -473,16 +473,16 @@
         target = self._target(step)
         if self._is_draining(target) or target.script.is_leaving:
             return
-        target.turn += 1
+        target.change_count += 1
         target.script.is_leaving = True
-        turn = target.turn
+        change_count = target.change_count
         # Its entry may lapse meanwhile and be written again.
         if step.how < LAPSES_SHARE:
             self._later(target, step.how, self._backends.delist, target)
             self._later(target, LAPSE_AFTER, self._backends.list, target)
 
         def leave():
-            if target.turn == turn:
+            if target.change_count == change_count:
                 self._backends.delist(target)
                 target.begin()
                 self._backends.list(target)
@@ -530,7 +530,7 @@
             self._begin("foreign new", f"entry of {stranger.name}", lasts)
             reactor.callLater(lasts, backends.delist, stranger)
         elif not self._is_draining(target):
-            target.turn += 1
+            target.change_count += 1
             backends.write_foreign(target, target.foreign(step.how))
             self._begin("foreign instead", f"entry of {target.name}", lasts)
             self._later(target, lasts, backends.list, target)
