--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -57,7 +57,7 @@
         )
         self.engine = UsersEngine(self.script)
         self._listen()
-        self.begin()
+        self.replace_in_place()
 
     def _listen(self):
         self._listener = reactor.listenTCP(0, self.engine, interface=LOOPBACK)
@@ -83,7 +83,7 @@
             self.link.close()
             self._listener.stopListening()
             self._listen()
-        self.begin()
+        self.replace_in_place()
 
     def restart(self, *, moves):
         """Start again under the same name, here or elsewhere."""
@@ -304,7 +304,7 @@
         """End a target at once; another is soon at its address."""
         self._closes(target)
         target.link.reset()
-        target.begin()
+        target.replace_in_place()
 
     def end(self, target, *, moves):
         """End a target at once; another starts in its place."""
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -428,7 +428,7 @@
         def leave():
             if target.change_count == change_count:
                 self._backends.delist(target)
-                target.begin()
+                target.replace_in_place()
                 self._later(target, back_after, self._backends.list, target)
 
         self._begin("drain", name, LEAVES_AFTER, leave, is_planned=True)
@@ -484,7 +484,7 @@
         def leave():
             if target.change_count == change_count:
                 self._backends.delist(target)
-                target.begin()
+                target.replace_in_place()
                 self._backends.list(target)
 
         self._begin("says leaving", target.name, LEAVES_AFTER + step.lasts, leave)
