--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -67,7 +67,7 @@
     def name(self):
         return self.script.name
 
-    def begin(self):
+    def replace_in_place(self):
         """Become another target at the same address; what runs goes on."""
         self.generation += 1
         self.script.name = f"{self._base}-{self.generation}"
