--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -309,7 +309,7 @@
     def end(self, target, *, moves):
         """End a target at once; another starts in its place."""
         self._closes(target)
-        target.end(moves=moves)
+        target.replace(moves=moves)
 
     def restart(self, target, *, moves):
         """Start a target again under its name; its entry stays as it is."""
