--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -75,7 +75,7 @@
         self._start()
         self.script.current_incarnation.started_at = self.start
 
-    def end(self, *, moves):
+    def replace(self, *, moves):
         """End at once; what starts in its place is elsewhere or here at once."""
         self.link.reset()
         self.engine.restart(None)
