--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -116,7 +116,7 @@
             "born": self.start,
         }
 
-    def chill(self, seconds):
+    def become_cold(self, seconds):
         """Become cold for a while, from now on."""
         now = reactor.seconds()
         self.cold_until = now + seconds
