--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -392,7 +392,7 @@
 
     def _chill_one(self, target, how):
         """Have an engine be cold, and say so in the store somewhat later."""
-        target.chill(COLD_SECONDS)
+        target.become_cold(COLD_SECONDS)
         if not self._is_draining(target):
             self._later(target, how * TOLD_LATE, self._backends.list, target)
 
@@ -407,7 +407,7 @@
             self._later(target, BACK_AFTER, self._come_back, target)
 
     def _come_back(self, target):
-        target.chill(COLD_SECONDS)
+        target.become_cold(COLD_SECONDS)
         self._backends.list(target)
 
     def _drain(self, step):
