--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -521,7 +521,7 @@
         self._strangers += 1
         name = f"stranger{self._strangers}"
         if way < FOREIGN_ROUTERS:
-            store.write("routers", name, target.foreign(step.how))
+            store.write("routers", name, target.choose_foreign_entry(step.how))
             self._begin("foreign router", name, lasts)
             reactor.callLater(lasts, store.remove, "routers", name)
         elif way < FOREIGN_NEW:
@@ -531,7 +531,7 @@
             reactor.callLater(lasts, backends.delist, stranger)
         elif not self._is_draining(target):
             target.change_count += 1
-            backends.write_foreign(target, target.foreign(step.how))
+            backends.write_foreign(target, target.choose_foreign_entry(step.how))
             self._begin("foreign instead", f"entry of {target.name}", lasts)
             self._later(target, lasts, backends.list, target)
 
