--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -526,7 +526,7 @@
             reactor.callLater(lasts, store.remove, "routers", name)
         elif way < FOREIGN_NEW:
             stranger = backends.stranger(name, target.service)
-            backends.write_foreign(stranger, stranger.foreign(step.how))
+            backends.write_foreign(stranger, stranger.choose_foreign_entry(step.how))
             self._begin("foreign new", f"entry of {stranger.name}", lasts)
             reactor.callLater(lasts, backends.delist, stranger)
         elif not self._is_draining(target):
