--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -126,7 +126,7 @@
         left = self.cold_until - reactor.seconds()
         return max(0, round(left * MILLISECONDS))
 
-    def foreign(self, how):
+    def choose_foreign_entry(self, how):
         """Return an entry of another writer that names it, by a number below 1."""
         found = list(foreign_entries(self.entry()).values())
         return found[int(how * len(found))]
