--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -126,10 +126,10 @@
         left = self.cold_until - reactor.seconds()
         return max(0, round(left * MILLISECONDS))
 
-    def choose_foreign_entry(self, how):
+    def choose_foreign_entry(self, fraction):
         """Return an entry of another writer that names it, by a number below 1."""
         found = list(foreign_entries(self.entry()).values())
-        return found[int(how * len(found))]
+        return found[int(fraction * len(found))]
 
     def _arrived(self, arrival):
         name = arrival.headers.get(names.REQUEST_ID.lower(), b"").decode()
