--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -53,7 +53,7 @@
             gap=rng.uniform(0.01, 0.05),
             delay=rng.uniform(0.02, 0.09) if plain else 0.03,
             echoes_request_id=True,
-            on_arrival=self._arrived,
+            on_arrival=self._record_request,
         )
         self.engine = UsersEngine(self.script)
         self._listen()
@@ -131,7 +131,7 @@
         found = list(foreign_entries(self.entry()).values())
         return found[int(fraction * len(found))]
 
-    def _arrived(self, arrival):
+    def _record_request(self, arrival):
         name = arrival.headers.get(names.REQUEST_ID.lower(), b"").decode()
         if not name:
             return
