--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -36,7 +36,7 @@
     """One target: its program's stand-in, its link and its entry."""
 
     def __init__(self, name, service, history, peers, rng, on_harm, domain="a"):
-        self._on_harm = on_harm
+        self._on_harmful_run = on_harm
         self.domain = domain
         self.cold_until = 0.0
         self.service = service
@@ -139,7 +139,7 @@
         if harm is not None:
             harm.arrivals.append((name, reactor.seconds()))
             if arrival.has_run:
-                self._on_harm(self, harm)
+                self._on_harmful_run(self, harm)
             return
         # What was meant for another target at the address is told so, and no rest.
         if self.script.is_resting and not self._is_misdirected(arrival):
@@ -246,7 +246,7 @@
     """The store with its entries, and all targets."""
 
     def __init__(self, portals, models, history, rng, on_harm, *, is_cold=False):
-        self._on_harm = on_harm
+        self._on_harmful_run = on_harm
         self.store = UsersStore(reactor)
         self._history = history
         self._rng = rng
@@ -273,7 +273,7 @@
             self._history,
             self.targets,
             self._rng,
-            self._on_harm,
+            self._on_harmful_run,
             domain,
         )
 
