--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -35,8 +35,8 @@
 class Target:
     """One target: its program's stand-in, its link and its entry."""
 
-    def __init__(self, name, service, history, peers, rng, on_harm, domain="a"):
-        self._on_harmful_run = on_harm
+    def __init__(self, name, service, history, peers, rng, on_harmful_run, domain="a"):
+        self._on_harmful_run = on_harmful_run
         self.domain = domain
         self.cold_until = 0.0
         self.service = service
@@ -245,8 +245,8 @@
 class Backends:
     """The store with its entries, and all targets."""
 
-    def __init__(self, portals, models, history, rng, on_harm, *, is_cold=False):
-        self._on_harmful_run = on_harm
+    def __init__(self, portals, models, history, rng, on_harmful_run, *, is_cold=False):
+        self._on_harmful_run = on_harmful_run
         self.store = UsersStore(reactor)
         self._history = history
         self._rng = rng
