--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -203,7 +203,7 @@
             return rng.choice(held[-2].keys)
         return rng.choice(self._keys)
 
-    def probed(self, rng):
+    def choose_probed_version(self, rng):
         """Return a version whose route a caller asks for."""
         return rng.randint(max(1, self.number - KEPT_VERSIONS), self.number)
 
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -158,7 +158,9 @@
         kinds = list(KINDS)
         kind = self._rng.choices(kinds, [KINDS[k][2] for k in kinds])[0]
         method, service, _, limit = KINDS[kind]
-        version = self._operator.probed(self._rng) if kind == "probe" else 0
+        version = (
+            self._operator.choose_probed_version(self._rng) if kind == "probe" else 0
+        )
         prefix = f"v{version}" if version else "plain" if kind == "probe" else kind
         self._count += 1
         name = f"c{self._number}-{self._count}"
