--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -196,7 +196,7 @@
         version = Version(self.number, reactor.seconds(), tuple(self._keys))
         self._history.versions.append(version)
 
-    def key(self, rng):
+    def choose_key(self, rng):
         """Return a key that a caller uses: mostly one that holds."""
         held = self._history.versions
         if rng.random() < 0.1 and len(held) > 1:
