--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -169,7 +169,7 @@
             kind=kind,
             path=f"/{prefix}/x",
             service=service,
-            key=self._operator.key(self._rng),
+            key=self._operator.choose_key(self._rng),
             router=self._router.name,
             process_number=self._process_number,
             sent_at=reactor.seconds(),
