--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -325,7 +325,7 @@
             if entry.until > reactor.seconds()
         )
 
-    def stranger(self, name, service):
+    def unlisted_target(self, name, service):
         """Return a target that no good entry names."""
         found = self._target(name, service)
         self._strangers.append(found)
