--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -525,7 +525,7 @@
             self._begin("foreign router", name, lasts)
             reactor.callLater(lasts, store.remove, "routers", name)
         elif way < FOREIGN_NEW:
-            stranger = backends.stranger(name, target.service)
+            stranger = backends.unlisted_target(name, target.service)
             backends.write_foreign(stranger, stranger.choose_foreign_entry(step.how))
             self._begin("foreign new", f"entry of {stranger.name}", lasts)
             reactor.callLater(lasts, backends.delist, stranger)
