--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -525,10 +525,10 @@
             self._begin("foreign router", name, lasts)
             reactor.callLater(lasts, store.remove, "routers", name)
         elif way < FOREIGN_NEW:
-            stranger = backends.unlisted_target(name, target.service)
-            backends.write_foreign(stranger, stranger.choose_foreign_entry(step.how))
-            self._begin("foreign new", f"entry of {stranger.name}", lasts)
-            reactor.callLater(lasts, backends.delist, stranger)
+            unlisted = backends.unlisted_target(name, target.service)
+            backends.write_foreign(unlisted, unlisted.choose_foreign_entry(step.how))
+            self._begin("foreign new", f"entry of {unlisted.name}", lasts)
+            reactor.callLater(lasts, backends.delist, unlisted)
         elif not self._is_draining(target):
             target.change_count += 1
             backends.write_foreign(target, target.choose_foreign_entry(step.how))
