--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -251,7 +251,7 @@
         self._history = history
         self._rng = rng
         # What only entries of other writers name.
-        self._strangers = []
+        self._unlisted_targets = []
         self._site = Site(self.store)
         self._site.noisy = False
         self._listener = reactor.listenTCP(0, self._site, interface=LOOPBACK)
@@ -328,7 +328,7 @@
     def unlisted_target(self, name, service):
         """Return a target that no good entry names."""
         found = self._target(name, service)
-        self._strangers.append(found)
+        self._unlisted_targets.append(found)
         return found
 
     def write_foreign(self, target, content):
@@ -352,6 +352,6 @@
                 entry.until = min(entry.until, reactor.seconds())
 
     def close(self):
-        for target in (*self.targets, *self._strangers):
+        for target in (*self.targets, *self._unlisted_targets):
             target.close()
         self._listener.stopListening()
