--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -114,7 +114,7 @@
         self._beside = random.Random(f"beside {seed}")
         self._without = without
         self._is_lone = False
-        self._strangers = 0
+        self._unlisted_count = 0
         self.history = History()
         self._backends = Backends(
             PORTALS, MODELS, self.history, self._rng, self._harmed, is_cold=domains
@@ -518,8 +518,8 @@
         backends, store = self._backends, self._backends.store
         lasts = FOREIGN_SECONDS + step.lasts
         way = step.lasts % 1.0
-        self._strangers += 1
-        name = f"stranger{self._strangers}"
+        self._unlisted_count += 1
+        name = f"stranger{self._unlisted_count}"
         if way < FOREIGN_ROUTERS:
             store.write("routers", name, target.choose_foreign_entry(step.how))
             self._begin("foreign router", name, lasts)
