--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -340,7 +340,7 @@
         self.store.write("servers", target.name, content)
         return entry
 
-    def write_old(self, target, content):
+    def write_former_entry(self, target, content):
         """Write what a former life of the target had written, once more."""
         self._closes(target)
         self.store.write("servers", target.name, content)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -460,7 +460,9 @@
         if way == "twice":
             self._later(target, AGAIN_AFTER, self._again, target)
         if way == "older after":
-            self._later(target, OLDER_AFTER, backends.write_old, target, former)
+            self._later(
+                target, OLDER_AFTER, backends.write_former_entry, target, former
+            )
             back = OLDER_AFTER + OLDER_LASTS
             self._later(target, back, backends.list, target)
 
