--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -287,7 +287,7 @@
 
     def list(self, target, state="ready"):
         """Write a target's entry."""
-        self._closes(target)
+        self._end_entries(target)
         if state == "ready":
             now = reactor.seconds()
             entry = Entry(target.name, target.service, target.start, now)
@@ -297,23 +297,23 @@
 
     def delist(self, target):
         """Remove a target's entry."""
-        self._closes(target)
+        self._end_entries(target)
         self.store.remove("servers", target.name)
 
     def crash(self, target):
         """End a target at once; another is soon at its address."""
-        self._closes(target)
+        self._end_entries(target)
         target.link.reset()
         target.replace_in_place()
 
     def end(self, target, *, moves):
         """End a target at once; another starts in its place."""
-        self._closes(target)
+        self._end_entries(target)
         target.replace(moves=moves)
 
     def restart(self, target, *, moves):
         """Start a target again under its name; its entry stays as it is."""
-        self._closes(target)
+        self._end_entries(target)
         target.restart(moves=moves)
 
     def is_alone(self, target):
@@ -333,7 +333,7 @@
 
     def write_foreign(self, target, content):
         """Write an entry of another writer, in the place of a good one if any."""
-        self._closes(target)
+        self._end_entries(target)
         now = reactor.seconds()
         entry = Entry(target.name, target.service, target.start, now)
         self._history.foreign.append(entry)
@@ -342,10 +342,10 @@
 
     def write_former_entry(self, target, content):
         """Write what a former life of the target had written, once more."""
-        self._closes(target)
+        self._end_entries(target)
         self.store.write("servers", target.name, content)
 
-    def _closes(self, target):
+    def _end_entries(self, target):
         """Note that what stood in the store of a target stands no more."""
         for entry in (*self._history.listed, *self._history.foreign):
             if entry.target == target.name:
