--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -316,7 +316,7 @@
         self._end_entries(target)
         target.restart(moves=moves)
 
-    def is_alone(self, target):
+    def is_only_listed(self, target):
         """Tell whether no other target of its service has a good entry."""
         now = {(t.name, t.start) for t in self.targets if t is not target}
         return not any(
