--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -558,7 +558,7 @@
 
     def _fall_silent(self, target, lasts):
         now = reactor.seconds()
-        is_alone = self._backends.is_alone(target)
+        is_alone = self._backends.is_only_listed(target)
         silence = Silence(target.name, now, now + lasts, is_alone)
         self.history.silences.append(silence)
         target.engine.fall_silent(lasts)
