--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -277,7 +277,7 @@
             domain,
         )
 
-    def of_domain(self, domain):
+    def models_in_domain(self, domain):
         """Return the model engines of a failure domain."""
         return [
             target
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -379,7 +379,7 @@
             evacuation.until = reactor.seconds()
             self._backends.store.remove("evacuations", domain)
             if step.how < COLD_AFTER:
-                for target in self._backends.of_domain(domain):
+                for target in self._backends.models_in_domain(domain):
                     self._chill_one(target, step.how)
 
         self._begin("evacuate", f"domain {domain}", lasts, take_back)
@@ -399,7 +399,7 @@
     def _cold_return(self, step):
         """Have the engines of a domain end, and come back together, cold."""
         store = self._backends.store
-        for target in self._backends.of_domain(self._domain(step)):
+        for target in self._backends.models_in_domain(self._domain(step)):
             name = target.name
             self._backends.crash(target)
             reactor.callLater(LAPSE_AFTER, store.remove, "servers", name)
