--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -306,7 +306,7 @@
         target.link.reset()
         target.replace_in_place()
 
-    def end(self, target, *, moves):
+    def replace(self, target, *, moves):
         """End a target at once; another starts in its place."""
         self._end_entries(target)
         target.replace(moves=moves)
