--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -356,7 +356,7 @@
     def _end(self, target, harm):
         name = target.name
         harm.ends.append(reactor.seconds())
-        self._backends.end(target, moves=self._beside.random() < MOVES_SHARE)
+        self._backends.replace(target, moves=self._beside.random() < MOVES_SHARE)
         reactor.callLater(LAPSE_AFTER, self._backends.store.remove, "servers", name)
         self._begin("end", name, HARM_BACK_AFTER)
         self._later(target, HARM_BACK_AFTER, self._backends.list, target)
