--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -25,7 +25,7 @@
 
 CONNECT_TIMEOUT = 1
 # Seconds that a caller waits beyond its deadline before it leaves.
-PATIENCE = 1.0
+WAIT_AFTER_DEADLINE_SECONDS = 1.0
 # Share of requests whose caller leaves early.
 LEAVES_EARLY = 0.04
 # Share of the prompts that begin a chat, with no part that an engine holds.
@@ -187,7 +187,7 @@
             except Exception:  # noqa: BLE001 - a caller tries again elsewhere
                 return
         request, method = self._draw()
-        limit = request.deadline + PATIENCE
+        limit = request.deadline + WAIT_AFTER_DEADLINE_SECONDS
         if self._rng.random() < LEAVES_EARLY:
             limit = self._rng.uniform(0.02, 0.3)
         channel = self._channel
