--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -27,7 +27,7 @@
 # Seconds that a caller waits beyond its deadline before it leaves.
 WAIT_AFTER_DEADLINE_SECONDS = 1.0
 # Share of requests whose caller leaves early.
-LEAVES_EARLY = 0.04
+EARLY_ABORT_SHARE = 0.04
 # Share of the prompts that begin a chat, with no part that an engine holds.
 NEW_CHATS = 0.4
 # The key of the callers whose request ends targets; it is never withdrawn.
@@ -188,7 +188,7 @@
                 return
         request, method = self._draw()
         limit = request.deadline + WAIT_AFTER_DEADLINE_SECONDS
-        if self._rng.random() < LEAVES_EARLY:
+        if self._rng.random() < EARLY_ABORT_SHARE:
             limit = self._rng.uniform(0.02, 0.3)
         channel = self._channel
         leaving = reactor.callLater(limit, self._leave, request, channel)
