--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -29,7 +29,7 @@
 # Share of requests whose caller leaves early.
 EARLY_ABORT_SHARE = 0.04
 # Share of the prompts that begin a chat, with no part that an engine holds.
-NEW_CHATS = 0.4
+NEW_CHAT_SHARE = 0.4
 # The key of the callers whose request ends targets; it is never withdrawn.
 HARMFUL_KEY = b"harm"
 # What is asked for, how often, with which time limit in seconds.
@@ -216,7 +216,7 @@
         if request.service == "model":
             chat = self._rng.randrange(12)
             parts = b"aa:200,b%d:1500,d%d:40" % (chat, self._count)
-            request.is_new_chat = self._rng.random() < NEW_CHATS
+            request.is_new_chat = self._rng.random() < NEW_CHAT_SHARE
             if request.is_new_chat:
                 parts = b"f%x%x:1740" % (self._number, self._count)
             headers[names.PROMPT_PARTS] = parts
