--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -33,7 +33,7 @@
 # The key of the callers whose request ends targets; it is never withdrawn.
 HARMFUL_KEY = b"harm"
 # What is asked for, how often, with which time limit in seconds.
-KINDS = {
+REQUEST_KINDS = {
     "plain": ("GET", "portal", 30, 1.5),
     "once": ("POST", "portal", 25, 1.5),
     "story": ("POST", "model", 25, 6.0),
@@ -155,9 +155,9 @@
         )
 
     def _draw(self):
-        kinds = list(KINDS)
-        kind = self._rng.choices(kinds, [KINDS[k][2] for k in kinds])[0]
-        method, service, _, limit = KINDS[kind]
+        kinds = list(REQUEST_KINDS)
+        kind = self._rng.choices(kinds, [REQUEST_KINDS[k][2] for k in kinds])[0]
+        method, service, _, limit = REQUEST_KINDS[kind]
         version = (
             self._operator.choose_probed_version(self._rng) if kind == "probe" else 0
         )
