--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -42,7 +42,7 @@
 }
 
 
-class _Body(Protocol):
+class _BodyCollector(Protocol):
     """Collects a body and tells how it ended."""
 
     def __init__(self):
@@ -237,7 +237,7 @@
         request.signed = signature[0].decode()
         if response.headers.hasHeader(names.LEAVING):
             request.leaving_reported_at = reactor.seconds()
-        collected = _Body()
+        collected = _BodyCollector()
         response.deliverBody(collected)
         is_whole = yield collected.ended
         request.body = collected.data
