--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -84,7 +84,7 @@
     def _ask(self):
         router = self._fleet.choose(self._rng)
         way = TCP4ClientEndpoint(reactor, router.address, CALLERS_PORT, CONNECT_TIMEOUT)
-        connection = yield connectProtocol(way, _Closing())
+        connection = yield connectProtocol(way, _UnreadConnection())
         name = f"h{len(self._harm.routers)}-{self._body.decode()}"
         self._harm.routers[name] = router.name
         connection.transport.write(
@@ -103,7 +103,7 @@
         yield connection.closed
 
 
-class _Closing(Protocol):
+class _UnreadConnection(Protocol):
     """A connection whose answer does not matter."""
 
     def __init__(self):
