--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -76,12 +76,12 @@
         while not self._is_stopped:
             yield deferLater(reactor, pause * self._rng.uniform(0.3, 1.7), lambda: None)
             try:
-                yield self._ask()
+                yield self._send_request()
             except Exception:  # noqa: BLE001 - it tries again elsewhere
                 continue
 
     @inlineCallbacks
-    def _ask(self):
+    def _send_request(self):
         router = self._fleet.choose(self._rng)
         way = TCP4ClientEndpoint(reactor, router.address, CALLERS_PORT, CONNECT_TIMEOUT)
         connection = yield connectProtocol(way, _UnreadConnection())
@@ -140,7 +140,7 @@
         while not self._is_stopped:
             yield deferLater(reactor, pause * self._rng.uniform(0.3, 1.7), lambda: None)
             if not self._is_stopped:
-                yield self._ask()
+                yield self._send_request()
 
     @inlineCallbacks
     def _connect(self):
@@ -180,7 +180,7 @@
         return request, method
 
     @inlineCallbacks
-    def _ask(self):
+    def _send_request(self):
         if self._channel is None or self._channel.state != "QUIESCENT":
             try:
                 yield self._connect()
