--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -154,7 +154,7 @@
             router.process_number,
         )
 
-    def _draw(self):
+    def _draw_request(self):
         kinds = list(REQUEST_KINDS)
         kind = self._rng.choices(kinds, [REQUEST_KINDS[k][2] for k in kinds])[0]
         method, service, _, limit = REQUEST_KINDS[kind]
@@ -186,7 +186,7 @@
                 yield self._connect()
             except Exception:  # noqa: BLE001 - a caller tries again elsewhere
                 return
-        request, method = self._draw()
+        request, method = self._draw_request()
         limit = request.deadline + WAIT_AFTER_DEADLINE_SECONDS
         if self._rng.random() < EARLY_ABORT_SHARE:
             limit = self._rng.uniform(0.02, 0.3)
