--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -191,7 +191,7 @@
         if self._rng.random() < EARLY_ABORT_SHARE:
             limit = self._rng.uniform(0.02, 0.3)
         channel = self._channel
-        leaving = reactor.callLater(limit, self._leave, request, channel)
+        leaving = reactor.callLater(limit, self._abort, request, channel)
         try:
             yield self._exchange(request, method, channel)
         except Exception:  # noqa: BLE001 - any failure is a cut exchange
@@ -243,6 +243,6 @@
         request.body = collected.data
         request.outcome = request.outcome or (ANSWERED if is_whole else CUT)
 
-    def _leave(self, request, channel):
+    def _abort(self, request, channel):
         request.outcome = LEFT
         channel.transport.abortConnection()
