--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -83,8 +83,10 @@
     @inlineCallbacks
     def _send_request(self):
         router = self._fleet.choose(self._rng)
-        way = TCP4ClientEndpoint(reactor, router.address, CALLERS_PORT, CONNECT_TIMEOUT)
-        connection = yield connectProtocol(way, _UnreadConnection())
+        endpoint = TCP4ClientEndpoint(
+            reactor, router.address, CALLERS_PORT, CONNECT_TIMEOUT
+        )
+        connection = yield connectProtocol(endpoint, _UnreadConnection())
         name = f"h{len(self._harm.routers)}-{self._body.decode()}"
         self._harm.routers[name] = router.name
         connection.transport.write(
@@ -145,9 +147,11 @@
     @inlineCallbacks
     def _connect(self):
         router = self._fleet.choose(self._rng)
-        way = TCP4ClientEndpoint(reactor, router.address, CALLERS_PORT, CONNECT_TIMEOUT)
+        endpoint = TCP4ClientEndpoint(
+            reactor, router.address, CALLERS_PORT, CONNECT_TIMEOUT
+        )
         protocol = HTTP11ClientProtocol(lambda _: None)
-        channel = yield connectProtocol(way, protocol)
+        channel = yield connectProtocol(endpoint, protocol)
         self._channel, self._router, self._process_number = (
             channel,
             router,
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -173,8 +173,8 @@
     def ask_ready(self):
         """Count a miss unless the router says that it is ready."""
         self.misses += 1
-        way = TCP4ClientEndpoint(reactor, self.address, READY_PORT, ASK_EVERY)
-        connectProtocol(way, _Ready(self._told)).addErrback(lambda _: None)
+        endpoint = TCP4ClientEndpoint(reactor, self.address, READY_PORT, ASK_EVERY)
+        connectProtocol(endpoint, _Ready(self._told)).addErrback(lambda _: None)
 
     def _told(self, is_ready):
         if is_ready:
