--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -195,14 +195,14 @@
         if self._rng.random() < EARLY_ABORT_SHARE:
             limit = self._rng.uniform(0.02, 0.3)
         channel = self._channel
-        leaving = reactor.callLater(limit, self._abort, request, channel)
+        time_out = reactor.callLater(limit, self._abort, request, channel)
         try:
             yield self._exchange(request, method, channel)
         except Exception:  # noqa: BLE001 - any failure is a cut exchange
             request.outcome = request.outcome or CUT
         finally:
-            if leaving.active():
-                leaving.cancel()
+            if time_out.active():
+                time_out.cancel()
         request.ended_at = reactor.seconds()
         if request.outcome != ANSWERED:
             channel.transport.abortConnection()
