--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -23,7 +23,7 @@
 from soak.history import CallerRequest
 from soak.history import HarmfulContent
 
-CONNECT_TIMEOUT = 1
+CONNECT_TIMEOUT_SECONDS = 1
 # Seconds that a caller waits beyond its deadline before it leaves.
 WAIT_AFTER_DEADLINE_SECONDS = 1.0
 # Share of requests whose caller leaves early.
@@ -84,7 +84,7 @@
     def _send_request(self):
         router = self._fleet.choose(self._rng)
         endpoint = TCP4ClientEndpoint(
-            reactor, router.address, CALLERS_PORT, CONNECT_TIMEOUT
+            reactor, router.address, CALLERS_PORT, CONNECT_TIMEOUT_SECONDS
         )
         connection = yield connectProtocol(endpoint, _UnreadConnection())
         name = f"h{len(self._harm.routers)}-{self._body.decode()}"
@@ -148,7 +148,7 @@
     def _connect(self):
         router = self._fleet.choose(self._rng)
         endpoint = TCP4ClientEndpoint(
-            reactor, router.address, CALLERS_PORT, CONNECT_TIMEOUT
+            reactor, router.address, CALLERS_PORT, CONNECT_TIMEOUT_SECONDS
         )
         protocol = HTTP11ClientProtocol(lambda _: None)
         channel = yield connectProtocol(endpoint, protocol)
--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -16,7 +16,7 @@
 from twisted.internet.protocol import Protocol
 
 LOOPBACK = "127.0.0.1"
-CONNECT_TIMEOUT = 5
+CONNECT_TIMEOUT_SECONDS = 5
 
 
 class LinkFault(Enum):
@@ -83,7 +83,9 @@
     noisy = False
 
     def __init__(self, port):
-        self._target = TCP4ClientEndpoint(reactor, LOOPBACK, port, CONNECT_TIMEOUT)
+        self._target = TCP4ClientEndpoint(
+            reactor, LOOPBACK, port, CONNECT_TIMEOUT_SECONDS
+        )
         self._ways = []
         self.sides = set()
         self.fault = LinkFault.NONE
