--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -29,7 +29,7 @@
     RESET = "reset"
 
 
-class _Way:
+class _Direction:
     """Bytes in one direction of one connection."""
 
     def __init__(self, proxy, is_answer):
@@ -99,7 +99,10 @@
         )
 
     def buildProtocol(self, addr):
-        there, back = _Way(self, is_answer=False), _Way(self, is_answer=True)
+        there, back = (
+            _Direction(self, is_answer=False),
+            _Direction(self, is_answer=True),
+        )
         self._ways += [there, back]
         caller = _Side(self, there)
         target = _Side(self, back)
