--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -62,7 +62,7 @@
             self.other.transport.write(data)
 
 
-class _Side(Protocol):
+class _ProxyEnd(Protocol):
     """One end of a proxied connection."""
 
     def __init__(self, proxy, way):
@@ -104,8 +104,8 @@
             _Direction(self, is_answer=True),
         )
         self._ways += [there, back]
-        caller = _Side(self, there)
-        target = _Side(self, back)
+        caller = _ProxyEnd(self, there)
+        target = _ProxyEnd(self, back)
         back.other = caller
         self.sides.add(caller)
         opening = connectProtocol(self._target, target)
