--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -38,7 +38,7 @@
         self._waiting = deque()
         self.other = None
 
-    def pass_on(self, data):
+    def forward(self, data):
         if self._proxy.fault is LinkFault.DELAY:
             self._waiting.append(data)
             reactor.callLater(self._proxy.delay, self.flush_one)
@@ -70,10 +70,10 @@
         self._way = way
 
     def dataReceived(self, data):
-        self._way.pass_on(data)
+        self._way.forward(data)
 
     def connectionLost(self, reason=None):
-        self._way.pass_on(None)
+        self._way.forward(None)
         self._proxy.sides.discard(self)
 
 
