--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -86,7 +86,7 @@
         self._target = TCP4ClientEndpoint(
             reactor, LOOPBACK, port, CONNECT_TIMEOUT_SECONDS
         )
-        self._ways = []
+        self._directions = []
         self.sides = set()
         self.fault = LinkFault.NONE
         self.delay = 0.0
@@ -103,7 +103,7 @@
             _Direction(self, is_answer=False),
             _Direction(self, is_answer=True),
         )
-        self._ways += [there, back]
+        self._directions += [there, back]
         caller = _ProxyEnd(self, there)
         target = _ProxyEnd(self, back)
         back.other = caller
@@ -130,9 +130,11 @@
         if fault is LinkFault.RESET:
             self.reset()
         elif fault is LinkFault.NONE:
-            for way in self._ways:
+            for way in self._directions:
                 way.flush()
-            self._ways = [way for way in self._ways if way.other in self.sides]
+            self._directions = [
+                way for way in self._directions if way.other in self.sides
+            ]
 
     def reset(self):
         """Reset the connections that are open."""
