--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -65,9 +65,9 @@
 class _ProxyEnd(Protocol):
     """One end of a proxied connection."""
 
-    def __init__(self, proxy, way):
+    def __init__(self, proxy, direction):
         self._proxy = proxy
-        self._way = way
+        self._way = direction
 
     def dataReceived(self, data):
         self._way.forward(data)
@@ -130,10 +130,12 @@
         if fault is LinkFault.RESET:
             self.reset()
         elif fault is LinkFault.NONE:
-            for way in self._directions:
-                way.flush()
+            for direction in self._directions:
+                direction.flush()
             self._directions = [
-                way for way in self._directions if way.other in self.sides
+                direction
+                for direction in self._directions
+                if direction.other in self.sides
             ]
 
     def reset(self):
