--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -67,13 +67,13 @@
 
     def __init__(self, proxy, direction):
         self._proxy = proxy
-        self._way = direction
+        self._direction = direction
 
     def dataReceived(self, data):
-        self._way.forward(data)
+        self._direction.forward(data)
 
     def connectionLost(self, reason=None):
-        self._way.forward(None)
+        self._direction.forward(None)
         self._proxy.sides.discard(self)
 
 
