--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -42,13 +42,13 @@
         if self._proxy.fault is LinkFault.DELAY:
             self._waiting.append(data)
             reactor.callLater(self._proxy.delay, self.flush_one)
-        elif self._proxy.holds(self._is_answer) or self._waiting or not self.other:
+        elif self._proxy.is_held(self._is_answer) or self._waiting or not self.other:
             self._waiting.append(data)
         else:
             self._send(data)
 
     def flush_one(self):
-        if self._waiting and not self._proxy.holds(self._is_answer) and self.other:
+        if self._waiting and not self._proxy.is_held(self._is_answer) and self.other:
             self._send(self._waiting.popleft())
 
     def flush(self):
@@ -93,7 +93,7 @@
         self._listener = reactor.listenTCP(0, self, interface=LOOPBACK)
         self.port = self._listener.getHost().port
 
-    def holds(self, is_answer):
+    def is_held(self, is_answer):
         return self.fault is LinkFault.SILENT or (
             self.fault is LinkFault.ONE_WAY and is_answer
         )
@@ -115,7 +115,7 @@
             if self.fault is LinkFault.RESET:
                 target.transport.abortConnection()
             there.other = target
-            if not self.holds(is_answer=False):
+            if not self.is_held(is_answer=False):
                 there.flush()
 
         def failed(_):
