--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -74,7 +74,7 @@
 
     def connectionLost(self, reason=None):
         self._direction.forward(None)
-        self._proxy.sides.discard(self)
+        self._proxy.open_ends.discard(self)
 
 
 class FaultProxy(Factory):
@@ -87,7 +87,7 @@
             reactor, LOOPBACK, port, CONNECT_TIMEOUT_SECONDS
         )
         self._directions = []
-        self.sides = set()
+        self.open_ends = set()
         self.fault = LinkFault.NONE
         self.delay = 0.0
         self._listener = reactor.listenTCP(0, self, interface=LOOPBACK)
@@ -107,11 +107,11 @@
         caller = _ProxyEnd(self, there)
         target = _ProxyEnd(self, back)
         back.other = caller
-        self.sides.add(caller)
+        self.open_ends.add(caller)
         opening = connectProtocol(self._target, target)
 
         def opened(_):
-            self.sides.add(target)
+            self.open_ends.add(target)
             if self.fault is LinkFault.RESET:
                 target.transport.abortConnection()
             there.other = target
@@ -135,12 +135,12 @@
             self._directions = [
                 direction
                 for direction in self._directions
-                if direction.other in self.sides
+                if direction.other in self.open_ends
             ]
 
     def reset(self):
         """Reset the connections that are open."""
-        for side in list(self.sides):
+        for side in list(self.open_ends):
             side.transport.abortConnection()
 
     def close(self):
