--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -140,8 +140,8 @@
 
     def reset(self):
         """Reset the connections that are open."""
-        for side in list(self.open_ends):
-            side.transport.abortConnection()
+        for end in list(self.open_ends):
+            end.transport.abortConnection()
 
     def close(self):
         self.reset()
