--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -99,12 +99,12 @@
         )
 
     def buildProtocol(self, addr):
-        there, back = (
+        to_target, back = (
             _Direction(self, is_answer=False),
             _Direction(self, is_answer=True),
         )
-        self._directions += [there, back]
-        caller = _ProxyEnd(self, there)
+        self._directions += [to_target, back]
+        caller = _ProxyEnd(self, to_target)
         target = _ProxyEnd(self, back)
         back.other = caller
         self.open_ends.add(caller)
@@ -114,9 +114,9 @@
             self.open_ends.add(target)
             if self.fault is LinkFault.RESET:
                 target.transport.abortConnection()
-            there.other = target
+            to_target.other = target
             if not self.is_held(is_answer=False):
-                there.flush()
+                to_target.flush()
 
         def failed(_):
             caller.transport.abortConnection()
