--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -99,14 +99,14 @@
         )
 
     def buildProtocol(self, addr):
-        to_target, back = (
+        to_target, to_caller = (
             _Direction(self, is_answer=False),
             _Direction(self, is_answer=True),
         )
-        self._directions += [to_target, back]
+        self._directions += [to_target, to_caller]
         caller = _ProxyEnd(self, to_target)
-        target = _ProxyEnd(self, back)
-        back.other = caller
+        target = _ProxyEnd(self, to_caller)
+        to_caller.other = caller
         self.open_ends.add(caller)
         opening = connectProtocol(self._target, target)
 
