--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -36,30 +36,38 @@
         self._proxy = proxy
         self._is_answer = is_answer
         self._waiting = deque()
-        self.other = None
+        self.destination = None
 
     def forward(self, data):
         if self._proxy.fault is LinkFault.DELAY:
             self._waiting.append(data)
             reactor.callLater(self._proxy.delay, self.flush_one)
-        elif self._proxy.is_held(self._is_answer) or self._waiting or not self.other:
+        elif (
+            self._proxy.is_held(self._is_answer)
+            or self._waiting
+            or not self.destination
+        ):
             self._waiting.append(data)
         else:
             self._send(data)
 
     def flush_one(self):
-        if self._waiting and not self._proxy.is_held(self._is_answer) and self.other:
+        if (
+            self._waiting
+            and not self._proxy.is_held(self._is_answer)
+            and self.destination
+        ):
             self._send(self._waiting.popleft())
 
     def flush(self):
-        while self._waiting and self.other:
+        while self._waiting and self.destination:
             self._send(self._waiting.popleft())
 
     def _send(self, data):
         if data is None:
-            self.other.transport.loseConnection()
+            self.destination.transport.loseConnection()
         else:
-            self.other.transport.write(data)
+            self.destination.transport.write(data)
 
 
 class _ProxyEnd(Protocol):
@@ -106,7 +114,7 @@
         self._directions += [to_target, to_caller]
         caller = _ProxyEnd(self, to_target)
         target = _ProxyEnd(self, to_caller)
-        to_caller.other = caller
+        to_caller.destination = caller
         self.open_ends.add(caller)
         opening = connectProtocol(self._target, target)
 
@@ -114,7 +122,7 @@
             self.open_ends.add(target)
             if self.fault is LinkFault.RESET:
                 target.transport.abortConnection()
-            to_target.other = target
+            to_target.destination = target
             if not self.is_held(is_answer=False):
                 to_target.flush()
 
@@ -135,7 +143,7 @@
             self._directions = [
                 direction
                 for direction in self._directions
-                if direction.other in self.open_ends
+                if direction.destination in self.open_ends
             ]
 
     def reset(self):
