--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -35,33 +35,33 @@
     def __init__(self, proxy, is_answer):
         self._proxy = proxy
         self._is_answer = is_answer
-        self._waiting = deque()
+        self._held_back = deque()
         self.destination = None
 
     def forward(self, data):
         if self._proxy.fault is LinkFault.DELAY:
-            self._waiting.append(data)
+            self._held_back.append(data)
             reactor.callLater(self._proxy.delay, self.flush_one)
         elif (
             self._proxy.is_held(self._is_answer)
-            or self._waiting
+            or self._held_back
             or not self.destination
         ):
-            self._waiting.append(data)
+            self._held_back.append(data)
         else:
             self._send(data)
 
     def flush_one(self):
         if (
-            self._waiting
+            self._held_back
             and not self._proxy.is_held(self._is_answer)
             and self.destination
         ):
-            self._send(self._waiting.popleft())
+            self._send(self._held_back.popleft())
 
     def flush(self):
-        while self._waiting and self.destination:
-            self._send(self._waiting.popleft())
+        while self._held_back and self.destination:
+            self._send(self._held_back.popleft())
 
     def _send(self, data):
         if data is None:
