--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -116,7 +116,7 @@
         target = _ProxyEnd(self, to_caller)
         to_caller.destination = caller
         self.open_ends.add(caller)
-        opening = connectProtocol(self._target, target)
+        connecting = connectProtocol(self._target, target)
 
         def opened(_):
             self.open_ends.add(target)
@@ -129,7 +129,7 @@
         def failed(_):
             caller.transport.abortConnection()
 
-        opening.addCallbacks(opened, failed)
+        connecting.addCallbacks(opened, failed)
         return caller
 
     def set(self, fault, delay=0.0):
