--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -118,7 +118,7 @@
         self.open_ends.add(caller)
         connecting = connectProtocol(self._target, target)
 
-        def opened(_):
+        def connected(_):
             self.open_ends.add(target)
             if self.fault is LinkFault.RESET:
                 target.transport.abortConnection()
@@ -129,7 +129,7 @@
         def failed(_):
             caller.transport.abortConnection()
 
-        connecting.addCallbacks(opened, failed)
+        connecting.addCallbacks(connected, failed)
         return caller
 
     def set(self, fault, delay=0.0):
