--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -22,7 +22,7 @@
 READY_PORT = 8220
 LINKS_PORT = 7340
 # The balancer asks this often, and two misses take a router out.
-ASK_EVERY = 0.5
+PROBE_INTERVAL_SECONDS = 0.5
 MISSES = 2
 RESTART_AFTER = 0.4
 BOUNDS = {
@@ -57,7 +57,7 @@
 
     def connectionMade(self):
         self.transport.write(b"GET /api/ready HTTP/1.1\r\nHost: r\r\n\r\n")
-        reactor.callLater(ASK_EVERY, self.transport.abortConnection)
+        reactor.callLater(PROBE_INTERVAL_SECONDS, self.transport.abortConnection)
 
     def dataReceived(self, data):
         self._data += data
@@ -173,7 +173,9 @@
     def ask_ready(self):
         """Count a miss unless the router says that it is ready."""
         self.misses += 1
-        endpoint = TCP4ClientEndpoint(reactor, self.address, READY_PORT, ASK_EVERY)
+        endpoint = TCP4ClientEndpoint(
+            reactor, self.address, READY_PORT, PROBE_INTERVAL_SECONDS
+        )
         connectProtocol(endpoint, _Ready(self._told)).addErrback(lambda _: None)
 
     def _told(self, is_ready):
@@ -194,7 +196,10 @@
         """Start all routers and look after them."""
         for router in self.routers:
             router.start()
-            for act, every in ((router.look_after, 0.1), (router.ask_ready, ASK_EVERY)):
+            for act, every in (
+                (router.look_after, 0.1),
+                (router.ask_ready, PROBE_INTERVAL_SECONDS),
+            ):
                 loop = LoopingCall(act)
                 loop.start(every)
                 self._loops.append(loop)
