--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -23,7 +23,7 @@
 LINKS_PORT = 7340
 # The balancer asks this often, and two misses take a router out.
 PROBE_INTERVAL_SECONDS = 0.5
-MISSES = 2
+MAX_MISSED_PROBES = 2
 RESTART_AFTER = 0.4
 BOUNDS = {
     "drain_ms": 2000,
@@ -206,7 +206,7 @@
 
     def choose(self, rng):
         """Return a router for a new connection."""
-        ready = [r for r in self.routers if r.misses < MISSES]
+        ready = [r for r in self.routers if r.misses < MAX_MISSED_PROBES]
         return rng.choice(ready or self.routers)
 
     def stop(self):
