--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -24,7 +24,7 @@
 # The balancer asks this often, and two misses take a router out.
 PROBE_INTERVAL_SECONDS = 0.5
 MAX_MISSED_PROBES = 2
-RESTART_AFTER = 0.4
+RESTART_DELAY_SECONDS = 0.4
 BOUNDS = {
     "drain_ms": 2000,
     "grace_s": 8,
@@ -143,7 +143,7 @@
             )
         self._child = None
         self.write_settings()
-        reactor.callLater(RESTART_AFTER, self._start_again)
+        reactor.callLater(RESTART_DELAY_SECONDS, self._start_again)
 
     def _start_again(self):
         if self._wanted and self._child is None:
