--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -48,7 +48,7 @@
     return f"127.{10 + (run >> 8) % 200}.{run % 256}.{number + 1}"
 
 
-class _Ready(Protocol):
+class _ReadinessProbe(Protocol):
     """Asks one router whether it is ready."""
 
     def __init__(self, answered):
@@ -176,7 +176,9 @@
         endpoint = TCP4ClientEndpoint(
             reactor, self.address, READY_PORT, PROBE_INTERVAL_SECONDS
         )
-        connectProtocol(endpoint, _Ready(self._told)).addErrback(lambda _: None)
+        connectProtocol(endpoint, _ReadinessProbe(self._told)).addErrback(
+            lambda _: None
+        )
 
     def _told(self, is_ready):
         if is_ready:
