--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -52,7 +52,7 @@
     """Asks one router whether it is ready."""
 
     def __init__(self, answered):
-        self._answered = answered
+        self._report = answered
         self._data = b""
 
     def connectionMade(self):
@@ -61,7 +61,7 @@
 
     def dataReceived(self, data):
         self._data += data
-        self._answered(self._data.startswith(b"HTTP/1.1 200"))
+        self._report(self._data.startswith(b"HTTP/1.1 200"))
         self.transport.loseConnection()
 
 
