--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -51,8 +51,8 @@
 class _ReadinessProbe(Protocol):
     """Asks one router whether it is ready."""
 
-    def __init__(self, answered):
-        self._report = answered
+    def __init__(self, report):
+        self._report = report
         self._data = b""
 
     def connectionMade(self):
