--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -126,7 +126,7 @@
         )
         self._is_first = False
 
-    def look_after(self):
+    def restart_if_ended(self):
         """Start it again once it has ended; note an end of its own."""
         if not self._wanted or self._child is None or self._child.poll() is None:
             return
@@ -199,7 +199,7 @@
         for router in self.routers:
             router.start()
             for act, every in (
-                (router.look_after, 0.1),
+                (router.restart_if_ended, 0.1),
                 (router.ask_ready, PROBE_INTERVAL_SECONDS),
             ):
                 loop = LoopingCall(act)
