--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -170,7 +170,7 @@
         self._log.close()
         return self.store.close()
 
-    def ask_ready(self):
+    def probe_readiness(self):
         """Count a miss unless the router says that it is ready."""
         self.misses += 1
         endpoint = TCP4ClientEndpoint(
@@ -200,7 +200,7 @@
             router.start()
             for act, every in (
                 (router.restart_if_ended, 0.1),
-                (router.ask_ready, PROBE_INTERVAL_SECONDS),
+                (router.probe_readiness, PROBE_INTERVAL_SECONDS),
             ):
                 loop = LoopingCall(act)
                 loop.start(every)
