--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -176,11 +176,11 @@
         endpoint = TCP4ClientEndpoint(
             reactor, self.address, READY_PORT, PROBE_INTERVAL_SECONDS
         )
-        connectProtocol(endpoint, _ReadinessProbe(self._told)).addErrback(
+        connectProtocol(endpoint, _ReadinessProbe(self._record_readiness)).addErrback(
             lambda _: None
         )
 
-    def _told(self, is_ready):
+    def _record_readiness(self, is_ready):
         if is_ready:
             self.misses = 0
 
