--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -81,7 +81,7 @@
         self._log = (folder / f"{name}.log").open("ab")
         self._history = history
         self._child = None
-        self._wanted = False
+        self._should_run = False
         self._is_first = True
         self.write_settings()
 
@@ -110,7 +110,7 @@
 
     def start(self):
         """Start the program; it is started again whenever it ends."""
-        self._wanted = True
+        self._should_run = True
         self.is_stopping = self.is_paused = False
         self.process_number += 1
         self.misses = 0
@@ -128,7 +128,7 @@
 
     def restart_if_ended(self):
         """Start it again once it has ended; note an end of its own."""
-        if not self._wanted or self._child is None or self._child.poll() is None:
+        if not self._should_run or self._child is None or self._child.poll() is None:
             return
         status = self._child.returncode
         expected = {-signal.SIGKILL}
@@ -146,7 +146,7 @@
         reactor.callLater(RESTART_DELAY_SECONDS, self._start_again)
 
     def _start_again(self):
-        if self._wanted and self._child is None:
+        if self._should_run and self._child is None:
             self.start()
 
     def ask_to_stop(self):
@@ -163,7 +163,7 @@
 
     def end(self):
         """End it for good."""
-        self._wanted = False
+        self._should_run = False
         if self.is_running:
             self._child.send_signal(signal.SIGKILL)
             self._child.wait()
