--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -75,7 +75,7 @@
         self.misses = 0
         self.is_paused = False
         self.is_stopping = False
-        self._was_open = False
+        self._accepted_connections = False
         self.store = FaultProxy(store_port)
         self._boot = folder / f"{name}.json"
         self._log = (folder / f"{name}.log").open("ab")
@@ -134,7 +134,7 @@
         expected = {-signal.SIGKILL}
         if self.is_stopping:
             expected.add(0)
-        if self.is_stopping and not self._was_open:
+        if self.is_stopping and not self._accepted_connections:
             # The interpreter itself was still starting; nobody was connected.
             expected.add(-signal.SIGTERM)
         if status not in expected:
@@ -153,7 +153,9 @@
         """Send SIGTERM as the platform does before planned work."""
         self.is_stopping = True
         with socket.socket() as probe:
-            self._was_open = probe.connect_ex((self.address, CALLERS_PORT)) == 0
+            self._accepted_connections = (
+                probe.connect_ex((self.address, CALLERS_PORT)) == 0
+            )
         self.signal(signal.SIGTERM)
 
     def signal(self, number):
