--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -149,7 +149,7 @@
         if self._should_run and self._child is None:
             self.start()
 
-    def ask_to_stop(self):
+    def request_stop(self):
         """Send SIGTERM as the platform does before planned work."""
         self.is_stopping = True
         with socket.socket() as probe:
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -262,7 +262,7 @@
         life = router.process_number
         now = reactor.seconds()
         self.history.planned_stops.append((router.name, life, now))
-        router.ask_to_stop()
+        router.request_stop()
 
         def kill_late():
             if router.process_number == life and router.is_running:
