--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -77,7 +77,7 @@
         self.is_stopping = False
         self._accepted_connections = False
         self.store = FaultProxy(store_port)
-        self._boot = folder / f"{name}.json"
+        self._settings_path = folder / f"{name}.json"
         self._log = (folder / f"{name}.log").open("ab")
         self._history = history
         self._child = None
@@ -106,7 +106,7 @@
             "bounds": BOUNDS,
             "platform": {"address": f"127.0.0.1:{self.store.port}"},
         }
-        self._boot.write_text(json.dumps(fields))
+        self._settings_path.write_text(json.dumps(fields))
 
     def start(self):
         """Start the program; it is started again whenever it ends."""
@@ -118,7 +118,7 @@
             [sys.executable, "-S", "-OO", "-m", "primrosescale.platform"],
             env={
                 **os.environ,
-                "PRIMROSESCALE_BOOT": str(self._boot),
+                "PRIMROSESCALE_BOOT": str(self._settings_path),
                 "PYTHONPATH": os.pathsep.join(sys.path),
             },
             stdout=self._log,
