--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -80,14 +80,14 @@
         self._settings_path = folder / f"{name}.json"
         self._log = (folder / f"{name}.log").open("ab")
         self._history = history
-        self._child = None
+        self._process = None
         self._should_run = False
         self._is_first = True
         self.write_settings()
 
     @property
     def is_running(self):
-        return self._child is not None and self._child.poll() is None
+        return self._process is not None and self._process.poll() is None
 
     def write_settings(self, memory=300):
         """Write the settings file as the platform does."""
@@ -114,7 +114,7 @@
         self.is_stopping = self.is_paused = False
         self.process_number += 1
         self.misses = 0
-        self._child = subprocess.Popen(
+        self._process = subprocess.Popen(
             [sys.executable, "-S", "-OO", "-m", "primrosescale.platform"],
             env={
                 **os.environ,
@@ -128,9 +128,13 @@
 
     def restart_if_ended(self):
         """Start it again once it has ended; note an end of its own."""
-        if not self._should_run or self._child is None or self._child.poll() is None:
+        if (
+            not self._should_run
+            or self._process is None
+            or self._process.poll() is None
+        ):
             return
-        status = self._child.returncode
+        status = self._process.returncode
         expected = {-signal.SIGKILL}
         if self.is_stopping:
             expected.add(0)
@@ -141,12 +145,12 @@
             self._history.unexpected_exits.append(
                 f"{self.name} ended with status {status}"
             )
-        self._child = None
+        self._process = None
         self.write_settings()
         reactor.callLater(RESTART_DELAY_SECONDS, self._start_again)
 
     def _start_again(self):
-        if self._should_run and self._child is None:
+        if self._should_run and self._process is None:
             self.start()
 
     def request_stop(self):
@@ -161,14 +165,14 @@
     def signal(self, number):
         """Send a signal to the process that was started, if it lives."""
         if self.is_running:
-            self._child.send_signal(number)
+            self._process.send_signal(number)
 
     def end(self):
         """End it for good."""
         self._should_run = False
         if self.is_running:
-            self._child.send_signal(signal.SIGKILL)
-            self._child.wait()
+            self._process.send_signal(signal.SIGKILL)
+            self._process.wait()
         self._log.close()
         return self.store.close()
 
