--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -39,7 +39,7 @@
 }
 
 
-def own_address(number):
+def router_address(number):
     """Return a loopback address that no other run uses, for one router.
 
     Ports that the system chooses may be taken while a router is restarted.
@@ -70,7 +70,7 @@
 
     def __init__(self, number, folder, store_port, history):
         self.name = name = f"r{number}"
-        self.address = own_address(number)
+        self.address = router_address(number)
         self.process_number = 0
         self.misses = 0
         self.is_paused = False
