--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -167,7 +167,7 @@
         if self.is_running:
             self._process.send_signal(number)
 
-    def end(self):
+    def kill(self):
         """End it for good."""
         self._should_run = False
         if self.is_running:
