--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -222,4 +222,4 @@
         for loop in self._loops:
             loop.stop()
         for router in self.routers:
-            router.end()
+            router.kill()
