--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -72,7 +72,7 @@
         self.name = name = f"r{number}"
         self.address = router_address(number)
         self.process_number = 0
-        self.misses = 0
+        self.missed_probes = 0
         self.is_paused = False
         self.is_stopping = False
         self._accepted_connections = False
@@ -113,7 +113,7 @@
         self._should_run = True
         self.is_stopping = self.is_paused = False
         self.process_number += 1
-        self.misses = 0
+        self.missed_probes = 0
         self._process = subprocess.Popen(
             [sys.executable, "-S", "-OO", "-m", "primrosescale.platform"],
             env={
@@ -178,7 +178,7 @@
 
     def probe_readiness(self):
         """Count a miss unless the router says that it is ready."""
-        self.misses += 1
+        self.missed_probes += 1
         endpoint = TCP4ClientEndpoint(
             reactor, self.address, READY_PORT, PROBE_INTERVAL_SECONDS
         )
@@ -188,7 +188,7 @@
 
     def _record_readiness(self, is_ready):
         if is_ready:
-            self.misses = 0
+            self.missed_probes = 0
 
 
 class Fleet:
@@ -214,7 +214,7 @@
 
     def choose(self, rng):
         """Return a router for a new connection."""
-        ready = [r for r in self.routers if r.misses < MAX_MISSED_PROBES]
+        ready = [r for r in self.routers if r.missed_probes < MAX_MISSED_PROBES]
         return rng.choice(ready or self.routers)
 
     def stop(self):
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -197,7 +197,7 @@
     @inlineCallbacks
     def _until_ready(self):
         until = reactor.seconds() + START_PATIENCE
-        while any(r.misses for r in self._fleet.routers):
+        while any(r.missed_probes for r in self._fleet.routers):
             if reactor.seconds() > until:
                 raise TimeoutError("the routers did not become ready")
             yield self._wait(0.1)
--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -84,7 +84,7 @@
         """
         self._fleet.start()
         until = reactor.seconds() + START_PATIENCE
-        while any(router.misses for router in self._fleet.routers):
+        while any(router.missed_probes for router in self._fleet.routers):
             if reactor.seconds() > until:
                 raise TimeoutError("the routers did not become ready")
             yield wait(0.1)
