--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -283,11 +283,11 @@
         for name in ("t1", "t2"):
             self.history.listed.append(Entry(name, "portal", 1, 50.0, until=104.0))
         self.put_requests(30, target="t1")
-        for run in self.history.deliveries:
-            run.has_run = False
+        for delivered in self.history.deliveries:
+            delivered.has_run = False
         self.assertEqual(["their neighbours"], self.broken())
-        for run in self.history.deliveries[:20]:
-            run.has_run = True
+        for delivered in self.history.deliveries[:20]:
+            delivered.has_run = True
         self.assertEqual([], self.broken())
 
     def put_stream(self, **fields):
