--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -14,8 +14,8 @@
 from primrosescale.standin.users_store import foreign_entries
 from soak.fault_proxy import FaultProxy
 from soak.history import ColdPeriod
-from soak.history import Entry
 from soak.history import Delivery
+from soak.history import Entry
 from soak.history import PauseRequest
 from soak.history import Version
 
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -37,10 +37,10 @@
 from soak.callers import HarmfulCaller
 from soak.fault_proxy import LinkFault
 from soak.fleet import Fleet
+from soak.history import Disturbance
 from soak.history import Evacuation
 from soak.history import History
 from soak.history import Silence
-from soak.history import Disturbance
 
 PORTALS = 4
 MODELS = 4
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -10,14 +10,14 @@
 from soak.history import LEFT
 from soak.history import CallerRequest
 from soak.history import ColdPeriod
+from soak.history import Delivery
+from soak.history import Disturbance
 from soak.history import Entry
 from soak.history import Evacuation
 from soak.history import HarmfulContent
 from soak.history import History
-from soak.history import Delivery
 from soak.history import PauseRequest
 from soak.history import Silence
-from soak.history import Disturbance
 from soak.history import Version
 
 EVENTS = 2
