--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -157,7 +157,7 @@
     """Everything the checks need."""
 
     sent_requests: dict[str, CallerRequest] = field(default_factory=dict)
-    deliveries: list[Delivery] = field(default_factory=list)
+    ran: list[Delivery] = field(default_factory=list)
     disturbances: list[Disturbance] = field(default_factory=list)
     versions: list[Version] = field(default_factory=list)
     # By name and start.
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -120,7 +120,7 @@
     for neither: the target says that it is another one. Nor does what the link to it
     has held back.
     """
-    for delivery in history.deliveries:
+    for delivery in history.ran:
         if delivery.is_misdirected or _was_held_back(history, delivery):
             continue
         told_at = history.draining.get((delivery.target, delivery.start))
@@ -209,7 +209,7 @@
     """Retries of all routers together stay within their budget."""
     seen = set()
     arrivals = {}
-    for delivery in sorted(history.deliveries, key=lambda r: r.at):
+    for delivery in sorted(history.ran, key=lambda r: r.at):
         if delivery.name in seen:
             arrivals.setdefault(delivery.service, []).append(delivery.at)
         seen.add(delivery.name)
@@ -232,7 +232,7 @@
     """No target holds more than a multiple of its service's mean in calm times."""
     calm = [
         delivery
-        for delivery in history.deliveries
+        for delivery in history.ran
         if history.is_undisturbed(
             delivery.at - 2.0,
             delivery.at,
@@ -300,7 +300,7 @@
     """
     requests_by_router = _requests_by_router(history)
     came = {}
-    for delivery in history.deliveries:
+    for delivery in history.ran:
         if delivery.name in history.sent_requests:
             came.setdefault((delivery.target, delivery.start), []).append(delivery)
     for entry in history.listed:
@@ -367,7 +367,7 @@
 def foreign_entries_get_no_work(history):
     """What another writer's entry names gets no request once that is known."""
     for entry in history.foreign_entries:
-        for delivery in history.deliveries:
+        for delivery in history.ran:
             request = history.sent_requests.get(delivery.name)
             if (
                 delivery.target != entry.target
@@ -497,7 +497,7 @@
 def _in_evacuated(history):
     """Return each run in an evacuated domain, and how late it was sent there."""
     for evacuation in history.evacuations:
-        for delivery in history.deliveries:
+        for delivery in history.ran:
             request = history.sent_requests.get(delivery.name)
             if (
                 delivery.domain != evacuation.domain
@@ -525,7 +525,7 @@
 def _runs_while_cold(history, cold):
     return sorted(
         delivery.at
-        for delivery in history.deliveries
+        for delivery in history.ran
         if (delivery.target, delivery.start) == (cold.target, cold.start)
         and delivery.has_run
         and cold.at <= delivery.at <= cold.until
@@ -535,7 +535,7 @@
 def leaving_answers_end_work(history):
     """A router that passed on that a target leaves sends it nothing after the bound."""
     first = _first_leaving_answers(history)
-    for delivery in history.deliveries:
+    for delivery in history.ran:
         request = history.sent_requests.get(delivery.name)
         if request is None:
             continue
@@ -574,7 +574,7 @@
 def _in_rests(history):
     """Return each rest, its router, and the requests that came from it meanwhile."""
     by_target = {}
-    for delivery in history.deliveries:
+    for delivery in history.ran:
         by_target.setdefault((delivery.target, delivery.start), []).append(delivery)
     for rest in history.pause_requests:
         asker = history.sent_requests.get(rest.name)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -576,7 +576,7 @@
         kinds[disturbance.kind] = kinds.get(disturbance.kind, 0) + 1
     return {
         "requests": outcomes,
-        "runs": len(history.deliveries),
+        "runs": len(history.ran),
         "troubles": kinds,
         "judged": promises.judged(history),
         "held up": f"{soak.held_up:.2f} s",
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -60,7 +60,7 @@
             if isinstance(item, CallerRequest):
                 self.history.sent_requests[item.name] = item
             else:
-                self.history.deliveries.append(item)
+                self.history.ran.append(item)
 
     def broken(self):
         return list(promises.broken(self.history, EVENTS))
@@ -225,9 +225,9 @@
         self.put_requests(60, target="t1")
         self.assertEqual(["good entries"], self.broken())
         # Work for the former life is none for the new one.
-        self.history.deliveries[0].target, self.history.deliveries[0].start = "t0", 1
+        self.history.ran[0].target, self.history.ran[0].start = "t0", 1
         self.assertEqual(["good entries"], self.broken())
-        self.history.deliveries[0].start = 2
+        self.history.ran[0].start = 2
         self.assertEqual([], self.broken())
 
     def test_one_router_that_stopped_following_the_list(self):
@@ -265,9 +265,9 @@
         self.put(request(), delivery())
         self.assertEqual(["foreign entries"], self.broken())
         # Sent by the entry of the target before it at that address.
-        self.history.deliveries[-1].is_misdirected = True
+        self.history.ran[-1].is_misdirected = True
         self.assertEqual([], self.broken())
-        self.history.deliveries[-1].is_misdirected = False
+        self.history.ran[-1].is_misdirected = False
         for changed in ({"at": 98.5}, {"until": 100.05}):
             was = {name: getattr(entry, name) for name in changed}
             vars(entry).update(changed)
@@ -283,10 +283,10 @@
         for name in ("t1", "t2"):
             self.history.listed.append(Entry(name, "portal", 1, 50.0, until=104.0))
         self.put_requests(30, target="t1")
-        for delivered in self.history.deliveries:
+        for delivered in self.history.ran:
             delivered.has_run = False
         self.assertEqual(["their neighbours"], self.broken())
-        for delivered in self.history.deliveries[:20]:
+        for delivered in self.history.ran[:20]:
             delivered.has_run = True
         self.assertEqual([], self.broken())
 
@@ -297,7 +297,7 @@
     def test_a_stream_that_ends_as_its_engine_is_silent(self):
         self.history.silences.append(Silence("t0", 100.2, 101.2))
         for fields in ({"outcome": CUT}, {"status": 502, "outcome": ANSWERED}):
-            self.history.deliveries.clear()
+            self.history.ran.clear()
             self.put_stream(**fields)
             self.assertEqual(["silence"], self.broken(), fields)
         self.history.disturbances.append(Disturbance("faults", "t0", 99.0, 101.0))
@@ -307,7 +307,7 @@
         self.history.silences.append(Silence("t0", 100.2, 101.2))
         for fields in ({}, {"outcome": LEFT}, {"outcome": CUT, "ended_at": 100.1}):
             self.history.sent_requests.clear()
-            self.history.deliveries.clear()
+            self.history.ran.clear()
             self.put_stream(**fields)
             self.assertEqual([], self.broken(), fields)
 
@@ -384,7 +384,7 @@
         self.put(request(sent_at=103.0, ended_at=103.2))
         self.put(delivery(at=103.1, has_run=False))
         self.assertEqual(["leaving targets"], self.broken())
-        self.history.deliveries[-1].is_misdirected = True
+        self.history.ran[-1].is_misdirected = True
         self.assertEqual([], self.broken())
 
     def test_what_a_link_held_back_is_no_new_work_for_a_leaving_target(self):
