--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -99,10 +99,8 @@
         yield wait(REST + RETURN_SECONDS + AFTER_SECONDS)
         for caller in self._callers:
             caller.stop()
-        pause_requests = [
-            rest.at + rest.seconds for rest in self.history.pause_requests
-        ]
-        back_at = max([ended, *pause_requests]) + RETURN_SECONDS
+        pauses = [rest.at + rest.seconds for rest in self.history.pauses]
+        back_at = max([ended, *pauses]) + RETURN_SECONDS
         return self.served(began, ended), self.served(back_at, back_at + AFTER_SECONDS)
 
     def served(self, began, ended):
@@ -166,11 +164,11 @@
         served, after = yield play.run(begin, end)
     finally:
         play.stop()
-    pause_requests = list(promises._in_rests(play.history))
-    most = max((len(came) for _, _, came in pause_requests), default=0)
+    pauses = list(promises._in_rests(play.history))
+    most = max((len(came) for _, _, came in pauses), default=0)
     broken = sum(1 for _ in promises.rests_are_kept(play.history))
     return (
-        f"{count} rest: {broken} of {len(pause_requests)} rests broken, most in one {most}; "
+        f"{count} rest: {broken} of {len(pauses)} rests broken, most in one {most}; "
         f"served {served:.3f}, after it {after:.3f}"
     )
 
