--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -99,7 +99,7 @@
         yield wait(REST + RETURN_SECONDS + AFTER_SECONDS)
         for caller in self._callers:
             caller.stop()
-        pauses = [rest.at + rest.seconds for rest in self.history.pauses]
+        pauses = [rest.at + rest.seconds for rest in self.history.pause_requests]
         back_at = max([ended, *pauses]) + RETURN_SECONDS
         return self.served(began, ended), self.served(back_at, back_at + AFTER_SECONDS)
 
