--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -17,7 +17,7 @@
 STREAMS = {"story", "draft"}
 EVENT = re.compile(rb"id: (\d+)\ndata: (\S+)\n\n")
 # Bounds as the soak's settings file states them, in seconds.
-DRAIN = 2.0
+DRAIN_SECONDS = 2.0
 REVOKE = 5.0
 IN_FORCE = 2.0
 NEVER_BACK = 0.25
@@ -129,7 +129,7 @@
             continue
         late = delivery.at - told_at
         scopes = {request.router, "store", f"store of {request.router}"}
-        if late > DRAIN + SLACK and history.is_undisturbed(
+        if late > DRAIN_SECONDS + SLACK and history.is_undisturbed(
             told_at, delivery.at, scopes
         ):
             yield f"{delivery.name} reached {delivery.target} {late:.2f} s after its notice"
@@ -542,7 +542,7 @@
         told_at = first.get(
             (delivery.target, delivery.start, request.router, request.process_number)
         )
-        if told_at is None or request.sent_at - told_at <= DRAIN + SLACK:
+        if told_at is None or request.sent_at - told_at <= DRAIN_SECONDS + SLACK:
             continue
         if history.is_undisturbed(told_at, delivery.at, {request.router}):
             late = request.sent_at - told_at
