--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -18,7 +18,7 @@
 EVENT = re.compile(rb"id: (\d+)\ndata: (\S+)\n\n")
 # Bounds as the soak's settings file states them, in seconds.
 DRAIN_SECONDS = 2.0
-REVOKE = 5.0
+REVOKE_SECONDS = 5.0
 IN_FORCE = 2.0
 NEVER_BACK = 0.25
 # Time after a fault of a link in which what it held back may still come.
@@ -109,7 +109,7 @@
         if request is None or request.key not in gone_at:
             continue
         late = request.sent_at - gone_at[request.key]
-        if late > REVOKE + SLACK:
+        if late > REVOKE_SECONDS + SLACK:
             yield f"{name} ran with a key withdrawn {late:.2f} s before"
 
 
