--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -19,7 +19,7 @@
 # Bounds as the soak's settings file states them, in seconds.
 DRAIN_SECONDS = 2.0
 REVOKE_SECONDS = 5.0
-IN_FORCE = 2.0
+IN_FORCE_SECONDS = 2.0
 NEVER_BACK = 0.25
 # Time after a fault of a link in which what it held back may still come.
 LINK_CALM = 3.0
@@ -196,7 +196,7 @@
             is_undisturbed = history.is_undisturbed(
                 version.acked_at, request.ended_at, scopes
             )
-            if after > IN_FORCE + SLACK and is_undisturbed:
+            if after > IN_FORCE_SECONDS + SLACK and is_undisturbed:
                 yield f"{request.name} on version {request.version} got {request.status}"
             if newest >= request.version and request.sent_at > since + NEVER_BACK:
                 yield f"{request.name}: {request.router} went back before {newest}"
@@ -319,7 +319,7 @@
                 if request.service == entry.service
                 and request.is_new_chat
                 # Its news of the entry needs a moment to come.
-                and since + IN_FORCE < request.sent_at < gone_at
+                and since + IN_FORCE_SECONDS < request.sent_at < gone_at
             )
             if len(times) < least:
                 continue
@@ -382,7 +382,7 @@
             late = delivery.at - history.undisturbed_since(
                 entry.at, delivery.at, scopes
             )
-            if late > IN_FORCE + SLACK:
+            if late > IN_FORCE_SECONDS + SLACK:
                 yield f"{delivery.name} reached {delivery.target} {late:.2f} s after its entry"
 
 
