--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -22,7 +22,7 @@
 IN_FORCE_SECONDS = 2.0
 VERSION_GRACE_SECONDS = 0.25
 # Time after a fault of a link in which what it held back may still come.
-LINK_CALM = 3.0
+LINK_DELIVERY_SECONDS = 3.0
 STOP_GRACE = 8.0
 EVACUATED = 5.0
 # From when on a rest counts, and the requests of one router that may come in it.
@@ -138,7 +138,7 @@
 def _was_held_back(history, delivery):
     """Tell whether the link to a run's target was harmed just before it came."""
     return _is_link_harmed(
-        history, delivery.target, delivery.at - LINK_CALM, delivery.at
+        history, delivery.target, delivery.at - LINK_DELIVERY_SECONDS, delivery.at
     )
 
 
