--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -23,7 +23,7 @@
 VERSION_GRACE_SECONDS = 0.25
 # Time after a fault of a link in which what it held back may still come.
 LINK_DELIVERY_SECONDS = 3.0
-STOP_GRACE = 8.0
+STOP_GRACE_SECONDS = 8.0
 EVACUATED = 5.0
 # From when on a rest counts, and the requests of one router that may come in it.
 REST_BEGINS = 0.5
@@ -163,9 +163,9 @@
             ) or request.outcome != CUT:
                 continue
             ended = request.ended_at or request.sent_at
-            if not told_at - STOP_GRACE <= request.sent_at <= told_at + 2.0:
+            if not told_at - STOP_GRACE_SECONDS <= request.sent_at <= told_at + 2.0:
                 continue
-            if ended < told_at or ended - told_at > STOP_GRACE - 1.0:
+            if ended < told_at or ended - told_at > STOP_GRACE_SECONDS - 1.0:
                 continue
             everything = {t.scope for t in history.disturbances if not t.is_planned}
             if history.is_undisturbed(request.sent_at, ended, everything):
