--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -24,7 +24,7 @@
 # Time after a fault of a link in which what it held back may still come.
 LINK_DELIVERY_SECONDS = 3.0
 STOP_GRACE_SECONDS = 8.0
-EVACUATED = 5.0
+EVACUATION_SECONDS = 5.0
 # From when on a rest counts, and the requests of one router that may come in it.
 REST_BEGINS = 0.5
 REST_MOST = 2
@@ -493,7 +493,7 @@
 def evacuated_domains_get_no_work(history):
     """A target of a failure domain that was evacuated gets nothing after the bound."""
     for delivery, evacuation, late in _in_evacuated(history):
-        if late > EVACUATED + SLACK:
+        if late > EVACUATION_SECONDS + SLACK:
             yield f"{delivery.name} reached {delivery.target} {late:.2f} s after {evacuation.at}"
 
 
