--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -26,7 +26,7 @@
 STOP_GRACE_SECONDS = 8.0
 EVACUATION_SECONDS = 5.0
 # From when on a rest counts, and the requests of one router that may come in it.
-REST_BEGINS = 0.5
+PAUSE_EFFECTIVE_SECONDS = 0.5
 REST_MOST = 2
 # Requests that a cold model engine may get in a second.
 COLD_MOST = 20
@@ -587,7 +587,7 @@
         came = [
             delivery
             for delivery in by_target.get((rest.target, rest.start), ())
-            if rest.at + REST_BEGINS < delivery.at < until - SLACK
+            if rest.at + PAUSE_EFFECTIVE_SECONDS < delivery.at < until - SLACK
             and delivery.name in history.sent_requests
             and history.sent_requests[delivery.name].router == asker.router
             and history.sent_requests[delivery.name].life == asker.process_number
