--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -27,7 +27,7 @@
 EVACUATION_SECONDS = 5.0
 # From when on a rest counts, and the requests of one router that may come in it.
 PAUSE_EFFECTIVE_SECONDS = 0.5
-REST_MOST = 2
+MAX_REQUESTS_IN_PAUSE = 2
 # Requests that a cold model engine may get in a second.
 COLD_MOST = 20
 # What the callers' own clock may be off by: both ends are one process.
@@ -569,7 +569,7 @@
 def rests_are_kept(history):
     """A router sends next to nothing to a target that asked it for a rest."""
     for rest, router, came in _in_rests(history):
-        if len(came) > REST_MOST:
+        if len(came) > MAX_REQUESTS_IN_PAUSE:
             since = f"a rest from {rest.at:.2f}"
             yield f"{rest.target} got {len(came)} of {router} in {since}"
 
