--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -29,7 +29,7 @@
 PAUSE_EFFECTIVE_SECONDS = 0.5
 MAX_REQUESTS_IN_PAUSE = 2
 # Requests that a cold model engine may get in a second.
-COLD_MOST = 20
+MAX_COLD_RUNS_PER_SECOND = 20
 # What the callers' own clock may be off by: both ends are one process.
 SLACK = 0.1
 BUDGET_RATIO = 0.2
@@ -519,9 +519,9 @@
     """A cold target gets no more in any second than it bears, whoever sends it."""
     for cold in history.cold:
         times = _runs_while_cold(history, cold)
-        for first, last in zip(times, times[COLD_MOST:], strict=False):
+        for first, last in zip(times, times[MAX_COLD_RUNS_PER_SECOND:], strict=False):
             if last - first < 1.0:
-                yield f"{cold.target} got over {COLD_MOST} in the second of {first:.2f}"
+                yield f"{cold.target} got over {MAX_COLD_RUNS_PER_SECOND} in the second of {first:.2f}"
                 break
 
 
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -474,7 +474,7 @@
 
     def test_a_cold_target_that_gets_too_much_in_a_second_is_found(self):
         self.chill()
-        for n in range(promises.COLD_MOST):
+        for n in range(promises.MAX_COLD_RUNS_PER_SECOND):
             self.put(delivery(at=101.0 + n * 0.04))
         self.assertEqual([], self.over())
         self.put(delivery(at=101.9))
