--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -31,7 +31,7 @@
 # Requests that a cold model engine may get in a second.
 MAX_COLD_RUNS_PER_SECOND = 20
 # What the callers' own clock may be off by: both ends are one process.
-SLACK = 0.1
+SLACK_SECONDS = 0.1
 BUDGET_RATIO = 0.2
 BUDGET_WINDOW = 10.0
 BUDGET_EXTRA = 30.0
@@ -109,7 +109,7 @@
         if request is None or request.key not in gone_at:
             continue
         late = request.sent_at - gone_at[request.key]
-        if late > REVOKE_SECONDS + SLACK:
+        if late > REVOKE_SECONDS + SLACK_SECONDS:
             yield f"{name} ran with a key withdrawn {late:.2f} s before"
 
 
@@ -129,7 +129,7 @@
             continue
         late = delivery.at - told_at
         scopes = {request.router, "store", f"store of {request.router}"}
-        if late > DRAIN_SECONDS + SLACK and history.is_undisturbed(
+        if late > DRAIN_SECONDS + SLACK_SECONDS and history.is_undisturbed(
             told_at, delivery.at, scopes
         ):
             yield f"{delivery.name} reached {delivery.target} {late:.2f} s after its notice"
@@ -196,7 +196,7 @@
             is_undisturbed = history.is_undisturbed(
                 version.acked_at, request.ended_at, scopes
             )
-            if after > IN_FORCE_SECONDS + SLACK and is_undisturbed:
+            if after > IN_FORCE_SECONDS + SLACK_SECONDS and is_undisturbed:
                 yield f"{request.name} on version {request.version} got {request.status}"
             if (
                 newest >= request.version
@@ -326,7 +326,7 @@
             )
             if len(times) < least:
                 continue
-            until = max(since + AT_WORK, times[least - 1]) + SLACK
+            until = max(since + AT_WORK, times[least - 1]) + SLACK_SECONDS
             if until > gone_at:
                 continue
             has_worked = any(
@@ -385,7 +385,7 @@
             late = delivery.at - history.undisturbed_since(
                 entry.at, delivery.at, scopes
             )
-            if late > IN_FORCE_SECONDS + SLACK:
+            if late > IN_FORCE_SECONDS + SLACK_SECONDS:
                 yield f"{delivery.name} reached {delivery.target} {late:.2f} s after its entry"
 
 
@@ -493,7 +493,7 @@
 def evacuated_domains_get_no_work(history):
     """A target of a failure domain that was evacuated gets nothing after the bound."""
     for delivery, evacuation, late in _in_evacuated(history):
-        if late > EVACUATION_SECONDS + SLACK:
+        if late > EVACUATION_SECONDS + SLACK_SECONDS:
             yield f"{delivery.name} reached {delivery.target} {late:.2f} s after {evacuation.at}"
 
 
@@ -545,7 +545,10 @@
         told_at = first.get(
             (delivery.target, delivery.start, request.router, request.process_number)
         )
-        if told_at is None or request.sent_at - told_at <= DRAIN_SECONDS + SLACK:
+        if (
+            told_at is None
+            or request.sent_at - told_at <= DRAIN_SECONDS + SLACK_SECONDS
+        ):
             continue
         if history.is_undisturbed(told_at, delivery.at, {request.router}):
             late = request.sent_at - told_at
@@ -587,7 +590,7 @@
         came = [
             delivery
             for delivery in by_target.get((rest.target, rest.start), ())
-            if rest.at + PAUSE_EFFECTIVE_SECONDS < delivery.at < until - SLACK
+            if rest.at + PAUSE_EFFECTIVE_SECONDS < delivery.at < until - SLACK_SECONDS
             and delivery.name in history.sent_requests
             and history.sent_requests[delivery.name].router == asker.router
             and history.sent_requests[delivery.name].life == asker.process_number
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -406,7 +406,7 @@
 
     def test_work_for_a_target_after_its_own_notice(self):
         self.put(request(leaving_reported_at=100.1, **LIVES), delivery(start=1))
-        late = 100.1 + promises.DRAIN_SECONDS + promises.SLACK
+        late = 100.1 + promises.DRAIN_SECONDS + promises.SLACK_SECONDS
         self.put(
             request("b", sent_at=late, ended_at=late + 1), delivery("b", late, start=1)
         )
