--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -33,7 +33,7 @@
 # What the callers' own clock may be off by: both ends are one process.
 SLACK_SECONDS = 0.1
 BUDGET_RATIO = 0.2
-BUDGET_WINDOW = 10.0
+BUDGET_WINDOW_SECONDS = 10.0
 BUDGET_EXTRA = 30.0
 LOAD_MULTIPLE = 2.0
 LOAD_MARGIN = 3.0
@@ -221,10 +221,14 @@
             a.sent_at for a in history.sent_requests.values() if a.service == service
         ]
         for end in times:
-            repeats = sum(1 for at in times if end - BUDGET_WINDOW < at <= end)
+            repeats = sum(1 for at in times if end - BUDGET_WINDOW_SECONDS < at <= end)
             sent_count = max(
-                sum(1 for at in sent if end - back - BUDGET_WINDOW < at <= end - back)
-                for back in (0.0, BUDGET_WINDOW / 2, BUDGET_WINDOW)
+                sum(
+                    1
+                    for at in sent
+                    if end - back - BUDGET_WINDOW_SECONDS < at <= end - back
+                )
+                for back in (0.0, BUDGET_WINDOW_SECONDS / 2, BUDGET_WINDOW_SECONDS)
             )
             if repeats > BUDGET_RATIO * sent_count + BUDGET_EXTRA:
                 yield f"{service} got {repeats} repeats for {sent_count} requests"
