--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -34,7 +34,7 @@
 SLACK_SECONDS = 0.1
 BUDGET_RATIO = 0.2
 BUDGET_WINDOW_SECONDS = 10.0
-BUDGET_EXTRA = 30.0
+BUDGET_EXTRA_REQUESTS = 30.0
 LOAD_MULTIPLE = 2.0
 LOAD_MARGIN = 3.0
 LOAD_SHARE = 0.03
@@ -230,7 +230,7 @@
                 )
                 for back in (0.0, BUDGET_WINDOW_SECONDS / 2, BUDGET_WINDOW_SECONDS)
             )
-            if repeats > BUDGET_RATIO * sent_count + BUDGET_EXTRA:
+            if repeats > BUDGET_RATIO * sent_count + BUDGET_EXTRA_REQUESTS:
                 yield f"{service} got {repeats} repeats for {sent_count} requests"
                 break
 
