--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -38,7 +38,7 @@
 LOAD_MULTIPLE = 2.0
 LOAD_MARGIN_REQUESTS = 3.0
 MAX_OVERLOAD_SHARE = 0.03
-LOAD_LEAST = 20
+MIN_OVERLOADS = 20
 RECOVERED_AFTER = 6.0
 RECOVERED_SHARE = 0.9
 ANSWER_SLACK = 0.5
@@ -247,7 +247,7 @@
         )
     ]
     over = [r for r in calm if r.load > LOAD_MULTIPLE * r.mean + LOAD_MARGIN_REQUESTS]
-    if len(over) >= LOAD_LEAST and len(over) > MAX_OVERLOAD_SHARE * len(calm):
+    if len(over) >= MIN_OVERLOADS and len(over) > MAX_OVERLOAD_SHARE * len(calm):
         yield f"{len(over)} of {len(calm)} requests reached a target over the bound"
 
 
