--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -39,7 +39,7 @@
 LOAD_MARGIN_REQUESTS = 3.0
 MAX_OVERLOAD_SHARE = 0.03
 MIN_OVERLOADS = 20
-RECOVERED_AFTER = 6.0
+RECOVERY_SECONDS = 6.0
 RECOVERED_SHARE = 0.9
 ANSWER_SLACK = 0.5
 # Time until each calm router has sent work to a target that came (back), if it
@@ -631,7 +631,7 @@
     """Callers are served again soon after the last trouble."""
     if history.last_disturbance_ended is None:
         return
-    since = history.last_disturbance_ended + RECOVERED_AFTER
+    since = history.last_disturbance_ended + RECOVERY_SECONDS
     late = [
         a for a in history.sent_requests.values() if a.sent_at > since and a.ended_at
     ]
