--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -40,7 +40,7 @@
 MAX_OVERLOAD_SHARE = 0.03
 MIN_OVERLOADS = 20
 RECOVERY_SECONDS = 6.0
-RECOVERED_SHARE = 0.9
+MIN_RECOVERED_SHARE = 0.9
 ANSWER_SLACK = 0.5
 # Time until each calm router has sent work to a target that came (back), if it
 # had at least so many requests for its service.
@@ -639,7 +639,7 @@
     good = [a for a in late if a.outcome == ANSWERED and a.status == OK]
     if not late:
         yield "nobody asked after the last trouble"
-    elif len(good) < RECOVERED_SHARE * len(late):
+    elif len(good) < MIN_RECOVERED_SHARE * len(late):
         yield f"{len(good)} of {len(late)} requests were served after the last trouble"
 
 
