--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -41,7 +41,7 @@
 MIN_OVERLOADS = 20
 RECOVERY_SECONDS = 6.0
 MIN_RECOVERED_SHARE = 0.9
-ANSWER_SLACK = 0.5
+ANSWER_SLACK_SECONDS = 0.5
 # Time until each calm router has sent work to a target that came (back), if it
 # had at least so many requests for its service.
 AT_WORK = 5.0
@@ -258,7 +258,7 @@
         if ended is None:
             continue
         late = ended - request.sent_at - request.deadline
-        if late > ANSWER_SLACK and history.is_undisturbed(
+        if late > ANSWER_SLACK_SECONDS and history.is_undisturbed(
             request.sent_at,
             ended,
             {request.router, "store", f"store of {request.router}"},
