--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -44,7 +44,7 @@
 ANSWER_SLACK_SECONDS = 0.5
 # Time until each calm router has sent work to a target that came (back), if it
 # had at least so many requests for its service.
-AT_WORK = 5.0
+WORK_WITHIN_SECONDS = 5.0
 AT_WORK_LEAST = {"portal": 40, "model": 30}
 # Time after which nothing of a life that has ended reaches a caller.
 LIFE_OVER = 1.0
@@ -330,7 +330,7 @@
             )
             if len(times) < least:
                 continue
-            until = max(since + AT_WORK, times[least - 1]) + SLACK_SECONDS
+            until = max(since + WORK_WITHIN_SECONDS, times[least - 1]) + SLACK_SECONDS
             if until > gone_at:
                 continue
             has_worked = any(
