--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -45,7 +45,7 @@
 # Time until each calm router has sent work to a target that came (back), if it
 # had at least so many requests for its service.
 WORK_WITHIN_SECONDS = 5.0
-AT_WORK_LEAST = {"portal": 40, "model": 30}
+MIN_REQUESTS_BY_SERVICE = {"portal": 40, "model": 30}
 # Time after which nothing of a life that has ended reaches a caller.
 LIFE_OVER = 1.0
 # Ends of targets under a request after which it is held back, the time in which
@@ -314,7 +314,7 @@
         gone_at = _untouched_until(history, entry)
         each = [(router,) for router in requests_by_router]
         groups = [tuple(requests_by_router)] if entry.service == "model" else each
-        least = AT_WORK_LEAST[entry.service]
+        least = MIN_REQUESTS_BY_SERVICE[entry.service]
         for group in groups:
             scopes = {"store", *group}
             scopes |= {f"store of {router}" for router in group}
