--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -47,7 +47,7 @@
 WORK_WITHIN_SECONDS = 5.0
 MIN_REQUESTS_BY_SERVICE = {"portal": 40, "model": 30}
 # Time after which nothing of a life that has ended reaches a caller.
-LIFE_OVER = 1.0
+FORMER_ANSWER_SECONDS = 1.0
 # Ends of targets under a request after which it is held back, the time in which
 # routers hear of them, and how many more it may reach.
 HARM_ENDS = 3
@@ -283,7 +283,7 @@
         if None in ends:
             continue
         late = request.ended_at - max(ends)
-        if late > LIFE_OVER and history.is_undisturbed(
+        if late > FORMER_ANSWER_SECONDS and history.is_undisturbed(
             max(ends), request.ended_at, {request.router}
         ):
             yield f"{request.name} got an answer of {target} {late:.2f} s after its end"
