--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -50,7 +50,7 @@
 FORMER_ANSWER_SECONDS = 1.0
 # Ends of targets under a request after which it is held back, the time in which
 # routers hear of them, and how many more it may reach.
-HARM_ENDS = 3
+ENDS_UNTIL_HELD_BACK = 3
 HARM_HEARD = 3.0
 HARM_MORE = 3
 # Share of the requests that get to the neighbours of an entry that names nothing.
@@ -609,9 +609,9 @@
     """What ends targets reaches few more once routers had time to hear of it."""
     for body, harm in history.harmful_contents.items():
         ends = sorted(harm.ends)
-        if len(ends) < HARM_ENDS:
+        if len(ends) < ENDS_UNTIL_HELD_BACK:
             continue
-        known_at = ends[HARM_ENDS - 1] + HARM_HEARD
+        known_at = ends[ENDS_UNTIL_HELD_BACK - 1] + HARM_HEARD
         late = [
             name
             for name, at in harm.arrivals
