--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -51,7 +51,7 @@
 # Ends of targets under a request after which it is held back, the time in which
 # routers hear of them, and how many more it may reach.
 ENDS_UNTIL_HELD_BACK = 3
-HARM_HEARD = 3.0
+HARM_EXCHANGE_SECONDS = 3.0
 HARM_MORE = 3
 # Share of the requests that get to the neighbours of an entry that names nothing.
 NEIGHBOURS_SHARE = 0.5
@@ -611,12 +611,14 @@
         ends = sorted(harm.ends)
         if len(ends) < ENDS_UNTIL_HELD_BACK:
             continue
-        known_at = ends[ENDS_UNTIL_HELD_BACK - 1] + HARM_HEARD
+        known_at = ends[ENDS_UNTIL_HELD_BACK - 1] + HARM_EXCHANGE_SECONDS
         late = [
             name
             for name, at in harm.arrivals
             if at > known_at
-            and history.is_undisturbed(at - HARM_HEARD, at, {harm.routers[name]})
+            and history.is_undisturbed(
+                at - HARM_EXCHANGE_SECONDS, at, {harm.routers[name]}
+            )
         ]
         if len(late) > HARM_MORE:
             yield f"{body!r} reached {len(late)} more targets, {len(ends)} ended"
