--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -52,7 +52,7 @@
 # routers hear of them, and how many more it may reach.
 ENDS_UNTIL_HELD_BACK = 3
 HARM_EXCHANGE_SECONDS = 3.0
-HARM_MORE = 3
+MAX_LATE_ARRIVALS = 3
 # Share of the requests that get to the neighbours of an entry that names nothing.
 NEIGHBOURS_SHARE = 0.5
 NEIGHBOURS_LEAST = 20
@@ -620,7 +620,7 @@
                 at - HARM_EXCHANGE_SECONDS, at, {harm.routers[name]}
             )
         ]
-        if len(late) > HARM_MORE:
+        if len(late) > MAX_LATE_ARRIVALS:
             yield f"{body!r} reached {len(late)} more targets, {len(ends)} ended"
 
 
