--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -54,7 +54,7 @@
 HARM_EXCHANGE_SECONDS = 3.0
 MAX_LATE_ARRIVALS = 3
 # Share of the requests that get to the neighbours of an entry that names nothing.
-NEIGHBOURS_SHARE = 0.5
+MIN_NEIGHBOUR_SHARE = 0.5
 NEIGHBOURS_LEAST = 20
 
 
@@ -396,7 +396,7 @@
 def neighbours_keep_work(history):
     """Targets beside an entry of another writer get work as before."""
     for entry, router, sent, got in _beside_foreign(history):
-        if got < NEIGHBOURS_SHARE * sent:
+        if got < MIN_NEIGHBOUR_SHARE * sent:
             yield (
                 f"{got} of {sent} requests at {router} got to the targets"
                 f" beside {entry.target}"
