--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -55,7 +55,7 @@
 MAX_LATE_ARRIVALS = 3
 # Share of the requests that get to the neighbours of an entry that names nothing.
 MIN_NEIGHBOUR_SHARE = 0.5
-NEIGHBOURS_LEAST = 20
+MIN_NEIGHBOUR_REQUESTS = 20
 
 
 def at_most_once(history):
@@ -434,7 +434,7 @@
                 for request in sent
                 if any(r.target != entry.target for r in runs.get(request.name, ()))
             ]
-            if len(sent) >= NEIGHBOURS_LEAST:
+            if len(sent) >= MIN_NEIGHBOUR_REQUESTS:
                 yield entry, router, len(sent), len(got)
 
 
