--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -77,7 +77,7 @@
             yield f"{request.name} was refused with {request.status} and has run"
 
 
-def answers_are_whole(history, events):
+def answers_are_complete(history, events):
     """A success is the whole answer to the caller's own request."""
     for request in history.sent_requests.values():
         if request.outcome != ANSWERED or request.status != OK:
@@ -650,7 +650,7 @@
     checks = {
         "at most once": at_most_once(history),
         "not run is true": not_run_is_true(history),
-        "whole answers": answers_are_whole(history, events),
+        "whole answers": answers_are_complete(history, events),
         "withdrawn keys": withdrawn_keys_end(history),
         "leaving targets": leaving_targets_get_no_work(history),
         "planned stops": planned_stops_cut_nothing(history),
