--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -208,7 +208,7 @@
                 yield f"{request.name}: {request.router} went back from {newest}"
 
 
-def repeats_are_bounded(history):
+def retries_are_bounded(history):
     """Retries of all routers together stay within their budget."""
     seen = set()
     arrivals = {}
@@ -655,7 +655,7 @@
         "leaving targets": leaving_targets_get_no_work(history),
         "planned stops": planned_stops_cut_nothing(history),
         "versions": versions_come_and_stay(history),
-        "repeats": repeats_are_bounded(history),
+        "repeats": retries_are_bounded(history),
         "load": load_is_even(history),
         "in time": answers_come_in_time(history),
         "former lives": former_lives_are_over(history),
