--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -221,7 +221,7 @@
             a.sent_at for a in history.sent_requests.values() if a.service == service
         ]
         for end in times:
-            repeats = sum(1 for at in times if end - BUDGET_WINDOW_SECONDS < at <= end)
+            retries = sum(1 for at in times if end - BUDGET_WINDOW_SECONDS < at <= end)
             sent_count = max(
                 sum(
                     1
@@ -230,8 +230,8 @@
                 )
                 for back in (0.0, BUDGET_WINDOW_SECONDS / 2, BUDGET_WINDOW_SECONDS)
             )
-            if repeats > BUDGET_RATIO * sent_count + BUDGET_EXTRA_REQUESTS:
-                yield f"{service} got {repeats} repeats for {sent_count} requests"
+            if retries > BUDGET_RATIO * sent_count + BUDGET_EXTRA_REQUESTS:
+                yield f"{service} got {retries} repeats for {sent_count} requests"
                 break
 
 
