--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -266,7 +266,7 @@
             yield f"{request.name} had no answer {late:.2f} s after its deadline"
 
 
-def former_lives_are_over(history):
+def former_incarnations_do_not_answer(history):
     """An answer is of a life that ran the request, and comes while it lasts."""
     runs = history.runs_by_request()
     for request in history.sent_requests.values():
@@ -658,7 +658,7 @@
         "repeats": retries_are_bounded(history),
         "load": load_is_even(history),
         "in time": answers_come_in_time(history),
-        "former lives": former_lives_are_over(history),
+        "former lives": former_incarnations_do_not_answer(history),
         "good entries": good_entries_get_work(history),
         "foreign entries": foreign_entries_get_no_work(history),
         "their neighbours": neighbours_keep_work(history),
