--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -573,7 +573,7 @@
     return first
 
 
-def rests_are_kept(history):
+def requested_pauses_are_kept(history):
     """A router sends next to nothing to a target that asked it for a rest."""
     for rest, router, came in _in_rests(history):
         if len(came) > MAX_REQUESTS_IN_PAUSE:
@@ -665,7 +665,7 @@
         "evacuated domains": evacuated_domains_get_no_work(history),
         "cold targets": cold_targets_get_their_rate(history),
         "leaving answers": leaving_answers_end_work(history),
-        "rests": rests_are_kept(history),
+        "rests": requested_pauses_are_kept(history),
         "harmful requests": harmful_requests_are_held_back(history),
         "silence": silence_ends_no_answer(history),
         "processes": processes_stay(history),
--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -166,7 +166,7 @@
         play.stop()
     pauses = list(promises._in_rests(play.history))
     most = max((len(came) for _, _, came in pauses), default=0)
-    broken = sum(1 for _ in promises.rests_are_kept(play.history))
+    broken = sum(1 for _ in promises.requested_pauses_are_kept(play.history))
     return (
         f"{count} rest: {broken} of {len(pauses)} rests broken, most in one {most}; "
         f"served {served:.3f}, after it {after:.3f}"
