--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -624,7 +624,7 @@
             yield f"{body!r} reached {len(late)} more targets, {len(ends)} ended"
 
 
-def processes_stay(history):
+def processes_do_not_exit(history):
     """No router ends by itself."""
     yield from history.unexpected_exits
 
@@ -668,7 +668,7 @@
         "rests": requested_pauses_are_kept(history),
         "harmful requests": harmful_requests_are_held_back(history),
         "silence": silence_ends_no_answer(history),
-        "processes": processes_stay(history),
+        "processes": processes_do_not_exit(history),
         "recovery": service_recovers(history),
     }
     found = {name: list(lines) for name, lines in checks.items()}
