--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -469,7 +469,7 @@
             yield f"{request.name} at {silence.target}, which was silent, ended: {how}"
 
 
-def judged(history):
+def count_judged(history):
     """Return how much the checks of what is seldom had to judge."""
     streams = _over_a_silence(history)
     return {
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -578,7 +578,7 @@
         "requests": outcomes,
         "runs": len(history.ran),
         "troubles": kinds,
-        "judged": promises.judged(history),
+        "judged": promises.count_judged(history),
         "held up": f"{soak.held_up:.2f} s",
     }
 
--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -142,7 +142,7 @@
     finally:
         play.stop()
     late = sum(1 for _ in promises.leaving_answers_end_work(play.history))
-    told = promises.judged(play.history)["answers that said that a target leaves"]
+    told = promises.count_judged(play.history)["answers that said that a target leaves"]
     return f"4 leave: {late} late requests, {told} first answers; served {served:.3f}"
 
 
