--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -645,7 +645,7 @@
         yield f"{len(good)} of {len(late)} requests were served after the last trouble"
 
 
-def broken(history, events):
+def find_broken(history, events):
     """Return all that breaks a promise, by promise."""
     checks = {
         "at most once": at_most_once(history),
