--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -180,7 +180,7 @@
         for caller in self._callers:
             caller.stop()
         yield self._wait(0.1)
-        return promises.broken(self.history, EVENTS)
+        return promises.find_broken(self.history, EVENTS)
 
     def _look(self):
         now = reactor.seconds()
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -63,7 +63,7 @@
                 self.history.ran.append(item)
 
     def broken(self):
-        return list(promises.broken(self.history, EVENTS))
+        return list(promises.find_broken(self.history, EVENTS))
 
     def test_a_proper_exchange_breaks_nothing(self):
         body = b"id: 1\ndata: s\n\nid: 2\ndata: s\n\n"
