--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -123,14 +123,14 @@
     for delivery in history.ran:
         if delivery.is_misdirected or _was_held_back(history, delivery):
             continue
-        told_at = history.draining.get((delivery.target, delivery.start))
+        notified_at = history.draining.get((delivery.target, delivery.start))
         request = history.sent_requests.get(delivery.name)
-        if told_at is None or request is None:
+        if notified_at is None or request is None:
             continue
-        late = delivery.at - told_at
+        late = delivery.at - notified_at
         scopes = {request.router, "store", f"store of {request.router}"}
         if late > DRAIN_SECONDS + SLACK_SECONDS and history.is_undisturbed(
-            told_at, delivery.at, scopes
+            notified_at, delivery.at, scopes
         ):
             yield f"{delivery.name} reached {delivery.target} {late:.2f} s after its notice"
 
@@ -155,7 +155,7 @@
 
 def planned_stops_cut_nothing(history):
     """A router that is asked to stop finishes what it has."""
-    for router, life, told_at in history.planned_stops:
+    for router, life, notified_at in history.planned_stops:
         for request in history.sent_requests.values():
             if (request.router, request.process_number) != (
                 router,
@@ -163,9 +163,13 @@
             ) or request.outcome != CUT:
                 continue
             ended = request.ended_at or request.sent_at
-            if not told_at - STOP_GRACE_SECONDS <= request.sent_at <= told_at + 2.0:
+            if (
+                not notified_at - STOP_GRACE_SECONDS
+                <= request.sent_at
+                <= notified_at + 2.0
+            ):
                 continue
-            if ended < told_at or ended - told_at > STOP_GRACE_SECONDS - 1.0:
+            if ended < notified_at or ended - notified_at > STOP_GRACE_SECONDS - 1.0:
                 continue
             everything = {t.scope for t in history.disturbances if not t.is_planned}
             if history.is_undisturbed(request.sent_at, ended, everything):
@@ -354,8 +358,8 @@
         and (disturbance.ended is None or disturbance.ended > entry.at)
     )
     said = (
-        told_at
-        for (target, start, *_), told_at in _first_leaving_answers(history).items()
+        notified_at
+        for (target, start, *_), notified_at in _first_leaving_answers(history).items()
         if (target, start) == (entry.target, entry.start)
     )
     return min([entry.until, *began, *said])
@@ -546,16 +550,16 @@
         request = history.sent_requests.get(delivery.name)
         if request is None:
             continue
-        told_at = first.get(
+        notified_at = first.get(
             (delivery.target, delivery.start, request.router, request.process_number)
         )
         if (
-            told_at is None
-            or request.sent_at - told_at <= DRAIN_SECONDS + SLACK_SECONDS
+            notified_at is None
+            or request.sent_at - notified_at <= DRAIN_SECONDS + SLACK_SECONDS
         ):
             continue
-        if history.is_undisturbed(told_at, delivery.at, {request.router}):
-            late = request.sent_at - told_at
+        if history.is_undisturbed(notified_at, delivery.at, {request.router}):
+            late = request.sent_at - notified_at
             yield f"{delivery.name} reached {delivery.target} {late:.2f} s after its own notice"
 
 
