--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -295,13 +295,13 @@
 
 def good_entries_get_work(history):
     """Each calm router sends work to a target whose entry is there again."""
-    for entry, router, until, has_worked in _at_work(history):
+    for entry, router, until, has_worked in _judged_entries(history):
         if not has_worked:
             late = until - entry.at
             yield f"{entry.target} got nothing from {router} in {late:.2f} s"
 
 
-def _at_work(history):
+def _judged_entries(history):
     """Return each good entry and calm router, by when it had enough to send.
 
     What is judged is the time after the last trouble that touched the router or
@@ -492,7 +492,7 @@
         "runs at cold targets": sum(
             len(_runs_while_cold(history, cold)) for cold in history.cold
         ),
-        "good entries at a router": sum(1 for _ in _at_work(history)),
+        "good entries at a router": sum(1 for _ in _judged_entries(history)),
         "entries of other writers": len(history.foreign_entries),
         "their neighbours at a router": sum(1 for _ in _beside_foreign(history)),
     }
