--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -315,7 +315,7 @@
         if delivery.name in history.sent_requests:
             came.setdefault((delivery.target, delivery.start), []).append(delivery)
     for entry in history.listed:
-        gone_at = _untouched_until(history, entry)
+        gone_at = _undisturbed_until(history, entry)
         each = [(router,) for router in requests_by_router]
         groups = [tuple(requests_by_router)] if entry.service == "model" else each
         least = MIN_REQUESTS_BY_SERVICE[entry.service]
@@ -345,7 +345,7 @@
             yield entry, " and ".join(group), until, has_worked
 
 
-def _untouched_until(history, entry):
+def _undisturbed_until(history, entry):
     """Return until when an entry stood with no trouble at its target.
 
     One that says in its answers that it leaves is owed no work, however long after
