--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -399,7 +399,7 @@
 
 def neighbours_keep_work(history):
     """Targets beside an entry of another writer get work as before."""
-    for entry, router, sent, got in _beside_foreign(history):
+    for entry, router, sent, got in _neighbour_requests(history):
         if got < MIN_NEIGHBOUR_SHARE * sent:
             yield (
                 f"{got} of {sent} requests at {router} got to the targets"
@@ -407,7 +407,7 @@
             )
 
 
-def _beside_foreign(history):
+def _neighbour_requests(history):
     """Return each foreign entry and router, what it was sent and passed on."""
     runs = history.runs_by_request()
     for entry in history.foreign_entries:
@@ -494,7 +494,7 @@
         ),
         "good entries at a router": sum(1 for _ in _judged_entries(history)),
         "entries of other writers": len(history.foreign_entries),
-        "their neighbours at a router": sum(1 for _ in _beside_foreign(history)),
+        "their neighbours at a router": sum(1 for _ in _neighbour_requests(history)),
     }
 
 
