--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -442,7 +442,7 @@
                 yield entry, router, len(sent), len(got)
 
 
-def _over_a_silence(history):
+def _streams_over_silences(history):
     """Return the streams that were at a silent target, and the silence."""
     runs = history.runs_by_request()
     found = []
@@ -467,7 +467,7 @@
 
 def silence_ends_no_answer(history):
     """A stream at a target that falls silent for a while ends whole."""
-    for request, silence in _over_a_silence(history):
+    for request, silence in _streams_over_silences(history):
         if request.outcome != ANSWERED or request.status != OK:
             how = f"{request.outcome} {request.status}"
             yield f"{request.name} at {silence.target}, which was silent, ended: {how}"
@@ -475,7 +475,7 @@
 
 def count_judged(history):
     """Return how much the checks of what is seldom had to judge."""
-    streams = _over_a_silence(history)
+    streams = _streams_over_silences(history)
     return {
         "streams over a silence": len(streams),
         "at the only target": sum(1 for _, s in streams if s.is_alone),
