--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -485,7 +485,9 @@
         ),
         "restarts": len(history.ended),
         "evacuations": len(history.evacuations),
-        "runs in evacuated domains": sum(1 for _ in _in_evacuated(history)),
+        "runs in evacuated domains": sum(
+            1 for _ in _runs_in_evacuated_domains(history)
+        ),
         "answers that said that a target leaves": len(_first_leaving_answers(history)),
         "rests asked for": sum(1 for _ in _in_rests(history)),
         "cold targets": len(history.cold),
@@ -500,12 +502,12 @@
 
 def evacuated_domains_get_no_work(history):
     """A target of a failure domain that was evacuated gets nothing after the bound."""
-    for delivery, evacuation, late in _in_evacuated(history):
+    for delivery, evacuation, late in _runs_in_evacuated_domains(history):
         if late > EVACUATION_SECONDS + SLACK_SECONDS:
             yield f"{delivery.name} reached {delivery.target} {late:.2f} s after {evacuation.at}"
 
 
-def _in_evacuated(history):
+def _runs_in_evacuated_domains(history):
     """Return each run in an evacuated domain, and how late it was sent there."""
     for evacuation in history.evacuations:
         for delivery in history.ran:
