--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -489,7 +489,7 @@
             1 for _ in _runs_in_evacuated_domains(history)
         ),
         "answers that said that a target leaves": len(_first_leaving_answers(history)),
-        "rests asked for": sum(1 for _ in _in_rests(history)),
+        "rests asked for": sum(1 for _ in _requests_in_pauses(history)),
         "cold targets": len(history.cold),
         "runs at cold targets": sum(
             len(_runs_while_cold(history, cold)) for cold in history.cold
@@ -581,13 +581,13 @@
 
 def requested_pauses_are_kept(history):
     """A router sends next to nothing to a target that asked it for a rest."""
-    for rest, router, came in _in_rests(history):
+    for rest, router, came in _requests_in_pauses(history):
         if len(came) > MAX_REQUESTS_IN_PAUSE:
             since = f"a rest from {rest.at:.2f}"
             yield f"{rest.target} got {len(came)} of {router} in {since}"
 
 
-def _in_rests(history):
+def _requests_in_pauses(history):
     """Return each rest, its router, and the requests that came from it meanwhile."""
     by_target = {}
     for delivery in history.ran:
--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -164,7 +164,7 @@
         served, after = yield play.run(begin, end)
     finally:
         play.stop()
-    pauses = list(promises._in_rests(play.history))
+    pauses = list(promises._requests_in_pauses(play.history))
     most = max((len(came) for _, _, came in pauses), default=0)
     broken = sum(1 for _ in promises.requested_pauses_are_kept(play.history))
     return (
