--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -359,7 +359,7 @@
     )
     said = (
         notified_at
-        for (target, start, *_), notified_at in _first_leaving_answers(history).items()
+        for (target, start, *_), notified_at in _first_leaving_reports(history).items()
         if (target, start) == (entry.target, entry.start)
     )
     return min([entry.until, *began, *said])
@@ -488,7 +488,7 @@
         "runs in evacuated domains": sum(
             1 for _ in _runs_in_evacuated_domains(history)
         ),
-        "answers that said that a target leaves": len(_first_leaving_answers(history)),
+        "answers that said that a target leaves": len(_first_leaving_reports(history)),
         "rests asked for": sum(1 for _ in _requests_in_pauses(history)),
         "cold targets": len(history.cold),
         "runs at cold targets": sum(
@@ -547,7 +547,7 @@
 
 def leaving_answers_end_work(history):
     """A router that passed on that a target leaves sends it nothing after the bound."""
-    first = _first_leaving_answers(history)
+    first = _first_leaving_reports(history)
     for delivery in history.ran:
         request = history.sent_requests.get(delivery.name)
         if request is None:
@@ -565,7 +565,7 @@
             yield f"{delivery.name} reached {delivery.target} {late:.2f} s after its own notice"
 
 
-def _first_leaving_answers(history):
+def _first_leaving_reports(history):
     """Return when each router first passed on that a life of a target leaves."""
     first = {}
     for request in history.sent_requests.values():
