--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -310,10 +310,10 @@
     chats count there, and all routers as one.
     """
     requests_by_router = _requests_by_router(history)
-    came = {}
+    received = {}
     for delivery in history.ran:
         if delivery.name in history.sent_requests:
-            came.setdefault((delivery.target, delivery.start), []).append(delivery)
+            received.setdefault((delivery.target, delivery.start), []).append(delivery)
     for entry in history.listed:
         gone_at = _undisturbed_until(history, entry)
         each = [(router,) for router in requests_by_router]
@@ -340,7 +340,7 @@
             has_worked = any(
                 since <= delivery.at <= until
                 and history.sent_requests[delivery.name].router in group
-                for delivery in came.get((entry.target, entry.start), ())
+                for delivery in received.get((entry.target, entry.start), ())
             )
             yield entry, " and ".join(group), until, has_worked
 
@@ -581,10 +581,10 @@
 
 def requested_pauses_are_kept(history):
     """A router sends next to nothing to a target that asked it for a rest."""
-    for rest, router, came in _requests_in_pauses(history):
-        if len(came) > MAX_REQUESTS_IN_PAUSE:
+    for rest, router, received in _requests_in_pauses(history):
+        if len(received) > MAX_REQUESTS_IN_PAUSE:
             since = f"a rest from {rest.at:.2f}"
-            yield f"{rest.target} got {len(came)} of {router} in {since}"
+            yield f"{rest.target} got {len(received)} of {router} in {since}"
 
 
 def _requests_in_pauses(history):
@@ -597,7 +597,7 @@
         if asker is None:
             continue
         until = rest.at + rest.seconds
-        came = [
+        received = [
             delivery
             for delivery in by_target.get((rest.target, rest.start), ())
             if rest.at + PAUSE_EFFECTIVE_SECONDS < delivery.at < until - SLACK_SECONDS
@@ -608,7 +608,7 @@
         if _is_link_harmed(history, rest.target, rest.at, until):
             continue
         if history.is_undisturbed(rest.at, until, {asker.router}):
-            yield rest, asker.router, came
+            yield rest, asker.router, received
 
 
 def harmful_requests_are_held_back(history):
--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -165,7 +165,7 @@
     finally:
         play.stop()
     pauses = list(promises._requests_in_pauses(play.history))
-    most = max((len(came) for _, _, came in pauses), default=0)
+    most = max((len(received) for _, _, received in pauses), default=0)
     broken = sum(1 for _ in promises.requested_pauses_are_kept(play.history))
     return (
         f"{count} rest: {broken} of {len(pauses)} rests broken, most in one {most}; "
