--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -295,8 +295,8 @@
 
 def good_entries_get_work(history):
     """Each calm router sends work to a target whose entry is there again."""
-    for entry, router, until, has_worked in _judged_entries(history):
-        if not has_worked:
+    for entry, router, until, got_work in _judged_entries(history):
+        if not got_work:
             late = until - entry.at
             yield f"{entry.target} got nothing from {router} in {late:.2f} s"
 
@@ -337,12 +337,12 @@
             until = max(since + WORK_WITHIN_SECONDS, times[least - 1]) + SLACK_SECONDS
             if until > gone_at:
                 continue
-            has_worked = any(
+            got_work = any(
                 since <= delivery.at <= until
                 and history.sent_requests[delivery.name].router in group
                 for delivery in received.get((entry.target, entry.start), ())
             )
-            yield entry, " and ".join(group), until, has_worked
+            yield entry, " and ".join(group), until, got_work
 
 
 def _undisturbed_until(history, entry):
