--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -99,16 +99,16 @@
     for version in history.versions:
         for key in version.keys:
             last_held[key] = version.number
-    gone_at = {}
+    withdrawn_at = {}
     for key, number in last_held.items():
         later = [v.acked_at for v in history.versions if v.number > number]
         if later:
-            gone_at[key] = min(later)
+            withdrawn_at[key] = min(later)
     for name in history.runs_by_request():
         request = history.sent_requests.get(name)
-        if request is None or request.key not in gone_at:
+        if request is None or request.key not in withdrawn_at:
             continue
-        late = request.sent_at - gone_at[request.key]
+        late = request.sent_at - withdrawn_at[request.key]
         if late > REVOKE_SECONDS + SLACK_SECONDS:
             yield f"{name} ran with a key withdrawn {late:.2f} s before"
 
@@ -315,14 +315,14 @@
         if delivery.name in history.sent_requests:
             received.setdefault((delivery.target, delivery.start), []).append(delivery)
     for entry in history.listed:
-        gone_at = _undisturbed_until(history, entry)
+        withdrawn_at = _undisturbed_until(history, entry)
         each = [(router,) for router in requests_by_router]
         groups = [tuple(requests_by_router)] if entry.service == "model" else each
         least = MIN_REQUESTS_BY_SERVICE[entry.service]
         for group in groups:
             scopes = {"store", *group}
             scopes |= {f"store of {router}" for router in group}
-            since = history.undisturbed_since(entry.at, gone_at, scopes)
+            since = history.undisturbed_since(entry.at, withdrawn_at, scopes)
             times = sorted(
                 request.sent_at
                 for router in group
@@ -330,12 +330,12 @@
                 if request.service == entry.service
                 and request.is_new_chat
                 # Its news of the entry needs a moment to come.
-                and since + IN_FORCE_SECONDS < request.sent_at < gone_at
+                and since + IN_FORCE_SECONDS < request.sent_at < withdrawn_at
             )
             if len(times) < least:
                 continue
             until = max(since + WORK_WITHIN_SECONDS, times[least - 1]) + SLACK_SECONDS
-            if until > gone_at:
+            if until > withdrawn_at:
                 continue
             got_work = any(
                 since <= delivery.at <= until
