--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -456,8 +456,8 @@
                 or not request.ended_at
             ):
                 continue
-            places = {r.target for r in runs[request.name]}
-            scopes = {f"{of}{name}" for name in places for of in ("", "life of ")}
+            targets = {r.target for r in runs[request.name]}
+            scopes = {f"{of}{name}" for name in targets for of in ("", "life of ")}
             if request.ended_at > silence.began and history.is_undisturbed(
                 request.sent_at, request.ended_at, {request.router, *scopes}
             ):
