--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -581,10 +581,10 @@
 
 def requested_pauses_are_kept(history):
     """A router sends next to nothing to a target that asked it for a rest."""
-    for rest, router, received in _requests_in_pauses(history):
+    for pause, router, received in _requests_in_pauses(history):
         if len(received) > MAX_REQUESTS_IN_PAUSE:
-            since = f"a rest from {rest.at:.2f}"
-            yield f"{rest.target} got {len(received)} of {router} in {since}"
+            since = f"a rest from {pause.at:.2f}"
+            yield f"{pause.target} got {len(received)} of {router} in {since}"
 
 
 def _requests_in_pauses(history):
@@ -592,23 +592,23 @@
     by_target = {}
     for delivery in history.ran:
         by_target.setdefault((delivery.target, delivery.start), []).append(delivery)
-    for rest in history.pause_requests:
-        asker = history.sent_requests.get(rest.name)
+    for pause in history.pause_requests:
+        asker = history.sent_requests.get(pause.name)
         if asker is None:
             continue
-        until = rest.at + rest.seconds
+        until = pause.at + pause.seconds
         received = [
             delivery
-            for delivery in by_target.get((rest.target, rest.start), ())
-            if rest.at + PAUSE_EFFECTIVE_SECONDS < delivery.at < until - SLACK_SECONDS
+            for delivery in by_target.get((pause.target, pause.start), ())
+            if pause.at + PAUSE_EFFECTIVE_SECONDS < delivery.at < until - SLACK_SECONDS
             and delivery.name in history.sent_requests
             and history.sent_requests[delivery.name].router == asker.router
             and history.sent_requests[delivery.name].life == asker.process_number
         ]
-        if _is_link_harmed(history, rest.target, rest.at, until):
+        if _is_link_harmed(history, pause.target, pause.at, until):
             continue
-        if history.is_undisturbed(rest.at, until, {asker.router}):
-            yield rest, asker.router, received
+        if history.is_undisturbed(pause.at, until, {asker.router}):
+            yield pause, asker.router, received
 
 
 def harmful_requests_are_held_back(history):
