--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -318,7 +318,7 @@
         withdrawn_at = _undisturbed_until(history, entry)
         each = [(router,) for router in requests_by_router]
         groups = [tuple(requests_by_router)] if entry.service == "model" else each
-        least = MIN_REQUESTS_BY_SERVICE[entry.service]
+        required = MIN_REQUESTS_BY_SERVICE[entry.service]
         for group in groups:
             scopes = {"store", *group}
             scopes |= {f"store of {router}" for router in group}
@@ -332,9 +332,11 @@
                 # Its news of the entry needs a moment to come.
                 and since + IN_FORCE_SECONDS < request.sent_at < withdrawn_at
             )
-            if len(times) < least:
+            if len(times) < required:
                 continue
-            until = max(since + WORK_WITHIN_SECONDS, times[least - 1]) + SLACK_SECONDS
+            until = (
+                max(since + WORK_WITHIN_SECONDS, times[required - 1]) + SLACK_SECONDS
+            )
             if until > withdrawn_at:
                 continue
             got_work = any(
