--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -108,9 +108,9 @@
         request = history.sent_requests.get(name)
         if request is None or request.key not in withdrawn_at:
             continue
-        late = request.sent_at - withdrawn_at[request.key]
-        if late > REVOKE_SECONDS + SLACK_SECONDS:
-            yield f"{name} ran with a key withdrawn {late:.2f} s before"
+        delay = request.sent_at - withdrawn_at[request.key]
+        if delay > REVOKE_SECONDS + SLACK_SECONDS:
+            yield f"{name} ran with a key withdrawn {delay:.2f} s before"
 
 
 def leaving_targets_get_no_work(history):
@@ -127,12 +127,12 @@
         request = history.sent_requests.get(delivery.name)
         if notified_at is None or request is None:
             continue
-        late = delivery.at - notified_at
+        delay = delivery.at - notified_at
         scopes = {request.router, "store", f"store of {request.router}"}
-        if late > DRAIN_SECONDS + SLACK_SECONDS and history.is_undisturbed(
+        if delay > DRAIN_SECONDS + SLACK_SECONDS and history.is_undisturbed(
             notified_at, delivery.at, scopes
         ):
-            yield f"{delivery.name} reached {delivery.target} {late:.2f} s after its notice"
+            yield f"{delivery.name} reached {delivery.target} {delay:.2f} s after its notice"
 
 
 def _was_held_back(history, delivery):
@@ -261,13 +261,13 @@
         ended = request.ended_at
         if ended is None:
             continue
-        late = ended - request.sent_at - request.deadline
-        if late > ANSWER_SLACK_SECONDS and history.is_undisturbed(
+        delay = ended - request.sent_at - request.deadline
+        if delay > ANSWER_SLACK_SECONDS and history.is_undisturbed(
             request.sent_at,
             ended,
             {request.router, "store", f"store of {request.router}"},
         ):
-            yield f"{request.name} had no answer {late:.2f} s after its deadline"
+            yield f"{request.name} had no answer {delay:.2f} s after its deadline"
 
 
 def former_incarnations_do_not_answer(history):
@@ -286,19 +286,19 @@
         ends = [history.ended.get(life) for life in lives]
         if None in ends:
             continue
-        late = request.ended_at - max(ends)
-        if late > FORMER_ANSWER_SECONDS and history.is_undisturbed(
+        delay = request.ended_at - max(ends)
+        if delay > FORMER_ANSWER_SECONDS and history.is_undisturbed(
             max(ends), request.ended_at, {request.router}
         ):
-            yield f"{request.name} got an answer of {target} {late:.2f} s after its end"
+            yield f"{request.name} got an answer of {target} {delay:.2f} s after its end"
 
 
 def good_entries_get_work(history):
     """Each calm router sends work to a target whose entry is there again."""
     for entry, router, until, got_work in _judged_entries(history):
         if not got_work:
-            late = until - entry.at
-            yield f"{entry.target} got nothing from {router} in {late:.2f} s"
+            delay = until - entry.at
+            yield f"{entry.target} got nothing from {router} in {delay:.2f} s"
 
 
 def _judged_entries(history):
@@ -392,11 +392,11 @@
                 # Sent by the entry of the target before it at that address.
                 continue
             scopes = {request.router, "store", f"store of {request.router}"}
-            late = delivery.at - history.undisturbed_since(
+            delay = delivery.at - history.undisturbed_since(
                 entry.at, delivery.at, scopes
             )
-            if late > IN_FORCE_SECONDS + SLACK_SECONDS:
-                yield f"{delivery.name} reached {delivery.target} {late:.2f} s after its entry"
+            if delay > IN_FORCE_SECONDS + SLACK_SECONDS:
+                yield f"{delivery.name} reached {delivery.target} {delay:.2f} s after its entry"
 
 
 def neighbours_keep_work(history):
@@ -504,9 +504,9 @@
 
 def evacuated_domains_get_no_work(history):
     """A target of a failure domain that was evacuated gets nothing after the bound."""
-    for delivery, evacuation, late in _runs_in_evacuated_domains(history):
-        if late > EVACUATION_SECONDS + SLACK_SECONDS:
-            yield f"{delivery.name} reached {delivery.target} {late:.2f} s after {evacuation.at}"
+    for delivery, evacuation, delay in _runs_in_evacuated_domains(history):
+        if delay > EVACUATION_SECONDS + SLACK_SECONDS:
+            yield f"{delivery.name} reached {delivery.target} {delay:.2f} s after {evacuation.at}"
 
 
 def _runs_in_evacuated_domains(history):
@@ -563,8 +563,8 @@
         ):
             continue
         if history.is_undisturbed(notified_at, delivery.at, {request.router}):
-            late = request.sent_at - notified_at
-            yield f"{delivery.name} reached {delivery.target} {late:.2f} s after its own notice"
+            delay = request.sent_at - notified_at
+            yield f"{delivery.name} reached {delivery.target} {delay:.2f} s after its own notice"
 
 
 def _first_leaving_reports(history):
@@ -620,7 +620,7 @@
         if len(ends) < ENDS_UNTIL_HELD_BACK:
             continue
         known_at = ends[ENDS_UNTIL_HELD_BACK - 1] + HARM_EXCHANGE_SECONDS
-        late = [
+        delay = [
             name
             for name, at in harm.arrivals
             if at > known_at
@@ -628,8 +628,8 @@
                 at - HARM_EXCHANGE_SECONDS, at, {harm.routers[name]}
             )
         ]
-        if len(late) > MAX_LATE_ARRIVALS:
-            yield f"{body!r} reached {len(late)} more targets, {len(ends)} ended"
+        if len(delay) > MAX_LATE_ARRIVALS:
+            yield f"{body!r} reached {len(delay)} more targets, {len(ends)} ended"
 
 
 def processes_do_not_exit(history):
@@ -642,15 +642,15 @@
     if history.last_disturbance_ended is None:
         return
     since = history.last_disturbance_ended + RECOVERY_SECONDS
-    late = [
+    delay = [
         a for a in history.sent_requests.values() if a.sent_at > since and a.ended_at
     ]
-    late = [a for a in late if a.key in history.versions[-1].keys and not a.version]
-    good = [a for a in late if a.outcome == ANSWERED and a.status == OK]
-    if not late:
+    delay = [a for a in delay if a.key in history.versions[-1].keys and not a.version]
+    good = [a for a in delay if a.outcome == ANSWERED and a.status == OK]
+    if not delay:
         yield "nobody asked after the last trouble"
-    elif len(good) < MIN_RECOVERED_SHARE * len(late):
-        yield f"{len(good)} of {len(late)} requests were served after the last trouble"
+    elif len(good) < MIN_RECOVERED_SHARE * len(delay):
+        yield f"{len(good)} of {len(delay)} requests were served after the last trouble"
 
 
 def find_broken(history, events):
