--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -277,13 +277,13 @@
         if request.outcome != ANSWERED or request.status != OK or not request.signed:
             continue
         target, _, start = request.signed.rpartition("/")
-        lives = {
+        incarnations = {
             (delivery.target, delivery.start) for delivery in runs.get(request.name, ())
         }
-        if (target, int(start)) not in lives:
+        if (target, int(start)) not in incarnations:
             yield f"{request.name} got an answer of {request.signed}, where it never ran"
             continue
-        ends = [history.ended.get(life) for life in lives]
+        ends = [history.ended.get(life) for life in incarnations]
         if None in ends:
             continue
         delay = request.ended_at - max(ends)
