--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -155,11 +155,11 @@
 
 def planned_stops_cut_nothing(history):
     """A router that is asked to stop finishes what it has."""
-    for router, life, notified_at in history.planned_stops:
+    for router, process, notified_at in history.planned_stops:
         for request in history.sent_requests.values():
             if (request.router, request.process_number) != (
                 router,
-                life,
+                process,
             ) or request.outcome != CUT:
                 continue
             ended = request.ended_at or request.sent_at
@@ -184,12 +184,12 @@
         a for a in history.sent_requests.values() if a.version and a.outcome == ANSWERED
     ]
     for request in sorted(probes, key=lambda a: a.ended_at):
-        life = (request.router, request.process_number)
-        if request.status == OK and request.version > seen.get(life, (0, 0.0))[0]:
-            seen[life] = (request.version, request.ended_at)
+        process = (request.router, request.process_number)
+        if request.status == OK and request.version > seen.get(process, (0, 0.0))[0]:
+            seen[process] = (request.version, request.ended_at)
     for request in probes:
-        life = (request.router, request.process_number)
-        newest, since = seen.get(life, (0, 0.0))
+        process = (request.router, request.process_number)
+        newest, since = seen.get(process, (0, 0.0))
         version = acked[request.version]
         since_then = [v for v in history.versions if v.number >= request.version]
         is_held = all(request.key in v.keys for v in since_then)
@@ -283,7 +283,7 @@
         if (target, int(start)) not in incarnations:
             yield f"{request.name} got an answer of {request.signed}, where it never ran"
             continue
-        ends = [history.ended.get(life) for life in incarnations]
+        ends = [history.ended.get(process) for process in incarnations]
         if None in ends:
             continue
         delay = request.ended_at - max(ends)
@@ -605,7 +605,7 @@
             if pause.at + PAUSE_EFFECTIVE_SECONDS < delivery.at < until - SLACK_SECONDS
             and delivery.name in history.sent_requests
             and history.sent_requests[delivery.name].router == asker.router
-            and history.sent_requests[delivery.name].life == asker.process_number
+            and history.sent_requests[delivery.name].process == asker.process_number
         ]
         if _is_link_harmed(history, pause.target, pause.at, until):
             continue
