--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -171,8 +171,8 @@
                 continue
             if ended < notified_at or ended - notified_at > STOP_GRACE_SECONDS - 1.0:
                 continue
-            everything = {t.scope for t in history.disturbances if not t.is_planned}
-            if history.is_undisturbed(request.sent_at, ended, everything):
+            all_scopes = {t.scope for t in history.disturbances if not t.is_planned}
+            if history.is_undisturbed(request.sent_at, ended, all_scopes):
                 yield f"{request.name} was cut by the planned stop of {router}"
 
 
