--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -401,10 +401,10 @@
 
 def neighbours_keep_work(history):
     """Targets beside an entry of another writer get work as before."""
-    for entry, router, sent, got in _neighbour_requests(history):
-        if got < MIN_NEIGHBOUR_SHARE * sent:
+    for entry, router, sent, served in _neighbour_requests(history):
+        if served < MIN_NEIGHBOUR_SHARE * sent:
             yield (
-                f"{got} of {sent} requests at {router} got to the targets"
+                f"{served} of {sent} requests at {router} got to the targets"
                 f" beside {entry.target}"
             )
 
@@ -435,13 +435,13 @@
                 and request.sent_at
                 > history.undisturbed_since(entry.at, request.sent_at, scopes)
             ]
-            got = [
+            served = [
                 request
                 for request in sent
                 if any(r.target != entry.target for r in runs.get(request.name, ()))
             ]
             if len(sent) >= MIN_NEIGHBOUR_REQUESTS:
-                yield entry, router, len(sent), len(got)
+                yield entry, router, len(sent), len(served)
 
 
 def _streams_over_silences(history):
