--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -595,8 +595,8 @@
     for delivery in history.ran:
         by_target.setdefault((delivery.target, delivery.start), []).append(delivery)
     for pause in history.pause_requests:
-        asker = history.sent_requests.get(pause.name)
-        if asker is None:
+        declined = history.sent_requests.get(pause.name)
+        if declined is None:
             continue
         until = pause.at + pause.seconds
         received = [
@@ -604,13 +604,13 @@
             for delivery in by_target.get((pause.target, pause.start), ())
             if pause.at + PAUSE_EFFECTIVE_SECONDS < delivery.at < until - SLACK_SECONDS
             and delivery.name in history.sent_requests
-            and history.sent_requests[delivery.name].router == asker.router
-            and history.sent_requests[delivery.name].process == asker.process_number
+            and history.sent_requests[delivery.name].router == declined.router
+            and history.sent_requests[delivery.name].process == declined.process_number
         ]
         if _is_link_harmed(history, pause.target, pause.at, until):
             continue
-        if history.is_undisturbed(pause.at, until, {asker.router}):
-            yield pause, asker.router, received
+        if history.is_undisturbed(pause.at, until, {declined.router}):
+            yield pause, declined.router, received
 
 
 def harmful_requests_are_held_back(history):
