--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -88,7 +88,10 @@
             found = EVENT.findall(request.body)
             wanted = [(b"%d" % n, request.name.encode()) for n in range(1, events + 1)]
             if found != wanted:
-                yield f"{request.name} got events {[int(n) for n, _ in found]} as whole"
+                yield (
+                    f"{request.name} got events {[int(n) for n, _ in found]} as a"
+                    f" complete answer"
+                )
         elif request.body != b"done for %b" % request.name.encode():
             yield f"{request.name} got another body: {request.body[:60]!r}"
 
@@ -132,7 +135,10 @@
         if delay > DRAIN_SECONDS + SLACK_SECONDS and history.is_undisturbed(
             notified_at, delivery.at, scopes
         ):
-            yield f"{delivery.name} reached {delivery.target} {delay:.2f} s after its notice"
+            yield (
+                f"{delivery.name} reached {delivery.target} {delay:.2f} s after its"
+                f" notice"
+            )
 
 
 def _was_held_back(history, delivery):
@@ -201,7 +207,9 @@
                 version.acked_at, request.ended_at, scopes
             )
             if after > IN_FORCE_SECONDS + SLACK_SECONDS and is_undisturbed:
-                yield f"{request.name} on version {request.version} got {request.status}"
+                yield (
+                    f"{request.name} on version {request.version} got {request.status}"
+                )
             if (
                 newest >= request.version
                 and request.sent_at > since + VERSION_GRACE_SECONDS
@@ -281,16 +289,20 @@
             (delivery.target, delivery.start) for delivery in runs.get(request.name, ())
         }
         if (target, int(start)) not in incarnations:
-            yield f"{request.name} got an answer of {request.signed}, where it never ran"
+            yield (
+                f"{request.name} got an answer of {request.signed}, where it never ran"
+            )
             continue
-        ends = [history.ended.get(process) for process in incarnations]
+        ends = [history.ended.get(incarnation) for incarnation in incarnations]
         if None in ends:
             continue
         delay = request.ended_at - max(ends)
         if delay > FORMER_ANSWER_SECONDS and history.is_undisturbed(
             max(ends), request.ended_at, {request.router}
         ):
-            yield f"{request.name} got an answer of {target} {delay:.2f} s after its end"
+            yield (
+                f"{request.name} got an answer of {target} {delay:.2f} s after its end"
+            )
 
 
 def good_entries_get_work(history):
@@ -359,12 +371,12 @@
         if disturbance.scope in entry.scopes
         and (disturbance.ended is None or disturbance.ended > entry.at)
     )
-    said = (
+    reported = (
         notified_at
         for (target, start, *_), notified_at in _first_leaving_reports(history).items()
         if (target, start) == (entry.target, entry.start)
     )
-    return min([entry.until, *began, *said])
+    return min([entry.until, *began, *reported])
 
 
 def _requests_by_router(history):
@@ -396,7 +408,10 @@
                 entry.at, delivery.at, scopes
             )
             if delay > IN_FORCE_SECONDS + SLACK_SECONDS:
-                yield f"{delivery.name} reached {delivery.target} {delay:.2f} s after its entry"
+                yield (
+                    f"{delivery.name} reached {delivery.target} {delay:.2f} s after its"
+                    f" entry"
+                )
 
 
 def neighbours_keep_work(history):
@@ -506,7 +521,10 @@
     """A target of a failure domain that was evacuated gets nothing after the bound."""
     for delivery, evacuation, delay in _runs_in_evacuated_domains(history):
         if delay > EVACUATION_SECONDS + SLACK_SECONDS:
-            yield f"{delivery.name} reached {delivery.target} {delay:.2f} s after {evacuation.at}"
+            yield (
+                f"{delivery.name} reached {delivery.target} {delay:.2f} s after"
+                f" {evacuation.at}"
+            )
 
 
 def _runs_in_evacuated_domains(history):
@@ -533,7 +551,10 @@
         times = _runs_while_cold(history, cold)
         for first, last in zip(times, times[MAX_COLD_RUNS_PER_SECOND:], strict=False):
             if last - first < 1.0:
-                yield f"{cold.target} got over {MAX_COLD_RUNS_PER_SECOND} in the second of {first:.2f}"
+                yield (
+                    f"{cold.target} got over {MAX_COLD_RUNS_PER_SECOND} in the second"
+                    f" of {first:.2f}"
+                )
                 break
 
 
@@ -564,7 +585,10 @@
             continue
         if history.is_undisturbed(notified_at, delivery.at, {request.router}):
             delay = request.sent_at - notified_at
-            yield f"{delivery.name} reached {delivery.target} {delay:.2f} s after its own notice"
+            yield (
+                f"{delivery.name} reached {delivery.target} {delay:.2f} s after its"
+                f" own notice"
+            )
 
 
 def _first_leaving_reports(history):
@@ -605,7 +629,8 @@
             if pause.at + PAUSE_EFFECTIVE_SECONDS < delivery.at < until - SLACK_SECONDS
             and delivery.name in history.sent_requests
             and history.sent_requests[delivery.name].router == declined.router
-            and history.sent_requests[delivery.name].process == declined.process_number
+            and history.sent_requests[delivery.name].process_number
+            == declined.process_number
         ]
         if _is_link_harmed(history, pause.target, pause.at, until):
             continue
@@ -620,7 +645,7 @@
         if len(ends) < ENDS_UNTIL_HELD_BACK:
             continue
         known_at = ends[ENDS_UNTIL_HELD_BACK - 1] + HARM_EXCHANGE_SECONDS
-        delay = [
+        late_arrivals = [
             name
             for name, at in harm.arrivals
             if at > known_at
@@ -628,8 +653,8 @@
                 at - HARM_EXCHANGE_SECONDS, at, {harm.routers[name]}
             )
         ]
-        if len(delay) > MAX_LATE_ARRIVALS:
-            yield f"{body!r} reached {len(delay)} more targets, {len(ends)} ended"
+        if len(late_arrivals) > MAX_LATE_ARRIVALS:
+            yield f"{body!r} reached {len(late_arrivals)} more targets, {len(ends)} ended"
 
 
 def processes_do_not_exit(history):
@@ -642,15 +667,17 @@
     if history.last_disturbance_ended is None:
         return
     since = history.last_disturbance_ended + RECOVERY_SECONDS
-    delay = [
+    late_requests = [
         a for a in history.sent_requests.values() if a.sent_at > since and a.ended_at
     ]
-    delay = [a for a in delay if a.key in history.versions[-1].keys and not a.version]
-    good = [a for a in delay if a.outcome == ANSWERED and a.status == OK]
-    if not delay:
+    late_requests = [
+        a for a in late_requests if a.key in history.versions[-1].keys and not a.version
+    ]
+    good = [a for a in late_requests if a.outcome == ANSWERED and a.status == OK]
+    if not late_requests:
         yield "nobody asked after the last trouble"
-    elif len(good) < MIN_RECOVERED_SHARE * len(delay):
-        yield f"{len(good)} of {len(delay)} requests were served after the last trouble"
+    elif len(good) < MIN_RECOVERED_SHARE * len(late_requests):
+        yield f"{len(good)} of {len(late_requests)} requests were served after the last trouble"
 
 
 def find_broken(history, events):
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -150,7 +150,7 @@
         self.put(request(kind="probe", version=2, sent_at=101.0, ended_at=101.1))
         self.put(delivery("new"), delivery())
         self.assertEqual(["versions"], self.broken())
-        self.history.sent_requests["a"].life = 2
+        self.history.sent_requests["a"].process_number = 2
         self.assertEqual([], self.broken())
 
     def test_a_storm_of_repeats(self):
