--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -10,7 +10,7 @@
 PLANNED_SECONDS = 5.0
 ROUGH_PAUSE = 0.7
 PLANNED_PAUSE = 1.2
-ROUGH = {
+FAULT_KINDS = {
     "kill": 3,
     "kill_all": 1,
     "pause": 3,
@@ -89,7 +89,7 @@
     at = rng.uniform(1.0, 2.0)
     while at < seconds:
         is_rough = at % (ROUGH_SECONDS + PLANNED_SECONDS) < ROUGH_SECONDS
-        kinds = {**ROUGH, **PLANNED} if is_rough else PLANNED
+        kinds = {**FAULT_KINDS, **PLANNED} if is_rough else PLANNED
         kind = rng.choices(list(kinds), list(kinds.values()))[0]
         lasts = rng.uniform(0.5, 5.0)
         steps.append(Step(at, kind, lasts, rng.random(), rng.random()))
