--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -30,7 +30,14 @@
 # What targets say in their answers, in a series of its own where it is asked for.
 STATEMENTS = {"say_leaving": 3, "ask_rest": 4, "all_ask_rest": 1}
 STATEMENTS_PAUSE = 3.0
-PLANNED = {"term": 3, "term_two": 1, "hup": 2, "change": 4, "withdraw": 3, "drain": 2}
+PLANNED_KINDS = {
+    "term": 3,
+    "term_two": 1,
+    "hup": 2,
+    "change": 4,
+    "withdraw": 3,
+    "drain": 2,
+}
 
 
 @dataclass(frozen=True)
@@ -89,7 +96,7 @@
     at = rng.uniform(1.0, 2.0)
     while at < seconds:
         is_rough = at % (ROUGH_SECONDS + PLANNED_SECONDS) < ROUGH_SECONDS
-        kinds = {**FAULT_KINDS, **PLANNED} if is_rough else PLANNED
+        kinds = {**FAULT_KINDS, **PLANNED_KINDS} if is_rough else PLANNED_KINDS
         kind = rng.choices(list(kinds), list(kinds.values()))[0]
         lasts = rng.uniform(0.5, 5.0)
         steps.append(Step(at, kind, lasts, rng.random(), rng.random()))
