--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -8,7 +8,7 @@
 # faults overlap.
 ROUGH_SECONDS = 9.0
 PLANNED_SECONDS = 5.0
-ROUGH_PAUSE = 0.7
+FAULT_INTERVAL_SECONDS = 0.7
 PLANNED_PAUSE = 1.2
 FAULT_KINDS = {
     "kill": 3,
@@ -100,5 +100,7 @@
         kind = rng.choices(list(kinds), list(kinds.values()))[0]
         lasts = rng.uniform(0.5, 5.0)
         steps.append(Step(at, kind, lasts, rng.random(), rng.random()))
-        at += rng.expovariate(1 / (ROUGH_PAUSE if is_rough else PLANNED_PAUSE))
+        at += rng.expovariate(
+            1 / (FAULT_INTERVAL_SECONDS if is_rough else PLANNED_PAUSE)
+        )
     return steps
