--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -9,7 +9,7 @@
 ROUGH_SECONDS = 9.0
 PLANNED_SECONDS = 5.0
 FAULT_INTERVAL_SECONDS = 0.7
-PLANNED_PAUSE = 1.2
+PLANNED_INTERVAL_SECONDS = 1.2
 FAULT_KINDS = {
     "kill": 3,
     "kill_all": 1,
@@ -101,6 +101,6 @@
         lasts = rng.uniform(0.5, 5.0)
         steps.append(Step(at, kind, lasts, rng.random(), rng.random()))
         at += rng.expovariate(
-            1 / (FAULT_INTERVAL_SECONDS if is_rough else PLANNED_PAUSE)
+            1 / (FAULT_INTERVAL_SECONDS if is_rough else PLANNED_INTERVAL_SECONDS)
         )
     return steps
