--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -7,7 +7,7 @@
 # Seconds of trouble and of planned work alone, by turns; within the trouble,
 # faults overlap.
 FAULT_SPELL_SECONDS = 9.0
-PLANNED_SECONDS = 5.0
+PLANNED_SPELL_SECONDS = 5.0
 FAULT_INTERVAL_SECONDS = 0.7
 PLANNED_INTERVAL_SECONDS = 1.2
 FAULT_KINDS = {
@@ -66,7 +66,7 @@
         kind = beside.choices(list(kinds), list(kinds.values()))[0]
         lasts = beside.uniform(0.5, 5.0)
         step = Step(at, kind, lasts, beside.random(), beside.random())
-        if at % (FAULT_SPELL_SECONDS + PLANNED_SECONDS) < FAULT_SPELL_SECONDS:
+        if at % (FAULT_SPELL_SECONDS + PLANNED_SPELL_SECONDS) < FAULT_SPELL_SECONDS:
             steps.append(step)
     return sorted(steps, key=lambda step: step.at)
 
@@ -95,7 +95,9 @@
     steps = []
     at = rng.uniform(1.0, 2.0)
     while at < seconds:
-        is_rough = at % (FAULT_SPELL_SECONDS + PLANNED_SECONDS) < FAULT_SPELL_SECONDS
+        is_rough = (
+            at % (FAULT_SPELL_SECONDS + PLANNED_SPELL_SECONDS) < FAULT_SPELL_SECONDS
+        )
         kinds = {**FAULT_KINDS, **PLANNED_KINDS} if is_rough else PLANNED_KINDS
         kind = rng.choices(list(kinds), list(kinds.values()))[0]
         lasts = rng.uniform(0.5, 5.0)
