--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -95,14 +95,14 @@
     steps = []
     at = rng.uniform(1.0, 2.0)
     while at < seconds:
-        is_rough = (
+        has_faults = (
             at % (FAULT_SPELL_SECONDS + PLANNED_SPELL_SECONDS) < FAULT_SPELL_SECONDS
         )
-        kinds = {**FAULT_KINDS, **PLANNED_KINDS} if is_rough else PLANNED_KINDS
+        kinds = {**FAULT_KINDS, **PLANNED_KINDS} if has_faults else PLANNED_KINDS
         kind = rng.choices(list(kinds), list(kinds.values()))[0]
         lasts = rng.uniform(0.5, 5.0)
         steps.append(Step(at, kind, lasts, rng.random(), rng.random()))
         at += rng.expovariate(
-            1 / (FAULT_INTERVAL_SECONDS if is_rough else PLANNED_INTERVAL_SECONDS)
+            1 / (FAULT_INTERVAL_SECONDS if has_faults else PLANNED_INTERVAL_SECONDS)
         )
     return steps
