--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -22,7 +22,7 @@
     "target_crash": 2,
 }
 # Drawn in a series of their own beside the others, in the same spells.
-BESIDE = {"reborn": 3, "foreign": 3, "lone_silence": 1}
+EXTRA_KINDS = {"reborn": 3, "foreign": 3, "lone_silence": 1}
 BESIDE_PAUSE = 1.5
 # What happens to failure domains, in a series of its own where it is asked for.
 DOMAINS = {"evacuate": 3, "chill": 2, "cold_return": 2}
@@ -57,7 +57,7 @@
     What `beside` draws leaves the other series of the seed as it is.
     """
     steps = _first_series(rng, seconds)
-    kinds = {kind: n for kind, n in BESIDE.items() if kind not in without}
+    kinds = {kind: n for kind, n in EXTRA_KINDS.items() if kind not in without}
     at = 0.0
     while beside is not None and kinds:
         at += beside.expovariate(1 / BESIDE_PAUSE)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -592,7 +592,7 @@
     parser.add_argument("--callers", type=int, default=30)
     parser.add_argument("--pause", type=float, default=0.3)
     parser.add_argument(
-        "--without", nargs="*", default=[], choices=list(schedule.BESIDE)
+        "--without", nargs="*", default=[], choices=list(schedule.EXTRA_KINDS)
     )
     parser.add_argument("--harmful", type=int, default=0, help="such requests")
     parser.add_argument(
--- a/tests/soak/test_schedule.py
+++ b/tests/soak/test_schedule.py
@@ -18,9 +18,9 @@
     def test_the_second_series_leaves_the_first_as_it_is(self):
         first = self.draw()
         both = self.draw(random.Random(8))
-        beside = [step for step in both if step.kind in schedule.BESIDE]
+        beside = [step for step in both if step.kind in schedule.EXTRA_KINDS]
         self.assertEqual(first, [step for step in both if step not in beside])
-        self.assertEqual(set(schedule.BESIDE), {step.kind for step in beside})
+        self.assertEqual(set(schedule.EXTRA_KINDS), {step.kind for step in beside})
         self.assertEqual(sorted(both, key=lambda step: step.at), both)
 
     def test_domains_have_a_series_of_their_own(self):
@@ -36,8 +36,8 @@
 
     def test_what_is_left_out_is_not_drawn(self):
         steps = self.draw(random.Random(8), ["foreign", "lone_silence"])
-        drawn = {step.kind for step in steps} & set(schedule.BESIDE)
+        drawn = {step.kind for step in steps} & set(schedule.EXTRA_KINDS)
         self.assertEqual({"reborn"}, drawn)
         self.assertEqual(
-            self.draw(), self.draw(random.Random(8), list(schedule.BESIDE))
+            self.draw(), self.draw(random.Random(8), list(schedule.EXTRA_KINDS))
         )
