--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -23,7 +23,7 @@
 }
 # Drawn in a series of their own beside the others, in the same spells.
 EXTRA_KINDS = {"reborn": 3, "foreign": 3, "lone_silence": 1}
-BESIDE_PAUSE = 1.5
+EXTRA_INTERVAL_SECONDS = 1.5
 # What happens to failure domains, in a series of its own where it is asked for.
 DOMAINS = {"evacuate": 3, "chill": 2, "cold_return": 2}
 DOMAINS_PAUSE = 4.0
@@ -60,7 +60,7 @@
     kinds = {kind: n for kind, n in EXTRA_KINDS.items() if kind not in without}
     at = 0.0
     while beside is not None and kinds:
-        at += beside.expovariate(1 / BESIDE_PAUSE)
+        at += beside.expovariate(1 / EXTRA_INTERVAL_SECONDS)
         if at >= seconds:
             break
         kind = beside.choices(list(kinds), list(kinds.values()))[0]
