--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -51,21 +51,21 @@
     how: float
 
 
-def draw(rng, seconds, beside=None, without=()):
+def draw(rng, seconds, extra_rng=None, without=()):
     """Return the steps of a soak, in order.
 
-    What `beside` draws leaves the other series of the seed as it is.
+    What `extra_rng` draws leaves the other series of the seed as it is.
     """
     steps = _first_series(rng, seconds)
     kinds = {kind: n for kind, n in EXTRA_KINDS.items() if kind not in without}
     at = 0.0
-    while beside is not None and kinds:
-        at += beside.expovariate(1 / EXTRA_INTERVAL_SECONDS)
+    while extra_rng is not None and kinds:
+        at += extra_rng.expovariate(1 / EXTRA_INTERVAL_SECONDS)
         if at >= seconds:
             break
-        kind = beside.choices(list(kinds), list(kinds.values()))[0]
-        lasts = beside.uniform(0.5, 5.0)
-        step = Step(at, kind, lasts, beside.random(), beside.random())
+        kind = extra_rng.choices(list(kinds), list(kinds.values()))[0]
+        lasts = extra_rng.uniform(0.5, 5.0)
+        step = Step(at, kind, lasts, extra_rng.random(), extra_rng.random())
         if at % (FAULT_SPELL_SECONDS + PLANNED_SPELL_SECONDS) < FAULT_SPELL_SECONDS:
             steps.append(step)
     return sorted(steps, key=lambda step: step.at)
