--- a/tests/soak/test_schedule.py
+++ b/tests/soak/test_schedule.py
@@ -12,15 +12,15 @@
 
 
 class ScheduleTest(TestCase):
-    def draw(self, beside=None, without=()):
-        return schedule.draw(random.Random(7), SECONDS, beside, without)
+    def draw(self, extra=None, without=()):
+        return schedule.draw(random.Random(7), SECONDS, extra, without)
 
     def test_the_second_series_leaves_the_first_as_it_is(self):
         first = self.draw()
         both = self.draw(random.Random(8))
-        beside = [step for step in both if step.kind in schedule.EXTRA_KINDS]
-        self.assertEqual(first, [step for step in both if step not in beside])
-        self.assertEqual(set(schedule.EXTRA_KINDS), {step.kind for step in beside})
+        extra = [step for step in both if step.kind in schedule.EXTRA_KINDS]
+        self.assertEqual(first, [step for step in both if step not in extra])
+        self.assertEqual(set(schedule.EXTRA_KINDS), {step.kind for step in extra})
         self.assertEqual(sorted(both, key=lambda step: step.at), both)
 
     def test_domains_have_a_series_of_their_own(self):
