--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -26,7 +26,7 @@
 EXTRA_INTERVAL_SECONDS = 1.5
 # What happens to failure domains, in a series of its own where it is asked for.
 DOMAIN_KINDS = {"evacuate": 3, "chill": 2, "cold_return": 2}
-DOMAINS_PAUSE = 4.0
+DOMAIN_INTERVAL_SECONDS = 4.0
 # What targets say in their answers, in a series of its own where it is asked for.
 STATEMENTS = {"say_leaving": 3, "ask_rest": 4, "all_ask_rest": 1}
 STATEMENTS_PAUSE = 3.0
@@ -73,7 +73,7 @@
 
 def draw_domains(rng, seconds):
     """Return what happens to failure domains in a soak, in order."""
-    return _draw_alone(rng, seconds, DOMAIN_KINDS, DOMAINS_PAUSE)
+    return _draw_alone(rng, seconds, DOMAIN_KINDS, DOMAIN_INTERVAL_SECONDS)
 
 
 def draw_statements(rng, seconds):
