--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -29,7 +29,7 @@
 DOMAIN_INTERVAL_SECONDS = 4.0
 # What targets say in their answers, in a series of its own where it is asked for.
 SELF_REPORT_KINDS = {"say_leaving": 3, "ask_rest": 4, "all_ask_rest": 1}
-STATEMENTS_PAUSE = 3.0
+SELF_REPORT_INTERVAL_SECONDS = 3.0
 PLANNED_KINDS = {
     "term": 3,
     "term_two": 1,
@@ -78,7 +78,7 @@
 
 def draw_statements(rng, seconds):
     """Return when targets say in a soak that they leave or want rest, in order."""
-    return _draw_alone(rng, seconds, SELF_REPORT_KINDS, STATEMENTS_PAUSE)
+    return _draw_alone(rng, seconds, SELF_REPORT_KINDS, SELF_REPORT_INTERVAL_SECONDS)
 
 
 def _draw_alone(rng, seconds, kinds, pause):
