--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -76,7 +76,7 @@
     return _draw_alone(rng, seconds, DOMAIN_KINDS, DOMAIN_INTERVAL_SECONDS)
 
 
-def draw_statements(rng, seconds):
+def draw_self_reports(rng, seconds):
     """Return when targets say in a soak that they leave or want rest, in order."""
     return _draw_alone(rng, seconds, SELF_REPORT_KINDS, SELF_REPORT_INTERVAL_SECONDS)
 
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -164,7 +164,7 @@
         if self._domains is not None:
             steps += schedule.draw_domains(self._domains, seconds)
         if self._statements is not None:
-            steps += schedule.draw_statements(self._statements, seconds)
+            steps += schedule.draw_self_reports(self._statements, seconds)
         steps.sort(key=lambda step: step.at)
         if self._harmful:
             # Routers that are all killed at once forget what they held back.
--- a/tests/soak/test_schedule.py
+++ b/tests/soak/test_schedule.py
@@ -30,9 +30,9 @@
         self.assertEqual(steps, schedule.draw_domains(random.Random(8), SECONDS))
 
     def test_statements_have_a_series_of_their_own(self):
-        steps = schedule.draw_statements(random.Random(8), SECONDS)
+        steps = schedule.draw_self_reports(random.Random(8), SECONDS)
         self.assertEqual(set(schedule.SELF_REPORT_KINDS), {step.kind for step in steps})
-        self.assertEqual(steps, schedule.draw_statements(random.Random(8), SECONDS))
+        self.assertEqual(steps, schedule.draw_self_reports(random.Random(8), SECONDS))
 
     def test_what_is_left_out_is_not_drawn(self):
         steps = self.draw(random.Random(8), ["foreign", "lone_silence"])
