--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -73,15 +73,15 @@
 
 def draw_domains(rng, seconds):
     """Return what happens to failure domains in a soak, in order."""
-    return _draw_alone(rng, seconds, DOMAIN_KINDS, DOMAIN_INTERVAL_SECONDS)
+    return _draw_series(rng, seconds, DOMAIN_KINDS, DOMAIN_INTERVAL_SECONDS)
 
 
 def draw_self_reports(rng, seconds):
     """Return when targets say in a soak that they leave or want rest, in order."""
-    return _draw_alone(rng, seconds, SELF_REPORT_KINDS, SELF_REPORT_INTERVAL_SECONDS)
+    return _draw_series(rng, seconds, SELF_REPORT_KINDS, SELF_REPORT_INTERVAL_SECONDS)
 
 
-def _draw_alone(rng, seconds, kinds, pause):
+def _draw_series(rng, seconds, kinds, pause):
     steps = []
     at = rng.uniform(0.5, 2.0)
     while at < seconds:
