--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -56,7 +56,7 @@
 
     What `extra_rng` draws leaves the other series of the seed as it is.
     """
-    steps = _first_series(rng, seconds)
+    steps = _draw_main_series(rng, seconds)
     kinds = {kind: n for kind, n in EXTRA_KINDS.items() if kind not in without}
     at = 0.0
     while extra_rng is not None and kinds:
@@ -91,7 +91,7 @@
     return steps
 
 
-def _first_series(rng, seconds):
+def _draw_main_series(rng, seconds):
     steps = []
     at = rng.uniform(1.0, 2.0)
     while at < seconds:
