--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -48,7 +48,7 @@
     kind: str
     lasts: float
     pick: float
-    how: float
+    variant: float
 
 
 def draw(rng, seconds, extra_rng=None, without=()):
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -273,12 +273,12 @@
 
     def _term_two(self, step):
         self._term(step)
-        later = (step.pick + step.how) % 1.0
-        self._term(schedule.Step(step.at, step.kind, step.lasts, later, step.how))
+        later = (step.pick + step.variant) % 1.0
+        self._term(schedule.Step(step.at, step.kind, step.lasts, later, step.variant))
 
     def _hup(self, step):
         router = self._router(step)
-        router.write_settings(memory=200 + int(step.how * 200))
+        router.write_settings(memory=200 + int(step.variant * 200))
         router.signal(signal.SIGHUP)
 
     def _change(self, step):
@@ -289,7 +289,7 @@
 
     def _router_store(self, step):
         router = self._router(step)
-        fault = LINK_FAULTS[int(step.how * len(LINK_FAULTS))]
+        fault = LINK_FAULTS[int(step.variant * len(LINK_FAULTS))]
         router.store.set(fault, LINK_DELAY)
         self._begin(
             f"store {fault.value}",
@@ -300,7 +300,7 @@
 
     def _store(self, step):
         faults = self._backends.store.faults
-        found = list(StoreFault)[int(step.how * len(StoreFault))]
+        found = list(StoreFault)[int(step.variant * len(StoreFault))]
         faults.all_calls = found
 
         def mend():
@@ -314,7 +314,7 @@
 
     def _target_link(self, step):
         target = self._target(step)
-        fault = LINK_FAULTS[int(step.how * len(LINK_FAULTS))]
+        fault = LINK_FAULTS[int(step.variant * len(LINK_FAULTS))]
         target.link.set(fault, LINK_DELAY)
         self._begin(
             f"link {fault.value}",
@@ -325,7 +325,7 @@
 
     def _target_faults(self, step):
         target = self._target(step)
-        fault = list(EngineFault)[int(step.how * len(EngineFault))]
+        fault = list(EngineFault)[int(step.variant * len(EngineFault))]
         target.script.faults += [fault] * (1 + int(step.lasts / 5 * BURST))
         self._begin(
             f"faults {fault.name}", target.name, step.lasts, target.script.faults.clear
@@ -378,9 +378,9 @@
         def take_back():
             evacuation.until = reactor.seconds()
             self._backends.store.remove("evacuations", domain)
-            if step.how < COLD_AFTER:
+            if step.variant < COLD_AFTER:
                 for target in self._backends.models_in_domain(domain):
-                    self._chill_one(target, step.how)
+                    self._chill_one(target, step.variant)
 
         self._begin("evacuate", f"domain {domain}", lasts, take_back)
 
@@ -388,13 +388,13 @@
         """Have an engine be cold again, while it serves."""
         models = [t for t in self._backends.targets if t.service == "model"]
         target = models[int(step.pick * len(models))]
-        self._chill_one(target, step.how)
+        self._chill_one(target, step.variant)
 
-    def _chill_one(self, target, how):
+    def _chill_one(self, target, variant):
         """Have an engine be cold, and say so in the store somewhat later."""
         target.become_cold(COLD_SECONDS)
         if not self._is_draining(target):
-            self._later(target, how * TOLD_LATE, self._backends.list, target)
+            self._later(target, variant * TOLD_LATE, self._backends.list, target)
 
     def _cold_return(self, step):
         """Have the engines of a domain end, and come back together, cold."""
@@ -446,7 +446,7 @@
     def _reborn(self, step):
         """Have a target start again under its name."""
         target = self._target(step)
-        way = RESTARTS[int(step.how * len(RESTARTS))]
+        way = RESTARTS[int(step.variant * len(RESTARTS))]
         moves = way in {"moved", "moved, told late", "older after"}
         backends, store = self._backends, self._backends.store
         former = target.entry()
@@ -479,8 +479,8 @@
         target.script.is_leaving = True
         change_count = target.change_count
         # Its entry may lapse meanwhile and be written again.
-        if step.how < LAPSES_SHARE:
-            self._later(target, step.how, self._backends.delist, target)
+        if step.variant < LAPSES_SHARE:
+            self._later(target, step.variant, self._backends.delist, target)
             self._later(target, LAPSE_AFTER, self._backends.list, target)
 
         def leave():
@@ -504,7 +504,7 @@
 
     def _rest_one(self, target, step):
         script = target.script
-        script.rest = REST_LEAST + step.how * (REST_MOST - REST_LEAST)
+        script.rest = REST_LEAST + step.variant * (REST_MOST - REST_LEAST)
         script.is_resting = True
 
         def end():
@@ -523,17 +523,19 @@
         self._unlisted_count += 1
         name = f"stranger{self._unlisted_count}"
         if way < FOREIGN_ROUTERS:
-            store.write("routers", name, target.choose_foreign_entry(step.how))
+            store.write("routers", name, target.choose_foreign_entry(step.variant))
             self._begin("foreign router", name, lasts)
             reactor.callLater(lasts, store.remove, "routers", name)
         elif way < FOREIGN_NEW:
             unlisted = backends.unlisted_target(name, target.service)
-            backends.write_foreign(unlisted, unlisted.choose_foreign_entry(step.how))
+            backends.write_foreign(
+                unlisted, unlisted.choose_foreign_entry(step.variant)
+            )
             self._begin("foreign new", f"entry of {unlisted.name}", lasts)
             reactor.callLater(lasts, backends.delist, unlisted)
         elif not self._is_draining(target):
             target.change_count += 1
-            backends.write_foreign(target, target.choose_foreign_entry(step.how))
+            backends.write_foreign(target, target.choose_foreign_entry(step.variant))
             self._begin("foreign instead", f"entry of {target.name}", lasts)
             self._later(target, lasts, backends.list, target)
 
@@ -544,7 +546,7 @@
         if self._is_lone or self._is_draining(left):
             return
         self._is_lone = True
-        lasts = SILENT_LEAST + step.how * (SILENT_MOST - SILENT_LEAST)
+        lasts = SILENT_LEAST + step.variant * (SILENT_MOST - SILENT_LEAST)
         began = LEAVES_AFTER + AGAIN_AFTER
         for target in models:
             if target is not left and not self._is_draining(target):
