--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -47,7 +47,7 @@
     at: float
     kind: str
     lasts: float
-    pick: float
+    choice: float
     variant: float
 
 
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -222,11 +222,11 @@
 
     def _router(self, step):
         routers = self._fleet.routers
-        return routers[int(step.pick * len(routers))]
+        return routers[int(step.choice * len(routers))]
 
     def _target(self, step):
         targets = self._backends.targets
-        return targets[int(step.pick * len(targets))]
+        return targets[int(step.choice * len(targets))]
 
     def _kill_one(self, router):
         self._begin("kill", router.name, 3.0)
@@ -273,7 +273,7 @@
 
     def _term_two(self, step):
         self._term(step)
-        later = (step.pick + step.variant) % 1.0
+        later = (step.choice + step.variant) % 1.0
         self._term(schedule.Step(step.at, step.kind, step.lasts, later, step.variant))
 
     def _hup(self, step):
@@ -362,7 +362,7 @@
         self._later(target, HARM_BACK_AFTER, self._backends.list, target)
 
     def _domain(self, step):
-        return DOMAINS[int(step.pick * len(DOMAINS))]
+        return DOMAINS[int(step.choice * len(DOMAINS))]
 
     def _evacuate(self, step):
         """Have a domain get nothing for a while; its engines may be cold after it."""
@@ -387,7 +387,7 @@
     def _chill(self, step):
         """Have an engine be cold again, while it serves."""
         models = [t for t in self._backends.targets if t.service == "model"]
-        target = models[int(step.pick * len(models))]
+        target = models[int(step.choice * len(models))]
         self._chill_one(target, step.variant)
 
     def _chill_one(self, target, variant):
@@ -542,7 +542,7 @@
     def _lone_silence(self, step):
         """Have all model engines leave but one, and that one fall silent."""
         models = [t for t in self._backends.targets if t.service == "model"]
-        left = models[int(step.pick * len(models))]
+        left = models[int(step.choice * len(models))]
         if self._is_lone or self._is_draining(left):
             return
         self._is_lone = True
