--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -46,7 +46,7 @@
 
     at: float
     kind: str
-    lasts: float
+    duration: float
     choice: float
     variant: float
 
@@ -64,8 +64,8 @@
         if at >= seconds:
             break
         kind = extra_rng.choices(list(kinds), list(kinds.values()))[0]
-        lasts = extra_rng.uniform(0.5, 5.0)
-        step = Step(at, kind, lasts, extra_rng.random(), extra_rng.random())
+        duration = extra_rng.uniform(0.5, 5.0)
+        step = Step(at, kind, duration, extra_rng.random(), extra_rng.random())
         if at % (FAULT_SPELL_SECONDS + PLANNED_SPELL_SECONDS) < FAULT_SPELL_SECONDS:
             steps.append(step)
     return sorted(steps, key=lambda step: step.at)
@@ -100,8 +100,8 @@
         )
         kinds = {**FAULT_KINDS, **PLANNED_KINDS} if has_faults else PLANNED_KINDS
         kind = rng.choices(list(kinds), list(kinds.values()))[0]
-        lasts = rng.uniform(0.5, 5.0)
-        steps.append(Step(at, kind, lasts, rng.random(), rng.random()))
+        duration = rng.uniform(0.5, 5.0)
+        steps.append(Step(at, kind, duration, rng.random(), rng.random()))
         at += rng.expovariate(
             1 / (FAULT_INTERVAL_SECONDS if has_faults else PLANNED_INTERVAL_SECONDS)
         )
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -207,18 +207,18 @@
 
     # What may happen
 
-    def _begin(self, kind, scope, lasts, undo=None, *, is_planned=False):
+    def _begin(self, kind, scope, duration, undo=None, *, is_planned=False):
         now = reactor.seconds()
         disturbance = Disturbance(kind, scope, now, is_planned=is_planned)
         self.history.disturbances.append(disturbance)
-        self._ending.append(now + lasts)
+        self._ending.append(now + duration)
 
         def end():
             disturbance.ended = reactor.seconds()
             if undo is not None:
                 undo()
 
-        reactor.callLater(lasts, end)
+        reactor.callLater(duration, end)
 
     def _router(self, step):
         routers = self._fleet.routers
@@ -253,7 +253,7 @@
                 router.signal(signal.SIGCONT)
 
         router.signal(signal.SIGSTOP)
-        self._begin("pause", router.name, step.lasts, resume)
+        self._begin("pause", router.name, step.duration, resume)
 
     def _term(self, step):
         router = self._router(step)
@@ -274,7 +274,9 @@
     def _term_two(self, step):
         self._term(step)
         later = (step.choice + step.variant) % 1.0
-        self._term(schedule.Step(step.at, step.kind, step.lasts, later, step.variant))
+        self._term(
+            schedule.Step(step.at, step.kind, step.duration, later, step.variant)
+        )
 
     def _hup(self, step):
         router = self._router(step)
@@ -294,7 +296,7 @@
         self._begin(
             f"store {fault.value}",
             f"store of {router.name}",
-            step.lasts,
+            step.duration,
             lambda: router.store.set(LinkFault.NONE),
         )
 
@@ -306,7 +308,7 @@
         def mend():
             faults.all_calls = None
 
-        self._begin(f"store {found.name}", "store", step.lasts, mend)
+        self._begin(f"store {found.name}", "store", step.duration, mend)
 
     def _store_forgets(self, step):
         self._backends.store.forget_history()
@@ -319,16 +321,19 @@
         self._begin(
             f"link {fault.value}",
             target.name,
-            step.lasts,
+            step.duration,
             lambda: target.link.set(LinkFault.NONE),
         )
 
     def _target_faults(self, step):
         target = self._target(step)
         fault = list(EngineFault)[int(step.variant * len(EngineFault))]
-        target.script.faults += [fault] * (1 + int(step.lasts / 5 * BURST))
+        target.script.faults += [fault] * (1 + int(step.duration / 5 * BURST))
         self._begin(
-            f"faults {fault.name}", target.name, step.lasts, target.script.faults.clear
+            f"faults {fault.name}",
+            target.name,
+            step.duration,
+            target.script.faults.clear,
         )
 
     def _target_crash(self, step):
@@ -373,7 +378,7 @@
         evacuation = Evacuation(domain, now)
         self.history.evacuations.append(evacuation)
         self._backends.store.write("evacuations", domain, {})
-        lasts = EVACUATED_LEAST + step.lasts
+        duration = EVACUATED_LEAST + step.duration
 
         def take_back():
             evacuation.until = reactor.seconds()
@@ -382,7 +387,7 @@
                 for target in self._backends.models_in_domain(domain):
                     self._chill_one(target, step.variant)
 
-        self._begin("evacuate", f"domain {domain}", lasts, take_back)
+        self._begin("evacuate", f"domain {domain}", duration, take_back)
 
     def _chill(self, step):
         """Have an engine be cold again, while it serves."""
@@ -451,11 +456,11 @@
         backends, store = self._backends, self._backends.store
         former = target.entry()
         backends.restart(target, moves=moves)
-        late = step.lasts / 4 if way.endswith("told late") else 0.0
+        late = step.duration / 4 if way.endswith("told late") else 0.0
         self._begin(f"restart {way}", f"life of {target.name}", RESTART_SECONDS)
         if way == "while the store lags":
             store.faults.is_deaf = True
-            self._begin("store lags", "store", step.lasts / 2, store.catch_up)
+            self._begin("store lags", "store", step.duration / 2, store.catch_up)
         self._later(target, late, backends.list, target)
         if way == "twice":
             self._later(target, AGAIN_AFTER, self._again, target)
@@ -489,7 +494,7 @@
                 target.replace_in_place()
                 self._backends.list(target)
 
-        self._begin("says leaving", target.name, LEAVES_AFTER + step.lasts, leave)
+        self._begin("says leaving", target.name, LEAVES_AFTER + step.duration, leave)
 
     def _ask_rest(self, step):
         """Have a target turn all requests away for a while and ask for rest."""
@@ -510,34 +515,34 @@
         def end():
             script.is_resting = False
 
-        reactor.callLater(step.lasts, end)
+        reactor.callLater(step.duration, end)
         # Routers may keep away until the end of a rest that was asked for last.
-        self._begin("asks for rest", target.name, step.lasts + script.rest)
+        self._begin("asks for rest", target.name, step.duration + script.rest)
 
     def _foreign(self, step):
         """Have another writer put an entry there, or in the place of a good one."""
         target = self._target(step)
         backends, store = self._backends, self._backends.store
-        lasts = FOREIGN_SECONDS + step.lasts
-        way = step.lasts % 1.0
+        duration = FOREIGN_SECONDS + step.duration
+        way = step.duration % 1.0
         self._unlisted_count += 1
         name = f"stranger{self._unlisted_count}"
         if way < FOREIGN_ROUTERS:
             store.write("routers", name, target.choose_foreign_entry(step.variant))
-            self._begin("foreign router", name, lasts)
-            reactor.callLater(lasts, store.remove, "routers", name)
+            self._begin("foreign router", name, duration)
+            reactor.callLater(duration, store.remove, "routers", name)
         elif way < FOREIGN_NEW:
             unlisted = backends.unlisted_target(name, target.service)
             backends.write_foreign(
                 unlisted, unlisted.choose_foreign_entry(step.variant)
             )
-            self._begin("foreign new", f"entry of {unlisted.name}", lasts)
-            reactor.callLater(lasts, backends.delist, unlisted)
+            self._begin("foreign new", f"entry of {unlisted.name}", duration)
+            reactor.callLater(duration, backends.delist, unlisted)
         elif not self._is_draining(target):
             target.change_count += 1
             backends.write_foreign(target, target.choose_foreign_entry(step.variant))
-            self._begin("foreign instead", f"entry of {target.name}", lasts)
-            self._later(target, lasts, backends.list, target)
+            self._begin("foreign instead", f"entry of {target.name}", duration)
+            self._later(target, duration, backends.list, target)
 
     def _lone_silence(self, step):
         """Have all model engines leave but one, and that one fall silent."""
@@ -546,24 +551,24 @@
         if self._is_lone or self._is_draining(left):
             return
         self._is_lone = True
-        lasts = SILENT_LEAST + step.variant * (SILENT_MOST - SILENT_LEAST)
+        duration = SILENT_LEAST + step.variant * (SILENT_MOST - SILENT_LEAST)
         began = LEAVES_AFTER + AGAIN_AFTER
         for target in models:
             if target is not left and not self._is_draining(target):
-                self._leave(target, AGAIN_AFTER + lasts + AGAIN_AFTER)
-        reactor.callLater(began, self._fall_silent, left, lasts)
+                self._leave(target, AGAIN_AFTER + duration + AGAIN_AFTER)
+        reactor.callLater(began, self._fall_silent, left, duration)
 
         def end():
             self._is_lone = False
 
-        self._begin("lone silence", "models", began + lasts + AGAIN_AFTER, end)
+        self._begin("lone silence", "models", began + duration + AGAIN_AFTER, end)
 
-    def _fall_silent(self, target, lasts):
+    def _fall_silent(self, target, duration):
         now = reactor.seconds()
         is_alone = self._backends.is_only_listed(target)
-        silence = Silence(target.name, now, now + lasts, is_alone)
+        silence = Silence(target.name, now, now + duration, is_alone)
         self.history.silences.append(silence)
-        target.engine.fall_silent(lasts)
+        target.engine.fall_silent(duration)
 
 
 def summary(soak):
