--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -81,13 +81,13 @@
     return _draw_series(rng, seconds, SELF_REPORT_KINDS, SELF_REPORT_INTERVAL_SECONDS)
 
 
-def _draw_series(rng, seconds, kinds, pause):
+def _draw_series(rng, seconds, kinds, mean_interval):
     steps = []
     at = rng.uniform(0.5, 2.0)
     while at < seconds:
         kind = rng.choices(list(kinds), list(kinds.values()))[0]
         steps.append(Step(at, kind, rng.uniform(0.5, 5.0), rng.random(), rng.random()))
-        at += rng.expovariate(1 / pause)
+        at += rng.expovariate(1 / mean_interval)
     return steps
 
 
