--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -45,7 +45,7 @@
 PORTALS = 4
 MODELS = 4
 # A few hundred processes that start together share the cores for a minute.
-START_PATIENCE = 120.0
+MAX_START_SECONDS = 120.0
 LINK_FAULTS = [fault for fault in LinkFault if fault is not LinkFault.NONE]
 LINK_DELAY = 0.3
 # Seconds until a crashed target is back, and until its entry goes.
@@ -196,7 +196,7 @@
 
     @inlineCallbacks
     def _until_ready(self):
-        until = reactor.seconds() + START_PATIENCE
+        until = reactor.seconds() + MAX_START_SECONDS
         while any(r.missed_probes for r in self._fleet.routers):
             if reactor.seconds() > until:
                 raise TimeoutError("the routers did not become ready")
--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -42,7 +42,7 @@
 # Seconds after the last rest from which on callers should be served again.
 RETURN_SECONDS = 0.5
 AFTER_SECONDS = 4.0
-START_PATIENCE = 60.0
+MAX_START_SECONDS = 60.0
 # Statuses of keys that hold no longer, and of routes that are gone.
 NOT_OWED = (401, 404)
 
@@ -83,7 +83,7 @@
         Returns the shares of callers served meanwhile and after it.
         """
         self._fleet.start()
-        until = reactor.seconds() + START_PATIENCE
+        until = reactor.seconds() + MAX_START_SECONDS
         while any(router.missed_probes for router in self._fleet.routers):
             if reactor.seconds() > until:
                 raise TimeoutError("the routers did not become ready")
