--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -47,7 +47,7 @@
 # A few hundred processes that start together share the cores for a minute.
 MAX_START_SECONDS = 120.0
 LINK_FAULTS = [fault for fault in LinkFault if fault is not LinkFault.NONE]
-LINK_DELAY = 0.3
+LINK_DELAY_SECONDS = 0.3
 # Seconds until a crashed target is back, and until its entry goes.
 BACK_AFTER = 1.5
 LAPSE_AFTER = 2.0
@@ -292,7 +292,7 @@
     def _router_store(self, step):
         router = self._router(step)
         fault = LINK_FAULTS[int(step.variant * len(LINK_FAULTS))]
-        router.store.set(fault, LINK_DELAY)
+        router.store.set(fault, LINK_DELAY_SECONDS)
         self._begin(
             f"store {fault.value}",
             f"store of {router.name}",
@@ -317,7 +317,7 @@
     def _target_link(self, step):
         target = self._target(step)
         fault = LINK_FAULTS[int(step.variant * len(LINK_FAULTS))]
-        target.link.set(fault, LINK_DELAY)
+        target.link.set(fault, LINK_DELAY_SECONDS)
         self._begin(
             f"link {fault.value}",
             target.name,
