--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -49,7 +49,7 @@
 LINK_FAULTS = [fault for fault in LinkFault if fault is not LinkFault.NONE]
 LINK_DELAY_SECONDS = 0.3
 # Seconds until a crashed target is back, and until its entry goes.
-BACK_AFTER = 1.5
+TARGET_RETURN_SECONDS = 1.5
 LAPSE_AFTER = 2.0
 # Seconds between two requests that end targets, of work on one until the end, which
 # comes before its answer is whole, and until another target has started instead.
@@ -342,8 +342,8 @@
         store = self._backends.store
         self._backends.crash(target)
         reactor.callLater(LAPSE_AFTER, store.remove, "servers", name)
-        self._begin("crash", name, BACK_AFTER)
-        self._later(target, BACK_AFTER, self._backends.list, target)
+        self._begin("crash", name, TARGET_RETURN_SECONDS)
+        self._later(target, TARGET_RETURN_SECONDS, self._backends.list, target)
 
     def _harmed(self, target, harm):
         """Have a target end under a request that it has begun to run.
@@ -408,8 +408,8 @@
             name = target.name
             self._backends.crash(target)
             reactor.callLater(LAPSE_AFTER, store.remove, "servers", name)
-            self._begin("cold return", name, BACK_AFTER)
-            self._later(target, BACK_AFTER, self._come_back, target)
+            self._begin("cold return", name, TARGET_RETURN_SECONDS)
+            self._later(target, TARGET_RETURN_SECONDS, self._come_back, target)
 
     def _come_back(self, target):
         target.become_cold(COLD_SECONDS)
