--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -50,7 +50,7 @@
 LINK_DELAY_SECONDS = 0.3
 # Seconds until a crashed target is back, and until its entry goes.
 TARGET_RETURN_SECONDS = 1.5
-LAPSE_AFTER = 2.0
+ENTRY_LAPSE_SECONDS = 2.0
 # Seconds between two requests that end targets, of work on one until the end, which
 # comes before its answer is whole, and until another target has started instead.
 HARM_PAUSE = 0.5
@@ -341,7 +341,7 @@
         name = target.name
         store = self._backends.store
         self._backends.crash(target)
-        reactor.callLater(LAPSE_AFTER, store.remove, "servers", name)
+        reactor.callLater(ENTRY_LAPSE_SECONDS, store.remove, "servers", name)
         self._begin("crash", name, TARGET_RETURN_SECONDS)
         self._later(target, TARGET_RETURN_SECONDS, self._backends.list, target)
 
@@ -362,7 +362,9 @@
         name = target.name
         harm.ends.append(reactor.seconds())
         self._backends.replace(target, moves=self._beside.random() < MOVES_SHARE)
-        reactor.callLater(LAPSE_AFTER, self._backends.store.remove, "servers", name)
+        reactor.callLater(
+            ENTRY_LAPSE_SECONDS, self._backends.store.remove, "servers", name
+        )
         self._begin("end", name, HARM_BACK_AFTER)
         self._later(target, HARM_BACK_AFTER, self._backends.list, target)
 
@@ -407,7 +409,7 @@
         for target in self._backends.models_in_domain(self._domain(step)):
             name = target.name
             self._backends.crash(target)
-            reactor.callLater(LAPSE_AFTER, store.remove, "servers", name)
+            reactor.callLater(ENTRY_LAPSE_SECONDS, store.remove, "servers", name)
             self._begin("cold return", name, TARGET_RETURN_SECONDS)
             self._later(target, TARGET_RETURN_SECONDS, self._come_back, target)
 
@@ -486,7 +488,7 @@
         # Its entry may lapse meanwhile and be written again.
         if step.variant < LAPSES_SHARE:
             self._later(target, step.variant, self._backends.delist, target)
-            self._later(target, LAPSE_AFTER, self._backends.list, target)
+            self._later(target, ENTRY_LAPSE_SECONDS, self._backends.list, target)
 
         def leave():
             if target.change_count == change_count:
