--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -53,7 +53,7 @@
 ENTRY_LAPSE_SECONDS = 2.0
 # Seconds between two requests that end targets, of work on one until the end, which
 # comes before its answer is whole, and until another target has started instead.
-HARM_PAUSE = 0.5
+HARMFUL_INTERVAL_SECONDS = 0.5
 HARM_WORK = 0.1
 HARM_BACK_AFTER = 2.5
 # Share of these that start elsewhere; the others do so where the former one was.
@@ -158,7 +158,7 @@
         for caller in self._callers:
             caller.run(pause)
         for caller in self._harmful:
-            caller.run(HARM_PAUSE)
+            caller.run(HARMFUL_INTERVAL_SECONDS)
         began = reactor.seconds()
         steps = schedule.draw(self._rng, seconds, self._beside, self._without)
         if self._domains is not None:
