--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -54,7 +54,7 @@
 # Seconds between two requests that end targets, of work on one until the end, which
 # comes before its answer is whole, and until another target has started instead.
 HARMFUL_INTERVAL_SECONDS = 0.5
-HARM_WORK = 0.1
+MAX_HARMFUL_RUN_SECONDS = 0.1
 HARM_BACK_AFTER = 2.5
 # Share of these that start elsewhere; the others do so where the former one was.
 MOVES_SHARE = 0.5
@@ -356,7 +356,7 @@
             if target.script.current_incarnation is life:
                 self._end(target, harm)
 
-        reactor.callLater(HARM_WORK * self._beside.uniform(0.2, 1.0), end)
+        reactor.callLater(MAX_HARMFUL_RUN_SECONDS * self._beside.uniform(0.2, 1.0), end)
 
     def _end(self, target, harm):
         name = target.name
