--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -55,7 +55,7 @@
 # comes before its answer is whole, and until another target has started instead.
 HARMFUL_INTERVAL_SECONDS = 0.5
 MAX_HARMFUL_RUN_SECONDS = 0.1
-HARM_BACK_AFTER = 2.5
+HARMED_RETURN_SECONDS = 2.5
 # Share of these that start elsewhere; the others do so where the former one was.
 MOVES_SHARE = 0.5
 # A planned stop takes this long at the most.
@@ -365,8 +365,8 @@
         reactor.callLater(
             ENTRY_LAPSE_SECONDS, self._backends.store.remove, "servers", name
         )
-        self._begin("end", name, HARM_BACK_AFTER)
-        self._later(target, HARM_BACK_AFTER, self._backends.list, target)
+        self._begin("end", name, HARMED_RETURN_SECONDS)
+        self._later(target, HARMED_RETURN_SECONDS, self._backends.list, target)
 
     def _domain(self, step):
         return DOMAINS[int(step.choice * len(DOMAINS))]
