--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -59,7 +59,7 @@
 # Share of these that start elsewhere; the others do so where the former one was.
 MOVES_SHARE = 0.5
 # A planned stop takes this long at the most.
-STOP_SECONDS = 9.0
+MAX_STOP_SECONDS = 9.0
 QUIET_SECONDS = 12.0
 # A leaving target goes on serving for the time in which it may get work.
 LEAVES_AFTER = 2.4
@@ -269,7 +269,7 @@
                 router.signal(signal.SIGCONT)
                 router.signal(signal.SIGKILL)
 
-        self._begin("term", router.name, STOP_SECONDS, kill_late, is_planned=True)
+        self._begin("term", router.name, MAX_STOP_SECONDS, kill_late, is_planned=True)
 
     def _term_two(self, step):
         self._term(step)
