--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -60,7 +60,7 @@
 MOVES_SHARE = 0.5
 # A planned stop takes this long at the most.
 MAX_STOP_SECONDS = 9.0
-QUIET_SECONDS = 12.0
+RECOVERY_CHECK_SECONDS = 12.0
 # A leaving target goes on serving for the time in which it may get work.
 LEAVES_AFTER = 2.4
 BURST = 12
@@ -176,7 +176,7 @@
             caller.stop()
         yield self._wait(max(self._ending, default=0.0) - reactor.seconds())
         self.history.last_disturbance_ended = reactor.seconds()
-        yield self._wait(QUIET_SECONDS)
+        yield self._wait(RECOVERY_CHECK_SECONDS)
         for caller in self._callers:
             caller.stop()
         yield self._wait(0.1)
