--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -62,7 +62,7 @@
 MAX_STOP_SECONDS = 9.0
 RECOVERY_CHECK_SECONDS = 12.0
 # A leaving target goes on serving for the time in which it may get work.
-LEAVES_AFTER = 2.4
+LEAVE_SECONDS = 2.4
 BURST = 12
 # A domain is evacuated for so much longer than the time in which that must be known.
 EVACUATED_LEAST = 5.5
@@ -438,7 +438,7 @@
                 target.replace_in_place()
                 self._later(target, back_after, self._backends.list, target)
 
-        self._begin("drain", name, LEAVES_AFTER, leave, is_planned=True)
+        self._begin("drain", name, LEAVE_SECONDS, leave, is_planned=True)
 
     def _later(self, target, seconds, act, *values):
         """Do something unless something else is done to the target before."""
@@ -496,7 +496,7 @@
                 target.replace_in_place()
                 self._backends.list(target)
 
-        self._begin("says leaving", target.name, LEAVES_AFTER + step.duration, leave)
+        self._begin("says leaving", target.name, LEAVE_SECONDS + step.duration, leave)
 
     def _ask_rest(self, step):
         """Have a target turn all requests away for a while and ask for rest."""
@@ -554,7 +554,7 @@
             return
         self._is_lone = True
         duration = SILENT_LEAST + step.variant * (SILENT_MOST - SILENT_LEAST)
-        began = LEAVES_AFTER + AGAIN_AFTER
+        began = LEAVE_SECONDS + AGAIN_AFTER
         for target in models:
             if target is not left and not self._is_draining(target):
                 self._leave(target, AGAIN_AFTER + duration + AGAIN_AFTER)
