--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -63,7 +63,7 @@
 RECOVERY_CHECK_SECONDS = 12.0
 # A leaving target goes on serving for the time in which it may get work.
 LEAVE_SECONDS = 2.4
-BURST = 12
+MAX_FAULTS_IN_BURST = 12
 # A domain is evacuated for so much longer than the time in which that must be known.
 EVACUATED_LEAST = 5.5
 # Share of evacuations after which engines are cold, and how late they may say so.
@@ -328,7 +328,9 @@
     def _target_faults(self, step):
         target = self._target(step)
         fault = list(EngineFault)[int(step.variant * len(EngineFault))]
-        target.script.faults += [fault] * (1 + int(step.duration / 5 * BURST))
+        target.script.faults += [fault] * (
+            1 + int(step.duration / 5 * MAX_FAULTS_IN_BURST)
+        )
         self._begin(
             f"faults {fault.name}",
             target.name,
