--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -65,7 +65,7 @@
 LEAVE_SECONDS = 2.4
 MAX_FAULTS_IN_BURST = 12
 # A domain is evacuated for so much longer than the time in which that must be known.
-EVACUATED_LEAST = 5.5
+MIN_EVACUATION_SECONDS = 5.5
 # Share of evacuations after which engines are cold, and how late they may say so.
 COLD_AFTER = 0.7
 TOLD_LATE = 2.0
@@ -382,7 +382,7 @@
         evacuation = Evacuation(domain, now)
         self.history.evacuations.append(evacuation)
         self._backends.store.write("evacuations", domain, {})
-        duration = EVACUATED_LEAST + step.duration
+        duration = MIN_EVACUATION_SECONDS + step.duration
 
         def take_back():
             evacuation.until = reactor.seconds()
