--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -67,7 +67,7 @@
 # A domain is evacuated for so much longer than the time in which that must be known.
 MIN_EVACUATION_SECONDS = 5.5
 # Share of evacuations after which engines are cold, and how late they may say so.
-COLD_AFTER = 0.7
+COLD_RETURN_SHARE = 0.7
 TOLD_LATE = 2.0
 # How a target starts again under its name.
 RESTARTS = ("at once", "told late", "moved", "moved, told late", "twice", "older after")
@@ -387,7 +387,7 @@
         def take_back():
             evacuation.until = reactor.seconds()
             self._backends.store.remove("evacuations", domain)
-            if step.variant < COLD_AFTER:
+            if step.variant < COLD_RETURN_SHARE:
                 for target in self._backends.models_in_domain(domain):
                     self._chill_one(target, step.variant)
 
