--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -68,7 +68,7 @@
 MIN_EVACUATION_SECONDS = 5.5
 # Share of evacuations after which engines are cold, and how late they may say so.
 COLD_RETURN_SHARE = 0.7
-TOLD_LATE = 2.0
+MAX_REPORT_DELAY_SECONDS = 2.0
 # How a target starts again under its name.
 RESTARTS = ("at once", "told late", "moved", "moved, told late", "twice", "older after")
 RESTARTS += ("while the store lags",)
@@ -403,7 +403,9 @@
         """Have an engine be cold, and say so in the store somewhat later."""
         target.become_cold(COLD_SECONDS)
         if not self._is_draining(target):
-            self._later(target, variant * TOLD_LATE, self._backends.list, target)
+            self._later(
+                target, variant * MAX_REPORT_DELAY_SECONDS, self._backends.list, target
+            )
 
     def _cold_return(self, step):
         """Have the engines of a domain end, and come back together, cold."""
