--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -70,8 +70,15 @@
 COLD_RETURN_SHARE = 0.7
 MAX_REPORT_DELAY_SECONDS = 2.0
 # How a target starts again under its name.
-RESTARTS = ("at once", "told late", "moved", "moved, told late", "twice", "older after")
-RESTARTS += ("while the store lags",)
+RESTART_VARIANTS = (
+    "at once",
+    "told late",
+    "moved",
+    "moved, told late",
+    "twice",
+    "older after",
+)
+RESTART_VARIANTS += ("while the store lags",)
 AGAIN_AFTER = 0.4
 OLDER_AFTER = 0.5
 OLDER_LASTS = 2.0
@@ -457,7 +464,7 @@
     def _reborn(self, step):
         """Have a target start again under its name."""
         target = self._target(step)
-        way = RESTARTS[int(step.variant * len(RESTARTS))]
+        way = RESTART_VARIANTS[int(step.variant * len(RESTART_VARIANTS))]
         moves = way in {"moved", "moved, told late", "older after"}
         backends, store = self._backends, self._backends.store
         former = target.entry()
