--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -79,7 +79,7 @@
     "older after",
 )
 RESTART_VARIANTS += ("while the store lags",)
-AGAIN_AFTER = 0.4
+SECOND_RESTART_SECONDS = 0.4
 OLDER_AFTER = 0.5
 OLDER_LASTS = 2.0
 RESTART_SECONDS = 3.0
@@ -476,7 +476,7 @@
             self._begin("store lags", "store", step.duration / 2, store.catch_up)
         self._later(target, late, backends.list, target)
         if way == "twice":
-            self._later(target, AGAIN_AFTER, self._again, target)
+            self._later(target, SECOND_RESTART_SECONDS, self._again, target)
         if way == "older after":
             self._later(
                 target, OLDER_AFTER, backends.write_former_entry, target, former
@@ -565,16 +565,20 @@
             return
         self._is_lone = True
         duration = SILENT_LEAST + step.variant * (SILENT_MOST - SILENT_LEAST)
-        began = LEAVE_SECONDS + AGAIN_AFTER
+        began = LEAVE_SECONDS + SECOND_RESTART_SECONDS
         for target in models:
             if target is not left and not self._is_draining(target):
-                self._leave(target, AGAIN_AFTER + duration + AGAIN_AFTER)
+                self._leave(
+                    target, SECOND_RESTART_SECONDS + duration + SECOND_RESTART_SECONDS
+                )
         reactor.callLater(began, self._fall_silent, left, duration)
 
         def end():
             self._is_lone = False
 
-        self._begin("lone silence", "models", began + duration + AGAIN_AFTER, end)
+        self._begin(
+            "lone silence", "models", began + duration + SECOND_RESTART_SECONDS, end
+        )
 
     def _fall_silent(self, target, duration):
         now = reactor.seconds()
