--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -80,7 +80,7 @@
 )
 RESTART_VARIANTS += ("while the store lags",)
 SECOND_RESTART_SECONDS = 0.4
-OLDER_AFTER = 0.5
+FORMER_ENTRY_DELAY_SECONDS = 0.5
 OLDER_LASTS = 2.0
 RESTART_SECONDS = 3.0
 # Entries of other writers stay for longer than they may be acted on.
@@ -479,9 +479,13 @@
             self._later(target, SECOND_RESTART_SECONDS, self._again, target)
         if way == "older after":
             self._later(
-                target, OLDER_AFTER, backends.write_former_entry, target, former
+                target,
+                FORMER_ENTRY_DELAY_SECONDS,
+                backends.write_former_entry,
+                target,
+                former,
             )
-            back = OLDER_AFTER + OLDER_LASTS
+            back = FORMER_ENTRY_DELAY_SECONDS + OLDER_LASTS
             self._later(target, back, backends.list, target)
 
     def _again(self, target):
