--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -81,7 +81,7 @@
 RESTART_VARIANTS += ("while the store lags",)
 SECOND_RESTART_SECONDS = 0.4
 FORMER_ENTRY_DELAY_SECONDS = 0.5
-OLDER_LASTS = 2.0
+FORMER_ENTRY_SECONDS = 2.0
 RESTART_SECONDS = 3.0
 # Entries of other writers stay for longer than they may be acted on.
 FOREIGN_SECONDS = 2.5
@@ -485,7 +485,7 @@
                 target,
                 former,
             )
-            back = FORMER_ENTRY_DELAY_SECONDS + OLDER_LASTS
+            back = FORMER_ENTRY_DELAY_SECONDS + FORMER_ENTRY_SECONDS
             self._later(target, back, backends.list, target)
 
     def _again(self, target):
