--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -86,7 +86,7 @@
 # Entries of other writers stay for longer than they may be acted on.
 FOREIGN_SECONDS = 2.5
 # Shares of them that stand in the list of routers, and under new names.
-FOREIGN_ROUTERS = 0.15
+FOREIGN_ROUTERS_SHARE = 0.15
 FOREIGN_NEW = 0.5
 # How long an engine that reads a long prompt sends nothing, in seconds.
 SILENT_LEAST = 0.3
@@ -544,7 +544,7 @@
         way = step.duration % 1.0
         self._unlisted_count += 1
         name = f"stranger{self._unlisted_count}"
-        if way < FOREIGN_ROUTERS:
+        if way < FOREIGN_ROUTERS_SHARE:
             store.write("routers", name, target.choose_foreign_entry(step.variant))
             self._begin("foreign router", name, duration)
             reactor.callLater(duration, store.remove, "routers", name)
