--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -87,7 +87,7 @@
 FOREIGN_SECONDS = 2.5
 # Shares of them that stand in the list of routers, and under new names.
 FOREIGN_ROUTERS_SHARE = 0.15
-FOREIGN_NEW = 0.5
+FOREIGN_NEW_SHARE = 0.5
 # How long an engine that reads a long prompt sends nothing, in seconds.
 SILENT_LEAST = 0.3
 SILENT_MOST = 1.5
@@ -548,7 +548,7 @@
             store.write("routers", name, target.choose_foreign_entry(step.variant))
             self._begin("foreign router", name, duration)
             reactor.callLater(duration, store.remove, "routers", name)
-        elif way < FOREIGN_NEW:
+        elif way < FOREIGN_NEW_SHARE:
             unlisted = backends.unlisted_target(name, target.service)
             backends.write_foreign(
                 unlisted, unlisted.choose_foreign_entry(step.variant)
