--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -89,7 +89,7 @@
 FOREIGN_ROUTERS_SHARE = 0.15
 FOREIGN_NEW_SHARE = 0.5
 # How long an engine that reads a long prompt sends nothing, in seconds.
-SILENT_LEAST = 0.3
+MIN_SILENT_SECONDS = 0.3
 SILENT_MOST = 1.5
 # Share of targets that say that they leave whose entries lapse and return meanwhile.
 LAPSES_SHARE = 0.4
@@ -568,7 +568,9 @@
         if self._is_lone or self._is_draining(left):
             return
         self._is_lone = True
-        duration = SILENT_LEAST + step.variant * (SILENT_MOST - SILENT_LEAST)
+        duration = MIN_SILENT_SECONDS + step.variant * (
+            SILENT_MOST - MIN_SILENT_SECONDS
+        )
         began = LEAVE_SECONDS + SECOND_RESTART_SECONDS
         for target in models:
             if target is not left and not self._is_draining(target):
