--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -90,7 +90,7 @@
 FOREIGN_NEW_SHARE = 0.5
 # How long an engine that reads a long prompt sends nothing, in seconds.
 MIN_SILENT_SECONDS = 0.3
-SILENT_MOST = 1.5
+MAX_SILENT_SECONDS = 1.5
 # Share of targets that say that they leave whose entries lapse and return meanwhile.
 LAPSES_SHARE = 0.4
 # Seconds of rest that targets ask for.
@@ -569,7 +569,7 @@
             return
         self._is_lone = True
         duration = MIN_SILENT_SECONDS + step.variant * (
-            SILENT_MOST - MIN_SILENT_SECONDS
+            MAX_SILENT_SECONDS - MIN_SILENT_SECONDS
         )
         began = LEAVE_SECONDS + SECOND_RESTART_SECONDS
         for target in models:
