--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -92,7 +92,7 @@
 MIN_SILENT_SECONDS = 0.3
 MAX_SILENT_SECONDS = 1.5
 # Share of targets that say that they leave whose entries lapse and return meanwhile.
-LAPSES_SHARE = 0.4
+ENTRY_LAPSE_SHARE = 0.4
 # Seconds of rest that targets ask for.
 REST_LEAST = 0.7
 REST_MOST = 4.0
@@ -501,7 +501,7 @@
         target.script.is_leaving = True
         change_count = target.change_count
         # Its entry may lapse meanwhile and be written again.
-        if step.variant < LAPSES_SHARE:
+        if step.variant < ENTRY_LAPSE_SHARE:
             self._later(target, step.variant, self._backends.delist, target)
             self._later(target, ENTRY_LAPSE_SECONDS, self._backends.list, target)
 
