--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -94,7 +94,7 @@
 # Share of targets that say that they leave whose entries lapse and return meanwhile.
 ENTRY_LAPSE_SHARE = 0.4
 # Seconds of rest that targets ask for.
-REST_LEAST = 0.7
+MIN_PAUSE_SECONDS = 0.7
 REST_MOST = 4.0
 UNFINISHED = 2
 # How often the soak looks whether it was itself held up, in seconds.
@@ -526,7 +526,7 @@
 
     def _rest_one(self, target, step):
         script = target.script
-        script.rest = REST_LEAST + step.variant * (REST_MOST - REST_LEAST)
+        script.rest = MIN_PAUSE_SECONDS + step.variant * (REST_MOST - MIN_PAUSE_SECONDS)
         script.is_resting = True
 
         def end():
