--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -95,7 +95,7 @@
 ENTRY_LAPSE_SHARE = 0.4
 # Seconds of rest that targets ask for.
 MIN_PAUSE_SECONDS = 0.7
-REST_MOST = 4.0
+MAX_PAUSE_SECONDS = 4.0
 UNFINISHED = 2
 # How often the soak looks whether it was itself held up, in seconds.
 LOOK_EVERY = 0.05
@@ -526,7 +526,9 @@
 
     def _rest_one(self, target, step):
         script = target.script
-        script.rest = MIN_PAUSE_SECONDS + step.variant * (REST_MOST - MIN_PAUSE_SECONDS)
+        script.rest = MIN_PAUSE_SECONDS + step.variant * (
+            MAX_PAUSE_SECONDS - MIN_PAUSE_SECONDS
+        )
         script.is_resting = True
 
         def end():
