--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -96,7 +96,7 @@
 # Seconds of rest that targets ask for.
 MIN_PAUSE_SECONDS = 0.7
 MAX_PAUSE_SECONDS = 4.0
-UNFINISHED = 2
+UNFINISHED_STATUS = 2
 # How often the soak looks whether it was itself held up, in seconds.
 LOOK_EVERY = 0.05
 
@@ -664,13 +664,13 @@
 
     def failed(failure):
         sys.stdout.write(f"seed {arguments.seed}: did not finish\n{failure}\n")
-        status.append(UNFINISHED)
+        status.append(UNFINISHED_STATUS)
 
     reactor.callWhenRunning(
         lambda: play().addErrback(failed).addBoth(lambda _: reactor.stop())
     )
     reactor.run()
-    return status[0] if status else UNFINISHED
+    return status[0] if status else UNFINISHED_STATUS
 
 
 if __name__ == "__main__":
