--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -98,7 +98,7 @@
 MAX_PAUSE_SECONDS = 4.0
 UNFINISHED_STATUS = 2
 # How often the soak looks whether it was itself held up, in seconds.
-LOOK_EVERY = 0.05
+STALL_CHECK_SECONDS = 0.05
 
 
 class Soak:
@@ -192,9 +192,11 @@
     def _look(self):
         now = reactor.seconds()
         if self._looked_at is not None:
-            self.held_up = max(self.held_up, now - self._looked_at - LOOK_EVERY)
+            self.held_up = max(
+                self.held_up, now - self._looked_at - STALL_CHECK_SECONDS
+            )
         self._looked_at = now
-        reactor.callLater(LOOK_EVERY, self._look)
+        reactor.callLater(STALL_CHECK_SECONDS, self._look)
 
     def stop(self):
         """End all that was started."""
