--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -161,7 +161,7 @@
         self._operator.write(self._rng)
         self._fleet.start()
         yield self._until_ready()
-        self._look()
+        self._measure_stalls()
         for caller in self._callers:
             caller.run(pause)
         for caller in self._harmful:
@@ -189,14 +189,14 @@
         yield self._wait(0.1)
         return promises.find_broken(self.history, EVENTS)
 
-    def _look(self):
+    def _measure_stalls(self):
         now = reactor.seconds()
         if self._looked_at is not None:
             self.held_up = max(
                 self.held_up, now - self._looked_at - STALL_CHECK_SECONDS
             )
         self._looked_at = now
-        reactor.callLater(STALL_CHECK_SECONDS, self._look)
+        reactor.callLater(STALL_CHECK_SECONDS, self._measure_stalls)
 
     def stop(self):
         """End all that was started."""
