--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -152,7 +152,7 @@
         self._ending = []
         # Longest time for which the machine kept this process from running:
         # callers seem to wait for longer by that.
-        self.held_up = 0.0
+        self.longest_stall = 0.0
         self._looked_at = None
 
     @inlineCallbacks
@@ -192,8 +192,8 @@
     def _measure_stalls(self):
         now = reactor.seconds()
         if self._looked_at is not None:
-            self.held_up = max(
-                self.held_up, now - self._looked_at - STALL_CHECK_SECONDS
+            self.longest_stall = max(
+                self.longest_stall, now - self._looked_at - STALL_CHECK_SECONDS
             )
         self._looked_at = now
         reactor.callLater(STALL_CHECK_SECONDS, self._measure_stalls)
@@ -613,7 +613,7 @@
         "runs": len(history.ran),
         "troubles": kinds,
         "judged": promises.count_judged(history),
-        "held up": f"{soak.held_up:.2f} s",
+        "held up": f"{soak.longest_stall:.2f} s",
     }
 
 
