--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -153,7 +153,7 @@
         # Longest time for which the machine kept this process from running:
         # callers seem to wait for longer by that.
         self.longest_stall = 0.0
-        self._looked_at = None
+        self._checked_at = None
 
     @inlineCallbacks
     def run(self, seconds, pause):
@@ -191,11 +191,11 @@
 
     def _measure_stalls(self):
         now = reactor.seconds()
-        if self._looked_at is not None:
+        if self._checked_at is not None:
             self.longest_stall = max(
-                self.longest_stall, now - self._looked_at - STALL_CHECK_SECONDS
+                self.longest_stall, now - self._checked_at - STALL_CHECK_SECONDS
             )
-        self._looked_at = now
+        self._checked_at = now
         reactor.callLater(STALL_CHECK_SECONDS, self._measure_stalls)
 
     def stop(self):
