--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -118,7 +118,7 @@
     ):
         self._rng = random.Random(seed)
         # Of its own, so that what else the seed draws stays as it is.
-        self._beside = random.Random(f"beside {seed}")
+        self._extra_rng = random.Random(f"beside {seed}")
         self._without = without
         self._is_lone = False
         self._unlisted_count = 0
@@ -167,7 +167,7 @@
         for caller in self._harmful:
             caller.run(HARMFUL_INTERVAL_SECONDS)
         began = reactor.seconds()
-        steps = schedule.draw(self._rng, seconds, self._beside, self._without)
+        steps = schedule.draw(self._rng, seconds, self._extra_rng, self._without)
         if self._domains is not None:
             steps += schedule.draw_domains(self._domains, seconds)
         if self._statements is not None:
@@ -367,12 +367,14 @@
             if target.script.current_incarnation is life:
                 self._end(target, harm)
 
-        reactor.callLater(MAX_HARMFUL_RUN_SECONDS * self._beside.uniform(0.2, 1.0), end)
+        reactor.callLater(
+            MAX_HARMFUL_RUN_SECONDS * self._extra_rng.uniform(0.2, 1.0), end
+        )
 
     def _end(self, target, harm):
         name = target.name
         harm.ends.append(reactor.seconds())
-        self._backends.replace(target, moves=self._beside.random() < MOVES_SHARE)
+        self._backends.replace(target, moves=self._extra_rng.random() < MOVES_SHARE)
         reactor.callLater(
             ENTRY_LAPSE_SECONDS, self._backends.store.remove, "servers", name
         )
