--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -126,7 +126,7 @@
         self._backends = Backends(
             PORTALS, MODELS, self.history, self._rng, self._harmed, is_cold=domains
         )
-        self._domains = random.Random(f"domains {seed}") if domains else None
+        self._domain_rng = random.Random(f"domains {seed}") if domains else None
         self._statements = random.Random(f"said {seed}") if statements else None
         self._fleet = Fleet(routers, folder, self._backends.store_port, self.history)
         self._operator = self._backends.operator
@@ -168,8 +168,8 @@
             caller.run(HARMFUL_INTERVAL_SECONDS)
         began = reactor.seconds()
         steps = schedule.draw(self._rng, seconds, self._extra_rng, self._without)
-        if self._domains is not None:
-            steps += schedule.draw_domains(self._domains, seconds)
+        if self._domain_rng is not None:
+            steps += schedule.draw_domains(self._domain_rng, seconds)
         if self._statements is not None:
             steps += schedule.draw_self_reports(self._statements, seconds)
         steps.sort(key=lambda step: step.at)
