--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -127,7 +127,7 @@
             PORTALS, MODELS, self.history, self._rng, self._harmed, is_cold=domains
         )
         self._domain_rng = random.Random(f"domains {seed}") if domains else None
-        self._statements = random.Random(f"said {seed}") if statements else None
+        self._self_report_rng = random.Random(f"said {seed}") if statements else None
         self._fleet = Fleet(routers, folder, self._backends.store_port, self.history)
         self._operator = self._backends.operator
         self._callers = [
@@ -170,8 +170,8 @@
         steps = schedule.draw(self._rng, seconds, self._extra_rng, self._without)
         if self._domain_rng is not None:
             steps += schedule.draw_domains(self._domain_rng, seconds)
-        if self._statements is not None:
-            steps += schedule.draw_self_reports(self._statements, seconds)
+        if self._self_report_rng is not None:
+            steps += schedule.draw_self_reports(self._self_report_rng, seconds)
         steps.sort(key=lambda step: step.at)
         if self._harmful:
             # Routers that are all killed at once forget what they held back.
