--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -120,7 +120,7 @@
         # Of its own, so that what else the seed draws stays as it is.
         self._extra_rng = random.Random(f"beside {seed}")
         self._without = without
-        self._is_lone = False
+        self._has_lone_model = False
         self._unlisted_count = 0
         self.history = History()
         self._backends = Backends(
@@ -571,9 +571,9 @@
         """Have all model engines leave but one, and that one fall silent."""
         models = [t for t in self._backends.targets if t.service == "model"]
         left = models[int(step.choice * len(models))]
-        if self._is_lone or self._is_draining(left):
+        if self._has_lone_model or self._is_draining(left):
             return
-        self._is_lone = True
+        self._has_lone_model = True
         duration = MIN_SILENT_SECONDS + step.variant * (
             MAX_SILENT_SECONDS - MIN_SILENT_SECONDS
         )
@@ -586,7 +586,7 @@
         reactor.callLater(began, self._fall_silent, left, duration)
 
         def end():
-            self._is_lone = False
+            self._has_lone_model = False
 
         self._begin(
             "lone silence", "models", began + duration + SECOND_RESTART_SECONDS, end
