--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -149,7 +149,7 @@
             )
             for n in range(harmful)
         ]
-        self._ending = []
+        self._disturbance_ends = []
         # Longest time for which the machine kept this process from running:
         # callers seem to wait for longer by that.
         self.longest_stall = 0.0
@@ -181,7 +181,7 @@
             getattr(self, f"_{step.kind}")(step)
         for caller in self._harmful:
             caller.stop()
-        yield self._wait(max(self._ending, default=0.0) - reactor.seconds())
+        yield self._wait(max(self._disturbance_ends, default=0.0) - reactor.seconds())
         self.history.last_disturbance_ended = reactor.seconds()
         yield self._wait(RECOVERY_CHECK_SECONDS)
         for caller in self._callers:
@@ -220,7 +220,7 @@
         now = reactor.seconds()
         disturbance = Disturbance(kind, scope, now, is_planned=is_planned)
         self.history.disturbances.append(disturbance)
-        self._ending.append(now + duration)
+        self._disturbance_ends.append(now + duration)
 
         def end():
             disturbance.ended = reactor.seconds()
