--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -216,7 +216,9 @@
 
     # What may happen
 
-    def _begin(self, kind, scope, duration, undo=None, *, is_planned=False):
+    def _record_disturbance(
+        self, kind, scope, duration, undo=None, *, is_planned=False
+    ):
         now = reactor.seconds()
         disturbance = Disturbance(kind, scope, now, is_planned=is_planned)
         self.history.disturbances.append(disturbance)
@@ -238,7 +240,7 @@
         return targets[int(step.choice * len(targets))]
 
     def _kill_one(self, router):
-        self._begin("kill", router.name, 3.0)
+        self._record_disturbance("kill", router.name, 3.0)
         router.signal(signal.SIGCONT)
         router.signal(signal.SIGKILL)
 
@@ -262,7 +264,7 @@
                 router.signal(signal.SIGCONT)
 
         router.signal(signal.SIGSTOP)
-        self._begin("pause", router.name, step.duration, resume)
+        self._record_disturbance("pause", router.name, step.duration, resume)
 
     def _term(self, step):
         router = self._router(step)
@@ -278,7 +280,9 @@
                 router.signal(signal.SIGCONT)
                 router.signal(signal.SIGKILL)
 
-        self._begin("term", router.name, MAX_STOP_SECONDS, kill_late, is_planned=True)
+        self._record_disturbance(
+            "term", router.name, MAX_STOP_SECONDS, kill_late, is_planned=True
+        )
 
     def _term_two(self, step):
         self._term(step)
@@ -302,7 +306,7 @@
         router = self._router(step)
         fault = LINK_FAULTS[int(step.variant * len(LINK_FAULTS))]
         router.store.set(fault, LINK_DELAY_SECONDS)
-        self._begin(
+        self._record_disturbance(
             f"store {fault.value}",
             f"store of {router.name}",
             step.duration,
@@ -317,17 +321,17 @@
         def mend():
             faults.all_calls = None
 
-        self._begin(f"store {found.name}", "store", step.duration, mend)
+        self._record_disturbance(f"store {found.name}", "store", step.duration, mend)
 
     def _store_forgets(self, step):
         self._backends.store.forget_history()
-        self._begin("store forgets", "store", 1.0)
+        self._record_disturbance("store forgets", "store", 1.0)
 
     def _target_link(self, step):
         target = self._target(step)
         fault = LINK_FAULTS[int(step.variant * len(LINK_FAULTS))]
         target.link.set(fault, LINK_DELAY_SECONDS)
-        self._begin(
+        self._record_disturbance(
             f"link {fault.value}",
             target.name,
             step.duration,
@@ -340,7 +344,7 @@
         target.script.faults += [fault] * (
             1 + int(step.duration / 5 * MAX_FAULTS_IN_BURST)
         )
-        self._begin(
+        self._record_disturbance(
             f"faults {fault.name}",
             target.name,
             step.duration,
@@ -353,7 +357,7 @@
         store = self._backends.store
         self._backends.crash(target)
         reactor.callLater(ENTRY_LAPSE_SECONDS, store.remove, "servers", name)
-        self._begin("crash", name, TARGET_RETURN_SECONDS)
+        self._record_disturbance("crash", name, TARGET_RETURN_SECONDS)
         self._later(target, TARGET_RETURN_SECONDS, self._backends.list, target)
 
     def _harmed(self, target, harm):
@@ -378,7 +382,7 @@
         reactor.callLater(
             ENTRY_LAPSE_SECONDS, self._backends.store.remove, "servers", name
         )
-        self._begin("end", name, HARMED_RETURN_SECONDS)
+        self._record_disturbance("end", name, HARMED_RETURN_SECONDS)
         self._later(target, HARMED_RETURN_SECONDS, self._backends.list, target)
 
     def _domain(self, step):
@@ -402,7 +406,7 @@
                 for target in self._backends.models_in_domain(domain):
                     self._chill_one(target, step.variant)
 
-        self._begin("evacuate", f"domain {domain}", duration, take_back)
+        self._record_disturbance("evacuate", f"domain {domain}", duration, take_back)
 
     def _chill(self, step):
         """Have an engine be cold again, while it serves."""
@@ -425,7 +429,7 @@
             name = target.name
             self._backends.crash(target)
             reactor.callLater(ENTRY_LAPSE_SECONDS, store.remove, "servers", name)
-            self._begin("cold return", name, TARGET_RETURN_SECONDS)
+            self._record_disturbance("cold return", name, TARGET_RETURN_SECONDS)
             self._later(target, TARGET_RETURN_SECONDS, self._come_back, target)
 
     def _come_back(self, target):
@@ -453,7 +457,7 @@
                 target.replace_in_place()
                 self._later(target, back_after, self._backends.list, target)
 
-        self._begin("drain", name, LEAVE_SECONDS, leave, is_planned=True)
+        self._record_disturbance("drain", name, LEAVE_SECONDS, leave, is_planned=True)
 
     def _later(self, target, seconds, act, *values):
         """Do something unless something else is done to the target before."""
@@ -474,10 +478,14 @@
         former = target.entry()
         backends.restart(target, moves=moves)
         late = step.duration / 4 if way.endswith("told late") else 0.0
-        self._begin(f"restart {way}", f"life of {target.name}", RESTART_SECONDS)
+        self._record_disturbance(
+            f"restart {way}", f"life of {target.name}", RESTART_SECONDS
+        )
         if way == "while the store lags":
             store.faults.is_deaf = True
-            self._begin("store lags", "store", step.duration / 2, store.catch_up)
+            self._record_disturbance(
+                "store lags", "store", step.duration / 2, store.catch_up
+            )
         self._later(target, late, backends.list, target)
         if way == "twice":
             self._later(target, SECOND_RESTART_SECONDS, self._again, target)
@@ -515,7 +523,9 @@
                 target.replace_in_place()
                 self._backends.list(target)
 
-        self._begin("says leaving", target.name, LEAVE_SECONDS + step.duration, leave)
+        self._record_disturbance(
+            "says leaving", target.name, LEAVE_SECONDS + step.duration, leave
+        )
 
     def _ask_rest(self, step):
         """Have a target turn all requests away for a while and ask for rest."""
@@ -540,7 +550,9 @@
 
         reactor.callLater(step.duration, end)
         # Routers may keep away until the end of a rest that was asked for last.
-        self._begin("asks for rest", target.name, step.duration + script.rest)
+        self._record_disturbance(
+            "asks for rest", target.name, step.duration + script.rest
+        )
 
     def _foreign(self, step):
         """Have another writer put an entry there, or in the place of a good one."""
@@ -552,19 +564,23 @@
         name = f"stranger{self._unlisted_count}"
         if way < FOREIGN_ROUTERS_SHARE:
             store.write("routers", name, target.choose_foreign_entry(step.variant))
-            self._begin("foreign router", name, duration)
+            self._record_disturbance("foreign router", name, duration)
             reactor.callLater(duration, store.remove, "routers", name)
         elif way < FOREIGN_NEW_SHARE:
             unlisted = backends.unlisted_target(name, target.service)
             backends.write_foreign(
                 unlisted, unlisted.choose_foreign_entry(step.variant)
             )
-            self._begin("foreign new", f"entry of {unlisted.name}", duration)
+            self._record_disturbance(
+                "foreign new", f"entry of {unlisted.name}", duration
+            )
             reactor.callLater(duration, backends.delist, unlisted)
         elif not self._is_draining(target):
             target.change_count += 1
             backends.write_foreign(target, target.choose_foreign_entry(step.variant))
-            self._begin("foreign instead", f"entry of {target.name}", duration)
+            self._record_disturbance(
+                "foreign instead", f"entry of {target.name}", duration
+            )
             self._later(target, duration, backends.list, target)
 
     def _lone_silence(self, step):
@@ -588,7 +604,7 @@
         def end():
             self._has_lone_model = False
 
-        self._begin(
+        self._record_disturbance(
             "lone silence", "models", began + duration + SECOND_RESTART_SECONDS, end
         )
 
