--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -440,12 +440,12 @@
         """Have a target leave as planned, and another take its address."""
         target = self._target(step)
         if not self._is_draining(target):
-            self._leave(target, 0.0)
+            self._drain_target(target, 0.0)
 
     def _is_draining(self, target):
         return (target.name, target.start) in self.history.draining
 
-    def _leave(self, target, back_after):
+    def _drain_target(self, target, back_after):
         target.change_count += 1
         name, change_count = target.name, target.change_count
         self._backends.list(target, "draining")
@@ -596,7 +596,7 @@
         began = LEAVE_SECONDS + SECOND_RESTART_SECONDS
         for target in models:
             if target is not left and not self._is_draining(target):
-                self._leave(
+                self._drain_target(
                     target, SECOND_RESTART_SECONDS + duration + SECOND_RESTART_SECONDS
                 )
         reactor.callLater(began, self._fall_silent, left, duration)
