--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -369,13 +369,13 @@
 
         def end():
             if target.script.current_incarnation is life:
-                self._end(target, harm)
+                self._end_target(target, harm)
 
         reactor.callLater(
             MAX_HARMFUL_RUN_SECONDS * self._extra_rng.uniform(0.2, 1.0), end
         )
 
-    def _end(self, target, harm):
+    def _end_target(self, target, harm):
         name = target.name
         harm.ends.append(reactor.seconds())
         self._backends.replace(target, moves=self._extra_rng.random() < MOVES_SHARE)
