--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -124,7 +124,7 @@
         self._unlisted_count = 0
         self.history = History()
         self._backends = Backends(
-            PORTALS, MODELS, self.history, self._rng, self._harmed, is_cold=domains
+            PORTALS, MODELS, self.history, self._rng, self._run_harmful, is_cold=domains
         )
         self._domain_rng = random.Random(f"domains {seed}") if domains else None
         self._self_report_rng = random.Random(f"said {seed}") if statements else None
@@ -360,7 +360,7 @@
         self._record_disturbance("crash", name, TARGET_RETURN_SECONDS)
         self._later(target, TARGET_RETURN_SECONDS, self._backends.list, target)
 
-    def _harmed(self, target, harm):
+    def _run_harmful(self, target, harm):
         """Have a target end under a request that it has begun to run.
 
         Whatever else is done to the target meanwhile, unless that ends the run.
