--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -358,7 +358,9 @@
         self._backends.crash(target)
         reactor.callLater(ENTRY_LAPSE_SECONDS, store.remove, "servers", name)
         self._record_disturbance("crash", name, TARGET_RETURN_SECONDS)
-        self._later(target, TARGET_RETURN_SECONDS, self._backends.list, target)
+        self._call_if_unchanged(
+            target, TARGET_RETURN_SECONDS, self._backends.list, target
+        )
 
     def _run_harmful(self, target, harm):
         """Have a target end under a request that it has begun to run.
@@ -383,7 +385,9 @@
             ENTRY_LAPSE_SECONDS, self._backends.store.remove, "servers", name
         )
         self._record_disturbance("end", name, HARMED_RETURN_SECONDS)
-        self._later(target, HARMED_RETURN_SECONDS, self._backends.list, target)
+        self._call_if_unchanged(
+            target, HARMED_RETURN_SECONDS, self._backends.list, target
+        )
 
     def _domain(self, step):
         return DOMAINS[int(step.choice * len(DOMAINS))]
@@ -418,7 +422,7 @@
         """Have an engine be cold, and say so in the store somewhat later."""
         target.become_cold(COLD_SECONDS)
         if not self._is_draining(target):
-            self._later(
+            self._call_if_unchanged(
                 target, variant * MAX_REPORT_DELAY_SECONDS, self._backends.list, target
             )
 
@@ -430,7 +434,9 @@
             self._backends.crash(target)
             reactor.callLater(ENTRY_LAPSE_SECONDS, store.remove, "servers", name)
             self._record_disturbance("cold return", name, TARGET_RETURN_SECONDS)
-            self._later(target, TARGET_RETURN_SECONDS, self._come_back, target)
+            self._call_if_unchanged(
+                target, TARGET_RETURN_SECONDS, self._come_back, target
+            )
 
     def _come_back(self, target):
         target.become_cold(COLD_SECONDS)
@@ -455,11 +461,11 @@
             if target.change_count == change_count:
                 self._backends.delist(target)
                 target.replace_in_place()
-                self._later(target, back_after, self._backends.list, target)
+                self._call_if_unchanged(target, back_after, self._backends.list, target)
 
         self._record_disturbance("drain", name, LEAVE_SECONDS, leave, is_planned=True)
 
-    def _later(self, target, seconds, act, *values):
+    def _call_if_unchanged(self, target, seconds, act, *values):
         """Do something unless something else is done to the target before."""
         change_count = target.change_count
 
@@ -486,11 +492,11 @@
             self._record_disturbance(
                 "store lags", "store", step.duration / 2, store.catch_up
             )
-        self._later(target, late, backends.list, target)
+        self._call_if_unchanged(target, late, backends.list, target)
         if way == "twice":
-            self._later(target, SECOND_RESTART_SECONDS, self._again, target)
+            self._call_if_unchanged(target, SECOND_RESTART_SECONDS, self._again, target)
         if way == "older after":
-            self._later(
+            self._call_if_unchanged(
                 target,
                 FORMER_ENTRY_DELAY_SECONDS,
                 backends.write_former_entry,
@@ -498,7 +504,7 @@
                 former,
             )
             back = FORMER_ENTRY_DELAY_SECONDS + FORMER_ENTRY_SECONDS
-            self._later(target, back, backends.list, target)
+            self._call_if_unchanged(target, back, backends.list, target)
 
     def _again(self, target):
         self._backends.restart(target, moves=False)
@@ -514,8 +520,10 @@
         change_count = target.change_count
         # Its entry may lapse meanwhile and be written again.
         if step.variant < ENTRY_LAPSE_SHARE:
-            self._later(target, step.variant, self._backends.delist, target)
-            self._later(target, ENTRY_LAPSE_SECONDS, self._backends.list, target)
+            self._call_if_unchanged(target, step.variant, self._backends.delist, target)
+            self._call_if_unchanged(
+                target, ENTRY_LAPSE_SECONDS, self._backends.list, target
+            )
 
         def leave():
             if target.change_count == change_count:
@@ -581,7 +589,7 @@
             self._record_disturbance(
                 "foreign instead", f"entry of {target.name}", duration
             )
-            self._later(target, duration, backends.list, target)
+            self._call_if_unchanged(target, duration, backends.list, target)
 
     def _lone_silence(self, step):
         """Have all model engines leave but one, and that one fall silent."""
