--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -469,11 +469,11 @@
         """Do something unless something else is done to the target before."""
         change_count = target.change_count
 
-        def act_then():
+        def call_if_unchanged():
             if target.change_count == change_count:
                 act(*values)
 
-        reactor.callLater(seconds, act_then)
+        reactor.callLater(seconds, call_if_unchanged)
 
     def _reborn(self, step):
         """Have a target start again under its name."""
