--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -465,13 +465,13 @@
 
         self._record_disturbance("drain", name, LEAVE_SECONDS, leave, is_planned=True)
 
-    def _call_if_unchanged(self, target, seconds, act, *values):
+    def _call_if_unchanged(self, target, seconds, function, *values):
         """Do something unless something else is done to the target before."""
         change_count = target.change_count
 
         def call_if_unchanged():
             if target.change_count == change_count:
-                act(*values)
+                function(*values)
 
         reactor.callLater(seconds, call_if_unchanged)
 
