--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -494,7 +494,9 @@
             )
         self._call_if_unchanged(target, late, backends.list, target)
         if way == "twice":
-            self._call_if_unchanged(target, SECOND_RESTART_SECONDS, self._again, target)
+            self._call_if_unchanged(
+                target, SECOND_RESTART_SECONDS, self._restart_again, target
+            )
         if way == "older after":
             self._call_if_unchanged(
                 target,
@@ -506,7 +508,7 @@
             back = FORMER_ENTRY_DELAY_SECONDS + FORMER_ENTRY_SECONDS
             self._call_if_unchanged(target, back, backends.list, target)
 
-    def _again(self, target):
+    def _restart_again(self, target):
         self._backends.restart(target, moves=False)
         self._backends.list(target)
 
