--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -435,10 +435,10 @@
             reactor.callLater(ENTRY_LAPSE_SECONDS, store.remove, "servers", name)
             self._record_disturbance("cold return", name, TARGET_RETURN_SECONDS)
             self._call_if_unchanged(
-                target, TARGET_RETURN_SECONDS, self._come_back, target
+                target, TARGET_RETURN_SECONDS, self._return_cold, target
             )
 
-    def _come_back(self, target):
+    def _return_cold(self, target):
         target.become_cold(COLD_SECONDS)
         self._backends.list(target)
 
