--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -539,16 +539,16 @@
 
     def _ask_rest(self, step):
         """Have a target turn all requests away for a while and ask for rest."""
-        self._rest_one(self._target(step), step)
+        self._request_pause(self._target(step), step)
 
     def _all_ask_rest(self, step):
         """Have all targets of a service do so."""
         service = self._target(step).service
         for target in self._backends.targets:
             if target.service == service:
-                self._rest_one(target, step)
+                self._request_pause(target, step)
 
-    def _rest_one(self, target, step):
+    def _request_pause(self, target, step):
         script = target.script
         script.rest = MIN_PAUSE_SECONDS + step.variant * (
             MAX_PAUSE_SECONDS - MIN_PAUSE_SECONDS
