--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -408,7 +408,7 @@
             self._backends.store.remove("evacuations", domain)
             if step.variant < COLD_RETURN_SHARE:
                 for target in self._backends.models_in_domain(domain):
-                    self._chill_one(target, step.variant)
+                    self._make_cold(target, step.variant)
 
         self._record_disturbance("evacuate", f"domain {domain}", duration, take_back)
 
@@ -416,9 +416,9 @@
         """Have an engine be cold again, while it serves."""
         models = [t for t in self._backends.targets if t.service == "model"]
         target = models[int(step.choice * len(models))]
-        self._chill_one(target, step.variant)
+        self._make_cold(target, step.variant)
 
-    def _chill_one(self, target, variant):
+    def _make_cold(self, target, variant):
         """Have an engine be cold, and say so in the store somewhat later."""
         target.become_cold(COLD_SECONDS)
         if not self._is_draining(target):
