--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -403,14 +403,16 @@
         self._backends.store.write("evacuations", domain, {})
         duration = MIN_EVACUATION_SECONDS + step.duration
 
-        def take_back():
+        def end_evacuation():
             evacuation.until = reactor.seconds()
             self._backends.store.remove("evacuations", domain)
             if step.variant < COLD_RETURN_SHARE:
                 for target in self._backends.models_in_domain(domain):
                     self._make_cold(target, step.variant)
 
-        self._record_disturbance("evacuate", f"domain {domain}", duration, take_back)
+        self._record_disturbance(
+            "evacuate", f"domain {domain}", duration, end_evacuation
+        )
 
     def _chill(self, step):
         """Have an engine be cold again, while it serves."""
