--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -160,7 +160,7 @@
         """Run for so long; return what broke."""
         self._operator.write(self._rng)
         self._fleet.start()
-        yield self._until_ready()
+        yield self._wait_until_ready()
         self._measure_stalls()
         for caller in self._callers:
             caller.run(pause)
@@ -204,7 +204,7 @@
         self._backends.close()
 
     @inlineCallbacks
-    def _until_ready(self):
+    def _wait_until_ready(self):
         until = reactor.seconds() + MAX_START_SECONDS
         while any(r.missed_probes for r in self._fleet.routers):
             if reactor.seconds() > until:
