--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -674,7 +674,7 @@
     status = []
 
     @inlineCallbacks
-    def play():
+    def run_soak():
         soak = Soak(
             arguments.seed,
             arguments.routers,
@@ -699,7 +699,7 @@
         status.append(UNFINISHED_STATUS)
 
     reactor.callWhenRunning(
-        lambda: play().addErrback(failed).addBoth(lambda _: reactor.stop())
+        lambda: run_soak().addErrback(failed).addBoth(lambda _: reactor.stop())
     )
     reactor.run()
     return status[0] if status else UNFINISHED_STATUS
