--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -318,10 +318,12 @@
         found = list(StoreFault)[int(step.variant * len(StoreFault))]
         faults.all_calls = found
 
-        def mend():
+        def end_fault():
             faults.all_calls = None
 
-        self._record_disturbance(f"store {found.name}", "store", step.duration, mend)
+        self._record_disturbance(
+            f"store {found.name}", "store", step.duration, end_fault
+        )
 
     def _store_forgets(self, step):
         self._backends.store.forget_history()
