--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -487,7 +487,7 @@
         backends, store = self._backends, self._backends.store
         former = target.entry()
         backends.restart(target, moves=moves)
-        late = step.duration / 4 if way.endswith("told late") else 0.0
+        report_delay = step.duration / 4 if way.endswith("told late") else 0.0
         self._record_disturbance(
             f"restart {way}", f"life of {target.name}", RESTART_SECONDS
         )
@@ -496,7 +496,7 @@
             self._record_disturbance(
                 "store lags", "store", step.duration / 2, store.catch_up
             )
-        self._call_if_unchanged(target, late, backends.list, target)
+        self._call_if_unchanged(target, report_delay, backends.list, target)
         if way == "twice":
             self._call_if_unchanged(
                 target, SECOND_RESTART_SECONDS, self._restart_again, target
