--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -47,7 +47,7 @@
 NOT_OWED = (401, 404)
 
 
-class Play:
+class StatementsRun:
     """Routers, targets and callers in one way."""
 
     def __init__(self, routers, folder, seed):
@@ -131,7 +131,7 @@
 @inlineCallbacks
 def leaving(routers, folder, seed):
     """Four targets say that they leave."""
-    play = Play(routers, folder, seed)
+    play = StatementsRun(routers, folder, seed)
 
     def begin():
         for target in play.some(4):
@@ -149,7 +149,7 @@
 @inlineCallbacks
 def resting(routers, folder, seed, count):
     """Some targets turn all requests away and ask for rest."""
-    play = Play(routers, folder, seed)
+    play = StatementsRun(routers, folder, seed)
 
     def begin():
         for target in play.some(count):
