--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -131,42 +131,44 @@
 @inlineCallbacks
 def leaving(routers, folder, seed):
     """Four targets say that they leave."""
-    play = StatementsRun(routers, folder, seed)
+    statements_run = StatementsRun(routers, folder, seed)
 
     def begin():
-        for target in play.some(4):
+        for target in statements_run.some(4):
             target.script.is_leaving = True
 
     try:
-        served, _ = yield play.run(begin, lambda: None)
+        served, _ = yield statements_run.run(begin, lambda: None)
     finally:
-        play.stop()
-    late = sum(1 for _ in promises.leaving_answers_end_work(play.history))
-    told = promises.count_judged(play.history)["answers that said that a target leaves"]
+        statements_run.stop()
+    late = sum(1 for _ in promises.leaving_answers_end_work(statements_run.history))
+    told = promises.count_judged(statements_run.history)[
+        "answers that said that a target leaves"
+    ]
     return f"4 leave: {late} late requests, {told} first answers; served {served:.3f}"
 
 
 @inlineCallbacks
 def resting(routers, folder, seed, count):
     """Some targets turn all requests away and ask for rest."""
-    play = StatementsRun(routers, folder, seed)
+    statements_run = StatementsRun(routers, folder, seed)
 
     def begin():
-        for target in play.some(count):
+        for target in statements_run.some(count):
             target.script.rest = REST
             target.script.is_resting = True
 
     def end():
-        for target in play.some(count):
+        for target in statements_run.some(count):
             target.script.is_resting = False
 
     try:
-        served, after = yield play.run(begin, end)
+        served, after = yield statements_run.run(begin, end)
     finally:
-        play.stop()
-    pauses = list(promises._requests_in_pauses(play.history))
+        statements_run.stop()
+    pauses = list(promises._requests_in_pauses(statements_run.history))
     most = max((len(received) for _, _, received in pauses), default=0)
-    broken = sum(1 for _ in promises.requested_pauses_are_kept(play.history))
+    broken = sum(1 for _ in promises.requested_pauses_are_kept(statements_run.history))
     return (
         f"{count} rest: {broken} of {len(pauses)} rests broken, most in one {most}; "
         f"served {served:.3f}, after it {after:.3f}"
