--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -176,7 +176,7 @@
 
 
 @inlineCallbacks
-def play_all(arguments, folder):
+def run_all(arguments, folder):
     routers, seed = arguments.routers, arguments.seed
     for way in (
         lambda: leaving(routers, folder, seed),
@@ -195,7 +195,7 @@
     failed = []
 
     def begin():
-        done = play_all(arguments, Path(tempfile.mkdtemp(prefix="statements-")))
+        done = run_all(arguments, Path(tempfile.mkdtemp(prefix="statements-")))
         done.addErrback(failed.append)
         done.addBoth(lambda _: reactor.stop())
 
