--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -33,7 +33,7 @@
 from soak.history import LEFT
 from soak.history import History
 
-OF_EACH_SERVICE = 6
+TARGETS_PER_SERVICE = 6
 CALLERS = 40
 PAUSE = 0.05
 REST = 3.0
@@ -54,7 +54,7 @@
         self.history = History()
         rng = random.Random(seed)
         self._backends = Backends(
-            OF_EACH_SERVICE, OF_EACH_SERVICE, self.history, rng, lambda *_: None
+            TARGETS_PER_SERVICE, TARGETS_PER_SERVICE, self.history, rng, lambda *_: None
         )
         self._fleet = Fleet(routers, folder, self._backends.store_port, self.history)
         operator = self._backends.operator
@@ -73,7 +73,9 @@
     def some(self, count):
         """Return so many targets, of both services in turn."""
         targets = self._backends.targets
-        pairs = zip(targets[:OF_EACH_SERVICE], targets[OF_EACH_SERVICE:], strict=True)
+        pairs = zip(
+            targets[:TARGETS_PER_SERVICE], targets[TARGETS_PER_SERVICE:], strict=True
+        )
         return [target for pair in pairs for target in pair][:count]
 
     @inlineCallbacks
@@ -181,7 +183,7 @@
     for way in (
         lambda: leaving(routers, folder, seed),
         lambda: resting(routers, folder, seed, 4),
-        lambda: resting(routers, folder, seed, 2 * OF_EACH_SERVICE),
+        lambda: resting(routers, folder, seed, 2 * TARGETS_PER_SERVICE),
     ):
         told = yield way()
         sys.stdout.write(f"{routers} routers, {told}\n")
