--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -34,7 +34,7 @@
 from soak.history import History
 
 TARGETS_PER_SERVICE = 6
-CALLERS = 40
+CALLER_COUNT = 40
 PAUSE = 0.05
 REST = 3.0
 WARM_SECONDS = 2.0
@@ -67,7 +67,7 @@
                 self.history,
                 operator,
             )
-            for number in range(CALLERS)
+            for number in range(CALLER_COUNT)
         ]
 
     def some(self, count):
