--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -35,7 +35,7 @@
 
 TARGETS_PER_SERVICE = 6
 CALLER_COUNT = 40
-PAUSE = 0.05
+CALLER_PAUSE_SECONDS = 0.05
 REST = 3.0
 WARM_SECONDS = 2.0
 SECONDS = 12.0
@@ -91,7 +91,7 @@
                 raise TimeoutError("the routers did not become ready")
             yield wait(0.1)
         for caller in self._callers:
-            caller.run(PAUSE)
+            caller.run(CALLER_PAUSE_SECONDS)
         yield wait(WARM_SECONDS)
         began = reactor.seconds()
         begin()
