--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -36,7 +36,7 @@
 TARGETS_PER_SERVICE = 6
 CALLER_COUNT = 40
 CALLER_PAUSE_SECONDS = 0.05
-REST = 3.0
+REQUESTED_PAUSE_SECONDS = 3.0
 WARM_SECONDS = 2.0
 SECONDS = 12.0
 # Seconds after the last rest from which on callers should be served again.
@@ -98,7 +98,7 @@
         yield wait(SECONDS)
         end()
         ended = reactor.seconds()
-        yield wait(REST + RETURN_SECONDS + AFTER_SECONDS)
+        yield wait(REQUESTED_PAUSE_SECONDS + RETURN_SECONDS + AFTER_SECONDS)
         for caller in self._callers:
             caller.stop()
         pauses = [rest.at + rest.seconds for rest in self.history.pause_requests]
@@ -157,7 +157,7 @@
 
     def begin():
         for target in statements_run.some(count):
-            target.script.rest = REST
+            target.script.rest = REQUESTED_PAUSE_SECONDS
             target.script.is_resting = True
 
     def end():
--- a/tests/soak/test_backends.py
+++ b/tests/soak/test_backends.py
@@ -11,7 +11,7 @@
 from soak.backends import Target
 from soak.history import History
 
-REST = 3.0
+REQUESTED_PAUSE_SECONDS = 3.0
 
 
 class RestingTargetTest(TestCase):
@@ -22,7 +22,7 @@
         self.target = Target("t0", "portal", self.history, [], rng, None)
         self.addCleanup(self.target.close)
         self.target._peers.append(self.target)
-        self.target.script.rest = REST
+        self.target.script.rest = REQUESTED_PAUSE_SECONDS
         self.target.script.is_resting = True
 
     def arrive(self, expected):
