--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -38,7 +38,7 @@
 CALLER_PAUSE_SECONDS = 0.05
 REQUESTED_PAUSE_SECONDS = 3.0
 WARM_SECONDS = 2.0
-SECONDS = 12.0
+MEASURED_SECONDS = 12.0
 # Seconds after the last rest from which on callers should be served again.
 RETURN_SECONDS = 0.5
 AFTER_SECONDS = 4.0
@@ -95,7 +95,7 @@
         yield wait(WARM_SECONDS)
         began = reactor.seconds()
         begin()
-        yield wait(SECONDS)
+        yield wait(MEASURED_SECONDS)
         end()
         ended = reactor.seconds()
         yield wait(REQUESTED_PAUSE_SECONDS + RETURN_SECONDS + AFTER_SECONDS)
