--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -44,7 +44,7 @@
 AFTER_SECONDS = 4.0
 MAX_START_SECONDS = 60.0
 # Statuses of keys that hold no longer, and of routes that are gone.
-NOT_OWED = (401, 404)
+EXPECTED_REFUSALS = (401, 404)
 
 
 class StatementsRun:
@@ -113,7 +113,7 @@
             if began <= request.sent_at < ended
             and request.ended_at is not None
             and request.outcome != LEFT
-            and request.status not in NOT_OWED
+            and request.status not in EXPECTED_REFUSALS
         ]
         good = sum(
             request.outcome == ANSWERED and request.status == 200 for request in owed
