--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -70,7 +70,7 @@
             for number in range(CALLER_COUNT)
         ]
 
-    def some(self, count):
+    def choose_targets(self, count):
         """Return so many targets, of both services in turn."""
         targets = self._backends.targets
         pairs = zip(
@@ -136,7 +136,7 @@
     statements_run = StatementsRun(routers, folder, seed)
 
     def begin():
-        for target in statements_run.some(4):
+        for target in statements_run.choose_targets(4):
             target.script.is_leaving = True
 
     try:
@@ -156,12 +156,12 @@
     statements_run = StatementsRun(routers, folder, seed)
 
     def begin():
-        for target in statements_run.some(count):
+        for target in statements_run.choose_targets(count):
             target.script.rest = REQUESTED_PAUSE_SECONDS
             target.script.is_resting = True
 
     def end():
-        for target in statements_run.some(count):
+        for target in statements_run.choose_targets(count):
             target.script.is_resting = False
 
     try:
