--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -133,7 +133,7 @@
 
 
 @inlineCallbacks
-def leaving(routers, folder, seed):
+def measure_leaving(routers, folder, seed):
     """Four targets say that they leave."""
     statements_run = StatementsRun(routers, folder, seed)
 
@@ -183,7 +183,7 @@
 def run_all(arguments, folder):
     routers, seed = arguments.routers, arguments.seed
     for way in (
-        lambda: leaving(routers, folder, seed),
+        lambda: measure_leaving(routers, folder, seed),
         lambda: resting(routers, folder, seed, 4),
         lambda: resting(routers, folder, seed, 2 * TARGETS_PER_SERVICE),
     ):
