--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -153,7 +153,7 @@
 
 
 @inlineCallbacks
-def resting(routers, folder, seed, count):
+def measure_pauses(routers, folder, seed, count):
     """Some targets turn all requests away and ask for rest."""
     statements_run = StatementsRun(routers, folder, seed)
 
@@ -184,8 +184,8 @@
     routers, seed = arguments.routers, arguments.seed
     for way in (
         lambda: measure_leaving(routers, folder, seed),
-        lambda: resting(routers, folder, seed, 4),
-        lambda: resting(routers, folder, seed, 2 * TARGETS_PER_SERVICE),
+        lambda: measure_pauses(routers, folder, seed, 4),
+        lambda: measure_pauses(routers, folder, seed, 2 * TARGETS_PER_SERVICE),
     ):
         told = yield way()
         sys.stdout.write(f"{routers} routers, {told}\n")
