--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -109,7 +109,7 @@
 
     def served_share(self, began, ended):
         """Return the share of callers served that came in a time."""
-        owed = [
+        counted = [
             request
             for request in self.history.sent_requests.values()
             if began <= request.sent_at < ended
@@ -118,9 +118,9 @@
             and request.status not in EXPECTED_REFUSALS
         ]
         good = sum(
-            request.outcome == ANSWERED and request.status == 200 for request in owed
+            request.outcome == ANSWERED and request.status == 200 for request in counted
         )
-        return good / len(owed) if owed else 0.0
+        return good / len(counted) if counted else 0.0
 
     def stop(self):
         """End all that was started."""
