--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -146,10 +146,10 @@
     finally:
         statements_run.stop()
     late = sum(1 for _ in promises.leaving_answers_end_work(statements_run.history))
-    told = promises.count_judged(statements_run.history)[
+    result = promises.count_judged(statements_run.history)[
         "answers that said that a target leaves"
     ]
-    return f"4 leave: {late} late requests, {told} first answers; served {served_share:.3f}"
+    return f"4 leave: {late} late requests, {result} first answers; served {served_share:.3f}"
 
 
 @inlineCallbacks
@@ -187,8 +187,8 @@
         lambda: measure_pauses(routers, folder, seed, 4),
         lambda: measure_pauses(routers, folder, seed, 2 * TARGETS_PER_SERVICE),
     ):
-        told = yield way()
-        sys.stdout.write(f"{routers} routers, {told}\n")
+        result = yield way()
+        sys.stdout.write(f"{routers} routers, {result}\n")
 
 
 def main():
