--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -182,12 +182,12 @@
 @inlineCallbacks
 def run_all(arguments, folder):
     routers, seed = arguments.routers, arguments.seed
-    for way in (
+    for measure in (
         lambda: measure_leaving(routers, folder, seed),
         lambda: measure_pauses(routers, folder, seed, 4),
         lambda: measure_pauses(routers, folder, seed, 2 * TARGETS_PER_SERVICE),
     ):
-        result = yield way()
+        result = yield measure()
         sys.stdout.write(f"{routers} routers, {result}\n")
 
 
