--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -102,9 +102,9 @@
         for caller in self._callers:
             caller.stop()
         pauses = [rest.at + rest.seconds for rest in self.history.pause_requests]
-        back_at = max([ended, *pauses]) + RETURN_SECONDS
+        returned_at = max([ended, *pauses]) + RETURN_SECONDS
         return self.served_share(began, ended), self.served_share(
-            back_at, back_at + AFTER_SECONDS
+            returned_at, returned_at + AFTER_SECONDS
         )
 
     def served_share(self, began, ended):
