--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -10,7 +10,7 @@
 from testtools import TestCase
 
 PROGRAM = Path(__file__).resolve().parent / "soak.py"
-PATIENCE = 180
+MAX_RUN_SECONDS = 180
 ENDS_WITHIN = 10
 # Seeds that failed once, with the seconds they ran and the cause.
 FAILED_ONCE = {
@@ -65,13 +65,13 @@
             for seed, time in wanted.items()
         }
         for seed, process in running.items():
-            said, _ = process.communicate(timeout=PATIENCE)
+            said, _ = process.communicate(timeout=MAX_RUN_SECONDS)
             self.assertEqual(0, process.returncode, said)
             self.assertIn(f"seed {seed}: ", said)
 
     def test_a_run_that_is_terminated_leaves_no_router(self):
         process = self.start(20261203, 60)
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + MAX_RUN_SECONDS
         while not self.children(process):
             self.assertLess(time.monotonic(), until)
             time.sleep(0.05)
