--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -11,7 +11,7 @@
 
 PROGRAM = Path(__file__).resolve().parent / "soak.py"
 MAX_RUN_SECONDS = 180
-ENDS_WITHIN = 10
+MAX_STOP_SECONDS = 10
 # Seeds that failed once, with the seconds they ran and the cause.
 FAILED_ONCE = {
     1: (25, "SIGTERM in the 0.4 s in which a router is loaded killed it"),
@@ -36,7 +36,7 @@
         """End a run that a failed test left."""
         if process.poll() is None:
             process.terminate()
-            process.communicate(timeout=ENDS_WITHIN)
+            process.communicate(timeout=MAX_STOP_SECONDS)
 
     def children(self, process):
         found = Path(f"/proc/{process.pid}/task/{process.pid}/children").read_text()
@@ -77,7 +77,7 @@
             time.sleep(0.05)
         routers = self.children(process)
         process.terminate()
-        process.communicate(timeout=ENDS_WITHIN)
+        process.communicate(timeout=MAX_STOP_SECONDS)
         left = [number for number in routers if Path(f"/proc/{number}").exists()]
         self.assertEqual([], left)
         self.assertEqual(2, process.returncode)
