--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -20,12 +20,12 @@
 
 class SoakTest(TestCase):
     def start(self, seed, seconds, without=(), harmful=0, *, more=()):
-        words = [f"--seed={seed}", f"--seconds={seconds}", "--routers=3"]
-        words += [f"--harmful={harmful}"]
-        words += [f"--{series}" for series in more]
-        words += ["--without", *without]
+        arguments = [f"--seed={seed}", f"--seconds={seconds}", "--routers=3"]
+        arguments += [f"--harmful={harmful}"]
+        arguments += [f"--{series}" for series in more]
+        arguments += ["--without", *without]
         process = subprocess.Popen(
-            [sys.executable, str(PROGRAM), *words, "--callers=15"],
+            [sys.executable, str(PROGRAM), *arguments, "--callers=15"],
             stdout=subprocess.PIPE,
             text=True,
         )
