--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -65,9 +65,9 @@
             for seed, time in wanted.items()
         }
         for seed, process in running.items():
-            said, _ = process.communicate(timeout=MAX_RUN_SECONDS)
-            self.assertEqual(0, process.returncode, said)
-            self.assertIn(f"seed {seed}: ", said)
+            output, _ = process.communicate(timeout=MAX_RUN_SECONDS)
+            self.assertEqual(0, process.returncode, output)
+            self.assertIn(f"seed {seed}: ", output)
 
     def test_a_run_that_is_terminated_leaves_no_router(self):
         process = self.start(20261203, 60)
