--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -19,10 +19,10 @@
 
 
 class SoakTest(TestCase):
-    def start(self, seed, seconds, without=(), harmful=0, *, more=()):
+    def start(self, seed, seconds, without=(), harmful=0, *, extra_series=()):
         arguments = [f"--seed={seed}", f"--seconds={seconds}", "--routers=3"]
         arguments += [f"--harmful={harmful}"]
-        arguments += [f"--{series}" for series in more]
+        arguments += [f"--{series}" for series in extra_series]
         arguments += ["--without", *without]
         process = subprocess.Popen(
             [sys.executable, str(PROGRAM), *arguments, "--callers=15"],
@@ -53,15 +53,15 @@
         self.break_no_promise({20261204: 12}, harmful=2)
 
     def test_evacuations_and_cold_targets_break_no_promise(self):
-        self.break_no_promise({20261205: 15}, more=["domains"])
+        self.break_no_promise({20261205: 15}, extra_series=["domains"])
 
     def test_targets_that_leave_or_rest_by_their_answers_break_no_promise(self):
-        self.break_no_promise({20261206: 15}, more=["statements"])
+        self.break_no_promise({20261206: 15}, extra_series=["statements"])
 
-    def break_no_promise(self, wanted, without=(), harmful=0, *, more=()):
+    def break_no_promise(self, wanted, without=(), harmful=0, *, extra_series=()):
         """Play seeds, each for so many seconds, at the same time."""
         running = {
-            seed: self.start(seed, time, without, harmful, more=more)
+            seed: self.start(seed, time, without, harmful, extra_series=extra_series)
             for seed, time in wanted.items()
         }
         for seed, process in running.items():
