--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -44,21 +44,23 @@
 
     def test_seeds_break_no_promise(self):
         wanted = {20261202: 10, **{s: t for s, (t, _) in FAILED_ONCE.items()}}
-        self.break_no_promise(wanted, ["reborn", "foreign"])
+        self.assert_no_promise_broken(wanted, ["reborn", "foreign"])
 
     def test_restarts_and_foreign_entries_break_no_promise(self):
-        self.break_no_promise({20261202: 10})
+        self.assert_no_promise_broken({20261202: 10})
 
     def test_requests_that_end_targets_break_no_promise(self):
-        self.break_no_promise({20261204: 12}, harmful=2)
+        self.assert_no_promise_broken({20261204: 12}, harmful=2)
 
     def test_evacuations_and_cold_targets_break_no_promise(self):
-        self.break_no_promise({20261205: 15}, extra_series=["domains"])
+        self.assert_no_promise_broken({20261205: 15}, extra_series=["domains"])
 
     def test_targets_that_leave_or_rest_by_their_answers_break_no_promise(self):
-        self.break_no_promise({20261206: 15}, extra_series=["statements"])
+        self.assert_no_promise_broken({20261206: 15}, extra_series=["statements"])
 
-    def break_no_promise(self, wanted, without=(), harmful=0, *, extra_series=()):
+    def assert_no_promise_broken(
+        self, wanted, without=(), harmful=0, *, extra_series=()
+    ):
         """Play seeds, each for so many seconds, at the same time."""
         running = {
             seed: self.start(seed, time, without, harmful, extra_series=extra_series)
