--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -48,7 +48,7 @@
     kind: str
     duration: float
     choice: float
-    variant: float
+    how: float
 
 
 def draw(rng, seconds, extra_rng=None, without=()):
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -286,14 +286,12 @@
 
     def _term_two(self, step):
         self._term(step)
-        later = (step.choice + step.variant) % 1.0
-        self._term(
-            schedule.Step(step.at, step.kind, step.duration, later, step.variant)
-        )
+        later = (step.choice + step.how) % 1.0
+        self._term(schedule.Step(step.at, step.kind, step.duration, later, step.how))
 
     def _hup(self, step):
         router = self._router(step)
-        router.write_settings(memory=200 + int(step.variant * 200))
+        router.write_settings(memory=200 + int(step.how * 200))
         router.signal(signal.SIGHUP)
 
     def _change(self, step):
@@ -304,7 +302,7 @@
 
     def _router_store(self, step):
         router = self._router(step)
-        fault = LINK_FAULTS[int(step.variant * len(LINK_FAULTS))]
+        fault = LINK_FAULTS[int(step.how * len(LINK_FAULTS))]
         router.store.set(fault, LINK_DELAY_SECONDS)
         self._record_disturbance(
             f"store {fault.value}",
@@ -315,7 +313,7 @@
 
     def _store(self, step):
         faults = self._backends.store.faults
-        found = list(StoreFault)[int(step.variant * len(StoreFault))]
+        found = list(StoreFault)[int(step.how * len(StoreFault))]
         faults.all_calls = found
 
         def end_fault():
@@ -331,7 +329,7 @@
 
     def _target_link(self, step):
         target = self._target(step)
-        fault = LINK_FAULTS[int(step.variant * len(LINK_FAULTS))]
+        fault = LINK_FAULTS[int(step.how * len(LINK_FAULTS))]
         target.link.set(fault, LINK_DELAY_SECONDS)
         self._record_disturbance(
             f"link {fault.value}",
@@ -342,7 +340,7 @@
 
     def _target_faults(self, step):
         target = self._target(step)
-        fault = list(EngineFault)[int(step.variant * len(EngineFault))]
+        fault = list(EngineFault)[int(step.how * len(EngineFault))]
         target.script.faults += [fault] * (
             1 + int(step.duration / 5 * MAX_FAULTS_IN_BURST)
         )
@@ -408,9 +406,9 @@
         def end_evacuation():
             evacuation.until = reactor.seconds()
             self._backends.store.remove("evacuations", domain)
-            if step.variant < COLD_RETURN_SHARE:
+            if step.how < COLD_RETURN_SHARE:
                 for target in self._backends.models_in_domain(domain):
-                    self._make_cold(target, step.variant)
+                    self._make_cold(target, step.how)
 
         self._record_disturbance(
             "evacuate", f"domain {domain}", duration, end_evacuation
@@ -420,14 +418,14 @@
         """Have an engine be cold again, while it serves."""
         models = [t for t in self._backends.targets if t.service == "model"]
         target = models[int(step.choice * len(models))]
-        self._make_cold(target, step.variant)
+        self._make_cold(target, step.how)
 
-    def _make_cold(self, target, variant):
+    def _make_cold(self, target, how):
         """Have an engine be cold, and say so in the store somewhat later."""
         target.become_cold(COLD_SECONDS)
         if not self._is_draining(target):
             self._call_if_unchanged(
-                target, variant * MAX_REPORT_DELAY_SECONDS, self._backends.list, target
+                target, how * MAX_REPORT_DELAY_SECONDS, self._backends.list, target
             )
 
     def _cold_return(self, step):
@@ -482,7 +480,7 @@
     def _reborn(self, step):
         """Have a target start again under its name."""
         target = self._target(step)
-        way = RESTART_VARIANTS[int(step.variant * len(RESTART_VARIANTS))]
+        way = RESTART_VARIANTS[int(step.how * len(RESTART_VARIANTS))]
         moves = way in {"moved", "moved, told late", "older after"}
         backends, store = self._backends, self._backends.store
         former = target.entry()
@@ -525,8 +523,8 @@
         target.script.is_leaving = True
         change_count = target.change_count
         # Its entry may lapse meanwhile and be written again.
-        if step.variant < ENTRY_LAPSE_SHARE:
-            self._call_if_unchanged(target, step.variant, self._backends.delist, target)
+        if step.how < ENTRY_LAPSE_SHARE:
+            self._call_if_unchanged(target, step.how, self._backends.delist, target)
             self._call_if_unchanged(
                 target, ENTRY_LAPSE_SECONDS, self._backends.list, target
             )
@@ -554,7 +552,7 @@
 
     def _request_pause(self, target, step):
         script = target.script
-        script.rest = MIN_PAUSE_SECONDS + step.variant * (
+        script.rest = MIN_PAUSE_SECONDS + step.how * (
             MAX_PAUSE_SECONDS - MIN_PAUSE_SECONDS
         )
         script.is_resting = True
@@ -577,21 +575,19 @@
         self._unlisted_count += 1
         name = f"stranger{self._unlisted_count}"
         if way < FOREIGN_ROUTERS_SHARE:
-            store.write("routers", name, target.choose_foreign_entry(step.variant))
+            store.write("routers", name, target.choose_foreign_entry(step.how))
             self._record_disturbance("foreign router", name, duration)
             reactor.callLater(duration, store.remove, "routers", name)
         elif way < FOREIGN_NEW_SHARE:
             unlisted = backends.unlisted_target(name, target.service)
-            backends.write_foreign(
-                unlisted, unlisted.choose_foreign_entry(step.variant)
-            )
+            backends.write_foreign(unlisted, unlisted.choose_foreign_entry(step.how))
             self._record_disturbance(
                 "foreign new", f"entry of {unlisted.name}", duration
             )
             reactor.callLater(duration, backends.delist, unlisted)
         elif not self._is_draining(target):
             target.change_count += 1
-            backends.write_foreign(target, target.choose_foreign_entry(step.variant))
+            backends.write_foreign(target, target.choose_foreign_entry(step.how))
             self._record_disturbance(
                 "foreign instead", f"entry of {target.name}", duration
             )
@@ -604,7 +600,7 @@
         if self._has_lone_model or self._is_draining(left):
             return
         self._has_lone_model = True
-        duration = MIN_SILENT_SECONDS + step.variant * (
+        duration = MIN_SILENT_SECONDS + step.how * (
             MAX_SILENT_SECONDS - MIN_SILENT_SECONDS
         )
         began = LEAVE_SECONDS + SECOND_RESTART_SECONDS
