--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -645,7 +645,7 @@
         if len(ends) < ENDS_UNTIL_HELD_BACK:
             continue
         known_at = ends[ENDS_UNTIL_HELD_BACK - 1] + HARM_EXCHANGE_SECONDS
-        late_arrivals = [
+        late = [
             name
             for name, at in harm.arrivals
             if at > known_at
@@ -653,8 +653,8 @@
                 at - HARM_EXCHANGE_SECONDS, at, {harm.routers[name]}
             )
         ]
-        if len(late_arrivals) > MAX_LATE_ARRIVALS:
-            yield f"{body!r} reached {len(late_arrivals)} more targets, {len(ends)} ended"
+        if len(late) > MAX_LATE_ARRIVALS:
+            yield f"{body!r} reached {len(late)} more targets, {len(ends)} ended"
 
 
 def processes_do_not_exit(history):
