--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -103,11 +103,11 @@
             caller.stop()
         pauses = [rest.at + rest.seconds for rest in self.history.pause_requests]
         returned_at = max([ended, *pauses]) + RETURN_SECONDS
-        return self.served_share(began, ended), self.served_share(
+        return self.served(began, ended), self.served(
             returned_at, returned_at + AFTER_SECONDS
         )
 
-    def served_share(self, began, ended):
+    def served(self, began, ended):
         """Return the share of callers served that came in a time."""
         counted = [
             request
@@ -142,14 +142,14 @@
             target.script.is_leaving = True
 
     try:
-        served_share, _ = yield statements_run.run(begin, lambda: None)
+        served, _ = yield statements_run.run(begin, lambda: None)
     finally:
         statements_run.stop()
     late = sum(1 for _ in promises.leaving_answers_end_work(statements_run.history))
     result = promises.count_judged(statements_run.history)[
         "answers that said that a target leaves"
     ]
-    return f"4 leave: {late} late requests, {result} first answers; served {served_share:.3f}"
+    return f"4 leave: {late} late requests, {result} first answers; served {served:.3f}"
 
 
 @inlineCallbacks
@@ -167,7 +167,7 @@
             target.script.is_resting = False
 
     try:
-        served_share, after = yield statements_run.run(begin, end)
+        served, after = yield statements_run.run(begin, end)
     finally:
         statements_run.stop()
     pauses = list(promises._requests_in_pauses(statements_run.history))
@@ -175,7 +175,7 @@
     broken = sum(1 for _ in promises.requested_pauses_are_kept(statements_run.history))
     return (
         f"{count} rest: {broken} of {len(pauses)} rests broken, most in one {most}; "
-        f"served {served_share:.3f}, after it {after:.3f}"
+        f"served {served:.3f}, after it {after:.3f}"
     )
 
 
