--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -107,7 +107,7 @@
             returned_at, returned_at + AFTER_SECONDS
         )
 
-    def served(self, began, ended):
+    def served_share(self, began, ended):
         """Return the share of callers served that came in a time."""
         counted = [
             request
