--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -103,7 +103,7 @@
             caller.stop()
         pauses = [rest.at + rest.seconds for rest in self.history.pause_requests]
         returned_at = max([ended, *pauses]) + RETURN_SECONDS
-        return self.served(began, ended), self.served(
+        return self.served_share(began, ended), self.served_share(
             returned_at, returned_at + AFTER_SECONDS
         )
 
