--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -256,11 +256,11 @@
         if router.is_paused:
             return
         router.is_paused = True
-        life = router.process_number
+        process_number = router.process_number
 
         def resume():
             router.is_paused = False
-            if router.process_number == life:
+            if router.process_number == process_number:
                 router.signal(signal.SIGCONT)
 
         router.signal(signal.SIGSTOP)
@@ -270,13 +270,13 @@
         router = self._router(step)
         if router.is_stopping or not router.is_running:
             return
-        life = router.process_number
+        process_number = router.process_number
         now = reactor.seconds()
-        self.history.planned_stops.append((router.name, life, now))
+        self.history.planned_stops.append((router.name, process_number, now))
         router.request_stop()
 
         def kill_late():
-            if router.process_number == life and router.is_running:
+            if router.process_number == process_number and router.is_running:
                 router.signal(signal.SIGCONT)
                 router.signal(signal.SIGKILL)
 
@@ -367,10 +367,10 @@
 
         Whatever else is done to the target meanwhile, unless that ends the run.
         """
-        life = target.script.current_incarnation
+        incarnation = target.script.current_incarnation
 
         def end():
-            if target.script.current_incarnation is life:
+            if target.script.current_incarnation is incarnation:
                 self._end_target(target, harm)
 
         reactor.callLater(
@@ -596,8 +596,8 @@
     def _lone_silence(self, step):
         """Have all model engines leave but one, and that one fall silent."""
         models = [t for t in self._backends.targets if t.service == "model"]
-        left = models[int(step.choice * len(models))]
-        if self._has_lone_model or self._is_draining(left):
+        lone_model = models[int(step.choice * len(models))]
+        if self._has_lone_model or self._is_draining(lone_model):
             return
         self._has_lone_model = True
         duration = MIN_SILENT_SECONDS + step.how * (
@@ -605,11 +605,11 @@
         )
         began = LEAVE_SECONDS + SECOND_RESTART_SECONDS
         for target in models:
-            if target is not left and not self._is_draining(target):
+            if target is not lone_model and not self._is_draining(target):
                 self._drain_target(
                     target, SECOND_RESTART_SECONDS + duration + SECOND_RESTART_SECONDS
                 )
-        reactor.callLater(began, self._fall_silent, left, duration)
+        reactor.callLater(began, self._fall_silent, lone_model, duration)
 
         def end():
             self._has_lone_model = False
