--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -480,26 +480,26 @@
     def _reborn(self, step):
         """Have a target start again under its name."""
         target = self._target(step)
-        way = RESTART_VARIANTS[int(step.how * len(RESTART_VARIANTS))]
-        moves = way in {"moved", "moved, told late", "older after"}
+        variant = RESTART_VARIANTS[int(step.how * len(RESTART_VARIANTS))]
+        moves = variant in {"moved", "moved, told late", "older after"}
         backends, store = self._backends, self._backends.store
         former = target.entry()
         backends.restart(target, moves=moves)
-        report_delay = step.duration / 4 if way.endswith("told late") else 0.0
+        report_delay = step.duration / 4 if variant.endswith("told late") else 0.0
         self._record_disturbance(
-            f"restart {way}", f"life of {target.name}", RESTART_SECONDS
+            f"restart {variant}", f"life of {target.name}", RESTART_SECONDS
         )
-        if way == "while the store lags":
+        if variant == "while the store lags":
             store.faults.is_deaf = True
             self._record_disturbance(
                 "store lags", "store", step.duration / 2, store.catch_up
             )
         self._call_if_unchanged(target, report_delay, backends.list, target)
-        if way == "twice":
+        if variant == "twice":
             self._call_if_unchanged(
                 target, SECOND_RESTART_SECONDS, self._restart_again, target
             )
-        if way == "older after":
+        if variant == "older after":
             self._call_if_unchanged(
                 target,
                 FORMER_ENTRY_DELAY_SECONDS,
@@ -571,14 +571,14 @@
         target = self._target(step)
         backends, store = self._backends, self._backends.store
         duration = FOREIGN_SECONDS + step.duration
-        way = step.duration % 1.0
+        variant = step.duration % 1.0
         self._unlisted_count += 1
         name = f"stranger{self._unlisted_count}"
-        if way < FOREIGN_ROUTERS_SHARE:
+        if variant < FOREIGN_ROUTERS_SHARE:
             store.write("routers", name, target.choose_foreign_entry(step.how))
             self._record_disturbance("foreign router", name, duration)
             reactor.callLater(duration, store.remove, "routers", name)
-        elif way < FOREIGN_NEW_SHARE:
+        elif variant < FOREIGN_NEW_SHARE:
             unlisted = backends.unlisted_target(name, target.service)
             backends.write_foreign(unlisted, unlisted.choose_foreign_entry(step.how))
             self._record_disturbance(
