--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -507,8 +507,8 @@
                 target,
                 former,
             )
-            back = FORMER_ENTRY_DELAY_SECONDS + FORMER_ENTRY_SECONDS
-            self._call_if_unchanged(target, back, backends.list, target)
+            restored_after = FORMER_ENTRY_DELAY_SECONDS + FORMER_ENTRY_SECONDS
+            self._call_if_unchanged(target, restored_after, backends.list, target)
 
     def _restart_again(self, target):
         self._backends.restart(target, moves=False)
