--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -1,6 +1,6 @@
-"""What must always hold, checked on what callers and targets saw.
+"""The routers' promises, checked on what callers and targets recorded.
 
-Each check takes a history and returns what breaks the promise, as lines.
+Each check takes a history and yields one line for each violation of its promise.
 """
 
 from __future__ import annotations
@@ -16,21 +16,22 @@
 DENIALS = {401, 403, 404}
 STREAMS = {"story", "draft"}
 EVENT = re.compile(rb"id: (\d+)\ndata: (\S+)\n\n")
-# Bounds as the soak's settings file states them, in seconds.
+# Bounds from the settings file of the soak's routers, in seconds.
 DRAIN_SECONDS = 2.0
 REVOKE_SECONDS = 5.0
 IN_FORCE_SECONDS = 2.0
 VERSION_GRACE_SECONDS = 0.25
-# Time after a fault of a link in which what it held back may still come.
+# After a link fault, requests that the link held back may arrive for this long.
 LINK_DELIVERY_SECONDS = 3.0
 STOP_GRACE_SECONDS = 8.0
 EVACUATION_SECONDS = 5.0
-# From when on a rest counts, and the requests of one router that may come in it.
+# A requested pause is judged from this time on; one router may send this many
+# requests during it.
 PAUSE_EFFECTIVE_SECONDS = 0.5
 MAX_REQUESTS_IN_PAUSE = 2
-# Requests that a cold model engine may get in a second.
+# Requests that a cold model engine may receive within one second.
 MAX_COLD_RUNS_PER_SECOND = 20
-# What the callers' own clock may be off by: both ends are one process.
+# Tolerance for times recorded by callers and targets, which share one process.
 SLACK_SECONDS = 0.1
 BUDGET_RATIO = 0.2
 BUDGET_WINDOW_SECONDS = 10.0
@@ -42,34 +43,35 @@
 RECOVERY_SECONDS = 6.0
 MIN_RECOVERED_SHARE = 0.9
 ANSWER_SLACK_SECONDS = 0.5
-# Time until each calm router has sent work to a target that came (back), if it
-# had at least so many requests for its service.
+# Time within which each undisturbed router must have sent requests to a target that
+# was listed (again), if it had at least this many requests for the service.
 WORK_WITHIN_SECONDS = 5.0
 MIN_REQUESTS_BY_SERVICE = {"portal": 40, "model": 30}
-# Time after which nothing of a life that has ended reaches a caller.
+# Time after which no answer of an ended incarnation may reach a caller.
 FORMER_ANSWER_SECONDS = 1.0
-# Ends of targets under a request after which it is held back, the time in which
-# routers hear of them, and how many more it may reach.
+# A request is held back after it ended this many targets. Routers exchange reports of
+# the ends within this time; after it, the request may reach this many more targets.
 ENDS_UNTIL_HELD_BACK = 3
 HARM_EXCHANGE_SECONDS = 3.0
 MAX_LATE_ARRIVALS = 3
-# Share of the requests that get to the neighbours of an entry that names nothing.
+# Minimum share of requests that must reach the other targets of a service while
+# another writer's entry stands in its list, and the requests needed to judge it.
 MIN_NEIGHBOUR_SHARE = 0.5
 MIN_NEIGHBOUR_REQUESTS = 20
 
 
 def at_most_once(history):
-    """Nothing that may run once runs twice."""
+    """A request that may run only once never runs twice."""
     for name, runs in history.runs_by_request().items():
         request = history.sent_requests.get(name)
         if request is None:
-            yield f"{name} ran though nobody sent it"
+            yield f"{name} ran though no caller sent it"
         elif not request.may_retry and len(runs) > 1:
             yield f"{name} ({request.kind}) ran {len(runs)} times"
 
 
 def not_run_is_true(history):
-    """A refusal that says "not run" is never contradicted by a target."""
+    """A request that was refused as not run did not run at any target."""
     runs = history.runs_by_request()
     for request in history.sent_requests.values():
         refused = request.outcome == ANSWERED and request.status in REFUSALS
@@ -78,7 +80,7 @@
 
 
 def answers_are_complete(history, events):
-    """A success is the whole answer to the caller's own request."""
+    """A successful answer is complete and belongs to the caller's own request."""
     for request in history.sent_requests.values():
         if request.outcome != ANSWERED or request.status != OK:
             continue
@@ -117,11 +119,11 @@
 
 
 def leaving_targets_get_no_work(history):
-    """A target that said it leaves gets nothing new after the bound.
+    """A target listed as draining gets no new request after the bound.
 
-    What was meant for a former target at its address, and waited on the way, counts
-    for neither: the target says that it is another one. Nor does what the link to it
-    has held back.
+    Two kinds of late requests are allowed: those meant for a former target at the same
+    address, which the present one answers as misdirected, and those that the link to
+    the target held back.
     """
     for delivery in history.ran:
         if delivery.is_misdirected or _was_held_back(history, delivery):
@@ -142,14 +144,14 @@
 
 
 def _was_held_back(history, delivery):
-    """Tell whether the link to a run's target was harmed just before it came."""
+    """Tell whether the link to the target was faulty just before the delivery."""
     return _is_link_harmed(
         history, delivery.target, delivery.at - LINK_DELIVERY_SECONDS, delivery.at
     )
 
 
 def _is_link_harmed(history, target, began, ended):
-    """Tell whether the link to a target was harmed at some moment of a time."""
+    """Tell whether the link to a target was faulty at some moment of a period."""
     return any(
         disturbance.scope == target
         and disturbance.kind.startswith("link")
@@ -160,7 +162,7 @@
 
 
 def planned_stops_cut_nothing(history):
-    """A router that is asked to stop finishes what it has."""
+    """A router that is asked to stop finishes its requests in flight."""
     for router, process, notified_at in history.planned_stops:
         for request in history.sent_requests.values():
             if (request.router, request.process_number) != (
@@ -183,7 +185,7 @@
 
 
 def versions_come_and_stay(history):
-    """A version is in force in time and is never left for an older one."""
+    """A version is in force in time and is never replaced by an older one."""
     acked = {version.number: version for version in history.versions}
     seen = {}
     probes = [
@@ -221,7 +223,7 @@
 
 
 def retries_are_bounded(history):
-    """Retries of all routers together stay within their budget."""
+    """The retries of all routers together stay within the shared retry budget."""
     seen = set()
     arrivals = {}
     for delivery in sorted(history.ran, key=lambda r: r.at):
@@ -243,12 +245,12 @@
                 for back in (0.0, BUDGET_WINDOW_SECONDS / 2, BUDGET_WINDOW_SECONDS)
             )
             if retries > BUDGET_RATIO * sent_count + BUDGET_EXTRA_REQUESTS:
-                yield f"{service} got {retries} repeats for {sent_count} requests"
+                yield f"{service} got {retries} retries for {sent_count} requests"
                 break
 
 
 def load_is_even(history):
-    """No target holds more than a multiple of its service's mean in calm times."""
+    """Without disturbances, few requests reach a target above the load bound."""
     calm = [
         delivery
         for delivery in history.ran
@@ -264,7 +266,7 @@
 
 
 def answers_come_in_time(history):
-    """A calm router leaves no caller without an answer at the deadline."""
+    """An undisturbed router answers each caller by the deadline."""
     for request in history.sent_requests.values():
         ended = request.ended_at
         if ended is None:
@@ -279,7 +281,7 @@
 
 
 def former_incarnations_do_not_answer(history):
-    """An answer is of a life that ran the request, and comes while it lasts."""
+    """An answer is signed by an incarnation that ran the request and has not ended."""
     runs = history.runs_by_request()
     for request in history.sent_requests.values():
         if request.outcome != ANSWERED or request.status != OK or not request.signed:
@@ -306,7 +308,7 @@
 
 
 def good_entries_get_work(history):
-    """Each calm router sends work to a target whose entry is there again."""
+    """Each undisturbed router sends requests to a target that is listed again."""
     for entry, router, until, got_work in _judged_entries(history):
         if not got_work:
             delay = until - entry.at
@@ -314,12 +316,12 @@
 
 
 def _judged_entries(history):
-    """Return each good entry and calm router, by when it had enough to send.
+    """Yield each valid entry with a router that must have sent it requests by a time.
 
-    What is judged is the time after the last trouble that touched the router or
-    the store, and before the first of the target's own, which may keep routers away
-    from it for longer. Model engines are chosen by what they hold, so only new
-    chats count there, and all routers as one.
+    The judged period begins after the last disturbance of the router or the store. It
+    ends before the first disturbance of the target, which may keep routers away from
+    it for longer. Routers prefer model engines with cached prefixes, so for models
+    only requests of new chats count, and all routers are judged together.
     """
     requests_by_router = _requests_by_router(history)
     received = {}
@@ -341,7 +343,7 @@
                 for request in requests_by_router[router]
                 if request.service == entry.service
                 and request.is_new_chat
-                # Its news of the entry needs a moment to come.
+                # The router needs this long to learn of the entry.
                 and since + IN_FORCE_SECONDS < request.sent_at < withdrawn_at
             )
             if len(times) < required:
@@ -360,10 +362,10 @@
 
 
 def _undisturbed_until(history, entry):
-    """Return until when an entry stood with no trouble at its target.
+    """Return until when an entry was listed without a disturbance of its target.
 
-    One that says in its answers that it leaves is owed no work, however long after
-    that its entry stands there.
+    A target that reports in its answers that it leaves needs to get no requests, however
+    long its entry stays listed.
     """
     began = (
         max(disturbance.began, entry.at)
@@ -380,7 +382,7 @@
 
 
 def _requests_by_router(history):
-    """Return what each router was asked and could pass on, in order."""
+    """Return the requests with a valid key to each router, in order of sending."""
     newest = set(history.versions[-1].keys) if history.versions else set()
     found = {}
     for request in sorted(history.sent_requests.values(), key=lambda a: a.sent_at):
@@ -390,7 +392,7 @@
 
 
 def foreign_entries_get_no_work(history):
-    """What another writer's entry names gets no request once that is known."""
+    """The target named by another writer's invalid entry gets no late request."""
     for entry in history.foreign_entries:
         for delivery in history.ran:
             request = history.sent_requests.get(delivery.name)
@@ -401,7 +403,7 @@
             ):
                 continue
             if delivery.is_misdirected:
-                # Sent by the entry of the target before it at that address.
+                # Sent to the former target at the same address.
                 continue
             scopes = {request.router, "store", f"store of {request.router}"}
             delay = delivery.at - history.undisturbed_since(
@@ -415,7 +417,7 @@
 
 
 def neighbours_keep_work(history):
-    """Targets beside an entry of another writer get work as before."""
+    """An entry of another writer does not keep requests from the other targets."""
     for entry, router, sent, served in _neighbour_requests(history):
         if served < MIN_NEIGHBOUR_SHARE * sent:
             yield (
@@ -425,7 +427,7 @@
 
 
 def _neighbour_requests(history):
-    """Return each foreign entry and router, what it was sent and passed on."""
+    """Yield each foreign entry, router, and its counts of sent and served requests."""
     runs = history.runs_by_request()
     for entry in history.foreign_entries:
         others = {
@@ -437,7 +439,7 @@
             and good.until >= entry.until
             and history.is_undisturbed(entry.at, entry.until, good.scopes)
         }
-        # There has to be something beside it that may get work.
+        # Without another listed target, no request can be served.
         if not others:
             continue
         for router, all_requests in _requests_by_router(history).items():
@@ -460,7 +462,7 @@
 
 
 def _streams_over_silences(history):
-    """Return the streams that were at a silent target, and the silence."""
+    """Return the streams that ran at a target during its silence, and the silence."""
     runs = history.runs_by_request()
     found = []
     for silence in history.silences:
@@ -483,7 +485,7 @@
 
 
 def silence_ends_no_answer(history):
-    """A stream at a target that falls silent for a while ends whole."""
+    """A stream at a target that is silent for a while is answered completely."""
     for request, silence in _streams_over_silences(history):
         if request.outcome != ANSWERED or request.status != OK:
             how = f"{request.outcome} {request.status}"
@@ -491,7 +493,7 @@
 
 
 def count_judged(history):
-    """Return how much the checks of what is seldom had to judge."""
+    """Count the cases that the checks of rare events judged."""
     streams = _streams_over_silences(history)
     return {
         "streams over a silence": len(streams),
@@ -518,7 +520,7 @@
 
 
 def evacuated_domains_get_no_work(history):
-    """A target of a failure domain that was evacuated gets nothing after the bound."""
+    """A target of an evacuated failure domain gets no request after the bound."""
     for delivery, evacuation, delay in _runs_in_evacuated_domains(history):
         if delay > EVACUATION_SECONDS + SLACK_SECONDS:
             yield (
@@ -528,7 +530,7 @@
 
 
 def _runs_in_evacuated_domains(history):
-    """Return each run in an evacuated domain, and how late it was sent there."""
+    """Yield each run in an evacuated domain and its time since the evacuation."""
     for evacuation in history.evacuations:
         for delivery in history.ran:
             request = history.sent_requests.get(delivery.name)
@@ -546,7 +548,7 @@
 
 
 def cold_targets_get_their_rate(history):
-    """A cold target gets no more in any second than it bears, whoever sends it."""
+    """A cold target gets no more requests in any second than all routers may send."""
     for cold in history.cold:
         times = _runs_while_cold(history, cold)
         for first, last in zip(times, times[MAX_COLD_RUNS_PER_SECOND:], strict=False):
@@ -569,7 +571,7 @@
 
 
 def leaving_answers_end_work(history):
-    """A router that passed on that a target leaves sends it nothing after the bound."""
+    """A router that passed on a target's leaving report sends it no late requests."""
     first = _first_leaving_reports(history)
     for delivery in history.ran:
         request = history.sent_requests.get(delivery.name)
@@ -592,7 +594,7 @@
 
 
 def _first_leaving_reports(history):
-    """Return when each router first passed on that a life of a target leaves."""
+    """Return when each router first passed on that an incarnation leaves."""
     first = {}
     for request in history.sent_requests.values():
         if request.leaving_reported_at is None or not request.signed:
@@ -606,15 +608,15 @@
 
 
 def requested_pauses_are_kept(history):
-    """A router sends next to nothing to a target that asked it for a rest."""
+    """A router sends at most a few requests during a pause that a target requested."""
     for pause, router, received in _requests_in_pauses(history):
         if len(received) > MAX_REQUESTS_IN_PAUSE:
-            since = f"a rest from {pause.at:.2f}"
+            since = f"a requested pause from {pause.at:.2f}"
             yield f"{pause.target} got {len(received)} of {router} in {since}"
 
 
 def _requests_in_pauses(history):
-    """Return each rest, its router, and the requests that came from it meanwhile."""
+    """Yield each requested pause, its router and the router's requests during it."""
     by_target = {}
     for delivery in history.ran:
         by_target.setdefault((delivery.target, delivery.start), []).append(delivery)
@@ -639,7 +641,7 @@
 
 
 def harmful_requests_are_held_back(history):
-    """What ends targets reaches few more once routers had time to hear of it."""
+    """Harmful requests reach few more targets once routers exchanged reports of them."""
     for body, harm in history.harmful_contents.items():
         ends = sorted(harm.ends)
         if len(ends) < ENDS_UNTIL_HELD_BACK:
@@ -658,12 +660,12 @@
 
 
 def processes_do_not_exit(history):
-    """No router ends by itself."""
+    """No router process exits unexpectedly."""
     yield from history.unexpected_exits
 
 
 def service_recovers(history):
-    """Callers are served again soon after the last trouble."""
+    """Callers are served again soon after the last disturbance."""
     if history.last_disturbance_ended is None:
         return
     since = history.last_disturbance_ended + RECOVERY_SECONDS
@@ -675,13 +677,13 @@
     ]
     good = [a for a in late_requests if a.outcome == ANSWERED and a.status == OK]
     if not late_requests:
-        yield "nobody asked after the last trouble"
+        yield "no requests were sent after the last disturbance"
     elif len(good) < MIN_RECOVERED_SHARE * len(late_requests):
-        yield f"{len(good)} of {len(late_requests)} requests were served after the last trouble"
+        yield f"{len(good)} of {len(late_requests)} requests were served after the last disturbance"
 
 
 def find_broken(history, events):
-    """Return all that breaks a promise, by promise."""
+    """Return the violations of each broken promise, by its name."""
     checks = {
         "at most once": at_most_once(history),
         "not run is true": not_run_is_true(history),
