--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -1,4 +1,4 @@
-"""What happened in a soak, as callers, targets and the operator saw it."""
+"""Records of a soak: what callers, targets and the operator sent and received."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 ANSWERED = "answered"
 CUT = "cut"
 LEFT = "left"
-# Time without trouble after which a router counts as calm, in seconds.
+# Time after the end of a disturbance in which its effects may last.
 SETTLE_SECONDS = 3.0
 
 
 @dataclass
 class CallerRequest:
-    """One attempt of a caller, with a name of its own."""
+    """One request of a caller, with a unique name, and its outcome."""
 
     name: str
     kind: str
@@ -32,11 +32,11 @@
     status: int = 0
     body: bytes = b""
     echoed: str = ""
-    # Whether no engine can hold a part of its prompt.
+    # Whether no engine can have a part of its prompt in its cache.
     is_new_chat: bool = True
-    # Target and life that signed the answer.
+    # Name and start of the incarnation that signed the answer.
     signed: str = ""
-    # When the head of an answer came that says that its target leaves.
+    # When an answer's head was received that reports that its target leaves.
     leaving_reported_at: float | None = None
 
     @property
@@ -46,7 +46,7 @@
 
 @dataclass
 class Delivery:
-    """An arrival at a target; `has_run` tells whether it began to work."""
+    """A request received by a target; `has_run` tells whether the target ran it."""
 
     name: str
     target: str
@@ -55,16 +55,16 @@
     has_run: bool
     load: int = 0
     mean: float = 0.0
-    # Start of the life of the target that it reached.
+    # Start of the incarnation that received it.
     start: int = 0
     domain: str = ""
-    # Whether it was meant for a former target at the address, which says so.
+    # Whether it was meant for a former target at the address and declined as such.
     is_misdirected: bool = False
 
 
 @dataclass
 class Disturbance:
-    """A fault or planned work, and whom it touches."""
+    """A fault or planned work, and the scope that it affects."""
 
     kind: str
     scope: str
@@ -75,7 +75,7 @@
 
 @dataclass
 class Version:
-    """A version of the configuration that the store has acknowledged."""
+    """A version of the configuration that the store acknowledged."""
 
     number: int
     acked_at: float
@@ -84,7 +84,7 @@
 
 @dataclass
 class Entry:
-    """A target's entry as it stands in the store for a time."""
+    """A target's entry and the period in which the store contained it."""
 
     target: str
     service: str
@@ -95,13 +95,13 @@
 
     @property
     def scopes(self):
-        """Return whose troubles touch it: its target's and its failure domain's."""
+        """Return the scopes that affect it: its target and its failure domain."""
         return {self.target, f"domain {self.domain}"}
 
 
 @dataclass
 class Evacuation:
-    """A time in which targets of a failure domain should get no requests."""
+    """A period in which the targets of a failure domain should get no requests."""
 
     domain: str
     at: float
@@ -110,7 +110,7 @@
 
 @dataclass
 class ColdPeriod:
-    """A time in which a life of a target was cold."""
+    """A period in which an incarnation of a target was cold."""
 
     target: str
     start: int
@@ -120,22 +120,22 @@
 
 @dataclass
 class Silence:
-    """A time in which a target sent nothing to anyone and lost nothing."""
+    """A period in which a target sent nothing but kept its connections."""
 
     target: str
     began: float
     ended: float
-    # Whether no other target of its service was there.
+    # Whether no other target of its service was listed.
     is_alone: bool = True
 
 
 @dataclass
 class PauseRequest:
-    """That a target turned a request away and asked its router for a rest."""
+    """A target's request to a router for a pause, made when it declined a request."""
 
     target: str
     start: int
-    # The request that was turned away.
+    # Name of the declined request.
     name: str
     at: float
     seconds: float
@@ -143,42 +143,42 @@
 
 @dataclass
 class HarmfulContent:
-    """What became of the requests for one content that ends targets."""
+    """The requests with one body that ends targets, and the ends that they caused."""
 
-    # Routers that requests were sent to, by the requests' names.
+    # Router of each request, by the request's name.
     routers: dict[str, str] = field(default_factory=dict)
-    # Names and times of those that came to a target.
+    # Names and times of the requests that reached a target.
     arrivals: list[tuple[str, float]] = field(default_factory=list)
     ends: list[float] = field(default_factory=list)
 
 
 @dataclass
 class History:
-    """Everything the checks need."""
+    """Everything that the checks need."""
 
     sent_requests: dict[str, CallerRequest] = field(default_factory=dict)
     ran: list[Delivery] = field(default_factory=list)
     disturbances: list[Disturbance] = field(default_factory=list)
     versions: list[Version] = field(default_factory=list)
-    # By name and start.
+    # Time at which an incarnation was listed as draining, by name and start.
     draining: dict[tuple[str, int], float] = field(default_factory=dict)
-    # When lives ended whose target started again under its name.
+    # Time at which an incarnation ended whose target restarted under its name.
     ended: dict[tuple[str, int], float] = field(default_factory=dict)
     listed: list[Entry] = field(default_factory=list)
-    # Entries of other writers; the target is what they name.
+    # Entries of other writers; `target` is the target that they name.
     foreign_entries: list[Entry] = field(default_factory=list)
     evacuations: list[Evacuation] = field(default_factory=list)
     cold: list[ColdPeriod] = field(default_factory=list)
     silences: list[Silence] = field(default_factory=list)
     pause_requests: list[PauseRequest] = field(default_factory=list)
-    # By content.
+    # By request body.
     harmful_contents: dict[bytes, HarmfulContent] = field(default_factory=dict)
     unexpected_exits: list[str] = field(default_factory=list)
     planned_stops: list[tuple[str, int, float]] = field(default_factory=list)
     last_disturbance_ended: float | None = None
 
     def is_undisturbed(self, began, ended, scopes):
-        """Tell whether no trouble touched any of the scopes, or just before."""
+        """Tell whether no disturbance affected the scopes in a period or just before."""
         return not any(
             disturbance.scope in scopes
             and disturbance.began <= ended
@@ -189,7 +189,7 @@
         )
 
     def undisturbed_since(self, began, until, scopes):
-        """Return from when on no trouble touched any of the scopes."""
+        """Return the time from which no disturbance affected any of the scopes."""
         ends = (
             inf if disturbance.ended is None else disturbance.ended + SETTLE_SECONDS
             for disturbance in self.disturbances
@@ -198,7 +198,7 @@
         return max([began, *ends])
 
     def runs_by_request(self):
-        """Return the runs of each request, by its name."""
+        """Return the runs of each request, by the request's name."""
         found = {}
         for run in self.ran:
             if run.has_run:
