--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -135,7 +135,7 @@
         name = arrival.headers.get(names.REQUEST_ID.lower(), b"").decode()
         if not name:
             return
-        harm = self._history.harm.get(arrival.body)
+        harm = self._history.harmful_contents.get(arrival.body)
         if harm is not None:
             harm.arrivals.append((name, reactor.seconds()))
             if arrival.has_run:
@@ -336,7 +336,7 @@
         self._end_entries(target)
         now = reactor.seconds()
         entry = Entry(target.name, target.service, target.start, now)
-        self._history.foreign.append(entry)
+        self._history.foreign_entries.append(entry)
         self.store.write("servers", target.name, content)
         return entry
 
@@ -347,7 +347,7 @@
 
     def _end_entries(self, target):
         """Note that what stood in the store of a target stands no more."""
-        for entry in (*self._history.listed, *self._history.foreign):
+        for entry in (*self._history.listed, *self._history.foreign_entries):
             if entry.target == target.name:
                 entry.until = min(entry.until, reactor.seconds())
 
