--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -180,7 +180,7 @@
             deadline=limit,
             version=version,
         )
-        self._history.request[name] = request
+        self._history.sent_requests[name] = request
         return request, method
 
     @inlineCallbacks
