--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -1,4 +1,4 @@
-"""The targets, the store and the operator that the routers meet."""
+"""The stand-in targets and store of a soak, and the operator who writes versions."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 LOOPBACK = "127.0.0.1"
 EVENTS = 8
 SLOTS = 16
-# Failure domains of the targets, in turn.
+# Failure domains; targets are assigned to them in turn.
 DOMAINS = "ab"
-# Requests a second that a cold model engine bears, and how long it is cold.
+# Requests per second for a cold model engine, and how long it is cold.
 COLD_RATE = 10.0
 COLD_SECONDS = 3.0
 MILLISECONDS = 1000
-# Versions whose route is still there: the newest two.
+# Number of newest versions whose probe route is kept in the configuration.
 KEPT_VERSIONS = 2
 
 
 class Target:
-    """One target: its program's stand-in, its link and its entry."""
+    """One target: a stand-in engine, the link to it and its entry in the store."""
 
     def __init__(self, name, service, history, peers, rng, on_harmful_run, domain="a"):
         self._on_harmful_run = on_harmful_run
@@ -42,7 +42,7 @@
         self.service = service
         self.generation = 0
         self.start = 0
-        # Changes whenever something is done to it that undoes what was planned.
+        # Counts the changes that cancel what was planned for the target before.
         self.change_count = 0
         self._base = name
         self._history = history
@@ -68,7 +68,7 @@
         return self.script.name
 
     def replace_in_place(self):
-        """Become another target at the same address; what runs goes on."""
+        """Become another target at the same address; requests in flight go on."""
         self.generation += 1
         self.script.name = f"{self._base}-{self.generation}"
         self.script.faults.clear()
@@ -76,7 +76,7 @@
         self.script.current_incarnation.started_at = self.start
 
     def replace(self, *, moves):
-        """End at once; what starts in its place is elsewhere or here at once."""
+        """End at once, and become another target at the same or another address."""
         self.link.reset()
         self.engine.restart(None)
         if moves:
@@ -86,7 +86,7 @@
         self.replace_in_place()
 
     def restart(self, *, moves):
-        """Start again under the same name, here or elsewhere."""
+        """Restart under the same name, at the same or another address."""
         self._history.ended[self.name, self.start] = reactor.seconds()
         self._start()
         self.link.reset()
@@ -117,7 +117,7 @@
         }
 
     def become_cold(self, seconds):
-        """Become cold for a while, from now on."""
+        """Become cold now for some seconds."""
         now = reactor.seconds()
         self.cold_until = now + seconds
         self._history.cold.append(ColdPeriod(self.name, self.start, now, now + seconds))
@@ -127,7 +127,7 @@
         return max(0, round(left * MILLISECONDS))
 
     def choose_foreign_entry(self, fraction):
-        """Return an entry of another writer that names it, by a number below 1."""
+        """Return an invalid entry for this target, chosen by a fraction below 1."""
         found = list(foreign_entries(self.entry()).values())
         return found[int(fraction * len(found))]
 
@@ -141,7 +141,7 @@
             if arrival.has_run:
                 self._on_harmful_run(self, harm)
             return
-        # What was meant for another target at the address is told so, and no rest.
+        # A misdirected request is answered as such and gets no request for a pause.
         if self.script.is_resting and not self._is_misdirected(arrival):
             now, rest = reactor.seconds(), self.script.rest
             self._history.pause_requests.append(
@@ -176,7 +176,7 @@
 
 
 class Operator:
-    """Writes versions: a route of its own each, and keys that come and go."""
+    """Writes versions, each with a probe route of its own and changing keys."""
 
     def __init__(self, store, history, *, is_cold=False):
         self._store = store
@@ -197,14 +197,14 @@
         self._history.versions.append(version)
 
     def choose_key(self, rng):
-        """Return a key that a caller uses: mostly one that holds."""
+        """Return a key for a caller: mostly a valid one, else one that may be withdrawn."""
         held = self._history.versions
         if rng.random() < 0.1 and len(held) > 1:
             return rng.choice(held[-2].keys)
         return rng.choice(self._keys)
 
     def choose_probed_version(self, rng):
-        """Return a version whose route a caller asks for."""
+        """Return a version whose probe route a caller requests."""
         return rng.randint(max(1, self.number - KEPT_VERSIONS), self.number)
 
     def _content(self):
@@ -250,7 +250,7 @@
         self.store = UsersStore(reactor)
         self._history = history
         self._rng = rng
-        # What only entries of other writers name.
+        # Targets that are named only by entries of other writers.
         self._unlisted_targets = []
         self._site = Site(self.store)
         self._site.noisy = False
@@ -278,7 +278,7 @@
         )
 
     def models_in_domain(self, domain):
-        """Return the model engines of a failure domain."""
+        """Return the model engines in a failure domain."""
         return [
             target
             for target in self.targets
@@ -301,23 +301,23 @@
         self.store.remove("servers", target.name)
 
     def crash(self, target):
-        """End a target at once; another is soon at its address."""
+        """End a target at once; another takes its address and is listed later."""
         self._end_entries(target)
         target.link.reset()
         target.replace_in_place()
 
     def replace(self, target, *, moves):
-        """End a target at once; another starts in its place."""
+        """End a target at once; another starts at the same or another address."""
         self._end_entries(target)
         target.replace(moves=moves)
 
     def restart(self, target, *, moves):
-        """Start a target again under its name; its entry stays as it is."""
+        """Restart a target under its name; its entry stays as it is."""
         self._end_entries(target)
         target.restart(moves=moves)
 
     def is_only_listed(self, target):
-        """Tell whether no other target of its service has a good entry."""
+        """Tell whether no other target of its service has a valid entry."""
         now = {(t.name, t.start) for t in self.targets if t is not target}
         return not any(
             entry.service == target.service and (entry.target, entry.start) in now
@@ -326,13 +326,13 @@
         )
 
     def unlisted_target(self, name, service):
-        """Return a target that no good entry names."""
+        """Return a new target that no valid entry names."""
         found = self._target(name, service)
         self._unlisted_targets.append(found)
         return found
 
     def write_foreign(self, target, content):
-        """Write an entry of another writer, in the place of a good one if any."""
+        """Write an entry of another writer, replacing the target's own if there is one."""
         self._end_entries(target)
         now = reactor.seconds()
         entry = Entry(target.name, target.service, target.start, now)
@@ -341,12 +341,12 @@
         return entry
 
     def write_former_entry(self, target, content):
-        """Write what a former life of the target had written, once more."""
+        """Write the entry of a former incarnation of the target again."""
         self._end_entries(target)
         self.store.write("servers", target.name, content)
 
     def _end_entries(self, target):
-        """Note that what stood in the store of a target stands no more."""
+        """Record that the present entries of a target are no longer in the store."""
         for entry in (*self._history.listed, *self._history.foreign_entries):
             if entry.target == target.name:
                 entry.until = min(entry.until, reactor.seconds())
