--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections open until the router is gone."""
+"""Callers of the routers; each keeps its connection open while it works."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 from soak.history import HarmfulContent
 
 CONNECT_TIMEOUT_SECONDS = 1
-# Seconds that a caller waits beyond its deadline before it leaves.
+# Time that a caller waits beyond its deadline before it disconnects.
 WAIT_AFTER_DEADLINE_SECONDS = 1.0
-# Share of requests whose caller leaves early.
+# Share of requests whose caller disconnects early.
 EARLY_ABORT_SHARE = 0.04
-# Share of the prompts that begin a chat, with no part that an engine holds.
+# Share of the prompts that begin a new chat, with no part in any engine's cache.
 NEW_CHAT_SHARE = 0.4
-# The key of the callers whose request ends targets; it is never withdrawn.
+# Key of the callers whose requests end targets; it is never withdrawn.
 HARMFUL_KEY = b"harm"
-# What is asked for, how often, with which time limit in seconds.
+# Kinds of requests: method, service, weight and deadline in seconds.
 REQUEST_KINDS = {
     "plain": ("GET", "portal", 30, 1.5),
     "once": ("POST", "portal", 25, 1.5),
@@ -43,7 +43,7 @@
 
 
 class _BodyCollector(Protocol):
-    """Collects a body and tells how it ended."""
+    """Collects a body and reports whether it was complete."""
 
     def __init__(self):
         self.data = b""
@@ -57,7 +57,7 @@
 
 
 class HarmfulCaller:
-    """Sends one request that ends targets, again and again, to any router."""
+    """Sends one request that ends targets repeatedly, each time to any router."""
 
     def __init__(self, body, rng, fleet, history):
         self._body = body
@@ -72,12 +72,12 @@
 
     @inlineCallbacks
     def run(self, pause):
-        """Send it until stopped, with pauses of about this length."""
+        """Send the request until stopped, with pauses of about this length."""
         while not self._is_stopped:
             yield deferLater(reactor, pause * self._rng.uniform(0.3, 1.7), lambda: None)
             try:
                 yield self._send_request()
-            except Exception:  # noqa: BLE001 - it tries again elsewhere
+            except Exception:  # noqa: BLE001 - it retries at another router
                 continue
 
     @inlineCallbacks
@@ -106,7 +106,7 @@
 
 
 class _UnreadConnection(Protocol):
-    """A connection whose answer does not matter."""
+    """A connection whose answer is ignored."""
 
     def __init__(self):
         self.closed = Deferred()
@@ -116,7 +116,7 @@
 
 
 class Caller:
-    """Sends one request after the other, each to a router that is ready."""
+    """Sends one request after the other to a ready router."""
 
     def __init__(self, number, rng, fleet, history, operator):
         self._number = number
@@ -188,7 +188,7 @@
         if self._channel is None or self._channel.state != "QUIESCENT":
             try:
                 yield self._connect()
-            except Exception:  # noqa: BLE001 - a caller tries again elsewhere
+            except Exception:  # noqa: BLE001 - a caller retries at another router
                 return
         request, method = self._draw_request()
         limit = request.deadline + WAIT_AFTER_DEADLINE_SECONDS
@@ -198,7 +198,7 @@
         time_out = reactor.callLater(limit, self._abort, request, channel)
         try:
             yield self._exchange(request, method, channel)
-        except Exception:  # noqa: BLE001 - any failure is a cut exchange
+        except Exception:  # noqa: BLE001 - any failure counts as a cut answer
             request.outcome = request.outcome or CUT
         finally:
             if time_out.active():
