--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -1,7 +1,7 @@
-"""A loopback proxy whose links are delayed, held back, cut or reset.
+"""A loopback TCP proxy that delays, holds back or resets its connections.
 
-Bytes that are held back come later, as a network that is cut and mended brings
-them; nothing is dropped from the middle of a connection.
+Bytes that were held back are delivered when the fault ends, as TCP does after a
+network partition; no bytes are lost from the middle of a connection.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class LinkFault(Enum):
-    """What the link does."""
+    """Fault of all connections of a proxy."""
 
     NONE = "none"
     DELAY = "delay"
@@ -30,7 +30,7 @@
 
 
 class _Direction:
-    """Bytes in one direction of one connection."""
+    """Forwards the bytes of one direction of a connection."""
 
     def __init__(self, proxy, is_answer):
         self._proxy = proxy
@@ -86,7 +86,7 @@
 
 
 class FaultProxy(Factory):
-    """Stands before one port; all its connections share one state."""
+    """Proxy in front of one port; all its connections have the same fault."""
 
     noisy = False
 
@@ -133,7 +133,7 @@
         return caller
 
     def set(self, fault, delay=0.0):
-        """Change what the links do from now on."""
+        """Set the fault of all present and new connections."""
         self.fault, self.delay = fault, delay
         if fault is LinkFault.RESET:
             self.reset()
@@ -147,7 +147,7 @@
             ]
 
     def reset(self):
-        """Reset the connections that are open."""
+        """Reset all open connections."""
         for end in list(self.open_ends):
             end.transport.abortConnection()
 
