--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The programs under test, as processes, and how they are started and ended."""
+"""The routers under test as processes, and a stand-in for the load balancer."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
 CALLERS_PORT = 8227
 READY_PORT = 8220
 LINKS_PORT = 7340
-# The balancer asks this often, and two misses take a router out.
+# The balancer probes each router at this interval; a router that misses two probes
+# in a row gets no new connections.
 PROBE_INTERVAL_SECONDS = 0.5
 MAX_MISSED_PROBES = 2
 RESTART_DELAY_SECONDS = 0.4
@@ -40,16 +41,17 @@
 
 
 def router_address(number):
-    """Return a loopback address that no other run uses, for one router.
+    """Return a loopback address for one router that no other run uses.
 
-    Ports that the system chooses may be taken while a router is restarted.
+    Addresses with fixed ports are used because a port chosen by the system may be
+    taken by another process while the router is restarted.
     """
     run = os.getpid()
     return f"127.{10 + (run >> 8) % 200}.{run % 256}.{number + 1}"
 
 
 class _ReadinessProbe(Protocol):
-    """Asks one router whether it is ready."""
+    """Probes the readiness of one router."""
 
     def __init__(self, report):
         self._report = report
@@ -66,7 +68,7 @@
 
 
 class RouterProcess:
-    """One router, its settings file, its log and its link to the store."""
+    """One router process with its settings file, log and link to the store."""
 
     def __init__(self, number, folder, store_port, history):
         self.name = name = f"r{number}"
@@ -109,7 +111,7 @@
         self._settings_path.write_text(json.dumps(fields))
 
     def start(self):
-        """Start the program; it is started again whenever it ends."""
+        """Start the process; it is restarted whenever it ends."""
         self._should_run = True
         self.is_stopping = self.is_paused = False
         self.process_number += 1
@@ -127,7 +129,7 @@
         self._is_first = False
 
     def restart_if_ended(self):
-        """Start it again once it has ended; note an end of its own."""
+        """Restart the process if it has ended; record an unexpected exit."""
         if (
             not self._should_run
             or self._process is None
@@ -139,7 +141,7 @@
         if self.is_stopping:
             expected.add(0)
         if self.is_stopping and not self._accepted_connections:
-            # The interpreter itself was still starting; nobody was connected.
+            # The interpreter was still starting and no caller was connected.
             expected.add(-signal.SIGTERM)
         if status not in expected:
             self._history.unexpected_exits.append(
@@ -163,12 +165,12 @@
         self.signal(signal.SIGTERM)
 
     def signal(self, number):
-        """Send a signal to the process that was started, if it lives."""
+        """Send a signal to the process if it is running."""
         if self.is_running:
             self._process.send_signal(number)
 
     def kill(self):
-        """End it for good."""
+        """Kill the process without a restart, and close its log and link."""
         self._should_run = False
         if self.is_running:
             self._process.send_signal(signal.SIGKILL)
@@ -177,7 +179,7 @@
         return self.store.close()
 
     def probe_readiness(self):
-        """Count a miss unless the router says that it is ready."""
+        """Count a missed probe unless the router answers that it is ready."""
         self.missed_probes += 1
         endpoint = TCP4ClientEndpoint(
             reactor, self.address, READY_PORT, PROBE_INTERVAL_SECONDS
@@ -192,7 +194,7 @@
 
 
 class Fleet:
-    """All routers, and the balancer before them."""
+    """All routers, and the load balancer in front of them."""
 
     def __init__(self, count, folder, store_port, history):
         self.routers = [
@@ -201,7 +203,7 @@
         self._loops = []
 
     def start(self):
-        """Start all routers and look after them."""
+        """Start all routers, their restarts and the readiness probes."""
         for router in self.routers:
             router.start()
             for act, every in (
@@ -213,12 +215,12 @@
                 self._loops.append(loop)
 
     def choose(self, rng):
-        """Return a router for a new connection."""
+        """Return a random ready router for a new connection."""
         ready = [r for r in self.routers if r.missed_probes < MAX_MISSED_PROBES]
         return rng.choice(ready or self.routers)
 
     def stop(self):
-        """End all processes that were started."""
+        """Kill all router processes."""
         for loop in self._loops:
             loop.stop()
         for router in self.routers:
