--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -1,11 +1,11 @@
-"""What goes wrong in a soak, and when; all of it follows from the seed."""
+"""Draws the faults and planned work of a soak, and their times, from its seed."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Seconds of trouble and of planned work alone, by turns; within the trouble,
-# faults overlap.
+# Periods with faults and planned work alternate with periods of planned work alone;
+# faults may overlap.
 FAULT_SPELL_SECONDS = 9.0
 PLANNED_SPELL_SECONDS = 5.0
 FAULT_INTERVAL_SECONDS = 0.7
@@ -21,13 +21,13 @@
     "target_faults": 4,
     "target_crash": 2,
 }
-# Drawn in a series of their own beside the others, in the same spells.
+# Drawn as a separate series, in the periods with faults.
 EXTRA_KINDS = {"reborn": 3, "foreign": 3, "lone_silence": 1}
 EXTRA_INTERVAL_SECONDS = 1.5
-# What happens to failure domains, in a series of its own where it is asked for.
+# Events of failure domains; an optional separate series.
 DOMAIN_KINDS = {"evacuate": 3, "chill": 2, "cold_return": 2}
 DOMAIN_INTERVAL_SECONDS = 4.0
-# What targets say in their answers, in a series of its own where it is asked for.
+# Self-reports of targets in their answers; an optional separate series.
 SELF_REPORT_KINDS = {"say_leaving": 3, "ask_rest": 4, "all_ask_rest": 1}
 SELF_REPORT_INTERVAL_SECONDS = 3.0
 PLANNED_KINDS = {
@@ -42,7 +42,11 @@
 
 @dataclass(frozen=True)
 class Step:
-    """Something to do at a time, for a while, to something drawn."""
+    """One event of a soak.
+
+    `choice` and `how` are fractions below 1: one chooses the object that the event
+    affects, the other the variant of the event.
+    """
 
     at: float
     kind: str
@@ -52,9 +56,9 @@
 
 
 def draw(rng, seconds, extra_rng=None, without=()):
-    """Return the steps of a soak, in order.
+    """Return the steps of a soak, in order of time.
 
-    What `extra_rng` draws leaves the other series of the seed as it is.
+    Steps drawn with `extra_rng` do not change the main series of the seed.
     """
     steps = _draw_main_series(rng, seconds)
     kinds = {kind: n for kind, n in EXTRA_KINDS.items() if kind not in without}
@@ -72,12 +76,12 @@
 
 
 def draw_domains(rng, seconds):
-    """Return what happens to failure domains in a soak, in order."""
+    """Return the steps of failure domains, in order of time."""
     return _draw_series(rng, seconds, DOMAIN_KINDS, DOMAIN_INTERVAL_SECONDS)
 
 
 def draw_self_reports(rng, seconds):
-    """Return when targets say in a soak that they leave or want rest, in order."""
+    """Return the steps in which targets report leaving or request pauses, in order."""
     return _draw_series(rng, seconds, SELF_REPORT_KINDS, SELF_REPORT_INTERVAL_SECONDS)
 
 
