--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,11 +1,12 @@
-"""Runs routers as processes among faults and checks what they promise.
+"""Runs routers as processes under faults and checks what they promise.
 
     python tests/soak/soak.py --seed 7 --seconds 40 --routers 4
 
-The routers' programs are the real ones, the store and the targets stand-ins in
-this process. Faults come from outside: signals, links through a loopback proxy,
-a store and targets that fail. Clocks are not stepped: the routers use one that
-nothing but a suspended host moves, which a paused process comes near to.
+The routers are the real program; the store and the targets are stand-ins in this
+process. Faults come from outside the routers: signals, a loopback proxy on their
+links, and failures of the store and the targets. Clocks are not stepped: the routers
+use a monotonic clock, which only a suspended host would change, and a paused process
+has nearly the same effect.
 """
 
 from __future__ import annotations
@@ -44,32 +45,33 @@
 
 PORTALS = 4
 MODELS = 4
-# A few hundred processes that start together share the cores for a minute.
+# A few hundred processes that start together take about a minute.
 MAX_START_SECONDS = 120.0
 LINK_FAULTS = [fault for fault in LinkFault if fault is not LinkFault.NONE]
 LINK_DELAY_SECONDS = 0.3
-# Seconds until a crashed target is back, and until its entry goes.
+# Time until a crashed target is listed again, and until its former entry lapses.
 TARGET_RETURN_SECONDS = 1.5
 ENTRY_LAPSE_SECONDS = 2.0
-# Seconds between two requests that end targets, of work on one until the end, which
-# comes before its answer is whole, and until another target has started instead.
+# Time between two requests that end targets; the time for which a target runs such a
+# request before it ends, which is shorter than a complete answer takes; and the time
+# until another target is listed in its place.
 HARMFUL_INTERVAL_SECONDS = 0.5
 MAX_HARMFUL_RUN_SECONDS = 0.1
 HARMED_RETURN_SECONDS = 2.5
-# Share of these that start elsewhere; the others do so where the former one was.
+# Share of these that start at another address; the others keep the former one.
 MOVES_SHARE = 0.5
-# A planned stop takes this long at the most.
+# A router that has not stopped after this time is killed.
 MAX_STOP_SECONDS = 9.0
 RECOVERY_CHECK_SECONDS = 12.0
-# A leaving target goes on serving for the time in which it may get work.
+# A leaving target serves for the time in which it may still get requests.
 LEAVE_SECONDS = 2.4
 MAX_FAULTS_IN_BURST = 12
-# A domain is evacuated for so much longer than the time in which that must be known.
+# An evacuation lasts longer than the 5 s within which all routers must follow it.
 MIN_EVACUATION_SECONDS = 5.5
-# Share of evacuations after which engines are cold, and how late they may say so.
+# Share of evacuations after which engines are cold, and how late they may report it.
 COLD_RETURN_SHARE = 0.7
 MAX_REPORT_DELAY_SECONDS = 2.0
-# How a target starts again under its name.
+# Ways in which a target restarts under its name.
 RESTART_VARIANTS = (
     "at once",
     "told late",
@@ -83,26 +85,27 @@
 FORMER_ENTRY_DELAY_SECONDS = 0.5
 FORMER_ENTRY_SECONDS = 2.0
 RESTART_SECONDS = 3.0
-# Entries of other writers stay for longer than they may be acted on.
+# Entries of other writers stay longer than routers may take to ignore them.
 FOREIGN_SECONDS = 2.5
-# Shares of them that stand in the list of routers, and under new names.
+# Upper bounds of a number drawn below 1: below the first, the entry is written to the
+# list of routers; below the second, under a new name.
 FOREIGN_ROUTERS_SHARE = 0.15
 FOREIGN_NEW_SHARE = 0.5
-# How long an engine that reads a long prompt sends nothing, in seconds.
+# Length of the silence of an engine that reads a long prompt.
 MIN_SILENT_SECONDS = 0.3
 MAX_SILENT_SECONDS = 1.5
-# Share of targets that say that they leave whose entries lapse and return meanwhile.
+# Share of targets that report leaving whose entry lapses and returns meanwhile.
 ENTRY_LAPSE_SHARE = 0.4
-# Seconds of rest that targets ask for.
+# Length of the pauses that targets request.
 MIN_PAUSE_SECONDS = 0.7
 MAX_PAUSE_SECONDS = 4.0
 UNFINISHED_STATUS = 2
-# How often the soak looks whether it was itself held up, in seconds.
+# Interval at which the soak measures whether its own process was stalled.
 STALL_CHECK_SECONDS = 0.05
 
 
 class Soak:
-    """One run."""
+    """One run of routers, targets and callers with the steps of a seed."""
 
     def __init__(
         self,
@@ -117,7 +120,7 @@
         statements=False,
     ):
         self._rng = random.Random(seed)
-        # Of its own, so that what else the seed draws stays as it is.
+        # A separate generator, so that its draws do not change those of the main one.
         self._extra_rng = random.Random(f"beside {seed}")
         self._without = without
         self._has_lone_model = False
@@ -150,14 +153,14 @@
             for n in range(harmful)
         ]
         self._disturbance_ends = []
-        # Longest time for which the machine kept this process from running:
-        # callers seem to wait for longer by that.
+        # Longest time for which this process was kept from running; callers seem to
+        # wait longer by that time.
         self.longest_stall = 0.0
         self._checked_at = None
 
     @inlineCallbacks
     def run(self, seconds, pause):
-        """Run for so long; return what broke."""
+        """Run for some seconds and return the violations of each broken promise."""
         self._operator.write(self._rng)
         self._fleet.start()
         yield self._wait_until_ready()
@@ -174,7 +177,7 @@
             steps += schedule.draw_self_reports(self._self_report_rng, seconds)
         steps.sort(key=lambda step: step.at)
         if self._harmful:
-            # Routers that are all killed at once forget what they held back.
+            # Routers that are all killed at once lose their record of harmful requests.
             steps = [step for step in steps if step.kind != "kill_all"]
         for step in steps:
             yield self._wait(began + step.at - reactor.seconds())
@@ -199,7 +202,7 @@
         reactor.callLater(STALL_CHECK_SECONDS, self._measure_stalls)
 
     def stop(self):
-        """End all that was started."""
+        """Stop all routers, targets and the store."""
         self._fleet.stop()
         self._backends.close()
 
@@ -214,7 +217,7 @@
     def _wait(self, seconds):
         return deferLater(reactor, max(0.0, seconds), lambda: None)
 
-    # What may happen
+    # Steps of the schedule, by kind, and their helpers
 
     def _record_disturbance(
         self, kind, scope, duration, undo=None, *, is_planned=False
@@ -363,9 +366,9 @@
         )
 
     def _run_harmful(self, target, harm):
-        """Have a target end under a request that it has begun to run.
+        """Have a target end soon while it runs a harmful request.
 
-        Whatever else is done to the target meanwhile, unless that ends the run.
+        Other changes of the target do not prevent this, unless its incarnation ended.
         """
         incarnation = target.script.current_incarnation
 
@@ -393,7 +396,7 @@
         return DOMAINS[int(step.choice * len(DOMAINS))]
 
     def _evacuate(self, step):
-        """Have a domain get nothing for a while; its engines may be cold after it."""
+        """Evacuate a failure domain for a while; its engines may be cold afterwards."""
         domain = self._domain(step)
         now = reactor.seconds()
         if any(each.until > now for each in self.history.evacuations):
@@ -415,13 +418,13 @@
         )
 
     def _chill(self, step):
-        """Have an engine be cold again, while it serves."""
+        """Have a serving engine become cold."""
         models = [t for t in self._backends.targets if t.service == "model"]
         target = models[int(step.choice * len(models))]
         self._make_cold(target, step.how)
 
     def _make_cold(self, target, how):
-        """Have an engine be cold, and say so in the store somewhat later."""
+        """Have an engine become cold and report it in the store a little later."""
         target.become_cold(COLD_SECONDS)
         if not self._is_draining(target):
             self._call_if_unchanged(
@@ -429,7 +432,7 @@
             )
 
     def _cold_return(self, step):
-        """Have the engines of a domain end, and come back together, cold."""
+        """Have the engines of a failure domain crash and return together, cold."""
         store = self._backends.store
         for target in self._backends.models_in_domain(self._domain(step)):
             name = target.name
@@ -445,7 +448,7 @@
         self._backends.list(target)
 
     def _drain(self, step):
-        """Have a target leave as planned, and another take its address."""
+        """Have a target drain as planned and another target take its address."""
         target = self._target(step)
         if not self._is_draining(target):
             self._drain_target(target, 0.0)
@@ -468,7 +471,7 @@
         self._record_disturbance("drain", name, LEAVE_SECONDS, leave, is_planned=True)
 
     def _call_if_unchanged(self, target, seconds, function, *values):
-        """Do something unless something else is done to the target before."""
+        """Call a function later, unless the target has changed by then."""
         change_count = target.change_count
 
         def call_if_unchanged():
@@ -478,7 +481,7 @@
         reactor.callLater(seconds, call_if_unchanged)
 
     def _reborn(self, step):
-        """Have a target start again under its name."""
+        """Have a target restart under its name."""
         target = self._target(step)
         variant = RESTART_VARIANTS[int(step.how * len(RESTART_VARIANTS))]
         moves = variant in {"moved", "moved, told late", "older after"}
@@ -515,14 +518,14 @@
         self._backends.list(target)
 
     def _say_leaving(self, step):
-        """Have a target say that it leaves while its entry is ready, and then leave."""
+        """Have a target report leaving in its answers while listed as ready, then leave."""
         target = self._target(step)
         if self._is_draining(target) or target.script.is_leaving:
             return
         target.change_count += 1
         target.script.is_leaving = True
         change_count = target.change_count
-        # Its entry may lapse meanwhile and be written again.
+        # Its entry may lapse and be written again meanwhile.
         if step.how < ENTRY_LAPSE_SHARE:
             self._call_if_unchanged(target, step.how, self._backends.delist, target)
             self._call_if_unchanged(
@@ -540,11 +543,11 @@
         )
 
     def _ask_rest(self, step):
-        """Have a target turn all requests away for a while and ask for rest."""
+        """Have a target decline all requests for a while and request pauses."""
         self._request_pause(self._target(step), step)
 
     def _all_ask_rest(self, step):
-        """Have all targets of a service do so."""
+        """Have all targets of a service decline requests and request pauses."""
         service = self._target(step).service
         for target in self._backends.targets:
             if target.service == service:
@@ -561,13 +564,13 @@
             script.is_resting = False
 
         reactor.callLater(step.duration, end)
-        # Routers may keep away until the end of a rest that was asked for last.
+        # Routers may stay away until the end of the pause that was requested last.
         self._record_disturbance(
             "asks for rest", target.name, step.duration + script.rest
         )
 
     def _foreign(self, step):
-        """Have another writer put an entry there, or in the place of a good one."""
+        """Write an entry of another writer: new, or in place of a target's own."""
         target = self._target(step)
         backends, store = self._backends, self._backends.store
         duration = FOREIGN_SECONDS + step.duration
@@ -594,7 +597,7 @@
             self._call_if_unchanged(target, duration, backends.list, target)
 
     def _lone_silence(self, step):
-        """Have all model engines leave but one, and that one fall silent."""
+        """Drain all model engines but one, and have that one fall silent."""
         models = [t for t in self._backends.targets if t.service == "model"]
         lone_model = models[int(step.choice * len(models))]
         if self._has_lone_model or self._is_draining(lone_model):
@@ -627,7 +630,7 @@
 
 
 def summary(soak):
-    """Return what a run was made of."""
+    """Return counts of a run's requests, faults and judged cases."""
     history = soak.history
     outcomes = {}
     for request in history.sent_requests.values():
@@ -646,7 +649,7 @@
 
 
 def main():
-    """Run one soak and exit with 1 if a promise was broken."""
+    """Run one soak; return 1 if a promise was broken and 2 if it did not finish."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, required=True)
     parser.add_argument("--seconds", type=float, default=40.0)
@@ -656,14 +659,21 @@
     parser.add_argument(
         "--without", nargs="*", default=[], choices=list(schedule.EXTRA_KINDS)
     )
-    parser.add_argument("--harmful", type=int, default=0, help="such requests")
     parser.add_argument(
-        "--domains", action="store_true", help="evacuations and cold engines too"
+        "--harmful",
+        type=int,
+        default=0,
+        help="number of distinct requests that end targets",
+    )
+    parser.add_argument(
+        "--domains",
+        action="store_true",
+        help="also evacuate failure domains and start cold engines",
     )
     parser.add_argument(
         "--statements",
         action="store_true",
-        help="targets that say that they leave or want rest too",
+        help="also have targets report leaving and request pauses",
     )
     parser.add_argument("--keep", default="", help="folder for logs")
     arguments = parser.parse_args()
@@ -683,7 +693,7 @@
             domains=arguments.domains,
             statements=arguments.statements,
         )
-        # Also when the run is terminated.
+        # Runs also when the soak is terminated.
         reactor.addSystemEventTrigger("before", "shutdown", soak.stop)
         found = yield soak.run(arguments.seconds, arguments.pause)
         sys.stdout.write(f"seed {arguments.seed}: {json.dumps(summary(soak))}\n")
