--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -1,13 +1,13 @@
-"""Counts what real routers send to targets that leave, or rest, by their own word.
+"""Counts what routers send to targets that report leaving or request pauses.
 
     python tests/soak/statements.py --routers 4
 
-The entries of all targets stay as they are throughout, so that answers alone tell. For
-each of three ways, in a run of its own: requests that reach a target from a router
-later than 2 s after that router passed on an answer which says that the target leaves;
-rests in which more than two requests of a router came, and the most that came in one;
-and the share of callers that were served, meanwhile and once the rests are over. Left
-out are those that leave early by their own will, and keys that were withdrawn.
+The entries of all targets stay unchanged, so that routers learn of it from answers
+alone. In each of three runs it counts: requests that reach a target from a router later
+than 2 s after that router passed on an answer which reports that the target leaves;
+requested pauses in which more than two requests of a router were received, and the most
+in one pause; and the share of callers that were served during the run and after the
+pauses. Callers that disconnect early and withdrawn keys are not counted.
 """
 
 from __future__ import annotations
@@ -39,16 +39,16 @@
 REQUESTED_PAUSE_SECONDS = 3.0
 WARM_SECONDS = 2.0
 MEASURED_SECONDS = 12.0
-# Seconds after the last rest from which on callers should be served again.
+# Time after the last pause from which callers should be served again.
 RETURN_SECONDS = 0.5
 AFTER_SECONDS = 4.0
 MAX_START_SECONDS = 60.0
-# Statuses of keys that hold no longer, and of routes that are gone.
+# Statuses for withdrawn keys and removed routes.
 EXPECTED_REFUSALS = (401, 404)
 
 
 class StatementsRun:
-    """Routers, targets and callers in one way."""
+    """Routers, targets and callers of one run."""
 
     def __init__(self, routers, folder, seed):
         self.history = History()
@@ -71,7 +71,7 @@
         ]
 
     def choose_targets(self, count):
-        """Return so many targets, of both services in turn."""
+        """Return this many targets, from both services in turn."""
         targets = self._backends.targets
         pairs = zip(
             targets[:TARGETS_PER_SERVICE], targets[TARGETS_PER_SERVICE:], strict=True
@@ -80,9 +80,9 @@
 
     @inlineCallbacks
     def run(self, begin, end):
-        """Have callers come; `begin` and `end` are what targets do meanwhile.
+        """Run callers, and call `begin` and `end` around the measured period.
 
-        Returns the shares of callers served meanwhile and after it.
+        Returns the shares of callers served in that period and after the pauses.
         """
         self._fleet.start()
         until = reactor.seconds() + MAX_START_SECONDS
@@ -108,7 +108,7 @@
         )
 
     def served_share(self, began, ended):
-        """Return the share of callers served that came in a time."""
+        """Return the share of the requests sent in a period that were served."""
         counted = [
             request
             for request in self.history.sent_requests.values()
@@ -123,7 +123,7 @@
         return good / len(counted) if counted else 0.0
 
     def stop(self):
-        """End all that was started."""
+        """Stop all routers, targets and the store."""
         self._fleet.stop()
         self._backends.close()
 
@@ -134,7 +134,7 @@
 
 @inlineCallbacks
 def measure_leaving(routers, folder, seed):
-    """Four targets say that they leave."""
+    """Measure a run in which four targets report that they leave."""
     statements_run = StatementsRun(routers, folder, seed)
 
     def begin():
@@ -154,7 +154,7 @@
 
 @inlineCallbacks
 def measure_pauses(routers, folder, seed, count):
-    """Some targets turn all requests away and ask for rest."""
+    """Measure a run in which targets decline all requests and request pauses."""
     statements_run = StatementsRun(routers, folder, seed)
 
     def begin():
