--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -101,7 +101,7 @@
         yield wait(REQUESTED_PAUSE_SECONDS + RETURN_SECONDS + AFTER_SECONDS)
         for caller in self._callers:
             caller.stop()
-        pauses = [rest.at + rest.seconds for rest in self.history.pause_requests]
+        pauses = [pause.at + pause.seconds for pause in self.history.pause_requests]
         returned_at = max([ended, *pauses]) + RETURN_SECONDS
         return self.served_share(began, ended), self.served_share(
             returned_at, returned_at + AFTER_SECONDS
@@ -159,7 +159,7 @@
 
     def begin():
         for target in statements_run.choose_targets(count):
-            target.script.rest = REQUESTED_PAUSE_SECONDS
+            target.script.pause = REQUESTED_PAUSE_SECONDS
             target.script.is_resting = True
 
     def end():
