--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -669,17 +669,15 @@
     if history.last_disturbance_ended is None:
         return
     since = history.last_disturbance_ended + RECOVERY_SECONDS
-    late_requests = [
+    recent = [
         a for a in history.sent_requests.values() if a.sent_at > since and a.ended_at
     ]
-    late_requests = [
-        a for a in late_requests if a.key in history.versions[-1].keys and not a.version
-    ]
-    good = [a for a in late_requests if a.outcome == ANSWERED and a.status == OK]
-    if not late_requests:
+    recent = [a for a in recent if a.key in history.versions[-1].keys and not a.version]
+    good = [a for a in recent if a.outcome == ANSWERED and a.status == OK]
+    if not recent:
         yield "no requests were sent after the last disturbance"
-    elif len(good) < MIN_RECOVERED_SHARE * len(late_requests):
-        yield f"{len(good)} of {len(late_requests)} requests were served after the last disturbance"
+    elif len(good) < MIN_RECOVERED_SHARE * len(recent):
+        yield f"{len(good)} of {len(recent)} requests were served after the last disturbance"
 
 
 def find_broken(history, events):
