--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -197,7 +197,7 @@
         self._history.versions.append(version)
 
     def choose_key(self, rng):
-        """Return a key for a caller: mostly a valid one, else one that may be withdrawn."""
+        """Return a key for a caller: mostly a valid one, or one of the last version."""
         held = self._history.versions
         if rng.random() < 0.1 and len(held) > 1:
             return rng.choice(held[-2].keys)
@@ -332,7 +332,7 @@
         return found
 
     def write_foreign(self, target, content):
-        """Write an entry of another writer, replacing the target's own if there is one."""
+        """Write an entry of another writer in place of the target's own, if any."""
         self._end_entries(target)
         now = reactor.seconds()
         entry = Entry(target.name, target.service, target.start, now)
