--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -364,8 +364,8 @@
 def _undisturbed_until(history, entry):
     """Return until when an entry was listed without a disturbance of its target.
 
-    A target that reports in its answers that it leaves needs to get no requests, however
-    long its entry stays listed.
+    A target that reports in its answers that it leaves needs to get no requests,
+    however long its entry stays listed.
     """
     began = (
         max(disturbance.began, entry.at)
@@ -548,7 +548,7 @@
 
 
 def cold_targets_get_their_rate(history):
-    """A cold target gets no more requests in any second than all routers may send."""
+    """A cold target gets no more requests in any second than its limit, in total."""
     for cold in history.cold:
         times = _runs_while_cold(history, cold)
         for first, last in zip(times, times[MAX_COLD_RUNS_PER_SECOND:], strict=False):
