--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -518,7 +518,7 @@
         self._backends.list(target)
 
     def _say_leaving(self, step):
-        """Have a target report leaving in its answers while listed as ready, then leave."""
+        """Have a target report leaving while listed as ready, and then leave."""
         target = self._target(step)
         if self._is_draining(target) or target.script.is_leaving:
             return
