--- a/tests/standin/test_deployment.py
+++ b/tests/standin/test_deployment.py
@@ -1,4 +1,8 @@
-"""The demo's deployment plays targets that start again, and foreign entries."""
+"""Tests of restarted targets and foreign host entries in the demo deployment.
+
+They guard against stand-ins that keep state over a restart, and against routers that
+stop following the list of hosts because of invalid entries of other writers.
+"""
 
 from __future__ import annotations
 
@@ -97,7 +101,7 @@
             if target.resource.answered_count:
                 return
             yield self.deployment.pause(0.05)
-        self.fail("the new life got no work")
+        self.fail("the new incarnation got no requests")
 
 
 class ForeignHostsTest(DeployedTest):
@@ -120,7 +124,7 @@
         for members in all_members:
             self.assertIsNotNone(members.get("engine-9"))
             self.assertIsNone(members.get("stranger"))
-        # Once a change, however often the list is read.
+        # Refusals are logged once for each change, however often the list is read.
         yield self.deployment.pause(1.5)
         told = [line for line in lines if line.get("message_type") == "host_refused"]
         self.assertEqual(len(ODD_HOSTS) * len(all_members), len(told))
