--- a/tests/standin/test_users_engine.py
+++ b/tests/standin/test_users_engine.py
@@ -1,4 +1,4 @@
-"""The stand-in of an engine starts again and falls silent as engines do."""
+"""Tests of restarts and silences of the stand-in for the users' engines."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         """Send a request on a connection of its own; return its transport."""
         channel = self.channel = self.engine.buildProtocol(None)
         transport = StringTransport()
-        # Twisted asks for it when a connection is made.
+        # Twisted calls it when a connection is made.
         transport.setTcpNoDelay = lambda _: None
         channel.makeConnection(transport)
         channel.dataReceived(
