--- a/tests/standin/test_users_store.py
+++ b/tests/standin/test_users_store.py
@@ -1,4 +1,4 @@
-"""The stand-in of the store lags and holds what other writers put there."""
+"""Tests of stale reads, late watches and foreign entries of the stand-in store."""
 
 from __future__ import annotations
 
