--- a/tests/soak/test_backends.py
+++ b/tests/soak/test_backends.py
@@ -1,4 +1,4 @@
-"""What the soak's targets write down of the requests that reach them."""
+"""Tests of what the soak's targets record of the requests that they receive."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
         self.assertEqual(1, self.arrive(self.target.name))
         self.assertEqual(2, self.arrive(""))
 
-    # Guards against a rest that nobody was asked for: the answer is that another
-    # target has the address.
+    # Guards against recording a pause that no router was asked for: a misdirected
+    # request is answered with the notice that another target has the address.
     def test_what_was_meant_for_a_former_target_is_asked_for_none(self):
         self.assertEqual(0, self.arrive("t0-0"))
