--- a/tests/soak/test_schedule.py
+++ b/tests/soak/test_schedule.py
@@ -1,4 +1,4 @@
-"""What a seed draws."""
+"""Tests of the series of steps that a seed draws."""
 
 from __future__ import annotations
 
