--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""Short soaks with fixed seeds, in CI; longer ones are run by hand."""
+"""Short soaks with fixed seeds for CI; longer ones are run by hand."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 PROGRAM = Path(__file__).resolve().parent / "soak.py"
 MAX_RUN_SECONDS = 180
 MAX_STOP_SECONDS = 10
-# Seeds that failed once, with the seconds they ran and the cause.
+# Seeds that failed once, with the length of their runs in seconds and the cause.
 FAILED_ONCE = {
-    1: (25, "SIGTERM in the 0.4 s in which a router is loaded killed it"),
+    1: (25, "SIGTERM killed a router in the 0.4 s in which its program is loaded"),
 }
 
 
@@ -33,7 +33,7 @@
         return process
 
     def end(self, process):
-        """End a run that a failed test left."""
+        """Terminate a run that a failed test left running."""
         if process.poll() is None:
             process.terminate()
             process.communicate(timeout=MAX_STOP_SECONDS)
@@ -61,7 +61,7 @@
     def assert_no_promise_broken(
         self, wanted, without=(), harmful=0, *, extra_series=()
     ):
-        """Play seeds, each for so many seconds, at the same time."""
+        """Run the seeds at the same time, each for its seconds, and check their status."""
         running = {
             seed: self.start(seed, time, without, harmful, extra_series=extra_series)
             for seed, time in wanted.items()
