--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -1,4 +1,4 @@
-"""Each check of the soak finds what it is there for, and nothing else."""
+"""Tests that each check of the soak finds its violations and nothing else."""
 
 from __future__ import annotations
 
@@ -204,7 +204,7 @@
         self.history.ended["t0", 1] = 99.0
         self.put(request(**LIVES), delivery(at=98.9, start=1))
         self.assertEqual(["former lives"], self.broken())
-        # A stream that went on at another life keeps its first signature.
+        # A stream that resumed at another incarnation keeps its first signature.
         self.put(delivery(start=2))
         self.assertEqual([], self.broken())
 
@@ -214,7 +214,7 @@
         self.assertEqual([], self.broken())
 
     def put_requests(self, count, *, target, since=100.0, **fields):
-        """Put requests, ten a second, that run at one target."""
+        """Put ten requests a second that run at one target."""
         for number in range(count):
             name, at = f"{target}-{number}", since + number / 10
             self.put(request(name, sent_at=at, ended_at=at + 0.1))
@@ -224,7 +224,7 @@
         self.history.listed.append(Entry("t0", "portal", 2, 95.0))
         self.put_requests(60, target="t1")
         self.assertEqual(["good entries"], self.broken())
-        # Work for the former life is none for the new one.
+        # A request to the former incarnation does not count for the new one.
         self.history.ran[0].target, self.history.ran[0].start = "t0", 1
         self.assertEqual(["good entries"], self.broken())
         self.history.ran[0].start = 2
@@ -235,7 +235,7 @@
         self.put_requests(60, target="t1")
         self.put(request("b", router="r1"), delivery("b", start=2))
         self.assertEqual(["good entries"], self.broken())
-        # Only what comes after the last trouble counts.
+        # Only requests after the last disturbance count.
         self.history.disturbances.append(Disturbance("kill", "r0", 96.0, 97.0))
         self.assertEqual([], self.broken())
         self.history.disturbances[0].ended = 92.0
@@ -247,7 +247,7 @@
         for began, ended, wanted in (
             (97.0, 98.0, []),
             (94.0, 96.0, []),
-            # What the life before it met is no reason.
+            # A disturbance of the former incarnation is no excuse.
             (93.0, 94.9, ["good entries"]),
             (105.5, None, ["good entries"]),
         ):
@@ -264,7 +264,7 @@
         self.history.foreign_entries.append(entry)
         self.put(request(), delivery())
         self.assertEqual(["foreign entries"], self.broken())
-        # Sent by the entry of the target before it at that address.
+        # Sent to the former target at the same address.
         self.history.ran[-1].is_misdirected = True
         self.assertEqual([], self.broken())
         self.history.ran[-1].is_misdirected = False
@@ -355,7 +355,7 @@
         self.history.listed.append(entry)
         due = list(promises.good_entries_get_work(self.history))
         self.assertEqual(1, len(due))
-        # Listed while it was evacuated, under a name of its own.
+        # Listed under a new name while its domain was evacuated.
         self.history.disturbances.append(
             Disturbance("evacuate", "domain a", 93.0, 110.0)
         )
@@ -371,7 +371,7 @@
         self.history.listed.append(Entry("t0", "portal", 2, 95.0))
         due = list(promises.good_entries_get_work(self.history))
         self.assertEqual(1, len(due))
-        # By a router of its own; another start of the target did not say so.
+        # Passed on by another router; only the same start of the target counts.
         for start, wanted in ((1, due), (2, [])):
             said = request(
                 "said", router="r9", leaving_reported_at=97.0, signed=f"t0/{start}"
