--- a/tests/standin/test_deployment.py
+++ b/tests/standin/test_deployment.py
@@ -126,5 +126,7 @@
             self.assertIsNone(members.get("stranger"))
         # Refusals are logged once for each change, however often the list is read.
         yield self.deployment.pause(1.5)
-        told = [line for line in lines if line.get("message_type") == "host_refused"]
-        self.assertEqual(len(ODD_HOSTS) * len(all_members), len(told))
+        refusals = [
+            line for line in lines if line.get("message_type") == "host_refused"
+        ]
+        self.assertEqual(len(ODD_HOSTS) * len(all_members), len(refusals))
