--- a/tests/standin/test_deployment.py
+++ b/tests/standin/test_deployment.py
@@ -61,7 +61,7 @@
             },
         )
 
-    def holders(self, name):
+    def targets_holding(self, name):
         return [
             target
             for target in self.deployment.targets.values()
@@ -72,13 +72,13 @@
     @inlineCallbacks
     def test_it_keeps_name_and_address_and_forgets_the_rest(self):
         yield self.chat("c1")
-        [target] = self.holders("c1")
+        [target] = self.targets_holding("c1")
         before = (target.agent, target.port.getHost().port)
         former = target.resource
         yield self.deployment.restart_target(target.name)
         self.assertEqual(before, (target.agent, target.port.getHost().port))
         self.assertIsNot(former, target.resource)
-        self.assertEqual([], self.holders("c1"))
+        self.assertEqual([], self.targets_holding("c1"))
         self.assertEqual(0, target.resource.fence)
 
     @inlineCallbacks
