--- a/tests/standin/test_users_engine.py
+++ b/tests/standin/test_users_engine.py
@@ -37,17 +37,17 @@
         self.addCleanup(channel.setTimeout, None)
         return transport
 
-    def said(self, path):
+    def description(self, path):
         return json.loads(self.ask(path, b"GET").value().partition(b"\r\n\r\n")[2])
 
     def test_it_tells_its_start_wherever_it_tells_of_itself(self):
         self.engine.restart(FIRST_START)
         for path in (b"/api/report", b"/api/kv-list", b"/up"):
-            self.assertEqual(FIRST_START, self.said(path)["born"], path)
+            self.assertEqual(FIRST_START, self.description(path)["born"], path)
 
     def test_without_a_start_it_tells_none(self):
         for path in (b"/api/report", b"/api/kv-list", b"/up"):
-            self.assertNotIn("born", self.said(path), path)
+            self.assertNotIn("born", self.description(path), path)
 
     def test_a_new_life_has_forgotten_all(self):
         self.engine.restart(FIRST_START)
@@ -57,11 +57,11 @@
         self.ask(b"/story/x")
         self.assertEqual(1, self.script.running)
         self.engine.restart(FIRST_START + 1)
-        report = self.said(b"/api/report")
+        report = self.description(b"/api/report")
         self.assertEqual(
             [0, 0, 0], [report[n] for n in ("sequence", "running", "kv_used")]
         )
-        self.assertEqual([], self.said(b"/api/kv-list")["held"])
+        self.assertEqual([], self.description(b"/api/kv-list")["held"])
         self.assertEqual("i-1", self.script.name)
 
     def test_what_was_running_is_gone(self):
