--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -55,7 +55,7 @@
         super().setUp()
         self.history = History(versions=[Version(1, 0.0, ("k0", "k1"))])
 
-    def put(self, *items):
+    def add(self, *items):
         for item in items:
             if isinstance(item, CallerRequest):
                 self.history.sent_requests[item.name] = item
@@ -67,26 +67,26 @@
 
     def test_a_proper_exchange_breaks_nothing(self):
         body = b"id: 1\ndata: s\n\nid: 2\ndata: s\n\n"
-        self.put(
+        self.add(
             request(), delivery(), request("s", kind="story", body=body), delivery("s")
         )
         self.assertEqual([], self.broken())
 
     def test_a_second_run_of_what_may_run_once(self):
-        self.put(request(kind="once"), delivery(), delivery(at=100.3, target="t1"))
+        self.add(request(kind="once"), delivery(), delivery(at=100.3, target="t1"))
         self.assertEqual(["at most once"], self.broken())
 
     def test_a_second_run_of_what_may_repeat_is_allowed(self):
-        self.put(request(), delivery(), delivery(at=100.3, target="t1"))
+        self.add(request(), delivery(), delivery(at=100.3, target="t1"))
         self.assertEqual([], self.broken())
 
     def test_a_run_that_nobody_asked_for(self):
-        self.put(delivery("ghost"))
+        self.add(delivery("ghost"))
         self.assertEqual(["at most once"], self.broken())
 
     def test_a_refusal_of_what_has_run(self):
         for status in (408, 421, 429, 503):
-            self.put(request(status=status), delivery())
+            self.add(request(status=status), delivery())
             self.assertEqual(["not run is true"], self.broken())
 
     def test_answers_that_are_not_whole_or_another_s(self):
@@ -99,12 +99,12 @@
             {"kind": "story", "body": event + event},
             {"kind": "story", "body": event + b"id: 2\ndata: b\n\n"},
         ):
-            self.put(request(**fields))
+            self.add(request(**fields))
             self.assertEqual(["whole answers"], self.broken(), fields)
 
     def test_a_withdrawn_key_that_is_accepted_too_long(self):
         self.history.versions.append(Version(2, 94.0, ("k1",)))
-        self.put(request(), delivery())
+        self.add(request(), delivery())
         self.assertEqual(["withdrawn keys"], self.broken())
         self.history.versions[-1].acked_at = 96.0
         self.assertEqual([], self.broken())
@@ -122,7 +122,7 @@
 
     def test_work_for_a_target_that_leaves(self):
         self.history.draining["t0", 0] = 97.0
-        self.put(request(), delivery())
+        self.add(request(), delivery())
         self.assertEqual(["leaving targets"], self.broken())
         self.history.disturbances.append(
             Disturbance("silent", "store of r0", 98.0, 99.0)
@@ -131,24 +131,24 @@
 
     def test_a_planned_stop_that_cuts(self):
         self.history.planned_stops.append(("r0", 1, 100.1))
-        self.put(request(outcome=CUT, status=0))
+        self.add(request(outcome=CUT, status=0))
         self.assertEqual(["planned stops"], self.broken())
         self.history.disturbances.append(Disturbance("silent", "t3", 99.0, 101.0))
         self.assertEqual([], self.broken())
 
     def test_a_version_that_is_late(self):
         self.history.versions.append(Version(2, 97.0, ("k0",)))
-        self.put(request(kind="probe", version=2, status=404))
+        self.add(request(kind="probe", version=2, status=404))
         self.assertEqual(["versions"], self.broken())
         self.history.sent_requests["a"].sent_at = 98.5
         self.assertEqual([], self.broken())
 
     def test_a_version_that_goes_back(self):
         self.history.versions += [Version(n, 90.0, ("k0",)) for n in (2, 3, 4)]
-        self.put(request("new", kind="probe", version=4, ended_at=100.0))
+        self.add(request("new", kind="probe", version=4, ended_at=100.0))
         self.history.sent_requests["new"].body = b"done for new"
-        self.put(request(kind="probe", version=2, sent_at=101.0, ended_at=101.1))
-        self.put(delivery("new"), delivery())
+        self.add(request(kind="probe", version=2, sent_at=101.0, ended_at=101.1))
+        self.add(delivery("new"), delivery())
         self.assertEqual(["versions"], self.broken())
         self.history.sent_requests["a"].process_number = 2
         self.assertEqual([], self.broken())
@@ -156,7 +156,7 @@
     def test_a_storm_of_repeats(self):
         for number in range(40):
             name = f"n{number}"
-            self.put(
+            self.add(
                 request(name), delivery(name), delivery(name, at=100.2, target="t1")
             )
         self.assertEqual(["repeats"], self.broken())
@@ -164,13 +164,13 @@
     def test_a_target_that_holds_too_much_in_calm_times(self):
         for number in range(30):
             name = f"n{number}"
-            self.put(request(name), delivery(name, load=9, mean=2.0))
+            self.add(request(name), delivery(name, load=9, mean=2.0))
         self.assertEqual(["load"], self.broken())
         self.history.disturbances.append(Disturbance("kill", "r1", 99.0, 99.5))
         self.assertEqual([], self.broken())
 
     def test_a_caller_left_waiting(self):
-        self.put(request(ended_at=102.3, outcome=CUT, status=0))
+        self.add(request(ended_at=102.3, outcome=CUT, status=0))
         self.assertEqual(["in time"], self.broken())
 
     def test_a_process_that_ends_by_itself(self):
@@ -180,45 +180,45 @@
     def test_service_that_does_not_come_back(self):
         self.history.last_disturbance_ended = 90.0
         self.assertEqual(["recovery"], self.broken())
-        self.put(request(), delivery(), request("b", status=502))
+        self.add(request(), delivery(), request("b", status=502))
         self.assertEqual(["recovery"], self.broken())
-        self.put(request("b", status=502, sent_at=95.0, ended_at=95.2))
+        self.add(request("b", status=502, sent_at=95.0, ended_at=95.2))
         self.assertEqual([], self.broken())
 
     def test_what_may_run_once_runs_at_both_lives_of_a_target(self):
-        self.put(request(kind="once"), delivery(start=1), delivery(at=100.3, start=2))
+        self.add(request(kind="once"), delivery(start=1), delivery(at=100.3, start=2))
         self.assertEqual(["at most once"], self.broken())
 
     def test_not_run_is_said_of_what_a_former_life_ran(self):
         self.history.ended["t0", 1] = 100.15
-        self.put(request(kind="once", status=503), delivery(start=1))
+        self.add(request(kind="once", status=503), delivery(start=1))
         self.assertEqual(["not run is true"], self.broken())
 
     def test_an_answer_of_a_life_that_never_ran_it(self):
-        self.put(request(signed="t0/2"), delivery(start=1))
+        self.add(request(signed="t0/2"), delivery(start=1))
         self.assertEqual(["former lives"], self.broken())
         self.history.sent_requests["a"].signed = "t0/1"
         self.assertEqual([], self.broken())
 
     def test_an_answer_of_a_life_that_has_ended(self):
         self.history.ended["t0", 1] = 99.0
-        self.put(request(**LIVES), delivery(at=98.9, start=1))
+        self.add(request(**LIVES), delivery(at=98.9, start=1))
         self.assertEqual(["former lives"], self.broken())
         # A stream that resumed at another incarnation keeps its first signature.
-        self.put(delivery(start=2))
+        self.add(delivery(start=2))
         self.assertEqual([], self.broken())
 
     def test_an_answer_of_a_life_that_ends_while_it_is_sent(self):
         self.history.ended["t0", 1] = 99.5
-        self.put(request(**LIVES), delivery(at=99.4, start=1))
+        self.add(request(**LIVES), delivery(at=99.4, start=1))
         self.assertEqual([], self.broken())
 
     def put_requests(self, count, *, target, since=100.0, **fields):
         """Put ten requests a second that run at one target."""
         for number in range(count):
             name, at = f"{target}-{number}", since + number / 10
-            self.put(request(name, sent_at=at, ended_at=at + 0.1))
-            self.put(delivery(name, at + 0.05, target=target, **fields))
+            self.add(request(name, sent_at=at, ended_at=at + 0.1))
+            self.add(delivery(name, at + 0.05, target=target, **fields))
 
     def test_a_new_life_that_gets_no_work(self):
         self.history.listed.append(Entry("t0", "portal", 2, 95.0))
@@ -233,7 +233,7 @@
     def test_one_router_that_stopped_following_the_list(self):
         self.history.listed.append(Entry("t0", "portal", 2, 95.0))
         self.put_requests(60, target="t1")
-        self.put(request("b", router="r1"), delivery("b", start=2))
+        self.add(request("b", router="r1"), delivery("b", start=2))
         self.assertEqual(["good entries"], self.broken())
         # Only requests after the last disturbance count.
         self.history.disturbances.append(Disturbance("kill", "r0", 96.0, 97.0))
@@ -262,7 +262,7 @@
     def test_work_for_what_another_writer_s_entry_names(self):
         entry = Entry("t0", "portal", 1, 97.0, until=100.3)
         self.history.foreign_entries.append(entry)
-        self.put(request(), delivery())
+        self.add(request(), delivery())
         self.assertEqual(["foreign entries"], self.broken())
         # Sent to the former target at the same address.
         self.history.ran[-1].is_misdirected = True
@@ -292,7 +292,7 @@
 
     def put_stream(self, **fields):
         values = {"kind": "draft", "body": STREAM, "deadline": 6.0, "ended_at": 101.5}
-        self.put(request("s", **{**values, **fields}), delivery("s"))
+        self.add(request("s", **{**values, **fields}), delivery("s"))
 
     def test_a_stream_that_ends_as_its_engine_is_silent(self):
         self.history.silences.append(Silence("t0", 100.2, 101.2))
@@ -321,26 +321,26 @@
 
     def test_what_reaches_an_evacuated_domain_late_is_found(self):
         self.evacuate()
-        self.put(request(), delivery(at=104.9, domain="a"))
+        self.add(request(), delivery(at=104.9, domain="a"))
         self.assertEqual([], self.late())
-        self.put(delivery(at=105.2, domain="a"))
+        self.add(delivery(at=105.2, domain="a"))
         self.assertEqual(1, len(self.late()))
 
     def test_other_domains_and_what_comes_after_the_return_are_not(self):
         self.evacuate(until=110.0)
-        self.put(
+        self.add(
             request(), delivery(at=106.0, domain="b"), delivery(at=110.1, domain="a")
         )
         self.assertEqual([], self.late())
 
     def test_nor_is_what_another_target_in_its_place_did_not_run(self):
         self.evacuate()
-        self.put(request(), delivery(at=106.0, domain="a", has_run=False))
+        self.add(request(), delivery(at=106.0, domain="a", has_run=False))
         self.assertEqual([], self.late())
 
     def test_nor_is_a_router_that_lost_the_store(self):
         self.evacuate()
-        self.put(request(), delivery(at=106.0, domain="a"))
+        self.add(request(), delivery(at=106.0, domain="a"))
         self.history.disturbances.append(
             Disturbance("cut", "store of r0", 101.0, 104.0)
         )
@@ -349,8 +349,8 @@
     def test_a_target_of_an_evacuated_domain_may_get_no_work(self):
         for number in range(60):
             at = 100.0 + number / 10
-            self.put(request(f"a{number}", sent_at=at, ended_at=at + 0.1))
-            self.put(delivery(f"a{number}", at + 0.05, target="t1"))
+            self.add(request(f"a{number}", sent_at=at, ended_at=at + 0.1))
+            self.add(delivery(f"a{number}", at + 0.05, target="t1"))
         entry = Entry("t0", "portal", 2, 95.0, domain="a")
         self.history.listed.append(entry)
         due = list(promises.good_entries_get_work(self.history))
@@ -366,8 +366,8 @@
     def test_a_target_that_said_that_it_leaves_may_get_no_work(self):
         for number in range(60):
             at = 100.0 + number / 10
-            self.put(request(f"a{number}", sent_at=at, ended_at=at + 0.1))
-            self.put(delivery(f"a{number}", at + 0.05, target="t1"))
+            self.add(request(f"a{number}", sent_at=at, ended_at=at + 0.1))
+            self.add(delivery(f"a{number}", at + 0.05, target="t1"))
         self.history.listed.append(Entry("t0", "portal", 2, 95.0))
         due = list(promises.good_entries_get_work(self.history))
         self.assertEqual(1, len(due))
@@ -376,20 +376,20 @@
             said = request(
                 "said", router="r9", leaving_reported_at=97.0, signed=f"t0/{start}"
             )
-            self.put(said)
+            self.add(said)
             self.assertEqual(wanted, list(promises.good_entries_get_work(self.history)))
 
     def test_what_was_meant_for_a_former_target_is_no_work_for_a_leaving_one(self):
         self.history.draining["t0", 0] = 100.0
-        self.put(request(sent_at=103.0, ended_at=103.2))
-        self.put(delivery(at=103.1, has_run=False))
+        self.add(request(sent_at=103.0, ended_at=103.2))
+        self.add(delivery(at=103.1, has_run=False))
         self.assertEqual(["leaving targets"], self.broken())
         self.history.ran[-1].is_misdirected = True
         self.assertEqual([], self.broken())
 
     def test_what_a_link_held_back_is_no_new_work_for_a_leaving_target(self):
         self.history.draining["t0", 0] = 100.0
-        self.put(
+        self.add(
             request(sent_at=99.9, ended_at=103.2, deadline=6.0), delivery(at=103.1)
         )
         self.assertEqual(["leaving targets"], self.broken())
@@ -405,29 +405,29 @@
             self.assertEqual(wanted, self.broken(), (began, ended))
 
     def test_work_for_a_target_after_its_own_notice(self):
-        self.put(request(leaving_reported_at=100.1, **LIVES), delivery(start=1))
+        self.add(request(leaving_reported_at=100.1, **LIVES), delivery(start=1))
         late = 100.1 + promises.DRAIN_SECONDS + promises.SLACK_SECONDS
-        self.put(
+        self.add(
             request("b", sent_at=late, ended_at=late + 1), delivery("b", late, start=1)
         )
         self.assertEqual([], self.broken())
-        self.put(request("c", sent_at=late + 1, ended_at=late + 2))
-        self.put(delivery("c", late + 1.1, start=1))
+        self.add(request("c", sent_at=late + 1, ended_at=late + 2))
+        self.add(delivery("c", late + 1.1, start=1))
         self.assertEqual(["leaving answers"], self.broken())
 
     def test_another_router_life_or_target_has_not_passed_it_on(self):
-        self.put(request(leaving_reported_at=100.1, **LIVES), delivery(start=1))
+        self.add(request(leaving_reported_at=100.1, **LIVES), delivery(start=1))
         for n, fields in enumerate(({"router": "r1"}, {"process_number": 2})):
-            self.put(request(f"b{n}", sent_at=105.0, ended_at=105.2, **fields))
-            self.put(delivery(f"b{n}", 105.1, start=1))
-        self.put(
+            self.add(request(f"b{n}", sent_at=105.0, ended_at=105.2, **fields))
+            self.add(delivery(f"b{n}", 105.1, start=1))
+        self.add(
             request("c", sent_at=105.0, ended_at=105.2), delivery("c", 105.1, start=2)
         )
         self.assertEqual([], self.broken())
 
     def test_a_pause_of_the_router_excuses_it(self):
-        self.put(request(leaving_reported_at=100.1, **LIVES), delivery(start=1))
-        self.put(
+        self.add(request(leaving_reported_at=100.1, **LIVES), delivery(start=1))
+        self.add(
             request("b", sent_at=105.0, ended_at=105.2), delivery("b", 105.1, start=1)
         )
         self.assertEqual(["leaving answers"], self.broken())
@@ -435,30 +435,30 @@
         self.assertEqual([], self.broken())
 
     def rest(self, at=100.0, seconds=3.0):
-        self.put(request("turned", sent_at=at), delivery("turned", at, has_run=False))
+        self.add(request("turned", sent_at=at), delivery("turned", at, has_run=False))
         self.history.pause_requests.append(PauseRequest("t0", 0, "turned", at, seconds))
 
     def test_more_than_two_requests_in_a_rest(self):
         self.rest()
         for n, at in enumerate((100.4, 100.6, 102.0, 103.1)):
-            self.put(
+            self.add(
                 request(f"b{n}", sent_at=at, ended_at=at + 0.2), delivery(f"b{n}", at)
             )
         self.assertEqual([], self.broken())
-        self.put(request("c", sent_at=101.0, ended_at=101.2), delivery("c", 101.1))
+        self.add(request("c", sent_at=101.0, ended_at=101.2), delivery("c", 101.1))
         self.assertEqual(["rests"], self.broken())
 
     def test_of_other_routers_any_number_may_come_in_a_rest(self):
         self.rest()
         for n in range(9):
-            self.put(request(f"b{n}", sent_at=101.0, ended_at=101.2, router="r1"))
-            self.put(delivery(f"b{n}", 101.1))
+            self.add(request(f"b{n}", sent_at=101.0, ended_at=101.2, router="r1"))
+            self.add(delivery(f"b{n}", 101.1))
         self.assertEqual([], self.broken())
 
     def test_a_link_that_held_requests_back_excuses_them(self):
         self.rest()
         for n in range(9):
-            self.put(
+            self.add(
                 request(f"b{n}", sent_at=101.0, ended_at=101.2),
                 delivery(f"b{n}", 101.1),
             )
@@ -475,19 +475,19 @@
     def test_a_cold_target_that_gets_too_much_in_a_second_is_found(self):
         self.chill()
         for n in range(promises.MAX_COLD_RUNS_PER_SECOND):
-            self.put(delivery(at=101.0 + n * 0.04))
+            self.add(delivery(at=101.0 + n * 0.04))
         self.assertEqual([], self.over())
-        self.put(delivery(at=101.9))
+        self.add(delivery(at=101.9))
         self.assertEqual(1, len(self.over()))
 
     def test_what_is_spread_is_not(self):
         self.chill()
         for n in range(55):
-            self.put(delivery(at=100.0 + n * 0.053))
+            self.add(delivery(at=100.0 + n * 0.053))
         self.assertEqual([], self.over())
 
     def test_nor_what_another_life_of_it_gets_or_what_comes_when_it_is_warm(self):
         self.chill(start=7)
         for n in range(60):
-            self.put(delivery(at=101.0 + n * 0.01), delivery(at=103.01, start=7))
+            self.add(delivery(at=101.0 + n * 0.01), delivery(at=103.01, start=7))
         self.assertEqual([], self.over())
