--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -213,7 +213,7 @@
         self.add(request(**LIVES), delivery(at=99.4, start=1))
         self.assertEqual([], self.broken())
 
-    def put_requests(self, count, *, target, since=100.0, **fields):
+    def add_requests(self, count, *, target, since=100.0, **fields):
         """Put ten requests a second that run at one target."""
         for number in range(count):
             name, at = f"{target}-{number}", since + number / 10
@@ -222,7 +222,7 @@
 
     def test_a_new_life_that_gets_no_work(self):
         self.history.listed.append(Entry("t0", "portal", 2, 95.0))
-        self.put_requests(60, target="t1")
+        self.add_requests(60, target="t1")
         self.assertEqual(["good entries"], self.broken())
         # A request to the former incarnation does not count for the new one.
         self.history.ran[0].target, self.history.ran[0].start = "t0", 1
@@ -232,7 +232,7 @@
 
     def test_one_router_that_stopped_following_the_list(self):
         self.history.listed.append(Entry("t0", "portal", 2, 95.0))
-        self.put_requests(60, target="t1")
+        self.add_requests(60, target="t1")
         self.add(request("b", router="r1"), delivery("b", start=2))
         self.assertEqual(["good entries"], self.broken())
         # Only requests after the last disturbance count.
@@ -243,7 +243,7 @@
 
     def test_a_target_with_troubles_of_its_own_may_get_no_work(self):
         self.history.listed.append(Entry("t0", "portal", 2, 95.0))
-        self.put_requests(60, target="t1")
+        self.add_requests(60, target="t1")
         for began, ended, wanted in (
             (97.0, 98.0, []),
             (94.0, 96.0, []),
@@ -256,7 +256,7 @@
 
     def test_an_entry_that_went_before_enough_was_asked(self):
         self.history.listed.append(Entry("t0", "portal", 2, 95.0, until=101.0))
-        self.put_requests(60, target="t1")
+        self.add_requests(60, target="t1")
         self.assertEqual([], self.broken())
 
     def test_work_for_what_another_writer_s_entry_names(self):
@@ -282,7 +282,7 @@
         self.history.foreign_entries.append(Entry("t0", "portal", 1, 99.0, until=104.0))
         for name in ("t1", "t2"):
             self.history.listed.append(Entry(name, "portal", 1, 50.0, until=104.0))
-        self.put_requests(30, target="t1")
+        self.add_requests(30, target="t1")
         for delivered in self.history.ran:
             delivered.has_run = False
         self.assertEqual(["their neighbours"], self.broken())
