--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -290,7 +290,7 @@
             delivered.has_run = True
         self.assertEqual([], self.broken())
 
-    def put_stream(self, **fields):
+    def add_stream(self, **fields):
         values = {"kind": "draft", "body": STREAM, "deadline": 6.0, "ended_at": 101.5}
         self.add(request("s", **{**values, **fields}), delivery("s"))
 
@@ -298,7 +298,7 @@
         self.history.silences.append(Silence("t0", 100.2, 101.2))
         for fields in ({"outcome": CUT}, {"status": 502, "outcome": ANSWERED}):
             self.history.ran.clear()
-            self.put_stream(**fields)
+            self.add_stream(**fields)
             self.assertEqual(["silence"], self.broken(), fields)
         self.history.disturbances.append(Disturbance("faults", "t0", 99.0, 101.0))
         self.assertEqual([], self.broken())
@@ -308,7 +308,7 @@
         for fields in ({}, {"outcome": LEFT}, {"outcome": CUT, "ended_at": 100.1}):
             self.history.sent_requests.clear()
             self.history.ran.clear()
-            self.put_stream(**fields)
+            self.add_stream(**fields)
             self.assertEqual([], self.broken(), fields)
 
 
