--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -21,7 +21,7 @@
 from soak.history import Version
 
 EVENTS = 2
-LIVES = {"signed": "t0/1"}
+SIGNED = {"signed": "t0/1"}
 STREAM = b"id: 1\ndata: s\n\nid: 2\ndata: s\n\n"
 
 
@@ -202,7 +202,7 @@
 
     def test_an_answer_of_a_life_that_has_ended(self):
         self.history.ended["t0", 1] = 99.0
-        self.add(request(**LIVES), delivery(at=98.9, start=1))
+        self.add(request(**SIGNED), delivery(at=98.9, start=1))
         self.assertEqual(["former lives"], self.broken())
         # A stream that resumed at another incarnation keeps its first signature.
         self.add(delivery(start=2))
@@ -210,7 +210,7 @@
 
     def test_an_answer_of_a_life_that_ends_while_it_is_sent(self):
         self.history.ended["t0", 1] = 99.5
-        self.add(request(**LIVES), delivery(at=99.4, start=1))
+        self.add(request(**SIGNED), delivery(at=99.4, start=1))
         self.assertEqual([], self.broken())
 
     def add_requests(self, count, *, target, since=100.0, **fields):
@@ -405,7 +405,7 @@
             self.assertEqual(wanted, self.broken(), (began, ended))
 
     def test_work_for_a_target_after_its_own_notice(self):
-        self.add(request(leaving_reported_at=100.1, **LIVES), delivery(start=1))
+        self.add(request(leaving_reported_at=100.1, **SIGNED), delivery(start=1))
         late = 100.1 + promises.DRAIN_SECONDS + promises.SLACK_SECONDS
         self.add(
             request("b", sent_at=late, ended_at=late + 1), delivery("b", late, start=1)
@@ -416,7 +416,7 @@
         self.assertEqual(["leaving answers"], self.broken())
 
     def test_another_router_life_or_target_has_not_passed_it_on(self):
-        self.add(request(leaving_reported_at=100.1, **LIVES), delivery(start=1))
+        self.add(request(leaving_reported_at=100.1, **SIGNED), delivery(start=1))
         for n, fields in enumerate(({"router": "r1"}, {"process_number": 2})):
             self.add(request(f"b{n}", sent_at=105.0, ended_at=105.2, **fields))
             self.add(delivery(f"b{n}", 105.1, start=1))
@@ -426,7 +426,7 @@
         self.assertEqual([], self.broken())
 
     def test_a_pause_of_the_router_excuses_it(self):
-        self.add(request(leaving_reported_at=100.1, **LIVES), delivery(start=1))
+        self.add(request(leaving_reported_at=100.1, **SIGNED), delivery(start=1))
         self.add(
             request("b", sent_at=105.0, ended_at=105.2), delivery("b", 105.1, start=1)
         )
