--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -466,7 +466,7 @@
         self.history.disturbances.append(Disturbance("link delay", "t0", 99.0, 100.2))
         self.assertEqual([], self.broken())
 
-    def over(self):
+    def find_overloads(self):
         return list(promises.cold_targets_get_their_rate(self.history))
 
     def chill(self, start=0):
@@ -476,18 +476,18 @@
         self.chill()
         for n in range(promises.MAX_COLD_RUNS_PER_SECOND):
             self.add(delivery(at=101.0 + n * 0.04))
-        self.assertEqual([], self.over())
+        self.assertEqual([], self.find_overloads())
         self.add(delivery(at=101.9))
-        self.assertEqual(1, len(self.over()))
+        self.assertEqual(1, len(self.find_overloads()))
 
     def test_what_is_spread_is_not(self):
         self.chill()
         for n in range(55):
             self.add(delivery(at=100.0 + n * 0.053))
-        self.assertEqual([], self.over())
+        self.assertEqual([], self.find_overloads())
 
     def test_nor_what_another_life_of_it_gets_or_what_comes_when_it_is_warm(self):
         self.chill(start=7)
         for n in range(60):
             self.add(delivery(at=101.0 + n * 0.01), delivery(at=103.01, start=7))
-        self.assertEqual([], self.over())
+        self.assertEqual([], self.find_overloads())
