--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -469,11 +469,11 @@
     def find_overloads(self):
         return list(promises.cold_targets_get_their_rate(self.history))
 
-    def chill(self, start=0):
+    def add_cold_period(self, start=0):
         self.history.cold.append(ColdPeriod("t0", start, 100.0, 103.0))
 
     def test_a_cold_target_that_gets_too_much_in_a_second_is_found(self):
-        self.chill()
+        self.add_cold_period()
         for n in range(promises.MAX_COLD_RUNS_PER_SECOND):
             self.add(delivery(at=101.0 + n * 0.04))
         self.assertEqual([], self.find_overloads())
@@ -481,13 +481,13 @@
         self.assertEqual(1, len(self.find_overloads()))
 
     def test_what_is_spread_is_not(self):
-        self.chill()
+        self.add_cold_period()
         for n in range(55):
             self.add(delivery(at=100.0 + n * 0.053))
         self.assertEqual([], self.find_overloads())
 
     def test_nor_what_another_life_of_it_gets_or_what_comes_when_it_is_warm(self):
-        self.chill(start=7)
+        self.add_cold_period(start=7)
         for n in range(60):
             self.add(delivery(at=101.0 + n * 0.01), delivery(at=103.01, start=7))
         self.assertEqual([], self.find_overloads())
