--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -434,12 +434,12 @@
         self.history.disturbances.append(Disturbance("pause", "r0", 102.0, 103.0))
         self.assertEqual([], self.broken())
 
-    def rest(self, at=100.0, seconds=3.0):
+    def add_pause(self, at=100.0, seconds=3.0):
         self.add(request("turned", sent_at=at), delivery("turned", at, has_run=False))
         self.history.pause_requests.append(PauseRequest("t0", 0, "turned", at, seconds))
 
     def test_more_than_two_requests_in_a_rest(self):
-        self.rest()
+        self.add_pause()
         for n, at in enumerate((100.4, 100.6, 102.0, 103.1)):
             self.add(
                 request(f"b{n}", sent_at=at, ended_at=at + 0.2), delivery(f"b{n}", at)
@@ -449,14 +449,14 @@
         self.assertEqual(["rests"], self.broken())
 
     def test_of_other_routers_any_number_may_come_in_a_rest(self):
-        self.rest()
+        self.add_pause()
         for n in range(9):
             self.add(request(f"b{n}", sent_at=101.0, ended_at=101.2, router="r1"))
             self.add(delivery(f"b{n}", 101.1))
         self.assertEqual([], self.broken())
 
     def test_a_link_that_held_requests_back_excuses_them(self):
-        self.rest()
+        self.add_pause()
         for n in range(9):
             self.add(
                 request(f"b{n}", sent_at=101.0, ended_at=101.2),
