--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -313,33 +313,33 @@
 
 
 class DomainsTest(PromisesTest):
-    def evacuate(self, until=120.0):
+    def add_evacuation(self, until=120.0):
         self.history.evacuations.append(Evacuation("a", 100.0, until))
 
     def late(self):
         return list(promises.evacuated_domains_get_no_work(self.history))
 
     def test_what_reaches_an_evacuated_domain_late_is_found(self):
-        self.evacuate()
+        self.add_evacuation()
         self.add(request(), delivery(at=104.9, domain="a"))
         self.assertEqual([], self.late())
         self.add(delivery(at=105.2, domain="a"))
         self.assertEqual(1, len(self.late()))
 
     def test_other_domains_and_what_comes_after_the_return_are_not(self):
-        self.evacuate(until=110.0)
+        self.add_evacuation(until=110.0)
         self.add(
             request(), delivery(at=106.0, domain="b"), delivery(at=110.1, domain="a")
         )
         self.assertEqual([], self.late())
 
     def test_nor_is_what_another_target_in_its_place_did_not_run(self):
-        self.evacuate()
+        self.add_evacuation()
         self.add(request(), delivery(at=106.0, domain="a", has_run=False))
         self.assertEqual([], self.late())
 
     def test_nor_is_a_router_that_lost_the_store(self):
-        self.evacuate()
+        self.add_evacuation()
         self.add(request(), delivery(at=106.0, domain="a"))
         self.history.disturbances.append(
             Disturbance("cut", "store of r0", 101.0, 104.0)
