--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -373,10 +373,10 @@
         self.assertEqual(1, len(due))
         # Passed on by another router; only the same start of the target counts.
         for start, wanted in ((1, due), (2, [])):
-            said = request(
+            reported = request(
                 "said", router="r9", leaving_reported_at=97.0, signed=f"t0/{start}"
             )
-            self.add(said)
+            self.add(reported)
             self.assertEqual(wanted, list(promises.good_entries_get_work(self.history)))
 
     def test_what_was_meant_for_a_former_target_is_no_work_for_a_leaving_one(self):
