--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -353,15 +353,15 @@
             self.add(delivery(f"a{number}", at + 0.05, target="t1"))
         entry = Entry("t0", "portal", 2, 95.0, domain="a")
         self.history.listed.append(entry)
-        due = list(promises.good_entries_get_work(self.history))
-        self.assertEqual(1, len(due))
+        overdue = list(promises.good_entries_get_work(self.history))
+        self.assertEqual(1, len(overdue))
         # Listed under a new name while its domain was evacuated.
         self.history.disturbances.append(
             Disturbance("evacuate", "domain a", 93.0, 110.0)
         )
         self.assertEqual([], list(promises.good_entries_get_work(self.history)))
         entry.domain = "b"
-        self.assertEqual(due, list(promises.good_entries_get_work(self.history)))
+        self.assertEqual(overdue, list(promises.good_entries_get_work(self.history)))
 
     def test_a_target_that_said_that_it_leaves_may_get_no_work(self):
         for number in range(60):
@@ -369,10 +369,10 @@
             self.add(request(f"a{number}", sent_at=at, ended_at=at + 0.1))
             self.add(delivery(f"a{number}", at + 0.05, target="t1"))
         self.history.listed.append(Entry("t0", "portal", 2, 95.0))
-        due = list(promises.good_entries_get_work(self.history))
-        self.assertEqual(1, len(due))
+        overdue = list(promises.good_entries_get_work(self.history))
+        self.assertEqual(1, len(overdue))
         # Passed on by another router; only the same start of the target counts.
-        for start, wanted in ((1, due), (2, [])):
+        for start, wanted in ((1, overdue), (2, [])):
             reported = request(
                 "said", router="r9", leaving_reported_at=97.0, signed=f"t0/{start}"
             )
