--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -641,7 +641,7 @@
 
 
 def harmful_requests_are_held_back(history):
-    """Harmful requests reach few more targets once routers exchanged reports of them."""
+    """Harmful requests reach few more targets once routers exchanged reports."""
     for body, harm in history.harmful_contents.items():
         ends = sorted(harm.ends)
         if len(ends) < ENDS_UNTIL_HELD_BACK:
@@ -677,7 +677,10 @@
     if not recent:
         yield "no requests were sent after the last disturbance"
     elif len(good) < MIN_RECOVERED_SHARE * len(recent):
-        yield f"{len(good)} of {len(recent)} requests were served after the last disturbance"
+        yield (
+            f"{len(good)} of {len(recent)} requests were served after the last"
+            " disturbance"
+        )
 
 
 def find_broken(history, events):
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -61,7 +61,7 @@
     def assert_no_promise_broken(
         self, wanted, without=(), harmful=0, *, extra_series=()
     ):
-        """Run the seeds at the same time, each for its seconds, and check their status."""
+        """Run all seeds at once, each for its seconds, and check their results."""
         running = {
             seed: self.start(seed, time, without, harmful, extra_series=extra_series)
             for seed, time in wanted.items()
