--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -232,7 +232,7 @@
             body_producer(body),
             persistent=True,
         )
-        response = yield channel.http_request(http_request)
+        response = yield channel.request(http_request)
         request.status = response.code
         request.echoed = (response.headers.getRawHeaders(names.REQUEST_ID) or [b""])[
             0
