--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -159,7 +159,7 @@
 
     def begin():
         for target in statements_run.choose_targets(count):
-            target.script.pause = REQUESTED_PAUSE_SECONDS
+            target.script.rest = REQUESTED_PAUSE_SECONDS
             target.script.is_resting = True
 
     def end():
