--- a/src/primrosescale/standin/users_store.py
+++ b/src/primrosescale/standin/users_store.py
@@ -279,15 +279,15 @@
         elif fault is StoreFault.NONSENSE:
             _send_response(request, OK, b"<html>")
         elif fault is StoreFault.LOST:
-            self._execute(request, kind, name)
+            self._act(request, kind, name)
             request.transport.abortConnection()
         elif fault is None:
-            status, fields = self._execute(request, kind, name)
+            status, fields = self._act(request, kind, name)
             if fields is not None:
                 _send_json(request, status, fields)
         return NOT_DONE_YET
 
-    def _execute(self, request: Any, kind: str, name: str) -> tuple[int, Any]:
+    def _act(self, request: Any, kind: str, name: str) -> tuple[int, Any]:
         method = request.method
         if method == b"GET":
             if name:
