--- a/src/primrosescale/standin/deployment.py
+++ b/src/primrosescale/standin/deployment.py
@@ -128,7 +128,7 @@
         self._routers: list[Router] = []
         self._targets: dict[str, DeployedTarget] = {}
         self._runs: Counter[str] = Counter()
-        self._signing_key = Ed25519PrivateKey.generate()
+        self._signing = Ed25519PrivateKey.generate()
         self._platforms: list[HttpPlatform] = []
 
     @property
@@ -300,7 +300,7 @@
         base = f"http://{LOOPBACK}:{self._routers[0].admin_port}/admin/v1"
         created = yield caller.json("POST", f"{base}/bundles", AUTHOR_KEY, text)
         digest = str(created["digest"])
-        signature = sign(digest, self._signing_key.private_bytes_raw())
+        signature = sign(digest, self._signing.private_bytes_raw())
         body = {"signature": signature.hex()}
         url = f"{base}/bundles/{digest}/sign-off"
         yield caller.json("PUT", url, APPROVER_KEY, body)
@@ -399,7 +399,7 @@
         return Agent(settings, tools, self._make_platform_client())
 
     def _common_settings(self, name: str, role: str, domain: str) -> str:
-        public = self._signing_key.public_key().public_bytes_raw()
+        public = self._signing.public_key().public_bytes_raw()
         approver = base64.b64encode(public).decode()
         author_hash = hashlib.sha256(AUTHOR_KEY.encode()).hexdigest()
         approver_hash = hashlib.sha256(APPROVER_KEY.encode()).hexdigest()
