--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -193,20 +193,20 @@
         dict[str, Any] | None
             The fields; None for a caller's request.
         """
-        asked = path.partition(b"?")[0]
+        requested_path = path.partition(b"?")[0]
         incarnation = self.current_incarnation
-        if method != b"GET" or asked not in {
+        if method != b"GET" or requested_path not in {
             REPORT_PATH,
             HELD_PARTS_PATH,
             self.health_path,
         }:
             return None
-        if asked == HELD_PARTS_PATH:
+        if requested_path == HELD_PARTS_PATH:
             held = [["", part, tokens, "m"] for part, tokens in incarnation.held]
             return incarnation.with_start(
                 epoch=incarnation.started_at or 0, next=len(held), held=held
             )
-        if asked == REPORT_PATH:
+        if requested_path == REPORT_PATH:
             return incarnation.with_start(
                 stage="both",
                 models=[{"name": "m", "version": 1, "adapters": []}],
