--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -206,11 +206,11 @@
         """Start all routers, their restarts and the readiness probes."""
         for router in self.routers:
             router.start()
-            for act, every in (
+            for check, every in (
                 (router.restart_if_ended, 0.1),
                 (router.probe_readiness, PROBE_INTERVAL_SECONDS),
             ):
-                loop = LoopingCall(act)
+                loop = LoopingCall(check)
                 loop.start(every)
                 self._loops.append(loop)
 
