--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -206,12 +206,12 @@
         """Start all routers, their restarts and the readiness probes."""
         for router in self.routers:
             router.start()
-            for check, every in (
+            for check, interval_seconds in (
                 (router.restart_if_ended, 0.1),
                 (router.probe_readiness, PROBE_INTERVAL_SECONDS),
             ):
                 loop = LoopingCall(check)
-                loop.start(every)
+                loop.start(interval_seconds)
                 self._loops.append(loop)
 
     def choose(self, rng):
