--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -55,7 +55,7 @@
 HARM_EXCHANGE_SECONDS = 3.0
 MAX_LATE_ARRIVALS = 3
 # Minimum share of requests that must reach the other targets of a service while
-# another writer's entry stands in its list, and the requests needed to judge it.
+# another writer's entry is in its list, and the requests needed to judge it.
 MIN_NEIGHBOUR_SHARE = 0.5
 MIN_NEIGHBOUR_REQUESTS = 20
 
