--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -67,7 +67,7 @@
         self._is_stopped = False
 
     def stop(self):
-        """Send no more."""
+        """Stop sending requests."""
         self._is_stopped = True
 
     @inlineCallbacks
@@ -131,14 +131,14 @@
         self._is_stopped = False
 
     def stop(self):
-        """Send no more."""
+        """Stop sending requests."""
         self._is_stopped = True
         if self._channel is not None:
             self._channel.transport.abortConnection()
 
     @inlineCallbacks
     def run(self, pause):
-        """Send requests until stopped, with pauses of about this length."""
+        """Send requests until stopped, with pauses of about this length in seconds."""
         while not self._is_stopped:
             yield deferLater(reactor, pause * self._rng.uniform(0.3, 1.7), lambda: None)
             if not self._is_stopped:
