--- a/src/primrosescale/standin/exceptions.py
+++ b/src/primrosescale/standin/exceptions.py
@@ -6,4 +6,4 @@
 
 
 class StandInError(PrimrosescaleError):
-    """A stand-in or the demo deployment could not do what it was asked for."""
+    """A stand-in or the demo deployment could not do what was requested."""
