--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -135,8 +135,8 @@
                 " engine's load holds;"
             ),
             (
-                "                      the organisation with the most queued calls is"
-                " refused, and its callers retry as told"
+                "                      organisations with most queued calls are refused;"
+                " callers retry as told"
             ),
         ]
 
