--- a/benchmarks/choice_cost.py
+++ b/benchmarks/choice_cost.py
@@ -20,15 +20,15 @@
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.cold_targets import ColdSettings
 from primrosescale.request.cold_targets import ColdTargets
-from primrosescale.request.incoming import Prompt
-from primrosescale.request.incoming import PromptPart
-from primrosescale.request.part_directory import PartDirectory
-from primrosescale.request.part_directory import PartUse
+from primrosescale.request.incoming_request import Prompt
+from primrosescale.request.incoming_request import PromptPart
+from primrosescale.request.prefix_cache_index import PartUse
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 from primrosescale.request.router_shares import RouterShares
 from primrosescale.request.serving_target import ServingTarget
+from primrosescale.request.target_availability import TargetAvailability
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
-from primrosescale.request.target_room import TargetRoom
 from primrosescale.version.routing_table import Service
 
 SIZES = (4, 28, 100)
@@ -55,14 +55,14 @@
                 slots=64,
             )
             self.targets.put(entry, NOW)
-        self.parts = PartDirectory()
+        self.parts = PrefixCacheIndex()
         for state in self.targets.states:
             self.tell(state, rng)
         service = Service(
             name="model", slots=64, cache_tokens=0, cold_rate=10.0, cold_seconds=5.0
         )
         shares = RouterShares("r0")
-        shares.list_routers(
+        shares.set_routers(
             frozenset(f"r{n}" for n in range(ROUTERS)), NOW, was_listed=True
         )
         cold = ColdTargets(ColdSettings(), shares, lambda _: service)
@@ -71,20 +71,20 @@
             self.parts,
             random.Random(SEED),
             lambda: 0.3,
-            room=TargetRoom(cold),
-            unlisted_of=self.targets.unlisted_of,
+            availability=TargetAvailability(cold),
+            recently_delisted=self.targets.recently_delisted,
         )
         parts = (PromptPart("tariffs", 10_000), PromptPart("chat", 900))
         self.prompt = Prompt(parts, 10_900, 100, "m")
 
     def tell(self, state, rng):
         for router in range(1, ROUTERS):
-            state.hear_router(f"r{router}", rng.randrange(3), NOW + 99)
-            state.hear_outcomes(f"r{router}", rng.random(), 0.01, NOW + 99)
+            state.set_peer_requests(f"r{router}", rng.randrange(3), NOW + 99)
+            state.set_peer_outcomes(f"r{router}", rng.random(), 0.01, NOW + 99)
         if rng.random() < 0.2:
-            self.parts.note(PartUse("tariffs", state.incarnation, 10_000, NOW))
+            self.parts.record_use(PartUse("tariffs", state.incarnation, 10_000, NOW))
         if rng.random() < 0.1:
-            state.told_cold(9.0, NOW)
+            state.set_cold_for(9.0, NOW)
 
     def choose(self, prompt, tried=frozenset()):
         states = self.targets.of_service("model")
--- a/benchmarks/cold_shares.py
+++ b/benchmarks/cold_shares.py
@@ -56,11 +56,11 @@
         names = frozenset(f"r{n}" for n in range(routers))
         for n in range(routers):
             share = RouterShares(f"r{n}")
-            share.list_routers(names, 0.0, was_listed=True)
+            share.set_routers(names, 0.0, was_listed=True)
             self.shares.append(share)
 
     def own(self, router, target):
-        return self.shares[router].own_tokens(f"m{target}", TOKENS, 100.0)
+        return self.shares[router].own_permits(f"m{target}", TOKENS, 100.0)
 
 
 class FewRouters(Way):
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -12,14 +12,14 @@
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.connection.wire.ttypes import MemberState
-from primrosescale.process.configuration.version_keeper import SectionSource
-from primrosescale.process.configuration.version_keeper import VersionKeeper
-from primrosescale.process.configuration.version_keeper import VersionObserver
+from primrosescale.process.configuration.version_manager import SectionSource
+from primrosescale.process.configuration.version_manager import VersionManager
+from primrosescale.process.configuration.version_manager import VersionObserver
 from primrosescale.process.membership.load_sums import AgentSums
 from primrosescale.process.membership.load_sums import DomainSums
 from primrosescale.process.membership.load_sums import FleetSums
-from primrosescale.process.membership.load_sums import SumSettings
-from primrosescale.request.admission import Admission
+from primrosescale.process.membership.load_sums import LoadReportSettings
+from primrosescale.request.admission import AdmissionController
 from primrosescale.request.admission import AdmissionSettings
 from primrosescale.request.candidates import Locality
 from primrosescale.request.candidates import ServiceTargets
@@ -27,12 +27,12 @@
 from primrosescale.request.fair_queue import QueuedCall
 from primrosescale.request.load_bound import BoundSettings
 from primrosescale.request.load_bound import LoadBound
-from primrosescale.request.rate_limit import OrganisationLimiter
+from primrosescale.request.rate_limit import OrganisationRateLimiter
 from primrosescale.request.rate_limit import RateSettings
 from primrosescale.request.target_health import HealthSettings
 from primrosescale.request.target_health import TargetHealth
 from primrosescale.version.bundle import Bundle
-from primrosescale.version.head import HeadCheck
+from primrosescale.version.head import HeadVerifier
 from primrosescale.version.head import VersionHead
 from primrosescale.version.section import build_tree
 from support import save
@@ -64,7 +64,7 @@
     bound = LoadBound(BoundSettings(floor=10**9, slow_start=0), 0.0)
     health = TargetHealth(HealthSettings())
     settings = AdmissionSettings(slots=16, queue_limit=10**6, rate_default=1e9)
-    admission = Admission(settings, bound, health)
+    admission = AdmissionController(settings, bound, health)
     for number in range(queued):
         admission.offer(QueuedCall(f"o{number % 50}", 1, 5, 10, 1e9, None), 0.0)
     admission.start_next(0.0)
@@ -109,7 +109,7 @@
         raise RuntimeError(detail)
 
 
-class Trusting(HeadCheck):
+class Trusting(HeadVerifier):
     def verify(self, head):
         pass
 
@@ -128,7 +128,7 @@
         f"[organisation org-{n:05d}]\nkey_hashes = {n:064x}\nteam = t\nweight = 2\n"
         for n in range(organisations)
     )
-    keeper = VersionKeeper(Trusting({}), Quiet(), needs_organisations=True)
+    keeper = VersionManager(Trusting({}), Quiet(), needs_organisations=True)
     trees = []
     for version in range(1, 12):
         changed = (
@@ -141,12 +141,12 @@
         )
         bundle = Bundle.from_ini(changed, "t")
         trees.append(build_tree(bundle, version, "", "a", 0))
-    keeper.hear(VersionHead(1, trees[0].digest, "a", b""), Whole(trees[0]))
+    keeper.pull_if_newer(VersionHead(1, trees[0].digest, "a", b""), Whole(trees[0]))
     before = keeper.pulled_bytes
     began = time.process_time()
     for tree in trees[1:]:
         head = VersionHead(tree.root.version, tree.digest, "a", b"")
-        keeper.hear(head, Whole(tree))
+        keeper.pull_if_newer(head, Whole(tree))
     used = time.process_time() - began
     changes = len(trees) - 1
     root = len(trees[0].root.encode())
@@ -156,16 +156,16 @@
 def main():
     delta, apply_us, root = change_cost(14_000)
     rng = random.Random(1)
-    sums = AgentSums(SumSettings(), "r")
-    domain = DomainSums(SumSettings(), "d", "r")
-    fleet = FleetSums(SumSettings())
+    sums = AgentSums(LoadReportSettings(), "r")
+    domain = DomainSums(LoadReportSettings(), "d", "r")
+    fleet = FleetSums(LoadReportSettings())
     for number in range(52):
-        domain.hear(report(number), 0.0)
+        domain.record_report(report(number), 0.0)
     for name in range(8):
         summary = domain.summary(0.0)
         summary.domain = f"d{name}"
-        fleet.hear(summary, 0.0)
-    limiter = OrganisationLimiter(RateSettings())
+        fleet.record_report(summary, 0.0)
+    limiter = OrganisationRateLimiter(RateSettings())
     reply = wire.HeartbeatReply(
         1,
         [wire.ServiceMean("model-3", 12_345_678, 1000, 900)],
@@ -204,8 +204,10 @@
         "admission_empty_us": admission_cost(0),
         "admission_200_waiting_us": admission_cost(200),
         "limiter_us": timed(lambda n: limiter.admit(f"o{n % 14000}", 50.0, n * 1e-4)),
-        "hear_heartbeat_us": timed(lambda n: sums.hear(beat(n), n * 0.01)),
-        "hear_report_us": timed(lambda n: domain.hear(report(n), n * 0.01), 2000),
+        "hear_heartbeat_us": timed(lambda n: sums.record_heartbeat(beat(n), n * 0.01)),
+        "hear_report_us": timed(
+            lambda n: domain.record_report(report(n), n * 0.01), 2000
+        ),
         "sum_domain_us": timed(lambda _: domain.summary(0.0), 500),
         "sum_fleet_us": timed(lambda _: fleet.means(0.0), 2000),
         "build_report_us": timed(lambda _: sums.sums(), 2000),
--- a/benchmarks/entry_news.py
+++ b/benchmarks/entry_news.py
@@ -8,13 +8,13 @@
 
 from primrosescale.connection.codec import encode
 from primrosescale.connection.endpoint import Endpoint
-from primrosescale.process.entry.other_router import OtherRouter
-from primrosescale.process.entry.router_news import RouterNews
+from primrosescale.process.entry.peer_router import PeerRouter
+from primrosescale.process.entry.state_exchange import StateExchange
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.incoming import Prompt
-from primrosescale.request.incoming import PromptPart
-from primrosescale.request.part_directory import PartDirectory
+from primrosescale.request.incoming_request import Prompt
+from primrosescale.request.incoming_request import PromptPart
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 from primrosescale.request.serving_target import ServingTarget
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
@@ -56,13 +56,13 @@
     def __init__(self, routers):
         self.rng = random.Random(5)
         self.targets = TargetList(2.0)
-        self.parts = PartDirectory()
-        self.news = RouterNews("r0", 1, self.targets, self.parts, Freshness(5.0))
+        self.parts = PrefixCacheIndex()
+        self.news = StateExchange("r0", 1, self.targets, self.parts, Freshness(5.0))
         for number in range(TARGETS):
             self.targets.put(listed(number, FIRST_START + number), START)
         for number in range(1, routers):
             endpoint = Endpoint("127.0.0.1", 7000 + number)
-            self.news.put(OtherRouter(f"r{number}", endpoint), START)
+            self.news.put(PeerRouter(f"r{number}", endpoint), START)
 
     def work(self, now):
         for state in self.targets.states:
@@ -72,7 +72,7 @@
             if self.rng.random() < 0.1:
                 state.failed(now)
         for state in self.rng.sample(list(self.targets.states), 6):
-            self.parts.note_own(life(state), draw_parts(self.rng), now)
+            self.parts.record_own_request(life(state), draw_parts(self.rng), now)
 
     def rest(self):
         for state in self.targets.states:
@@ -105,8 +105,8 @@
     states = list(router.targets.states)
     for state in states:
         for _ in range(200):
-            router.parts.note_own(life(state), draw_parts(rng), START)
-        state.reported(LoadReport(3, 0, 8), START)
+            router.parts.record_own_request(life(state), draw_parts(rng), START)
+        state.set_load(LoadReport(3, 0, 8), START)
     chooser = TargetChooser(ChoiceSettings(), router.parts, rng, lambda: 0.25)
     prompts = [Prompt(draw_parts(rng), 620, 100, "m") for _ in range(300)]
     best = float("inf")
--- a/benchmarks/fairness.py
+++ b/benchmarks/fairness.py
@@ -9,12 +9,12 @@
 import heapq
 import random
 
-from primrosescale.request.admission import Admission
+from primrosescale.request.admission import AdmissionController
 from primrosescale.request.admission import AdmissionSettings
 from primrosescale.request.fair_queue import QueuedCall
 from primrosescale.request.load_bound import BoundSettings
 from primrosescale.request.load_bound import LoadBound
-from primrosescale.request.load_bound import MeanView
+from primrosescale.request.load_bound import ServiceLoad
 from primrosescale.request.target_health import HealthSettings
 from primrosescale.request.target_health import TargetHealth
 from support import percentile
@@ -32,7 +32,7 @@
 SEED = 5
 
 
-class Fifo(Admission):
+class Fifo(AdmissionController):
     """The baseline: one queue in order of arrival, no displacement."""
 
     def offer(self, call, now):
@@ -44,7 +44,7 @@
     """Return waits of the small organisation and refusals of both."""
     rng = random.Random(SEED)
     bound = LoadBound(BoundSettings(floor=12_000, slow_start=0), 0.0)
-    bound.hear(MeanView(0, 1, 0, 0.0))
+    bound.update(ServiceLoad(0, 1, 0, 0.0))
     settings = AdmissionSettings(slots=SLOTS, reserve=reserve, queue_limit=256)
     admission = make(settings, bound, TargetHealth(HealthSettings()))
     events = []
@@ -89,11 +89,11 @@
 
 def main():
     figures = {"surge": SURGE, "slots": SLOTS}
-    figures["alone"] = run(Admission, 2, SMALL_RATE, 0, 1)
-    figures["calm"] = run(Admission, 2, SMALL_RATE, LARGE_RATE, 1)
+    figures["alone"] = run(AdmissionController, 2, SMALL_RATE, 0, 1)
+    figures["calm"] = run(AdmissionController, 2, SMALL_RATE, LARGE_RATE, 1)
     for reserve in (0, 1, 2, 4):
         figures[f"surge_fair_reserve_{reserve}"] = run(
-            Admission,
+            AdmissionController,
             reserve,
             SMALL_RATE,
             LARGE_RATE,
--- a/benchmarks/fleet_news.py
+++ b/benchmarks/fleet_news.py
@@ -9,7 +9,7 @@
 
 from importlib.machinery import SourceFileLoader
 
-from primrosescale.process.entry.news_paths import NewsSettings
+from primrosescale.process.entry.relay_topology import StateExchangeSettings
 from support import ROOT
 from support import percentile
 from support import save
@@ -28,7 +28,7 @@
     (420, 370, 8, 4.0, 1.5),
 )
 SEED = 1
-ALL_TELL_ALL = NewsSettings(most_direct=10_000)
+ALL_TELL_ALL = StateExchangeSettings(most_direct=10_000)
 
 
 def play(size, settings, *, relies_on_homes=True):
@@ -60,14 +60,14 @@
     figures = {}
     for size in SIZES:
         routers = size[0]
-        figures[f"{routers}_usual"] = play(size, NewsSettings())
+        figures[f"{routers}_usual"] = play(size, StateExchangeSettings())
         if routers in {68, 150}:
             figures[f"{routers}_all_tell_all"] = play(size, ALL_TELL_ALL)
         if routers == 68:
             figures["68_without_homes"] = play(
-                size, NewsSettings(), relies_on_homes=False
+                size, StateExchangeSettings(), relies_on_homes=False
             )
-            slow = NewsSettings(interval=0.25)
+            slow = StateExchangeSettings(interval=0.25)
             figures["68_interval_0.25"] = play(size, slow)
     save("fleet_news", figures)
 
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -16,12 +16,12 @@
 from primrosescale.request.candidates import Locality
 from primrosescale.request.candidates import ServiceTargets
 from primrosescale.request.candidates import Target
-from primrosescale.request.directory import ChatDirectory
+from primrosescale.request.chat_directory import ChatDirectory
 from primrosescale.request.load_bound import BoundSettings
 from primrosescale.request.load_bound import LoadBound
-from primrosescale.request.load_bound import MeanView
-from primrosescale.request.work import WorkEstimator
-from primrosescale.request.work import WorkSettings
+from primrosescale.request.load_bound import ServiceLoad
+from primrosescale.request.work_estimate import WorkEstimator
+from primrosescale.request.work_estimate import WorkSettings
 from primrosescale.standin.engine import PrefixCache
 from support import percentile
 from support import save
@@ -143,8 +143,8 @@
             engine.reports.append(engine.load)
         total = sum(engine.reports[0] for engine in engines)
         for engine in engines:
-            view = MeanView(total, len(engines), engine.reports[0], self.now)
-            engine.bound.hear(view)
+            view = ServiceLoad(total, len(engines), engine.reports[0], self.now)
+            engine.bound.update(view)
             self.lagged[engine.name] = engine.reports[0]
         if self.now > WARM:
             loads = [engine.load for engine in engines]
@@ -207,7 +207,7 @@
         if not engine.bound.admits(engine.load, work, self.now):
             return False
         call.work = work
-        engine.directory.served(
+        engine.directory.record_served(
             call.chat,
             engine.name,
             call.prompt + call.output,
@@ -259,7 +259,7 @@
         for engine in order:
             if self.admits(call, engine):
                 if engine is not home:
-                    home.directory.served(call.chat, engine.name, 0, self.now)
+                    home.directory.record_served(call.chat, engine.name, 0, self.now)
                 return engine
         return None
 
--- a/benchmarks/rest_use.py
+++ b/benchmarks/rest_use.py
@@ -21,8 +21,8 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).resolve().parent.parent / "src"))
 
-from primrosescale.request.direct_port import AnswerHead
-from primrosescale.request.target_statements import TargetStatements
+from primrosescale.request.forwarding_interfaces import AnswerHead
+from primrosescale.request.target_statements import TargetSelfReports
 
 TARGETS = 4
 SLOTS = 8
@@ -41,7 +41,7 @@
         status=status,
         headers=(),
         request_id="r",
-        is_receipted=True,
+        has_receipt=True,
         is_not_run=rest is not None,
         is_other_incarnation=False,
         load=None,
@@ -65,14 +65,14 @@
     """What one router knows of one target."""
 
     def __init__(self, uses, rng):
-        self.statements = TargetStatements()
+        self.self_reports = TargetSelfReports()
         self.running = 0
         self._uses = uses
         self._rng = rng
         self._due = []
 
     def wait(self, now):
-        return self.statements.wait(now)
+        return self.self_reports.wait(now)
 
     def may_try(self, now):
         """Tell whether one of the requests of a rest is due."""
@@ -82,15 +82,15 @@
         self._due.pop(0)
 
     def declined(self, now):
-        is_new = not self.statements.is_resting(now)
-        self.statements.take(head(503, rest=REST), SLOTS, now)
+        is_new = not self.self_reports.has_requested_pause(now)
+        self.self_reports.take(head(503, rest=REST), SLOTS, now)
         if is_new:
             self._due = sorted(
                 now + self._rng.uniform(0.5, REST) for _ in range(self._uses)
             )
 
     def answered(self, now):
-        self.statements.take(head(200), SLOTS, now)
+        self.self_reports.take(head(200), SLOTS, now)
 
 
 def play(routers, uses, load, closed):
@@ -125,7 +125,7 @@
         else:
             number = min(usable, key=lambda n: (mine[n].running, rng.random()))
         target, seen = targets[number], mine[number]
-        seen.statements.sent(now)
+        seen.self_reports.sent(now)
         if not target.takes(now):
             seen.declined(now)
             declined += 1
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -31,28 +31,28 @@
     "router_base": "pass",
     "targets": """
 from primrosescale.process.membership.members import Members
-from primrosescale.process.membership.flap_damper import MemberSettings
+from primrosescale.process.membership.flap_damper import MembershipSettings
 from primrosescale.request.candidates import Locality
 from primrosescale.connection.wire import ttypes as wire
-members = Members(MemberSettings(), Locality('r1', 'd1'))
+members = Members(MembershipSettings(), Locality('r1', 'd1'))
 entries = [wire.HostEntry(f'engine-{{n:05d}}', 'agent', f'10.{{n>>16}}.{{n>>8&255}}.{{n&255}}',
     8090, f'd{{n%8}}', f'r{{n%3}}', f'model-{{n%11}}', False, False, n, 1 << 50 | n)
     for n in range({count})]
-members.take_list(entries, {count}, 0.0, is_full=True)
+members.apply_list(entries, {count}, 0.0, is_full=True)
 del entries
 """,
     "organisations": """
 from primrosescale.version.bundle import Bundle
 from primrosescale.version.section import build_tree
-from primrosescale.version.head import HeadCheck, VersionHead
-from primrosescale.process.configuration.version_keeper import VersionKeeper, VersionObserver, SectionSource
+from primrosescale.version.head import HeadVerifier, VersionHead
+from primrosescale.process.configuration.version_manager import VersionManager, VersionObserver, SectionSource
 from twisted.internet.defer import succeed
 import subprocess, pickle
 class Quiet(VersionObserver):
     def adopted(self, view): pass
     def head_refused(self, error): raise error
     def pull_failed(self, version, detail): raise RuntimeError(detail)
-class All(HeadCheck):
+class All(HeadVerifier):
     def verify(self, head): pass
 code = '''
 import pickle, sys
@@ -66,15 +66,15 @@
 class Source(SectionSource):
     def fetch(self, wanted): return succeed(sections[wanted])
 base = memory()
-keeper = VersionKeeper(All({{}}), Quiet(), needs_organisations=True)
-keeper.hear(VersionHead(1, digest, 'a', b''), Source())
+keeper = VersionManager(All({{}}), Quiet(), needs_organisations=True)
+keeper.pull_if_newer(VersionHead(1, digest, 'a', b''), Source())
 assert keeper.version == 1
 """,
     "chats": """
-from primrosescale.request.directory import ChatDirectory
+from primrosescale.request.chat_directory import ChatDirectory
 directory = ChatDirectory({count}, 1e9)
 for n in range({count}):
-    directory.served(f'organisation-{{n%100}}/chat-{{n:07d}}', f'engine-{{n%1000}}', 2000, 1.0)
+    directory.record_served(f'organisation-{{n%100}}/chat-{{n:07d}}', f'engine-{{n%1000}}', 2000, 1.0)
 """,
     "sealed_keys": """
 from primrosescale.process.ledger.ledger_bucket import SealedIndex
@@ -85,8 +85,8 @@
 indexes = [SealedIndex(f's{{k}}', segment(2000)) for k in range({count} // 2000)]
 """,
     "meters": """
-from primrosescale.request.rate_limit import OrganisationLimiter, RateSettings
-limiter = OrganisationLimiter(RateSettings(meters=10**6))
+from primrosescale.request.rate_limit import OrganisationRateLimiter, RateSettings
+limiter = OrganisationRateLimiter(RateSettings(meters=10**6))
 for n in range({count}):
     limiter.admit(f'organisation-{{n:05d}}', 50.0, 1.0)
 """,
--- a/src/primrosescale/connection/rest_limit.py
+++ b/src/primrosescale/connection/rest_limit.py
@@ -26,7 +26,7 @@
 LEAST_REST = 0.1
 
 
-class RestLimit:
+class IdleLimit:
     """The rest that kept connections are allowed, from what was lost lately."""
 
     __slots__ = ("_allowed", "_lessons", "_until")
--- a/src/primrosescale/connection/target_channel.py
+++ b/src/primrosescale/connection/target_channel.py
@@ -21,7 +21,7 @@
 
     from primrosescale.clock import Clock
     from primrosescale.connection.endpoint import Endpoint
-    from primrosescale.connection.rest_limit import RestLimit
+    from primrosescale.connection.rest_limit import IdleLimit
 
 # Targets close idle connections after a time that they state in whole
 # seconds; a request must not cross that close.
@@ -253,7 +253,7 @@
         Where the target listens.
     timeout : float
         Seconds a connection may take to open.
-    rest_limit : RestLimit
+    rest_limit : IdleLimit
         How long idle ones may rest.
     source : Hashable
         What names the target in what is learned of that.
@@ -264,7 +264,7 @@
         reactor: Any,
         endpoint: Endpoint,
         timeout: float,
-        rest_limit: RestLimit,
+        rest_limit: IdleLimit,
         source: Hashable = None,
     ) -> None:
         self._reactor = reactor
--- a/src/primrosescale/platform/engine_calls.py
+++ b/src/primrosescale/platform/engine_calls.py
@@ -9,10 +9,10 @@
 from twisted.internet.defer import inlineCallbacks
 
 from primrosescale.process.entry.codec import CacheReader
-from primrosescale.process.entry.codec import HeldParts
+from primrosescale.process.entry.codec import EngineCacheContents
 from primrosescale.process.exceptions import TargetError
 from primrosescale.process.transport.http_call import HttpCaller
-from primrosescale.request.incoming import PromptPart
+from primrosescale.request.incoming_request import PromptPart
 
 if TYPE_CHECKING:
     from collections.abc import Generator
@@ -48,7 +48,7 @@
         self._reactor = reactor
 
     @inlineCallbacks
-    def read(self, target: ServingTarget) -> Generator[Any, Any, HeldParts]:
+    def read(self, target: ServingTarget) -> Generator[Any, Any, EngineCacheContents]:
         """Ask one engine; see `CacheReader.read`."""
         caller = HttpCaller(self._reactor, target.endpoint, TIMEOUT)
         try:
@@ -63,7 +63,7 @@
             parts = tuple(
                 PromptPart(str(entry[1]), int(entry[2])) for entry in told["held"]
             )
-            return HeldParts(parts, _start(told))
+            return EngineCacheContents(parts, _start(told))
         except MALFORMED as error:
             raise TargetError(f"odd answer: {error}") from error
 
--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -16,17 +16,17 @@
 from primrosescale.platform.http_codec import PlatformCodec
 from primrosescale.platform.object_platform import ObjectPlatform
 from primrosescale.process.entry.codec import RecordDecoder
+from primrosescale.process.entry.entry_dependencies import EntryDependencies
 from primrosescale.process.entry.entry_metrics import EntryMetrics
-from primrosescale.process.entry.entry_parts import EntryParts
 from primrosescale.process.entry.entry_router import EntryRouter
 from primrosescale.process.entry.entry_settings import EntrySettings
-from primrosescale.process.entry.entry_settings import EntryWatches
+from primrosescale.process.entry.entry_settings import WatchedPrefixes
 from primrosescale.process.entry.log_writer import FailureObserver
 from primrosescale.process.entry.log_writer import LogWriter
 from primrosescale.process.entry.store_watch import WatchedPrefix
 from primrosescale.process.events import EventLog
 from primrosescale.request.cold_targets import ColdSettings
-from primrosescale.request.repeat_budget import RepeatBounds
+from primrosescale.request.shared_retry_budget import SharedRetryLimits
 from primrosescale.request.target_choice import ChoiceSettings
 
 if TYPE_CHECKING:
@@ -34,7 +34,7 @@
     from collections.abc import Collection
     from random import Random
 
-    from primrosescale.process.entry.other_router import OtherRouter
+    from primrosescale.process.entry.peer_router import PeerRouter
     from primrosescale.process.transport.platform import StoredObject
     from primrosescale.request.serving_target import ServingTarget
     from primrosescale.version.routing_table import RoutingTable
@@ -98,7 +98,7 @@
         """Return a target; see `RecordDecoder.target`."""
         return records.decode_target(stored)
 
-    def router(self, stored: StoredObject) -> OtherRouter:
+    def router(self, stored: StoredObject) -> PeerRouter:
         """Return an entry router; see `RecordDecoder.router`."""
         return records.decode_router(stored)
 
@@ -108,7 +108,7 @@
     host: HostSettings,
     metrics_port: int,
     rng: Random,
-    early: socket.socket | None = None,
+    listening_socket: socket.socket | None = None,
 ) -> EntryRouter:
     """Build an entry router.
 
@@ -122,7 +122,7 @@
         Port of the metrics; 0 for none.
     rng : Random
         Source of chance.
-    early : socket.socket | None
+    listening_socket : socket.socket | None
         A socket that listens for callers already.
 
     Returns
@@ -140,7 +140,7 @@
     writer.install()
     log = EventLog(host.name)
     FailureObserver(log).install()
-    parts = EntryParts(
+    parts = EntryDependencies(
         reactor=reactor,
         platform=ObjectPlatform(reactor, host.store, STORE_TIMEOUT),
         codec=PlatformCodec(),
@@ -149,11 +149,11 @@
         writer=writer,
         metrics=EntryMetrics(),
         rng=rng,
-        reread=lambda: entry_settings(own_host_settings(), metrics_port),
+        read_settings=lambda: entry_settings(own_host_settings(), metrics_port),
         caches=EngineCaches(reactor),
-        early=early,
+        listening_socket=listening_socket,
     )
-    watches = EntryWatches(
+    watches = WatchedPrefixes(
         configuration=WatchedPrefix(
             records.CONFIGURATION,
             CONFIGURATION_WAIT,
@@ -210,12 +210,12 @@
         reads_caches=not host.is_first_start,
         drain=bounds.drain,
         revoke=bounds.revoke,
-        certain_for=CERTAIN_FOR,
+        not_found_max_age=CERTAIN_FOR,
         stop_within=bounds.stop,
-        most_requests=host.memory_limit // BYTES_PER_REQUEST,
+        max_requests=host.memory_limit // BYTES_PER_REQUEST,
         choice=ChoiceSettings(load_multiple=LOAD_SHARE * bounds.load_multiple),
         cold=ColdSettings(over=bounds.cold_over, slack=bounds.cold_slack),
-        repeats=RepeatBounds(
+        repeats=SharedRetryLimits(
             bounds.repeat_ratio, bounds.repeat_window, bounds.repeat_extra
         ),
     )
--- a/src/primrosescale/platform/http_codec.py
+++ b/src/primrosescale/platform/http_codec.py
@@ -8,17 +8,17 @@
 
 from primrosescale.platform.host_settings import MILLISECOND
 from primrosescale.process.entry.codec import EntryCodec
-from primrosescale.request.direct_port import AnswerHead
-from primrosescale.request.gate import CallerHead
-from primrosescale.request.incoming import Prompt
-from primrosescale.request.incoming import PromptPart
-from primrosescale.request.retry_after import asked_rest
+from primrosescale.request.forwarding_interfaces import AnswerHead
+from primrosescale.request.incoming_request import Prompt
+from primrosescale.request.incoming_request import PromptPart
+from primrosescale.request.request_resolver import CallerHead
 from primrosescale.request.retry_after import is_odd_rest
+from primrosescale.request.retry_after import requested_pause
 from primrosescale.request.target_state import LoadReport
 
 if TYPE_CHECKING:
-    from primrosescale.request.direct_port import Refusal
-    from primrosescale.request.direct_port import Sending
+    from primrosescale.request.forwarding_interfaces import OutgoingRequest
+    from primrosescale.request.forwarding_interfaces import Refusal
 
 REQUEST_ID = b"Primrosescale-Request-Id"
 # How many milliseconds the sender of the request will wait.
@@ -101,7 +101,7 @@
             traceparent=_first(headers, TRACE_CONTEXT),
         )
 
-    def target_headers(self, sending: Sending) -> Headers:
+    def target_headers(self, sending: OutgoingRequest) -> Headers:
         """Return headers for a target; see `EntryCodec.target_headers`."""
         request = sending.request
         headers = Headers()
@@ -141,14 +141,14 @@
                 for value in values
             ),
             request_id=_first(headers, REQUEST_ID),
-            is_receipted=headers.hasHeader(RECEIPT),
+            has_receipt=headers.hasHeader(RECEIPT),
             is_not_run=headers.hasHeader(NOT_RUN),
             is_other_incarnation=status == OTHER_INCARNATION,
             load=_load(_first(headers, LOAD)),
             length=length,
             cold_for=None if cold_left is None else cold_left * MILLISECOND,
             is_leaving=b"1" in headers.getRawHeaders(LEAVING, []),
-            rest=asked_rest(status, rests),
+            rest=requested_pause(status, rests),
             is_rest_odd=is_odd_rest(status, rests),
         )
 
--- a/src/primrosescale/platform/program.py
+++ b/src/primrosescale/platform/program.py
@@ -57,7 +57,7 @@
     `pending` holds the signals that came before it could run.
     """
     try:
-        early = None if host.callers is None else open_listener(host.callers)
+        listening_socket = None if host.callers is None else open_listener(host.callers)
     except OSError as error:
         sys.stderr.write(f"primrosescale: cannot start: {error}\n")
         return 1
@@ -77,7 +77,7 @@
 
     metrics_port = int(values["metrics_port"].value or 0)
     rng = random.SystemRandom()
-    router = build_entry_router(reactor, host, metrics_port, rng, early)
+    router = build_entry_router(reactor, host, metrics_port, rng, listening_socket)
     return _run(reactor, router, pending)
 
 
--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -8,11 +8,11 @@
 from primrosescale.platform.field_reader import FieldReader
 from primrosescale.platform.field_reader import record_name
 from primrosescale.platform.host_settings import MILLISECOND
-from primrosescale.process.entry.other_router import OtherRouter
+from primrosescale.process.entry.peer_router import PeerRouter
 from primrosescale.request.serving_target import ServingTarget
 from primrosescale.version.routing_table import CallerLimits
 from primrosescale.version.routing_table import Organisation
-from primrosescale.version.routing_table import Repeatability
+from primrosescale.version.routing_table import RetryPolicy
 from primrosescale.version.routing_table import Route
 from primrosescale.version.routing_table import RoutingTable
 from primrosescale.version.routing_table import Service
@@ -30,9 +30,9 @@
 EVACUATIONS = "evacuations/"
 
 REPEATABILITY = {
-    "safe": Repeatability.IDEMPOTENT,
-    "unsafe": Repeatability.ONCE,
-    "streaming": Repeatability.STREAM,
+    "safe": RetryPolicy.IDEMPOTENT,
+    "unsafe": RetryPolicy.ONCE,
+    "streaming": RetryPolicy.STREAM,
 }
 # Limits for a version that names none; those of the users' deployments.
 DEFAULT_LIMITS: dict[str, float] = {
@@ -188,13 +188,13 @@
         slots=reader.whole("slots", MOST_SLOTS),
         is_draining=STATES[state],
         # Time for which a target that has just started is still slow.
-        warming_for=reader.number_or("cold_remaining_ms", 0, LONGEST_TIME)
+        warm_up_seconds=reader.number_or("cold_remaining_ms", 0, LONGEST_TIME)
         * MILLISECOND,
         started_at=reader.whole("born") if reader.has("born") else None,
     )
 
 
-def decode_router(stored: StoredObject) -> OtherRouter:
+def decode_router(stored: StoredObject) -> PeerRouter:
     """Return the entry router that an entry of the list of routers tells of.
 
     Parameters
@@ -204,7 +204,7 @@
 
     Returns
     -------
-    OtherRouter
+    PeerRouter
         The router.
 
     Raises
@@ -215,7 +215,7 @@
     reader = FieldReader.of(stored, REMEDY_ROUTER)
     endpoint = Endpoint(reader.address("address"), reader.port("port"))
     domain = reader.text_or("domain", "")
-    return OtherRouter(record_name(stored, REMEDY_ROUTER), endpoint, domain)
+    return PeerRouter(record_name(stored, REMEDY_ROUTER), endpoint, domain)
 
 
 def _route(item: FieldReader, regions: Collection[str]) -> Route:
@@ -229,7 +229,7 @@
         host=item.text("host").lower(),
         path_prefix=prefix,
         services=_services(item),
-        repeatability=REPEATABILITY.get(item.text("kind"), Repeatability.ONCE),
+        retry_policy=REPEATABILITY.get(item.text("kind"), RetryPolicy.ONCE),
         is_resumable=item.flag_or("resume_streams", absent=False),
         # "sticky" only says that requests describe their prompts.
         has_prompt=item.flag_or("sticky", absent=False),
@@ -238,7 +238,7 @@
         gap_objective=item.number_or("gap_aim_ms", 0, LONGEST_TIME) * MILLISECOND,
         max_targets=max(1, item.whole_or("max_attempts", 1, MOST_TARGETS)),
         priority=item.whole_or("priority", 5, LOWEST_RANK),
-        is_open=item.flag_or("skip_auth", absent=False),
+        allows_anonymous=item.flag_or("skip_auth", absent=False),
         allowed_regions=_allowed_regions(item, regions),
     )
 
--- a/src/primrosescale/process/administration/administration.py
+++ b/src/primrosescale/process/administration/administration.py
@@ -27,11 +27,11 @@
 from primrosescale.version.head import NO_HEAD
 from primrosescale.version.head import VersionHead
 from primrosescale.version.records import ANY_TEAM
-from primrosescale.version.records import SCATTERED_KIND
+from primrosescale.version.records import SHARDED_KIND
 from primrosescale.version.section import Root
 from primrosescale.version.section import Section
 from primrosescale.version.section import build_tree
-from primrosescale.version.section import decode_group
+from primrosescale.version.section import decode_index
 from primrosescale.version.section import decode_leaf
 
 if TYPE_CHECKING:
@@ -39,9 +39,9 @@
     from collections.abc import Generator
 
     from primrosescale.clock import Clock
-    from primrosescale.process.configuration.version_keeper import VersionKeeper
+    from primrosescale.process.configuration.version_manager import VersionManager
     from primrosescale.process.transport.platform import Platform
-    from primrosescale.version.head import HeadCheck
+    from primrosescale.version.head import HeadVerifier
     from primrosescale.version.records import OperatorRecord
 
 SIGN_OFF_PREFIX = "config/sign-offs/"
@@ -50,7 +50,7 @@
 APPROVER = "approver"
 OPERATOR = "operator"
 READER = "reader"
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 WRITE_TRIES = 40
 WRITE_PAUSE = 0.25
 HISTORY_LIMIT = 50
@@ -98,9 +98,9 @@
     ----------
     platform : Platform
         Where everything is kept.
-    keeper : VersionKeeper
+    keeper : VersionManager
         Sections that need not be read again.
-    check : HeadCheck
+    check : HeadVerifier
         Knows the trusted approvers.
     clock : Clock
         Source of timers.
@@ -111,8 +111,8 @@
     def __init__(
         self,
         platform: Platform,
-        keeper: VersionKeeper,
-        check: HeadCheck,
+        keeper: VersionManager,
+        check: HeadVerifier,
         clock: Clock,
         wall_clock: Callable[[], float],
     ) -> None:
@@ -273,7 +273,7 @@
         root = yield self.root(digest)
         records = {}
         for branch in root.groups:
-            levels = 3 if branch.label == SCATTERED_KIND else 1
+            levels = 3 if branch.label == SHARDED_KIND else 1
             leaves = yield self._leaves(branch.digest, levels)
             for leaf in leaves:
                 records.update({text.name: text for text in decode_leaf(leaf)})
@@ -286,7 +286,7 @@
         if not levels:
             return [section]
         found: list[Section] = []
-        for branch in decode_group(section):
+        for branch in decode_index(section):
             part = yield self._leaves(branch.digest, levels - 1)
             found.extend(part)
         return found
@@ -433,7 +433,7 @@
         """Return the time to stamp on a bundle, the same for a repeat."""
         draft = build_tree(bundle, head.version + 1, head.digest, operator.name, 0)
         key = f"config/drafts/{draft.digest}"
-        now_ms = int(self._wall_clock() * MILLISECONDS)
+        now_ms = int(self._wall_clock() * MILLISECONDS_PER_SECOND)
         found = yield self._platform.get(key)
         if found is not None:
             return int(found.value)
@@ -486,7 +486,7 @@
 
     @inlineCallbacks
     def _audit(self, who: str, act: str, digest: str) -> Generator[Any, Any, None]:
-        now_ms = int(self._wall_clock() * MILLISECONDS)
+        now_ms = int(self._wall_clock() * MILLISECONDS_PER_SECOND)
         entry = {"at_ms": now_ms, "who": who, "act": act, "digest": digest}
         key = f"{AUDIT_PREFIX}{now_ms:015d}-{secrets.token_hex(4)}"
         try:
--- a/src/primrosescale/process/configuration/section_sources.py
+++ b/src/primrosescale/process/configuration/section_sources.py
@@ -8,7 +8,7 @@
 from twisted.internet.defer import Deferred
 
 from primrosescale.connection.wire import ttypes as wire
-from primrosescale.process.configuration.version_keeper import SectionSource
+from primrosescale.process.configuration.version_manager import SectionSource
 from primrosescale.process.exceptions import PlatformError
 
 if TYPE_CHECKING:
--- a/src/primrosescale/process/configuration/version_keeper.py
+++ b/src/primrosescale/process/configuration/version_manager.py
@@ -18,10 +18,10 @@
 from primrosescale.version.exceptions import HeadError
 from primrosescale.version.exceptions import SectionError
 from primrosescale.version.head import NO_HEAD
-from primrosescale.version.records import SCATTERED_KIND
+from primrosescale.version.records import SHARDED_KIND
 from primrosescale.version.section import Root
 from primrosescale.version.section import Section
-from primrosescale.version.section import decode_group
+from primrosescale.version.section import decode_index
 from primrosescale.version.section import decode_leaf
 from primrosescale.version.view import GroupView
 from primrosescale.version.view import VersionView
@@ -33,7 +33,7 @@
     from twisted.python.failure import Failure
 
     from primrosescale.ini.exceptions import Fault
-    from primrosescale.version.head import HeadCheck
+    from primrosescale.version.head import HeadVerifier
     from primrosescale.version.head import VersionHead
     from primrosescale.version.records import Record
     from primrosescale.version.section import Branch
@@ -107,12 +107,12 @@
         """
 
 
-class VersionKeeper:
+class VersionManager:
     """The versions of the configuration in one process.
 
     Parameters
     ----------
-    check : HeadCheck
+    check : HeadVerifier
         Decides which heads are taken.
     observer : VersionObserver
         Told what becomes of versions.
@@ -122,7 +122,7 @@
 
     def __init__(
         self,
-        check: HeadCheck,
+        check: HeadVerifier,
         observer: VersionObserver,
         *,
         needs_organisations: bool,
@@ -180,7 +180,7 @@
         """
         return self._sections.get(digest) or self._dropped.get(digest)
 
-    def hear(self, head: VersionHead, source: SectionSource) -> Deferred[None]:
+    def pull_if_newer(self, head: VersionHead, source: SectionSource) -> Deferred[None]:
         """Take in an announcement and pull what it names, if it is newer.
 
         Parameters
@@ -235,12 +235,12 @@
             raise HeadError(head.version, f"its root is of version {root.version}")
         groups: list[GroupView] = []
         for branch in root.groups:
-            if branch.label != SCATTERED_KIND:
+            if branch.label != SHARDED_KIND:
                 group = yield self._group(branch, source, gathered)
                 groups.append(group)
             elif self._needs_organisations:
                 index = yield self._section(branch.digest, source, gathered)
-                for part in decode_group(index):
+                for part in decode_index(index):
                     group = yield self._group(part, source, gathered, is_deep=True)
                     groups.append(group)
         self._switch(VersionView(head, groups), gathered)
@@ -263,12 +263,12 @@
                 gathered[digest] = self._sections[digest]
             return old
         section = yield self._section(branch.digest, source, gathered)
-        digests = [part.digest for part in decode_group(section)]
+        digests = [part.digest for part in decode_index(section)]
         indexes: list[str] = []
         if is_deep:
             indexes = digests
             subgroups = yield self._gather(indexes, source, gathered)
-            digests = [leaf.digest for sub in subgroups for leaf in decode_group(sub)]
+            digests = [leaf.digest for sub in subgroups for leaf in decode_index(sub)]
         sections = yield self._gather(digests, source, gathered)
         known = {} if old is None else old.leaves
         leaves = {
--- a/src/primrosescale/process/daemons/agent.py
+++ b/src/primrosescale/process/daemons/agent.py
@@ -14,8 +14,8 @@
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.connection.wire.ttypes import MemberState
 from primrosescale.process.configuration.section_sources import LinkSources
-from primrosescale.process.configuration.version_keeper import VersionKeeper
-from primrosescale.process.configuration.version_keeper import VersionObserver
+from primrosescale.process.configuration.version_manager import VersionManager
+from primrosescale.process.configuration.version_manager import VersionObserver
 from primrosescale.process.daemons.agent_core import AgentCore
 from primrosescale.process.daemons.agent_core import AgentCoreSettings
 from primrosescale.process.daemons.agent_observer import AgentObserver
@@ -30,11 +30,11 @@
 from primrosescale.process.ledger.remote_ledger import RemoteLedger
 from primrosescale.process.membership.heartbeat import AgentState
 from primrosescale.process.membership.heartbeat import Heartbeat
-from primrosescale.process.membership.heartbeat import HeartbeatHost
+from primrosescale.process.membership.heartbeat import HeartbeatAgent
 from primrosescale.process.metrics import Metric
 from primrosescale.process.settings import parse_endpoint
 from primrosescale.request.candidates import TargetRing
-from primrosescale.version.head import HeadCheck
+from primrosescale.version.head import HeadVerifier
 
 if TYPE_CHECKING:
     from collections.abc import Generator
@@ -47,9 +47,9 @@
     from primrosescale.process.transport.engine_port import EnginePort
     from primrosescale.process.transport.platform import Platform
     from primrosescale.request.agent_call import AgentCall
-    from primrosescale.request.call_names import CallName
-    from primrosescale.request.hop import Hop
-    from primrosescale.request.load_bound import MeanView
+    from primrosescale.request.call_names import CallId
+    from primrosescale.request.load_bound import ServiceLoad
+    from primrosescale.request.trace_span import TraceSpan
     from primrosescale.version.exceptions import HeadError
     from primrosescale.version.head import VersionHead
     from primrosescale.version.view import VersionView
@@ -65,7 +65,7 @@
 
 class Agent(
     LinkHandler,
-    HeartbeatHost,
+    HeartbeatAgent,
     AgentObserver,
     VersionObserver,
     OrderObserver,
@@ -135,8 +135,8 @@
             self,
             reactor,
         )
-        self._keeper = VersionKeeper(
-            HeadCheck(settings.approvers),
+        self._keeper = VersionManager(
+            HeadVerifier(settings.approvers),
             self,
             needs_organisations=False,
         )
@@ -156,7 +156,7 @@
         )
         self._was_closed = False
         self._sources = LinkSources()
-        self._hops: dict[CallName, Hop] = {}
+        self._hops: dict[CallId, TraceSpan] = {}
         self._state = MemberState.READY
         self._port: Any = None
         self._loops: list[Any] = []
@@ -168,7 +168,7 @@
         return self._core
 
     @property
-    def keeper(self) -> VersionKeeper:
+    def keeper(self) -> VersionManager:
         """Return its versions."""
         return self._keeper
 
@@ -208,7 +208,7 @@
         """
         if self._settings.platform.register:
             yield self._announce(is_leaving=False, is_gone=False)
-        self._heartbeat.beat()
+        self._heartbeat.send()
         self._loops = [
             self._tools.repeat(self._settings.sums.interval, self._beat),
             self._tools.repeat(TICK_INTERVAL, self._core.tick),
@@ -229,7 +229,7 @@
         self._state = MemberState.LEAVING
         self._core.drain()
         self._log(Event.PROCESS_STOPPING, waiting=self._core.admission.waiting)
-        self._heartbeat.beat()
+        self._heartbeat.send()
         if self._settings.platform.register:
             yield self._announce(is_leaving=True, is_gone=False)
         until = self._now() + self._settings.process.stop_within
@@ -249,7 +249,7 @@
         self._log(Event.PROCESS_STOPPED)
 
     def describe(self) -> AgentState:
-        """Return what the heartbeat says; see `HeartbeatHost.describe`."""
+        """Return what the heartbeat says; see `HeartbeatAgent.describe`."""
         return AgentState(
             self._core.admission.load,
             self._state,
@@ -257,16 +257,16 @@
             self._core.health.failure_share,
         )
 
-    def hear_mean(self, view: MeanView) -> None:
-        """Take in the mean; see `HeartbeatHost.hear_mean`."""
-        self._core.bound.hear(view)
+    def update_mean(self, view: ServiceLoad) -> None:
+        """Take in the mean; see `HeartbeatAgent.update_mean`."""
+        self._core.bound.update(view)
 
-    def hear_head(self, head: VersionHead, link: Link) -> None:
-        """Take in the head; see `HeartbeatHost.hear_head`."""
-        self._keeper.hear(head, self._sources.of(link))
+    def update_head(self, head: VersionHead, link: Link) -> None:
+        """Take in the head; see `HeartbeatAgent.update_head`."""
+        self._keeper.pull_if_newer(head, self._sources.of(link))
 
-    def hear_targets(self, targets: list[wire.HostEntry]) -> None:
-        """Take in the targets; see `HeartbeatHost.hear_targets`."""
+    def set_known_targets(self, targets: list[wire.HostEntry]) -> None:
+        """Take in the targets; see `HeartbeatAgent.set_known_targets`."""
         self._successors = targets
 
     def link_ready(self, link: Link) -> None:
@@ -282,7 +282,7 @@
     def link_message(self, link: Link, message: Message) -> None:
         """Handle one message of a router."""
         if isinstance(message, wire.HeartbeatReply):
-            self._heartbeat.reply(link, message)
+            self._heartbeat.handle_reply(link, message)
         elif isinstance(message, wire.ClaimReply):
             self._ledger.link_message(message)
         elif isinstance(message, wire.SectionReply):
@@ -311,11 +311,11 @@
             reason = "" if failure is None else wire.Reason(failure.reason).name
             hop.end(answered=is_answered, reason=reason)
 
-    def refused(self, name: CallName, reason: wire.Reason) -> None:
+    def refused(self, name: CallId, reason: wire.Reason) -> None:
         """Count a call that was refused."""
         self._tools.metrics.count(Metric.REFUSED)
 
-    def duplicate(self, name: CallName) -> None:
+    def duplicate(self, name: CallId) -> None:
         """Log a copy of a known call."""
         self._tools.metrics.count(Metric.DUPLICATES)
         self._log(Event.AGENT_DUPLICATE, router=name.router, call=name.number)
@@ -377,7 +377,7 @@
 
     def _beat(self) -> None:
         self._watch_health()
-        self._heartbeat.beat()
+        self._heartbeat.send()
         admission = self._core.admission
         metrics = self._tools.metrics
         metrics.gauge(Metric.LOAD, admission.load)
@@ -392,7 +392,7 @@
     @inlineCallbacks
     def _hand_over(self) -> Generator[Any, Any, None]:
         """Give the hottest chats' cache to those who serve them next."""
-        chats = self._core.directory.hottest(
+        chats = self._core.directory.most_recent(
             self._settings.process.name,
             self._own.hand_over,
         )
--- a/src/primrosescale/process/daemons/agent_core.py
+++ b/src/primrosescale/process/daemons/agent_core.py
@@ -12,26 +12,26 @@
 from primrosescale.connection.wire.ttypes import ClaimState
 from primrosescale.connection.wire.ttypes import Outcome
 from primrosescale.connection.wire.ttypes import Reason
-from primrosescale.request.admission import Admission
+from primrosescale.request.admission import AdmissionController
 from primrosescale.request.admission import AdmissionSettings
 from primrosescale.request.agent_call import AgentCall
 from primrosescale.request.agent_call import CallPhase
 from primrosescale.request.agent_call import StreamSettings
-from primrosescale.request.call_names import CallName
-from primrosescale.request.call_names import CallNames
-from primrosescale.request.call_names import NameState
+from primrosescale.request.call_names import CallId
+from primrosescale.request.call_names import CallIdRegistry
+from primrosescale.request.call_names import CallIdState
+from primrosescale.request.chat_directory import ChatDirectory
 from primrosescale.request.claim import Claim
 from primrosescale.request.claim import claim_key
 from primrosescale.request.claim import request_fingerprint
-from primrosescale.request.directory import ChatDirectory
 from primrosescale.request.fair_queue import QueuedCall
 from primrosescale.request.load_bound import BoundSettings
 from primrosescale.request.load_bound import LoadBound
 from primrosescale.request.target_health import HealthSettings
 from primrosescale.request.target_health import TargetHealth
-from primrosescale.request.work import WorkEstimator
-from primrosescale.request.work import WorkSettings
-from primrosescale.request.work import tokens_of
+from primrosescale.request.work_estimate import WorkEstimator
+from primrosescale.request.work_estimate import WorkSettings
+from primrosescale.request.work_estimate import estimate_tokens
 
 if TYPE_CHECKING:
     from primrosescale.clock import Clock
@@ -39,9 +39,9 @@
     from primrosescale.connection.link import Link
     from primrosescale.process.daemons.agent_observer import AgentObserver
     from primrosescale.request.claim import Ledger
-    from primrosescale.request.target_port import TargetPort
+    from primrosescale.request.local_target_client import LocalTargetClient
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 TOKEN_SIZE = 16
 FIRST_SERVER_ERROR = 500
 
@@ -107,7 +107,7 @@
         Limits.
     incarnation : int
         This agent's incarnation.
-    port : TargetPort
+    port : LocalTargetClient
         The target.
     ledger : Ledger
         Claims on idempotency keys.
@@ -121,7 +121,7 @@
         self,
         settings: AgentCoreSettings,
         incarnation: int,
-        port: TargetPort,
+        port: LocalTargetClient,
         ledger: Ledger,
         observer: AgentObserver,
         clock: Clock,
@@ -135,22 +135,22 @@
         self._clock = clock
         self._bound = LoadBound(settings.bound, now)
         self._health = TargetHealth(settings.health)
-        self._admission: Admission[AgentCall] = Admission(
+        self._admission: AdmissionController[AgentCall] = AdmissionController(
             settings.admission,
             self._bound,
             self._health,
         )
-        self._names = CallNames(settings.name_keep, settings.names)
+        self._names = CallIdRegistry(settings.name_keep, settings.names)
         self._directory = ChatDirectory(settings.chats, settings.chat_keep)
         self._estimator = WorkEstimator(settings.work)
-        self._calls: dict[CallName, AgentCall] = {}
-        self._ended: dict[CallName, float] = {}
+        self._calls: dict[CallId, AgentCall] = {}
+        self._ended: dict[CallId, float] = {}
         self._answer_bytes = 0
         self._dirty: dict[AgentCall, None] = {}
         self._flush_pending = False
 
     @property
-    def admission(self) -> Admission[AgentCall]:
+    def admission(self) -> AdmissionController[AgentCall]:
         """Return the admission of calls."""
         return self._admission
 
@@ -213,7 +213,7 @@
     def tick(self) -> None:
         """Do what time brings: expire, forget, start what may start."""
         now = self._clock.seconds()
-        self._names.forget_old(now)
+        self._names.remove_expired(now)
         limit = now - self._settings.answer_keep
         while self._ended:
             name, ended_at = next(iter(self._ended.items()))
@@ -224,23 +224,23 @@
 
     def _call(self, link: Link, message: wire.Call) -> None:
         now = self._clock.seconds()
-        name = CallName(message.router, message.number)
+        name = CallId(message.router, message.number)
         if message.target_incarnation != self._incarnation:
             self._refuse(link, name, Reason.REPLACED, detail="agent was replaced")
             return
         state = self._names.state(name)
-        if state is not NameState.FRESH:
+        if state is not CallIdState.FRESH:
             # A copy of a call that is known: the first copy's answer counts.
             self._observer.duplicate(name)
             return
-        deadline = now + message.deadline_ms / MILLISECONDS
+        deadline = now + message.deadline_ms / MILLISECONDS_PER_SECOND
         if self._names.is_full or self._answer_bytes > self._settings.answer_memory:
             self._refuse(link, name, Reason.MEMORY_FULL, retry_after=1.0)
             return
         self._names.take(name, deadline)
         place = self._place_of(message, now)
         if place:
-            self._names.bar(name, deadline)
+            self._names.block(name, deadline)
             self._refuse(link, name, Reason.ELSEWHERE, place=place)
             return
         self._offer(link, name, message, deadline, now)
@@ -248,7 +248,7 @@
     def _offer(
         self,
         link: Link,
-        name: CallName,
+        name: CallId,
         message: wire.Call,
         deadline: float,
         now: float,
@@ -275,7 +275,7 @@
         verdict = self._admission.offer(queued, now)
         if verdict.reason is not None:
             # Barred, so that a router that lost this refusal hears the same.
-            self._names.bar(name, deadline)
+            self._names.block(name, deadline)
             self._refuse(link, name, verdict.reason, retry_after=verdict.retry_after)
             return
         self._calls[name] = call
@@ -319,7 +319,7 @@
     def _refuse(
         self,
         link: Link,
-        name: CallName,
+        name: CallId,
         reason: Reason,
         *,
         retry_after: float = 0.0,
@@ -334,7 +334,7 @@
                 number=name.number,
                 outcome=Outcome.NOT_RUN,
                 reason=reason,
-                retry_after_ms=int(retry_after * MILLISECONDS),
+                retry_after_ms=int(retry_after * MILLISECONDS_PER_SECOND),
                 place=place,
                 detail=detail,
                 load=self._load(),
@@ -391,7 +391,7 @@
         call.fail(Outcome.UNKNOWN, Reason.KEY_HELD, detail)
 
     def _run(self, call: AgentCall) -> None:
-        call.enter_running()
+        call.mark_running()
         self._observer.started(call)
         call.begin_run(self._port.start(call.call, call))
 
@@ -402,22 +402,22 @@
             if not self._admission.withdraw(queued):
                 self._admission.finished(queued, now)
         self._ended[call.name] = now
-        self._answer_bytes += call.kept
+        self._answer_bytes += call.buffered_bytes
         self._dirty.pop(call, None)
         self._judge(call, is_answered, now)
         self._settle_claim(call, is_answered)
         if is_answered and call.call.chat and call.call.prompt_tokens:
-            output = tokens_of(call.length)
+            output = estimate_tokens(call.length)
             self._estimator.learn(output)
             tokens = call.call.prompt_tokens + output
             name = self._settings.name
-            self._directory.served(call.call.chat, name, tokens, now)
+            self._directory.record_served(call.call.chat, name, tokens, now)
         self._observer.ended(call, is_answered, now)
         self._start_next()
 
     def _judge(self, call: AgentCall, is_answered: bool, now: float) -> None:
-        if call.asked_rest is not None:
-            self._admission.rest(call.asked_rest, now)
+        if call.requested_pause is not None:
+            self._admission.pause(call.requested_pause, now)
         if is_answered and call.status < FIRST_SERVER_ERROR:
             self._health.succeeded(now)
             return
@@ -473,7 +473,7 @@
             call.fail(Outcome.NOT_RUN, reason)
 
     def _resume(self, link: Link, message: wire.Resume) -> None:
-        name = CallName(message.router, message.number)
+        name = CallId(message.router, message.number)
         if message.target_incarnation != self._incarnation:
             self._answer_unknown(link, name, Reason.REPLACED)
             return
@@ -482,16 +482,16 @@
             call.resume(link, message.offset)
             return
         now = self._clock.seconds()
-        if self._names.state(name) is NameState.TAKEN:
+        if self._names.state(name) is CallIdState.TAKEN:
             self._answer_unknown(link, name, Reason.ANSWER_EVICTED)
             return
-        if message.age_ms / MILLISECONDS > self._settings.name_keep:
+        if message.age_ms / MILLISECONDS_PER_SECOND > self._settings.name_keep:
             self._answer_unknown(link, name, Reason.ANSWER_EVICTED)
             return
-        self._names.bar(name, now + self._settings.name_keep)
+        self._names.block(name, now + self._settings.name_keep)
         self._refuse(link, name, Reason.NEVER_ARRIVED)
 
-    def _answer_unknown(self, link: Link, name: CallName, reason: Reason) -> None:
+    def _answer_unknown(self, link: Link, name: CallId, reason: Reason) -> None:
         link.send(
             wire.CallFailed(
                 router=name.router,
@@ -508,7 +508,7 @@
     def _placed(self, message: wire.Placed) -> None:
         now = self._clock.seconds()
         if message.service_name == self._settings.service and message.chat:
-            self._directory.served(message.chat, message.place, 0, now)
+            self._directory.record_served(message.chat, message.place, 0, now)
 
     def _import(self, message: wire.CacheImport) -> None:
         taken = self._port.import_cache(message.chat, message.data)
@@ -522,16 +522,16 @@
         if is_taken:
             now = self._clock.seconds()
             name = self._settings.name
-            self._directory.served(message.chat, name, message.tokens, now)
+            self._directory.record_served(message.chat, name, message.tokens, now)
 
     def _load(self) -> int:
         return self._admission.load
 
     def _find(self, router: int, number: int) -> AgentCall | None:
-        return self._calls.get(CallName(router, number))
+        return self._calls.get(CallId(router, number))
 
-    def _evict(self, name: CallName) -> None:
+    def _evict(self, name: CallId) -> None:
         del self._ended[name]
         call = self._calls.pop(name, None)
         if call is not None:
-            self._answer_bytes = max(0, self._answer_bytes - call.kept)
+            self._answer_bytes = max(0, self._answer_bytes - call.buffered_bytes)
--- a/src/primrosescale/process/daemons/agent_observer.py
+++ b/src/primrosescale/process/daemons/agent_observer.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from primrosescale.connection.wire.ttypes import Reason
     from primrosescale.request.agent_call import AgentCall
-    from primrosescale.request.call_names import CallName
+    from primrosescale.request.call_names import CallId
 
 
 class AgentObserver(ABC):
@@ -54,24 +54,24 @@
         """
 
     @abstractmethod
-    def refused(self, name: CallName, reason: Reason) -> None:
+    def refused(self, name: CallId, reason: Reason) -> None:
         """Take in that a call was refused and will never run.
 
         Parameters
         ----------
-        name : CallName
+        name : CallId
             Its name.
         reason : Reason
             Why.
         """
 
     @abstractmethod
-    def duplicate(self, name: CallName) -> None:
+    def duplicate(self, name: CallId) -> None:
         """Take in that a copy of a known call was dropped.
 
         Parameters
         ----------
-        name : CallName
+        name : CallId
             Its name.
         """
 
--- a/src/primrosescale/process/daemons/router.py
+++ b/src/primrosescale/process/daemons/router.py
@@ -18,8 +18,8 @@
 from primrosescale.process.administration.admin_resource import OperatorKeys
 from primrosescale.process.administration.administration import Administration
 from primrosescale.process.configuration.section_sources import LinkSources
-from primrosescale.process.configuration.version_keeper import VersionKeeper
-from primrosescale.process.configuration.version_keeper import VersionObserver
+from primrosescale.process.configuration.version_manager import VersionManager
+from primrosescale.process.configuration.version_manager import VersionObserver
 from primrosescale.process.daemons.daemon import LinkFactory
 from primrosescale.process.daemons.daemon import Tools
 from primrosescale.process.daemons.router_control import ControlObserver
@@ -30,7 +30,7 @@
 from primrosescale.process.ledger.ledger_bucket import bucket_of
 from primrosescale.process.membership.fleet_status import fleet_status
 from primrosescale.process.membership.members import Members
-from primrosescale.process.membership.order import first_in_order
+from primrosescale.process.membership.rendezvous import first_by_rendezvous
 from primrosescale.process.metrics import Metric
 from primrosescale.process.settings import parse_endpoint
 from primrosescale.process.transport.bounded_request import BoundedRequest
@@ -40,15 +40,15 @@
 from primrosescale.process.transport.quiet_site import QuietSite
 from primrosescale.request.attempts import AttemptPlan
 from primrosescale.request.backoff import Backoff
-from primrosescale.request.call_table import CallObserver
 from primrosescale.request.call_table import CallTable
+from primrosescale.request.call_table import CallTableListener
 from primrosescale.request.candidates import Locality
 from primrosescale.request.claim import claim_key
-from primrosescale.request.rate_limit import OrganisationLimiter
+from primrosescale.request.rate_limit import OrganisationRateLimiter
 from primrosescale.request.retry_budget import RetryBudgets
 from primrosescale.request.routed_call import RoutedCall
 from primrosescale.request.target_loads import TargetLoads
-from primrosescale.version.head import HeadCheck
+from primrosescale.version.head import HeadVerifier
 
 if TYPE_CHECKING:
     from collections.abc import Generator
@@ -61,8 +61,8 @@
     from primrosescale.process.transport.problems import ProblemDocument
     from primrosescale.request.call_request import CallRequest
     from primrosescale.request.candidates import Target
-    from primrosescale.request.hop import Hop
     from primrosescale.request.routed_call import CallReport
+    from primrosescale.request.trace_span import TraceSpan
     from primrosescale.version.exceptions import HeadError
     from primrosescale.version.records import OrganisationRecord
     from primrosescale.version.records import ServiceRecord
@@ -80,13 +80,15 @@
 
     __slots__ = ("began", "hop", "view")
 
-    def __init__(self, view: VersionView, hop: Hop, began: float) -> None:
+    def __init__(self, view: VersionView, hop: TraceSpan, began: float) -> None:
         self.view = view
         self.hop = hop
         self.began = began
 
 
-class Router(LinkHandler, CallGate, CallObserver, ControlObserver, VersionObserver):
+class Router(
+    LinkHandler, CallGate, CallTableListener, ControlObserver, VersionObserver
+):
     """One router process.
 
     Parameters
@@ -107,12 +109,12 @@
         reactor = tools.reactor
         self._locality = Locality(process.region, process.domain)
         self._members = Members(settings.members, self._locality)
-        self._keeper = VersionKeeper(
-            HeadCheck(settings.approvers),
+        self._keeper = VersionManager(
+            HeadVerifier(settings.approvers),
             self,
             needs_organisations=True,
         )
-        self._limiter = OrganisationLimiter(settings.rates)
+        self._limiter = OrganisationRateLimiter(settings.rates)
         self._loads = TargetLoads()
         self._budgets = RetryBudgets(settings.retry)
         self._sources = LinkSources()
@@ -164,7 +166,7 @@
         return self._members
 
     @property
-    def keeper(self) -> VersionKeeper:
+    def keeper(self) -> VersionManager:
         """Return its versions."""
         return self._keeper
 
@@ -318,7 +320,7 @@
         bucket = bucket_of(digest, self._settings.ledger.buckets)
         routers = self._members.routers("", self.now())
         names = [member.entry.name for member in routers]
-        first = first_in_order(names, f"bucket {bucket}", 1)
+        first = first_by_rendezvous(names, f"bucket {bucket}", 1)
         member = self._members.get(first[0]) if first else None
         return "" if member is None else str(member.endpoint)
 
@@ -364,20 +366,20 @@
         call.start()
 
     def find_target(self, service: str, name: str) -> Target | None:
-        """Return a usable target; see `CallObserver.find_target`."""
+        """Return a usable target; see `CallTableListener.find_target`."""
         return self._members.find_target(service, name, self.now())
 
     def suspect(self, target: Target) -> None:
-        """Avoid a target for a while; see `CallObserver.suspect`."""
+        """Avoid a target for a while; see `CallTableListener.suspect`."""
         self._members.suspect(target.name, self.now())
         self._log(Event.TARGET_SUSPECT, target=target.name)
 
-    def load_heard(self, target: Target, load: int) -> None:
-        """Take in a target's load; see `CallObserver.load_heard`."""
-        self._loads.hear(target.name, load, self.now())
+    def load_reported(self, target: Target, load: int) -> None:
+        """Take in a target's load; see `CallTableListener.load_reported`."""
+        self._loads.record(target.name, load, self.now())
 
     def call_ended(self, call: RoutedCall, report: CallReport) -> None:
-        """Take in the end of a call; see `CallObserver.call_ended`."""
+        """Take in the end of a call; see `CallTableListener.call_ended`."""
         kept = self._under_way.pop(call, None)
         if kept is None:
             return
@@ -461,7 +463,7 @@
         administration = Administration(
             self._platform,
             self._keeper,
-            HeadCheck(settings.approvers),
+            HeadVerifier(settings.approvers),
             self._tools.reactor,
             self._tools.wall_clock,
         )
@@ -489,7 +491,7 @@
     def _tell_home(self, call: RoutedCall, report: CallReport) -> None:
         """Tell a chat's first candidate where the chat was served instead."""
         chat = call.request.chat
-        home = call.plan.home
+        home = call.plan.first_candidate
         if not chat or home is None or not report.target:
             return
         if report.target == home.name or report.attempts <= 1:
--- a/src/primrosescale/process/daemons/router_control.py
+++ b/src/primrosescale/process/daemons/router_control.py
@@ -19,14 +19,14 @@
 from primrosescale.process.configuration.wire_head import from_wire
 from primrosescale.process.configuration.wire_head import to_wire
 from primrosescale.process.exceptions import PlatformError
-from primrosescale.process.membership.host_changes import CHANGES_LIMIT
+from primrosescale.process.membership.host_changes import MAX_CHANGES_PER_MESSAGE
 from primrosescale.process.membership.host_changes import HostChanges
-from primrosescale.process.membership.load_sums import AGGREGATORS
+from primrosescale.process.membership.load_sums import AGGREGATORS_PER_DOMAIN
 from primrosescale.process.membership.load_sums import AgentSums
 from primrosescale.process.membership.load_sums import DomainSums
 from primrosescale.process.membership.load_sums import FleetSums
-from primrosescale.process.membership.order import first_in_order
-from primrosescale.request.rate_limit import Demand
+from primrosescale.process.membership.rendezvous import first_by_rendezvous
+from primrosescale.request.rate_limit import DemandRate
 from primrosescale.version.exceptions import HeadError
 from primrosescale.version.head import NO_HEAD
 from primrosescale.version.head import VersionHead
@@ -39,12 +39,12 @@
     from primrosescale.connection.link import Link
     from primrosescale.connection.pool import LinkPool
     from primrosescale.process.configuration.section_sources import LinkSources
-    from primrosescale.process.configuration.version_keeper import VersionKeeper
-    from primrosescale.process.membership.load_sums import SumSettings
+    from primrosescale.process.configuration.version_manager import VersionManager
+    from primrosescale.process.membership.load_sums import LoadReportSettings
     from primrosescale.process.membership.members import Member
     from primrosescale.process.membership.members import Members
     from primrosescale.process.transport.platform import Platform
-    from primrosescale.request.rate_limit import OrganisationLimiter
+    from primrosescale.request.rate_limit import OrganisationRateLimiter
 
 HEAD_KEY = "config/head"
 WATCH_WAIT = 20.0
@@ -118,13 +118,13 @@
     ----------
     identity : Identity
         Who this router is.
-    settings : SumSettings
+    settings : LoadReportSettings
         Times.
     members : Members
         Hosts.
-    keeper : VersionKeeper
+    keeper : VersionManager
         Versions.
-    limiter : OrganisationLimiter
+    limiter : OrganisationRateLimiter
         Limits of organisations.
     platform : Platform
         The platform's service.
@@ -143,10 +143,10 @@
     def __init__(
         self,
         identity: Identity,
-        settings: SumSettings,
+        settings: LoadReportSettings,
         members: Members,
-        keeper: VersionKeeper,
-        limiter: OrganisationLimiter,
+        keeper: VersionManager,
+        limiter: OrganisationRateLimiter,
         platform: Platform,
         pool: LinkPool,
         sources: LinkSources,
@@ -219,7 +219,7 @@
             yield deferLater(cast("Any", self._clock), self._settings.interval)
 
     @property
-    def means_age(self) -> float:
+    def load_report_age(self) -> float:
         """Return the seconds since the means were heard."""
         return self._clock.seconds() - self._means_at
 
@@ -254,12 +254,12 @@
             return
         now = self._clock.seconds()
         for notice in self._agents.expire(now):
-            self._members.take_notice(notice, now)
+            self._members.apply_notice(notice, now)
             self._observer.news(notice)
-        self._members.tick(now)
+        self._members.readmit_targets(now)
         aggregators = self._aggregators(self._identity.domain)
         report = self._report(now)
-        self._domain.hear(report, now)
+        self._domain.record_report(report, now)
         others = [name for name in aggregators if name != self._identity.name]
         if others:
             self._send_to_router(self._in_turn(others), report)
@@ -302,7 +302,7 @@
     def _report(self, now: float) -> wire.PeerReport:
         self._sequence += 1
         count = max(1, len(self._members.routers("", now)))
-        demands = self._limiter.reports(count, now)
+        demands = self._limiter.demands_to_report(count, now)
         version = self._keeper.version
         return wire.PeerReport(
             origin=self._identity.name,
@@ -324,9 +324,9 @@
 
     def _heartbeat(self, link: Link, beat: wire.Heartbeat) -> None:
         now = self._clock.seconds()
-        notice = self._agents.hear(beat, now)
+        notice = self._agents.record_heartbeat(beat, now)
         if notice is not None:
-            self._members.take_notice(notice, now)
+            self._members.apply_notice(notice, now)
             self._observer.news(notice)
         version = self._members.list_version
         routers: list[wire.HostEntry] = []
@@ -362,14 +362,14 @@
 
     def _peer_report(self, link: Link, report: wire.PeerReport) -> None:
         now = self._clock.seconds()
-        for notice in self._domain.hear(report, now):
+        for notice in self._domain.record_report(report, now):
             self._take_notice(notice, now)
         changes = self._changes.since(report.list_version)
         entries = changes
         if entries is None:
             # The platform may be down, so what is known here goes along.
             known = report.list_version
-            entries = self._members.entries_after(known, CHANGES_LIMIT)
+            entries = self._members.entries_after(known, MAX_CHANGES_PER_MESSAGE)
         link.send(
             wire.PeerReply(
                 sequence=report.sequence,
@@ -421,12 +421,12 @@
             self._list_later(now)
         if reply.changes:
             version = reply.changes[-1].version
-            self._members.take_list(reply.changes, version, now, is_full=False)
+            self._members.apply_list(reply.changes, version, now, is_full=False)
         for notice in reply.notices:
             self._take_notice(notice, now)
         for rate in reply.rates:
-            total = Demand(rate.organisation, rate.demand_permille / PERMILLE)
-            self._limiter.hear_total(total, now)
+            total = DemandRate(rate.organisation, rate.demand_permille / PERMILLE)
+            self._limiter.update_total(total, now)
         if reply.means:
             self._means = reply.means
             self._means_at = now
@@ -445,7 +445,7 @@
     def _domain_sums(self, link: Link, message: wire.DomainSums) -> None:
         now = self._clock.seconds()
         self._hear_head(message.head, link)
-        self._fleet.hear(message.report, now)
+        self._fleet.record_report(message.report, now)
         for notice in message.report.notices:
             self._take_notice(notice, now)
 
@@ -455,21 +455,21 @@
         link.send(wire.SectionReply(message.digest, section is not None, data))
 
     def _take_notice(self, notice: wire.MemberNotice, now: float) -> None:
-        if self._agents.hear_notice(notice, now):
-            self._members.take_notice(notice, now)
+        if self._agents.accept_notice(notice, now):
+            self._members.apply_notice(notice, now)
 
     def _aggregate(self, now: float) -> None:
         """Sum up the domain and tell the aggregators of the others."""
         summary = self._domain.summary(now)
-        self._fleet.hear(summary, now)
+        self._fleet.record_report(summary, now)
         self._means = self._fleet.means(now)
         self._means_at = now
         self._domains = self._fleet.domains(now)
         self._domains_at = now
         self._heard_at = now
         for rate in self._fleet.rates(now):
-            total = Demand(rate.organisation, rate.demand_permille / PERMILLE)
-            self._limiter.hear_total(total, now)
+            total = DemandRate(rate.organisation, rate.demand_permille / PERMILLE)
+            self._limiter.update_total(total, now)
         message = wire.DomainSums(summary, to_wire(self._keeper.head))
         for domain in self._members.domains():
             others = self._aggregators(domain)
@@ -478,7 +478,7 @@
             if others:
                 self._send_to_router(self._in_turn(others), message)
         if self._stored_head.version > self._keeper.version:
-            self._keeper.hear(self._stored_head, self._platform_source)
+            self._keeper.pull_if_newer(self._stored_head, self._platform_source)
         self._watch()
         self._list_later(now)
 
@@ -493,7 +493,7 @@
     def _aggregators(self, domain: str) -> list[str]:
         now = self._clock.seconds()
         names = [member.entry.name for member in self._members.routers(domain, now)]
-        return first_in_order(names, AGGREGATOR_KEY, AGGREGATORS)
+        return first_by_rendezvous(names, AGGREGATOR_KEY, AGGREGATORS_PER_DOMAIN)
 
     def _send_to_router(self, name: str, message: Message) -> None:
         member = self._members.get(name)
@@ -546,8 +546,8 @@
         if found.is_full or found.entries:
             now = self._clock.seconds()
             entries = list(found.entries)
-            self._members.take_list(entries, found.version, now, is_full=found.is_full)
-            self._changes.take(entries, found.version, is_full=found.is_full)
+            self._members.apply_list(entries, found.version, now, is_full=found.is_full)
+            self._changes.record(entries, found.version, is_full=found.is_full)
 
     @inlineCallbacks
     def _read_head(self) -> Generator[Any, Any, None]:
@@ -592,7 +592,7 @@
             self._observer.platform_failed(str(error))
             return None
         self._stored_head = head
-        return self._keeper.hear(head, self._platform_source)
+        return self._keeper.pull_if_newer(head, self._platform_source)
 
     def _head_for(self, version: int) -> wire.Head:
         """Return the head for a process at a version; empty if it has it."""
@@ -601,4 +601,4 @@
 
     def _hear_head(self, head: wire.Head, link: Link) -> None:
         if head.version:
-            self._keeper.hear(from_wire(head), self._sources.of(link))
+            self._keeper.pull_if_newer(from_wire(head), self._sources.of(link))
--- a/src/primrosescale/process/entry/cache_learning.py
+++ b/src/primrosescale/process/entry/cache_discovery.py
@@ -14,7 +14,7 @@
 
 from primrosescale.process.entry.target_list import TARGET
 from primrosescale.process.events import Event
-from primrosescale.request.part_directory import PartUse
+from primrosescale.request.prefix_cache_index import PartUse
 from primrosescale.request.target_incarnation import TargetIncarnation
 
 if TYPE_CHECKING:
@@ -22,12 +22,12 @@
 
     from twisted.python.failure import Failure
 
-    from primrosescale.process.entry.cache_shares import CacheShares
-    from primrosescale.process.entry.codec import HeldParts
-    from primrosescale.process.entry.entry_parts import EntryParts
-    from primrosescale.process.entry.router_exchange import NewsExchange
+    from primrosescale.process.entry.cache_ownership import CacheOwnership
+    from primrosescale.process.entry.codec import EngineCacheContents
+    from primrosescale.process.entry.entry_dependencies import EntryDependencies
+    from primrosescale.process.entry.router_datagrams import StateExchangeProtocol
     from primrosescale.process.entry.target_list import TargetList
-    from primrosescale.request.part_directory import PartDirectory
+    from primrosescale.request.prefix_cache_index import PrefixCacheIndex
     from primrosescale.request.serving_target import ServingTarget
 
 # Model engines tell what they hold within 20-40 ms, other routers within 10 ms;
@@ -47,33 +47,33 @@
 ASK_AGAIN_SECONDS = (0.3, 0.6, 1.2)
 # Telling delays a model engine's work, and each answer takes a connection; for
 # the rest, what the hash order of targets says is relied on.
-MOST_READ = 96
+MAX_ENGINES_READ = 96
 
 
-class CacheLearning:
+class CacheDiscovery:
     """Asks engines for this router's share, and other routers for theirs.
 
     Parameters
     ----------
-    shares : CacheShares
+    shares : CacheOwnership
         Which targets are this router's to ask.
-    exchange : NewsExchange
+    exchange : StateExchangeProtocol
         Sends to other routers.
     targets : TargetList
         Targets and their states.
-    directory : PartDirectory
+    directory : PrefixCacheIndex
         Where parts of prompts are cached.
-    parts : EntryParts
+    parts : EntryDependencies
         What the router is built with.
     """
 
     def __init__(
         self,
-        shares: CacheShares,
-        exchange: NewsExchange,
+        shares: CacheOwnership,
+        exchange: StateExchangeProtocol,
         targets: TargetList,
-        directory: PartDirectory,
-        parts: EntryParts,
+        directory: PrefixCacheIndex,
+        parts: EntryDependencies,
     ) -> None:
         self._shares = shares
         self._exchange = exchange
@@ -106,8 +106,8 @@
         self._began_at = self._reactor.seconds()
         self._on_done = on_done
         own = [state.target for state in self._shares.own() if has_cache(state.target)]
-        if len(own) > MOST_READ:
-            own = self._rng.sample(own, MOST_READ)
+        if len(own) > MAX_ENGINES_READ:
+            own = self._rng.sample(own, MAX_ENGINES_READ)
         read = DeferredList([self._read(target) for target in own])
         read.addCallback(lambda _: self._know())
         self._exchange.ask_caches()
@@ -165,7 +165,7 @@
 
         return reading.addCallbacks(self._learn, failed, callbackArgs=(target,))
 
-    def _learn(self, held: HeldParts, target: ServingTarget) -> None:
+    def _learn(self, held: EngineCacheContents, target: ServingTarget) -> None:
         """Take in what a target told; it may be of another incarnation."""
         now = self._reactor.seconds()
         told = target.incarnation
@@ -178,7 +178,7 @@
                 state.target,
                 started_at=told.started_at,
                 is_draining=False,
-                warming_for=0.0,
+                warm_up_seconds=0.0,
             )
             self._targets.put(begun, now, told_by=TARGET)
         elif state is None or state.incarnation != told:
@@ -186,5 +186,5 @@
             self._log.emit(Event.CACHE_NOT_READ, target=target.name, detail=detail)
             return
         for part in held.parts:
-            self._directory.note(PartUse(part.name, told, part.tokens, now))
+            self._directory.record_use(PartUse(part.name, told, part.tokens, now))
         self._log.emit(Event.CACHE_READ, target=target.name, parts=len(held.parts))
--- a/src/primrosescale/process/entry/cache_shares.py
+++ b/src/primrosescale/process/entry/cache_ownership.py
@@ -13,25 +13,25 @@
 from typing import TYPE_CHECKING
 
 from primrosescale.connection.wire import ttypes as wire
-from primrosescale.process.entry.load_codec import MILLISECONDS
+from primrosescale.process.entry.load_codec import MILLISECONDS_PER_SECOND
 from primrosescale.process.entry.target_keys import target_key
-from primrosescale.process.membership.order import first_in_order
-from primrosescale.request.part_directory import PartUse
+from primrosescale.process.membership.rendezvous import first_by_rendezvous
+from primrosescale.request.prefix_cache_index import PartUse
 
 if TYPE_CHECKING:
     from collections.abc import Callable
     from collections.abc import Sequence
 
-    from primrosescale.process.entry.other_router import OtherRouter
+    from primrosescale.process.entry.peer_router import PeerRouter
     from primrosescale.process.entry.target_list import TargetList
-    from primrosescale.request.part_directory import PartDirectory
+    from primrosescale.request.prefix_cache_index import PrefixCacheIndex
     from primrosescale.request.target_state import TargetState
 
 # Datagrams stay under what every link carries in one piece: a part takes 18 bytes.
 MOST_CACHED_PARTS = 60
 
 
-class CacheShares:
+class CacheOwnership:
     """What one router asks and tells of the caches of targets.
 
     Parameters
@@ -40,11 +40,11 @@
         This router.
     targets : TargetList
         Targets and their states.
-    parts : PartDirectory
+    parts : PrefixCacheIndex
         Where parts of prompts are cached.
-    others : Callable[[], Sequence[OtherRouter]]
+    others : Callable[[], Sequence[PeerRouter]]
         Returns the other routers that are listed.
-    find : Callable[[str], OtherRouter | None]
+    find : Callable[[str], PeerRouter | None]
         Returns a router by name that is listed, or was until lately: one that is
         stopped takes itself off the list, and asks some seconds before the others
         hear that it is back.
@@ -65,9 +65,9 @@
         self,
         name: str,
         targets: TargetList,
-        parts: PartDirectory,
-        others: Callable[[], Sequence[OtherRouter]],
-        find: Callable[[str], OtherRouter | None],
+        parts: PrefixCacheIndex,
+        others: Callable[[], Sequence[PeerRouter]],
+        find: Callable[[str], PeerRouter | None],
     ) -> None:
         self._name = name
         self._targets = targets
@@ -84,7 +84,7 @@
         return 1 + len(self._others())
 
     @property
-    def unanswered(self) -> list[OtherRouter]:
+    def unanswered(self) -> list[PeerRouter]:
         """Return the listed routers that have not answered yet."""
         return [item for item in self._others() if item.name not in self._answered]
 
@@ -100,7 +100,7 @@
         return [
             state
             for state in self._targets.states
-            if first_in_order(names, state.target.name, 1) == [self._name]
+            if first_by_rendezvous(names, state.target.name, 1) == [self._name]
         ]
 
     def untold(self) -> list[TargetState]:
@@ -117,9 +117,11 @@
         found = {
             state.target.name: state
             for state in self._targets.states
-            if first_in_order(names, state.target.name, 1)[0] in silent
+            if first_by_rendezvous(names, state.target.name, 1)[0] in silent
         }
-        return [found[name] for name in first_in_order(found, self._name, len(found))]
+        return [
+            found[name] for name in first_by_rendezvous(found, self._name, len(found))
+        ]
 
     def question(self) -> wire.CacheQuestion:
         """Return what to ask other routers after a start.
@@ -133,7 +135,7 @@
 
     def take_question(
         self, message: wire.CacheQuestion, now: float
-    ) -> list[tuple[OtherRouter, wire.CacheAnswer]]:
+    ) -> list[tuple[PeerRouter, wire.CacheAnswer]]:
         """Take in that another router has started.
 
         Parameters
@@ -145,7 +147,7 @@
 
         Returns
         -------
-        list[tuple[OtherRouter, wire.CacheAnswer]]
+        list[tuple[PeerRouter, wire.CacheAnswer]]
             What to tell it now; it is told later by a router that has just
             started itself, and nothing when it was not listed.
         """
@@ -154,7 +156,7 @@
         self._waiting.add(message.origin)
         return self._answers(now) if self._is_known else []
 
-    def know(self, now: float) -> list[tuple[OtherRouter, wire.CacheAnswer]]:
+    def know(self, now: float) -> list[tuple[PeerRouter, wire.CacheAnswer]]:
         """Take in that this router knows what the targets of its share hold.
 
         Parameters
@@ -164,13 +166,13 @@
 
         Returns
         -------
-        list[tuple[OtherRouter, wire.CacheAnswer]]
+        list[tuple[PeerRouter, wire.CacheAnswer]]
             What to tell the routers that have asked meanwhile.
         """
         self._is_known = True
         return self._answers(now)
 
-    def take_answer(self, message: wire.CacheAnswer, now: float) -> None:
+    def record_answer(self, message: wire.CacheAnswer, now: float) -> None:
         """Take in what another router tells of its share.
 
         Parameters
@@ -187,12 +189,12 @@
         told = {cache.target: cache.parts for cache in message.caches}
         for state in self._targets.states:
             for part in told.get(target_key(*state.incarnation), ()):
-                used_at = now - part.age_ms / MILLISECONDS
-                self._parts.note(
+                used_at = now - part.age_ms / MILLISECONDS_PER_SECOND
+                self._parts.record_use(
                     PartUse(part.part, state.incarnation, part.tokens, used_at)
                 )
 
-    def _answers(self, now: float) -> list[tuple[OtherRouter, wire.CacheAnswer]]:
+    def _answers(self, now: float) -> list[tuple[PeerRouter, wire.CacheAnswer]]:
         found = [self._find(name) for name in sorted(self._waiting)]
         askers = [router for router in found if router is not None]
         self._waiting.clear()
@@ -227,5 +229,5 @@
 
 
 def _cached_part(use: PartUse, now: float) -> wire.CachedPart:
-    age_ms = max(0, round((now - use.used_at) * MILLISECONDS))
+    age_ms = max(0, round((now - use.used_at) * MILLISECONDS_PER_SECOND))
     return wire.CachedPart(use.part, use.tokens, age_ms)
--- a/src/primrosescale/process/entry/caller_site.py
+++ b/src/primrosescale/process/entry/caller_site.py
@@ -18,8 +18,8 @@
 from zope.interface import implementer
 
 from primrosescale.clock import cancel_timer
-from primrosescale.request.direct_port import CallerSink
-from primrosescale.request.direct_port import Refusal
+from primrosescale.request.forwarding_interfaces import CallerSink
+from primrosescale.request.forwarding_interfaces import Refusal
 from primrosescale.version.routing_table import CallerLimits
 
 if TYPE_CHECKING:
@@ -27,8 +27,8 @@
 
     from primrosescale.clock import Clock
     from primrosescale.clock import Timer
-    from primrosescale.request.direct_port import AnswerHead
     from primrosescale.request.forwarded_call import ForwardedCall
+    from primrosescale.request.forwarding_interfaces import AnswerHead
 
 # Before the first version is known; those of the users' deployments.
 FIRST_LIMITS = CallerLimits(
@@ -258,8 +258,8 @@
         self._release()
         self._request.finish()
 
-    def break_off(self) -> None:
-        """End the answer unfinished; see `CallerSink.break_off`."""
+    def abort(self) -> None:
+        """End the answer unfinished; see `CallerSink.abort`."""
         if self._request.is_gone:
             return
         self._release()
--- a/src/primrosescale/process/entry/codec.py
+++ b/src/primrosescale/process/entry/codec.py
@@ -11,13 +11,13 @@
     from twisted.internet.defer import Deferred
     from twisted.web.http_headers import Headers
 
-    from primrosescale.process.entry.other_router import OtherRouter
+    from primrosescale.process.entry.peer_router import PeerRouter
     from primrosescale.process.transport.platform import StoredObject
-    from primrosescale.request.direct_port import AnswerHead
-    from primrosescale.request.direct_port import Refusal
-    from primrosescale.request.direct_port import Sending
-    from primrosescale.request.gate import CallerHead
-    from primrosescale.request.incoming import PromptPart
+    from primrosescale.request.forwarding_interfaces import AnswerHead
+    from primrosescale.request.forwarding_interfaces import OutgoingRequest
+    from primrosescale.request.forwarding_interfaces import Refusal
+    from primrosescale.request.incoming_request import PromptPart
+    from primrosescale.request.request_resolver import CallerHead
     from primrosescale.request.serving_target import ServingTarget
     from primrosescale.version.routing_table import RoutingTable
 
@@ -45,12 +45,12 @@
         """
 
     @abstractmethod
-    def target_headers(self, sending: Sending) -> Headers:
+    def target_headers(self, sending: OutgoingRequest) -> Headers:
         """Return the headers of a request to a target.
 
         Parameters
         ----------
-        sending : Sending
+        sending : OutgoingRequest
             The request.
 
         Returns
@@ -142,7 +142,7 @@
         """
 
     @abstractmethod
-    def router(self, stored: StoredObject) -> OtherRouter:
+    def router(self, stored: StoredObject) -> PeerRouter:
         """Return the entry router of a record.
 
         Parameters
@@ -152,13 +152,13 @@
 
         Returns
         -------
-        OtherRouter
+        PeerRouter
             The router; fails with an `UnreadableRecordError`.
         """
 
 
 @dataclass(frozen=True, slots=True)
-class HeldParts:
+class EngineCacheContents:
     """What a model engine says that it holds.
 
     Parameters
@@ -177,7 +177,7 @@
     """Asks model engines which parts of prompts they hold."""
 
     @abstractmethod
-    def read(self, target: ServingTarget) -> Deferred[HeldParts]:
+    def read(self, target: ServingTarget) -> Deferred[EngineCacheContents]:
         """Ask one engine.
 
         Parameters
@@ -187,6 +187,6 @@
 
         Returns
         -------
-        Deferred[HeldParts]
+        Deferred[EngineCacheContents]
             The parts, and whose they are; fails with a `PrimrosescaleError`.
         """
--- a/src/primrosescale/process/entry/entry_parts.py
+++ b/src/primrosescale/process/entry/entry_dependencies.py
@@ -20,7 +20,7 @@
     from primrosescale.process.transport.platform import Platform
 
 
-class EntryParts:
+class EntryDependencies:
     """What an entry router is built with besides its settings.
 
     Parameters
@@ -43,9 +43,9 @@
         Source of chance.
     caches : CacheReader
         Asks model engines which parts of prompts they hold.
-    reread : Callable[[], EntrySettings]
+    read_settings : Callable[[], EntrySettings]
         Reads the settings anew; fails with a `PrimrosescaleError`.
-    early : socket.socket | None
+    listening_socket : socket.socket | None
         A socket that listens for callers already; None to open one.
     """
 
@@ -53,12 +53,12 @@
         "caches",
         "codec",
         "decoder",
-        "early",
+        "listening_socket",
         "log",
         "metrics",
         "platform",
         "reactor",
-        "reread",
+        "read_settings",
         "rng",
         "writer",
     )
@@ -75,11 +75,11 @@
         metrics: EntryMetrics,
         rng: Random,
         caches: CacheReader,
-        reread: Callable[[], EntrySettings],
-        early: socket.socket | None = None,
+        read_settings: Callable[[], EntrySettings],
+        listening_socket: socket.socket | None = None,
     ) -> None:
-        self.early = early
-        self.reread = reread
+        self.listening_socket = listening_socket
+        self.read_settings = read_settings
         self.caches = caches
         self.reactor = reactor
         self.platform = platform
--- a/src/primrosescale/process/entry/entry_metrics.py
+++ b/src/primrosescale/process/entry/entry_metrics.py
@@ -10,11 +10,11 @@
 from prometheus_client import Histogram
 from prometheus_client.exposition import generate_latest
 
-from primrosescale.request.target_choice import OLD_NEWS
+from primrosescale.request.target_choice import STALE_LOAD_SECONDS
 
 if TYPE_CHECKING:
     from primrosescale.request.forwarded_call import ForwardedCall
-    from primrosescale.request.silence import Silence
+    from primrosescale.request.silent_target import SilenceReport
 
 # Objectives of today lie between 0.3 s and 1 s.
 BUCKETS = (0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1.0, 1.5, 2.5, 5.0, 10.0)
@@ -167,15 +167,15 @@
                 self._prompts.labels(
                     "home" if attempt.is_home else "elsewhere",
                     bool(attempt.fetched_from),
-                    attempt.load_age > OLD_NEWS,
+                    attempt.load_age > STALE_LOAD_SECONDS,
                 ).inc()
 
-    def silence_judged(self, silence: Silence) -> None:
+    def silence_judged(self, silence: SilenceReport) -> None:
         """Count a judgement on a silent target.
 
         Parameters
         ----------
-        silence : Silence
+        silence : SilenceReport
             The judgement.
         """
         self._silences.labels(silence.verdict.name.lower()).inc()
--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -16,20 +16,20 @@
 from primrosescale.connection.early_listener import BACKLOG
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.exceptions import PrimrosescaleError
-from primrosescale.process.entry.cache_learning import CacheLearning
-from primrosescale.process.entry.cache_shares import CacheShares
+from primrosescale.process.entry.cache_discovery import CacheDiscovery
+from primrosescale.process.entry.cache_ownership import CacheOwnership
 from primrosescale.process.entry.caller_site import FIRST_LIMITS
 from primrosescale.process.entry.caller_site import CallerConnection
 from primrosescale.process.entry.caller_site import EntryFactory
 from primrosescale.process.entry.caller_site import EntryHandler
-from primrosescale.process.entry.harm_news import HarmNews
-from primrosescale.process.entry.harm_watch import EntryHarmWatch
-from primrosescale.process.entry.knowledge import Knowledge
-from primrosescale.process.entry.leaving_news import LeavingNews
-from primrosescale.process.entry.router_exchange import NewsExchange
-from primrosescale.process.entry.router_exchange import RouterRegistry
-from primrosescale.process.entry.router_news import RouterNews
-from primrosescale.process.entry.target_caller import HttpTargetCaller
+from primrosescale.process.entry.harm_report_exchange import HarmReportExchange
+from primrosescale.process.entry.harm_watch import EntryHarmMonitor
+from primrosescale.process.entry.leaving_exchange import LeavingTargetExchange
+from primrosescale.process.entry.router_datagrams import RouterRegistry
+from primrosescale.process.entry.router_datagrams import StateExchangeProtocol
+from primrosescale.process.entry.state_exchange import StateExchange
+from primrosescale.process.entry.store_state import StoreState
+from primrosescale.process.entry.target_client import HttpTargetClient
 from primrosescale.process.entry.target_list import TARGET
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.process.entry.target_restarts import TargetRestarts
@@ -37,42 +37,42 @@
 from primrosescale.process.entry.text_site import TextSite
 from primrosescale.process.events import Event
 from primrosescale.process.incarnation import new_incarnation
-from primrosescale.process.log_text import LOGGED_CHARACTERS
+from primrosescale.process.log_text import MAX_LOGGED_CHARACTERS
 from primrosescale.request.cold_targets import ColdTargets
 from primrosescale.request.content_fingerprint import fingerprint_text
-from primrosescale.request.direct_port import Refusal
 from primrosescale.request.evacuations import Evacuations
-from primrosescale.request.forward_tools import ForwardTools
+from primrosescale.request.forward_tools import ForwardingContext
 from primrosescale.request.forwarded_call import ForwardedCall
+from primrosescale.request.forwarding_interfaces import Refusal
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.gate import Gate
 from primrosescale.request.harmful_requests import HarmfulRequests
-from primrosescale.request.hop import NO_HOP
-from primrosescale.request.part_directory import PartDirectory
-from primrosescale.request.repeat_budget import RepeatBudget
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
+from primrosescale.request.request_resolver import RequestResolver
 from primrosescale.request.router_shares import RouterShares
+from primrosescale.request.shared_retry_budget import SharedRetryBudget
+from primrosescale.request.target_availability import TargetAvailability
+from primrosescale.request.target_availability import TargetCondition
 from primrosescale.request.target_choice import TargetChooser
-from primrosescale.request.target_room import Standing
-from primrosescale.request.target_room import TargetRoom
+from primrosescale.request.trace_span import NO_SPAN
 
 if TYPE_CHECKING:
     from collections.abc import Generator
 
     from primrosescale.clock import Timer
     from primrosescale.process.entry.caller_site import EntryRequest
-    from primrosescale.process.entry.entry_parts import EntryParts
+    from primrosescale.process.entry.entry_dependencies import EntryDependencies
     from primrosescale.process.entry.entry_settings import EntrySettings
-    from primrosescale.process.entry.entry_settings import EntryWatches
+    from primrosescale.process.entry.entry_settings import WatchedPrefixes
     from primrosescale.process.tracing import Tracing
-    from primrosescale.request.direct_port import AnswerHead
     from primrosescale.request.evacuations import EvacuationList
-    from primrosescale.request.gate import CallerHead
-    from primrosescale.request.hop import Hop
-    from primrosescale.request.incoming import IncomingRequest
+    from primrosescale.request.forwarding_interfaces import AnswerHead
+    from primrosescale.request.incoming_request import IncomingRequest
+    from primrosescale.request.request_resolver import CallerHead
     from primrosescale.request.serving_target import ServingTarget
-    from primrosescale.request.silence import Silence
+    from primrosescale.request.silent_target import SilenceReport
     from primrosescale.request.target_incarnation import TargetIncarnation
     from primrosescale.request.target_state import TargetState
+    from primrosescale.request.trace_span import TraceSpan
     from primrosescale.version.routing_table import CallerLimits
     from primrosescale.version.routing_table import Service
 
@@ -117,17 +117,17 @@
     ----------
     settings : EntrySettings
         Its settings.
-    watches : EntryWatches
+    watches : WatchedPrefixes
         What it follows in the store.
-    parts : EntryParts
+    parts : EntryDependencies
         What it is built with.
     """
 
     def __init__(
         self,
         settings: EntrySettings,
-        watches: EntryWatches,
-        parts: EntryParts,
+        watches: WatchedPrefixes,
+        parts: EntryDependencies,
     ) -> None:
         self._settings = settings
         self._parts = parts
@@ -136,8 +136,8 @@
         self._metrics = parts.metrics
         incarnation = new_incarnation()
         freshness = Freshness(settings.revoke)
-        self._caller = HttpTargetCaller(parts.reactor, parts.codec)
-        self._directory = PartDirectory()
+        self._caller = HttpTargetClient(parts.reactor, parts.codec)
+        self._directory = PrefixCacheIndex()
         restarts = TargetRestarts(
             self._caller, self._directory, parts, self._target_ended
         )
@@ -145,11 +145,11 @@
         self._evacuations = Evacuations(self._domains_evacuated)
         self._shares = RouterShares(settings.name)
         self._cold = ColdTargets(settings.cold, self._shares, self._service)
-        self._room = TargetRoom(self._cold)
-        self._leaving = LeavingNews(targets, parts.log)
+        self._room = TargetAvailability(self._cold)
+        self._leaving = LeavingTargetExchange(targets, parts.log)
         self._harmful = HarmfulRequests(settings.harm)
-        harm_news = HarmNews(self._harmful, parts.log)
-        self._news = RouterNews(
+        harm_news = HarmReportExchange(self._harmful, parts.log)
+        self._news = StateExchange(
             settings.name,
             incarnation,
             targets,
@@ -162,45 +162,47 @@
             self._leaving,
         )
         self._registry = RouterRegistry(settings, incarnation, self._news, parts)
-        shares = CacheShares(
+        shares = CacheOwnership(
             settings.name,
             targets,
             self._directory,
             lambda: self._news.others,
             self._news.find,
         )
-        self._exchange = NewsExchange(
+        self._exchange = StateExchangeProtocol(
             self._news,
             self._version,
             self._is_store_lost,
-            lambda: self._knowledge.listed.revision,
+            lambda: self._store_state.listed.revision,
             parts,
             shares,
         )
-        self._learning = CacheLearning(
+        self._learning = CacheDiscovery(
             shares, self._exchange, targets, self._directory, parts
         )
-        self._knowledge = Knowledge(
+        self._store_state = StoreState(
             settings,
             watches,
             parts,
             freshness,
             targets,
             self._registry,
-            lambda: self._news.asks_often(self._now()),
+            lambda: self._news.polls_store(self._now()),
             self._evacuations,
         )
-        self._harm = EntryHarmWatch(
+        self._harm = EntryHarmMonitor(
             self._harmful,
             harm_news,
             targets,
             self._caller,
             parts,
-            self._exchange.tell_soon,
+            self._exchange.send_soon,
         )
-        self._budgets: dict[str, RepeatBudget] = {}
-        self._gate = Gate(self._knowledge.freshness, settings.certain_for, parts.rng)
-        self._tools = ForwardTools(
+        self._budgets: dict[str, SharedRetryBudget] = {}
+        self._gate = RequestResolver(
+            self._store_state.freshness, settings.not_found_max_age, parts.rng
+        )
+        self._tools = ForwardingContext(
             settings=settings.forward,
             clock=parts.reactor,
             rng=parts.rng,
@@ -212,19 +214,19 @@
                 lambda: self._news.age(self._now()),
                 lambda: self._news.is_relayed,
                 self._room,
-                targets.unlisted_of,
-                self._shares.own_tokens,
+                targets.recently_delisted,
+                self._shares.own_permits,
             ),
             parts=self._directory,
             states_of=targets.of_service,
             budget_of=self._budget_of,
             routers=self._routers,
-            parts_changed=self._exchange.tell_soon,
-            start_hop=self._start_hop,
+            parts_changed=self._exchange.send_soon,
+            start_span=self._start_hop,
             silence_judged=self._silence_judged,
-            statement_made=self._statement_made,
+            self_report_received=self._statement_made,
             harm=self._harm,
-            room=self._room,
+            availability=self._room,
             regions=settings.regions,
         )
         self._tracing: Tracing | None = None
@@ -245,7 +247,7 @@
     @property
     def limits(self) -> CallerLimits:
         """Return the limits in force."""
-        table = self._knowledge.table
+        table = self._store_state.table
         return FIRST_LIMITS if table is None else table.limits
 
     @property
@@ -280,7 +282,7 @@
         self._registry.start(self.bound[links])
         self._patient_until = self._now() + START_PATIENCE
         self._reactor.callLater(START_PATIENCE, self._serve_early)
-        self._knowledge.start(self._learned)
+        self._store_state.start(self._learned)
         self._keep_house()
         self._log.emit(Event.PROCESS_STARTED, host=settings.name)
 
@@ -300,7 +302,7 @@
             yield self._pause(0.05)
         if self._calls:
             self._log.emit(Event.STOP_CUT, requests=len(self._calls))
-        self._knowledge.stop()
+        self._store_state.stop()
         self._exchange.stop()
         yield self._registry.stop()
         self._close()
@@ -315,7 +317,7 @@
             Whether somebody asked; otherwise only news is logged.
         """
         try:
-            settings = self._parts.reread()
+            settings = self._parts.read_settings()
         except PrimrosescaleError as error:
             if is_asked or str(error) != self._settings_fault:
                 self._log.emit(Event.SETTINGS_REFUSED, detail=str(error))
@@ -333,8 +335,8 @@
         is_changed = settings != self._settings
         if is_changed:
             self._settings = settings
-            self._knowledge.configure(settings)
-            self._gate.configure(settings.certain_for)
+            self._store_state.configure(settings)
+            self._gate.configure(settings.not_found_max_age)
             self._tools.configure(settings.forward, settings.choice)
             self._tools.regions = settings.regions
             self._harmful.configure(settings.harm)
@@ -362,8 +364,8 @@
     def _serve_early(self) -> None:
         """Serve the requests that came before the first knowledge."""
         self._patient_until = 0.0
-        early, self._early = self._early, []
-        for request in early:
+        listening_socket, self._early = self._early, []
+        for request in listening_socket:
             if not request.is_gone:
                 self._serve(request)
 
@@ -372,13 +374,13 @@
         headers: Any = request.requestHeaders
         head = self._parts.codec.caller_head(request.method, request.uri, headers)
         body = request.content.getvalue()
-        judged = self._gate.judge(head, body, self._knowledge.table, now)
-        if len(self._calls) >= self._settings.most_requests:
+        judged = self._gate.resolve(head, body, self._store_state.table, now)
+        if len(self._calls) >= self._settings.max_requests:
             judged = Refusal.ROUTER_FULL
         sink = self._sink(request, head.request_id)
         if isinstance(judged, Refusal):
             forward = self._settings.forward
-            sink.refuse(judged, forward.come_back_after(judged, self._parts.rng))
+            sink.refuse(judged, forward.retry_delay(judged, self._parts.rng))
             self._log_refused(judged, head, now)
             return
         call = ForwardedCall(judged, sink, self._tools, self._ended)
@@ -405,16 +407,16 @@
 
     def _log_refused(self, refusal: Refusal, head: CallerHead, now: float) -> None:
         self._metrics.refused(refusal.name.lower())
-        table = self._knowledge.table
+        table = self._store_state.table
         self._log.emit(
             Event.REQUEST_ENDED,
             request=head.request_id,
-            host=head.host[:LOGGED_CHARACTERS],
-            path=head.path.decode("latin-1")[:LOGGED_CHARACTERS],
+            host=head.host[:MAX_LOGGED_CHARACTERS],
+            path=head.path.decode("latin-1")[:MAX_LOGGED_CHARACTERS],
             has_key=bool(head.key),
             outcome=f"refused: {refusal.name.lower()}",
             version=None if table is None else table.version,
-            knowledge_age=self._knowledge.rounded_age(now),
+            knowledge_age=self._store_state.rounded_age(now),
         )
 
     def _ended(self, call: ForwardedCall, outcome: str) -> None:
@@ -430,7 +432,7 @@
             service=request.service,
             organisation=request.organisation,
             version=request.version,
-            knowledge_age=self._knowledge.rounded_age(now),
+            knowledge_age=self._store_state.rounded_age(now),
             outcome=outcome,
             status=call.status,
             fingerprint=(
@@ -461,7 +463,7 @@
             ],
         )
 
-    def _silence_judged(self, request: IncomingRequest, silence: Silence) -> None:
+    def _silence_judged(self, request: IncomingRequest, silence: SilenceReport) -> None:
         self._metrics.silence_judged(silence)
         self._log.emit(
             Event.SILENCE_JUDGED,
@@ -477,7 +479,7 @@
         self, request: IncomingRequest, state: TargetState, head: AnswerHead
     ) -> None:
         if head.is_leaving:
-            self._leaving.note(state.incarnation)
+            self._leaving.record(state.incarnation)
         self._log.emit(
             Event.TARGET_SAID,
             target=state.target.name,
@@ -488,10 +490,10 @@
             told_by=TARGET,
         )
 
-    def _start_hop(self, name: str, traceparent: str) -> Hop:
+    def _start_hop(self, name: str, traceparent: str) -> TraceSpan:
         """Start a hop; the library for it is loaded for the first traced one."""
         if not traceparent:
-            return NO_HOP
+            return NO_SPAN
         if self._tracing is None:
             from primrosescale.process.tracing import Tracing  # noqa: PLC0415
 
@@ -502,7 +504,7 @@
         self._harm.target_ended(former, STARTED_AGAIN, self._now())
 
     def _domains_evacuated(self, told: EvacuationList, now: float) -> None:
-        self._knowledge.targets.evacuate(told.domains, now)
+        self._store_state.targets.evacuate(told.domains, now)
         self._log.emit(
             Event.DOMAINS_EVACUATED,
             domains=sorted(told.domains),
@@ -510,10 +512,10 @@
             told_by=told.told_by,
         )
 
-    def _budget_of(self, service: str) -> RepeatBudget:
+    def _budget_of(self, service: str) -> SharedRetryBudget:
         budget = self._budgets.get(service)
         if budget is None:
-            budget = self._budgets[service] = RepeatBudget(self._settings.repeats)
+            budget = self._budgets[service] = SharedRetryBudget(self._settings.repeats)
         return budget
 
     def _routers(self) -> int:
@@ -526,17 +528,17 @@
             return
         others = {router.name for router in self._news.others}
         names = frozenset({self._settings.name, *others})
-        self._shares.list_routers(names, now, was_listed=self._registry.was_listed)
+        self._shares.set_routers(names, now, was_listed=self._registry.was_listed)
 
     def _service(self, name: str) -> Service | None:
-        table = self._knowledge.table
+        table = self._store_state.table
         return None if table is None else table.service(name)
 
     def _is_store_lost(self) -> bool:
-        return self._knowledge.lost_for(self._now()) > 0
+        return self._store_state.lost_for(self._now()) > 0
 
     def _version(self) -> int:
-        table = self._knowledge.table
+        table = self._store_state.table
         return 0 if table is None else table.version
 
     def _keep_house(self) -> None:
@@ -549,12 +551,12 @@
             self._reread_at = now + REREAD_SECONDS
             self.reload(is_asked=False)
         self._limit_caches()
-        self._registry.forget_silent(now)
+        self._registry.remove_silent(now)
         self._list_routers(now)
-        self._knowledge.look_after(
-            self._news.newest_version(now), self._news.newest_list(), now
+        self._store_state.poll_if_stale(
+            self._news.newest_version(now), self._news.newest_list_revision(), now
         )
-        for incarnation in self._knowledge.listed.forget_gone(now):
+        for incarnation in self._store_state.listed.forget_expired(now):
             self._directory.forget_target(incarnation)
             self._harm.target_ended(incarnation, GONE, now)
             self._caller.forget(incarnation.name)
@@ -582,12 +584,12 @@
 
     def _limit_caches(self) -> None:
         """Take in how much each target holds, whenever that may have changed."""
-        table = self._knowledge.table
-        seen = (self._version(), self._knowledge.targets.generation)
+        table = self._store_state.table
+        seen = (self._version(), self._store_state.targets.generation)
         if table is None or seen == self._limited:
             return
         self._limited = seen
-        for state in self._knowledge.targets.states:
+        for state in self._store_state.targets.states:
             service = table.service(state.target.service)
             if service is not None:
                 self._directory.limit(state.incarnation, service.cache_tokens)
@@ -598,16 +600,16 @@
 
     def _is_cut_off(self, now: float) -> bool:
         """Tell whether callers are better served by other routers."""
-        if self._knowledge.lost_for(now) < LOST_SECONDS:
+        if self._store_state.lost_for(now) < LOST_SECONDS:
             return False
-        return self._news.others_reach_store(now)
+        return self._news.peers_reach_store(now)
 
     def _unready_reason(self, now: float) -> str:
         if self._is_stopping:
             return "stopping"
         if self._is_cut_off(now):
             return "cut off from the store"
-        return self._knowledge.missing(now)
+        return self._store_state.missing(now)
 
     def _note_readiness(self, now: float) -> None:
         if self.is_ready == self._was_ready:
@@ -617,7 +619,7 @@
             Event.READINESS_CHANGED,
             is_ready=self._was_ready,
             reason=self._unready_reason(now),
-            knowledge_age=self._knowledge.rounded_age(now),
+            knowledge_age=self._store_state.rounded_age(now),
         )
 
     def _readiness(self) -> Text:
@@ -631,31 +633,32 @@
 
     def _refresh_gauges(self) -> None:
         now = self._now()
-        table = self._knowledge.table
-        age = self._knowledge.freshness.age(now)
+        table = self._store_state.table
+        age = self._store_state.freshness.age(now)
         rank = self._news.relay_rank(now)
         standings = Counter(
-            self._room.standing(state, now) for state in self._knowledge.targets.states
+            self._room.condition(state, now)
+            for state in self._store_state.targets.states
         )
         values: dict[str, float] = {
             "version": 0 if table is None else table.version,
             "knowledge_age_seconds": -1.0 if age is None else age,
-            "targets": len(self._knowledge.targets),
+            "targets": len(self._store_state.targets),
             "cold_targets": sum(
                 self._cold.is_cold(state, now)
-                for state in self._knowledge.targets.states
+                for state in self._store_state.targets.states
             ),
-            "leaving_targets": standings[Standing.LEAVING],
-            "resting_targets": standings[Standing.RESTING],
-            "suspect_targets": standings[Standing.SUSPECT],
+            "leaving_targets": standings[TargetCondition.LEAVING],
+            "resting_targets": standings[TargetCondition.RESTING],
+            "suspect_targets": standings[TargetCondition.SUSPECT],
             "evacuated_domains": len(self._evacuations.domains),
             "caller_connections": self._factory.open_channels,
             "requests_under_way": len(self._calls),
-            "peers": self._news.heard_lately(now),
+            "peers": self._news.recent_peers(now),
             "news_bytes": self._exchange.bytes_out,
             "news_age_seconds": self._news.age(now),
             "relay_rank": -1.0 if rank is None else rank,
-            "store_calls": self._knowledge.store_calls,
+            "store_calls": self._store_state.store_calls,
             "requests_held_back": len(self._harmful.held(now)),
             "requests_suspected": len(self._harmful),
             "is_ready": float(self.is_ready),
@@ -670,15 +673,15 @@
         )
 
     def _listen_for_callers(self, endpoint: Endpoint) -> None:
-        early = self._parts.early
-        if early is None:
+        listening_socket = self._parts.listening_socket
+        if listening_socket is None:
             self._listen(endpoint, self._factory)
             return
         self._ports[endpoint] = self._reactor.adoptStreamPort(
-            early.fileno(), socket.AF_INET, self._factory
+            listening_socket.fileno(), socket.AF_INET, self._factory
         )
         # The reactor listens on a copy.
-        early.close()
+        listening_socket.close()
 
     def _pause(self, seconds: float) -> Deferred[None]:
         result: Deferred[None] = Deferred()
--- a/src/primrosescale/process/entry/entry_settings.py
+++ b/src/primrosescale/process/entry/entry_settings.py
@@ -6,16 +6,16 @@
 from dataclasses import field
 from typing import TYPE_CHECKING
 
-from primrosescale.process.entry.news_paths import NewsSettings
+from primrosescale.process.entry.relay_topology import StateExchangeSettings
 from primrosescale.request.cold_targets import ColdSettings
-from primrosescale.request.forward_tools import ForwardSettings
+from primrosescale.request.forward_tools import ForwardingSettings
 from primrosescale.request.harm_settings import HarmSettings
 from primrosescale.request.target_choice import ChoiceSettings
 
 if TYPE_CHECKING:
     from primrosescale.connection.endpoint import Endpoint
     from primrosescale.process.entry.store_watch import WatchedPrefix
-    from primrosescale.request.repeat_budget import RepeatBounds
+    from primrosescale.request.shared_retry_budget import SharedRetryLimits
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -42,20 +42,20 @@
         Seconds after which a leaving target must get no new work.
     revoke : float
         Seconds after which a withdrawn key must not be accepted.
-    certain_for : float
+    not_found_max_age : float
         Age of the knowledge, in seconds, up to which a missing route or key is
         taken for unknown rather than for not heard of yet.
     stop_within : float
         Seconds between SIGTERM and SIGKILL.
-    most_requests : int
+    max_requests : int
         Requests that may be under way at once; more are refused.
-    repeats : RepeatBounds
+    repeats : SharedRetryLimits
         Bound on requests sent again, for all routers together.
-    forward : ForwardSettings
+    forward : ForwardingSettings
         Timing of requests.
     choice : ChoiceSettings
         Weights of the choice of targets.
-    news : NewsSettings
+    news : StateExchangeSettings
         How routers tell each other what they know.
     harm : HarmSettings
         When a request that ends targets is held back.
@@ -74,20 +74,20 @@
     reads_caches: bool
     drain: float
     revoke: float
-    certain_for: float
+    not_found_max_age: float
     stop_within: float
-    most_requests: int
-    repeats: RepeatBounds
-    forward: ForwardSettings = field(default_factory=ForwardSettings)
+    max_requests: int
+    repeats: SharedRetryLimits
+    forward: ForwardingSettings = field(default_factory=ForwardingSettings)
     choice: ChoiceSettings = field(default_factory=ChoiceSettings)
-    news: NewsSettings = field(default_factory=NewsSettings)
+    news: StateExchangeSettings = field(default_factory=StateExchangeSettings)
     harm: HarmSettings = field(default_factory=HarmSettings)
     cold: ColdSettings = field(default_factory=ColdSettings)
     regions: dict[str, str] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class EntryWatches:
+class WatchedPrefixes:
     """What an entry router follows in the store.
 
     Parameters
--- a/src/primrosescale/process/entry/harm_news.py
+++ b/src/primrosescale/process/entry/harm_report_exchange.py
@@ -13,14 +13,14 @@
 from typing import Any
 
 from primrosescale.connection.wire import ttypes as wire
-from primrosescale.process.entry.load_codec import MILLISECONDS
+from primrosescale.process.entry.load_codec import MILLISECONDS_PER_SECOND
 from primrosescale.process.events import Event
 from primrosescale.request.content_fingerprint import fingerprint_text
+from primrosescale.request.harm_reports import CompleteAnswer
 from primrosescale.request.harm_reports import HarmReport
-from primrosescale.request.harm_reports import LoneTry
+from primrosescale.request.harm_reports import SuspectTrial
 from primrosescale.request.harm_reports import TargetEnd
-from primrosescale.request.harm_reports import WholeAnswer
-from primrosescale.request.lost_answers import BUFFERED_SECONDS
+from primrosescale.request.lost_answers import MAX_BUFFERED_SECONDS
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -32,14 +32,14 @@
 
 # How often each end is told. One datagram in a thousand is lost, and three in a
 # hundred on a bad link.
-TIMES_TOLD = 3
+SENDS_PER_REPORT = 3
 # Ends that wait to be told; the oldest make room.
 MOST_WAITING = 512
 # Ends in one message, at 20 bytes each.
-MOST_IN_MESSAGE = 12
-MOST_HELD_IN_MESSAGE = 8
+MAX_REPORTS_PER_MESSAGE = 12
+MAX_HELD_PER_MESSAGE = 8
 # Seconds between two messages with ends for which requests are held back.
-HELD_INTERVAL = 1.0
+HELD_INTERVAL_SECONDS = 1.0
 
 
 class _Waiting:
@@ -49,10 +49,10 @@
 
     def __init__(self, item: HarmReport) -> None:
         self.item = item
-        self.times_left = TIMES_TOLD
+        self.times_left = SENDS_PER_REPORT
 
 
-class HarmNews:
+class HarmReportExchange:
     """Tells other routers of ends of targets and takes in theirs.
 
     Parameters
@@ -76,9 +76,9 @@
     @property
     def is_urgent(self) -> bool:
         """Tell whether there is something that no router was told of yet."""
-        return bool(self._waiting) and self._waiting[0].times_left == TIMES_TOLD
+        return bool(self._waiting) and self._waiting[0].times_left == SENDS_PER_REPORT
 
-    def note(self, item: HarmReport, now: float) -> bool:
+    def record(self, item: HarmReport, now: float) -> bool:
         """Take in what this router has seen, and tell the others of it.
 
         Parameters
@@ -121,7 +121,7 @@
         list[wire.EndNews]
             A few of all; each comes some times.
         """
-        count = min(MOST_IN_MESSAGE, len(self._waiting))
+        count = min(MAX_REPORTS_PER_MESSAGE, len(self._waiting))
         told = [self._waiting.popleft() for _ in range(count)]
         for each in told:
             each.times_left -= 1
@@ -142,18 +142,18 @@
         list[wire.EndNews]
             The next few of all in turn, once a second.
         """
-        if now - self._held_at < HELD_INTERVAL:
+        if now - self._held_at < HELD_INTERVAL_SECONDS:
             return []
         self._held_at = now
         held = self._requests.held(now)
         self._known_held.intersection_update(held)
         if not self._held_queue:
             for fingerprint in held:
-                self._held_queue.extend(self._requests.proof(fingerprint))
-        count = min(MOST_HELD_IN_MESSAGE, len(self._held_queue))
+                self._held_queue.extend(self._requests.sufficient_ends(fingerprint))
+        count = min(MAX_HELD_PER_MESSAGE, len(self._held_queue))
         return [_end_news(self._held_queue.popleft(), now) for _ in range(count)]
 
-    def take(
+    def receive(
         self, message: wire.RouterNews, states: Mapping[int, TargetState], now: float
     ) -> None:
         """Take in what another router tells.
@@ -168,13 +168,13 @@
             Present time in seconds.
         """
         for told in self._readable(message):
-            at = now - max(0, told.age_ms) / MILLISECONDS
+            at = now - max(0, told.age_ms) / MILLISECONDS_PER_SECOND
             if told.target is None:
-                kind = LoneTry if told.is_try else WholeAnswer
+                kind = SuspectTrial if told.is_try else CompleteAnswer
                 self._take(kind(told.fingerprint, at), message.origin, now)
                 continue
             state = states.get(told.target)
-            if state is not None and state.heard_at > at + BUFFERED_SECONDS:
+            if state is not None and state.last_received_at > at + MAX_BUFFERED_SECONDS:
                 # It was cut off from the router that tells, and has not ended.
                 continue
             was_answered = bool(told.was_answered)
@@ -188,15 +188,15 @@
         yield from message.held or ()
 
     def _take(self, item: HarmReport, told_by: str, now: float) -> bool:
-        if isinstance(item, LoneTry):
-            return self._requests.take_try(item)
+        if isinstance(item, SuspectTrial):
+            return self._requests.record_trial(item)
         if isinstance(item, TargetEnd):
-            is_news = self._requests.take_end(item)
+            is_worth_sharing = self._requests.record_end(item)
         else:
-            is_news = self._requests.take_answer(item)
-        if is_news:
+            is_worth_sharing = self._requests.record_answer(item)
+        if is_worth_sharing:
             self._note_verdict(item.fingerprint, told_by, now)
-        return is_news
+        return is_worth_sharing
 
     def _note_verdict(self, fingerprint: int, told_by: str, now: float) -> None:
         """Log that a request is held back from now on, or no more."""
@@ -215,11 +215,11 @@
 
 
 def _end_news(item: HarmReport, now: float) -> wire.EndNews:
-    age = max(0, round((now - item.at) * MILLISECONDS))
+    age = max(0, round((now - item.at) * MILLISECONDS_PER_SECOND))
     if isinstance(item, TargetEnd):
         was_answered = item.was_answered or None
         return wire.EndNews(
             item.fingerprint, age, item.target, was_answered=was_answered
         )
-    is_try = isinstance(item, LoneTry) or None
+    is_try = isinstance(item, SuspectTrial) or None
     return wire.EndNews(item.fingerprint, age, is_try=is_try)
--- a/src/primrosescale/process/entry/harm_watch.py
+++ b/src/primrosescale/process/entry/harm_watch.py
@@ -15,26 +15,26 @@
 
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.process.events import Event
-from primrosescale.request.direct_port import TargetCheck
-from primrosescale.request.fresh_answers import FreshAnswer
-from primrosescale.request.fresh_answers import FreshAnswers
-from primrosescale.request.harm_reports import LoneTry
+from primrosescale.request.forwarding_interfaces import ProbeResult
+from primrosescale.request.harm_monitor import HarmMonitor
+from primrosescale.request.harm_reports import CompleteAnswer
+from primrosescale.request.harm_reports import SuspectTrial
 from primrosescale.request.harm_reports import TargetEnd
-from primrosescale.request.harm_reports import WholeAnswer
-from primrosescale.request.harm_watch import HarmWatch
-from primrosescale.request.lost_answers import BUFFERED_SECONDS
+from primrosescale.request.lost_answers import MAX_BUFFERED_SECONDS
 from primrosescale.request.lost_answers import LostAnswers
+from primrosescale.request.unconfirmed_answers import UnconfirmedAnswer
+from primrosescale.request.unconfirmed_answers import UnconfirmedAnswers
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from primrosescale.clock import Timer
-    from primrosescale.process.entry.entry_parts import EntryParts
-    from primrosescale.process.entry.harm_news import HarmNews
+    from primrosescale.process.entry.entry_dependencies import EntryDependencies
+    from primrosescale.process.entry.harm_report_exchange import HarmReportExchange
     from primrosescale.process.entry.target_list import TargetList
-    from primrosescale.request.direct_port import TargetCaller
+    from primrosescale.request.forwarding_interfaces import TargetClient
     from primrosescale.request.harmful_requests import HarmfulRequests
-    from primrosescale.request.incoming import IncomingRequest
+    from primrosescale.request.incoming_request import IncomingRequest
     from primrosescale.request.target_incarnation import TargetIncarnation
     from primrosescale.request.target_state import TargetState
 
@@ -51,33 +51,33 @@
 STILL_LIVES_SECONDS = 1.0
 
 
-class EntryHarmWatch(HarmWatch):
+class EntryHarmMonitor(HarmMonitor):
     """Watches the requests of one entry router.
 
     Parameters
     ----------
     requests : HarmfulRequests
         What all reports amount to.
-    news : HarmNews
+    news : HarmReportExchange
         Tells other routers.
     targets : TargetList
         Targets and their states.
-    caller : TargetCaller
+    caller : TargetClient
         Opens connections to targets.
-    parts : EntryParts
+    parts : EntryDependencies
         What the router is built with.
-    tell_soon : Callable[[], None]
+    send_soon : Callable[[], None]
         Has other routers told without waiting for the next round.
     """
 
     def __init__(
         self,
         requests: HarmfulRequests,
-        news: HarmNews,
+        news: HarmReportExchange,
         targets: TargetList,
-        caller: TargetCaller,
-        parts: EntryParts,
-        tell_soon: Callable[[], None],
+        caller: TargetClient,
+        parts: EntryDependencies,
+        send_soon: Callable[[], None],
     ) -> None:
         self._requests = requests
         self._news = news
@@ -86,10 +86,10 @@
         self._reactor: Any = parts.reactor
         self._log = parts.log
         self._metrics = parts.metrics
-        self._tell_soon = tell_soon
+        self._tell_soon = send_soon
         news.on_end = self._told_of_end
         self._lost = LostAnswers()
-        self._fresh = FreshAnswers()
+        self._fresh = UnconfirmedAnswers()
         self._proving: Timer | None = None
         # Targets that a connection is being opened to.
         self._checking: set[int] = set()
@@ -97,22 +97,22 @@
         self._ended: dict[int, float] = {}
 
     def held_for(self, request: IncomingRequest, now: float) -> float:
-        """Return how long it is held back; see `HarmWatch.held_for`."""
+        """Return how long it is held back; see `HarmMonitor.held_for`."""
         if not self._requests.may_hold:
             return 0.0
         return self._requests.held_for(request.fingerprint, now)
 
     def sent(self, request: IncomingRequest, now: float) -> None:
-        """Have others not try it besides; see `HarmWatch.sent`."""
+        """Have others not try it besides; see `HarmMonitor.sent`."""
         if not self._requests.may_hold:
             return
-        if self._news.note(LoneTry(request.fingerprint, now), now):
+        if self._news.note(SuspectTrial(request.fingerprint, now), now):
             self._tell_soon()
 
     def answer_lost(
         self, request: IncomingRequest, state: TargetState, now: float
     ) -> None:
-        """See whether the target has ended; see `HarmWatch.answer_lost`."""
+        """See whether the target has ended; see `HarmMonitor.answer_lost`."""
         target = state.incarnation
         if state.target.is_draining or not self._targets.is_listed(target.name):
             # Its end is no surprise, whatever it was working on.
@@ -128,33 +128,35 @@
     def answered(
         self, request: IncomingRequest, state: TargetState, now: float
     ) -> None:
-        """Have it clear the request once it is proved; see `HarmWatch.answered`."""
+        """Have it clear the request once it is proved; see `HarmMonitor.answered`."""
         self._requests.count_answer(now)
         key = target_key(*state.incarnation)
-        self._fresh.add(FreshAnswer(request.fingerprint, key, now, state))
+        self._fresh.add(UnconfirmedAnswer(request.fingerprint, key, now, state))
         if self._proving is None:
             self._proving = self._reactor.callLater(PROOF_PAUSE, self._prove)
 
-    def heard(self, state: TargetState, sent_at: float, now: float) -> None:
-        """Take in that the target lives; see `HarmWatch.heard`."""
-        if not state.incarnation.is_named_by_id or not (self._ended or len(self._lost)):
+    def answer_began(self, state: TargetState, sent_at: float, now: float) -> None:
+        """Take in that the target lives; see `HarmMonitor.answer_began`."""
+        if not state.incarnation.has_unique_name or not (
+            self._ended or len(self._lost)
+        ):
             return
         key = target_key(*state.incarnation)
-        self._lost.lived(key, sent_at)
+        self._lost.seen_alive(key, sent_at)
         ended_at = self._ended.get(key)
         if ended_at is None:
             return
-        if BUFFERED_SECONDS < now - ended_at < STILL_LIVES_SECONDS:
+        if MAX_BUFFERED_SECONDS < now - ended_at < STILL_LIVES_SECONDS:
             self._ended.pop(key)
-            self._requests.target_lives(key)
+            self._requests.retract_ends(key)
 
     def replaced(self, state: TargetState, now: float) -> None:
-        """Take in that the target has ended; see `HarmWatch.replaced`."""
+        """Take in that the target has ended; see `HarmMonitor.replaced`."""
         if not state.target.is_draining:
             self.target_ended(state.incarnation, REPLACED, now)
 
-    def unreached(self, state: TargetState, now: float) -> None:
-        """See whether the target has ended; see `HarmWatch.unreached`."""
+    def not_reached(self, state: TargetState, now: float) -> None:
+        """See whether the target has ended; see `HarmMonitor.not_reached`."""
         if not state.target.is_draining:
             target = state.incarnation
             self._check_soon(target, target_key(*target))
@@ -200,8 +202,8 @@
     ) -> list[TargetEnd]:
         """Return the requests that a target answered just before it ended, once."""
         ends = []
-        for answer in self._fresh.take_at(key):
-            if answer.is_just_before(lost_at):
+        for answer in self._fresh.take_from(key):
+            if answer.may_have_ended_target(lost_at):
                 end = TargetEnd(answer.fingerprint, key, answer.at, was_answered=True)
                 ends.append(end)
             else:
@@ -215,30 +217,30 @@
 
     def _check(self, target: TargetIncarnation, key: int) -> None:
         now = self._reactor.seconds()
-        if self._lost.is_waiting(key, now) or self._fresh.has_any(key):
+        if self._lost.is_waiting(key, now) or self._fresh.has_from(key):
             self._caller.check(target, lambda found: self._checked(target, key, found))
         else:
             self._checking.discard(key)
 
-    def _checked(self, target: TargetIncarnation, key: int, found: TargetCheck) -> None:
-        if found is TargetCheck.UNKNOWN:
+    def _checked(self, target: TargetIncarnation, key: int, found: ProbeResult) -> None:
+        if found is ProbeResult.UNKNOWN:
             self._reactor.callLater(RECHECK_PAUSE, self._check, target, key)
             return
         self._checking.discard(key)
-        if found is TargetCheck.ENDED:
+        if found is ProbeResult.ENDED:
             self.target_ended(target, found.value, self._reactor.seconds())
 
     def _prove(self) -> None:
         """Take in whole answers that prove something by now."""
         now = self._reactor.seconds()
-        for answer in self._fresh.take_proved(now):
+        for answer in self._fresh.take_confirmed(now):
             self._clear(answer, now)
         self._proving = None
         if len(self._fresh):
             self._proving = self._reactor.callLater(PROOF_PAUSE, self._prove)
 
-    def _clear(self, answer: FreshAnswer, now: float) -> None:
-        if self._news.note(WholeAnswer(answer.fingerprint, answer.at), now):
+    def _clear(self, answer: UnconfirmedAnswer, now: float) -> None:
+        if self._news.note(CompleteAnswer(answer.fingerprint, answer.at), now):
             self._tell_soon()
 
     def _note_ends(self, ends: list[TargetEnd], now: float) -> None:
--- a/src/primrosescale/process/entry/leaving_news.py
+++ b/src/primrosescale/process/entry/leaving_exchange.py
@@ -21,12 +21,12 @@
     from primrosescale.request.target_state import TargetState
 
 # Targets in one message, at 5 bytes each; a release replaces some at a time.
-MOST_IN_MESSAGE = 40
+MAX_REPORTS_PER_MESSAGE = 40
 # Targets that are remembered; those noted first make room.
 MOST_NOTED = 1000
 
 
-class LeavingNews:
+class LeavingTargetExchange:
     """Tells other routers which targets leave by their own word, and hears of theirs.
 
     Each router tells all that it knows for as long as it knows it, also what it was
@@ -46,7 +46,7 @@
         # By name of the target, the latest last.
         self._leaving: dict[str, TargetIncarnation] = {}
 
-    def note(self, target: TargetIncarnation) -> None:
+    def record(self, target: TargetIncarnation) -> None:
         """Take in that a target said so, here or to another router.
 
         Parameters
@@ -71,9 +71,9 @@
                 del self._leaving[name]
             else:
                 told.append(target_key(*target))
-        return told[:MOST_IN_MESSAGE]
+        return told[:MAX_REPORTS_PER_MESSAGE]
 
-    def take(
+    def receive(
         self,
         leaving: Iterable[int],
         states: Mapping[int, TargetState],
@@ -95,8 +95,8 @@
         """
         for key in leaving:
             state = states.get(key)
-            if state is not None and state.statements.hear_leaving(now):
-                self.note(state.incarnation)
+            if state is not None and state.self_reports.set_leaving(now):
+                self.record(state.incarnation)
                 self._log.emit(
                     Event.TARGET_SAID,
                     target=state.target.name,
--- a/src/primrosescale/process/entry/listed_evacuations.py
+++ b/src/primrosescale/process/entry/listed_evacuations.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from primrosescale.process.entry.store_watch import WatchHandler
+from primrosescale.process.entry.store_watch import WatchListener
 from primrosescale.process.entry.target_list import STORE
 from primrosescale.request.evacuations import EvacuationList
 
@@ -16,7 +16,7 @@
     from primrosescale.request.evacuations import Evacuations
 
 
-class ListedEvacuations(WatchHandler):
+class ListedEvacuations(WatchListener):
     """Takes entries of the store's list of evacuations into `Evacuations`.
 
     Whatever an entry holds, its name alone says which domain is evacuated.
@@ -53,14 +53,14 @@
         return self._is_complete
 
     def replaced(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Take in the whole list; see `WatchHandler.replaced`."""
+        """Take in the whole list; see `WatchListener.replaced`."""
         self._listed = {item.name for item in objects if not item.is_deleted}
         self._tell()
         self._is_complete = True
         self._on_list()
 
     def changed(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Take in changed entries; see `WatchHandler.changed`."""
+        """Take in changed entries; see `WatchListener.changed`."""
         for stored in objects:
             if stored.is_deleted:
                 self._listed.discard(stored.name)
@@ -73,4 +73,4 @@
 
     def _tell(self) -> None:
         told = EvacuationList(frozenset(self._listed), self._revision(), STORE)
-        self._evacuations.take(told, self._now())
+        self._evacuations.update(told, self._now())
--- a/src/primrosescale/process/entry/listed_targets.py
+++ b/src/primrosescale/process/entry/listed_targets.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from primrosescale.process.entry.store_connection import StoreConnection
-from primrosescale.process.entry.store_watch import WatchHandler
+from primrosescale.process.entry.store_watch import WatchListener
 from primrosescale.process.events import Event
 from primrosescale.process.exceptions import UnreadableRecordError
 
@@ -23,7 +23,7 @@
     from primrosescale.request.target_incarnation import TargetIncarnation
 
 
-class ListedTargets(WatchHandler):
+class ListedTargets(WatchListener):
     """Takes entries of the store's list of targets into a `TargetList`.
 
     Parameters
@@ -78,7 +78,7 @@
         return self._revision
 
     def replaced(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Take in the whole list; see `WatchHandler.replaced`."""
+        """Take in the whole list; see `WatchListener.replaced`."""
         self._connection.regained()
         now = self._now()
         listed = [item for item in objects if not item.is_deleted]
@@ -93,7 +93,7 @@
         self._on_list()
 
     def changed(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Take in changed entries; see `WatchHandler.changed`."""
+        """Take in changed entries; see `WatchListener.changed`."""
         self._connection.regained()
         now = self._now()
         for stored in objects:
@@ -105,10 +105,10 @@
                 self._take(stored, now)
 
     def failed(self, error: PlatformError) -> None:
-        """Note that the store could not be asked; see `WatchHandler.failed`."""
+        """Note that the store could not be asked; see `WatchListener.failed`."""
         self._connection.lost(error)
 
-    def forget_gone(self, now: float) -> list[TargetIncarnation]:
+    def forget_expired(self, now: float) -> list[TargetIncarnation]:
         """Forget targets whose entry stayed gone.
 
         Parameters
@@ -121,7 +121,7 @@
         list[TargetIncarnation]
             Their last known incarnations.
         """
-        gone = self._targets.forget_gone(now)
+        gone = self._targets.forget_expired(now)
         for incarnation in gone:
             self._log.emit(Event.TARGET_FORGOTTEN, target=incarnation.name)
         return gone
@@ -159,8 +159,8 @@
         if known is None or known[0] != revision:
             self._told[target.name] = (revision, now)
             return target
-        left = max(0.0, target.warming_for - (now - known[1]))
-        return replace(target, warming_for=left)
+        left = max(0.0, target.warm_up_seconds - (now - known[1]))
+        return replace(target, warm_up_seconds=left)
 
     def _remove(self, name: str, now: float) -> None:
         self._told.pop(name, None)
--- a/src/primrosescale/process/entry/load_codec.py
+++ b/src/primrosescale/process/entry/load_codec.py
@@ -35,7 +35,7 @@
 # Bytes of a message without loads and parts.
 USUAL_HEAD = 50
 PERCENT = 100
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 
 
 class LoadCodec:
@@ -146,7 +146,7 @@
         keys = sorted(named, key=lambda key: -named[key])[:MOST_SUMMED_TARGETS]
         message.targets = [_summed(key, named[key], loads) for key in keys]
         message.targets_digest = self._keys.digest
-        message.age_ms = round((now - loads.known_at) * MILLISECONDS)
+        message.age_ms = round((now - loads.known_at) * MILLISECONDS_PER_SECOND)
         message.routers = loads.routers
         message.store_lost = not loads.reaches_store
 
@@ -165,7 +165,7 @@
         LoadSum | None
             None where it is in the order of other targets than are known here.
         """
-        known_at = now - (message.age_ms or 0) / MILLISECONDS
+        known_at = now - (message.age_ms or 0) / MILLISECONDS_PER_SECOND
         routers = 1 if message.routers is None else message.routers
         loads = LoadSum(known_at, routers, reaches_store=not message.store_lost)
         if message.running is not None:
--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -22,8 +22,8 @@
     from collections.abc import Iterator
 
     from primrosescale.connection.wire import ttypes as wire
-    from primrosescale.process.entry.news_paths import NewsPaths
-    from primrosescale.process.entry.news_paths import NewsSettings
+    from primrosescale.process.entry.relay_topology import RelayTopology
+    from primrosescale.process.entry.relay_topology import StateExchangeSettings
 
 # News of parts that wait to be passed on; the oldest are left out, each of which
 # costs a prompt that is read once more.
@@ -171,20 +171,22 @@
     return [each.item for each in waiting if each.origin != name]
 
 
-class NewsRelay:
+class StateRelay:
     """Sums of others' requests, by router, by domain and of all.
 
     Parameters
     ----------
     name : str
         This router.
-    paths : NewsPaths
+    paths : RelayTopology
         Who exchanges news with whom.
-    settings : NewsSettings
+    settings : StateExchangeSettings
         Sizes and times.
     """
 
-    def __init__(self, name: str, paths: NewsPaths, settings: NewsSettings) -> None:
+    def __init__(
+        self, name: str, paths: RelayTopology, settings: StateExchangeSettings
+    ) -> None:
         self._name = name
         self._paths = paths
         self._settings = settings
--- a/src/primrosescale/process/entry/other_router.py
+++ b/src/primrosescale/process/entry/peer_router.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OtherRouter:
+class PeerRouter:
     """Another router as the store lists it.
 
     Parameters
@@ -37,7 +37,7 @@
 
     Parameters
     ----------
-    router : OtherRouter
+    router : PeerRouter
         Its entry in the list.
     now : float
         Present time in seconds.
@@ -57,7 +57,7 @@
         "version",
     )
 
-    def __init__(self, router: OtherRouter, now: float) -> None:
+    def __init__(self, router: PeerRouter, now: float) -> None:
         self.router = router
         self.listed_at = now
         self.incarnation = 0
--- a/src/primrosescale/process/entry/refused_records.py
+++ b/src/primrosescale/process/entry/refused_records.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from primrosescale.process.events import Event
-from primrosescale.process.log_text import log_text
+from primrosescale.process.log_text import escape_for_log
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -77,9 +77,9 @@
         self._metrics.record_refused(self._kind.value)
         self._told()
         said = {
-            self._kind.value: log_text(stored.name),
-            "field": log_text(error.field),
-            "reason": log_text(error.reason),
+            self._kind.value: escape_for_log(stored.name),
+            "field": escape_for_log(error.field),
+            "reason": escape_for_log(error.reason),
             "remedy": error.remedy,
         }
         self._log.emit(_EVENTS[self._kind], **said)
--- a/src/primrosescale/process/entry/news_paths.py
+++ b/src/primrosescale/process/entry/relay_topology.py
@@ -16,7 +16,7 @@
 from primrosescale.ini.options import COUNT
 from primrosescale.ini.options import SECONDS
 from primrosescale.ini.options import option
-from primrosescale.process.membership.order import first_in_order
+from primrosescale.process.membership.rendezvous import first_by_rendezvous
 
 # A domain has two relays at least, so that one may be lost.
 LEAST_RELAYS = 2
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NewsSettings:
+class StateExchangeSettings:
     """How often routers tell each other what, and by which way."""
 
     most_direct: int = option(
@@ -73,7 +73,7 @@
         self.suspected_until = -math.inf
 
 
-class NewsPaths:
+class RelayTopology:
     """The ways of news from and to one router.
 
     Parameters
@@ -82,11 +82,11 @@
         This router.
     domain : str
         Its failure domain.
-    settings : NewsSettings
+    settings : StateExchangeSettings
         Sizes and times.
     """
 
-    def __init__(self, name: str, domain: str, settings: NewsSettings) -> None:
+    def __init__(self, name: str, domain: str, settings: StateExchangeSettings) -> None:
         self._name = name
         self._domain = domain
         self._settings = settings
@@ -223,7 +223,7 @@
         str | None
             Its name; None where there is no other router in the domain.
         """
-        first = first_in_order(self.own_relays(now), self._name, 1)
+        first = first_by_rendezvous(self.own_relays(now), self._name, 1)
         return first[0] if first else None
 
     def counterparts(self, now: float) -> list[str]:
@@ -285,7 +285,7 @@
         order = self._orders.get(domain)
         if order is None:
             names = self._domains[domain]
-            order = first_in_order(names, domain, len(names))
+            order = first_by_rendezvous(names, domain, len(names))
             self._orders[domain] = order
         count = max(LEAST_RELAYS, -(-len(order) // self._settings.routers_a_relay))
         answering = [name for name in order if not self._is_suspected(name, now)]
--- a/src/primrosescale/process/entry/router_exchange.py
+++ b/src/primrosescale/process/entry/router_datagrams.py
@@ -17,7 +17,7 @@
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.process.entry.refused_records import RecordKind
 from primrosescale.process.entry.refused_records import RefusedRecords
-from primrosescale.process.entry.store_watch import WatchHandler
+from primrosescale.process.entry.store_watch import WatchListener
 from primrosescale.process.events import Event
 from primrosescale.process.exceptions import PlatformError
 from primrosescale.process.exceptions import UnreadableRecordError
@@ -32,11 +32,11 @@
     from primrosescale.clock import Timer
     from primrosescale.connection.codec import Message
     from primrosescale.connection.endpoint import Endpoint
-    from primrosescale.process.entry.cache_shares import CacheShares
-    from primrosescale.process.entry.entry_parts import EntryParts
+    from primrosescale.process.entry.cache_ownership import CacheOwnership
+    from primrosescale.process.entry.entry_dependencies import EntryDependencies
     from primrosescale.process.entry.entry_settings import EntrySettings
-    from primrosescale.process.entry.other_router import OtherRouter
-    from primrosescale.process.entry.router_news import RouterNews
+    from primrosescale.process.entry.peer_router import PeerRouter
+    from primrosescale.process.entry.state_exchange import StateExchange
     from primrosescale.process.transport.platform import StoredObject
 
 # Where a part of a prompt went is told at once, with what else comes up in
@@ -45,12 +45,12 @@
 ANNOUNCE_PAUSE = 0.5
 
 
-class NewsExchange(DatagramProtocol):
+class StateExchangeProtocol(DatagramProtocol):
     """Sends this router's news in rounds and takes in that of others.
 
     Parameters
     ----------
-    news : RouterNews
+    news : StateExchange
         Composes and takes in news.
     version : Callable[[], int]
         Returns the version in force here; 0 for none.
@@ -58,20 +58,20 @@
         Returns whether the store did not answer the last question.
     list_revision : Callable[[], int]
         Returns the newest change of the target list that is known here.
-    parts : EntryParts
+    parts : EntryDependencies
         What the router is built with.
-    shares : CacheShares
+    shares : CacheOwnership
         What is asked and told of the caches of targets.
     """
 
     def __init__(
         self,
-        news: RouterNews,
+        news: StateExchange,
         version: Callable[[], int],
         is_store_lost: Callable[[], bool],
         list_revision: Callable[[], int],
-        parts: EntryParts,
-        shares: CacheShares,
+        parts: EntryDependencies,
+        shares: CacheOwnership,
     ) -> None:
         self._news = news
         self._shares = shares
@@ -101,7 +101,7 @@
         cancel_timer(self._timer)
         cancel_timer(self._urgent)
 
-    def tell_soon(self) -> None:
+    def send_soon(self) -> None:
         """Tell within milliseconds what others should not have to wait for."""
         if self._urgent is None and self._news.is_urgent and not self._is_stopped:
             self._urgent = self._reactor.callLater(URGENT_SECONDS, self._urgent_round)
@@ -128,7 +128,7 @@
         elif isinstance(message, wire.CacheQuestion):
             self._write_all(self._shares.take_question(message, now))
         elif isinstance(message, wire.CacheAnswer):
-            self._shares.take_answer(message, now)
+            self._shares.record_answer(message, now)
 
     def ask_caches(self) -> None:
         """Ask the routers that have not answered yet what targets hold."""
@@ -168,7 +168,7 @@
                 relay=teller,
                 former=self._teller,
                 news_age=round(age, 2) if math.isfinite(age) else None,
-                routers=self._news.heard_lately(now),
+                routers=self._news.recent_peers(now),
             )
             self._teller = teller
 
@@ -182,7 +182,7 @@
         )
         self._write_all(messages)
 
-    def _write_all(self, messages: Sequence[tuple[OtherRouter, Message]]) -> None:
+    def _write_all(self, messages: Sequence[tuple[PeerRouter, Message]]) -> None:
         transport: Any = self.transport
         for router, message in messages:
             frame = encode(message)
@@ -197,7 +197,7 @@
             self._bytes_out += len(frame)
 
 
-class RouterRegistry(WatchHandler):
+class RouterRegistry(WatchListener):
     """Lists this router in the store and follows the list of the others.
 
     Parameters
@@ -206,9 +206,9 @@
         Settings of the router.
     incarnation : int
         Number of this incarnation of the process.
-    news : RouterNews
+    news : StateExchange
         Told of the other routers.
-    parts : EntryParts
+    parts : EntryDependencies
         What the router is built with.
     """
 
@@ -216,8 +216,8 @@
         self,
         settings: EntrySettings,
         incarnation: int,
-        news: RouterNews,
-        parts: EntryParts,
+        news: StateExchange,
+        parts: EntryDependencies,
     ) -> None:
         self._settings = settings
         self._incarnation = incarnation
@@ -265,7 +265,7 @@
             self._parts.log.emit(Event.ANNOUNCE_FAILED, detail=str(error))
 
     def replaced(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Take in the whole list; see `WatchHandler.replaced`."""
+        """Take in the whole list; see `WatchListener.replaced`."""
         names = {stored.name for stored in objects if not stored.is_deleted}
         if not self._has_list:
             self._was_listed = self._settings.name in names
@@ -280,13 +280,13 @@
             self._announce()
 
     def changed(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
-        """Take in changed entries; see `WatchHandler.changed`."""
+        """Take in changed entries; see `WatchListener.changed`."""
         for stored in objects:
             self._take(stored)
             if stored.is_deleted and stored.name == self._settings.name:
                 self._announce()
 
-    def forget_silent(self, now: float) -> None:
+    def remove_silent(self, now: float) -> None:
         """Take routers off the list that are gone for good.
 
         Parameters
@@ -294,7 +294,7 @@
         now : float
             Present time in seconds.
         """
-        if not self._news.asks_often(now):
+        if not self._news.polls_store(now):
             return
         for name in self._news.unheard(now):
             self._news.remove(name)
--- a/src/primrosescale/process/entry/router_news.py
+++ b/src/primrosescale/process/entry/state_exchange.py
@@ -14,28 +14,28 @@
 
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.connection.wire.ttypes import NewsScope
-from primrosescale.process.entry.load_codec import MILLISECONDS
+from primrosescale.process.entry.load_codec import MILLISECONDS_PER_SECOND
 from primrosescale.process.entry.load_codec import LoadCodec
-from primrosescale.process.entry.news_paths import NewsPaths
-from primrosescale.process.entry.news_paths import NewsSettings
-from primrosescale.process.entry.news_relay import NewsRelay
-from primrosescale.process.entry.other_router import RouterPeer
+from primrosescale.process.entry.news_relay import StateRelay
+from primrosescale.process.entry.peer_router import RouterPeer
+from primrosescale.process.entry.relay_topology import RelayTopology
+from primrosescale.process.entry.relay_topology import StateExchangeSettings
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.request.evacuations import EvacuationList
-from primrosescale.request.part_directory import PartUse
+from primrosescale.request.prefix_cache_index import PartUse
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from primrosescale.process.entry.harm_news import HarmNews
-    from primrosescale.process.entry.leaving_news import LeavingNews
+    from primrosescale.process.entry.harm_report_exchange import HarmReportExchange
+    from primrosescale.process.entry.leaving_exchange import LeavingTargetExchange
     from primrosescale.process.entry.load_sum import LoadSum
     from primrosescale.process.entry.news_relay import Telling
-    from primrosescale.process.entry.other_router import OtherRouter
+    from primrosescale.process.entry.peer_router import PeerRouter
     from primrosescale.process.entry.target_list import TargetList
     from primrosescale.request.evacuations import Evacuations
     from primrosescale.request.freshness import Freshness
-    from primrosescale.request.part_directory import PartDirectory
+    from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 
 # Datagrams stay under what every link carries in one piece.
 MOST_PARTS = 36
@@ -59,7 +59,7 @@
 RELAYED = "relays"
 
 
-class RouterNews:
+class StateExchange:
     """Composes news for other routers and takes in theirs.
 
     Parameters
@@ -70,20 +70,20 @@
         Number of this incarnation of the process.
     targets : TargetList
         Targets and their states.
-    parts : PartDirectory
+    parts : PrefixCacheIndex
         Where parts of prompts are cached.
     freshness : Freshness
         How old the knowledge of the configuration is.
     domain : str
         Failure domain of this router.
-    settings : NewsSettings | None
+    settings : StateExchangeSettings | None
         Sizes and times; None for the usual ones.
-    harm : HarmNews | None
+    harm : HarmReportExchange | None
         What is told of targets that ended with requests on board; None for
         nothing.
     evacuations : Evacuations | None
         Failure domains that get no requests; None for a router that follows none.
-    leaving : LeavingNews | None
+    leaving : LeavingTargetExchange | None
         What is told of targets that leave by their own word; None for nothing.
     """
 
@@ -92,15 +92,15 @@
         name: str,
         incarnation: int,
         targets: TargetList,
-        parts: PartDirectory,
+        parts: PrefixCacheIndex,
         freshness: Freshness,
         domain: str = "",
-        settings: NewsSettings | None = None,
-        harm: HarmNews | None = None,
+        settings: StateExchangeSettings | None = None,
+        harm: HarmReportExchange | None = None,
         evacuations: Evacuations | None = None,
-        leaving: LeavingNews | None = None,
+        leaving: LeavingTargetExchange | None = None,
     ) -> None:
-        settings = settings or NewsSettings()
+        settings = settings or StateExchangeSettings()
         self._harm = harm
         self._evacuations = evacuations
         self._leaving = leaving
@@ -111,9 +111,9 @@
         self._freshness = freshness
         self._codec = LoadCodec(targets)
         self._peers: dict[str, RouterPeer] = {}
-        self._former: dict[str, OtherRouter] = {}
-        self._paths = NewsPaths(name, domain, settings)
-        self._relay = NewsRelay(name, self._paths, settings)
+        self._former: dict[str, PeerRouter] = {}
+        self._paths = RelayTopology(name, domain, settings)
+        self._relay = StateRelay(name, self._paths, settings)
         self._sequence = 0
         self._round_messages = 0
         # When the oldest load that relays told was true, and at which targets.
@@ -140,12 +140,12 @@
     @property
     def is_urgent(self) -> bool:
         """Tell whether there is something that others should not wait for."""
-        if not self._paths.is_relayed or self._parts.has_unexpected:
+        if not self._paths.is_relayed or self._parts.has_away_from_home:
             return True
         return self._harm is not None and self._harm.is_urgent
 
     @property
-    def others(self) -> list[OtherRouter]:
+    def others(self) -> list[PeerRouter]:
         """Return the other routers that the store lists."""
         return [peer.router for peer in self._peers.values()]
 
@@ -195,7 +195,7 @@
         """
         return self._paths.teller(now) if self._paths.is_relayed else None
 
-    def heard_lately(self, now: float) -> int:
+    def recent_peers(self, now: float) -> int:
         """Return how many other routers were heard of lately.
 
         Parameters
@@ -212,7 +212,7 @@
             return self._relay.others(now).routers
         return len(self._heard(now))
 
-    def others_reach_store(self, now: float) -> bool:
+    def peers_reach_store(self, now: float) -> bool:
         """Tell whether other routers are better off than one without the store.
 
         Parameters
@@ -246,7 +246,7 @@
         """
         return max((peer.version for peer in self._heard(now)), default=0)
 
-    def newest_list(self) -> int:
+    def newest_list_revision(self) -> int:
         """Return the newest change of the target list that others told of.
 
         Returns
@@ -256,7 +256,7 @@
         """
         return max((peer.list_revision for peer in self._peers.values()), default=0)
 
-    def asks_often(self, now: float) -> bool:
+    def polls_store(self, now: float) -> bool:
         """Tell whether this router is one of the few that ask the store often.
 
         The others rely on the questions of these. Which ones they are follows
@@ -275,7 +275,7 @@
             for the first relay of each domain.
         """
         if self._paths.is_relayed:
-            is_alone = not self.heard_lately(now)
+            is_alone = not self.recent_peers(now)
             return is_alone or self._paths.rank(now) == 0
         own_place = target_key(self._name)
         before = sum(
@@ -314,7 +314,7 @@
             Their names. Empty while no router is heard of: then the silence
             is this router's own.
         """
-        if not self.heard_lately(now):
+        if not self.recent_peers(now):
             return []
         names: Iterable[str] = self._peers
         since = 0.0
@@ -331,12 +331,12 @@
         peer = self._peers[name]
         return max(peer.listed_at, peer.heard_at or 0.0)
 
-    def put(self, router: OtherRouter, now: float) -> None:
+    def put(self, router: PeerRouter, now: float) -> None:
         """Take in another router of the list.
 
         Parameters
         ----------
-        router : OtherRouter
+        router : PeerRouter
             The router; this router itself is passed over.
         now : float
             Present time in seconds.
@@ -366,7 +366,7 @@
         if len(self._former) > MOST_FORMER:
             del self._former[next(iter(self._former))]
 
-    def find(self, name: str) -> OtherRouter | None:
+    def find(self, name: str) -> PeerRouter | None:
         """Return another router that is listed, or one of the last that were.
 
         Parameters
@@ -376,7 +376,7 @@
 
         Returns
         -------
-        OtherRouter | None
+        PeerRouter | None
             As it is or was listed.
         """
         peer = self._peers.get(name)
@@ -390,7 +390,7 @@
         is_store_lost: bool = False,
         list_revision: int = 0,
         is_urgent: bool = False,
-    ) -> list[tuple[OtherRouter, wire.RouterNews]]:
+    ) -> list[tuple[PeerRouter, wire.RouterNews]]:
         """Return what to tell other routers now.
 
         Parameters
@@ -409,7 +409,7 @@
 
         Returns
         -------
-        list[tuple[OtherRouter, wire.RouterNews]]
+        list[tuple[PeerRouter, wire.RouterNews]]
             Messages, each for one router.
         """
         head = _Head(
@@ -420,7 +420,9 @@
             self._leaving.to_tell() if self._leaving else [],
         )
         is_relayed = self._paths.is_relayed
-        take_uses = self._parts.take_unexpected if is_relayed else self._parts.take_news
+        take_uses = (
+            self._parts.take_away_from_home if is_relayed else self._parts.take_updates
+        )
         parts = [_part_news(use, now) for use in take_uses()]
         ends = self._harm.ends(now) if self._harm else []
         held = self._harm.held(now) if self._harm and not is_urgent else []
@@ -467,7 +469,7 @@
             head.list_revision,
         )
         evacuations = self._evacuations
-        if evacuations is not None and evacuations.is_news:
+        if evacuations is not None and evacuations.is_worth_sharing:
             message.evacuated = sorted(evacuations.domains)
             message.evacuated_revision = evacuations.revision
         message.leaving = head.leaving or None
@@ -475,7 +477,7 @@
 
     def _summed(
         self, item: Telling, head: _Head, held: list[wire.EndNews], now: float
-    ) -> tuple[OtherRouter, wire.RouterNews]:
+    ) -> tuple[PeerRouter, wire.RouterNews]:
         """Return the message for what a router is told by relays."""
         peer = self._peers[item.name]
         message = self._message(peer, head, now)
@@ -488,7 +490,7 @@
         self._codec.write(item.loads, message, peer.targets_digest, now)
         return peer.router, message
 
-    def take(self, message: wire.RouterNews, version: int, now: float) -> bool:
+    def receive(self, message: wire.RouterNews, version: int, now: float) -> bool:
         """Take in the news of another router.
 
         Parameters
@@ -517,7 +519,7 @@
         self._take_evacuations(message, now)
         if self._leaving is not None and message.leaving:
             states = self._codec.keys.states
-            self._leaving.take(message.leaving, states, message.origin, now)
+            self._leaving.receive(message.leaving, states, message.origin, now)
         loads = self._codec.read(message, now)
         if message.scope is not None:
             self._relay.hear_from(message, loads, now)
@@ -527,7 +529,7 @@
             self._adopt_relayed(now)
         self._take_parts(message, now)
         if self._harm is not None:
-            self._harm.take(message, self._codec.keys.states, now)
+            self._harm.receive(message, self._codec.keys.states, now)
         return True
 
     def _take_freshness(
@@ -544,7 +546,7 @@
             return
         replied_to = peer.sent_at.get(message.heard)
         if replied_to is not None:
-            age = message.knowledge_age_ms / MILLISECONDS
+            age = message.knowledge_age_ms / MILLISECONDS_PER_SECOND
             self._freshness.answered(replied_to - age)
 
     def _take_evacuations(self, message: wire.RouterNews, now: float) -> None:
@@ -552,7 +554,7 @@
             return
         domains = frozenset(message.evacuated or ())
         told = EvacuationList(domains, message.evacuated_revision, message.origin)
-        self._evacuations.take(told, now)
+        self._evacuations.update(told, now)
 
     def _take_own(self, peer: RouterPeer, loads: LoadSum, now: float) -> None:
         """Take in the requests of one router."""
@@ -582,18 +584,18 @@
         for key in before.union(loads.running):
             state = states.get(key)
             if state is not None:
-                state.hear_router(origin, loads.running.get(key, 0), fresh_until)
+                state.set_peer_requests(origin, loads.running.get(key, 0), fresh_until)
         for key, (good, bad) in loads.outcomes.items():
             state = states.get(key)
             if state is not None:
-                state.hear_outcomes(origin, good, bad, fresh_until)
+                state.set_peer_outcomes(origin, good, bad, fresh_until)
 
     def _take_parts(self, message: wire.RouterNews, now: float) -> None:
         states = self._codec.keys.states
         for item in message.parts:
             state = states.get(item.target)
             if state is not None:
-                used_at = now - item.age_ms / MILLISECONDS
+                used_at = now - item.age_ms / MILLISECONDS_PER_SECOND
                 use = PartUse(
                     item.part,
                     state.incarnation,
@@ -601,7 +603,7 @@
                     used_at,
                     tuple(item.before or ()),
                 )
-                self._parts.note(use)
+                self._parts.record_use(use)
 
 
 class _Head:
@@ -635,4 +637,4 @@
 
 
 def _milliseconds(seconds: float) -> int:
-    return max(0, round(seconds * MILLISECONDS))
+    return max(0, round(seconds * MILLISECONDS_PER_SECOND))
--- a/src/primrosescale/process/entry/knowledge.py
+++ b/src/primrosescale/process/entry/store_state.py
@@ -11,7 +11,7 @@
 from primrosescale.process.entry.refused_records import RefusedRecords
 from primrosescale.process.entry.store_connection import StoreConnection
 from primrosescale.process.entry.store_watch import StoreWatch
-from primrosescale.process.entry.store_watch import WatchHandler
+from primrosescale.process.entry.store_watch import WatchListener
 from primrosescale.process.events import Event
 from primrosescale.process.exceptions import PlatformError
 from primrosescale.process.exceptions import UnreadableRecordError
@@ -21,9 +21,9 @@
 
     from twisted.python.failure import Failure
 
-    from primrosescale.process.entry.entry_parts import EntryParts
+    from primrosescale.process.entry.entry_dependencies import EntryDependencies
     from primrosescale.process.entry.entry_settings import EntrySettings
-    from primrosescale.process.entry.entry_settings import EntryWatches
+    from primrosescale.process.entry.entry_settings import WatchedPrefixes
     from primrosescale.process.entry.store_watch import WatchedPrefix
     from primrosescale.process.entry.target_list import TargetList
     from primrosescale.process.transport.platform import StoredObject
@@ -78,16 +78,16 @@
         self._since = None
 
 
-class _ConfigurationHandler(WatchHandler):
+class _ConfigurationHandler(WatchListener):
     """Keeps the newest version that can be read."""
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        knowledge: StoreState,
         connection: StoreConnection,
         prefix: str,
     ) -> None:
-        self._knowledge = knowledge
+        self._store_state = knowledge
         self._connection = connection
         self._prefix = prefix
 
@@ -105,34 +105,34 @@
 
     def _take(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
         if self._connection.regained():
-            self._knowledge.renew_watches()
+            self._store_state.renew_watches()
         for stored in objects:
             # The store gives all objects whose names begin alike.
             is_other = not self._prefix.endswith("/") and stored.key != self._prefix
             if not stored.is_deleted and not is_other:
-                self._knowledge.adopt(stored, asked_at)
-        if not self._knowledge.is_behind:
-            self._knowledge.freshness.answered(asked_at)
+                self._store_state.adopt(stored, asked_at)
+        if not self._store_state.is_behind:
+            self._store_state.freshness.answered(asked_at)
 
 
-class Knowledge:
+class StoreState:
     """The newest version of the configuration and the list of targets.
 
     Parameters
     ----------
     settings : EntrySettings
         Settings of the router.
-    watches : EntryWatches
+    watches : WatchedPrefixes
         What is followed.
-    parts : EntryParts
+    parts : EntryDependencies
         What the router is built with.
     freshness : Freshness
         How old the knowledge of the configuration is.
     targets : TargetList
         Targets and their states.
-    routers : WatchHandler
+    routers : WatchListener
         Follows the list of routers.
-    asks_often : Callable[[], bool]
+    polls_store : Callable[[], bool]
         Returns whether this router asks the store for others too.
     evacuations : Evacuations | None
         Failure domains that get no requests; None for a router that follows none.
@@ -141,12 +141,12 @@
     def __init__(
         self,
         settings: EntrySettings,
-        watches: EntryWatches,
-        parts: EntryParts,
+        watches: WatchedPrefixes,
+        parts: EntryDependencies,
         freshness: Freshness,
         targets: TargetList,
-        routers: WatchHandler,
-        asks_often: Callable[[], bool],
+        routers: WatchListener,
+        polls_store: Callable[[], bool],
         evacuations: Evacuations | None = None,
     ) -> None:
         self._reactor = parts.reactor
@@ -176,7 +176,7 @@
         self._handler = _ConfigurationHandler(
             self, self._connection, watches.configuration.prefix
         )
-        self._asks_often = asks_often
+        self._asks_often = polls_store
         self._asked_at: float | None = None
         self._is_asking = False
         self._told_version = 0
@@ -268,20 +268,22 @@
             running = watch.run()
             running.addErrback(self._broken)
 
-    def look_after(self, newest_version: int, newest_list: int, now: float) -> None:
+    def poll_if_stale(
+        self, newest_version: int, newest_list_revision: int, now: float
+    ) -> None:
         """Ask the store when others know more, or their questions are too old.
 
         Parameters
         ----------
         newest_version : int
             Newest version that another router tells of.
-        newest_list : int
+        newest_list_revision : int
             Newest change of the list of targets that another router tells of,
             as the store's revision.
         now : float
             Present time in seconds.
         """
-        self._look_after_list(newest_list, now)
+        self._look_after_list(newest_list_revision, now)
         is_due = self._is_old(now) or self._is_outdated(newest_version, now)
         if not is_due or self._is_lost():
             # A lost store is asked by the watch, again and again.
@@ -301,7 +303,7 @@
             watch.renew()
 
     def _follow_lists(
-        self, watched: WatchedPrefix, handler: WatchHandler
+        self, watched: WatchedPrefix, handler: WatchListener
     ) -> StoreWatch:
         """Follow what the watch of the configuration asks a lost store for too."""
         return self._follow(watched, handler, leaves_asking=self._is_lost)
@@ -309,7 +311,7 @@
     def _follow(
         self,
         watched: WatchedPrefix,
-        handler: WatchHandler,
+        handler: WatchListener,
         wait: Callable[[], float] | None = None,
         leaves_asking: Callable[[], bool] = lambda: False,
     ) -> StoreWatch:
--- a/src/primrosescale/process/entry/store_watch.py
+++ b/src/primrosescale/process/entry/store_watch.py
@@ -41,7 +41,7 @@
 LEAST_WAIT_SHARE = 0.6
 
 
-class WatchHandler(ABC):
+class WatchListener(ABC):
     """Told of what a watch finds."""
 
     @abstractmethod
@@ -116,7 +116,7 @@
         The store.
     watched : WatchedPrefix
         What to follow.
-    handler : WatchHandler
+    handler : WatchListener
         Told of what is found.
     reactor : Any
         Twisted's reactor.
@@ -137,7 +137,7 @@
         self,
         platform: Platform,
         watched: WatchedPrefix,
-        handler: WatchHandler,
+        handler: WatchListener,
         reactor: Any,
         rng: Random,
         on_fault: Callable[[Failure], None],
@@ -215,8 +215,8 @@
             self._since = found.revision
             tell = self._handler.changed if is_change else self._handler.replaced
             tell(found.changes, asked_at)
-            is_news = is_change and bool(found.changes)
-            if is_news and self._watched.rest:
+            is_worth_sharing = is_change and bool(found.changes)
+            if is_worth_sharing and self._watched.rest:
                 yield deferLater(self._reactor, self._watched.rest, lambda: None)
 
     @inlineCallbacks
--- a/src/primrosescale/process/entry/target_caller.py
+++ b/src/primrosescale/process/entry/target_client.py
@@ -15,12 +15,12 @@
 from twisted.web.iweb import UNKNOWN_LENGTH
 
 from primrosescale.connection.failure_text import failure_text
-from primrosescale.connection.rest_limit import RestLimit
+from primrosescale.connection.rest_limit import IdleLimit
 from primrosescale.connection.target_channel import ChannelPool
 from primrosescale.process.transport.http_bodies import body_producer
-from primrosescale.request.direct_port import Run
-from primrosescale.request.direct_port import TargetCaller
-from primrosescale.request.direct_port import TargetCheck
+from primrosescale.request.forwarding_interfaces import InFlightRequest
+from primrosescale.request.forwarding_interfaces import ProbeResult
+from primrosescale.request.forwarding_interfaces import TargetClient
 from primrosescale.request.target_incarnation import TargetIncarnation
 
 if TYPE_CHECKING:
@@ -31,8 +31,8 @@
 
     from primrosescale.connection.target_channel import TargetChannel
     from primrosescale.process.entry.codec import EntryCodec
-    from primrosescale.request.direct_port import RunObserver
-    from primrosescale.request.direct_port import Sending
+    from primrosescale.request.forwarding_interfaces import OutgoingRequest
+    from primrosescale.request.forwarding_interfaces import ResponseObserver
     from primrosescale.request.serving_target import ServingTarget
 
 # A connection inside a region opens in some milliseconds; a lost opening
@@ -56,14 +56,14 @@
         self._run.body_ended(reason)
 
 
-class HttpRun(Run):
+class HttpRun(InFlightRequest):
     """A request at one target over HTTP.
 
     Parameters
     ----------
-    sending : Sending
+    sending : OutgoingRequest
         The request.
-    observer : RunObserver
+    observer : ResponseObserver
         Told of what becomes of it.
     codec : EntryCodec
         Translates headers.
@@ -75,8 +75,8 @@
 
     def __init__(
         self,
-        sending: Sending,
-        observer: RunObserver,
+        sending: OutgoingRequest,
+        observer: ResponseObserver,
         codec: EntryCodec,
         life: _Life,
         clock: Any,
@@ -104,7 +104,7 @@
         self._opening.addCallbacks(self._opened, self._not_opened)
 
     def cancel(self) -> None:
-        """End it at once; see `Run.cancel`."""
+        """End it at once; see `InFlightRequest.cancel`."""
         if self._is_over:
             return
         self._end()
@@ -129,19 +129,19 @@
         is_sent = self._channel is not None
         self.cancel()
         if is_sent:
-            self._observer.run_cut(STARTED_AGAIN)
+            self._observer.response_lost(STARTED_AGAIN)
         else:
-            self._observer.run_not_sent(STARTED_AGAIN)
+            self._observer.request_not_sent(STARTED_AGAIN)
 
     def pause(self) -> None:
-        """Take no more bytes; see `Run.pause`."""
+        """Take no more bytes; see `InFlightRequest.pause`."""
         self._is_paused = True
         if self._channel is not None and not self._is_over:
             transport: Any = self._channel.transport
             transport.pauseProducing()
 
     def resume(self) -> None:
-        """Take bytes again; see `Run.resume`."""
+        """Take bytes again; see `InFlightRequest.resume`."""
         self._is_paused = False
         if self._channel is not None and not self._is_over:
             transport: Any = self._channel.transport
@@ -150,7 +150,7 @@
     def body_data(self, data: bytes) -> None:
         """Hand bytes of the body on."""
         if not self._is_over:
-            self._observer.run_data(data)
+            self._observer.response_data(data)
 
     def body_ended(self, reason: Failure) -> None:
         """Take in the end of the body."""
@@ -165,11 +165,11 @@
         if not is_whole:
             self._life.failed_at = self._clock.seconds()
             self._abort()
-            self._observer.run_cut(failure_text(reason))
+            self._observer.response_lost(failure_text(reason))
             return
         if channel is not None:
             self._life.pool.give_back(channel, self._clock.seconds())
-        self._observer.run_done()
+        self._observer.response_done()
 
     def _opened(self, channel: TargetChannel) -> None:
         self._opening = None
@@ -183,7 +183,7 @@
         if not self._is_over:
             self._life.failed_at = self._clock.seconds()
             self._end()
-            self._observer.run_not_sent(failure_text(failure))
+            self._observer.request_not_sent(failure_text(failure))
 
     def _send(self, channel: TargetChannel) -> None:
         self._channel = channel
@@ -196,7 +196,7 @@
             body_producer(request.body or None),
             persistent=True,
         )
-        self._observer.run_sent()
+        self._observer.request_sent()
         answered = channel.begin(made)
         answered.addCallback(self._head)
         answered.addErrback(self._failed)
@@ -206,7 +206,7 @@
             return
         length = None if response.length is UNKNOWN_LENGTH else int(response.length)
         head = self._codec.answer_head(response.code, response.headers, length)
-        self._observer.run_head(head)
+        self._observer.response_head(head)
         if not self._is_over:
             response.deliverBody(_Body(self))
         if self._is_paused:
@@ -221,7 +221,7 @@
         if self._channel is not None:
             self._life.pool.lost(self._channel, self._clock.seconds())
         self._abort()
-        self._observer.run_cut(failure_text(failure))
+        self._observer.response_lost(failure_text(failure))
 
     def _end(self) -> None:
         self._is_over = True
@@ -253,7 +253,7 @@
         self.failed_at = math.inf
 
 
-class HttpTargetCaller(TargetCaller):
+class HttpTargetClient(TargetClient):
     """Sends requests to targets over HTTP, with a pool for each life of one.
 
     Parameters
@@ -271,41 +271,43 @@
         # requests are under way there.
         self._lives: dict[str, list[_Life]] = {}
         # One for all targets: what drops connections is seldom one of them.
-        self._rest_limit = RestLimit()
+        self._rest_limit = IdleLimit()
 
-    def send(self, sending: Sending, observer: RunObserver) -> Run:
-        """Send a request; see `TargetCaller.send`."""
+    def send(
+        self, sending: OutgoingRequest, observer: ResponseObserver
+    ) -> InFlightRequest:
+        """Send a request; see `TargetClient.send`."""
         life = self._life(sending.target)
         run = HttpRun(sending, observer, self._codec, life, self._reactor)
         run.start()
         return run
 
     def check(
-        self, target: TargetIncarnation, on_check: Callable[[TargetCheck], None]
+        self, target: TargetIncarnation, on_check: Callable[[ProbeResult], None]
     ) -> None:
-        """See whether a target takes connections; see `TargetCaller.check`."""
+        """See whether a target takes connections; see `TargetClient.check`."""
         for life in self._lives.get(target.name, ()):
             if life.incarnation == target:
                 self._check(life.pool, on_check)
                 return
-        on_check(TargetCheck.UNKNOWN)
+        on_check(ProbeResult.UNKNOWN)
 
     def _check(
-        self, pool: ChannelPool, on_check: Callable[[TargetCheck], None]
+        self, pool: ChannelPool, on_check: Callable[[ProbeResult], None]
     ) -> None:
         def opened(channel: TargetChannel) -> None:
             # The next request needs one in place of the connection that was lost.
             pool.give_back(channel, self._reactor.seconds())
-            on_check(TargetCheck.CONNECTED)
+            on_check(ProbeResult.CONNECTED)
 
         def not_opened(failure: Failure) -> None:
             is_refused = failure.check(ConnectionRefusedError)
-            on_check(TargetCheck.ENDED if is_refused else TargetCheck.UNKNOWN)
+            on_check(ProbeResult.ENDED if is_refused else ProbeResult.UNKNOWN)
 
         pool.open().addCallbacks(opened, not_opened)
 
-    def end_former(self, present: TargetIncarnation) -> None:
-        """End what is under way at former lives; see `TargetCaller.end_former`."""
+    def abort_former(self, present: TargetIncarnation) -> None:
+        """End what is under way at former lives; see `TargetClient.abort_former`."""
         former = [
             life
             for life in self._lives.get(present.name, ())
--- a/src/primrosescale/process/entry/target_list.py
+++ b/src/primrosescale/process/entry/target_list.py
@@ -16,9 +16,9 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from primrosescale.request.target_state import RUNS_ON_SECONDS
+from primrosescale.request.target_state import ASSUMED_DRAIN_SECONDS
 from primrosescale.request.target_state import TargetState
-from primrosescale.request.target_statements import KeptStatements
+from primrosescale.request.target_statements import RetainedSelfReports
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -88,7 +88,7 @@
         self._evacuated: frozenset[str] = frozenset()
         self._known: dict[str, TargetState] = {}
         self._vanished: dict[str, float] = {}
-        self._statements = KeptStatements()
+        self._statements = RetainedSelfReports()
         # Targets whose entries went without notice, with until when they may run.
         self._unlisted: dict[str, tuple[TargetState, float]] = {}
         self._unreadable: dict[str, TargetState] = {}
@@ -169,7 +169,7 @@
             return listed
         return found
 
-    def unlisted_of(self, service: str) -> list[TargetState]:
+    def recently_delisted(self, service: str) -> list[TargetState]:
         """Return the targets of a service whose entries went, and that may still run.
 
         Parameters
@@ -220,8 +220,8 @@
             self._begin(target, known, now, told_by)
             return True
         before = known.target
-        known.relist(target)
-        known.told_cold(target.warming_for, now)
+        known.update_entry(target)
+        known.set_cold_for(target.warm_up_seconds, now)
         self._apply_evacuation(known, now)
         return known.target != before
 
@@ -232,7 +232,7 @@
         now: float,
         told_by: str,
     ) -> None:
-        said = self._statements.take_back(target.incarnation)
+        said = self._statements.pop(target.incarnation)
         self._known[target.name] = state = TargetState(target, now, said)
         self._apply_evacuation(state, now)
         self._generation += 1
@@ -258,9 +258,9 @@
         if state.target.domain in self._evacuated:
             state.evacuate(now)
         else:
-            state.take_back(now)
+            state.end_evacuation(now)
 
-    def drop(self, name: str, now: float) -> bool:
+    def mark_unreadable(self, name: str, now: float) -> bool:
         """Take in that an entry cannot be read: it names no target at once.
 
         The state is kept as long as that of a target whose entry is gone:
@@ -315,11 +315,11 @@
         held_until = gone_at
         if not known.is_leaving:
             held_until += self._drain * HOLD_SHARE
-            self._unlisted[name] = (known, gone_at + RUNS_ON_SECONDS)
+            self._unlisted[name] = (known, gone_at + ASSUMED_DRAIN_SECONDS)
         self._vanished[name] = held_until
         return True
 
-    def forget_gone(self, now: float) -> list[TargetIncarnation]:
+    def forget_expired(self, now: float) -> list[TargetIncarnation]:
         """Forget targets whose entry has been gone for long enough.
 
         Parameters
@@ -344,5 +344,5 @@
     def _forget(self, name: str, now: float) -> TargetIncarnation:
         """Forget a target, but for what it said of itself."""
         state = self._known.pop(name, None) or self._unreadable.pop(name)
-        self._statements.keep(state.incarnation, state.statements, now)
+        self._statements.keep(state.incarnation, state.self_reports, now)
         return state.incarnation
--- a/src/primrosescale/process/entry/target_restarts.py
+++ b/src/primrosescale/process/entry/target_restarts.py
@@ -10,10 +10,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from primrosescale.process.entry.entry_parts import EntryParts
+    from primrosescale.process.entry.entry_dependencies import EntryDependencies
     from primrosescale.process.entry.target_list import BegunIncarnation
-    from primrosescale.request.direct_port import TargetCaller
-    from primrosescale.request.part_directory import PartDirectory
+    from primrosescale.request.forwarding_interfaces import TargetClient
+    from primrosescale.request.prefix_cache_index import PrefixCacheIndex
     from primrosescale.request.target_incarnation import TargetIncarnation
 
 
@@ -25,11 +25,11 @@
 
     Parameters
     ----------
-    caller : TargetCaller
+    caller : TargetClient
         Has the requests that are under way.
-    directory : PartDirectory
+    directory : PrefixCacheIndex
         Where parts of prompts are cached.
-    parts : EntryParts
+    parts : EntryDependencies
         What the router is built with.
     on_end : Callable[[TargetIncarnation], None]
         Told of each former incarnation, after what was under way there.
@@ -37,9 +37,9 @@
 
     def __init__(
         self,
-        caller: TargetCaller,
-        directory: PartDirectory,
-        parts: EntryParts,
+        caller: TargetClient,
+        directory: PrefixCacheIndex,
+        parts: EntryDependencies,
         on_end: Callable[[TargetIncarnation], None],
     ) -> None:
         self._caller = caller
@@ -77,7 +77,7 @@
         known, self._begun = self._begun, []
         for begun in known:
             # A target that was forgotten meanwhile may have requests too.
-            self._caller.end_former(begun.present)
+            self._caller.abort_former(begun.present)
             if begun.former is not None:
                 self._directory.forget_target(begun.former)
                 self._on_end(begun.former)
--- a/src/primrosescale/process/exceptions.py
+++ b/src/primrosescale/process/exceptions.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from primrosescale.exceptions import PrimrosescaleError
-from primrosescale.process.log_text import log_text
+from primrosescale.process.log_text import escape_for_log
 
 
 class ProcessError(PrimrosescaleError):
@@ -87,7 +87,7 @@
 
     def __init__(self, record: str, field: str, reason: str, remedy: str) -> None:
         at = f"field {field}: " if field else ""
-        problem = f"record {log_text(record)} cannot be read: {at}{reason}"
+        problem = f"record {escape_for_log(record)} cannot be read: {at}{reason}"
         super().__init__(problem, remedy)
         self._field = field
         self._reason = reason
--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -22,7 +22,7 @@
 from primrosescale.process.exceptions import PlatformError
 from primrosescale.process.ledger.ledger_bucket import FORMAT
 from primrosescale.process.ledger.ledger_bucket import LAYOUT_NAME
-from primrosescale.process.ledger.ledger_bucket import MILLISECONDS
+from primrosescale.process.ledger.ledger_bucket import MILLISECONDS_PER_SECOND
 from primrosescale.process.ledger.ledger_bucket import Decision
 from primrosescale.process.ledger.ledger_bucket import LedgerFormatError
 from primrosescale.process.ledger.ledger_bucket import SealedIndex
@@ -259,7 +259,7 @@
         batch: list[_Pending],
     ) -> Generator[Any, Any, list[Decision]]:
         """Decide a batch in order, each seeing those before it."""
-        now_ms = int(self._wall_clock() * MILLISECONDS)
+        now_ms = int(self._wall_clock() * MILLISECONDS_PER_SECOND)
         staged: dict[bytes, wire.LedgerEntry] = {}
         decisions: list[Decision] = []
         for item in batch:
@@ -344,7 +344,9 @@
         return SealedIndex(name, segment)
 
     def _retained(self, sealed: list[SealedIndex]) -> list[SealedIndex]:
-        oldest = (self._wall_clock() - self._settings.retention) * MILLISECONDS
+        oldest = (
+            self._wall_clock() - self._settings.retention
+        ) * MILLISECONDS_PER_SECOND
         return [index for index in sealed if index.newest_ms >= oldest]
 
 
