--- a/src/primrosescale/process/ledger/ledger_bucket.py
+++ b/src/primrosescale/process/ledger/ledger_bucket.py
@@ -17,9 +17,9 @@
 from primrosescale.process.exceptions import ProcessError
 
 FORMAT = 1
-KEY_SIZE = 16
+DIGEST_BYTES = 16
 LAYOUT_NAME = f"ledger/v{FORMAT}/layout"
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 
 
 class LedgerFormatError(ProcessError):
@@ -203,7 +203,7 @@
 
     def __len__(self) -> int:
         """Return how many keys it has."""
-        return len(self._keys) // KEY_SIZE
+        return len(self._keys) // DIGEST_BYTES
 
     def holds(self, key: bytes) -> bool:
         """Tell whether a key is in the segment.
@@ -222,7 +222,7 @@
         return place < len(self) and self._at(place) == key
 
     def _at(self, place: int) -> bytes:
-        return self._keys[place * KEY_SIZE : (place + 1) * KEY_SIZE]
+        return self._keys[place * DIGEST_BYTES : (place + 1) * DIGEST_BYTES]
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/primrosescale/process/log_text.py
+++ b/src/primrosescale/process/log_text.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-LOGGED_CHARACTERS = 80
+MAX_LOGGED_CHARACTERS = 80
 
 
-def log_text(text: str, longest: int = LOGGED_CHARACTERS) -> str:
+def escape_for_log(text: str, longest: int = MAX_LOGGED_CHARACTERS) -> str:
     """Return a text that others chose, safe and short enough for a log line.
 
     Parameters
--- a/src/primrosescale/process/membership/flap_damper.py
+++ b/src/primrosescale/process/membership/flap_damper.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MemberSettings:
+class MembershipSettings:
     """How news of hosts is weighed."""
 
     suspect_for: float = option(
@@ -39,11 +39,11 @@
 
     Parameters
     ----------
-    settings : MemberSettings
+    settings : MembershipSettings
         Penalty and limit.
     """
 
-    def __init__(self, settings: MemberSettings) -> None:
+    def __init__(self, settings: MembershipSettings) -> None:
         self._settings = settings
         self._penalties: dict[str, float] = {}
         self._at: dict[str, float] = {}
@@ -100,7 +100,7 @@
         """
         return self.penalty(name, now) > self._settings.flap_limit
 
-    def forget_old(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Forget penalties that have faded.
 
         Parameters
--- a/src/primrosescale/process/membership/fleet_status.py
+++ b/src/primrosescale/process/membership/fleet_status.py
@@ -7,13 +7,13 @@
 
 if TYPE_CHECKING:
     from primrosescale.connection.wire import ttypes as wire
-    from primrosescale.process.configuration.version_keeper import VersionKeeper
+    from primrosescale.process.configuration.version_manager import VersionManager
     from primrosescale.process.daemons.router_control import RouterControl
 
 
 def fleet_status(
     router: str,
-    keeper: VersionKeeper,
+    keeper: VersionManager,
     control: RouterControl,
 ) -> dict[str, Any]:
     """Return the fleet's status.
@@ -22,7 +22,7 @@
     ----------
     router : str
         Name of the router that tells.
-    keeper : VersionKeeper
+    keeper : VersionManager
         Its versions.
     control : RouterControl
         Its control traffic.
@@ -48,7 +48,7 @@
         "in_force_everywhere": bool(lowest) and min(lowest) >= keeper.version > 0,
         "lowest_version": min(lowest, default=0),
         "older_versions_in_use": keeper.retired,
-        "news_age": round(control.means_age, 3),
+        "news_age": round(control.load_report_age, 3),
         "domains": domains,
     }
 
--- a/src/primrosescale/process/membership/heartbeat.py
+++ b/src/primrosescale/process/membership/heartbeat.py
@@ -12,17 +12,17 @@
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.process.configuration.wire_head import from_wire
-from primrosescale.process.membership.order import first_in_order
-from primrosescale.request.load_bound import MeanView
+from primrosescale.process.membership.rendezvous import first_by_rendezvous
+from primrosescale.request.load_bound import ServiceLoad
 
 if TYPE_CHECKING:
     from primrosescale.clock import Clock
     from primrosescale.connection.link import Link
     from primrosescale.connection.pool import LinkPool
-    from primrosescale.process.membership.load_sums import SumSettings
+    from primrosescale.process.membership.load_sums import LoadReportSettings
     from primrosescale.version.head import VersionHead
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 MISSED_BEATS = 2
 AVOID_FOR = 10.0
 LOADS_KEPT = 8
@@ -50,7 +50,7 @@
     error_share: float
 
 
-class HeartbeatHost(ABC):
+class HeartbeatAgent(ABC):
     """What the heartbeat needs of its agent."""
 
     @abstractmethod
@@ -58,17 +58,17 @@
         """Return what the agent says of itself now."""
 
     @abstractmethod
-    def hear_mean(self, view: MeanView) -> None:
+    def update_mean(self, view: ServiceLoad) -> None:
         """Take in the service's mean.
 
         Parameters
         ----------
-        view : MeanView
+        view : ServiceLoad
             The mean.
         """
 
     @abstractmethod
-    def hear_head(self, head: VersionHead, link: Link) -> None:
+    def update_head(self, head: VersionHead, link: Link) -> None:
         """Take in which version is accepted.
 
         Parameters
@@ -80,7 +80,7 @@
         """
 
     @abstractmethod
-    def hear_targets(self, targets: list[wire.HostEntry]) -> None:
+    def set_known_targets(self, targets: list[wire.HostEntry]) -> None:
         """Take in the service's targets, told to a leaving agent.
 
         Parameters
@@ -106,11 +106,11 @@
         Its incarnation.
     seeds : list[Endpoint]
         Routers to report to before the list is known.
-    settings : SumSettings
+    settings : LoadReportSettings
         Times.
     pool : LinkPool
         Connections to routers.
-    host : HeartbeatHost
+    host : HeartbeatAgent
         The agent.
     clock : Clock
         Source of time.
@@ -122,9 +122,9 @@
         service: str,
         incarnation: int,
         seeds: list[Endpoint],
-        settings: SumSettings,
+        settings: LoadReportSettings,
         pool: LinkPool,
-        host: HeartbeatHost,
+        host: HeartbeatAgent,
         clock: Clock,
     ) -> None:
         self._agent = agent
@@ -149,14 +149,14 @@
         return self._current
 
     @property
-    def is_heard(self) -> bool:
+    def has_recent_reply(self) -> bool:
         """Tell whether some router has answered lately."""
         return self._sequence - self._answered <= MISSED_BEATS
 
-    def beat(self) -> None:
+    def send(self) -> None:
         """Send one heartbeat; change the router when the last ones failed."""
         now = self._clock.seconds()
-        if not self.is_heard and self._current is not None:
+        if not self.has_recent_reply and self._current is not None:
             self._avoided[self._current] = now + AVOID_FOR
             self._pool.drop(self._current, "heartbeats were not answered")
             self._answered = self._sequence
@@ -175,7 +175,7 @@
             load=state.load,
             state=state.state,
             version=state.version,
-            error_permille=int(state.error_share * MILLISECONDS),
+            error_permille=int(state.error_share * MILLISECONDS_PER_SECOND),
             list_version=self._list_version,
         )
         connecting = self._pool.get(endpoint)
@@ -185,7 +185,7 @@
             errbackArgs=(endpoint,),
         )
 
-    def reply(self, link: Link, message: wire.HeartbeatReply) -> None:
+    def handle_reply(self, link: Link, message: wire.HeartbeatReply) -> None:
         """Take in what the router answers.
 
         Parameters
@@ -199,35 +199,35 @@
         self._answered = max(self._answered, message.sequence)
         for mean in message.means:
             if mean.service_name == self._service:
-                self._host.hear_mean(self._view(mean, now))
+                self._host.update_mean(self._view(mean, now))
         head = message.head
         if head.version:
-            self._host.hear_head(from_wire(head), link)
+            self._host.update_head(from_wire(head), link)
         if message.routers:
             self._routers = [
                 Endpoint(entry.address, entry.port) for entry in message.routers
             ]
         self._list_version = message.list_version
         if message.targets:
-            self._host.hear_targets(message.targets)
+            self._host.set_known_targets(message.targets)
 
-    def _view(self, mean: wire.ServiceMean, now: float) -> MeanView:
+    def _view(self, mean: wire.ServiceMean, now: float) -> ServiceLoad:
         """Match the mean with the load this agent reported for it."""
-        age = mean.age_ms / MILLISECONDS
+        age = mean.age_ms / MILLISECONDS_PER_SECOND
         behind = 1 + round(age / self._settings.interval)
         place = max(0, len(self._loads) - 1 - behind)
-        return MeanView(
+        return ServiceLoad(
             load=mean.load,
             targets=mean.targets,
-            own_then=self._loads[place],
-            heard_at=now - age,
+            own_load=self._loads[place],
+            measured_at=now - age,
         )
 
     def _choose(self, now: float) -> Endpoint | None:
         choice = self._usable(self._routers, now) or self._usable(self._seeds, now)
         choice = choice or self._routers or self._seeds
         by_name = {str(endpoint): endpoint for endpoint in choice}
-        first = first_in_order(by_name, self._agent, 1)
+        first = first_by_rendezvous(by_name, self._agent, 1)
         return by_name[first[0]] if first else None
 
     def _usable(self, endpoints: list[Endpoint], now: float) -> list[Endpoint]:
--- a/src/primrosescale/process/membership/host_changes.py
+++ b/src/primrosescale/process/membership/host_changes.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from primrosescale.connection.wire import ttypes as wire
 
-CHANGES_LIMIT = 200
+MAX_CHANGES_PER_MESSAGE = 200
 CHANGES_KEPT = 4000
 
 
@@ -19,7 +19,7 @@
         self._since = 0
         self._version = 0
 
-    def take(
+    def record(
         self,
         entries: list[wire.HostEntry],
         version: int,
@@ -59,12 +59,12 @@
         Returns
         -------
         list[wire.HostEntry] | None
-            At most `CHANGES_LIMIT`; None when they are not kept.
+            At most `MAX_CHANGES_PER_MESSAGE`; None when they are not kept.
         """
         if version < self._since:
             return None
         newer = [entry for entry in self._entries if entry.version > version]
-        return newer[:CHANGES_LIMIT]
+        return newer[:MAX_CHANGES_PER_MESSAGE]
 
     @property
     def version(self) -> int:
--- a/src/primrosescale/process/membership/load_sums.py
+++ b/src/primrosescale/process/membership/load_sums.py
@@ -16,20 +16,20 @@
 from primrosescale.connection.wire.ttypes import MemberState
 from primrosescale.ini.options import SECONDS
 from primrosescale.ini.options import option
-from primrosescale.process.membership.notice_board import NOTICES_LIMIT
-from primrosescale.process.membership.notice_board import NoticeBoard
+from primrosescale.process.membership.pending_notices import NOTICES_LIMIT
+from primrosescale.process.membership.pending_notices import PendingNotices
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 LAGGARDS_LIMIT = 20
-AGGREGATORS = 2
+AGGREGATORS_PER_DOMAIN = 2
 QUIET_INTERVALS = 1.5
 
 
 @dataclass(frozen=True, slots=True)
-class SumSettings:
+class LoadReportSettings:
     """Times of heartbeats and sums."""
 
     interval: float = option(
@@ -69,23 +69,25 @@
 
     Parameters
     ----------
-    settings : SumSettings
+    settings : LoadReportSettings
         Times.
     origin : str
         This router's name.
     """
 
-    def __init__(self, settings: SumSettings, origin: str) -> None:
+    def __init__(self, settings: LoadReportSettings, origin: str) -> None:
         self._settings = settings
         self._origin = origin
         self._agents: dict[str, _AgentNews] = {}
-        self._board = NoticeBoard(settings.notice_keep)
+        self._board = PendingNotices(settings.notice_keep)
 
     def __len__(self) -> int:
         """Return how many agents report here."""
         return len(self._agents)
 
-    def hear(self, beat: wire.Heartbeat, now: float) -> wire.MemberNotice | None:
+    def record_heartbeat(
+        self, beat: wire.Heartbeat, now: float
+    ) -> wire.MemberNotice | None:
         """Take in a heartbeat.
 
         Parameters
@@ -133,7 +135,7 @@
             notices.append(notice)
         return notices
 
-    def hear_notice(self, notice: wire.MemberNotice, now: float) -> bool:
+    def accept_notice(self, notice: wire.MemberNotice, now: float) -> bool:
         """Take in news of an agent from another router.
 
         An agent that another router hears now has moved there. One that
@@ -251,7 +253,7 @@
 
     Parameters
     ----------
-    settings : SumSettings
+    settings : LoadReportSettings
         Times.
     domain : str
         The domain.
@@ -259,20 +261,22 @@
         This router's name.
     """
 
-    def __init__(self, settings: SumSettings, domain: str, origin: str) -> None:
+    def __init__(self, settings: LoadReportSettings, domain: str, origin: str) -> None:
         self._settings = settings
         self._domain = domain
         self._origin = origin
         self._reports: dict[str, wire.PeerReport] = {}
         self._heard_at: dict[str, float] = {}
-        self._board = NoticeBoard(settings.notice_keep)
+        self._board = PendingNotices(settings.notice_keep)
         self._sequence = 0
 
     def __len__(self) -> int:
         """Return how many routers report here."""
         return len(self._reports)
 
-    def hear(self, report: wire.PeerReport, now: float) -> list[wire.MemberNotice]:
+    def record_report(
+        self, report: wire.PeerReport, now: float
+    ) -> list[wire.MemberNotice]:
         """Take in a router's report.
 
         Parameters
@@ -356,16 +360,16 @@
 
     Parameters
     ----------
-    settings : SumSettings
+    settings : LoadReportSettings
         Times.
     """
 
-    def __init__(self, settings: SumSettings) -> None:
+    def __init__(self, settings: LoadReportSettings) -> None:
         self._settings = settings
         self._reports: dict[str, wire.DomainReport] = {}
         self._heard_at: dict[str, float] = {}
 
-    def hear(self, report: wire.DomainReport, now: float) -> None:
+    def record_report(self, report: wire.DomainReport, now: float) -> None:
         """Take in a domain's report, from whichever of its aggregators.
 
         Parameters
@@ -381,7 +385,7 @@
             if is_fresh and known.routers > report.routers:
                 return
         self._reports[report.domain] = report
-        self._heard_at[report.domain] = now - report.age_ms / MILLISECONDS
+        self._heard_at[report.domain] = now - report.age_ms / MILLISECONDS_PER_SECOND
 
     def domains(self, now: float) -> list[wire.DomainReport]:
         """Return the reports that still count, with their age.
@@ -400,7 +404,7 @@
         for name, report in self._reports.items():
             age = now - self._heard_at[name]
             if age <= self._settings.report_keep:
-                report.age_ms = int(age * MILLISECONDS)
+                report.age_ms = int(age * MILLISECONDS_PER_SECOND)
                 found.append(report)
         return found
 
--- a/src/primrosescale/process/membership/members.py
+++ b/src/primrosescale/process/membership/members.py
@@ -22,7 +22,7 @@
 
     from primrosescale.connection.wire.ttypes import HostEntry
     from primrosescale.connection.wire.ttypes import MemberNotice
-    from primrosescale.process.membership.flap_damper import MemberSettings
+    from primrosescale.process.membership.flap_damper import MembershipSettings
     from primrosescale.request.candidates import Locality
 
 ROUTER_ROLE = "router"
@@ -57,13 +57,13 @@
 
     Parameters
     ----------
-    settings : MemberSettings
+    settings : MembershipSettings
         How news is weighed.
     locality : Locality
         Where this router runs.
     """
 
-    def __init__(self, settings: MemberSettings, locality: Locality) -> None:
+    def __init__(self, settings: MembershipSettings, locality: Locality) -> None:
         self._settings = settings
         self._locality = locality
         self._members: dict[str, Member] = {}
@@ -229,7 +229,7 @@
         found.sort(key=lambda target: members[target.name].suspect_until > now)
         return found
 
-    def take_list(
+    def apply_list(
         self,
         entries: Iterable[HostEntry],
         version: int,
@@ -264,7 +264,7 @@
         for service in touched:
             self._rebuild(service, now)
 
-    def take_notice(self, notice: MemberNotice, now: float) -> None:
+    def apply_notice(self, notice: MemberNotice, now: float) -> None:
         """Take in news of an agent.
 
         Parameters
@@ -305,7 +305,7 @@
         if member is not None:
             member.suspect_until = now + self._settings.suspect_for
 
-    def tick(self, now: float) -> None:
+    def readmit_targets(self, now: float) -> None:
         """Let targets back whose penalty has faded.
 
         Parameters
@@ -319,7 +319,7 @@
                 self._held_back.discard(name)
             else:
                 self._place(member, now)
-        self._damper.forget_old(now)
+        self._damper.remove_expired(now)
 
     def entries_after(self, version: int, count: int) -> list[HostEntry]:
         """Return entries of the list in the order of their versions.
--- a/src/primrosescale/process/membership/notice_board.py
+++ b/src/primrosescale/process/membership/pending_notices.py
@@ -10,7 +10,7 @@
 NOTICES_LIMIT = 200
 
 
-class NoticeBoard:
+class PendingNotices:
     """News of agents that is still passed on.
 
     Parameters
--- a/src/primrosescale/process/membership/order.py
+++ b/src/primrosescale/process/membership/rendezvous.py
@@ -10,7 +10,7 @@
     from collections.abc import Iterable
 
 
-def first_in_order(names: Iterable[str], key: str, count: int) -> list[str]:
+def first_by_rendezvous(names: Iterable[str], key: str, count: int) -> list[str]:
     """Return the first names by rendezvous hashing.
 
     Parameters
--- a/src/primrosescale/process/metrics.py
+++ b/src/primrosescale/process/metrics.py
@@ -6,7 +6,7 @@
 
 from statsd import StatsClient
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 PREFIX = "primrosescale"
 
 
@@ -93,4 +93,4 @@
             How long.
         """
         if self._client is not None:
-            self._client.timing(metric.value, seconds * MILLISECONDS)
+            self._client.timing(metric.value, seconds * MILLISECONDS_PER_SECOND)
--- a/src/primrosescale/process/settings.py
+++ b/src/primrosescale/process/settings.py
@@ -32,8 +32,8 @@
 from primrosescale.ini.reader import read_section
 from primrosescale.ini.reader import unknown_section
 from primrosescale.process.ledger.ledger_bucket import LedgerSettings
-from primrosescale.process.membership.flap_damper import MemberSettings
-from primrosescale.process.membership.load_sums import SumSettings
+from primrosescale.process.membership.flap_damper import MembershipSettings
+from primrosescale.process.membership.load_sums import LoadReportSettings
 from primrosescale.request.admission import AdmissionSettings
 from primrosescale.request.agent_call import StreamSettings
 from primrosescale.request.backoff import BackoffSettings
@@ -42,7 +42,7 @@
 from primrosescale.request.retry_budget import RetryBudgetSettings
 from primrosescale.request.routed_call import RoutedCallSettings
 from primrosescale.request.target_health import HealthSettings
-from primrosescale.request.work import WorkSettings
+from primrosescale.request.work_estimate import WorkSettings
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -225,8 +225,8 @@
     retry: RetryBudgetSettings
     backoff: BackoffSettings
     rates: RateSettings
-    members: MemberSettings
-    sums: SumSettings
+    members: MembershipSettings
+    sums: LoadReportSettings
     ledger: LedgerSettings
     call: RoutedCallSettings
 
@@ -254,8 +254,8 @@
     "retry": RetryBudgetSettings,
     "backoff": BackoffSettings,
     "rates": RateSettings,
-    "members": MemberSettings,
-    "sums": SumSettings,
+    "members": MembershipSettings,
+    "sums": LoadReportSettings,
     "ledger": LedgerSettings,
     "call": RoutedCallSettings,
 }
--- a/src/primrosescale/process/tracing.py
+++ b/src/primrosescale/process/tracing.py
@@ -14,9 +14,9 @@
 from opentelemetry.trace.propagation.tracecontext import TraceContextTextMapPropagator
 
 from primrosescale.process.events import Event
-from primrosescale.request.hop import NO_HOP
-from primrosescale.request.hop import Hop
-from primrosescale.request.hop import UntracedHop
+from primrosescale.request.trace_span import NO_SPAN
+from primrosescale.request.trace_span import TraceSpan
+from primrosescale.request.trace_span import UnrecordedSpan
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -27,7 +27,7 @@
 
     from primrosescale.process.events import EventLog
 
-HEADER = "traceparent"
+TRACEPARENT_HEADER = "traceparent"
 HEADER_PARTS = 4
 SAMPLED = 1
 HEX = 16
@@ -76,7 +76,7 @@
         return SpanExportResult.SUCCESS
 
 
-class SpanHop(Hop):
+class SpanHop(TraceSpan):
     """A hop that is recorded as a span.
 
     Parameters
@@ -95,11 +95,11 @@
 
     @property
     def traceparent(self) -> str:
-        """Return the trace context for the next hop; see `Hop.traceparent`."""
+        """Return the trace context for the next hop; see `TraceSpan.traceparent`."""
         return self._traceparent
 
     def end(self, **attributes: Any) -> None:
-        """End the span; see `Hop.end`."""
+        """End the span; see `TraceSpan.end`."""
         self._span.set_attributes(attributes)
         self._span.end()
 
@@ -125,7 +125,7 @@
         self._tracer = self._provider.get_tracer("primrosescale")
         self._propagator = TraceContextTextMapPropagator()
 
-    def start(self, name: str, traceparent: str, *, may_begin: bool) -> Hop:
+    def start(self, name: str, traceparent: str, *, may_begin: bool) -> TraceSpan:
         """Start a hop.
 
         Parameters
@@ -139,19 +139,19 @@
 
         Returns
         -------
-        Hop
+        TraceSpan
             To be ended; it costs nothing when the request is not traced.
         """
         if traceparent:
             if not _is_sampled(traceparent):
-                return UntracedHop(traceparent)
+                return UnrecordedSpan(traceparent)
         elif not may_begin or self._rng.random() >= self._share:
-            return NO_HOP
-        context = self._propagator.extract({HEADER: traceparent})
+            return NO_SPAN
+        context = self._propagator.extract({TRACEPARENT_HEADER: traceparent})
         span = self._tracer.start_span(name, context=context)
         carrier: dict[str, str] = {}
         self._propagator.inject(carrier, set_span_in_context(span))
-        return SpanHop(span, carrier.get(HEADER, ""))
+        return SpanHop(span, carrier.get(TRACEPARENT_HEADER, ""))
 
 
 def _is_sampled(traceparent: str) -> bool:
--- a/src/primrosescale/process/transport/callers_resource.py
+++ b/src/primrosescale/process/transport/callers_resource.py
@@ -14,7 +14,7 @@
 
 from primrosescale.connection.wire.ttypes import Header
 from primrosescale.process.exceptions import ProcessError
-from primrosescale.process.tracing import HEADER as TRACE_HEADER
+from primrosescale.process.tracing import TRACEPARENT_HEADER as TRACE_HEADER
 from primrosescale.process.transport import problems
 from primrosescale.process.transport.http_bodies import request_body
 from primrosescale.process.transport.http_sink import HttpSink
@@ -22,7 +22,7 @@
 from primrosescale.process.transport.http_sink import write_problem
 from primrosescale.process.transport.problems import ProblemDocument
 from primrosescale.request.call_request import CallRequest
-from primrosescale.request.work import tokens_of
+from primrosescale.request.work_estimate import estimate_tokens
 
 if TYPE_CHECKING:
     from twisted.web.server import Request
@@ -257,7 +257,7 @@
             raise RefusedError(problems.NOT_FOUND, f"no model {chat.model!r}")
         call = self._call(request, organisation, service, view, CHAT_PATH, body)
         call.chat = f"{organisation.name}/{chat.chat}" if chat.chat else ""
-        call.prompt_tokens = max(1, tokens_of(len(body)))
+        call.prompt_tokens = max(1, estimate_tokens(len(body)))
         call.output_tokens = chat.output_tokens
         call.is_streamed = chat.is_streamed
         self._route(request, call, service, view)
--- a/src/primrosescale/process/transport/engine_port.py
+++ b/src/primrosescale/process/transport/engine_port.py
@@ -5,13 +5,13 @@
 from abc import abstractmethod
 from typing import TYPE_CHECKING
 
-from primrosescale.request.target_port import TargetPort
+from primrosescale.request.local_target_client import LocalTargetClient
 
 if TYPE_CHECKING:
     from twisted.internet.defer import Deferred
 
 
-class EnginePort(TargetPort):
+class EnginePort(LocalTargetClient):
     """A target as its agent sees it, orders included."""
 
     @abstractmethod
--- a/src/primrosescale/process/transport/http_call.py
+++ b/src/primrosescale/process/transport/http_call.py
@@ -17,7 +17,7 @@
 
 from primrosescale.clock import cancel_timer
 from primrosescale.connection.failure_text import failure_text
-from primrosescale.connection.rest_limit import RestLimit
+from primrosescale.connection.rest_limit import IdleLimit
 from primrosescale.connection.target_channel import ChannelPool
 from primrosescale.process.exceptions import PlatformAnswerLostError
 from primrosescale.process.exceptions import PlatformUnavailableError
@@ -123,7 +123,7 @@
         self._host = str(endpoint).encode()
         self._timeout = timeout
         self._patience = timeout
-        self._pool = ChannelPool(reactor, endpoint, timeout, RestLimit())
+        self._pool = ChannelPool(reactor, endpoint, timeout, IdleLimit())
         self._calls = 0
 
     @property
--- a/src/primrosescale/process/transport/http_sink.py
+++ b/src/primrosescale/process/transport/http_sink.py
@@ -138,7 +138,7 @@
         """Take in that the caller takes bytes again."""
         self._is_blocked = False
         if self._call is not None:
-            self._call.caller_drained()
+            self._call.caller_ready()
 
     def stopProducing(self) -> None:
         """Take in that the caller has gone away."""
--- a/src/primrosescale/process/transport/http_target.py
+++ b/src/primrosescale/process/transport/http_target.py
@@ -26,7 +26,7 @@
 from primrosescale.process.exceptions import TargetError
 from primrosescale.process.transport.engine_port import EnginePort
 from primrosescale.process.transport.http_bodies import body_producer
-from primrosescale.request.target_port import TargetRun
+from primrosescale.request.local_target_client import TargetRun
 
 if TYPE_CHECKING:
     from collections.abc import Generator
@@ -34,7 +34,7 @@
     from twisted.python.failure import Failure
 
     from primrosescale.connection.endpoint import Endpoint
-    from primrosescale.request.target_port import TargetReceiver
+    from primrosescale.request.local_target_client import TargetReceiver
 
 OK = 200
 REQUEST_ID = b"X-Request-Id"
@@ -237,7 +237,7 @@
         return closed
 
     def start(self, call: wire.Call, receiver: TargetReceiver) -> TargetRun:
-        """Hand a request to the target; see `TargetPort.start`."""
+        """Hand a request to the target; see `LocalTargetClient.start`."""
         request_id = f"{call.router}-{call.number}".encode()
         headers = Headers()
         for item in call.headers:
@@ -258,7 +258,7 @@
 
     @inlineCallbacks
     def export_cache(self, chat: str) -> Generator[Any, Any, bytes]:
-        """Read a chat's cache; see `TargetPort.export_cache`."""
+        """Read a chat's cache; see `LocalTargetClient.export_cache`."""
         url = self._base + b"/cache/" + chat.encode()
         response = yield self._kept.request(b"GET", url)
         body = yield readBody(response)
@@ -266,7 +266,7 @@
 
     @inlineCallbacks
     def import_cache(self, chat: str, data: bytes) -> Generator[Any, Any, bool]:
-        """Put a chat's cache into the target; see `TargetPort.import_cache`."""
+        """Put a chat's cache into the target; see `LocalTargetClient.import_cache`."""
         url = self._base + b"/cache/" + chat.encode()
         producer = body_producer(data)
         response = yield self._kept.request(b"PUT", url, None, producer)
--- a/src/primrosescale/request/admission.py
+++ b/src/primrosescale/request/admission.py
@@ -87,7 +87,7 @@
         return self.kind is VerdictKind.ADMITTED
 
 
-class Admission(Generic[T]):
+class AdmissionController(Generic[T]):
     """Takes calls within the bound and starts them in fair order.
 
     Parameters
@@ -154,7 +154,7 @@
         """Take no new calls from now on."""
         self._is_draining = True
 
-    def rest(self, seconds: float, now: float) -> None:
+    def pause(self, seconds: float, now: float) -> None:
         """Take and start no calls for a while, as the target asked.
 
         Parameters
--- a/src/primrosescale/request/agent_call.py
+++ b/src/primrosescale/request/agent_call.py
@@ -14,22 +14,22 @@
 from primrosescale.ini.options import SECONDS
 from primrosescale.ini.options import option
 from primrosescale.request.answer_buffer import AnswerBuffer
-from primrosescale.request.answer_check import digest_of
+from primrosescale.request.answer_check import answer_digest
 from primrosescale.request.exceptions import AnswerCutError
-from primrosescale.request.retry_after import asked_rest
-from primrosescale.request.target_port import TargetReceiver
+from primrosescale.request.local_target_client import TargetReceiver
+from primrosescale.request.retry_after import requested_pause
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from primrosescale.clock import Timer
     from primrosescale.connection.link import Link
-    from primrosescale.request.call_names import CallName
+    from primrosescale.request.call_names import CallId
     from primrosescale.request.claim import Claim
     from primrosescale.request.fair_queue import QueuedCall
-    from primrosescale.request.target_port import TargetRun
+    from primrosescale.request.local_target_client import TargetRun
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 RETRY_AFTER = "retry-after"
 
 
@@ -78,7 +78,7 @@
 
     Parameters
     ----------
-    name : CallName
+    name : CallId
         Its name.
     call : wire.Call
         What to run.
@@ -124,7 +124,7 @@
 
     def __init__(
         self,
-        name: CallName,
+        name: CallId,
         call: wire.Call,
         link: Link,
         deadline: float,
@@ -158,7 +158,7 @@
         self.first_byte_at = 0.0
 
     @property
-    def name(self) -> CallName:
+    def name(self) -> CallId:
         """Return the call's name."""
         return self._name
 
@@ -188,9 +188,9 @@
         return self._claim
 
     @property
-    def kept(self) -> int:
+    def buffered_bytes(self) -> int:
         """Return the bytes of its answer in memory."""
-        return self._buffer.kept
+        return self._buffer.buffered_bytes
 
     @property
     def length(self) -> int:
@@ -218,7 +218,7 @@
         return 0 if self._head is None else self._head.status
 
     @property
-    def asked_rest(self) -> float | None:
+    def requested_pause(self) -> float | None:
         """Return for how many seconds the target wants no more calls, if it says so."""
         return self._asked_rest
 
@@ -244,7 +244,7 @@
         if self._phase is not CallPhase.ENDED:
             self._run = run
 
-    def enter_running(self) -> None:
+    def mark_running(self) -> None:
         """Note that from now on the call may have run."""
         self._phase = CallPhase.RUNNING
 
@@ -315,7 +315,7 @@
             number=self._name.number,
             outcome=outcome,
             reason=reason,
-            retry_after_ms=int(retry_after * MILLISECONDS),
+            retry_after_ms=int(retry_after * MILLISECONDS_PER_SECOND),
             place="",
             detail=detail,
             load=self._load(),
@@ -330,7 +330,7 @@
         name = self._name
         self._head = wire.AnswerHead(name.router, name.number, status, headers)
         values = [h.value for h in headers if h.name.lower() == RETRY_AFTER]
-        self._asked_rest = asked_rest(status, values)
+        self._asked_rest = requested_pause(status, values)
 
     def target_data(self, data: bytes) -> None:
         """Take in bytes of the answer from the target."""
@@ -456,7 +456,7 @@
                 head.status,
                 head.headers,
                 body,
-                digest_of(body),
+                answer_digest(body),
                 self._cached,
                 self._load(),
             ),
--- a/src/primrosescale/request/answer_buffer.py
+++ b/src/primrosescale/request/answer_buffer.py
@@ -52,7 +52,7 @@
         return self._start + len(self._data)
 
     @property
-    def kept(self) -> int:
+    def buffered_bytes(self) -> int:
         """Return the bytes held in memory."""
         return len(self._data)
 
--- a/src/primrosescale/request/answer_check.py
+++ b/src/primrosescale/request/answer_check.py
@@ -68,7 +68,7 @@
             raise AnswerCutError("the digest differs")
 
 
-def digest_of(body: bytes) -> bytes:
+def answer_digest(body: bytes) -> bytes:
     """Return the digest of a whole answer.
 
     Parameters
--- a/src/primrosescale/request/answer_relay.py
+++ b/src/primrosescale/request/answer_relay.py
@@ -5,10 +5,10 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from primrosescale.request.direct_port import AnswerHead
-    from primrosescale.request.direct_port import CallerSink
-    from primrosescale.request.direct_port import Refusal
     from primrosescale.request.event_stream import StreamEvent
+    from primrosescale.request.forwarding_interfaces import AnswerHead
+    from primrosescale.request.forwarding_interfaces import CallerSink
+    from primrosescale.request.forwarding_interfaces import Refusal
 
 
 class AnswerRelay:
@@ -124,9 +124,9 @@
         """End the answer as whole."""
         self._sink.finish()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """End the answer so that it cannot be taken for whole."""
-        self._sink.break_off()
+        self._sink.abort()
 
     def refuse(self, refusal: Refusal, retry_after: float | None) -> None:
         """Send an answer of the router's own.
--- a/src/primrosescale/request/attempts.py
+++ b/src/primrosescale/request/attempts.py
@@ -140,7 +140,7 @@
         return self._may_have_run
 
     @property
-    def home(self) -> Target | None:
+    def first_candidate(self) -> Target | None:
         """Return the first candidate, the chat's directory."""
         return self._candidates[0] if self._candidates else None
 
--- a/src/primrosescale/request/call_names.py
+++ b/src/primrosescale/request/call_names.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallName:
+class CallId:
     """The name of a call.
 
     Parameters
@@ -28,7 +28,7 @@
     number: int
 
 
-class NameState(Enum):
+class CallIdState(Enum):
     """What is known of a name."""
 
     FRESH = "fresh"
@@ -40,11 +40,11 @@
 class _Entry:
     """A remembered name."""
 
-    state: NameState
+    state: CallIdState
     until: float
 
 
-class CallNames:
+class CallIdRegistry:
     """Bounded memory of call names.
 
     Parameters
@@ -58,8 +58,8 @@
     def __init__(self, keep: float, limit: int) -> None:
         self._keep = keep
         self._limit = limit
-        self._entries: dict[CallName, _Entry] = {}
-        self._due: dict[int, list[CallName]] = {}
+        self._entries: dict[CallId, _Entry] = {}
+        self._due: dict[int, list[CallId]] = {}
 
     def __len__(self) -> int:
         """Return how many names are kept."""
@@ -70,47 +70,47 @@
         """Tell whether no new name fits."""
         return len(self._entries) >= self._limit
 
-    def state(self, name: CallName) -> NameState:
+    def state(self, name: CallId) -> CallIdState:
         """Return what is known of a name.
 
         Parameters
         ----------
-        name : CallName
+        name : CallId
             The name.
 
         Returns
         -------
-        NameState
-            `NameState.FRESH` for one never seen.
+        CallIdState
+            `CallIdState.FRESH` for one never seen.
         """
         entry = self._entries.get(name)
-        return NameState.FRESH if entry is None else entry.state
+        return CallIdState.FRESH if entry is None else entry.state
 
-    def take(self, name: CallName, deadline: float) -> None:
+    def take(self, name: CallId, deadline: float) -> None:
         """Remember that a call has arrived.
 
         Parameters
         ----------
-        name : CallName
+        name : CallId
             Its name.
         deadline : float
             When its caller stops waiting, in seconds.
         """
-        self._put(name, NameState.TAKEN, deadline)
+        self._put(name, CallIdState.TAKEN, deadline)
 
-    def bar(self, name: CallName, deadline: float) -> None:
+    def block(self, name: CallId, deadline: float) -> None:
         """Remember that a call must never run.
 
         Parameters
         ----------
-        name : CallName
+        name : CallId
             Its name.
         deadline : float
             When its caller stops waiting, in seconds.
         """
-        self._put(name, NameState.BARRED, deadline)
+        self._put(name, CallIdState.BARRED, deadline)
 
-    def forget_old(self, now: float) -> int:
+    def remove_expired(self, now: float) -> int:
         """Forget names whose time is over.
 
         Parameters
@@ -132,7 +132,7 @@
                     forgotten += 1
         return forgotten
 
-    def _put(self, name: CallName, state: NameState, deadline: float) -> None:
+    def _put(self, name: CallId, state: CallIdState, deadline: float) -> None:
         until = deadline + self._keep
         self._entries[name] = _Entry(state, until)
         self._due.setdefault(math.ceil(until), []).append(name)
--- a/src/primrosescale/request/call_table.py
+++ b/src/primrosescale/request/call_table.py
@@ -28,7 +28,7 @@
 )
 
 
-class CallObserver(ABC):
+class CallTableListener(ABC):
     """Knows targets and is told how calls end."""
 
     @abstractmethod
@@ -40,7 +40,7 @@
         """Take in that a target could not be reached."""
 
     @abstractmethod
-    def load_heard(self, target: Target, load: int) -> None:
+    def load_reported(self, target: Target, load: int) -> None:
         """Take in a target's load."""
 
     @abstractmethod
@@ -57,7 +57,7 @@
         This router's incarnation.
     pool : LinkPool
         Connections to agents.
-    observer : CallObserver
+    observer : CallTableListener
         Knows targets and is told how calls end.
     """
 
@@ -65,7 +65,7 @@
         self,
         incarnation: int,
         pool: LinkPool,
-        observer: CallObserver,
+        observer: CallTableListener,
     ) -> None:
         self._incarnation = incarnation
         self._pool = pool
@@ -114,9 +114,9 @@
         """Take in that a target could not be reached."""
         self._observer.suspect(target)
 
-    def load_heard(self, target: Target, load: int) -> None:
+    def load_reported(self, target: Target, load: int) -> None:
         """Take in a target's load."""
-        self._observer.load_heard(target, load)
+        self._observer.load_reported(target, load)
 
     def call_ended(self, call: RoutedCall, report: CallReport) -> None:
         """Take in that a call has ended."""
--- a/src/primrosescale/request/directory.py
+++ b/src/primrosescale/request/chat_directory.py
@@ -68,7 +68,7 @@
             return None
         return record
 
-    def served(self, chat: str, place: str, tokens: int, now: float) -> None:
+    def record_served(self, chat: str, place: str, tokens: int, now: float) -> None:
         """Remember where a chat was served.
 
         Parameters
@@ -97,7 +97,7 @@
         """
         self._records.pop(chat, None)
 
-    def hottest(self, place: str, count: int) -> list[str]:
+    def most_recent(self, place: str, count: int) -> list[str]:
         """Return the chats served last at a place.
 
         Parameters
--- a/src/primrosescale/request/claim.py
+++ b/src/primrosescale/request/claim.py
@@ -15,7 +15,7 @@
     from primrosescale.connection.wire.ttypes import ClaimReply
     from primrosescale.connection.wire.ttypes import StoredAnswer
 
-KEY_SIZE = 16
+DIGEST_BYTES = 16
 SEPARATOR = b"\0"
 
 
@@ -59,7 +59,7 @@
         16 bytes.
     """
     parts = SEPARATOR.join(part.encode() for part in (service, organisation, key))
-    return blake2b(parts, digest_size=KEY_SIZE).digest()
+    return blake2b(parts, digest_size=DIGEST_BYTES).digest()
 
 
 def request_fingerprint(method: str, path: str, body: bytes) -> bytes:
@@ -79,7 +79,7 @@
     bytes
         16 bytes.
     """
-    digest = blake2b(digest_size=KEY_SIZE)
+    digest = blake2b(digest_size=DIGEST_BYTES)
     for part in (method.encode(), path.encode(), body):
         digest.update(part + SEPARATOR)
     return digest.digest()
--- a/src/primrosescale/request/cold_targets.py
+++ b/src/primrosescale/request/cold_targets.py
@@ -50,7 +50,7 @@
         0.0,
     )
 
-    def tokens(self, service: Service) -> int:
+    def permits(self, service: Service) -> int:
         """Return how many requests a second all routers send to a cold target.
 
         Parameters
@@ -165,8 +165,8 @@
         warm_in = state.cold_until(service.cold_seconds) - now
         if warm_in <= 0:
             return 0.0
-        tokens = self._settings.tokens(service)
-        own = self._shares.own_tokens(state.target.name, tokens, now)
+        permits = self._settings.permits(service)
+        own = self._shares.own_permits(state.target.name, permits, now)
         sent = self._lately(state.target.name, now)
         if len(sent) < own:
             return 0.0
--- a/src/primrosescale/request/evacuations.py
+++ b/src/primrosescale/request/evacuations.py
@@ -58,11 +58,11 @@
         return self._known.revision
 
     @property
-    def is_news(self) -> bool:
+    def is_worth_sharing(self) -> bool:
         """Tell whether other routers should hear of it: some domain ever was."""
         return self._has_had_any
 
-    def take(self, told: EvacuationList, now: float) -> bool:
+    def update(self, told: EvacuationList, now: float) -> bool:
         """Take in which domains were evacuated.
 
         Parameters
--- a/src/primrosescale/request/forward_tools.py
+++ b/src/primrosescale/request/forward_tools.py
@@ -9,9 +9,9 @@
 from primrosescale.ini.options import COUNT
 from primrosescale.ini.options import SECONDS
 from primrosescale.ini.options import option
-from primrosescale.request.harm_watch import Unwatched
-from primrosescale.request.hop import UntracedHop
-from primrosescale.request.target_room import TargetRoom
+from primrosescale.request.harm_monitor import NoHarmMonitor
+from primrosescale.request.target_availability import TargetAvailability
+from primrosescale.request.trace_span import UnrecordedSpan
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -19,18 +19,18 @@
     from random import Random
 
     from primrosescale.clock import Clock
-    from primrosescale.request.direct_port import AnswerHead
-    from primrosescale.request.direct_port import Refusal
-    from primrosescale.request.direct_port import TargetCaller
-    from primrosescale.request.harm_watch import HarmWatch
-    from primrosescale.request.hop import Hop
-    from primrosescale.request.incoming import IncomingRequest
-    from primrosescale.request.part_directory import PartDirectory
-    from primrosescale.request.repeat_budget import RepeatBudget
-    from primrosescale.request.silence import Silence
+    from primrosescale.request.forwarding_interfaces import AnswerHead
+    from primrosescale.request.forwarding_interfaces import Refusal
+    from primrosescale.request.forwarding_interfaces import TargetClient
+    from primrosescale.request.harm_monitor import HarmMonitor
+    from primrosescale.request.incoming_request import IncomingRequest
+    from primrosescale.request.prefix_cache_index import PrefixCacheIndex
+    from primrosescale.request.shared_retry_budget import SharedRetryBudget
+    from primrosescale.request.silent_target import SilenceReport
     from primrosescale.request.target_choice import ChoiceSettings
     from primrosescale.request.target_choice import TargetChooser
     from primrosescale.request.target_state import TargetState
+    from primrosescale.request.trace_span import TraceSpan
 
 
 # A caller is told to come back after a time between these parts of the setting.
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ForwardSettings:
+class ForwardingSettings:
     """Timing of requests that the router sends to targets itself."""
 
     shortest_time: float = option(
@@ -102,7 +102,7 @@
         0.4,
     )
 
-    def come_back_after(self, refusal: Refusal, rng: Random) -> float | None:
+    def retry_delay(self, refusal: Refusal, rng: Random) -> float | None:
         """Return when a refused caller is told to come back.
 
         Parameters
@@ -122,7 +122,7 @@
         return self.retry_after * rng.uniform(*RETURN_SPREAD)
 
 
-def _unlogged(_: IncomingRequest, __: Silence) -> None:
+def _unlogged(_: IncomingRequest, __: SilenceReport) -> None:
     pass
 
 
@@ -130,77 +130,77 @@
     pass
 
 
-def _untraced(_: str, traceparent: str) -> Hop:
-    return UntracedHop(traceparent)
+def _untraced(_: str, traceparent: str) -> TraceSpan:
+    return UnrecordedSpan(traceparent)
 
 
 @dataclass(slots=True)
-class ForwardTools:
+class ForwardingContext:
     """What all calls of a router share.
 
     Parameters
     ----------
-    settings : ForwardSettings
+    settings : ForwardingSettings
         Timing.
     clock : Clock
         Source of time and timers.
     rng : Random
         Source of chance.
-    caller : TargetCaller
+    caller : TargetClient
         Sends requests to targets.
     chooser : TargetChooser
         Chooses targets.
-    parts : PartDirectory
+    parts : PrefixCacheIndex
         Where parts of prompts are cached.
     states_of : Callable[[str], list[TargetState]]
         Targets of a service.
-    budget_of : Callable[[str], RepeatBudget]
+    budget_of : Callable[[str], SharedRetryBudget]
         Budget of a service.
     routers : Callable[[], int]
         How many routers share the budgets.
     parts_changed : Callable[[], None]
         Told that a part went to a target that was not known to have it.
-    start_hop : Callable[[str, str], Hop]
+    start_span : Callable[[str, str], TraceSpan]
         Starts a hop of a name after the hop before; costs nothing for a
         request without a trace context.
-    silence_judged : Callable[[IncomingRequest, Silence], None]
+    silence_judged : Callable[[IncomingRequest, SilenceReport], None]
         Told of each judgement on a silent target.
-    statement_made : Callable[[IncomingRequest, TargetState, AnswerHead], None]
+    self_report_received : Callable[[IncomingRequest, TargetState, AnswerHead], None]
         Told when the answer to a request says something new of what its target
         may be given.
-    harm : HarmWatch
+    harm : HarmMonitor
         Knows which requests end targets.
-    room : TargetRoom
+    availability : TargetAvailability
         Says what each target may be given.
     regions : Mapping[str, str]
         The region of each failure domain.
     """
 
-    settings: ForwardSettings
+    settings: ForwardingSettings
     clock: Clock
     rng: Random
-    caller: TargetCaller
+    caller: TargetClient
     chooser: TargetChooser
-    parts: PartDirectory
+    parts: PrefixCacheIndex
     states_of: Callable[[str], list[TargetState]]
-    budget_of: Callable[[str], RepeatBudget]
+    budget_of: Callable[[str], SharedRetryBudget]
     routers: Callable[[], int]
     parts_changed: Callable[[], None]
-    start_hop: Callable[[str, str], Hop] = _untraced
-    silence_judged: Callable[[IncomingRequest, Silence], None] = _unlogged
-    statement_made: Callable[[IncomingRequest, TargetState, AnswerHead], None] = (
+    start_span: Callable[[str, str], TraceSpan] = _untraced
+    silence_judged: Callable[[IncomingRequest, SilenceReport], None] = _unlogged
+    self_report_received: Callable[[IncomingRequest, TargetState, AnswerHead], None] = (
         _unheeded
     )
-    harm: HarmWatch = field(default_factory=Unwatched)
-    room: TargetRoom = field(default_factory=TargetRoom)
+    harm: HarmMonitor = field(default_factory=NoHarmMonitor)
+    availability: TargetAvailability = field(default_factory=TargetAvailability)
     regions: Mapping[str, str] = field(default_factory=dict)
 
-    def configure(self, settings: ForwardSettings, choice: ChoiceSettings) -> None:
+    def configure(self, settings: ForwardingSettings, choice: ChoiceSettings) -> None:
         """Take in changed settings, for the calls under way too.
 
         Parameters
         ----------
-        settings : ForwardSettings
+        settings : ForwardingSettings
             Timing.
         choice : ChoiceSettings
             Weights of the choice of targets.
--- a/src/primrosescale/request/forwarded_call.py
+++ b/src/primrosescale/request/forwarded_call.py
@@ -20,11 +20,11 @@
 from primrosescale.clock import cancel_timer
 from primrosescale.request.answer_relay import AnswerRelay
 from primrosescale.request.attempt_pair import AttemptPair
-from primrosescale.request.direct_port import Refusal
-from primrosescale.request.direct_port import Sending
-from primrosescale.request.silence import Silence
-from primrosescale.request.silence import SilenceVerdict
-from primrosescale.request.silence import patience
+from primrosescale.request.forwarding_interfaces import OutgoingRequest
+from primrosescale.request.forwarding_interfaces import Refusal
+from primrosescale.request.silent_target import SilenceReport
+from primrosescale.request.silent_target import SilenceVerdict
+from primrosescale.request.silent_target import patience
 from primrosescale.request.target_attempt import AttemptListener
 from primrosescale.request.target_attempt import AttemptRecord
 from primrosescale.request.target_attempt import TargetAttempt
@@ -35,10 +35,10 @@
     from collections.abc import Sequence
 
     from primrosescale.clock import Timer
-    from primrosescale.request.direct_port import AnswerHead
-    from primrosescale.request.direct_port import CallerSink
-    from primrosescale.request.forward_tools import ForwardTools
-    from primrosescale.request.incoming import IncomingRequest
+    from primrosescale.request.forward_tools import ForwardingContext
+    from primrosescale.request.forwarding_interfaces import AnswerHead
+    from primrosescale.request.forwarding_interfaces import CallerSink
+    from primrosescale.request.incoming_request import IncomingRequest
     from primrosescale.request.target_choice import Choice
     from primrosescale.request.target_state import TargetState
 
@@ -58,7 +58,7 @@
         The request.
     sink : CallerSink
         The caller.
-    tools : ForwardTools
+    tools : ForwardingContext
         What all calls share.
     on_end : Callable[[ForwardedCall, str], None]
         Told of the end, once, with the outcome.
@@ -68,7 +68,7 @@
         self,
         request: IncomingRequest,
         sink: CallerSink,
-        tools: ForwardTools,
+        tools: ForwardingContext,
         on_end: Callable[[ForwardedCall, str], None],
     ) -> None:
         self._request = request
@@ -89,7 +89,7 @@
         self._waits_since = request.received_at
         self._verdict: SilenceVerdict | None = None
         self._room: Timer | None = None
-        self._hop = tools.start_hop("router", request.traceparent)
+        self._span = tools.start_span("router", request.traceparent)
 
     @property
     def request(self) -> IncomingRequest:
@@ -169,13 +169,13 @@
         self._tools.harm.sent(self._request, now)
         prompt = self._request.prompt
         if prompt is not None:
-            is_news = self._tools.parts.note_own(
+            is_worth_sharing = self._tools.parts.record_own_request(
                 attempt.incarnation,
                 prompt.parts,
                 now,
                 is_expected=attempt.is_home,
             )
-            if is_news:
+            if is_worth_sharing:
                 self._tools.parts_changed()
         if attempt is self._pair.serving:
             self._watch_silence(now)
@@ -184,7 +184,7 @@
         """Try another target; see `AttemptListener.attempt_not_sent`."""
         now = self._now()
         attempt.state.unreachable(now)
-        self._tools.harm.unreached(attempt.state, now)
+        self._tools.harm.not_reached(attempt.state, now)
         attempt.leave(f"not sent: {detail}", now)
         self._tried.not_sent(attempt.incarnation)
         was_serving = attempt is self._pair.serving
@@ -209,8 +209,8 @@
             self._declined(attempt, head, now)
             return
         if attempt.state.answered(head, now):
-            self._tools.statement_made(self._request, attempt.state, head)
-        self._tools.harm.heard(attempt.state, attempt.began_at, now)
+            self._tools.self_report_received(self._request, attempt.state, head)
+        self._tools.harm.answer_began(attempt.state, attempt.began_at, now)
         if head.is_not_run:
             self._declined(attempt, head, now)
             return
@@ -233,7 +233,7 @@
     def attempt_data(self, attempt: TargetAttempt, data: bytes) -> None:
         """Hand bytes on, or hold them back; see `AttemptListener.attempt_data`."""
         now = self._now()
-        attempt.state.heard(now)
+        attempt.state.bytes_received(now)
         self._settle_on(attempt, now)
         if self._relay.is_stream:
             self._pass_events(attempt, data, now)
@@ -279,7 +279,7 @@
         if head.request_id != self._request.request_id:
             return "answer of another request"
         if _is_success(head):
-            return "" if head.is_receipted else "no receipt"
+            return "" if head.has_receipt else "no receipt"
         if self._relay.is_stream:
             return f"status {head.status} in place of the rest"
         return ""
@@ -305,13 +305,13 @@
         states = self._states()
         excluded = self._tried.excluded(states)
         left = [state for state in states if state.incarnation not in excluded]
-        room_in = self._tools.room.shortest_wait(left, now)
+        room_in = self._tools.availability.shortest_wait(left, now)
         if not room_in:
             crowded = left and self._tools.chooser.is_crowded(states, now)
             self._fail(Refusal.TARGETS_CROWDED if crowded else Refusal.NO_TARGET)
         elif now + room_in <= self._latest_start():
             self._room = self._tools.clock.callLater(room_in, self._look_for_room)
-        elif all(state.statements.is_limited for state in left if state.takes_work):
+        elif all(state.self_reports.is_limited for state in left if state.takes_work):
             self._fail_while_all_rest(room_in)
         else:
             self._fail(Refusal.TARGETS_COLD, room_in)
@@ -319,7 +319,7 @@
     def _fail_while_all_rest(self, room_in: float) -> None:
         """Refuse it until after the first rest, by times that are spread."""
         refusal = Refusal.TARGETS_RESTING
-        spread = self._tools.settings.come_back_after(refusal, self._tools.rng) or 0.0
+        spread = self._tools.settings.retry_delay(refusal, self._tools.rng) or 0.0
         self._fail(refusal, room_in + spread)
 
     def _latest_start(self) -> float:
@@ -385,12 +385,12 @@
         )
         self._attempts.append(record)
         self._tried.engage(choice.state.incarnation)
-        hop = self._tools.start_hop("target", self._hop.traceparent)
-        return TargetAttempt(self, choice.state, record, hop)
+        span = self._tools.start_span("target", self._span.traceparent)
+        return TargetAttempt(self, choice.state, record, span)
 
     def _begin(self, attempt: TargetAttempt, choice: Choice, now: float) -> None:
         source = choice.fetch_from
-        sending = Sending(
+        sending = OutgoingRequest(
             request=self._request,
             target=choice.state.target,
             time_left=self._request.give_up_at - now,
@@ -399,7 +399,7 @@
             needs_new_connection=self._needs_new_connection(attempt, now),
             traceparent=attempt.traceparent,
         )
-        self._tools.room.sent(attempt.state, now)
+        self._tools.availability.sent(attempt.state, now)
         attempt.begin(self._tools.caller, sending, now)
 
     def _needs_new_connection(self, attempt: TargetAttempt, now: float) -> bool:
@@ -411,11 +411,11 @@
         if attempt is self._pair.successor:
             return True
         route = self._request.route
-        if route.may_repeat:
+        if route.may_retry:
             return False
         if not route.is_stream:
             return True
-        return now - attempt.state.heard_at > self._tools.settings.heard_lately
+        return now - attempt.state.last_received_at > self._tools.settings.heard_lately
 
     # After a failure
 
@@ -434,7 +434,7 @@
 
     def _may_repeat(self, now: float) -> bool:
         """Tell whether it may be sent again though it may have run."""
-        if not self._request.route.may_repeat or self._held_for(now):
+        if not self._request.route.may_retry or self._held_for(now):
             return False
         return self._relay.is_stream or not self._relay.has_begun
 
@@ -459,8 +459,8 @@
         if choice is not None:
             self._serve_from(choice, now)
             return
-        room_in = self._tools.room.shortest_wait(self._states(), now)
-        if room_in and attempt.state.statements.is_resting(now):
+        room_in = self._tools.availability.shortest_wait(self._states(), now)
+        if room_in and attempt.state.self_reports.has_requested_pause(now):
             self._fail_while_all_rest(room_in)
         else:
             self._fail(Refusal.TARGETS_FULL)
@@ -517,7 +517,7 @@
     def _fail(self, refusal: Refusal, come_back: float | None = None) -> None:
         """End without an answer, and say "not run" only when that is so."""
         if self._relay.has_begun:
-            self._relay.break_off()
+            self._relay.abort()
             self._end(f"broken_off: {refusal.name.lower()}")
             return
         if self._may_have_run and refusal.is_not_run:
@@ -527,7 +527,7 @@
     def _refuse(self, refusal: Refusal, come_back: float | None = None) -> None:
         tools = self._tools
         if come_back is None:
-            come_back = tools.settings.come_back_after(refusal, tools.rng)
+            come_back = tools.settings.retry_delay(refusal, tools.rng)
         held_for = self._held_for(self._now())
         if held_for and refusal.is_not_run:
             # Whatever else kept it from being sent, it would not be sent sooner.
@@ -561,7 +561,7 @@
 
     def _note_lateness(self, attempt: TargetAttempt, now: float) -> None:
         if now - attempt.began_at > self._request.route.latency_objective:
-            attempt.state.late(now)
+            attempt.state.answered_late(now)
 
     # Silence and time
 
@@ -581,8 +581,8 @@
             self._judge_in(self._silence_due_in(serving, now), now)
 
     def _is_silence_watched(self) -> bool:
-        may_repeat = self._request.route.may_repeat
-        return may_repeat or self._relay.first_byte_at is None
+        may_retry = self._request.route.may_retry
+        return may_retry or self._relay.first_byte_at is None
 
     def _stop_watching(self) -> None:
         cancel_timer(self._stall)
@@ -624,7 +624,7 @@
         if due > TIMER_SLACK:
             self._judge_in(due, now)
             return
-        if not self._request.route.may_repeat:
+        if not self._request.route.may_retry:
             # It stays where it is; what it shows is for the requests to come.
             self._tell_silence(serving, SilenceVerdict.MAY_NOT_REPEAT, now)
             serving.state.failed(now)
@@ -664,11 +664,13 @@
         self._verdict = verdict
         tools = self._tools
         states = self._states()
-        silence = Silence(
+        silence = SilenceReport(
             target=attempt.name,
             silent_for=attempt.state.silence(now),
             waited=now - self._waits_since,
-            others=tools.chooser.count_open(states, self._tried.excluded(states), now),
+            others=tools.chooser.count_available(
+                states, self._tried.excluded(states), now
+            ),
             verdict=verdict,
         )
         tools.silence_judged(self._request, silence)
@@ -698,7 +700,7 @@
         self._timer = None
         cancel_timer(self._room)
         self._stop_watching()
-        self._hop.end(request=self._request.request_id, outcome=outcome)
+        self._span.end(request=self._request.request_id, outcome=outcome)
         self._on_end(self, outcome)
 
     def _now(self) -> float:
--- a/src/primrosescale/request/direct_port.py
+++ b/src/primrosescale/request/forwarding_interfaces.py
@@ -11,14 +11,14 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from primrosescale.request.incoming import IncomingRequest
+    from primrosescale.request.incoming_request import IncomingRequest
     from primrosescale.request.serving_target import ServingTarget
     from primrosescale.request.target_incarnation import TargetIncarnation
     from primrosescale.request.target_state import LoadReport
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Sending:
+class OutgoingRequest:
     """A request as it is sent to one target.
 
     Parameters
@@ -60,7 +60,7 @@
         Headers to hand on.
     request_id : str
         The request it says it answers; empty when it does not say.
-    is_receipted : bool
+    has_receipt : bool
         Whether it carries the target's receipt.
     is_not_run : bool
         Whether the target says that it did not run the request.
@@ -83,7 +83,7 @@
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
     request_id: str
-    is_receipted: bool
+    has_receipt: bool
     is_not_run: bool
     is_other_incarnation: bool
     load: LoadReport | None
@@ -94,15 +94,15 @@
     is_rest_odd: bool = False
 
 
-class RunObserver(ABC):
+class ResponseObserver(ABC):
     """Told of what becomes of a request at one target."""
 
     @abstractmethod
-    def run_sent(self) -> None:
+    def request_sent(self) -> None:
         """Handle that the request goes out now: from here on it may run."""
 
     @abstractmethod
-    def run_not_sent(self, detail: str) -> None:
+    def request_not_sent(self, detail: str) -> None:
         """Handle that nothing was sent.
 
         Parameters
@@ -112,7 +112,7 @@
         """
 
     @abstractmethod
-    def run_head(self, head: AnswerHead) -> None:
+    def response_head(self, head: AnswerHead) -> None:
         """Handle the head of the answer.
 
         Parameters
@@ -122,7 +122,7 @@
         """
 
     @abstractmethod
-    def run_data(self, data: bytes) -> None:
+    def response_data(self, data: bytes) -> None:
         """Handle bytes of the answer's body.
 
         Parameters
@@ -132,11 +132,11 @@
         """
 
     @abstractmethod
-    def run_done(self) -> None:
+    def response_done(self) -> None:
         """Handle that the answer is whole."""
 
     @abstractmethod
-    def run_cut(self, detail: str) -> None:
+    def response_lost(self, detail: str) -> None:
         """Handle that the answer ended early or never came.
 
         Parameters
@@ -146,7 +146,7 @@
         """
 
 
-class Run(ABC):
+class InFlightRequest(ABC):
     """A request at one target."""
 
     @abstractmethod
@@ -162,7 +162,7 @@
         """Take bytes again."""
 
 
-class TargetCheck(Enum):
+class ProbeResult(Enum):
     """What a new connection to a target shows."""
 
     # Somebody listens there; it may be another incarnation, or a proxy.
@@ -171,30 +171,32 @@
     UNKNOWN = "no answer"
 
 
-class TargetCaller(ABC):
+class TargetClient(ABC):
     """Sends requests to targets."""
 
     @abstractmethod
-    def send(self, sending: Sending, observer: RunObserver) -> Run:
+    def send(
+        self, sending: OutgoingRequest, observer: ResponseObserver
+    ) -> InFlightRequest:
         """Send a request.
 
         Parameters
         ----------
-        sending : Sending
+        sending : OutgoingRequest
             The request.
-        observer : RunObserver
+        observer : ResponseObserver
             Told of what becomes of it; of the sending alone maybe before this
             returns.
 
         Returns
         -------
-        Run
+        InFlightRequest
             The request at the target.
         """
 
     @abstractmethod
     def check(
-        self, target: TargetIncarnation, on_check: Callable[[TargetCheck], None]
+        self, target: TargetIncarnation, on_check: Callable[[ProbeResult], None]
     ) -> None:
         """See whether a target still takes connections.
 
@@ -202,12 +204,12 @@
         ----------
         target : TargetIncarnation
             The incarnation, one that requests were sent to.
-        on_check : Callable[[TargetCheck], None]
+        on_check : Callable[[ProbeResult], None]
             Told once what came of it, maybe before this returns.
         """
 
     @abstractmethod
-    def end_former(self, present: TargetIncarnation) -> None:
+    def abort_former(self, present: TargetIncarnation) -> None:
         """End what is under way at incarnations of a target before another.
 
         What was sent may have run; what was not sent yet may go anywhere.
@@ -284,7 +286,7 @@
         """End the answer as whole."""
 
     @abstractmethod
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """End the answer so that it cannot be taken for whole."""
 
     @abstractmethod
--- a/src/primrosescale/request/harm_watch.py
+++ b/src/primrosescale/request/harm_monitor.py
@@ -7,11 +7,11 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from primrosescale.request.incoming import IncomingRequest
+    from primrosescale.request.incoming_request import IncomingRequest
     from primrosescale.request.target_state import TargetState
 
 
-class HarmWatch(ABC):
+class HarmMonitor(ABC):
     """Learns which requests end targets from what becomes of all of them."""
 
     @abstractmethod
@@ -76,7 +76,7 @@
         """
 
     @abstractmethod
-    def heard(self, state: TargetState, sent_at: float, now: float) -> None:
+    def answer_began(self, state: TargetState, sent_at: float, now: float) -> None:
         """Handle that an answer began to come from a target.
 
         Parameters
@@ -102,7 +102,7 @@
         """
 
     @abstractmethod
-    def unreached(self, state: TargetState, now: float) -> None:
+    def not_reached(self, state: TargetState, now: float) -> None:
         """Handle that nothing could be sent to a target.
 
         Parameters
@@ -114,31 +114,31 @@
         """
 
 
-class Unwatched(HarmWatch):
+class NoHarmMonitor(HarmMonitor):
     """Holds nothing back."""
 
     def held_for(self, request: IncomingRequest, now: float) -> float:
-        """Return 0; see `HarmWatch.held_for`."""
+        """Return 0; see `HarmMonitor.held_for`."""
         return 0.0
 
     def sent(self, request: IncomingRequest, now: float) -> None:
-        """Do nothing; see `HarmWatch.sent`."""
+        """Do nothing; see `HarmMonitor.sent`."""
 
     def answer_lost(
         self, request: IncomingRequest, state: TargetState, now: float
     ) -> None:
-        """Do nothing; see `HarmWatch.answer_lost`."""
+        """Do nothing; see `HarmMonitor.answer_lost`."""
 
     def answered(
         self, request: IncomingRequest, state: TargetState, now: float
     ) -> None:
-        """Do nothing; see `HarmWatch.answered`."""
+        """Do nothing; see `HarmMonitor.answered`."""
 
-    def heard(self, state: TargetState, sent_at: float, now: float) -> None:
-        """Do nothing; see `HarmWatch.heard`."""
+    def answer_began(self, state: TargetState, sent_at: float, now: float) -> None:
+        """Do nothing; see `HarmMonitor.answer_began`."""
 
     def replaced(self, state: TargetState, now: float) -> None:
-        """Do nothing; see `HarmWatch.replaced`."""
+        """Do nothing; see `HarmMonitor.replaced`."""
 
-    def unreached(self, state: TargetState, now: float) -> None:
-        """Do nothing; see `HarmWatch.unreached`."""
+    def not_reached(self, state: TargetState, now: float) -> None:
+        """Do nothing; see `HarmMonitor.not_reached`."""
--- a/src/primrosescale/request/harm_reports.py
+++ b/src/primrosescale/request/harm_reports.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeAnswer:
+class CompleteAnswer:
     """That a request was answered whole.
 
     Parameters
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LoneTry:
+class SuspectTrial:
     """That a suspect request was sent to a target.
 
     Parameters
@@ -59,4 +59,4 @@
     at: float
 
 
-HarmReport = TargetEnd | WholeAnswer | LoneTry
+HarmReport = TargetEnd | CompleteAnswer | SuspectTrial
--- a/src/primrosescale/request/harmful_requests.py
+++ b/src/primrosescale/request/harmful_requests.py
@@ -19,9 +19,9 @@
 from typing import TYPE_CHECKING
 
 from primrosescale.request.decaying_outcomes import DecayingOutcomes
-from primrosescale.request.harm_reports import LoneTry
+from primrosescale.request.harm_reports import CompleteAnswer
+from primrosescale.request.harm_reports import SuspectTrial
 from primrosescale.request.harm_reports import TargetEnd
-from primrosescale.request.harm_reports import WholeAnswer
 
 if TYPE_CHECKING:
     from primrosescale.request.harm_settings import HarmSettings
@@ -36,7 +36,7 @@
 CHANCE_HALF_LIFE = 10.0
 USUAL_ANSWERS = 100.0
 # Seconds in which a try shows whether its target ends.
-TRY_SECONDS = 2.0
+TRIAL_SECONDS = 2.0
 # How many times as many ends it takes for a request that was answered whole.
 VOUCHED_MULTIPLE = 2
 # How many more where targets answered it whole and ended just after.
@@ -135,7 +135,7 @@
             if len(evidence.ends) >= settings.ends
         }
 
-    def take_end(self, end: TargetEnd) -> bool:
+    def record_end(self, end: TargetEnd) -> bool:
         """Take in that a target ended with a request on board.
 
         Parameters
@@ -162,12 +162,12 @@
             self._enough.add(end.fingerprint)
         return True
 
-    def take_answer(self, answer: WholeAnswer) -> bool:
+    def record_answer(self, answer: CompleteAnswer) -> bool:
         """Clear a request of the ends before a whole answer.
 
         Parameters
         ----------
-        answer : WholeAnswer
+        answer : CompleteAnswer
             The answer.
 
         Returns
@@ -186,12 +186,12 @@
             self._drop_end(answer.fingerprint, evidence, target)
         return is_first or bool(cleared)
 
-    def take_try(self, tried: LoneTry) -> bool:
+    def record_trial(self, tried: SuspectTrial) -> bool:
         """Take in that a suspect request was sent to a target.
 
         Parameters
         ----------
-        tried : LoneTry
+        tried : SuspectTrial
             The try.
 
         Returns
@@ -202,9 +202,9 @@
         if not self.is_suspect(tried.fingerprint):
             return False
         evidence = self._evidence[tried.fingerprint]
-        is_news = tried.at > evidence.tried_at
+        is_worth_sharing = tried.at > evidence.tried_at
         evidence.tried_at = max(evidence.tried_at, tried.at)
-        return is_news
+        return is_worth_sharing
 
     def is_suspect(self, fingerprint: int) -> bool:
         """Tell whether a request is to be tried alone, unless it is held back.
@@ -222,7 +222,7 @@
         evidence = self._evidence.get(fingerprint)
         return evidence is not None and len(evidence.ends) >= self._needed(evidence)
 
-    def last_answer(self, fingerprint: int) -> WholeAnswer | None:
+    def last_answer(self, fingerprint: int) -> CompleteAnswer | None:
         """Return the last whole answer to a request that is remembered.
 
         Parameters
@@ -232,13 +232,13 @@
 
         Returns
         -------
-        WholeAnswer | None
+        CompleteAnswer | None
             None where none is.
         """
         at = self._answered.get(fingerprint)
-        return None if at is None else WholeAnswer(fingerprint, at)
+        return None if at is None else CompleteAnswer(fingerprint, at)
 
-    def _remember_answer(self, answer: WholeAnswer) -> None:
+    def _remember_answer(self, answer: CompleteAnswer) -> None:
         before = self._answered.pop(answer.fingerprint, 0.0)
         self._answered[answer.fingerprint] = max(before, answer.at)
         if len(self._answered) > self._settings.answered:
@@ -264,7 +264,7 @@
         """
         self._outcomes.add_bad(now)
 
-    def target_lives(self, target: int) -> None:
+    def retract_ends(self, target: int) -> None:
         """Take in that a target that was said to have ended has not.
 
         Parameters
@@ -293,7 +293,7 @@
         evidence = self._evidence.get(fingerprint)
         if evidence is None or len(evidence.ends) < self._needed(evidence):
             return 0.0
-        until = evidence.tried_at + TRY_SECONDS
+        until = evidence.tried_at + TRIAL_SECONDS
         if self._is_explained_by_storm(evidence, now):
             return 0.0
         if self._is_enough(fingerprint, evidence, now):
@@ -331,7 +331,7 @@
         """
         return [each for each in self._enough if self.held_for(each, now) > 0]
 
-    def proof(self, fingerprint: int) -> list[TargetEnd]:
+    def sufficient_ends(self, fingerprint: int) -> list[TargetEnd]:
         """Return the ends that suffice to hold a request back, the last ones.
 
         Parameters
--- a/src/primrosescale/request/load_bound.py
+++ b/src/primrosescale/request/load_bound.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MeanView:
+class ServiceLoad:
     """A service's load as an agent last heard it.
 
     Parameters
@@ -56,16 +56,16 @@
         Work units outstanding on all targets, this one's included.
     targets : int
         How many targets the load is spread over.
-    own_then : int
+    own_load : int
         This target's part of that load.
-    heard_at : float
+    measured_at : float
         When it was heard, in seconds.
     """
 
     load: int
     targets: int
-    own_then: int
-    heard_at: float
+    own_load: int
+    measured_at: float
 
 
 class LoadBound:
@@ -82,12 +82,12 @@
     def __init__(self, settings: BoundSettings, started_at: float) -> None:
         self._settings = settings
         self._started_at = started_at
-        self._view: MeanView | None = None
+        self._view: ServiceLoad | None = None
         self._multiple = settings.multiple
         self._floor = settings.floor
 
     @property
-    def view(self) -> MeanView | None:
+    def view(self) -> ServiceLoad | None:
         """Return the mean last heard."""
         return self._view
 
@@ -104,17 +104,17 @@
         self._multiple = multiple
         self._floor = floor
 
-    def hear(self, view: MeanView) -> None:
+    def update(self, view: ServiceLoad) -> None:
         """Take in news of the mean; older news than known is ignored.
 
         Parameters
         ----------
-        view : MeanView
+        view : ServiceLoad
             The news.
         """
         if view.targets < 1:
             return
-        if self._view is None or view.heard_at >= self._view.heard_at:
+        if self._view is None or view.measured_at >= self._view.measured_at:
             self._view = view
 
     def cap(self, own: int, work: int, now: float) -> float:
@@ -144,9 +144,9 @@
         if view is None:
             return floor
         multiple = max(1.0, self._multiple * self._settings.margin)
-        age = now - view.heard_at
+        age = now - view.measured_at
         if age <= self._settings.stale_after:
-            total = max(0, view.load - view.own_then) + own + work
+            total = max(0, view.load - view.own_load) + own + work
             cap = multiple * total / view.targets
         else:
             cap = multiple * view.load / view.targets
--- a/src/primrosescale/request/target_port.py
+++ b/src/primrosescale/request/local_target_client.py
@@ -81,7 +81,7 @@
         """Take bytes of the answer again."""
 
 
-class TargetPort(ABC):
+class LocalTargetClient(ABC):
     """A target as its agent sees it."""
 
     @abstractmethod
--- a/src/primrosescale/request/lost_answers.py
+++ b/src/primrosescale/request/lost_answers.py
@@ -9,9 +9,9 @@
 
 # Seconds for which a lost answer waits to be explained. The entry of a target that
 # has ended goes after three heartbeats.
-WAIT_SECONDS = 8.0
+MAX_WAIT_SECONDS = 8.0
 # Bytes that a target sent before it ended are read up to so many seconds later.
-BUFFERED_SECONDS = 0.2
+MAX_BUFFERED_SECONDS = 0.2
 # Lost answers that wait, and targets whose end is remembered for those still to come.
 MOST_WAITING = 1024
 MOST_ENDED = 256
@@ -62,7 +62,7 @@
         bool
             True for some seconds after its end.
         """
-        return now - self._ended.get(target, -WAIT_SECONDS) < WAIT_SECONDS
+        return now - self._ended.get(target, -MAX_WAIT_SECONDS) < MAX_WAIT_SECONDS
 
     def is_waiting(self, target: int, now: float) -> bool:
         """Tell whether lost answers wait at a target.
@@ -104,7 +104,7 @@
             del self._ended[next(iter(self._ended))]
         return self._waiting.pop(target, {})
 
-    def lived(self, target: int, at: float) -> None:
+    def seen_alive(self, target: int, at: float) -> None:
         """Take in that a target was there at some time: no answer before ended it.
 
         Parameters
@@ -119,7 +119,7 @@
 
     def _forget_old(self, now: float) -> None:
         for target in list(self._waiting):
-            self._drop_before(target, now - WAIT_SECONDS)
+            self._drop_before(target, now - MAX_WAIT_SECONDS)
 
     def _drop_before(self, target: int, at: float) -> None:
         waiting = self._waiting.get(target, {})
--- a/src/primrosescale/request/part_directory.py
+++ b/src/primrosescale/request/prefix_cache_index.py
@@ -18,7 +18,7 @@
     from collections.abc import Iterable
     from collections.abc import Sequence
 
-    from primrosescale.request.incoming import PromptPart
+    from primrosescale.request.incoming_request import PromptPart
     from primrosescale.request.target_incarnation import TargetIncarnation
 
 # Seconds. What was used longer ago is not relied on, whatever the memory: other
@@ -106,7 +106,7 @@
         return held, known is None
 
 
-class PartDirectory:
+class PrefixCacheIndex:
     """Remembers which target has read which part, and when."""
 
     __slots__ = ("_again", "_capacity", "_holders", "_news", "_unexpected")
@@ -135,7 +135,7 @@
         """
         self._capacity[target] = int(tokens * CACHE_SHARE)
 
-    def note(self, use: PartUse) -> bool:
+    def record_use(self, use: PartUse) -> bool:
         """Take in that a target has a part.
 
         Parameters
@@ -162,11 +162,11 @@
         return holder.note(use, self._capacity.get(use.target, 0))
 
     @property
-    def has_unexpected(self) -> bool:
+    def has_away_from_home(self) -> bool:
         """Tell whether a prompt went elsewhere than others expect."""
         return bool(self._unexpected)
 
-    def note_own(
+    def record_own_request(
         self,
         target: TargetIncarnation,
         parts: Sequence[PromptPart],
@@ -196,7 +196,7 @@
         bool
             Whether some shared part was not known to be there.
         """
-        is_news = False
+        is_worth_sharing = False
         deepest = len(parts) - 2
         for place, part in enumerate(parts):
             use = PartUse(part.name, target, part.tokens, now)
@@ -205,14 +205,14 @@
                 held.is_shared = held.is_shared and not was_unknown
                 continue
             held.is_shared = True
-            is_news = is_news or was_unknown
+            is_worth_sharing = is_worth_sharing or was_unknown
             is_old = now - held.told_at >= TELL_AGAIN_SECONDS
             if was_unknown or (is_old and place == deepest):
                 held.told_at = now
                 self._news[(part.name, target)] = use
                 if place == deepest and not is_expected:
                     self._note_unexpected(use, parts)
-        return is_news
+        return is_worth_sharing
 
     def _note_unexpected(self, use: PartUse, parts: Sequence[PromptPart]) -> None:
         shared = parts[:-1]
@@ -221,7 +221,7 @@
             found = replace(use, before=before)
             self._unexpected[(use.part, use.target)] = found
 
-    def take_news(self) -> list[PartUse]:
+    def take_updates(self) -> list[PartUse]:
         """Return what this router noted since the call before the last.
 
         All is told twice, since datagrams are lost now and then and a lost one
@@ -237,7 +237,7 @@
         self._unexpected.clear()
         return list({**again, **news}.values())
 
-    def take_unexpected(self) -> list[PartUse]:
+    def take_away_from_home(self) -> list[PartUse]:
         """Return which prompts went elsewhere than others expect.
 
         Each is told once, since it goes to others by two ways, and by its
--- a/src/primrosescale/request/prompt_homes.py
+++ b/src/primrosescale/request/prompt_homes.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from primrosescale.request.incoming import Prompt
+    from primrosescale.request.incoming_request import Prompt
     from primrosescale.request.target_state import TargetState
 
 # Targets that were listed within this time were there when this router started;
--- a/src/primrosescale/request/rate_limit.py
+++ b/src/primrosescale/request/rate_limit.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Demand:
+class DemandRate:
     """Requests a second of one organisation.
 
     Parameters
@@ -80,7 +80,7 @@
         return float(self.demand * 0.5 ** (passed / HALF_LIFE))
 
 
-class OrganisationLimiter:
+class OrganisationRateLimiter:
     """A router's part in holding organisations to their limits.
 
     Parameters
@@ -129,7 +129,7 @@
             return 0.0
         return (1.0 - meter.tokens) / allowed
 
-    def reports(self, routers: int, now: float) -> list[Demand]:
+    def demands_to_report(self, routers: int, now: float) -> list[DemandRate]:
         """Return the demands worth telling to the other routers.
 
         Parameters
@@ -141,25 +141,25 @@
 
         Returns
         -------
-        list[Demand]
+        list[DemandRate]
             One for each organisation near its limit.
         """
         share = self._settings.report_share / max(1, routers)
-        found: list[Demand] = []
+        found: list[DemandRate] = []
         for name, meter in list(self._meters.items()):
             rate = meter.demand_at(now)
             if rate < meter.limit * share * 0.01 and now - meter.seen_at > HALF_LIFE:
                 del self._meters[name]
             elif rate >= meter.limit * share:
-                found.append(Demand(name, rate))
+                found.append(DemandRate(name, rate))
         return found
 
-    def hear_total(self, total: Demand, now: float) -> None:
+    def update_total(self, total: DemandRate, now: float) -> None:
         """Take in the demand that all routers see together.
 
         Parameters
         ----------
-        total : Demand
+        total : DemandRate
             The sum.
         now : float
             Present time in seconds.
--- a/src/primrosescale/request/gate.py
+++ b/src/primrosescale/request/request_resolver.py
@@ -10,14 +10,14 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from primrosescale.request.direct_port import Refusal
-from primrosescale.request.incoming import IncomingRequest
+from primrosescale.request.forwarding_interfaces import Refusal
+from primrosescale.request.incoming_request import IncomingRequest
 
 if TYPE_CHECKING:
     from random import Random
 
     from primrosescale.request.freshness import Freshness
-    from primrosescale.request.incoming import Prompt
+    from primrosescale.request.incoming_request import Prompt
     from primrosescale.version.routing_table import Route
     from primrosescale.version.routing_table import RoutingTable
 
@@ -64,35 +64,37 @@
     traceparent: str = ""
 
 
-class Gate:
+class RequestResolver:
     """Accepts or refuses callers' requests.
 
     Parameters
     ----------
     freshness : Freshness
         How old the knowledge of the configuration is.
-    certain_for : float
+    not_found_max_age : float
         Seconds for which "there is no such route or key" may be said.
     rng : Random
         Source of chance for routes that lead to several services.
     """
 
-    def __init__(self, freshness: Freshness, certain_for: float, rng: Random) -> None:
+    def __init__(
+        self, freshness: Freshness, not_found_max_age: float, rng: Random
+    ) -> None:
         self._freshness = freshness
-        self._certain_for = certain_for
+        self._not_found_max_age = not_found_max_age
         self._rng = rng
 
-    def configure(self, certain_for: float) -> None:
+    def configure(self, not_found_max_age: float) -> None:
         """Take in a changed setting.
 
         Parameters
         ----------
-        certain_for : float
+        not_found_max_age : float
             Seconds for which "there is no such route or key" may be said.
         """
-        self._certain_for = certain_for
+        self._not_found_max_age = not_found_max_age
 
-    def judge(
+    def resolve(
         self,
         head: CallerHead,
         body: bytes,
@@ -126,7 +128,7 @@
             return Refusal.NO_REQUEST_ID
         name, priority = "", route.priority
         bounds = [route.allowed_regions]
-        if table.has_keys and not route.is_open:
+        if table.has_keys and not route.allows_anonymous:
             organisation = table.organisation(head.key)
             if organisation is None:
                 return self._if_certain(Refusal.UNKNOWN_KEY, now)
@@ -158,7 +160,7 @@
 
     def _if_certain(self, refusal: Refusal, now: float) -> Refusal:
         age = self._freshness.age(now)
-        if age is None or age > self._certain_for:
+        if age is None or age > self._not_found_max_age:
             return Refusal.STALE
         return refusal
 
--- a/src/primrosescale/request/retry_after.py
+++ b/src/primrosescale/request/retry_after.py
@@ -12,10 +12,10 @@
 UNAVAILABLE = 503
 # Seconds. A longer rest is shortened to this: a target that asks for a year has
 # made a mistake, and is asked again some time.
-LONGEST_REST = 600.0
+MAX_PAUSE_SECONDS = 600.0
 
 
-def asked_rest(status: int, values: Iterable[str]) -> float | None:
+def requested_pause(status: int, values: Iterable[str]) -> float | None:
     """Return the seconds for which a target wants no requests.
 
     The longest of several values counts. What is no number above 0, such as a
@@ -31,11 +31,11 @@
     Returns
     -------
     float | None
-        Seconds, at most `LONGEST_REST`; None where it asks for no rest.
+        Seconds, at most `MAX_PAUSE_SECONDS`; None where it asks for no rest.
     """
     if status != UNAVAILABLE:
         return None
-    return min(max(map(_seconds, values), default=0.0), LONGEST_REST) or None
+    return min(max(map(_seconds, values), default=0.0), MAX_PAUSE_SECONDS) or None
 
 
 def is_odd_rest(status: int, values: Sequence[str]) -> bool:
@@ -52,11 +52,11 @@
     -------
     bool
         True for several values, and for one that is no number, negative, or longer
-        than `LONGEST_REST`.
+        than `MAX_PAUSE_SECONDS`.
     """
     if status != UNAVAILABLE or not values:
         return False
-    return len(values) > 1 or not 0 <= _number(values[0]) <= LONGEST_REST
+    return len(values) > 1 or not 0 <= _number(values[0]) <= MAX_PAUSE_SECONDS
 
 
 def _seconds(text: str) -> float:
--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -15,7 +15,7 @@
 from primrosescale.ini.options import SECONDS
 from primrosescale.ini.options import option
 from primrosescale.request.answer_check import AnswerCheck
-from primrosescale.request.answer_check import digest_of
+from primrosescale.request.answer_check import answer_digest
 from primrosescale.request.attempts import AttemptFailure
 from primrosescale.request.attempts import StepKind
 from primrosescale.request.exceptions import AnswerCutError
@@ -34,7 +34,7 @@
     from primrosescale.request.call_request import CallRequest
     from primrosescale.request.candidates import Target
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 ENDS = (wire.Answer, wire.AnswerEnd, wire.CallFailed)
 
 
@@ -180,7 +180,7 @@
         """
 
     @abstractmethod
-    def load_heard(self, target: Target, load: int) -> None:
+    def load_reported(self, target: Target, load: int) -> None:
         """Take in a target's load, told with an answer or a refusal.
 
         Parameters
@@ -307,7 +307,7 @@
         self._cancel_attempt()
         self._end(Outcome.UNKNOWN, Reason.CANCELLED)
 
-    def caller_drained(self) -> None:
+    def caller_ready(self) -> None:
         """Take in that the caller takes bytes again."""
         self._give_credit()
 
@@ -337,7 +337,7 @@
         if self._is_done:
             return
         if isinstance(message, ENDS) and self._target is not None:
-            self._host.load_heard(self._target, message.load)
+            self._host.load_reported(self._target, message.load)
         try:
             self._dispatch(message)
         except AnswerCutError as error:
@@ -361,7 +361,7 @@
             self._fail(_failure_of(message))
 
     def _whole(self, message: wire.Answer) -> None:
-        if digest_of(message.body) != message.digest:
+        if answer_digest(message.body) != message.digest:
             raise AnswerCutError("the digest differs")
         self._sink.head(message.status, message.headers)
         self._sink.data(message.body)
@@ -438,7 +438,7 @@
             path=request.path,
             headers=request.headers,
             body=request.body,
-            deadline_ms=int(left * MILLISECONDS),
+            deadline_ms=int(left * MILLISECONDS_PER_SECOND),
             prompt_tokens=request.prompt_tokens,
             output_tokens=request.output_tokens,
             priority=request.priority,
@@ -491,7 +491,7 @@
                 number=self._number,
                 offset=self._check.offset,
                 target_incarnation=self._target_incarnation,
-                age_ms=int(age * MILLISECONDS),
+                age_ms=int(age * MILLISECONDS_PER_SECOND),
             ),
         )
 
@@ -581,7 +581,7 @@
     return AttemptFailure(
         Outcome(message.outcome),
         Reason(message.reason),
-        retry_after=message.retry_after_ms / MILLISECONDS,
+        retry_after=message.retry_after_ms / MILLISECONDS_PER_SECOND,
         place=message.place,
         detail=message.detail,
     )
--- a/src/primrosescale/request/router_shares.py
+++ b/src/primrosescale/request/router_shares.py
@@ -41,7 +41,7 @@
         self._former: list[tuple[float, TargetRing | None]] = []
         self._counted: dict[tuple[str, int], int] = {}
 
-    def list_routers(
+    def set_routers(
         self, names: frozenset[str], now: float, *, was_listed: bool = False
     ) -> None:
         """Take in which routers are listed.
@@ -64,7 +64,7 @@
         self._ring = _ring_of(names)
         self._counted.clear()
 
-    def own_tokens(self, key: str, tokens: int, now: float) -> int:
+    def own_permits(self, key: str, tokens: int, now: float) -> int:
         """Return how many of the tokens of a key are this router's.
 
         Parameters
--- a/src/primrosescale/request/serving_target.py
+++ b/src/primrosescale/request/serving_target.py
@@ -29,7 +29,7 @@
         Requests it runs at once; 0 when not told.
     is_draining : bool
         Whether it is leaving and must get no new work.
-    warming_for : float
+    warm_up_seconds : float
         Seconds for which it is still slow after its start.
     started_at : int | None
         Its start, in Unix milliseconds of its own clock; None when not told.
@@ -41,7 +41,7 @@
     domain: str
     slots: int
     is_draining: bool = False
-    warming_for: float = 0.0
+    warm_up_seconds: float = 0.0
     started_at: int | None = None
 
     @property
--- a/src/primrosescale/request/repeat_budget.py
+++ b/src/primrosescale/request/shared_retry_budget.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RepeatBounds:
+class SharedRetryLimits:
     """How many repeats all routers together may make.
 
     Parameters
@@ -34,18 +34,18 @@
     extra: float
 
 
-class RepeatBudget:
+class SharedRetryBudget:
     """One router's part of the bound, for one service.
 
     Parameters
     ----------
-    bounds : RepeatBounds
+    bounds : SharedRetryLimits
         The bound of all routers.
     """
 
     __slots__ = ("_bounds", "_repeats", "_requests")
 
-    def __init__(self, bounds: RepeatBounds) -> None:
+    def __init__(self, bounds: SharedRetryLimits) -> None:
         self._bounds = bounds
         self._requests: deque[float] = deque()
         self._repeats: deque[float] = deque()
--- a/src/primrosescale/request/silence.py
+++ b/src/primrosescale/request/silent_target.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from primrosescale.request.forward_tools import ForwardSettings
-    from primrosescale.request.incoming import IncomingRequest
+    from primrosescale.request.forward_tools import ForwardingSettings
+    from primrosescale.request.incoming_request import IncomingRequest
 
 
 class SilenceVerdict(Enum):
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Silence:
+class SilenceReport:
     """A judgement on a silent target, for the log.
 
     Parameters
@@ -47,13 +47,13 @@
 
 
 def patience(
-    settings: ForwardSettings, request: IncomingRequest, *, has_begun: bool
+    settings: ForwardingSettings, request: IncomingRequest, *, has_begun: bool
 ) -> float:
     """Return how long a request waits for a target that others hear from.
 
     Parameters
     ----------
-    settings : ForwardSettings
+    settings : ForwardingSettings
         Timing.
     request : IncomingRequest
         The request.
--- a/src/primrosescale/request/target_attempt.py
+++ b/src/primrosescale/request/target_attempt.py
@@ -7,18 +7,18 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from primrosescale.request.direct_port import RunObserver
 from primrosescale.request.event_stream import EventSplitter
+from primrosescale.request.forwarding_interfaces import ResponseObserver
 
 if TYPE_CHECKING:
-    from primrosescale.request.direct_port import AnswerHead
-    from primrosescale.request.direct_port import Run
-    from primrosescale.request.direct_port import Sending
-    from primrosescale.request.direct_port import TargetCaller
     from primrosescale.request.event_stream import StreamEvent
-    from primrosescale.request.hop import Hop
+    from primrosescale.request.forwarding_interfaces import AnswerHead
+    from primrosescale.request.forwarding_interfaces import InFlightRequest
+    from primrosescale.request.forwarding_interfaces import OutgoingRequest
+    from primrosescale.request.forwarding_interfaces import TargetClient
     from primrosescale.request.target_incarnation import TargetIncarnation
     from primrosescale.request.target_state import TargetState
+    from primrosescale.request.trace_span import TraceSpan
 
 RUNNING = "running"
 
@@ -150,7 +150,7 @@
         """
 
 
-class TargetAttempt(RunObserver):
+class TargetAttempt(ResponseObserver):
     """One request at one target.
 
     Parameters
@@ -161,20 +161,20 @@
         What is known of the target.
     record : AttemptRecord
         Its entry for the log.
-    hop : Hop
+    span : TraceSpan
         Its span.
     """
 
     __slots__ = (
         "_held",
         "_held_bytes",
-        "_hop",
         "_is_at_target",
         "_is_held_up",
         "_is_over",
         "_listener",
         "_record",
         "_run",
+        "_span",
         "_splitter",
         "_state",
         "head",
@@ -185,13 +185,13 @@
         listener: AttemptListener,
         state: TargetState,
         record: AttemptRecord,
-        hop: Hop,
+        span: TraceSpan,
     ) -> None:
         self._listener = listener
         self._state = state
         self._record = record
-        self._hop = hop
-        self._run: Run | None = None
+        self._span = span
+        self._run: InFlightRequest | None = None
         self._is_at_target = False
         self._is_held_up = False
         self._is_over = False
@@ -228,7 +228,7 @@
     @property
     def traceparent(self) -> str:
         """Return the trace context for the target; empty for none."""
-        return self._hop.traceparent
+        return self._span.traceparent
 
     @property
     def is_at_target(self) -> bool:
@@ -245,14 +245,14 @@
         """Return how much of the body is held back."""
         return self._held_bytes
 
-    def begin(self, caller: TargetCaller, sending: Sending, now: float) -> None:
+    def begin(self, caller: TargetClient, sending: OutgoingRequest, now: float) -> None:
         """Send the request.
 
         Parameters
         ----------
-        caller : TargetCaller
+        caller : TargetClient
             Sends requests to targets.
-        sending : Sending
+        sending : OutgoingRequest
             The request.
         now : float
             Present time in seconds.
@@ -281,9 +281,9 @@
         self._is_over = True
         self._record.outcome = outcome
         self._record.ended_at = now
-        self._hop.end(target=self.name, outcome=outcome)
+        self._span.end(target=self.name, outcome=outcome)
         if self._is_held_up:
-            self._state.read_again(now)
+            self._state.resume_reading(now)
         self._state.ended()
         if self._run is not None and not is_whole:
             self._run.cancel()
@@ -293,7 +293,7 @@
         if self._is_over or self._is_held_up:
             return
         self._is_held_up = True
-        self._state.held_up()
+        self._state.pause_reading()
         if self._run is not None:
             self._run.pause()
 
@@ -308,7 +308,7 @@
         if self._is_over or not self._is_held_up:
             return
         self._is_held_up = False
-        self._state.read_again(now)
+        self._state.resume_reading(now)
         if self._run is not None:
             self._run.resume()
 
@@ -349,19 +349,19 @@
         """
         return self._splitter.feed(data)
 
-    def run_sent(self) -> None:
-        """Tell that it goes out; see `RunObserver.run_sent`."""
+    def request_sent(self) -> None:
+        """Tell that it goes out; see `ResponseObserver.request_sent`."""
         self._is_at_target = True
         if not self._is_over:
             self._listener.attempt_sent(self)
 
-    def run_not_sent(self, detail: str) -> None:
-        """Tell that nothing was sent; see `RunObserver.run_not_sent`."""
+    def request_not_sent(self, detail: str) -> None:
+        """Tell that nothing was sent; see `ResponseObserver.request_not_sent`."""
         if not self._is_over:
             self._listener.attempt_not_sent(self, detail)
 
-    def run_head(self, head: AnswerHead) -> None:
-        """Tell of the head; see `RunObserver.run_head`."""
+    def response_head(self, head: AnswerHead) -> None:
+        """Tell of the head; see `ResponseObserver.response_head`."""
         if self._is_over:
             return
         self._record.said_leaving = head.is_leaving
@@ -369,17 +369,17 @@
         self._record.is_rest_odd = head.is_rest_odd
         self._listener.attempt_head(self, head)
 
-    def run_data(self, data: bytes) -> None:
-        """Tell of bytes; see `RunObserver.run_data`."""
+    def response_data(self, data: bytes) -> None:
+        """Tell of bytes; see `ResponseObserver.response_data`."""
         if not self._is_over:
             self._listener.attempt_data(self, data)
 
-    def run_done(self) -> None:
-        """Tell that the answer is whole; see `RunObserver.run_done`."""
+    def response_done(self) -> None:
+        """Tell that the answer is whole; see `ResponseObserver.response_done`."""
         if not self._is_over:
             self._listener.attempt_done(self)
 
-    def run_cut(self, detail: str) -> None:
-        """Tell that the answer ended early; see `RunObserver.run_cut`."""
+    def response_lost(self, detail: str) -> None:
+        """Tell that the answer ended early; see `ResponseObserver.response_lost`."""
         if not self._is_over:
             self._listener.attempt_cut(self, detail)
--- a/src/primrosescale/request/target_room.py
+++ b/src/primrosescale/request/target_availability.py
@@ -18,7 +18,7 @@
     from primrosescale.request.target_state import TargetState
 
 
-class Standing(Enum):
+class TargetCondition(Enum):
     """What a target may be given; the first that holds counts."""
 
     LEAVING = "leaving"
@@ -49,7 +49,7 @@
     resting: int
 
 
-class TargetRoom:
+class TargetAvailability:
     """Says what each target may be given.
 
     Parameters
@@ -63,7 +63,7 @@
     def __init__(self, cold: ColdTargets | None = None) -> None:
         self._cold = cold
 
-    def standing(self, state: TargetState, now: float) -> Standing:
+    def condition(self, state: TargetState, now: float) -> TargetCondition:
         """Return the standing of a target.
 
         Parameters
@@ -75,18 +75,20 @@
 
         Returns
         -------
-        Standing
+        TargetCondition
             Its standing.
         """
         if state.is_leaving:
-            return Standing.LEAVING
+            return TargetCondition.LEAVING
         if not state.takes_work:
-            return Standing.EVACUATED
-        if state.statements.is_resting(now):
-            return Standing.RESTING
+            return TargetCondition.EVACUATED
+        if state.self_reports.has_requested_pause(now):
+            return TargetCondition.RESTING
         if self._cold is not None and self._cold.is_cold(state, now):
-            return Standing.COLD
-        return Standing.SUSPECT if state.is_avoided(now) else Standing.READY
+            return TargetCondition.COLD
+        return (
+            TargetCondition.SUSPECT if state.is_avoided(now) else TargetCondition.READY
+        )
 
     def open(self, states: Sequence[TargetState], now: float) -> OpenTargets:
         """Return those of some targets that may be sent a request now.
@@ -103,7 +105,7 @@
         OpenTargets
             Those that need not be waited for.
         """
-        rested = [state for state in states if not state.statements.wait(now)]
+        rested = [state for state in states if not state.self_reports.wait(now)]
         warm = rested if self._cold is None else self._cold.open(rested, now)
         return OpenTargets(warm, len(rested) - len(warm), len(states) - len(rested))
 
@@ -122,7 +124,7 @@
         float
             Seconds; 0 for now.
         """
-        rest = state.statements.wait(now)
+        rest = state.self_reports.wait(now)
         return rest if self._cold is None else max(rest, self._cold.wait(state, now))
 
     def shortest_wait(self, states: Iterable[TargetState], now: float) -> float | None:
--- a/src/primrosescale/request/target_choice.py
+++ b/src/primrosescale/request/target_choice.py
@@ -24,7 +24,7 @@
 from primrosescale.request.prompt_homes import home_of
 from primrosescale.request.prompt_homes import known_home
 from primrosescale.request.prompt_homes import shared_tokens
-from primrosescale.request.target_room import TargetRoom
+from primrosescale.request.target_availability import TargetAvailability
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -32,8 +32,8 @@
     from collections.abc import Sequence
     from random import Random
 
-    from primrosescale.request.incoming import Prompt
-    from primrosescale.request.part_directory import PartDirectory
+    from primrosescale.request.incoming_request import Prompt
+    from primrosescale.request.prefix_cache_index import PrefixCacheIndex
     from primrosescale.request.target_incarnation import TargetIncarnation
     from primrosescale.request.target_state import TargetState
 
@@ -45,7 +45,7 @@
 TIE_BREAK = 0.01
 # Age in seconds of the news of other routers beyond which the best target by it
 # would be the best for all of them at once.
-OLD_NEWS = 0.7
+STALE_LOAD_SECONDS = 0.7
 # Targets drawn by lot then; of more, the best would again be the same for many.
 DRAWN_TARGETS = 2
 # The load below which a target that holds the prompt is taken is drawn from
@@ -176,7 +176,7 @@
     @property
     def is_old(self) -> bool:
         """Tell whether others' requests are known too late to choose the best by."""
-        return self.age > OLD_NEWS
+        return self.age > STALE_LOAD_SECONDS
 
     def of(self, state: TargetState) -> float:
         """Return the requests at a target."""
@@ -190,7 +190,7 @@
     ----------
     settings : ChoiceSettings
         Weights.
-    parts : PartDirectory
+    parts : PrefixCacheIndex
         Where parts of prompts are cached.
     rng : Random
         Source of chance for ties and lots.
@@ -200,9 +200,9 @@
     relies_on_homes : Callable[[], bool]
         Returns whether routers are so many that they tell each other only of
         prompts that are elsewhere than at their homes.
-    room : TargetRoom | None
+    availability : TargetAvailability | None
         Says which targets may be sent a request now; None where none ever waits.
-    unlisted_of : Callable[[str], Sequence[TargetState]]
+    recently_delisted : Callable[[str], Sequence[TargetState]]
         Returns targets of a service whose entries are gone and that may still run.
     own_share : Callable[[str, int, float], int]
         Returns how many of the requests that all routers together may have at a
@@ -212,12 +212,12 @@
     def __init__(
         self,
         settings: ChoiceSettings,
-        parts: PartDirectory,
+        parts: PrefixCacheIndex,
         rng: Random,
         news_age: Callable[[], float] | None = None,
         relies_on_homes: Callable[[], bool] = lambda: False,
-        room: TargetRoom | None = None,
-        unlisted_of: Callable[[str], Sequence[TargetState]] = lambda _: (),
+        availability: TargetAvailability | None = None,
+        recently_delisted: Callable[[str], Sequence[TargetState]] = lambda _: (),
         own_share: Callable[[str, int, float], int] = lambda _, requests, __: requests,
     ) -> None:
         self._settings = settings
@@ -225,8 +225,8 @@
         self._rng = rng
         self._news_age = news_age
         self._relies_on_homes = relies_on_homes
-        self._room = room or TargetRoom()
-        self._unlisted_of = unlisted_of
+        self._availability = availability or TargetAvailability()
+        self._recently_delisted = recently_delisted
         self._own_share = own_share
 
     def configure(self, settings: ChoiceSettings) -> None:
@@ -239,7 +239,7 @@
         """
         self._settings = settings
 
-    def count_open(
+    def count_available(
         self,
         states: Sequence[TargetState],
         tried: Collection[TargetIncarnation],
@@ -265,7 +265,7 @@
             state.takes_work
             and state.incarnation not in tried
             and not state.is_avoided(now)
-            and not self._room.wait(state, now)
+            and not self._availability.wait(state, now)
             for state in states
         )
 
@@ -298,7 +298,7 @@
         if not serving:
             return None
         untried = [state for state in serving if state.incarnation not in tried]
-        allowed = self._room.open(untried, now)
+        allowed = self._availability.open(untried, now)
         usable = [state for state in allowed.states if not state.is_avoided(now)]
         usable = usable or allowed.states
         if not usable:
@@ -348,7 +348,7 @@
         departing = []
         if len(serving) < len(states):
             departing = [state for state in states if state.is_departing(now)]
-        for state in self._unlisted_of(states[0].target.service):
+        for state in self._recently_delisted(states[0].target.service):
             if state.seems_sound(now) and not any(state is item for item in serving):
                 departing.append(state)
         return departing
--- a/src/primrosescale/request/target_incarnation.py
+++ b/src/primrosescale/request/target_incarnation.py
@@ -26,7 +26,7 @@
     started_at: int | None = None
 
     @property
-    def is_named_by_id(self) -> bool:
+    def has_unique_name(self) -> bool:
         """Tell whether no other start can have its name: starts are not told."""
         return self.started_at is None
 
--- a/src/primrosescale/request/target_loads.py
+++ b/src/primrosescale/request/target_loads.py
@@ -46,7 +46,7 @@
         """Return how many targets' loads are kept."""
         return len(self._known)
 
-    def hear(self, target: str, load: int, now: float) -> None:
+    def record(self, target: str, load: int, now: float) -> None:
         """Take in a target's load.
 
         Parameters
--- a/src/primrosescale/request/target_state.py
+++ b/src/primrosescale/request/target_state.py
@@ -14,11 +14,11 @@
 from typing import TYPE_CHECKING
 
 from primrosescale.request.decaying_outcomes import DecayingOutcomes
-from primrosescale.request.target_statements import TargetStatements
+from primrosescale.request.target_statements import TargetSelfReports
 from primrosescale.request.told_counts import ToldCounts
 
 if TYPE_CHECKING:
-    from primrosescale.request.direct_port import AnswerHead
+    from primrosescale.request.forwarding_interfaces import AnswerHead
     from primrosescale.request.serving_target import ServingTarget
     from primrosescale.request.target_incarnation import TargetIncarnation
 
@@ -41,7 +41,7 @@
 SILENT_SECONDS = 0.45
 # Seconds for which a target is taken to end what it has, after it said in an answer
 # that it leaves, or after its entry went without notice.
-RUNS_ON_SECONDS = 3.0
+ASSUMED_DRAIN_SECONDS = 3.0
 # Share of failures from which on a target whose entry is gone is taken to have
 # crashed: what it had was lost.
 CRASHED_SHARE = 0.25
@@ -82,7 +82,7 @@
         The target.
     now : float
         Present time in seconds.
-    statements : TargetStatements | None
+    self_reports : TargetSelfReports | None
         What this incarnation of it said of itself while it was listed before.
     """
 
@@ -100,8 +100,8 @@
         "_report",
         "_report_at",
         "_returned_at",
+        "_self_reports",
         "_since",
-        "_statements",
         "_target",
         "_told",
         "_told_bad",
@@ -113,10 +113,10 @@
         self,
         target: ServingTarget,
         now: float,
-        statements: TargetStatements | None = None,
+        self_reports: TargetSelfReports | None = None,
     ) -> None:
         self._target = target
-        self._statements = statements or TargetStatements()
+        self._self_reports = self_reports or TargetSelfReports()
         self._incarnation = target.incarnation
         self._since = now
         self._own = 0
@@ -133,7 +133,7 @@
         self._heard_at = now
         self._waited_for_since = now
         self._evacuated_at: float | None = None
-        self._cold_until = now + target.warming_for
+        self._cold_until = now + target.warm_up_seconds
         # Since when it may have been unseen no longer; it is taken to be cold then.
         self._returned_at = -math.inf
 
@@ -153,7 +153,7 @@
         return self._own
 
     @property
-    def heard_at(self) -> float:
+    def last_received_at(self) -> float:
         """Return when bytes last came from it, in seconds."""
         return self._heard_at
 
@@ -167,12 +167,12 @@
         """Tell whether it gets new requests: it neither leaves nor is evacuated."""
         if self._evacuated_at is not None or self._target.is_draining:
             return False
-        return not self._statements.is_leaving
+        return not self._self_reports.is_leaving
 
     @property
     def is_leaving(self) -> bool:
         """Tell whether it leaves, by its entry or by an answer of its own."""
-        return self._target.is_draining or self._statements.is_leaving
+        return self._target.is_draining or self._self_reports.is_leaving
 
     def is_departing(self, now: float) -> bool:
         """Tell whether it leaves and is known to run still.
@@ -189,7 +189,7 @@
         """
         if self._target.is_draining:
             return True
-        return now - self._statements.leaving_since < RUNS_ON_SECONDS
+        return now - self._self_reports.leaving_since < ASSUMED_DRAIN_SECONDS
 
     def seems_sound(self, now: float) -> bool:
         """Tell whether nothing known of it speaks for its having crashed.
@@ -207,16 +207,16 @@
         return not self.is_avoided(now) and self.failure_share(now) < CRASHED_SHARE
 
     @property
-    def statements(self) -> TargetStatements:
+    def self_reports(self) -> TargetSelfReports:
         """Return what it said of itself."""
-        return self._statements
+        return self._self_reports
 
     @property
     def slots(self) -> int:
         """Return how many requests it runs at once; at least 1."""
         return max(1, self._report.slots or self._target.slots)
 
-    def relist(self, target: ServingTarget) -> None:
+    def update_entry(self, target: ServingTarget) -> None:
         """Take in a changed entry of the list.
 
         Parameters
@@ -240,7 +240,7 @@
         if self._evacuated_at is None:
             self._evacuated_at = now
 
-    def take_back(self, now: float) -> None:
+    def end_evacuation(self, now: float) -> None:
         """Take in that its failure domain gets requests again.
 
         Parameters
@@ -250,9 +250,9 @@
         """
         if self._evacuated_at is not None:
             self._evacuated_at = None
-            self.returned(now)
+            self.assume_cold_from(now)
 
-    def returned(self, now: float) -> None:
+    def assume_cold_from(self, now: float) -> None:
         """Take in that it may have lost its caches while it was not seen.
 
         Parameters
@@ -262,7 +262,7 @@
         """
         self._returned_at = max(self._returned_at, now)
 
-    def told_cold(self, cold_for: float, now: float) -> None:
+    def set_cold_for(self, cold_for: float, now: float) -> None:
         """Take in how long its entry says that it stays cold.
 
         Parameters
@@ -289,7 +289,7 @@
         """
         return max(
             self._cold_until,
-            self._statements.cold_until,
+            self._self_reports.cold_until,
             self._returned_at + cold_seconds,
         )
 
@@ -322,20 +322,20 @@
         """
         self._wait_from(now)
         self._own += 1
-        self._statements.sent(now)
+        self._self_reports.sent(now)
 
     def ended(self) -> None:
         """Count a request that is no longer there."""
         self._own = max(0, self._own - 1)
 
-    def held_up(self) -> None:
+    def pause_reading(self) -> None:
         """Take in that no bytes of a request there are read: its caller is slow.
 
         A target whose bytes nobody reads must not be taken for a silent one.
         """
         self._held_up += 1
 
-    def read_again(self, now: float) -> None:
+    def resume_reading(self, now: float) -> None:
         """Take in that bytes of a request that was held up are read again.
 
         Parameters
@@ -366,12 +366,12 @@
         bool
             Whether it says something new that bears on what it may be given.
         """
-        self.heard(now)
+        self.bytes_received(now)
         if head.load is not None:
-            self.reported(head.load, now)
-        return self._statements.take(head, self.slots, now)
+            self.set_load(head.load, now)
+        return self._self_reports.take(head, self.slots, now)
 
-    def heard(self, now: float) -> None:
+    def bytes_received(self, now: float) -> None:
         """Take in that bytes came from it.
 
         Parameters
@@ -381,7 +381,7 @@
         """
         self._heard_at = now
 
-    def reported(self, report: LoadReport, now: float) -> None:
+    def set_load(self, report: LoadReport, now: float) -> None:
         """Take in a report of its load.
 
         Parameters
@@ -395,7 +395,7 @@
         self._report_at = now
         self._own_at_report = self._own
 
-    def hear_router(self, router: str, running: int, fresh_until: float) -> None:
+    def set_peer_requests(self, router: str, running: int, fresh_until: float) -> None:
         """Take in how many requests another router has there.
 
         Parameters
@@ -409,7 +409,7 @@
         """
         self._told.put(router, running, fresh_until)
 
-    def hear_outcomes(
+    def set_peer_outcomes(
         self, router: str, good: float, bad: float, fresh_until: float
     ) -> None:
         """Take in what outcomes another router has seen lately.
@@ -522,9 +522,9 @@
         self._failures += 1
         self._paused_until = now + pause
         # A target that was lost may have started again under its name.
-        self.returned(self._paused_until)
+        self.assume_cold_from(self._paused_until)
 
-    def late(self, now: float) -> None:
+    def answered_late(self, now: float) -> None:
         """Take in an answer that began after its objective.
 
         Parameters
--- a/src/primrosescale/request/target_statements.py
+++ b/src/primrosescale/request/target_statements.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from primrosescale.request.direct_port import AnswerHead
+    from primrosescale.request.forwarding_interfaces import AnswerHead
     from primrosescale.request.target_incarnation import TargetIncarnation
 
 # Targets that are no longer listed whose statements are kept; those kept first go.
@@ -26,7 +26,7 @@
 ROOM_PER_ANSWER = 2
 
 
-class TargetStatements:
+class TargetSelfReports:
     """What one incarnation of a target has said of itself.
 
     After a rest it gets one request, and two more for each that it answers, until
@@ -63,7 +63,7 @@
         """Tell whether it rests, or rested lately, so that it may get few requests."""
         return self._room is not None
 
-    def hear_leaving(self, now: float) -> bool:
+    def set_leaving(self, now: float) -> bool:
         """Take in that it said that it leaves, here or to another router.
 
         Parameters
@@ -96,7 +96,7 @@
         """
         return self.is_leaving or self.is_limited or now < self._cold_until
 
-    def is_resting(self, now: float) -> bool:
+    def has_requested_pause(self, now: float) -> bool:
         """Tell whether it wants no requests now.
 
         Parameters
@@ -163,14 +163,14 @@
         """
         if head.cold_for is not None:
             self._cold_until = now + head.cold_for
-        is_news = head.is_leaving and self.hear_leaving(now)
+        is_worth_sharing = head.is_leaving and self.set_leaving(now)
         if head.rest is not None:
-            is_news = is_news or now >= self._rests_until
+            is_worth_sharing = is_worth_sharing or now >= self._rests_until
             self._rests_until = max(self._rests_until, now + head.rest)
             self._room = 1
         elif not head.is_not_run:
             self._make_room(slots, now)
-        return is_news
+        return is_worth_sharing
 
     def _make_room(self, slots: int, now: float) -> None:
         """Take in an answer that may be one to a request since the rest."""
@@ -181,7 +181,7 @@
             self._room = None
 
 
-class KeptStatements:
+class RetainedSelfReports:
     """Statements of targets that are not listed at the moment, by incarnation.
 
     An entry may lapse and be written again while its target lives.
@@ -190,14 +190,17 @@
     __slots__ = ("_kept",)
 
     def __init__(self) -> None:
-        self._kept: dict[TargetIncarnation, TargetStatements] = {}
+        self._kept: dict[TargetIncarnation, TargetSelfReports] = {}
 
     def __len__(self) -> int:
         """Return of how many targets there are any."""
         return len(self._kept)
 
     def keep(
-        self, incarnation: TargetIncarnation, statements: TargetStatements, now: float
+        self,
+        incarnation: TargetIncarnation,
+        self_reports: TargetSelfReports,
+        now: float,
     ) -> None:
         """Keep what a target said whose entry is gone.
 
@@ -205,18 +208,18 @@
         ----------
         incarnation : TargetIncarnation
             The target.
-        statements : TargetStatements
+        self_reports : TargetSelfReports
             What it said.
         now : float
             Present time in seconds.
         """
-        if not statements.is_in_force(now):
+        if not self_reports.is_in_force(now):
             return
-        self._kept[incarnation] = statements
+        self._kept[incarnation] = self_reports
         if len(self._kept) > MOST_KEPT:
             del self._kept[next(iter(self._kept))]
 
-    def take_back(self, incarnation: TargetIncarnation) -> TargetStatements:
+    def pop(self, incarnation: TargetIncarnation) -> TargetSelfReports:
         """Return what a target said that is listed now; empty for a new one.
 
         Parameters
@@ -226,7 +229,7 @@
 
         Returns
         -------
-        TargetStatements
+        TargetSelfReports
             Its statements, kept here no longer.
         """
-        return self._kept.pop(incarnation, None) or TargetStatements()
+        return self._kept.pop(incarnation, None) or TargetSelfReports()
--- a/src/primrosescale/request/hop.py
+++ b/src/primrosescale/request/trace_span.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 
-class Hop(ABC):
+class TraceSpan(ABC):
     """One hop of a request: its stay at one process, or at one target."""
 
     @property
@@ -26,7 +26,7 @@
         """
 
 
-class UntracedHop(Hop):
+class UnrecordedSpan(TraceSpan):
     """A hop of a request that nobody traces here.
 
     Parameters
@@ -42,11 +42,11 @@
 
     @property
     def traceparent(self) -> str:
-        """Return what the hop before said; see `Hop.traceparent`."""
+        """Return what the hop before said; see `TraceSpan.traceparent`."""
         return self._traceparent
 
     def end(self, **attributes: Any) -> None:
-        """Do nothing; see `Hop.end`."""
+        """Do nothing; see `TraceSpan.end`."""
 
 
-NO_HOP = UntracedHop()
+NO_SPAN = UnrecordedSpan()
--- a/src/primrosescale/request/fresh_answers.py
+++ b/src/primrosescale/request/unconfirmed_answers.py
@@ -14,14 +14,14 @@
     from primrosescale.request.target_state import TargetState
 
 # A target that is heard from so many seconds after an answer did not end under it.
-PROOF_SECONDS = 0.25
+CONFIRMATION_SECONDS = 0.25
 # Seconds after which an answer counts though nothing was heard since: by then the
 # entry of a target that had ended would be gone.
-LONGEST_WAIT = 5.0
+MAX_UNCONFIRMED_SECONDS = 5.0
 MOST_FRESH = 2048
 
 
-class FreshAnswer(NamedTuple):
+class UnconfirmedAnswer(NamedTuple):
     """A request that was answered whole, and where.
 
     Parameters
@@ -54,12 +54,12 @@
         bool
             Whether it lived on, or its end would be known by now.
         """
-        is_sure = self.state.incarnation.is_named_by_id
-        if is_sure and self.state.heard_at >= self.at + PROOF_SECONDS:
+        is_sure = self.state.incarnation.has_unique_name
+        if is_sure and self.state.last_received_at >= self.at + CONFIRMATION_SECONDS:
             return True
-        return now - self.at >= LONGEST_WAIT
+        return now - self.at >= MAX_UNCONFIRMED_SECONDS
 
-    def is_just_before(self, lost_at: float | None) -> bool:
+    def may_have_ended_target(self, lost_at: float | None) -> bool:
         """Tell whether its target, which has ended, ended just after it.
 
         Parameters
@@ -73,35 +73,35 @@
         bool
             Whether the target may have ended under it.
         """
-        last = self.state.heard_at if lost_at is None else lost_at
-        return last < self.at + PROOF_SECONDS
+        last = self.state.last_received_at if lost_at is None else lost_at
+        return last < self.at + CONFIRMATION_SECONDS
 
 
-class FreshAnswers:
+class UnconfirmedAnswers:
     """The last whole answers, the oldest first."""
 
     __slots__ = ("_answers",)
 
     def __init__(self) -> None:
-        self._answers: list[FreshAnswer] = []
+        self._answers: list[UnconfirmedAnswer] = []
 
     def __len__(self) -> int:
         """Return how many have proved nothing yet."""
         return len(self._answers)
 
-    def add(self, answer: FreshAnswer) -> None:
+    def add(self, answer: UnconfirmedAnswer) -> None:
         """Take in an answer; the oldest makes room.
 
         Parameters
         ----------
-        answer : FreshAnswer
+        answer : UnconfirmedAnswer
             The answer.
         """
         self._answers.append(answer)
         if len(self._answers) > MOST_FRESH:
             del self._answers[0]
 
-    def take_proved(self, now: float) -> list[FreshAnswer]:
+    def take_confirmed(self, now: float) -> list[UnconfirmedAnswer]:
         """Return the answers whose targets did not end under them, once.
 
         Parameters
@@ -111,7 +111,7 @@
 
         Returns
         -------
-        list[FreshAnswer]
+        list[UnconfirmedAnswer]
             The answers, the oldest first.
         """
         proved = [answer for answer in self._answers if answer.is_proved(now)]
@@ -119,7 +119,7 @@
             self._answers = [a for a in self._answers if not a.is_proved(now)]
         return proved
 
-    def has_any(self, target: int) -> bool:
+    def has_from(self, target: int) -> bool:
         """Tell whether a target has answered just now.
 
         Parameters
@@ -134,7 +134,7 @@
         """
         return any(answer.target == target for answer in self._answers)
 
-    def take_at(self, target: int) -> list[FreshAnswer]:
+    def take_from(self, target: int) -> list[UnconfirmedAnswer]:
         """Return the answers of a target that has ended, once.
 
         Parameters
@@ -144,7 +144,7 @@
 
         Returns
         -------
-        list[FreshAnswer]
+        list[UnconfirmedAnswer]
             The answers, the oldest first.
         """
         there = [answer for answer in self._answers if answer.target == target]
--- a/src/primrosescale/request/work.py
+++ b/src/primrosescale/request/work_estimate.py
@@ -101,7 +101,7 @@
         self._output += LEARNING_RATE * (output - self._output)
 
 
-def tokens_of(size: int) -> int:
+def estimate_tokens(size: int) -> int:
     """Return the tokens that a text of a size is taken to have.
 
     Parameters
--- a/src/primrosescale/standin/engine.py
+++ b/src/primrosescale/standin/engine.py
@@ -12,7 +12,7 @@
 from twisted.web.server import NOT_DONE_YET
 
 from primrosescale.process.transport.http_bodies import request_body
-from primrosescale.request.work import tokens_of
+from primrosescale.request.work_estimate import estimate_tokens
 
 if TYPE_CHECKING:
     from twisted.web.server import Request
@@ -342,7 +342,7 @@
             request,
             self,
             request.getHeader("X-Chat") or "",
-            tokens_of(len(body)),
+            estimate_tokens(len(body)),
             output,
             is_streamed=bool(fields.get("stream")),
         ).begin()
--- a/src/primrosescale/version/head.py
+++ b/src/primrosescale/version/head.py
@@ -128,7 +128,7 @@
     return key.sign(signed_bytes(digest))
 
 
-class HeadCheck:
+class HeadVerifier:
     """Decides which heads a process takes.
 
     Parameters
--- a/src/primrosescale/version/records.py
+++ b/src/primrosescale/version/records.py
@@ -179,7 +179,7 @@
     "target": TargetRecord,
     "operator": OperatorRecord,
 }
-SCATTERED_KIND = "organisation"
+SHARDED_KIND = "organisation"
 
 
 @dataclass(frozen=True, slots=True, order=True)
--- a/src/primrosescale/version/routing_table.py
+++ b/src/primrosescale/version/routing_table.py
@@ -15,7 +15,7 @@
     from collections.abc import Mapping
 
 
-class Repeatability(Enum):
+class RetryPolicy(Enum):
     """Whether a request may run more than once."""
 
     IDEMPOTENT = "idempotent"
@@ -53,7 +53,7 @@
         What the path begins with.
     services : tuple[WeightedService, ...]
         Where it leads.
-    repeatability : Repeatability
+    retry_policy : RetryPolicy
         Whether its requests may run twice.
     is_resumable : bool
         Whether a broken stream may go on at another target.
@@ -69,7 +69,7 @@
         Targets that one request may be sent to.
     priority : int
         Rank of its requests; 0 is the most urgent.
-    is_open : bool
+    allows_anonymous : bool
         Whether no key is needed.
     allowed_regions : frozenset[str]
         Regions whose targets may get its requests; empty for all.
@@ -79,7 +79,7 @@
     host: str
     path_prefix: str
     services: tuple[WeightedService, ...]
-    repeatability: Repeatability
+    retry_policy: RetryPolicy
     is_resumable: bool
     has_prompt: bool
     timeout: float
@@ -87,20 +87,20 @@
     gap_objective: float
     max_targets: int
     priority: int
-    is_open: bool
+    allows_anonymous: bool
     allowed_regions: frozenset[str] = frozenset()
 
     @property
-    def may_repeat(self) -> bool:
+    def may_retry(self) -> bool:
         """Tell whether a request may be sent again after it may have run."""
-        if self.repeatability is Repeatability.STREAM:
+        if self.retry_policy is RetryPolicy.STREAM:
             return self.is_resumable
-        return self.repeatability is Repeatability.IDEMPOTENT
+        return self.retry_policy is RetryPolicy.IDEMPOTENT
 
     @property
     def is_stream(self) -> bool:
         """Tell whether its answers are series of events."""
-        return self.repeatability is Repeatability.STREAM
+        return self.retry_policy is RetryPolicy.STREAM
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/src/primrosescale/version/section.py
+++ b/src/primrosescale/version/section.py
@@ -21,7 +21,7 @@
 
 from primrosescale.version.exceptions import SectionError
 from primrosescale.version.records import CLASS_BY_KIND
-from primrosescale.version.records import SCATTERED_KIND
+from primrosescale.version.records import SHARDED_KIND
 from primrosescale.version.records import OptionText
 from primrosescale.version.records import RecordName
 from primrosescale.version.records import RecordText
@@ -258,7 +258,7 @@
             )
             for label, subs in scattered.items()
         }
-        branches.append(Branch(SCATTERED_KIND, _add_index(groups, sections)))
+        branches.append(Branch(SHARDED_KIND, _add_index(groups, sections)))
     branches.sort(key=lambda branch: branch.label)
     root = Root(version, base, author, created_ms, tuple(branches))
     top = Section.of(root.encode())
@@ -320,14 +320,14 @@
     """
     spread = xxh3_64_intdigest(name.name.encode())
     leaf = f"{spread % FAN_OUT:x}"
-    if name.kind != SCATTERED_KIND:
+    if name.kind != SHARDED_KIND:
         return RecordPlace(name.kind, "", leaf)
     subgroup = f"{spread // FAN_OUT % FAN_OUT:x}"
     group = spread // FAN_OUT**2 % FAN_OUT
     return RecordPlace(f"{name.kind}-{group:x}", subgroup, leaf)
 
 
-def decode_group(section: Section) -> tuple[Branch, ...]:
+def decode_index(section: Section) -> tuple[Branch, ...]:
     """Return the parts that an index names.
 
     Parameters
--- a/src/primrosescale/version/view.py
+++ b/src/primrosescale/version/view.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 from typing import TypeVar
 
-from primrosescale.version.records import SCATTERED_KIND
+from primrosescale.version.records import SHARDED_KIND
 from primrosescale.version.records import ModelRecord
 from primrosescale.version.records import OperatorRecord
 from primrosescale.version.records import OrganisationRecord
@@ -210,7 +210,7 @@
         OrganisationRecord | None
             The organisation, if there is one.
         """
-        place = place_of(RecordName(SCATTERED_KIND, name))
+        place = place_of(RecordName(SHARDED_KIND, name))
         group = self._groups.get(place.group)
         return None if group is None else group.organisations.get(name)
 
--- a/tests/adapter/test_engine_calls.py
+++ b/tests/adapter/test_engine_calls.py
@@ -10,9 +10,9 @@
 
 from entry.fakes import target
 from primrosescale.platform.engine_calls import EngineCaches
-from primrosescale.process.entry.codec import HeldParts
+from primrosescale.process.entry.codec import EngineCacheContents
 from primrosescale.process.exceptions import TargetError
-from primrosescale.request.incoming import PromptPart
+from primrosescale.request.incoming_request import PromptPart
 from support.live import DeploymentRunTest
 from support.live import LiveTest
 
@@ -44,12 +44,12 @@
     @inlineCallbacks
     def test_the_start_is_read_with_the_parts(self):
         found = yield self.read(born=BORN)
-        self.assertEqual(HeldParts(PARTS, BORN), found)
+        self.assertEqual(EngineCacheContents(PARTS, BORN), found)
 
     @inlineCallbacks
     def test_it_need_not_be_told(self):
         found = yield self.read()
-        self.assertEqual(HeldParts(PARTS, None), found)
+        self.assertEqual(EngineCacheContents(PARTS, None), found)
 
     @inlineCallbacks
     def test_an_odd_start_makes_the_answer_odd(self):
--- a/tests/adapter/test_foreign_records.py
+++ b/tests/adapter/test_foreign_records.py
@@ -94,7 +94,7 @@
                 found.domain,
                 found.slots,
                 found.is_draining,
-                found.warming_for,
+                found.warm_up_seconds,
             ),
         )
         self.assertEqual(1764720000000, found.started_at)
@@ -104,7 +104,7 @@
         found = decode_target(
             stored("servers/i-1", {name: TARGET[name] for name in needed})
         )
-        self.assertEqual((0.0, None), (found.warming_for, found.started_at))
+        self.assertEqual((0.0, None), (found.warm_up_seconds, found.started_at))
 
     def test_what_a_target_is_called_and_loaded_by_may_not_be_missing(self):
         for name in ("service", "address", "zone", "state", "slots"):
@@ -279,7 +279,7 @@
             self.assertTrue(0 < found.endpoint.port < 65536)
         if kind == 0:
             self.assertIs(int, type(found.slots))
-            self.assertTrue(0 <= found.warming_for <= 86_400)
+            self.assertTrue(0 <= found.warm_up_seconds <= 86_400)
             self.assertIn(type(found.started_at), (int, type(None)))
 
     @drawn(200)
--- a/tests/adapter/test_translation.py
+++ b/tests/adapter/test_translation.py
@@ -24,10 +24,10 @@
 from primrosescale.platform.records import decode_routing_table
 from primrosescale.platform.records import decode_target
 from primrosescale.process.transport.platform import StoredObject
-from primrosescale.request.direct_port import Refusal
-from primrosescale.request.direct_port import Sending
-from primrosescale.request.retry_after import LONGEST_REST
-from primrosescale.version.routing_table import Repeatability
+from primrosescale.request.forwarding_interfaces import OutgoingRequest
+from primrosescale.request.forwarding_interfaces import Refusal
+from primrosescale.request.retry_after import MAX_PAUSE_SECONDS
+from primrosescale.version.routing_table import RetryPolicy
 
 SOURCE = Path(__file__).resolve().parent.parent.parent / "src/primrosescale"
 
@@ -90,9 +90,9 @@
         table = decode_routing_table(stored(CONFIGURATION))
         route = table.route("desk.example", "/p/x")
         self.assertEqual((7, 12.0, 0.6, 0.8), self.times(table, route))
-        self.assertTrue(route.may_repeat and route.has_prompt and route.is_stream)
+        self.assertTrue(route.may_retry and route.has_prompt and route.is_stream)
         other = table.route("desk.example:80", "/q/")
-        self.assertEqual(Repeatability.ONCE, other.repeatability)
+        self.assertEqual(RetryPolicy.ONCE, other.retry_policy)
         self.assertEqual(["a", "b"], [item.service for item in other.services])
         self.assertEqual("bakery", table.organisation("k2").name)
         self.assertEqual(9, table.service("llm").cache_tokens)
@@ -112,7 +112,7 @@
             "routes": [{**CONFIGURATION["routes"][0], "kind": "new"}],
         }
         table = decode_routing_table(stored(odd))
-        self.assertFalse(table.route("desk.example", "/p/").may_repeat)
+        self.assertFalse(table.route("desk.example", "/p/").may_retry)
 
     def test_a_record_that_cannot_be_read_is_one_clear_error(self):
         for odd in (
@@ -251,7 +251,7 @@
         self.assertEqual(expected, names)
 
     def test_a_target_gets_what_the_router_decided(self):
-        sending = Sending(
+        sending = OutgoingRequest(
             request=replace(request(STREAM), prompt=prompt(("a", 1), ("b", 2))),
             target=target("m1"),
             time_left=0.75,
@@ -285,7 +285,7 @@
         )
         found = self.codec.answer_head(200, headers, 5)
         self.assertEqual(
-            ("r1", True, 5), (found.request_id, found.is_receipted, found.length)
+            ("r1", True, 5), (found.request_id, found.has_receipt, found.length)
         )
         self.assertEqual(
             (3, 1, 8), (found.load.running, found.load.waiting, found.load.slots)
@@ -318,7 +318,9 @@
         date = "Wed, 21 Oct 2026 07:28:00 GMT"
         self.assertIsNone(self.answer(503, Retry_After=[date]).rest)
         for value in ("1e9", "inf", "1e999"):
-            self.assertEqual(LONGEST_REST, self.answer(503, Retry_After=[value]).rest)
+            self.assertEqual(
+                MAX_PAUSE_SECONDS, self.answer(503, Retry_After=[value]).rest
+            )
         self.assertEqual(5.0, self.answer(503, Retry_After=["2", "5", "odd"]).rest)
 
     def test_odd_rests_are_marked(self):
--- a/tests/connection/test_rest_limit.py
+++ b/tests/connection/test_rest_limit.py
@@ -14,7 +14,7 @@
 
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.connection.rest_limit import DISTRUST_SECONDS
-from primrosescale.connection.rest_limit import RestLimit
+from primrosescale.connection.rest_limit import IdleLimit
 from primrosescale.connection.target_channel import ChannelPool
 from support.live import DeploymentRunTest
 from support.live import LiveTest
@@ -26,7 +26,7 @@
 class RestLimitTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.limit = RestLimit()
+        self.limit = IdleLimit()
 
     def test_any_rest_is_allowed_until_one_was_too_long(self):
         self.assertTrue(self.limit.allows(60.0, START))
@@ -55,7 +55,7 @@
 class RestLimitSourcesTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.limit = RestLimit()
+        self.limit = IdleLimit()
         self.limit.lost(0.4, 100.0, "p1")
         self.limit.lost(2.0, 105.0, "p2")
 
@@ -93,7 +93,7 @@
         port = reactor.listenTCP(0, Factory.forProtocol(Forgetful), 50, "127.0.0.1")
         self.addCleanup(port.stopListening)
         endpoint = Endpoint("127.0.0.1", port.getHost().port)
-        self.limit = RestLimit()
+        self.limit = IdleLimit()
         self.pool = ChannelPool(reactor, endpoint, 1.0, self.limit)
         self.addCleanup(self.pool.close)
 
--- a/tests/entry/fakes.py
+++ b/tests/entry/fakes.py
@@ -8,25 +8,25 @@
 from twisted.internet.task import Clock
 
 from primrosescale.connection.endpoint import Endpoint
-from primrosescale.request.direct_port import AnswerHead
-from primrosescale.request.direct_port import CallerSink
-from primrosescale.request.direct_port import Run
-from primrosescale.request.direct_port import TargetCaller
-from primrosescale.request.forward_tools import ForwardSettings
-from primrosescale.request.forward_tools import ForwardTools
+from primrosescale.request.forward_tools import ForwardingContext
+from primrosescale.request.forward_tools import ForwardingSettings
 from primrosescale.request.forwarded_call import ForwardedCall
-from primrosescale.request.incoming import IncomingRequest
-from primrosescale.request.incoming import Prompt
-from primrosescale.request.incoming import PromptPart
-from primrosescale.request.part_directory import PartDirectory
-from primrosescale.request.repeat_budget import RepeatBounds
-from primrosescale.request.repeat_budget import RepeatBudget
+from primrosescale.request.forwarding_interfaces import AnswerHead
+from primrosescale.request.forwarding_interfaces import CallerSink
+from primrosescale.request.forwarding_interfaces import InFlightRequest
+from primrosescale.request.forwarding_interfaces import TargetClient
+from primrosescale.request.incoming_request import IncomingRequest
+from primrosescale.request.incoming_request import Prompt
+from primrosescale.request.incoming_request import PromptPart
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 from primrosescale.request.serving_target import ServingTarget
+from primrosescale.request.shared_retry_budget import SharedRetryBudget
+from primrosescale.request.shared_retry_budget import SharedRetryLimits
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
 from primrosescale.request.target_incarnation import TargetIncarnation
 from primrosescale.request.target_state import TargetState
-from primrosescale.version.routing_table import Repeatability
+from primrosescale.version.routing_table import RetryPolicy
 from primrosescale.version.routing_table import Route
 from primrosescale.version.routing_table import WeightedService
 
@@ -37,7 +37,7 @@
     host="desk.example",
     path_prefix="/stories/",
     services=(WeightedService("model", 1.0),),
-    repeatability=Repeatability.STREAM,
+    retry_policy=RetryPolicy.STREAM,
     is_resumable=True,
     has_prompt=True,
     timeout=12.0,
@@ -45,14 +45,14 @@
     gap_objective=0.8,
     max_targets=2,
     priority=1,
-    is_open=False,
+    allows_anonymous=False,
 )
 LOOKUP = replace(
     STREAM,
     name="lookup",
     path_prefix="/lookup/",
     services=(WeightedService("portal", 1.0),),
-    repeatability=Repeatability.IDEMPOTENT,
+    retry_policy=RetryPolicy.IDEMPOTENT,
     is_resumable=False,
     has_prompt=False,
     timeout=0.8,
@@ -63,13 +63,13 @@
     LOOKUP,
     name="confirmation",
     path_prefix="/confirm/",
-    repeatability=Repeatability.ONCE,
+    retry_policy=RetryPolicy.ONCE,
     max_targets=1,
 )
 FRAGILE_STREAM = replace(STREAM, name="drafts", is_resumable=False, max_targets=1)
 
 
-def life(name, started_at=None):
+def make_incarnation(name, started_at=None):
     return TargetIncarnation(name, started_at)
 
 
@@ -115,7 +115,7 @@
         "status": status,
         "headers": (),
         "request_id": "r1",
-        "is_receipted": True,
+        "has_receipt": True,
         "is_not_run": False,
         "is_other_incarnation": False,
         "load": None,
@@ -128,7 +128,7 @@
     return b"id: %d\ndata: x\n\n" % number
 
 
-class FakeRun(Run):
+class FakeRun(InFlightRequest):
     def __init__(self, sending, observer):
         self.sending = sending
         self.observer = observer
@@ -150,13 +150,13 @@
         self.is_paused = False
 
     def answer(self, status=200, body=b"", **fields):
-        self.observer.run_head(head(status, **fields))
+        self.observer.response_head(head(status, **fields))
         if body:
-            self.observer.run_data(body)
-        self.observer.run_done()
+            self.observer.response_data(body)
+        self.observer.response_done()
 
 
-class FakeCaller(TargetCaller):
+class FakeCaller(TargetClient):
     """Records what is sent.
 
     Targets named in `unreachable` refuse at once; to those in `opening` a
@@ -173,26 +173,26 @@
         run = FakeRun(sending, observer)
         self.runs.append(run)
         if sending.target.name in self.unreachable:
-            observer.run_not_sent("refused")
+            observer.request_not_sent("refused")
         elif sending.target.name in self.opening:
             run.is_opening = True
         else:
-            observer.run_sent()
+            observer.request_sent()
         return run
 
     def check(self, target, on_check):
         self.checks.append((target, on_check))
 
-    def end_former(self, present):
+    def abort_former(self, present):
         """End runs as the transport does, told in the same words."""
         for run in list(self.runs):
             former = run.sending.target.incarnation
             if former.name != present.name or not former.is_followed_by(present):
                 continue
             if run.is_opening:
-                run.observer.run_not_sent("target started again")
+                run.observer.request_not_sent("target started again")
             else:
-                run.observer.run_cut("target started again")
+                run.observer.response_lost("target started again")
 
     @property
     def last(self):
@@ -217,7 +217,7 @@
     def finish(self):
         self.is_finished = True
 
-    def break_off(self):
+    def abort(self):
         self.is_broken = True
 
     def refuse(self, refusal, retry_after):
@@ -225,7 +225,7 @@
         self.retry_after = retry_after
 
 
-class Desk:
+class ForwardingHarness:
     """A router's deciding objects around fakes, on a virtual clock."""
 
     def __init__(self, targets, *, extra=20.0, choice=None):
@@ -233,14 +233,14 @@
         self.clock.advance(START)
         rng = random.Random(7)
         self.states = [TargetState(item, START) for item in targets]
-        self.parts = PartDirectory()
+        self.parts = PrefixCacheIndex()
         self.caller = FakeCaller()
-        self.budget = RepeatBudget(RepeatBounds(0.2, 10.0, extra))
-        self.parts_told = 0
+        self.budget = SharedRetryBudget(SharedRetryLimits(0.2, 10.0, extra))
+        self.parts_reports = 0
         self.ended = []
         self.silences = []
-        self.tools = ForwardTools(
-            settings=ForwardSettings(),
+        self.tools = ForwardingContext(
+            settings=ForwardingSettings(),
             clock=self.clock,
             rng=rng,
             caller=self.caller,
@@ -256,7 +256,7 @@
         )
 
     def _parts_changed(self):
-        self.parts_told += 1
+        self.parts_reports += 1
 
     def state(self, name):
         return next(s for s in self.states if s.target.name == name)
@@ -268,7 +268,7 @@
         begun = replace(former, started_at=started_at, is_draining=False, **fields)
         self.states[place] = TargetState(begun, self.clock.seconds())
         self.parts.forget_target(former.incarnation)
-        self.caller.end_former(begun.incarnation)
+        self.caller.abort_former(begun.incarnation)
 
     def call(self, incoming):
         sink = FakeSink()
--- a/tests/entry/test_allowed_regions.py
+++ b/tests/entry/test_allowed_regions.py
@@ -11,21 +11,21 @@
 from entry.fakes import LOOKUP
 from entry.fakes import START
 from entry.fakes import STREAM
-from entry.fakes import Desk
+from entry.fakes import ForwardingHarness
 from entry.fakes import event
 from entry.fakes import head
-from entry.fakes import life
+from entry.fakes import make_incarnation
 from entry.fakes import prompt
 from entry.fakes import request
 from entry.fakes import target
 from primrosescale.platform.exceptions import RecordError
 from primrosescale.platform.records import decode_routing_table
 from primrosescale.process.transport.platform import StoredObject
-from primrosescale.request.direct_port import Refusal
+from primrosescale.request.forwarding_interfaces import Refusal
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.gate import CallerHead
-from primrosescale.request.gate import Gate
-from primrosescale.request.part_directory import PartUse
+from primrosescale.request.prefix_cache_index import PartUse
+from primrosescale.request.request_resolver import CallerHead
+from primrosescale.request.request_resolver import RequestResolver
 from primrosescale.version.routing_table import Organisation
 from primrosescale.version.routing_table import RoutingTable
 from support.entry_site import configuration
@@ -57,7 +57,9 @@
             last_event=None,
             headers=(),
         )
-        judged = Gate(freshness, 3.0, random.Random(1)).judge(caller, b"", table, START)
+        judged = RequestResolver(freshness, 3.0, random.Random(1)).resolve(
+            caller, b"", table, START
+        )
         return judged.allowed_regions
 
     def test_either_binds_and_both_do_where_both_are_told(self):
@@ -109,43 +111,45 @@
             for kind, service in (("p", "portal"), ("m", "model"))
             for n, domain in enumerate("abc", 1)
         ]
-        self.desk = Desk([*targets, target("m9", domain="unknown")])
-        self.desk.tools.regions = REGIONS
+        self.harness = ForwardingHarness([*targets, target("m9", domain="unknown")])
+        self.harness.tools.regions = REGIONS
 
     def test_requests_go_to_allowed_targets_only(self):
         for _ in range(20):
-            self.desk.call(request(LOOKUP, allowed_regions=SOUTH))
-            self.assertEqual("p3", self.desk.caller.last.name)
+            self.harness.call(request(LOOKUP, allowed_regions=SOUTH))
+            self.assertEqual("p3", self.harness.caller.last.name)
 
     def test_nor_do_repeats_go_elsewhere(self):
-        _, sink = self.desk.call(request(LOOKUP, allowed_regions=SOUTH))
-        self.desk.caller.last.observer.run_cut("reset")
-        self.assertEqual(1, len(self.desk.caller.runs))
+        _, sink = self.harness.call(request(LOOKUP, allowed_regions=SOUTH))
+        self.harness.caller.last.observer.response_lost("reset")
+        self.assertEqual(1, len(self.harness.caller.runs))
         self.assertIs(Refusal.CUT, sink.refusal)
 
     def test_nor_does_the_rest_of_a_stream(self):
-        self.desk.call(request(STREAM, allowed_regions=NORTH))
-        first = self.desk.caller.last
-        first.observer.run_head(head())
-        first.observer.run_data(event(1))
-        first.observer.run_cut("reset")
-        names = {run.name for run in self.desk.caller.runs}
+        self.harness.call(request(STREAM, allowed_regions=NORTH))
+        first = self.harness.caller.last
+        first.observer.response_head(head())
+        first.observer.response_data(event(1))
+        first.observer.response_lost("reset")
+        names = {run.name for run in self.harness.caller.runs}
         self.assertEqual({"m1", "m2"}, names)
 
     def test_nor_is_a_prompt_copied_from_elsewhere(self):
         wanted = prompt(("tariffs", 10000), ("chat", 900))
-        self.desk.parts.note(PartUse("tariffs", life("m3"), 10000, START))
-        self.desk.call(request(STREAM, allowed_regions=NORTH, prompt=wanted))
-        self.assertIsNone(self.desk.caller.last.sending.fetch_from)
+        self.harness.parts.record_use(
+            PartUse("tariffs", make_incarnation("m3"), 10000, START)
+        )
+        self.harness.call(request(STREAM, allowed_regions=NORTH, prompt=wanted))
+        self.assertIsNone(self.harness.caller.last.sending.fetch_from)
 
     def test_a_target_of_an_unknown_domain_gets_none(self):
         for region in ("north", "south"):
             allowed = frozenset({region})
             for _ in range(20):
-                self.desk.call(request(STREAM, allowed_regions=allowed))
-                self.assertNotEqual("m9", self.desk.caller.last.name)
+                self.harness.call(request(STREAM, allowed_regions=allowed))
+                self.assertNotEqual("m9", self.harness.caller.last.name)
 
     def test_where_no_region_is_allowed_it_is_refused_at_once(self):
-        _, sink = self.desk.call(request(LOOKUP, allowed_regions=frozenset()))
+        _, sink = self.harness.call(request(LOOKUP, allowed_regions=frozenset()))
         self.assertIs(Refusal.NO_TARGET, sink.refusal)
-        self.assertEqual([], self.desk.caller.runs)
+        self.assertEqual([], self.harness.caller.runs)
--- a/tests/entry/test_asked_rest.py
+++ b/tests/entry/test_asked_rest.py
@@ -19,13 +19,13 @@
 from entry.fakes import FRAGILE_STREAM
 from entry.fakes import LOOKUP
 from entry.fakes import STREAM
-from entry.fakes import Desk
+from entry.fakes import ForwardingHarness
 from entry.fakes import event
 from entry.fakes import head
 from entry.fakes import request
 from entry.fakes import target
 from primrosescale.standin.users_engine import EngineScript
-from support.router_site import RouterSiteTest
+from support.router_site import LoopbackRouterTest
 
 # Seconds after the answer from which on the rest is counted.
 REST_BEGINS = 0.5
@@ -39,7 +39,9 @@
 
     def desk(self, route, count=3):
         service = route.services[0].service
-        return Desk([target(f"m{n}", service) for n in range(1, count + 1)])
+        return ForwardingHarness(
+            [target(f"m{n}", service) for n in range(1, count + 1)]
+        )
 
     def send(self, desk, route, **fields):
         """Call once; return the runs that this brought, unanswered, and the sink."""
@@ -49,7 +51,7 @@
         return desk.caller.runs[before:], sink
 
     def decline(self, run, rest=REST):
-        run.observer.run_head(head(503, is_not_run=True, rest=rest))
+        run.observer.response_head(head(503, is_not_run=True, rest=rest))
 
     def rest_all(self, desk, route, rest=REST):
         """Have all targets turn requests away; return how often each was asked."""
@@ -90,9 +92,9 @@
         [first], _ = self.send(desk, STREAM)
         self.decline(first)
         [run], _ = self.send(desk, STREAM)
-        run.observer.run_head(head())
-        run.observer.run_data(event(1))
-        run.observer.run_cut("reset")
+        run.observer.response_head(head())
+        run.observer.response_data(event(1))
+        run.observer.response_lost("reset")
         self.assertNotIn(desk.caller.last.name, {first.name, run.name})
 
     # Guards against holding callers, or sending, while all targets rest.
@@ -157,11 +159,11 @@
         desk = self.desk(LOOKUP)
         call, _ = desk.call(request(LOOKUP))
         run = desk.caller.last
-        run.observer.run_head(head(503, is_not_run=True, is_rest_odd=True))
+        run.observer.response_head(head(503, is_not_run=True, is_rest_odd=True))
         self.assertEqual([True, False], [a.is_rest_odd for a in call.attempts])
 
 
-class RestingFleetTest(RouterSiteTest):
+class RestingFleetTest(LoopbackRouterTest):
     """Routers, a store and targets over sockets, while callers come without a pause."""
 
     def setUp(self):
--- a/tests/entry/test_cache_shares.py
+++ b/tests/entry/test_cache_shares.py
@@ -13,26 +13,26 @@
 from twisted.internet.defer import Deferred
 
 from entry.fakes import START
-from entry.fakes import life
+from entry.fakes import make_incarnation
 from entry.fakes import prompt
 from entry.fakes import target
 from primrosescale.connection.codec import decode
 from primrosescale.connection.codec import encode
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.connection.wire import ttypes as wire
-from primrosescale.process.entry.cache_learning import PATIENCE
-from primrosescale.process.entry.cache_learning import READS_FOR_OTHERS
-from primrosescale.process.entry.cache_learning import CacheLearning
-from primrosescale.process.entry.cache_shares import MOST_CACHED_PARTS
-from primrosescale.process.entry.cache_shares import CacheShares
+from primrosescale.process.entry.cache_discovery import PATIENCE
+from primrosescale.process.entry.cache_discovery import READS_FOR_OTHERS
+from primrosescale.process.entry.cache_discovery import CacheDiscovery
+from primrosescale.process.entry.cache_ownership import MOST_CACHED_PARTS
+from primrosescale.process.entry.cache_ownership import CacheOwnership
 from primrosescale.process.entry.codec import CacheReader
-from primrosescale.process.entry.codec import HeldParts
-from primrosescale.process.entry.other_router import OtherRouter
+from primrosescale.process.entry.codec import EngineCacheContents
+from primrosescale.process.entry.peer_router import PeerRouter
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.process.entry.target_list import TargetList
-from primrosescale.request.incoming import PromptPart
-from primrosescale.request.part_directory import PartDirectory
-from primrosescale.request.part_directory import PartUse
+from primrosescale.request.incoming_request import PromptPart
+from primrosescale.request.prefix_cache_index import PartUse
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 from support.router_fleet import START as FLEET_START
 from support.router_fleet import ExchangeParts
 from support.router_fleet import Fleet
@@ -55,7 +55,7 @@
         held = self.fleet.engines[target.name].cache.items()
         parts = tuple(PromptPart(name, tokens) for name, tokens in held)
         answer = Deferred()
-        told = HeldParts(parts, target.started_at)
+        told = EngineCacheContents(parts, target.started_at)
         self.fleet.clock.callLater(READ_SECONDS, answer.callback, told)
         return answer
 
@@ -80,7 +80,7 @@
         parts = ExchangeParts(self.fleet.clock)
         parts.caches = self.engines
         parts.rng = random.Random(1)
-        learning = CacheLearning(
+        learning = CacheDiscovery(
             router.shares, router.exchange, router.targets, router.parts, parts
         )
         began = self.fleet.clock.seconds()
@@ -185,8 +185,8 @@
 class SharesTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.targets, self.parts = TargetList(2.0), PartDirectory()
-        self.others = [OtherRouter("b", Endpoint("127.0.0.1", 7001))]
+        self.targets, self.parts = TargetList(2.0), PrefixCacheIndex()
+        self.others = [PeerRouter("b", Endpoint("127.0.0.1", 7001))]
         self.shares = self.sharing("a", lambda: self.others)
         for number in range(8):
             self.targets.put(target(f"m{number}"), START)
@@ -196,7 +196,7 @@
         def find(wanted):
             return {router.name: router for router in others()}.get(wanted)
 
-        return CacheShares(name, self.targets, self.parts, others, find)
+        return CacheOwnership(name, self.targets, self.parts, others, find)
 
     def asked(self, origin="b", now=START):
         return self.shares.take_question(wire.CacheQuestion(origin), now)
@@ -204,13 +204,15 @@
     def told(self, origin="b", *, part="tariffs", key=None, is_last=True):
         cached = [wire.CachedPart(part, 9000, 50)]
         cache = wire.TargetCache(key or target_key("m1"), cached)
-        self.shares.take_answer(wire.CacheAnswer(origin, [cache], is_last), START)
+        self.shares.record_answer(wire.CacheAnswer(origin, [cache], is_last), START)
 
     def held(self, name="m1", part="tariffs"):
-        return self.parts.held(life(name), prompt((part, 9000)).parts, START)
+        return self.parts.held(
+            make_incarnation(name), prompt((part, 9000)).parts, START
+        )
 
     def test_each_target_is_the_share_of_one_router(self):
-        first = OtherRouter("a", Endpoint("127.0.0.1", 7000))
+        first = PeerRouter("a", Endpoint("127.0.0.1", 7000))
         other = self.sharing("b", lambda: [first])
         own = [state.target.name for state in self.shares.own()]
         theirs = [state.target.name for state in other.own()]
@@ -245,7 +247,7 @@
 
     def test_what_one_chat_has_alone_is_not_told(self):
         parts = prompt(("tariffs", 9000), ("chat", 10)).parts
-        self.parts.note_own(self.own, parts, START)
+        self.parts.record_own_request(self.own, parts, START)
         self.shares.know(START)
         [(_, message)] = self.asked()
         [cache] = message.caches
@@ -255,7 +257,7 @@
         count = 3 * MOST_CACHED_PARTS + 1
         for number in range(count):
             use = PartUse(f"{number:08x}", self.own, 9000, START - 30)
-            self.parts.note(use)
+            self.parts.record_use(use)
         self.shares.know(START)
         frames = [encode(message) for _, message in self.asked()]
         self.assertEqual(math.ceil(count / MOST_CACHED_PARTS), len(frames))
--- a/tests/entry/test_entry_router.py
+++ b/tests/entry/test_entry_router.py
@@ -17,16 +17,16 @@
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.platform import http_codec as names
 from primrosescale.platform.exceptions import BootFileError
-from primrosescale.process.entry.cache_learning import MOST_READ
+from primrosescale.process.entry.cache_discovery import MAX_ENGINES_READ
 from primrosescale.process.entry.codec import CacheReader
-from primrosescale.process.entry.codec import HeldParts
+from primrosescale.process.entry.codec import EngineCacheContents
 from primrosescale.process.entry.entry_router import EntryRouter
-from primrosescale.process.entry.other_router import OtherRouter
-from primrosescale.process.entry.router_news import RouterNews
+from primrosescale.process.entry.peer_router import PeerRouter
+from primrosescale.process.entry.state_exchange import StateExchange
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.incoming import PromptPart
-from primrosescale.request.part_directory import PartDirectory
+from primrosescale.request.incoming_request import PromptPart
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 from primrosescale.standin.users_engine import EngineFault
 from primrosescale.standin.users_engine import EngineScript
 from primrosescale.standin.users_engine import UsersEngine
@@ -35,7 +35,7 @@
 from support.entry_site import LOOPBACK
 from support.entry_site import Caller
 from support.entry_site import configuration
-from support.entry_site import router_parts
+from support.entry_site import router_dependencies
 from support.entry_site import router_settings
 from support.entry_site import router_watches
 from support.entry_site import target_entry
@@ -98,17 +98,17 @@
         return self.store.write("servers", name, {**entry, **fields})
 
     @inlineCallbacks
-    def start(self, *, early=None, caches=None, targets_wait=0.3, **fields):
+    def start(self, *, listening_socket=None, caches=None, targets_wait=0.3, **fields):
         endpoint = self.serve(self.store)
         self.settings = router_settings(**fields)
         self.events = []
-        self.parts = router_parts(
+        self.parts = router_dependencies(
             endpoint,
             "r1",
             self.events,
             lambda: self.settings,
             caches=caches,
-            early=early,
+            listening_socket=listening_socket,
         )
         self.router = EntryRouter(
             self.settings, router_watches(targets_wait), self.parts
@@ -160,11 +160,11 @@
 
     @inlineCallbacks
     def test_callers_who_connect_while_it_is_loaded_are_served(self):
-        early = open_listener(Endpoint(LOOPBACK, 0))
-        way = TCP4ClientEndpoint(reactor, *early.getsockname())
+        listening_socket = open_listener(Endpoint(LOOPBACK, 0))
+        way = TCP4ClientEndpoint(reactor, *listening_socket.getsockname())
         caller = yield connectProtocol(way, Caller())
         caller.transport.write(text())
-        yield self.start(early=early)
+        yield self.start(listening_socket=listening_socket)
         yield caller.answered(b"done")
         self.assertTrue(caller.data.startswith(b"HTTP/1.1 200"), caller.data)
 
@@ -182,7 +182,7 @@
             self.assertEqual([], self.arrivals())
             if not is_silent:
                 for reading in caches.readings:
-                    reading.callback(HeldParts(()))
+                    reading.callback(EngineCacheContents(()))
             yield caller.answered(b"0\r\n\r\n")
             self.assertIn(b"id: 4", caller.data)
             self.router._close()
@@ -243,14 +243,14 @@
         config = configuration()
         config["services"][1]["engine"]["kv_cache_tokens"] = 1000
         self.store.write("config", "main", config)
-        for number in range(MOST_READ + 30):
+        for number in range(MAX_ENGINES_READ + 30):
             entry = target_entry("model", f"{LOOPBACK}:1")
             self.store.write("servers", f"x{number}", entry)
         caches = SilentCaches()
         yield self.start(reads_caches=True, caches=caches)
         yield self.eventually(lambda: bool(caches.readings))
         asked = len(caches.readings)
-        self.assertEqual(MOST_READ, asked)
+        self.assertEqual(MAX_ENGINES_READ, asked)
 
     def said(self, arrival):
         return arrival.method, arrival.path, arrival.body
@@ -462,10 +462,12 @@
         yield self.start()
         self.store.faults.is_deaf = True
         self.store.write("config", "main", configuration(2, keys=("k2",)))
-        other = RouterNews("r2", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
-        other.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
+        other = StateExchange(
+            "r2", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0)
+        )
+        other.put(PeerRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
         now = reactor.seconds()
-        self.router._news.put(OtherRouter("r2", Endpoint("127.0.0.1", 1)), now)
+        self.router._news.put(PeerRouter("r2", Endpoint("127.0.0.1", 1)), now)
         [(_, message)] = other.compose(2, reactor.seconds())
         self.router._news.take(message, 1, reactor.seconds())
         yield self.eventually(lambda: self.router._version() == 2)
@@ -475,7 +477,7 @@
         yield self.start()
         caller = yield self.ask(text(b"/none/x"), b"")
         self.assertTrue(caller.data.startswith(b"HTTP/1.1 404"))
-        changed = replace(self.settings, certain_for=-1.0)
+        changed = replace(self.settings, not_found_max_age=-1.0)
         forward = replace(changed.forward, retry_after=90.0)
         choice = replace(changed.choice, load_multiple=7.0)
         self.settings = replace(changed, forward=forward, choice=choice)
@@ -490,13 +492,13 @@
     @inlineCallbacks
     def test_targets_that_went_while_the_watch_rested_are_held_for_less(self):
         yield self.start()
-        handler = self.router._knowledge.listed
+        handler = self.router._store_state.listed
         handler._rest = 0.6
         names = [state.target.name for state in handler._targets.states]
         now = reactor.seconds()
         handler.replaced((), now)
-        self.assertEqual([], handler.forget_gone(now + 0.9))
-        gone = handler.forget_gone(now + 1.1)
+        self.assertEqual([], handler.forget_expired(now + 0.9))
+        gone = handler.forget_expired(now + 1.1)
         self.assertEqual(names, [incarnation.name for incarnation in gone])
 
     @inlineCallbacks
@@ -514,7 +516,7 @@
         return revision
 
     def knows_leaving(self, name):
-        return self.router._knowledge.targets.state(name).target.is_draining
+        return self.router._store_state.targets.state(name).target.is_draining
 
     @inlineCallbacks
     def test_a_watch_that_went_unanswered_in_an_outage_is_asked_anew_after_it(self):
@@ -528,10 +530,12 @@
     @inlineCallbacks
     def test_a_change_of_the_list_that_another_router_tells_of_is_asked_for(self):
         yield self.start_with_waiting_watch()
-        other = RouterNews("r2", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
-        other.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
+        other = StateExchange(
+            "r2", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0)
+        )
+        other.put(PeerRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
         now = reactor.seconds()
-        self.router._news.put(OtherRouter("r2", Endpoint("127.0.0.1", 1)), now)
+        self.router._news.put(PeerRouter("r2", Endpoint("127.0.0.1", 1)), now)
         revision = self.drain_unheard("m1")
         [(_, message)] = other.compose(1, reactor.seconds(), list_revision=revision)
         self.router._news.take(message, 1, reactor.seconds())
@@ -614,7 +618,7 @@
             self.engine(f"p{number + 3}", "portal")
             yield self.eventually(
                 lambda name=f"p{number + 3}": (
-                    self.router._knowledge.targets.state(name) is not None
+                    self.router._store_state.targets.state(name) is not None
                 )
             )
         self.assertNotIn("LOOP_FAILED", [name for name, _ in self.events])
@@ -663,7 +667,7 @@
 
     @inlineCallbacks
     def test_more_requests_than_memory_allows_are_told_to_come_back(self):
-        yield self.start(most_requests=0)
+        yield self.start(max_requests=0)
         caller = yield self.ask(text(), b"")
         self.assertTrue(caller.data.startswith(b"HTTP/1.1 503"), caller.data)
         self.assertEqual([], self.arrivals())
@@ -680,7 +684,7 @@
         def fail():
             raise BootFileError("node.json", "field 'ip' is missing")
 
-        self.parts.reread = fail
+        self.parts.read_settings = fail
         self.settings = replace(self.settings, callers=Endpoint("127.0.0.2", 0))
         self.router.reload()
         self.assertIn("SETTINGS_REFUSED", [name for name, _ in self.events])
@@ -694,7 +698,7 @@
         )
 
     def life(self, name):
-        return self.router._knowledge.targets.state(name).incarnation
+        return self.router._store_state.targets.state(name).incarnation
 
     @inlineCallbacks
     def test_after_a_restart_a_request_that_may_run_once_is_cut_at_once(self):
@@ -764,10 +768,12 @@
     @inlineCallbacks
     def test_a_restart_that_another_router_knows_first_is_asked_for(self):
         yield self.start_with_waiting_watch()
-        other = RouterNews("r2", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
-        other.put(OtherRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
+        other = StateExchange(
+            "r2", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0)
+        )
+        other.put(PeerRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
         now = reactor.seconds()
-        self.router._news.put(OtherRouter("r2", Endpoint("127.0.0.1", 1)), now)
+        self.router._news.put(PeerRouter("r2", Endpoint("127.0.0.1", 1)), now)
         self.store.faults.is_deaf = True
         revision = self.restart("m1", "model")
         self.store.faults.is_deaf = False
@@ -787,8 +793,8 @@
         yield self.eventually(lambda: len(caches.readings) == 2)
         self.assertTrue(self.knows_leaving("m2"))
         parts = (PromptPart("tariffs", 500),)
-        caches.answer("m1", HeldParts(parts, SECOND - 1))
-        caches.answer("m2", HeldParts(parts, THIRD))
+        caches.answer("m1", EngineCacheContents(parts, SECOND - 1))
+        caches.answer("m2", EngineCacheContents(parts, THIRD))
         directory, now = self.router._directory, reactor.seconds()
         self.assertEqual(0, directory.held(self.life("m1"), parts, now))
         self.assertEqual(SECOND, self.life("m1").started_at)
--- a/tests/entry/test_evacuations.py
+++ b/tests/entry/test_evacuations.py
@@ -20,10 +20,10 @@
 from entry.fakes import LOOKUP
 from entry.fakes import START
 from entry.fakes import STREAM
-from entry.fakes import Desk
+from entry.fakes import ForwardingHarness
 from entry.fakes import event
 from entry.fakes import head
-from entry.fakes import life
+from entry.fakes import make_incarnation
 from entry.fakes import prompt
 from entry.fakes import request
 from entry.fakes import target
@@ -31,22 +31,22 @@
 from primrosescale.connection.codec import encode
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.platform import records
-from primrosescale.process.entry.news_paths import NewsSettings
-from primrosescale.process.entry.other_router import OtherRouter
-from primrosescale.process.entry.router_news import RouterNews
+from primrosescale.process.entry.peer_router import PeerRouter
+from primrosescale.process.entry.relay_topology import StateExchangeSettings
+from primrosescale.process.entry.state_exchange import StateExchange
 from primrosescale.process.entry.store_watch import WatchedPrefix
 from primrosescale.process.entry.target_list import TargetList
-from primrosescale.request.direct_port import Refusal
 from primrosescale.request.evacuations import EvacuationList
 from primrosescale.request.evacuations import Evacuations
+from primrosescale.request.forwarding_interfaces import Refusal
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.part_directory import PartDirectory
-from primrosescale.request.part_directory import PartUse
+from primrosescale.request.prefix_cache_index import PartUse
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.standin.users_engine import EngineScript
 from support.entry_site import LOOPBACK
 from support.entry_site import router_watches
-from support.router_site import RouterSiteTest
+from support.router_site import LoopbackRouterTest
 
 # Seconds within which routers that reach the store must have acted.
 KNOWN_WITHIN = 1.0
@@ -65,31 +65,31 @@
         self.known = Evacuations(lambda told, _: self.changes.append(told))
 
     def test_what_is_older_changes_nothing(self):
-        self.known.take(listed("a", revision=9), START)
-        self.known.take(listed("b", revision=8), START)
+        self.known.update(listed("a", revision=9), START)
+        self.known.update(listed("b", revision=8), START)
         self.assertEqual({"a"}, self.known.domains)
         self.assertEqual(1, len(self.changes))
 
     def test_the_same_list_at_a_newer_revision_is_no_change(self):
-        self.known.take(listed("a", revision=9), START)
-        self.known.take(listed("a", revision=12), START)
+        self.known.update(listed("a", revision=9), START)
+        self.known.update(listed("a", revision=12), START)
         self.assertEqual(1, len(self.changes))
-        self.known.take(listed(revision=10), START)
+        self.known.update(listed(revision=10), START)
         self.assertEqual({"a"}, self.known.domains)
 
     def test_two_domains_and_their_return(self):
         for domains in (("a",), ("a", "b"), ("b",), ()):
             revision = self.known.revision + 1
-            self.known.take(listed(*domains, revision=revision), START)
+            self.known.update(listed(*domains, revision=revision), START)
             self.assertEqual(set(domains), self.known.domains)
         self.assertEqual(4, len(self.changes))
 
     def test_nothing_is_told_where_nothing_was_ever_evacuated(self):
-        self.known.take(listed(revision=5), START)
-        self.assertFalse(self.known.is_news)
-        self.known.take(listed("a", revision=6), START)
-        self.known.take(listed(revision=7), START)
-        self.assertTrue(self.known.is_news)
+        self.known.update(listed(revision=5), START)
+        self.assertFalse(self.known.is_worth_sharing)
+        self.known.update(listed("a", revision=6), START)
+        self.known.update(listed(revision=7), START)
+        self.assertTrue(self.known.is_worth_sharing)
 
 
 class EvacuatedTargetListTest(TestCase):
@@ -125,7 +125,7 @@
         self.assertEqual({"m1", "m3"}, self.taking())
 
     def test_one_whose_entry_could_not_be_read_meanwhile_takes_none(self):
-        self.targets.drop("m1", START)
+        self.targets.mark_unreadable("m1", START)
         self.targets.evacuate(frozenset("a"), START)
         self.targets.put(target("m1", domain="a"), START + 1)
         self.assertEqual({"m3"}, self.taking())
@@ -148,35 +148,39 @@
             for n, domain in enumerate("abc", 1)
         ]
         models = [target(f"m{n}", domain=domain) for n, domain in enumerate("abc", 1)]
-        self.desk = Desk([*plain, *models])
+        self.harness = ForwardingHarness([*plain, *models])
 
     def evacuate(self, *domains):
-        now = self.desk.clock.seconds()
-        for state in self.desk.states:
+        now = self.harness.clock.seconds()
+        for state in self.harness.states:
             if state.target.domain in domains:
                 state.evacuate(now)
             else:
-                state.take_back(now)
+                state.end_evacuation(now)
 
     def test_new_requests_go_elsewhere(self):
         self.evacuate("a", "b")
         for route in (LOOKUP, STREAM):
             for _ in range(10):
-                self.desk.call(request(route))
-                self.assertEqual("3", self.desk.caller.last.name[1])
+                self.harness.call(request(route))
+                self.assertEqual("3", self.harness.caller.last.name[1])
 
     def test_a_prompt_that_is_held_there_goes_elsewhere(self):
-        self.desk.parts.note(PartUse("shared", life("m1"), 500, START))
+        self.harness.parts.record_use(
+            PartUse("shared", make_incarnation("m1"), 500, START)
+        )
         self.evacuate("a")
-        self.desk.call(request(STREAM))
-        self.assertNotEqual("m1", self.desk.caller.last.name)
+        self.harness.call(request(STREAM))
+        self.assertNotEqual("m1", self.harness.caller.last.name)
 
     def test_what_is_held_there_is_copied_for_a_short_time_only(self):
         wanted = prompt(("tariffs", 10000), ("chat", 900))
-        self.desk.parts.note(PartUse("tariffs", life("m1"), 10000, START))
+        self.harness.parts.record_use(
+            PartUse("tariffs", make_incarnation("m1"), 10000, START)
+        )
         self.evacuate("a")
-        chooser = self.desk.tools.chooser
-        models = [s for s in self.desk.states if s.target.service == "model"]
+        chooser = self.harness.tools.chooser
+        models = [s for s in self.harness.states if s.target.service == "model"]
         choice = chooser.choose(models, (), wanted, START + 1.0)
         self.assertEqual("m1", choice.fetch_from.target.name)
         late = START + ChoiceSettings().copy_evacuated + 0.1
@@ -184,56 +188,56 @@
         self.assertIsNone(choice.fetch_from)
 
     def test_a_request_that_runs_there_goes_on(self):
-        _, sink = self.desk.call(request(STREAM))
-        run = self.desk.caller.last
-        run.observer.run_head(head())
-        run.observer.run_data(event(1))
+        _, sink = self.harness.call(request(STREAM))
+        run = self.harness.caller.last
+        run.observer.response_head(head())
+        run.observer.response_data(event(1))
         self.evacuate("a", "b", "c")
-        self.desk.pass_time(0.2)
-        run.observer.run_data(event(2))
-        run.observer.run_done()
+        self.harness.pass_time(0.2)
+        run.observer.response_data(event(2))
+        run.observer.response_done()
         self.assertTrue(sink.is_finished)
         self.assertFalse(run.is_cancelled)
 
     def test_a_repeat_goes_to_no_evacuated_target(self):
-        self.desk.call(request(LOOKUP))
-        first = self.desk.caller.last
+        self.harness.call(request(LOOKUP))
+        first = self.harness.caller.last
         spared, closed = sorted({"p1", "p2", "p3"} - {first.name})
         self.evacuate("abc"[int(closed[1]) - 1])
-        first.observer.run_cut("reset")
-        self.assertEqual(spared, self.desk.caller.last.name)
+        first.observer.response_lost("reset")
+        self.assertEqual(spared, self.harness.caller.last.name)
 
     def test_a_broken_stream_goes_on_at_no_evacuated_target(self):
-        self.desk.call(request(STREAM))
-        first = self.desk.caller.last
-        first.observer.run_head(head())
-        first.observer.run_data(event(1))
+        self.harness.call(request(STREAM))
+        first = self.harness.caller.last
+        first.observer.response_head(head())
+        first.observer.response_data(event(1))
         others = sorted({"m1", "m2", "m3"} - {first.name})
         self.evacuate("abc"[int(others[0][1]) - 1])
-        first.observer.run_cut("reset")
-        self.assertEqual(others[1], self.desk.caller.last.name)
-        self.assertEqual(1, self.desk.caller.last.sending.resume_after)
+        first.observer.response_lost("reset")
+        self.assertEqual(others[1], self.harness.caller.last.name)
+        self.assertEqual(1, self.harness.caller.last.sending.resume_after)
 
     def test_a_silent_target_is_helped_by_no_evacuated_one(self):
-        self.desk.call(request(STREAM))
-        first = self.desk.caller.last
+        self.harness.call(request(STREAM))
+        first = self.harness.caller.last
         self.evacuate(*("abc"[int(n) - 1] for n in "123" if n != first.name[1]))
-        self.desk.pass_time(1.0)
-        self.assertEqual(1, len(self.desk.caller.runs))
+        self.harness.pass_time(1.0)
+        self.assertEqual(1, len(self.harness.caller.runs))
 
     def test_with_all_domains_evacuated_requests_are_refused_at_once(self):
         self.evacuate("a", "b", "c")
         for route in (LOOKUP, STREAM, FRAGILE_STREAM):
-            _, sink = self.desk.call(request(route))
+            _, sink = self.harness.call(request(route))
             self.assertIs(Refusal.NO_TARGET, sink.refusal)
             self.assertIsNotNone(sink.retry_after)
-        self.assertEqual([], self.desk.caller.runs)
+        self.assertEqual([], self.harness.caller.runs)
 
     def test_after_the_return_the_domain_serves_again(self):
         self.evacuate("a", "b", "c")
         self.evacuate()
-        _, sink = self.desk.call(request(LOOKUP))
-        self.desk.caller.last.answer(body=b"yes")
+        _, sink = self.harness.call(request(LOOKUP))
+        self.harness.caller.last.answer(body=b"yes")
         self.assertTrue(sink.is_finished)
 
 
@@ -243,11 +247,11 @@
     def __init__(self, name, others, settings=None, domain="x"):
         self.name = name
         self.evacuations = Evacuations(lambda *_: None)
-        self.news = RouterNews(
+        self.news = StateExchange(
             name,
             1,
             TargetList(2.0),
-            PartDirectory(),
+            PrefixCacheIndex(),
             Freshness(5.0),
             domain,
             settings,
@@ -255,7 +259,7 @@
         )
         for number, other in enumerate(others):
             endpoint = Endpoint(LOOPBACK, 7000 + number)
-            self.news.put(OtherRouter(other, endpoint, "x"), START)
+            self.news.put(PeerRouter(other, endpoint, "x"), START)
 
 
 class EvacuationNewsTest(TestCase):
@@ -275,37 +279,39 @@
                 for router, message in side.news.compose(1, at)
             ]
             for name, message in told:
-                sides[name].news.take(decode(encode(message)), 1, at)
+                sides[name].news.receive(decode(encode(message)), 1, at)
 
     def test_it_is_told_on_and_so_is_the_return(self):
         sides = self.sides(4)
-        sides["r0"].evacuations.take(listed("a", revision=5), START)
+        sides["r0"].evacuations.update(listed("a", revision=5), START)
         self.rounds(sides, 1)
         self.assertEqual([{"a"}] * 4, [s.evacuations.domains for s in sides.values()])
-        sides["r2"].evacuations.take(listed(revision=8), START)
+        sides["r2"].evacuations.update(listed(revision=8), START)
         self.rounds(sides, 1, START + 1)
         self.assertEqual([set()] * 4, [s.evacuations.domains for s in sides.values()])
 
     def test_relays_pass_it_on_to_all(self):
         for count in (4, 40, 68):
-            sides = self.sides(count, NewsSettings(most_direct=2))
-            sides["r1"].evacuations.take(listed("a", "b", revision=5), START)
+            sides = self.sides(count, StateExchangeSettings(most_direct=2))
+            sides["r1"].evacuations.update(listed("a", "b", revision=5), START)
             self.rounds(sides, 6)
             known = [sorted(s.evacuations.domains) for s in sides.values()]
             self.assertEqual([["a", "b"]] * count, known)
 
     def test_a_router_that_follows_none_neither_tells_nor_takes(self):
         sides = self.sides(2)
-        sides["r0"].evacuations.take(listed("a", revision=5), START)
-        deaf = RouterNews("r1", 1, TargetList(2.0), PartDirectory(), Freshness(5.0))
-        deaf.put(OtherRouter("r0", Endpoint(LOOPBACK, 1), "x"), START)
+        sides["r0"].evacuations.update(listed("a", revision=5), START)
+        deaf = StateExchange(
+            "r1", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0)
+        )
+        deaf.put(PeerRouter("r0", Endpoint(LOOPBACK, 1), "x"), START)
         [(_, message)] = sides["r0"].news.compose(1, START)
         self.assertTrue(deaf.take(decode(encode(message)), 1, START))
         [(_, message)] = deaf.compose(1, START)
         self.assertIsNone(message.evacuated_revision)
 
 
-class EvacuationTest(RouterSiteTest):
+class EvacuationTest(LoopbackRouterTest):
     """Routers, a store and targets of two domains over sockets."""
 
     def setUp(self):
--- a/tests/entry/test_foreign_entries.py
+++ b/tests/entry/test_foreign_entries.py
@@ -16,29 +16,29 @@
 from twisted.internet.defer import succeed
 from twisted.internet.task import Clock
 
-from entry.fakes import life
+from entry.fakes import make_incarnation
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.platform.entry import PlatformRecords
 from primrosescale.process.entry.entry_metrics import EntryMetrics
-from primrosescale.process.entry.entry_settings import EntryWatches
-from primrosescale.process.entry.knowledge import Knowledge
+from primrosescale.process.entry.entry_settings import WatchedPrefixes
 from primrosescale.process.entry.listed_targets import ListedTargets
 from primrosescale.process.entry.log_writer import LogWriter
 from primrosescale.process.entry.refused_records import RecordKind
 from primrosescale.process.entry.refused_records import RefusedRecords
-from primrosescale.process.entry.router_exchange import RouterRegistry
-from primrosescale.process.entry.router_news import RouterNews
+from primrosescale.process.entry.router_datagrams import RouterRegistry
+from primrosescale.process.entry.state_exchange import StateExchange
+from primrosescale.process.entry.store_state import StoreState
 from primrosescale.process.entry.store_watch import FAULT_PAUSE
 from primrosescale.process.entry.store_watch import StoreWatch
 from primrosescale.process.entry.store_watch import WatchedPrefix
-from primrosescale.process.entry.store_watch import WatchHandler
+from primrosescale.process.entry.store_watch import WatchListener
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.process.events import Event
-from primrosescale.process.log_text import log_text
+from primrosescale.process.log_text import escape_for_log
 from primrosescale.process.transport.platform import StoredObject
 from primrosescale.process.transport.platform import WatchResult
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.part_directory import PartDirectory
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 from support.drawn import drawn
 from support.foreign import CONFIGURATION
 from support.foreign import ROUTER
@@ -135,16 +135,17 @@
         self.assertIs(state, self.targets.state("i-1"))
         listed = [said["target"] for said in self.log.of(Event.TARGET_LISTED)]
         self.assertEqual(["i-1", "i-2", "i-1"], listed)
-        self.assertEqual([], self.listed.forget_gone(self.now + HOLD))
+        self.assertEqual([], self.listed.forget_expired(self.now + HOLD))
 
     def test_one_that_stays_unreadable_is_forgotten(self):
         state = self.targets.state("i-1")
         self.change(entry("i-1", ODD, 2))
         self.now += HOLD
         self.assertEqual(
-            [life("i-1", TARGET["born"])], self.listed.forget_gone(self.now)
+            [make_incarnation("i-1", TARGET["born"])],
+            self.listed.forget_expired(self.now),
         )
-        self.assertEqual([], self.listed.forget_gone(self.now))
+        self.assertEqual([], self.listed.forget_expired(self.now))
         self.change(entry("i-1", TARGET, 3))
         self.assertEqual(["i-1", "i-2"], self.usable())
         self.assertIsNot(state, self.targets.state("i-1"))
@@ -221,7 +222,7 @@
         self.log.lines.clear()
 
 
-class Failing(WatchHandler):
+class Failing(WatchListener):
     """Raises what nobody expects, once."""
 
     def __init__(self, faults):
@@ -316,12 +317,12 @@
             log=self.log,
             metrics=EntryMetrics(),
         )
-        watches = EntryWatches(
+        watches = WatchedPrefixes(
             configuration=WatchedPrefix("config/main", 1.5),
             targets=WatchedPrefix("servers/", 8.0),
             routers=WatchedPrefix("routers/", 20.0),
         )
-        self.knowledge = Knowledge(
+        self.knowledge = StoreState(
             SimpleNamespace(revoke=5.0, drain=2.0),
             watches,
             parts,
@@ -361,8 +362,8 @@
         self.clock = Clock()
         self.log = Log()
         self.announced = []
-        self.news = RouterNews(
-            "r-0", 1, TargetList(2.0), PartDirectory(), Freshness(5.0)
+        self.news = StateExchange(
+            "r-0", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0)
         )
         parts = SimpleNamespace(
             reactor=self.clock,
@@ -429,10 +430,10 @@
 
 class LogTest(TestCase):
     def test_a_text_of_others_is_escaped_and_cut(self):
-        self.assertEqual("i-1", log_text("i-1"))
-        self.assertEqual("\\ud800\\r\\n", log_text("\ud800\r\n"))
-        self.assertEqual("x" * 80 + "...", log_text("x" * 81))
-        self.assertLess(len(log_text("\x00" * 80)), 90)
+        self.assertEqual("i-1", escape_for_log("i-1"))
+        self.assertEqual("\\ud800\\r\\n", escape_for_log("\ud800\r\n"))
+        self.assertEqual("x" * 80 + "...", escape_for_log("x" * 81))
+        self.assertLess(len(escape_for_log("\x00" * 80)), 90)
 
     def test_a_line_with_half_a_character_is_written(self):
         reading, writing = os.pipe()
--- a/tests/entry/test_harm_fleet.py
+++ b/tests/entry/test_harm_fleet.py
@@ -10,7 +10,7 @@
 from testtools import TestCase
 from testtools.matchers import LessThan
 
-from primrosescale.process.entry.news_paths import NewsSettings
+from primrosescale.process.entry.relay_topology import StateExchangeSettings
 from support.harm_fleet import HARMFUL
 from support.harm_fleet import HarmFleet
 
@@ -18,7 +18,7 @@
 ENOUGH_ENDS = 3
 MOST_MORE = 3
 # So many routers at the most tell all others here; more go by relays.
-RELAYED = NewsSettings(most_direct=6)
+RELAYED = StateExchangeSettings(most_direct=6)
 PER_HUNDRED_THOUSAND = 100_000
 
 
--- a/tests/entry/test_harmful_requests.py
+++ b/tests/entry/test_harmful_requests.py
@@ -30,7 +30,7 @@
 from support.entry_site import LOOPBACK
 from support.entry_site import ask
 from support.entry_site import configuration
-from support.entry_site import router_parts
+from support.entry_site import router_dependencies
 from support.entry_site import router_settings
 from support.entry_site import router_watches
 from support.entry_site import target_entry
@@ -94,7 +94,7 @@
 
     def start_router(self, name):
         settings = router_settings(name)
-        parts = router_parts(self.endpoint, name, self.events, lambda: settings)
+        parts = router_dependencies(self.endpoint, name, self.events, lambda: settings)
         router = EntryRouter(settings, router_watches(), parts)
         router.start()
         self.addCleanup(router._close)
--- a/tests/entry/test_knowledge.py
+++ b/tests/entry/test_knowledge.py
@@ -13,11 +13,11 @@
 from twisted.internet.task import Clock
 
 from primrosescale.process.entry.entry_metrics import EntryMetrics
-from primrosescale.process.entry.entry_settings import EntryWatches
-from primrosescale.process.entry.knowledge import ASK_AGAIN_SECONDS
-from primrosescale.process.entry.knowledge import LIST_PATIENCE
-from primrosescale.process.entry.knowledge import VERSION_PATIENCE
-from primrosescale.process.entry.knowledge import Knowledge
+from primrosescale.process.entry.entry_settings import WatchedPrefixes
+from primrosescale.process.entry.store_state import ASK_AGAIN_SECONDS
+from primrosescale.process.entry.store_state import LIST_PATIENCE
+from primrosescale.process.entry.store_state import VERSION_PATIENCE
+from primrosescale.process.entry.store_state import StoreState
 from primrosescale.process.entry.store_watch import FIRST_PAUSE
 from primrosescale.process.entry.store_watch import WatchedPrefix
 from primrosescale.process.entry.target_list import TargetList
@@ -71,12 +71,12 @@
             metrics=EntryMetrics(),
             log=SimpleNamespace(emit=lambda event, **said: self.told.append(event)),
         )
-        watches = EntryWatches(
+        watches = WatchedPrefixes(
             configuration=WatchedPrefix("versions/", 1.5, reads_after_failure=True),
             targets=WatchedPrefix("targets/", 8.0, rest=REST),
             routers=WatchedPrefix("routers/", 20.0),
         )
-        self.knowledge = Knowledge(
+        self.knowledge = StoreState(
             SimpleNamespace(revoke=5.0, drain=2.0),
             watches,
             parts,
@@ -94,7 +94,7 @@
     def pass_time(self, seconds, version=0, listed=0):
         for _ in range(int(seconds / TICK)):
             self.knowledge.freshness.answered(self.clock.seconds())
-            self.knowledge.look_after(version, listed, self.clock.seconds())
+            self.knowledge.poll_if_stale(version, listed, self.clock.seconds())
             self.clock.advance(TICK)
 
 
@@ -164,7 +164,7 @@
 
     def pass_outage(self, seconds):
         for _ in range(int(seconds / TICK)):
-            self.knowledge.look_after(1, 0, self.clock.seconds())
+            self.knowledge.poll_if_stale(1, 0, self.clock.seconds())
             self.clock.advance(TICK)
 
     def test_one_watch_asks_for_all(self):
