--- a/tests/entry/test_leaving_answers.py
+++ b/tests/entry/test_leaving_answers.py
@@ -18,7 +18,7 @@
 from entry.fakes import LOOKUP
 from entry.fakes import START
 from entry.fakes import STREAM
-from entry.fakes import Desk
+from entry.fakes import ForwardingHarness
 from entry.fakes import event
 from entry.fakes import head
 from entry.fakes import request
@@ -26,19 +26,19 @@
 from primrosescale.connection.codec import decode
 from primrosescale.connection.codec import encode
 from primrosescale.connection.endpoint import Endpoint
-from primrosescale.process.entry.leaving_news import LeavingNews
-from primrosescale.process.entry.news_paths import NewsSettings
-from primrosescale.process.entry.other_router import OtherRouter
-from primrosescale.process.entry.router_news import RouterNews
+from primrosescale.process.entry.leaving_exchange import LeavingTargetExchange
+from primrosescale.process.entry.peer_router import PeerRouter
+from primrosescale.process.entry.relay_topology import StateExchangeSettings
+from primrosescale.process.entry.state_exchange import StateExchange
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.process.events import Event
 from primrosescale.process.events import EventLog
-from primrosescale.request.direct_port import Refusal
+from primrosescale.request.forwarding_interfaces import Refusal
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.part_directory import PartDirectory
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 from primrosescale.standin.users_engine import EngineScript
 from support.entry_site import LOOPBACK
-from support.router_site import RouterSiteTest
+from support.router_site import LoopbackRouterTest
 
 # Seconds after which a leaving target must get no new work, as routers are told.
 DRAIN = 0.5
@@ -49,13 +49,15 @@
 
     def desk(self, route, count=3):
         service = route.services[0].service
-        return Desk([target(f"m{n}", service) for n in range(1, count + 1)])
+        return ForwardingHarness(
+            [target(f"m{n}", service) for n in range(1, count + 1)]
+        )
 
     def leave(self, desk, route, status=200, **said):
         """Have the target of a first request say that it leaves; return its name."""
         desk.call(request(route))
         run = desk.caller.last
-        run.observer.run_head(head(status, is_leaving=True, **said))
+        run.observer.response_head(head(status, is_leaving=True, **said))
         return run.name
 
     def sent_to(self, desk, route, count=20):
@@ -86,9 +88,9 @@
         left = self.leave(desk, STREAM)
         desk.call(request(STREAM, now=desk.clock.seconds()))
         run = desk.caller.last
-        run.observer.run_head(head())
-        run.observer.run_data(event(1))
-        run.observer.run_cut("reset")
+        run.observer.response_head(head())
+        run.observer.response_data(event(1))
+        run.observer.response_lost("reset")
         self.assertNotIn(desk.caller.last.name, {left, run.name})
 
     # Guards against reading what another incarnation says of itself.
@@ -124,12 +126,12 @@
         self.events = []
         log = EventLog(name)
         log.emit = lambda event, **said: self.events.append((event, said))
-        self.leaving_news = LeavingNews(self.targets, log)
-        self.news = RouterNews(
+        self.leaving_news = LeavingTargetExchange(self.targets, log)
+        self.news = StateExchange(
             name,
             1,
             self.targets,
-            PartDirectory(),
+            PrefixCacheIndex(),
             Freshness(5.0),
             "x",
             settings,
@@ -137,7 +139,7 @@
         )
         for number, other in enumerate(names):
             endpoint = Endpoint(LOOPBACK, 7000 + number)
-            self.news.put(OtherRouter(other, endpoint, "x"), START)
+            self.news.put(PeerRouter(other, endpoint, "x"), START)
 
     def hears(self, name, now=START):
         """Take in an answer of a target that says that it leaves."""
@@ -170,7 +172,7 @@
             ]
             for name, message in told:
                 if name in sides:
-                    sides[name].news.take(decode(encode(message)), 1, at)
+                    sides[name].news.receive(decode(encode(message)), 1, at)
 
     # Guards against requests of routers that the leaving target has not answered.
     def test_all_hear_of_it_in_time(self):
@@ -179,7 +181,7 @@
             (30, None, 1),
             (68, None, 6),
             (300, None, 6),
-            (40, NewsSettings(most_direct=2), 6),
+            (40, StateExchangeSettings(most_direct=2), 6),
         ):
             sides = self.sides(count, settings)
             sides["r1"].hears("m3")
@@ -223,11 +225,11 @@
             sides["r0"].hears(f"m{number}", START + number / 100)
         [(_, message)] = sides["r0"].news.compose(1, START + 3)
         self.assertEqual(40, len(message.leaving))
-        sides["r1"].news.take(decode(encode(message)), 1, START + 3)
+        sides["r1"].news.receive(decode(encode(message)), 1, START + 3)
         self.assertIn("m199", sides["r1"].leaving)
 
 
-class LeavingTargetTest(RouterSiteTest):
+class LeavingTargetTest(LoopbackRouterTest):
     """A router, a store and two targets over sockets."""
 
     def setUp(self):
--- a/tests/entry/test_news_relays.py
+++ b/tests/entry/test_news_relays.py
@@ -13,16 +13,16 @@
 from primrosescale.connection.codec import encode
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.connection.wire.ttypes import NewsScope
-from primrosescale.process.entry.news_paths import FORGIVEN_SECONDS
-from primrosescale.process.entry.news_paths import NewsSettings
-from primrosescale.process.entry.router_news import GONE_SECONDS
+from primrosescale.process.entry.relay_topology import FORGIVEN_SECONDS
+from primrosescale.process.entry.relay_topology import StateExchangeSettings
+from primrosescale.process.entry.state_exchange import GONE_SECONDS
 from primrosescale.process.entry.target_keys import target_key
-from primrosescale.request.target_choice import OLD_NEWS
+from primrosescale.request.target_choice import STALE_LOAD_SECONDS
 from support.drawn import drawn
 from support.router_fleet import Fleet
 
 ROUTERS, TARGETS, DOMAINS = 18, 10, 3
-SETTINGS = NewsSettings(most_direct=6)
+SETTINGS = StateExchangeSettings(most_direct=6)
 # A relay is taken for lost after a second of silence; then another is asked.
 TAKEN_OVER = 2.0
 TARGET = "target-3"
@@ -73,7 +73,7 @@
         self.fleet.run(1.0)
         for router in self.fleet.routers:
             self.assertEqual(ROUTERS / 2, self.seen(router), router.name)
-            self.assertEqual(ROUTERS - 1, router.news.heard_lately(self.now()))
+            self.assertEqual(ROUTERS - 1, router.news.recent_peers(self.now()))
 
     def test_what_has_ended_is_counted_no_more(self):
         first = self.fleet.routers[0]
@@ -91,21 +91,27 @@
         wanted = prompt(("terms", 500), ("tariffs", 9000), ("chat", 10)).parts
         for router in (self.members("domain-0")[0], self.relays("domain-1")[0]):
             state = router.targets.state(TARGET)
-            router.parts.note_own(state.incarnation, wanted, self.now())
-            router.exchange.tell_soon()
+            router.parts.record_own_request(state.incarnation, wanted, self.now())
+            router.exchange.send_soon()
         self.fleet.run(1.0)
         for router in self.fleet.routers:
-            life = router.targets.state(TARGET).incarnation
-            self.assertEqual(9500, router.parts.held(life, wanted[:2], self.now()))
+            incarnation = router.targets.state(TARGET).incarnation
+            self.assertEqual(
+                9500, router.parts.held(incarnation, wanted[:2], self.now())
+            )
 
     def test_a_prompt_where_all_expect_it_is_no_news(self):
         [member, *_] = self.members("domain-0")
         wanted = prompt(("tariffs", 9000), ("chat", 10)).parts
-        life = member.targets.state(TARGET).incarnation
-        member.parts.note_own(life, wanted, self.now(), is_expected=True)
+        incarnation = member.targets.state(TARGET).incarnation
+        member.parts.record_own_request(
+            incarnation, wanted, self.now(), is_expected=True
+        )
         self.assertFalse(member.news.is_urgent)
         self.fleet.run(1.0)
-        self.assertEqual(0, self.fleet.routers[1].parts.held(life, wanted, self.now()))
+        self.assertEqual(
+            0, self.fleet.routers[1].parts.held(incarnation, wanted, self.now())
+        )
 
 
 class TroubleTest(RelayedFleet):
@@ -183,9 +189,9 @@
         self.send(alone)
         self.fleet.run(3.0)
         self.assertEqual(1.0, self.seen(alone))
-        self.assertGreater(alone.news.age(self.now()), OLD_NEWS)
-        self.assertEqual(0, alone.news.heard_lately(self.now()))
-        self.assertTrue(alone.news.asks_often(self.now()))
+        self.assertGreater(alone.news.age(self.now()), STALE_LOAD_SECONDS)
+        self.assertEqual(0, alone.news.recent_peers(self.now()))
+        self.assertTrue(alone.news.polls_store(self.now()))
 
     def test_news_is_young_for_all_others_meanwhile(self):
         self.fleet.lose(self.relays("domain-0")[0])
@@ -252,14 +258,14 @@
     def test_a_report_of_the_former_release_counts_in_its_domain_alone(self):
         self.send(self.fleet.routers[0])
         message = self.former(0)
-        life = self.fleet.routers[0].targets.state(TARGET).incarnation
-        message.targets = [wire.TargetNews(target_key(*life), 1)]
+        incarnation = self.fleet.routers[0].targets.state(TARGET).incarnation
+        message.targets = [wire.TargetNews(target_key(*incarnation), 1)]
         self.fleet.lose(self.fleet.routers[0])
         self.fleet.run(SETTINGS.keep + 1)
         for _ in range(20):
             message.sequence += 1
             for other in self.fleet.routers[1:]:
-                other.news.take(decode(encode(message)), 1, self.now())
+                other.news.receive(decode(encode(message)), 1, self.now())
             self.fleet.run(0.15)
         for router in self.fleet.routers[1:]:
             self.assertEqual(1.0, self.seen(router), router.name)
--- a/tests/entry/test_old_news.py
+++ b/tests/entry/test_old_news.py
@@ -11,7 +11,7 @@
 from entry.fakes import START
 from entry.fakes import prompt
 from entry.fakes import target
-from primrosescale.request.part_directory import PartDirectory
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
 from primrosescale.request.target_state import LoadReport
@@ -34,7 +34,7 @@
 
     def __init__(self, number):
         self.name = str(number)
-        self.parts = PartDirectory()
+        self.parts = PrefixCacheIndex()
         self.chooser = TargetChooser(
             ChoiceSettings(),
             self.parts,
@@ -74,7 +74,7 @@
         for other in self.routers:
             if other is not router:
                 for mine, theirs in zip(router.states, other.states, strict=True):
-                    theirs.hear_router(router.name, mine.own_running, fresh_until)
+                    theirs.set_peer_requests(router.name, mine.own_running, fresh_until)
         self.at(now + NEWS_INTERVAL, self.tell, router)
 
     def ask(self, now):
@@ -86,7 +86,7 @@
         state.sent(now)
         self.total[name] += 1
         if wanted is not None:
-            router.parts.note_own(state.incarnation, wanted.parts, now)
+            router.parts.record_own_request(state.incarnation, wanted.parts, now)
         self.at(now + ANSWER_AFTER, self.answer, state)
         lasts = self.rng.expovariate(1 / REQUEST_SECONDS)
         self.at(now + lasts, self.end, state)
@@ -96,7 +96,7 @@
             self.over += self.total[name] > 2 * mean + 3
 
     def answer(self, now, state):
-        state.reported(LoadReport(self.total[state.target.name], 0, 64), now)
+        state.set_load(LoadReport(self.total[state.target.name], 0, 64), now)
 
     def end(self, now, state):
         state.ended()
--- a/tests/entry/test_prompt_homes.py
+++ b/tests/entry/test_prompt_homes.py
@@ -9,8 +9,8 @@
 from entry.fakes import START
 from entry.fakes import prompt
 from entry.fakes import target
-from primrosescale.request.part_directory import PartDirectory
-from primrosescale.request.part_directory import PartUse
+from primrosescale.request.prefix_cache_index import PartUse
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 from primrosescale.request.prompt_homes import KNOWN_SECONDS
 from primrosescale.request.prompt_homes import SETTLED_SECONDS
 from primrosescale.request.prompt_homes import expected_source
@@ -82,7 +82,7 @@
 class ChoiceByHomesTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.parts = PartDirectory()
+        self.parts = PrefixCacheIndex()
         self.states = [TargetState(target(f"m{n}"), START) for n in range(TARGETS)]
         self.home = home_of(WANTED, self.states)
 
@@ -101,7 +101,7 @@
     def test_what_nobody_is_known_to_hold_goes_home(self):
         # Most targets hold the beginning that many prompts share.
         for state in self.states[::2]:
-            self.parts.note(PartUse("terms", state.incarnation, 500, START))
+            self.parts.record_use(PartUse("terms", state.incarnation, 500, START))
         for seed in range(20):
             choice = self.choose(seed)
             self.assertIs(self.home, choice.state)
@@ -119,7 +119,7 @@
     def test_a_known_copy_shares_the_load_of_home(self):
         other = next(state for state in self.states if state is not self.home)
         for name, tokens in (("terms", 500), ("tariffs", 10_000)):
-            self.parts.note(PartUse(name, other.incarnation, tokens, START))
+            self.parts.record_use(PartUse(name, other.incarnation, tokens, START))
         self.home.sent(START + 0.9)
         self.assertIs(other, self.choose().state)
         for _ in range(2):
@@ -153,9 +153,9 @@
         self.states = [
             TargetState(target(f"m{number}"), START) for number in range(TARGETS)
         ]
-        self.parts = PartDirectory()
+        self.parts = PrefixCacheIndex()
         for state in self.states:
-            self.parts.note(PartUse("terms", state.incarnation, 500, START))
+            self.parts.record_use(PartUse("terms", state.incarnation, 500, START))
 
     def chosen(self, wanted):
         """Return the targets that routers with other loads each choose."""
@@ -163,9 +163,9 @@
         for number in range(self.ROUTERS):
             chooser = TargetChooser(ChoiceSettings(), self.parts, random.Random(number))
             busy = self.states[number % TARGETS]
-            busy.hear_router("other", 1, START + 1)
+            busy.set_peer_requests("other", 1, START + 1)
             names.add(chooser.choose(self.states, (), wanted, START).state.target.name)
-            busy.hear_router("other", 0, START + 1)
+            busy.set_peer_requests("other", 0, START + 1)
         return names
 
     def test_a_new_rest_is_read_at_one_target_for_all_routers(self):
@@ -175,5 +175,5 @@
     def test_a_prompt_that_is_held_whole_goes_where_it_is(self):
         home = home_of(WANTED, self.states)
         holder = next(state for state in self.states if state is not home)
-        self.parts.note(PartUse("tariffs", holder.incarnation, 10_000, START))
+        self.parts.record_use(PartUse("tariffs", holder.incarnation, 10_000, START))
         self.assertEqual({holder.target.name}, self.chosen(WANTED))
--- a/tests/entry/test_restart.py
+++ b/tests/entry/test_restart.py
@@ -12,23 +12,23 @@
 from entry.fakes import LOOKUP
 from entry.fakes import START
 from entry.fakes import STREAM
-from entry.fakes import Desk
+from entry.fakes import ForwardingHarness
 from entry.fakes import event
 from entry.fakes import head
-from entry.fakes import life
+from entry.fakes import make_incarnation
 from entry.fakes import prompt
 from entry.fakes import request
 from entry.fakes import target
 from primrosescale.connection.codec import decode
 from primrosescale.connection.codec import encode
 from primrosescale.connection.endpoint import Endpoint
-from primrosescale.process.entry.other_router import OtherRouter
-from primrosescale.process.entry.router_news import RouterNews
+from primrosescale.process.entry.peer_router import PeerRouter
+from primrosescale.process.entry.state_exchange import StateExchange
 from primrosescale.process.entry.target_list import BegunIncarnation
 from primrosescale.process.entry.target_list import TargetList
-from primrosescale.request.direct_port import Refusal
+from primrosescale.request.forwarding_interfaces import Refusal
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.part_directory import PartDirectory
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
 from primrosescale.request.target_state import LoadReport
@@ -56,7 +56,7 @@
         self.assertIsNot(before, self.state())
         self.assertGreater(self.targets.generation, generation)
         self.assertFalse(self.targets.put(target("m1", started_at=SECOND), START))
-        former, present = life("m1", FIRST), life("m1", SECOND)
+        former, present = make_incarnation("m1", FIRST), make_incarnation("m1", SECOND)
         self.assertEqual(
             [
                 BegunIncarnation(former, None, "store"),
@@ -93,7 +93,9 @@
         self.targets.put(target("m1", started_at=FIRST), START)
         names = [state.target.name for state in self.targets.of_service("model")]
         self.assertEqual(["m2"], names)
-        self.assertEqual([life("m1", SECOND)], self.targets.forget_gone(START + 2))
+        self.assertEqual(
+            [make_incarnation("m1", SECOND)], self.targets.forget_expired(START + 2)
+        )
 
     def test_where_nothing_is_told_the_known_start_stays(self):
         before = self.state()
@@ -121,16 +123,16 @@
         self.targets.put(target("m1", started_at=FIRST, is_draining=True), START)
         self.targets.remove("m1", START)
         self.targets.put(target("m1", started_at=SECOND), START)
-        self.assertEqual([], self.targets.forget_gone(START + 60))
+        self.assertEqual([], self.targets.forget_expired(START + 60))
         self.assertIsNotNone(self.state())
 
     def test_a_new_life_that_the_store_has_not_listed_yet_outlives_a_leave(self):
         self.targets.put(target("m1", started_at=FIRST, is_draining=True), START)
         self.targets.put(target("m1", started_at=SECOND), START, told_by="target")
         self.targets.remove("m1", START)
-        self.assertEqual([], self.targets.forget_gone(START + 1.5))
+        self.assertEqual([], self.targets.forget_expired(START + 1.5))
         self.targets.put(target("m1", started_at=SECOND), START + 1.5)
-        self.assertEqual([], self.targets.forget_gone(START + 60))
+        self.assertEqual([], self.targets.forget_expired(START + 60))
 
 
 class BeliefTest(TestCase):
@@ -142,7 +144,7 @@
         for name in ("m1", "m2", "m3"):
             self.targets.put(target(name, started_at=FIRST), START)
         self.former = self.targets.state("m1")
-        self.parts = PartDirectory()
+        self.parts = PrefixCacheIndex()
         self.chooser = TargetChooser(ChoiceSettings(), self.parts, random.Random(3))
 
     def restart(self, **fields):
@@ -157,7 +159,7 @@
         return choice.state.target.name, choice.held
 
     def test_cached_parts(self):
-        self.parts.note_own(self.former.incarnation, WANTED.parts, START)
+        self.parts.record_own_request(self.former.incarnation, WANTED.parts, START)
         self.assertEqual(("m1", 9020), self.held_where())
         state = self.restart()
         self.assertEqual(0, self.parts.held(state.incarnation, WANTED.parts, START))
@@ -168,7 +170,9 @@
         self.parts.limit(self.former.incarnation, 100)
         state = self.restart()
         for part in ("a", "b"):
-            self.parts.note_own(state.incarnation, prompt((part, 90)).parts, START)
+            self.parts.record_own_request(
+                state.incarnation, prompt((part, 90)).parts, START
+            )
         held = [
             self.parts.held(state.incarnation, prompt((part, 90)).parts, START)
             for part in ("a", "b")
@@ -176,11 +180,11 @@
         self.assertEqual([90, 90], held)
 
     def test_what_is_told_others_of_its_parts(self):
-        self.parts.note_own(self.former.incarnation, WANTED.parts, START)
-        self.parts.take_news()
-        self.parts.note_own(self.former.incarnation, WANTED.parts, START)
+        self.parts.record_own_request(self.former.incarnation, WANTED.parts, START)
+        self.parts.take_updates()
+        self.parts.record_own_request(self.former.incarnation, WANTED.parts, START)
         self.parts.forget_target(self.former.incarnation)
-        self.assertEqual([], self.parts.take_news())
+        self.assertEqual([], self.parts.take_updates())
 
     def test_requests_of_this_router(self):
         self.former.sent(START)
@@ -192,13 +196,13 @@
         self.assertEqual(1, state.own_running)
 
     def test_its_own_report_of_load(self):
-        self.former.reported(LoadReport(5, 9, 2), START)
+        self.former.set_load(LoadReport(5, 9, 2), START)
         state = self.restart()
         self.assertEqual(0.0, state.load(START))
         self.assertEqual(8, state.slots)
 
     def test_requests_of_other_routers(self):
-        self.former.hear_router("r2", 7, START + 9)
+        self.former.set_peer_requests("r2", 7, START + 9)
         self.assertEqual(0.0, self.restart().load(START))
 
     def test_outcomes(self):
@@ -208,7 +212,7 @@
         self.assertEqual((0.0, 0.0), state.outcomes(START))
 
     def test_outcomes_that_others_tell(self):
-        self.former.hear_outcomes("r2", 0.0, 9.0, START + 9)
+        self.former.set_peer_outcomes("r2", 0.0, 9.0, START + 9)
         self.assertEqual(0.0, self.restart().failure_share(START))
 
     def test_the_pause_after_failing_to_reach_it(self):
@@ -232,7 +236,7 @@
 
     def test_callers_that_hold_its_answers_up(self):
         self.former.sent(START)
-        self.former.held_up()
+        self.former.pause_reading()
         state = self.restart()
         state.sent(START)
         self.assertAlmostEqual(1.0, state.silence(START + 1.0))
@@ -242,10 +246,10 @@
         self.assertFalse(self.restart().target.is_draining)
 
     def test_warming(self):
-        state = self.restart(warming_for=3.0)
-        self.assertEqual(3.0, state.target.warming_for)
+        state = self.restart(warm_up_seconds=3.0)
+        self.assertEqual(3.0, state.target.warm_up_seconds)
         self.targets.put(target("m1", started_at=THIRD), START)
-        self.assertEqual(0.0, self.targets.state("m1").target.warming_for)
+        self.assertEqual(0.0, self.targets.state("m1").target.warm_up_seconds)
 
 
 class Side:
@@ -253,12 +257,12 @@
 
     def __init__(self, name, started_at):
         self.targets = TargetList(2.0)
-        self.parts = PartDirectory()
-        self.news = RouterNews(name, 1, self.targets, self.parts, Freshness(5.0))
+        self.parts = PrefixCacheIndex()
+        self.news = StateExchange(name, 1, self.targets, self.parts, Freshness(5.0))
         self.know(started_at)
         for number, other in enumerate(("a", "b")):
             endpoint = Endpoint("127.0.0.1", 7000 + number)
-            self.news.put(OtherRouter(other, endpoint), START)
+            self.news.put(PeerRouter(other, endpoint), START)
 
     def know(self, started_at):
         self.targets.put(target("m1", started_at=started_at), START)
@@ -270,7 +274,7 @@
         for _ in range(4):
             state.succeeded(START)
         state.failed(START)
-        self.parts.note_own(state.incarnation, WANTED.parts, START)
+        self.parts.record_own_request(state.incarnation, WANTED.parts, START)
 
     def beliefs(self):
         state = self.targets.state("m1")
@@ -282,7 +286,7 @@
 
     def tell(self, other):
         [(_, message)] = self.news.compose(1, START)
-        other.news.take(decode(encode(message)), 1, START)
+        other.news.receive(decode(encode(message)), 1, START)
 
 
 class NewsOfAnotherLifeTest(TestCase):
@@ -338,185 +342,191 @@
 class RestartOfACallTest(TestCase):
     """What becomes of a request whose target starts again."""
 
-    def lives(self, desk):
-        return [run.sending.target.incarnation for run in desk.caller.runs]
+    def lives(self, harness):
+        return [run.sending.target.incarnation for run in harness.caller.runs]
 
     # Between choice and sending
 
     def test_what_was_not_sent_goes_to_the_new_life_too(self):
         for route in (CONFIRMATION, LOOKUP):
-            desk = Desk(PORTAL_ALONE, extra=0.0)
-            desk.caller.opening = {"p1"}
-            _, sink = desk.call(request(route))
-            desk.caller.opening = set()
-            desk.restart("p1", SECOND)
-            self.assertEqual([life("p1", FIRST), life("p1", SECOND)], self.lives(desk))
-            desk.caller.last.answer(200, b"ok")
+            harness = ForwardingHarness(PORTAL_ALONE, extra=0.0)
+            harness.caller.opening = {"p1"}
+            _, sink = harness.call(request(route))
+            harness.caller.opening = set()
+            harness.restart("p1", SECOND)
+            self.assertEqual(
+                [make_incarnation("p1", FIRST), make_incarnation("p1", SECOND)],
+                self.lives(harness),
+            )
+            harness.caller.last.answer(200, b"ok")
             self.assertEqual(b"ok", sink.body)
 
     # Between sending and head
 
     def test_one_that_may_run_once_is_not_sent_again_nor_called_not_run(self):
         for targets in (PORTAL_ALONE, PORTAL):
-            desk = Desk(targets)
-            _, sink = desk.call(request(CONFIRMATION))
-            desk.restart(desk.caller.last.name, SECOND)
-            self.assertEqual(1, len(desk.caller.runs))
+            harness = ForwardingHarness(targets)
+            _, sink = harness.call(request(CONFIRMATION))
+            harness.restart(harness.caller.last.name, SECOND)
+            self.assertEqual(1, len(harness.caller.runs))
             self.assertEqual(Refusal.CUT, sink.refusal)
             self.assertFalse(sink.refusal.is_not_run)
             self.assertIsNone(sink.retry_after)
 
     def test_a_stream_that_may_run_once_is_not_sent_again(self):
-        desk = Desk(MODEL)
-        _, sink = desk.call(request(FRAGILE_STREAM, deadline=START + 12))
-        desk.restart(desk.caller.last.name, SECOND)
-        self.assertEqual((1, Refusal.CUT), (len(desk.caller.runs), sink.refusal))
+        harness = ForwardingHarness(MODEL)
+        _, sink = harness.call(request(FRAGILE_STREAM, deadline=START + 12))
+        harness.restart(harness.caller.last.name, SECOND)
+        self.assertEqual((1, Refusal.CUT), (len(harness.caller.runs), sink.refusal))
 
     def test_the_new_life_s_word_that_it_did_not_run_it_promises_nothing(self):
-        desk = Desk(PORTAL_ALONE)
-        _, sink = desk.call(request(LOOKUP))
-        desk.restart("p1", SECOND)
-        desk.caller.last.observer.run_head(head(503, is_not_run=True))
+        harness = ForwardingHarness(PORTAL_ALONE)
+        _, sink = harness.call(request(LOOKUP))
+        harness.restart("p1", SECOND)
+        harness.caller.last.observer.response_head(head(503, is_not_run=True))
         self.assertEqual(Refusal.CUT, sink.refusal)
         self.assertFalse(sink.refusal.is_not_run)
 
     def test_one_that_may_be_repeated_goes_on_at_the_new_life(self):
-        desk = Desk(PORTAL_ALONE)
-        _, sink = desk.call(request(LOOKUP))
-        desk.restart("p1", SECOND)
-        desk.caller.last.answer(200, b"ok")
+        harness = ForwardingHarness(PORTAL_ALONE)
+        _, sink = harness.call(request(LOOKUP))
+        harness.restart("p1", SECOND)
+        harness.caller.last.answer(200, b"ok")
         self.assertEqual(b"ok", sink.body)
-        self.assertEqual([life("p1", FIRST), life("p1", SECOND)], self.lives(desk))
+        self.assertEqual(
+            [make_incarnation("p1", FIRST), make_incarnation("p1", SECOND)],
+            self.lives(harness),
+        )
 
     def test_it_goes_on_within_the_budget_only(self):
-        desk = Desk(PORTAL, extra=0.0)
-        _, sink = desk.call(request(LOOKUP))
-        desk.restart(desk.caller.last.name, SECOND)
-        self.assertEqual((1, Refusal.CUT), (len(desk.caller.runs), sink.refusal))
+        harness = ForwardingHarness(PORTAL, extra=0.0)
+        _, sink = harness.call(request(LOOKUP))
+        harness.restart(harness.caller.last.name, SECOND)
+        self.assertEqual((1, Refusal.CUT), (len(harness.caller.runs), sink.refusal))
 
     # Midway in a stream
 
     def test_a_stream_goes_on_after_its_last_whole_event(self):
         for targets in (ALONE, MODEL):
-            desk = Desk(targets)
-            _, sink = desk.call(request(STREAM, deadline=START + 12))
-            first = desk.caller.last
-            first.observer.run_head(head())
-            first.observer.run_data(event(1) + event(2) + event(3)[:4])
-            desk.restart(first.name, SECOND)
-            second = desk.caller.last
+            harness = ForwardingHarness(targets)
+            _, sink = harness.call(request(STREAM, deadline=START + 12))
+            first = harness.caller.last
+            first.observer.response_head(head())
+            first.observer.response_data(event(1) + event(2) + event(3)[:4])
+            harness.restart(first.name, SECOND)
+            second = harness.caller.last
             self.assertEqual(2, second.sending.resume_after)
-            second.observer.run_head(head())
+            second.observer.response_head(head())
             # What the former life still says reaches nobody.
-            first.observer.run_data(event(3)[4:] + event(4))
-            first.observer.run_done()
-            second.observer.run_data(event(3))
-            second.observer.run_done()
+            first.observer.response_data(event(3)[4:] + event(4))
+            first.observer.response_done()
+            second.observer.response_data(event(3))
+            second.observer.response_done()
             self.assertEqual(event(1) + event(2) + event(3), sink.body)
             self.assertTrue(sink.is_finished)
 
     def test_a_stream_that_may_not_go_on_is_broken_off(self):
-        desk = Desk(MODEL)
-        _, sink = desk.call(request(FRAGILE_STREAM, deadline=START + 12))
-        run = desk.caller.last
-        run.observer.run_head(head())
-        run.observer.run_data(event(1))
-        desk.restart(run.name, SECOND)
+        harness = ForwardingHarness(MODEL)
+        _, sink = harness.call(request(FRAGILE_STREAM, deadline=START + 12))
+        run = harness.caller.last
+        run.observer.response_head(head())
+        run.observer.response_data(event(1))
+        harness.restart(run.name, SECOND)
         self.assertTrue(sink.is_broken)
-        self.assertEqual(1, len(desk.caller.runs))
+        self.assertEqual(1, len(harness.caller.runs))
 
     def test_a_late_answer_of_the_former_life_reaches_nobody(self):
-        desk = Desk(PORTAL_ALONE)
-        _, sink = desk.call(request(LOOKUP))
-        first = desk.caller.last
-        desk.restart("p1", SECOND)
+        harness = ForwardingHarness(PORTAL_ALONE)
+        _, sink = harness.call(request(LOOKUP))
+        first = harness.caller.last
+        harness.restart("p1", SECOND)
         first.answer(200, b"late")
         self.assertEqual((None, b""), (sink.head, sink.body))
-        desk.caller.last.answer(200, b"ok")
+        harness.caller.last.answer(200, b"ok")
         self.assertEqual(b"ok", sink.body)
 
     # While it leaves, and twice
 
     def test_a_target_that_starts_again_while_it_leaves_gets_new_work(self):
-        desk = Desk(PORTAL_ALONE)
-        _, sink = desk.call(request(LOOKUP))
-        _, once = desk.call(request(CONFIRMATION))
+        harness = ForwardingHarness(PORTAL_ALONE)
+        _, sink = harness.call(request(LOOKUP))
+        _, once = harness.call(request(CONFIRMATION))
         leaving = target("p1", "portal", started_at=FIRST, is_draining=True)
-        desk.state("p1").relist(leaving)
-        desk.restart("p1", SECOND)
+        harness.state("p1").update_entry(leaving)
+        harness.restart("p1", SECOND)
         self.assertEqual(Refusal.CUT, once.refusal)
-        desk.caller.last.answer(200, b"ok")
+        harness.caller.last.answer(200, b"ok")
         self.assertEqual(b"ok", sink.body)
 
     def test_each_life_counts_towards_the_number_of_targets(self):
-        desk = Desk(PORTAL_ALONE)
-        _, sink = desk.call(request(LOOKUP))
-        desk.restart("p1", SECOND)
-        desk.pass_time(0.2)
-        desk.restart("p1", THIRD)
-        self.assertEqual(2, len(desk.caller.runs))
+        harness = ForwardingHarness(PORTAL_ALONE)
+        _, sink = harness.call(request(LOOKUP))
+        harness.restart("p1", SECOND)
+        harness.pass_time(0.2)
+        harness.restart("p1", THIRD)
+        self.assertEqual(2, len(harness.caller.runs))
         self.assertEqual(Refusal.CUT, sink.refusal)
 
     def test_after_two_restarts_within_a_second_only_the_last_life_serves(self):
-        desk = Desk(ALONE)
+        harness = ForwardingHarness(ALONE)
         route = replace(STREAM, max_targets=3)
-        _, sink = desk.call(request(route, deadline=START + 12))
-        first = desk.caller.last
-        first.observer.run_head(head())
-        first.observer.run_data(event(1))
-        desk.restart("m1", SECOND)
-        desk.pass_time(0.2)
-        second = desk.caller.last
-        desk.restart("m1", THIRD)
-        expected = [life("m1", start) for start in (FIRST, SECOND, THIRD)]
-        self.assertEqual(expected, self.lives(desk))
-        second.observer.run_head(head())
-        second.observer.run_data(event(2) + event(3))
-        third = desk.caller.last
-        third.observer.run_head(head())
-        third.observer.run_data(event(2))
-        third.observer.run_done()
+        _, sink = harness.call(request(route, deadline=START + 12))
+        first = harness.caller.last
+        first.observer.response_head(head())
+        first.observer.response_data(event(1))
+        harness.restart("m1", SECOND)
+        harness.pass_time(0.2)
+        second = harness.caller.last
+        harness.restart("m1", THIRD)
+        expected = [make_incarnation("m1", start) for start in (FIRST, SECOND, THIRD)]
+        self.assertEqual(expected, self.lives(harness))
+        second.observer.response_head(head())
+        second.observer.response_data(event(2) + event(3))
+        third = harness.caller.last
+        third.observer.response_head(head())
+        third.observer.response_data(event(2))
+        third.observer.response_done()
         self.assertEqual(event(1) + event(2), sink.body)
 
     def test_a_request_leaves_no_count_behind_at_either_life(self):
         for route, targets in ((LOOKUP, PORTAL), (CONFIRMATION, PORTAL)):
-            desk = Desk(targets)
-            desk.call(request(route))
-            former = desk.state(desk.caller.last.name)
-            desk.restart(former.target.name, SECOND)
-            if not desk.ended:
-                desk.caller.last.answer(200, b"ok")
-            counts = [state.own_running for state in (former, *desk.states)]
+            harness = ForwardingHarness(targets)
+            harness.call(request(route))
+            former = harness.state(harness.caller.last.name)
+            harness.restart(former.target.name, SECOND)
+            if not harness.ended:
+                harness.caller.last.answer(200, b"ok")
+            counts = [state.own_running for state in (former, *harness.states)]
             self.assertEqual([0] * 3, counts)
-            self.assertEqual([], desk.clock.getDelayedCalls())
+            self.assertEqual([], harness.clock.getDelayedCalls())
 
     # With a successor on trial
 
     def test_a_successor_takes_over_when_the_silent_target_starts_again(self):
-        desk, sink, silent, successor = self.on_trial()
-        desk.restart(silent.name, SECOND)
+        harness, sink, silent, successor = self.on_trial()
+        harness.restart(silent.name, SECOND)
         self.assertTrue(silent.is_cancelled)
-        successor.observer.run_head(head())
-        successor.observer.run_data(event(2))
-        successor.observer.run_done()
+        successor.observer.response_head(head())
+        successor.observer.response_data(event(2))
+        successor.observer.response_done()
         self.assertEqual(event(1) + event(2), sink.body)
-        self.assertEqual(2, len(desk.caller.runs))
+        self.assertEqual(2, len(harness.caller.runs))
 
     def test_the_silent_target_goes_on_when_its_successor_starts_again(self):
-        desk, sink, silent, successor = self.on_trial()
-        desk.restart(successor.name, SECOND)
+        harness, sink, silent, successor = self.on_trial()
+        harness.restart(successor.name, SECOND)
         self.assertFalse(silent.is_cancelled)
-        silent.observer.run_data(event(2))
-        silent.observer.run_done()
+        silent.observer.response_data(event(2))
+        silent.observer.response_done()
         self.assertEqual(event(1) + event(2), sink.body)
 
     def on_trial(self):
-        desk = Desk(MODEL)
-        _, sink = desk.call(request(STREAM, deadline=START + 12))
-        silent = desk.caller.last
-        silent.observer.run_head(head())
-        silent.observer.run_data(event(1))
-        desk.pass_time(0.5)
-        successor = desk.caller.last
+        harness = ForwardingHarness(MODEL)
+        _, sink = harness.call(request(STREAM, deadline=START + 12))
+        silent = harness.caller.last
+        silent.observer.response_head(head())
+        silent.observer.response_data(event(1))
+        harness.pass_time(0.5)
+        successor = harness.caller.last
         self.assertIsNot(silent, successor)
-        return desk, sink, silent, successor
+        return harness, sink, silent, successor
--- a/tests/entry/test_restart_transport.py
+++ b/tests/entry/test_restart_transport.py
@@ -10,14 +10,14 @@
 
 from entry.fakes import CONFIRMATION
 from entry.fakes import LOOKUP
-from entry.fakes import life
+from entry.fakes import make_incarnation
 from entry.fakes import request
 from entry.fakes import target
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.platform.http_codec import PlatformCodec
-from primrosescale.process.entry.target_caller import HttpTargetCaller
-from primrosescale.request.direct_port import RunObserver
-from primrosescale.request.direct_port import Sending
+from primrosescale.process.entry.target_client import HttpTargetClient
+from primrosescale.request.forwarding_interfaces import OutgoingRequest
+from primrosescale.request.forwarding_interfaces import ResponseObserver
 from support.live import DeploymentRunTest
 from support.live import LiveTest
 
@@ -45,30 +45,30 @@
         self.transport.write(ANSWER)
 
 
-class Heard(RunObserver):
+class Heard(ResponseObserver):
     """Notes what becomes of a request."""
 
     def __init__(self):
         self.said = []
         self.detail = ""
 
-    def run_sent(self):
+    def request_sent(self):
         self.said.append("sent")
 
-    def run_not_sent(self, detail):
+    def request_not_sent(self, detail):
         self.said.append("not sent")
         self.detail = detail
 
-    def run_head(self, head):
+    def response_head(self, head):
         self.said.append("head")
 
-    def run_data(self, data):
+    def response_data(self, data):
         self.said.append("data")
 
-    def run_done(self):
+    def response_done(self):
         self.said.append("done")
 
-    def run_cut(self, detail):
+    def response_lost(self, detail):
         self.said.append("cut")
         self.detail = detail
 
@@ -78,7 +78,7 @@
 
     def setUp(self):
         super().setUp()
-        self.caller = HttpTargetCaller(reactor, PlatformCodec())
+        self.caller = HttpTargetClient(reactor, PlatformCodec())
         self.addCleanup(self.caller.forget, "p1")
         self.servers = [self.listen(), self.listen()]
 
@@ -93,7 +93,7 @@
     def send(self, started_at=FIRST, *, server=0, endpoint=None, is_new=False):
         heard = Heard()
         endpoint = endpoint or self.servers[server].endpoint
-        sending = Sending(
+        sending = OutgoingRequest(
             request=request(CONFIRMATION if is_new else LOOKUP, headers=HOST),
             target=target("p1", "portal", started_at=started_at, endpoint=endpoint),
             time_left=5.0,
@@ -134,7 +134,7 @@
     def test_what_was_sent_may_have_run(self):
         heard = self.send()
         channel = yield self.arrived()
-        self.caller.end_former(life("p1", SECOND))
+        self.caller.abort_former(make_incarnation("p1", SECOND))
         self.assertEqual(["sent", "cut"], heard.said)
         self.assertIn("started again", heard.detail)
         yield self.eventually(lambda: channel.is_closed)
@@ -145,7 +145,7 @@
         channel = yield self.arrived()
         channel.transport.write(ANSWER[:-1])
         yield self.eventually(lambda: "data" in heard.said)
-        self.caller.end_former(life("p1", SECOND))
+        self.caller.abort_former(make_incarnation("p1", SECOND))
         channel.transport.write(ANSWER[-1:])
         yield deferLater(reactor, 0.05, lambda: None)
         self.assertEqual(["sent", "head", "data", "cut"], heard.said)
@@ -153,7 +153,7 @@
     @inlineCallbacks
     def test_what_waits_for_a_connection_was_not_sent(self):
         heard = self.send()
-        self.caller.end_former(life("p1", SECOND))
+        self.caller.abort_former(make_incarnation("p1", SECOND))
         self.assertEqual(["not sent"], heard.said)
         yield deferLater(reactor, 0.05, lambda: None)
         self.assertEqual(["not sent"], heard.said)
@@ -168,9 +168,13 @@
     def test_the_present_life_and_other_targets_are_left_alone(self):
         heard = self.send(SECOND)
         channel = yield self.arrived()
-        for present in (life("p1", SECOND), life("p1", FIRST), life("p1")):
-            self.caller.end_former(present)
-        self.caller.end_former(life("p2", THIRD))
+        for present in (
+            make_incarnation("p1", SECOND),
+            make_incarnation("p1", FIRST),
+            make_incarnation("p1"),
+        ):
+            self.caller.abort_former(present)
+        self.caller.abort_former(make_incarnation("p2", THIRD))
         channel.answer()
         yield self.eventually(lambda: "done" in heard.said)
 
@@ -186,13 +190,13 @@
     @inlineCallbacks
     def test_kept_connections_of_a_former_life_are_closed(self):
         kept = yield self.keep_one()
-        self.caller.end_former(life("p1", SECOND))
+        self.caller.abort_former(make_incarnation("p1", SECOND))
         yield self.eventually(lambda: kept.is_closed)
 
     @inlineCallbacks
     def test_a_new_life_at_another_address_is_called_there(self):
         yield self.keep_one()
-        self.caller.end_former(life("p1", SECOND))
+        self.caller.abort_former(make_incarnation("p1", SECOND))
         self.send(SECOND, server=1)
         yield self.arrived(server=1)
         self.assertEqual(1, len(self.servers[0].channels))
@@ -219,7 +223,7 @@
         heard = self.send()
         yield self.arrived()
         self.caller.forget("p1")
-        self.caller.end_former(life("p1", SECOND))
+        self.caller.abort_former(make_incarnation("p1", SECOND))
         self.assertEqual(["sent", "cut"], heard.said)
 
     @inlineCallbacks
@@ -230,7 +234,7 @@
         yield self.eventually(lambda: "cut" in lost.said)
         heard = self.send(is_new=True)
         second = yield self.arrived(place=1)
-        self.caller.end_former(life("p1", SECOND))
+        self.caller.abort_former(make_incarnation("p1", SECOND))
         second.answer()
         yield self.eventually(lambda: "done" in heard.said)
         yield self.eventually(lambda: second.is_closed)
@@ -243,7 +247,7 @@
         second = yield self.arrived(place=1)
         second.transport.abortConnection()
         yield self.eventually(lambda: "cut" in lost.said)
-        self.caller.end_former(life("p1", SECOND))
+        self.caller.abort_former(make_incarnation("p1", SECOND))
         self.assertEqual(["sent", "cut"], early.said)
 
     @inlineCallbacks
@@ -254,9 +258,9 @@
         yield self.eventually(lambda: "cut" in lost.said)
         heard = self.send(is_new=True)
         yield self.arrived(place=1)
-        self.caller.end_former(life("p1", SECOND))
+        self.caller.abort_former(make_incarnation("p1", SECOND))
         self.assertEqual(["sent"], heard.said)
-        self.caller.end_former(life("p1", THIRD))
+        self.caller.abort_former(make_incarnation("p1", THIRD))
         self.assertEqual(["sent", "cut"], heard.said)
 
     @inlineCallbacks
@@ -269,5 +273,5 @@
         yield self.eventually(lambda: "cut" in heard.said)
         limit = self.caller._rest_limit
         self.assertFalse(limit.allows(0.1, reactor.seconds()))
-        self.caller.end_former(life("p1", SECOND))
+        self.caller.abort_former(make_incarnation("p1", SECOND))
         self.assertTrue(limit.allows(0.1, reactor.seconds()))
--- a/tests/entry/test_router_news.py
+++ b/tests/entry/test_router_news.py
@@ -5,22 +5,22 @@
 from testtools import TestCase
 
 from entry.fakes import START
-from entry.fakes import life
+from entry.fakes import make_incarnation
 from entry.fakes import prompt
 from entry.fakes import target
 from primrosescale.connection.codec import decode
 from primrosescale.connection.codec import encode
 from primrosescale.connection.endpoint import Endpoint
-from primrosescale.process.entry.news_paths import NewsSettings
-from primrosescale.process.entry.other_router import OtherRouter
-from primrosescale.process.entry.router_news import BYTES_PER_SECOND
-from primrosescale.process.entry.router_news import MOST_FORMER
-from primrosescale.process.entry.router_news import MOST_PARTS
-from primrosescale.process.entry.router_news import USUAL_DATAGRAM
-from primrosescale.process.entry.router_news import RouterNews
+from primrosescale.process.entry.peer_router import PeerRouter
+from primrosescale.process.entry.relay_topology import StateExchangeSettings
+from primrosescale.process.entry.state_exchange import BYTES_PER_SECOND
+from primrosescale.process.entry.state_exchange import MOST_FORMER
+from primrosescale.process.entry.state_exchange import MOST_PARTS
+from primrosescale.process.entry.state_exchange import USUAL_DATAGRAM
+from primrosescale.process.entry.state_exchange import StateExchange
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.part_directory import PartDirectory
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 
 BYTES_IN_ONE_PIECE = 1400
 
@@ -28,9 +28,9 @@
 class Side:
     def __init__(self, name, incarnation=1, settings=None):
         self.targets = TargetList(2.0)
-        self.parts = PartDirectory()
+        self.parts = PrefixCacheIndex()
         self.fresh = Freshness(5.0)
-        self.news = RouterNews(
+        self.news = StateExchange(
             name,
             incarnation,
             self.targets,
@@ -44,7 +44,7 @@
     def knows(self, *names, domains=1):
         for number, name in enumerate(names):
             endpoint = Endpoint("127.0.0.1", 7000 + number)
-            self.news.put(OtherRouter(name, endpoint, str(number % domains)), START)
+            self.news.put(PeerRouter(name, endpoint, str(number % domains)), START)
 
     def message(self, version=1, now=START):
         [(_, message)] = self.news.compose(version, now)
@@ -61,10 +61,10 @@
     def test_loads_and_parts_are_told(self):
         self.a.targets.state("m1").sent(START)
         parts = prompt(("tariffs", 9000), ("chat", 10)).parts
-        self.a.parts.note_own(life("m3"), parts, START)
-        self.assertTrue(self.b.news.take(self.a.message(), 1, START))
+        self.a.parts.record_own_request(make_incarnation("m3"), parts, START)
+        self.assertTrue(self.b.news.receive(self.a.message(), 1, START))
         self.assertEqual(1.0, self.b.targets.state("m1").load(START))
-        self.assertEqual(9000, self.b.parts.held(life("m3"), parts, START))
+        self.assertEqual(9000, self.b.parts.held(make_incarnation("m3"), parts, START))
 
     def test_of_many_targets_the_most_loaded_are_told(self):
         for number in range(1, 81):
@@ -74,77 +74,79 @@
         for _ in range(2):
             self.a.targets.state("x80").sent(START)
         self.a.targets.state("x79").failed(START)
-        self.b.news.take(self.a.message(), 1, START)
+        self.b.news.receive(self.a.message(), 1, START)
         self.assertEqual(2.0, self.b.targets.state("x80").load(START))
         self.assertGreater(self.b.targets.state("x79").failure_share(START), 0)
 
     def test_old_news_and_strangers_are_passed_over(self):
         first, second = self.a.message(), self.a.message()
-        self.assertTrue(self.b.news.take(second, 1, START))
-        self.assertFalse(self.b.news.take(first, 1, START))
+        self.assertTrue(self.b.news.receive(second, 1, START))
+        self.assertFalse(self.b.news.receive(first, 1, START))
         stranger = Side("c")
         stranger.knows("b")
-        self.assertFalse(self.b.news.take(stranger.message(), 1, START))
+        self.assertFalse(self.b.news.receive(stranger.message(), 1, START))
 
     def test_a_restarted_router_is_heard_and_its_past_is_not(self):
         before = self.a.message()
         again = Side("a", incarnation=2)
         again.knows("b")
-        self.assertTrue(self.b.news.take(again.message(), 1, START))
-        self.assertFalse(self.b.news.take(before, 1, START))
+        self.assertTrue(self.b.news.receive(again.message(), 1, START))
+        self.assertFalse(self.b.news.receive(before, 1, START))
 
     def test_another_router_s_question_counts_after_a_reply(self):
         self.a.fresh.answered(START - 10)
         self.b.fresh.answered(START - 1)
-        self.b.news.take(self.a.message(now=START), 1, START)
-        self.a.news.take(self.b.message(now=START + 0.1), 1, START + 9)
+        self.b.news.receive(self.a.message(now=START), 1, START)
+        self.a.news.receive(self.b.message(now=START + 0.1), 1, START + 9)
         # b's age was 1.1 s when it replied, and it replied after START.
         self.assertAlmostEqual(10.1, self.a.fresh.age(START + 9))
 
     def test_without_a_reply_it_counts_for_nothing(self):
         self.a.fresh.answered(START - 10)
         self.b.fresh.answered(START - 1)
-        self.a.news.take(self.b.message(), 1, START)
+        self.a.news.receive(self.b.message(), 1, START)
         self.assertAlmostEqual(10.0, self.a.fresh.age(START))
 
     def test_another_version_proves_nothing(self):
         self.a.fresh.answered(START - 10)
         self.b.fresh.answered(START - 1)
-        self.b.news.take(self.a.message(version=1), 2, START)
-        self.a.news.take(self.b.message(version=2), 1, START)
+        self.b.news.receive(self.a.message(version=1), 2, START)
+        self.a.news.receive(self.b.message(version=2), 1, START)
         self.assertAlmostEqual(10.0, self.a.fresh.age(START))
 
     def test_a_router_without_the_store_knows_whether_others_reach_it(self):
-        self.assertFalse(self.a.news.others_reach_store(START))
-        self.a.news.take(self.b.message(version=2), 1, START)
-        self.assertTrue(self.a.news.others_reach_store(START))
+        self.assertFalse(self.a.news.peers_reach_store(START))
+        self.a.news.receive(self.b.message(version=2), 1, START)
+        self.assertTrue(self.a.news.peers_reach_store(START))
 
     def test_an_outage_for_all_is_nobody_s_alone(self):
         [(_, message)] = self.b.news.compose(1, START, is_store_lost=True)
-        self.a.news.take(message, 1, START)
-        self.assertFalse(self.a.news.others_reach_store(START))
+        self.a.news.receive(message, 1, START)
+        self.assertFalse(self.a.news.peers_reach_store(START))
 
     def test_a_router_that_hears_nobody_any_more_is_cut_off(self):
         [(_, message)] = self.b.news.compose(1, START, is_store_lost=True)
-        self.a.news.take(message, 1, START)
-        self.assertTrue(self.a.news.others_reach_store(START + 4))
+        self.a.news.receive(message, 1, START)
+        self.assertTrue(self.a.news.peers_reach_store(START + 4))
 
     def test_a_router_with_trouble_of_its_own_is_no_witness(self):
         for number in range(1, 6):
             self.a.targets.state(f"m{number}").failed(START)
-        self.b.news.take(self.a.message(), 1, START)
+        self.b.news.receive(self.a.message(), 1, START)
         self.assertEqual(0.0, self.b.targets.state("m1").failure_share(START))
 
     def test_a_target_that_only_this_router_cannot_reach_stays_good_for_others(self):
         for number in range(1, 6):
             self.a.targets.state(f"m{number}").succeeded(START)
         self.a.targets.state("m1").unreachable(START)
-        self.b.news.take(self.a.message(), 1, START)
+        self.b.news.receive(self.a.message(), 1, START)
         self.assertEqual(0.0, self.b.targets.state("m1").failure_share(START))
 
     def test_a_datagram_fits_into_one_piece(self):
         many = [(f"{number:016x}", 100) for number in range(200)]
-        self.a.parts.note_own(life("m1"), prompt(*many).parts, START)
+        self.a.parts.record_own_request(
+            make_incarnation("m1"), prompt(*many).parts, START
+        )
         for number in range(1, 6):
             self.a.targets.state(f"m{number}").sent(START)
         message = self.a.message()
@@ -158,21 +160,21 @@
             side.knows(*names)
         for side in sides.values():
             for router, message in side.news.compose(1, START):
-                sides[router.name].news.take(decode(encode(message)), 1, START)
-        asking = [n for n, side in sides.items() if side.news.asks_often(START)]
+                sides[router.name].news.receive(decode(encode(message)), 1, START)
+        asking = [n for n, side in sides.items() if side.news.polls_store(START)]
         self.assertEqual(4, len(asking))
         # When these are no longer heard of, everyone asks.
-        self.assertTrue(all(s.news.asks_often(START + 9) for s in sides.values()))
+        self.assertTrue(all(s.news.polls_store(START + 9) for s in sides.values()))
 
     def test_a_newer_version_of_another_router_is_noticed(self):
-        self.b.news.take(self.a.message(version=7), 3, START)
+        self.b.news.receive(self.a.message(version=7), 3, START)
         self.assertEqual(7, self.b.news.newest_version(START))
         self.assertEqual(0, self.b.news.newest_version(START + 9))
 
     def test_a_router_that_stays_silent_is_gone_and_a_lonely_one_judges_nobody(self):
         self.a.knows("a", "b", "c")
         self.assertEqual([], self.a.news.unheard(START + 100))
-        self.a.news.take(self.b.message(), 1, START + 100)
+        self.a.news.receive(self.b.message(), 1, START + 100)
         self.assertEqual(["c"], self.a.news.unheard(START + 100))
         self.assertEqual([], self.a.news.unheard(START + 59))
 
@@ -183,15 +185,15 @@
         for number in range(1, 81):
             self.a.targets.state(f"x{number}").succeeded(START)
         self.a.targets.state("x80").sent(START)
-        self.b.news.take(self.a.message(), 1, START)
+        self.b.news.receive(self.a.message(), 1, START)
         self.a.targets.state("x80").ended()
         for number in range(1, 51):
             self.a.targets.state(f"x{number}").sent(START)
-        self.b.news.take(self.a.message(), 1, START)
+        self.b.news.receive(self.a.message(), 1, START)
         self.assertEqual(0.0, self.b.targets.state("x80").load(START))
 
     def test_many_routers_are_told_less_often(self):
-        direct = Side("a", settings=NewsSettings(most_direct=1000))
+        direct = Side("a", settings=StateExchangeSettings(most_direct=1000))
         direct.knows("a", "b")
         self.assertEqual(0.25, direct.news.interval)
         direct.knows(*(f"r{number}" for number in range(420)))
@@ -246,7 +248,7 @@
             self.assertLess(len(frame), BYTES_IN_ONE_PIECE)
             for other in self.sides:
                 if other is not side:
-                    other.news.take(decode(frame), 1, START)
+                    other.news.receive(decode(frame), 1, START)
 
     def share(self, name):
         return self.sides[0].targets.state(name).failure_share(START)
--- a/tests/entry/test_rules_of_knowledge.py
+++ b/tests/entry/test_rules_of_knowledge.py
@@ -10,16 +10,16 @@
 from entry.fakes import FRAGILE_STREAM
 from entry.fakes import LOOKUP
 from entry.fakes import START
-from entry.fakes import life
+from entry.fakes import make_incarnation
 from entry.fakes import target
 from primrosescale.process.entry.target_list import TargetList
-from primrosescale.request.direct_port import Refusal
 from primrosescale.request.event_stream import EventSplitter
+from primrosescale.request.forwarding_interfaces import Refusal
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.gate import CallerHead
-from primrosescale.request.gate import Gate
-from primrosescale.request.repeat_budget import RepeatBounds
-from primrosescale.request.repeat_budget import RepeatBudget
+from primrosescale.request.request_resolver import CallerHead
+from primrosescale.request.request_resolver import RequestResolver
+from primrosescale.request.shared_retry_budget import SharedRetryBudget
+from primrosescale.request.shared_retry_budget import SharedRetryLimits
 from primrosescale.version.routing_table import CallerLimits
 from primrosescale.version.routing_table import Organisation
 from primrosescale.version.routing_table import RoutingTable
@@ -70,14 +70,14 @@
         super().setUp()
         self.fresh = Freshness(5.0)
         self.fresh.answered(START)
-        self.gate = Gate(self.fresh, 2.0, random.Random(1))
+        self.gate = RequestResolver(self.fresh, 2.0, random.Random(1))
 
-    def judge(self, now=START + 1, known=None, **fields):
+    def resolve(self, now=START + 1, known=None, **fields):
         known = table() if known is None else known
-        return self.gate.judge(caller_head(**fields), b"", known, now)
+        return self.gate.resolve(caller_head(**fields), b"", known, now)
 
     def test_a_proper_request_is_accepted(self):
-        found = self.judge()
+        found = self.resolve()
         self.assertEqual(("lookup", "bakery", 2, 1), self.parts(found))
         self.assertEqual(START + 1 + 0.8, found.give_up_at)
 
@@ -89,37 +89,37 @@
         elsewhere = replace(LOOKUP, name="else", host="x", path_prefix="/lookup/7/8/")
         known = table(routes=(LOOKUP, longer, elsewhere))
         self.assertEqual(
-            "longer", self.judge(path=b"/lookup/7/8/", known=known).route.name
+            "longer", self.resolve(path=b"/lookup/7/8/", known=known).route.name
         )
         self.assertEqual(
-            "lookup", self.judge(path=b"/lookup/70/", known=known).route.name
+            "lookup", self.resolve(path=b"/lookup/70/", known=known).route.name
         )
 
     def test_what_is_known_for_certain_is_refused_for_good(self):
-        self.assertEqual(Refusal.NO_ROUTE, self.judge(path=b"/none/"))
-        self.assertEqual(Refusal.UNKNOWN_KEY, self.judge(key="x"))
-        self.assertEqual(Refusal.UNKNOWN_KEY, self.judge(key=""))
+        self.assertEqual(Refusal.NO_ROUTE, self.resolve(path=b"/none/"))
+        self.assertEqual(Refusal.UNKNOWN_KEY, self.resolve(key="x"))
+        self.assertEqual(Refusal.UNKNOWN_KEY, self.resolve(key=""))
 
     def test_what_may_have_been_added_meanwhile_may_come_back(self):
         later = START + 2.5
-        self.assertEqual(Refusal.STALE, self.judge(later, path=b"/none/"))
-        self.assertEqual(Refusal.STALE, self.judge(later, key="x"))
+        self.assertEqual(Refusal.STALE, self.resolve(later, path=b"/none/"))
+        self.assertEqual(Refusal.STALE, self.resolve(later, key="x"))
 
     def test_a_key_is_not_accepted_once_its_withdrawal_may_be_unknown(self):
-        self.assertNotEqual(Refusal.STALE, self.judge(START + 4.6))
-        self.assertEqual(Refusal.STALE, self.judge(START + 4.8))
+        self.assertNotEqual(Refusal.STALE, self.resolve(START + 4.6))
+        self.assertEqual(Refusal.STALE, self.resolve(START + 4.8))
 
     def test_an_open_route_needs_no_key_and_no_fresh_knowledge(self):
-        known = table(routes=(replace(LOOKUP, is_open=True),))
-        found = self.judge(START + 60, known=known, key="")
+        known = table(routes=(replace(LOOKUP, allows_anonymous=True),))
+        found = self.resolve(START + 60, known=known, key="")
         self.assertEqual("", found.organisation)
 
     def test_nothing_is_known_yet(self):
-        found = self.gate.judge(caller_head(), b"", None, START)
+        found = self.gate.resolve(caller_head(), b"", None, START)
         self.assertEqual(Refusal.NO_CONFIGURATION, found)
 
     def test_a_request_without_an_id_is_refused(self):
-        self.assertEqual(Refusal.NO_REQUEST_ID, self.judge(request_id=""))
+        self.assertEqual(Refusal.NO_REQUEST_ID, self.resolve(request_id=""))
 
     def test_a_split_route_leads_to_its_services_by_weight(self):
         split = replace(
@@ -128,20 +128,20 @@
             services=(WeightedService("a", 90.0), WeightedService("b", 10.0)),
         )
         known = table(routes=(split,))
-        found = [self.judge(known=known).service for _ in range(1000)]
+        found = [self.resolve(known=known).service for _ in range(1000)]
         self.assertTrue(850 < found.count("a") < 950, found.count("a"))
 
 
 class BudgetTest(TestCase):
     def test_routers_share_the_bound(self):
-        budget = RepeatBudget(RepeatBounds(0.2, 10.0, 40.0))
+        budget = SharedRetryBudget(SharedRetryLimits(0.2, 10.0, 40.0))
         for _ in range(50):
             budget.requested(START)
         spent = sum(budget.spend(4, START) for _ in range(100))
         self.assertEqual(int(0.8 * (0.2 * 50 + 40 / 4)), spent)
 
     def test_the_window_slides(self):
-        budget = RepeatBudget(RepeatBounds(0.0, 10.0, 5.0))
+        budget = SharedRetryBudget(SharedRetryLimits(0.0, 10.0, 5.0))
         self.assertTrue(all(budget.spend(1, START) for _ in range(4)))
         self.assertFalse(budget.spend(1, START + 9.9))
         self.assertTrue(budget.spend(1, START + 10.1))
@@ -160,14 +160,16 @@
     def test_a_gone_entry_is_avoided_at_once_and_forgotten_soon(self):
         self.targets.remove("m1", START)
         self.assertEqual(["m2"], self.names())
-        self.assertEqual([], self.targets.forget_gone(START + 1.5))
-        self.assertEqual([life("m1")], self.targets.forget_gone(START + 1.7))
+        self.assertEqual([], self.targets.forget_expired(START + 1.5))
+        self.assertEqual(
+            [make_incarnation("m1")], self.targets.forget_expired(START + 1.7)
+        )
 
     def test_when_all_entries_lapse_the_targets_still_serve_for_a_while(self):
         self.targets.remove("m1", START)
         self.targets.remove("m2", START)
         self.assertEqual(["m1", "m2"], self.names())
-        self.targets.forget_gone(START + 1.7)
+        self.targets.forget_expired(START + 1.7)
         self.assertEqual([], self.names())
 
     def test_an_entry_that_comes_back_keeps_its_state(self):
@@ -175,12 +177,12 @@
         self.targets.remove("m1", START)
         self.targets.put(target("m1"), START + 1)
         self.assertIs(before, self.targets.state("m1"))
-        self.assertEqual([], self.targets.forget_gone(START + 10))
+        self.assertEqual([], self.targets.forget_expired(START + 10))
 
     def test_a_target_that_was_leaving_is_forgotten_at_once(self):
         self.targets.put(target("m1", is_draining=True), START)
         self.targets.remove("m1", START)
-        self.assertEqual([life("m1")], self.targets.forget_gone(START))
+        self.assertEqual([make_incarnation("m1")], self.targets.forget_expired(START))
 
     def test_only_real_changes_count_as_changes(self):
         self.assertFalse(self.targets.put(target("m1"), START))
--- a/tests/entry/test_shrinking_fleet.py
+++ b/tests/entry/test_shrinking_fleet.py
@@ -19,7 +19,7 @@
 from entry.fakes import head
 from entry.fakes import target
 from primrosescale.process.entry.target_list import TargetList
-from primrosescale.request.part_directory import PartDirectory
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
 from support.router_fleet import SERVICE
@@ -45,16 +45,16 @@
             self.targets.put(target(f"m{number}"), START)
         self.chooser = TargetChooser(
             ChoiceSettings(),
-            PartDirectory(),
+            PrefixCacheIndex(),
             random.Random(3),
-            unlisted_of=self.targets.unlisted_of,
+            recently_delisted=self.targets.recently_delisted,
             own_share=lambda *_: 1,
         )
         for _ in range(10):
             self.targets.state("m1").sent(START)
 
     def choose(self, now=START):
-        self.targets.forget_gone(now)
+        self.targets.forget_expired(now)
         states = self.targets.of_service("model")
         return self.chooser.choose(states, (), None, now)
 
--- a/tests/entry/test_target_choice.py
+++ b/tests/entry/test_target_choice.py
@@ -7,12 +7,12 @@
 from testtools import TestCase
 
 from entry.fakes import START
-from entry.fakes import life
+from entry.fakes import make_incarnation
 from entry.fakes import prompt
 from entry.fakes import target
-from primrosescale.request.part_directory import HELD_SECONDS
-from primrosescale.request.part_directory import PartDirectory
-from primrosescale.request.part_directory import PartUse
+from primrosescale.request.prefix_cache_index import HELD_SECONDS
+from primrosescale.request.prefix_cache_index import PartUse
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
 from primrosescale.request.target_state import LoadReport
@@ -22,7 +22,7 @@
 class ChoiceTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.parts = PartDirectory()
+        self.parts = PrefixCacheIndex()
         self.chooser = TargetChooser(ChoiceSettings(), self.parts, random.Random(3))
         self.states = [TargetState(target(f"m{n}"), START) for n in range(1, 6)]
 
@@ -34,30 +34,34 @@
 
     def test_a_returning_chat_goes_where_its_prompt_is_cached(self):
         wanted = prompt(("tariffs", 10000), ("chat", 900))
-        self.parts.note(PartUse("tariffs", life("m4"), 10000, START))
+        self.parts.record_use(PartUse("tariffs", make_incarnation("m4"), 10000, START))
         self.assertEqual("m4", self.choose(wanted).state.target.name)
         self.assertEqual(10000, self.choose(wanted).held)
 
     def test_routers_that_know_nothing_choose_alike(self):
         wanted = prompt(("tariffs", 10000), ("chat", 900))
-        other = TargetChooser(ChoiceSettings(), PartDirectory(), random.Random(99))
+        other = TargetChooser(ChoiceSettings(), PrefixCacheIndex(), random.Random(99))
         alike = other.choose(self.states, (), wanted, START).state.target.name
         self.assertEqual(alike, self.choose(wanted).state.target.name)
 
     def test_a_part_without_those_before_it_saves_nothing(self):
         wanted = prompt(("terms", 500), ("tariffs", 10000), ("chat", 900))
-        self.parts.note(PartUse("tariffs", life("m4"), 10000, START))
-        self.assertEqual(0, self.parts.held(life("m4"), wanted.parts, START))
+        self.parts.record_use(PartUse("tariffs", make_incarnation("m4"), 10000, START))
+        self.assertEqual(
+            0, self.parts.held(make_incarnation("m4"), wanted.parts, START)
+        )
 
     def test_what_was_read_long_ago_is_not_relied_on(self):
-        self.parts.note(PartUse("tariffs", life("m4"), 10000, START))
+        self.parts.record_use(PartUse("tariffs", make_incarnation("m4"), 10000, START))
         wanted = prompt(("tariffs", 10000), ("chat", 900))
         later = START + HELD_SECONDS + 1
-        self.assertEqual(0, self.parts.held(life("m4"), wanted.parts, later))
+        self.assertEqual(
+            0, self.parts.held(make_incarnation("m4"), wanted.parts, later)
+        )
 
     def test_a_hot_part_spreads_with_copies_once_its_target_is_over_the_bound(self):
         wanted = prompt(("tariffs", 10000), ("chat", 900))
-        self.parts.note(PartUse("tariffs", life("m4"), 10000, START))
+        self.parts.record_use(PartUse("tariffs", make_incarnation("m4"), 10000, START))
         for _ in range(20):
             self.state("m4").sent(START)
         choice = self.choose(wanted)
@@ -69,7 +73,7 @@
         for _ in range(200):
             choice = self.choose(wanted)
             choice.state.sent(START)
-            self.parts.note_own(choice.state.incarnation, wanted.parts, START)
+            self.parts.record_own_request(choice.state.incarnation, wanted.parts, START)
             loads = [state.load(START) for state in self.states]
             mean = sum(loads) / len(loads)
             self.assertTrue(max(loads) <= 2 * mean + 3, loads)
@@ -79,14 +83,14 @@
         wanted = prompt(("tariffs", 10000), ("chat", 900))
         routers = []
         for number in range(23):
-            parts = PartDirectory()
-            parts.note(PartUse("tariffs", life("m1"), 10000, START))
+            parts = PrefixCacheIndex()
+            parts.record_use(PartUse("tariffs", make_incarnation("m1"), 10000, START))
             chooser = TargetChooser(ChoiceSettings(), parts, random.Random(number))
             states = [TargetState(target(name), START) for name in names]
             routers.append((chooser, states))
         for state in (s for _, states in routers for s in states):
             # Six requests are at every target, as news of one more router.
-            state.hear_router("others", 6, START + 99)
+            state.set_peer_requests("others", 6, START + 99)
         total = dict.fromkeys(names, 6)
         over = 0
         for step in range(300):
@@ -106,18 +110,18 @@
             for other, (_, theirs) in enumerate(routers):
                 if other != number:
                     for mine, told in zip(states, theirs, strict=True):
-                        mine.hear_router(str(other), told.own_running, now + 99)
+                        mine.set_peer_requests(str(other), told.own_running, now + 99)
 
     def test_a_leaving_target_gets_nothing_but_its_cache_is_copied(self):
-        self.parts.note(PartUse("tariffs", life("m4"), 10000, START))
+        self.parts.record_use(PartUse("tariffs", make_incarnation("m4"), 10000, START))
         leaving = target("m4", is_draining=True)
-        self.state("m4").relist(leaving)
+        self.state("m4").update_entry(leaving)
         choice = self.choose(prompt(("tariffs", 10000), ("chat", 900)))
         self.assertNotEqual("m4", choice.state.target.name)
         self.assertEqual("m4", choice.fetch_from.target.name)
 
     def test_an_unreachable_target_is_left_out_for_a_while(self):
-        self.parts.note(PartUse("tariffs", life("m4"), 10000, START))
+        self.parts.record_use(PartUse("tariffs", make_incarnation("m4"), 10000, START))
         self.state("m4").unreachable(START)
         wanted = prompt(("tariffs", 10000), ("chat", 900))
         choice = self.choose(wanted)
@@ -127,7 +131,7 @@
         self.assertEqual("m4", later.state.target.name)
 
     def test_one_that_fails_two_in_five_is_avoided(self):
-        self.parts.note(PartUse("tariffs", life("m4"), 10000, START))
+        self.parts.record_use(PartUse("tariffs", make_incarnation("m4"), 10000, START))
         for turn in range(10):
             if turn % 5 < 2:
                 self.state("m4").failed(START)
@@ -138,7 +142,7 @@
 
     def test_a_new_target_does_not_draw_all_while_most_lose_some_answers(self):
         wanted = prompt(("tariffs", 3000), ("chat", 900))
-        self.parts.note(PartUse("tariffs", life("m4"), 3000, START))
+        self.parts.record_use(PartUse("tariffs", make_incarnation("m4"), 3000, START))
         for state in self.states:
             for _ in range(3):
                 state.succeeded(START)
@@ -154,7 +158,7 @@
     def test_a_tried_target_is_not_tried_again(self):
         tried = {state.incarnation for state in self.states}
         self.assertIsNone(self.choose(None, tried=tried))
-        left = self.choose(None, tried=tried - {life("m2")})
+        left = self.choose(None, tried=tried - {make_incarnation("m2")})
         self.assertEqual("m2", left.state.target.name)
 
     def test_plain_requests_go_to_the_least_loaded(self):
@@ -166,32 +170,38 @@
 
 class PartDirectoryTest(TestCase):
     def test_the_least_recently_used_part_is_forgotten_when_memory_is_full(self):
-        parts = PartDirectory()
-        parts.limit(life("m1"), 6000)
+        parts = PrefixCacheIndex()
+        parts.limit(make_incarnation("m1"), 6000)
         for turn, name in enumerate(("a", "b", "a", "c")):
-            parts.note(PartUse(name, life("m1"), 2500, START + turn))
+            parts.record_use(PartUse(name, make_incarnation("m1"), 2500, START + turn))
         held = [
             name
             for name in ("a", "b", "c")
-            if parts.held(life("m1"), prompt((name, 2500)).parts, START + 4)
+            if parts.held(make_incarnation("m1"), prompt((name, 2500)).parts, START + 4)
         ]
         self.assertEqual(["a", "c"], held)
 
     def test_a_gone_target_holds_nothing(self):
-        parts = PartDirectory()
-        parts.note(PartUse("a", life("m1"), 100, START))
-        parts.forget_target(life("m1"))
-        self.assertEqual(0, parts.held(life("m1"), prompt(("a", 100)).parts, START))
+        parts = PrefixCacheIndex()
+        parts.record_use(PartUse("a", make_incarnation("m1"), 100, START))
+        parts.forget_target(make_incarnation("m1"))
+        self.assertEqual(
+            0, parts.held(make_incarnation("m1"), prompt(("a", 100)).parts, START)
+        )
 
     def test_what_only_one_chat_has_is_no_news(self):
-        parts = PartDirectory()
+        parts = PrefixCacheIndex()
         self.assertTrue(
-            parts.note_own(life("m1"), prompt(("a", 9), ("own", 1)).parts, START)
+            parts.record_own_request(
+                make_incarnation("m1"), prompt(("a", 9), ("own", 1)).parts, START
+            )
         )
         for told in (["a"], ["a"], []):
-            self.assertEqual(told, [use.part for use in parts.take_news()])
+            self.assertEqual(told, [use.part for use in parts.take_updates()])
         self.assertFalse(
-            parts.note_own(life("m1"), prompt(("a", 9), ("x", 1)).parts, START)
+            parts.record_own_request(
+                make_incarnation("m1"), prompt(("a", 9), ("x", 1)).parts, START
+            )
         )
 
 
@@ -202,22 +212,22 @@
 
     def test_the_report_counts_others_and_fades(self):
         self.state.sent(START)
-        self.state.reported(LoadReport(5, 2, 8), START)
+        self.state.set_load(LoadReport(5, 2, 8), START)
         self.assertEqual(7.0, self.state.load(START))
         self.assertEqual(1 + 3.0, self.state.load(START + 0.5))
 
     def test_news_of_routers_counts_until_it_is_old(self):
-        self.state.hear_router("r2", 4, START + 1)
-        self.state.hear_router("r3", 2, START + 1)
-        self.state.hear_router("r2", 3, START + 1)
+        self.state.set_peer_requests("r2", 4, START + 1)
+        self.state.set_peer_requests("r3", 2, START + 1)
+        self.state.set_peer_requests("r2", 3, START + 1)
         self.assertEqual(5.0, self.state.load(START))
         self.assertEqual(0.0, self.state.load(START + 1.1))
 
     def test_of_two_routers_news_the_older_ends_first(self):
-        self.state.hear_router("r2", 4, START + 1)
-        self.state.hear_router("r3", 2, START + 5)
+        self.state.set_peer_requests("r2", 4, START + 1)
+        self.state.set_peer_requests("r3", 2, START + 5)
         self.assertEqual(2.0, self.state.load(START + 1.1))
-        self.state.hear_router("r2", 1, START + 3)
+        self.state.set_peer_requests("r2", 1, START + 3)
         self.assertEqual(3.0, self.state.load(START + 2.9))
         self.assertEqual(2.0, self.state.load(START + 3.1))
         self.assertEqual(0.0, self.state.load(START + 5.1))
@@ -232,6 +242,6 @@
         self.assertFalse(self.state.is_paused(START + 1.9))
 
     def test_outcomes_told_by_others_count(self):
-        self.state.hear_outcomes("r2", 1.0, 7.0, START + 1)
+        self.state.set_peer_outcomes("r2", 1.0, 7.0, START + 1)
         self.assertTrue(self.state.failure_share(START) > 0.5)
         self.assertEqual(0.0, self.state.failure_share(START + 2))
--- a/tests/process/test_fleet.py
+++ b/tests/process/test_fleet.py
@@ -139,7 +139,7 @@
         world.run(12)
         self.assertEqual([], world.faults())
         self.assertNotEqual(current, world.agents["a1"]._heartbeat.router)
-        self.assertTrue(world.agents["a1"]._heartbeat.is_heard)
+        self.assertTrue(world.agents["a1"]._heartbeat.has_recent_reply)
 
     def test_a_refusal_that_was_lost_is_still_not_run_when_asked_again(self):
         world = World(routers=1, agents=1)
--- a/tests/process/test_members.py
+++ b/tests/process/test_members.py
@@ -6,14 +6,14 @@
 
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.connection.wire.ttypes import MemberState
-from primrosescale.process.membership.flap_damper import MemberSettings
+from primrosescale.process.membership.flap_damper import MembershipSettings
 from primrosescale.process.membership.host_changes import HostChanges
 from primrosescale.process.membership.load_sums import AgentSums
 from primrosescale.process.membership.load_sums import DomainSums
 from primrosescale.process.membership.load_sums import FleetSums
-from primrosescale.process.membership.load_sums import SumSettings
+from primrosescale.process.membership.load_sums import LoadReportSettings
 from primrosescale.process.membership.members import Members
-from primrosescale.process.membership.order import first_in_order
+from primrosescale.process.membership.rendezvous import first_by_rendezvous
 from primrosescale.request.candidates import Locality
 
 READY, DOWN, LEAVING = MemberState.READY, MemberState.DOWN, MemberState.LEAVING
@@ -39,8 +39,8 @@
 
 
 def make(*entries):
-    members = Members(MemberSettings(), Locality("r", "d1"))
-    members.take_list(entries, 1, 0.0, is_full=True)
+    members = Members(MembershipSettings(), Locality("r", "d1"))
+    members.apply_list(entries, 1, 0.0, is_full=True)
     return members
 
 
@@ -55,45 +55,45 @@
 
     def test_an_older_list_is_ignored(self):
         members = make(entry("a"))
-        members.take_list([entry("b")], 5, 0.0, is_full=False)
-        members.take_list([], 3, 0.0, is_full=True)
+        members.apply_list([entry("b")], 5, 0.0, is_full=False)
+        members.apply_list([], 3, 0.0, is_full=True)
         self.assertEqual({"a", "b"}, names(members))
 
     def test_a_host_that_left_the_list_leaves_the_order(self):
         members = make(entry("a"), entry("b"))
-        members.take_list([entry("a", gone=True)], 2, 0.0, is_full=False)
+        members.apply_list([entry("a", gone=True)], 2, 0.0, is_full=False)
         self.assertEqual({"b"}, names(members))
 
     def test_a_late_word_of_an_old_life_does_not_remove_the_new_one(self):
         members = make(entry("a", incarnation=2))
-        members.take_list([entry("a", gone=True)], 2, 0.0, is_full=False)
-        members.take_notice(notice("a", DOWN, 1), 0.0)
+        members.apply_list([entry("a", gone=True)], 2, 0.0, is_full=False)
+        members.apply_notice(notice("a", DOWN, 1), 0.0)
         self.assertEqual({"a"}, names(members))
 
     def test_a_target_that_is_down_returns_with_its_next_heartbeat(self):
         members = make(entry("a"), entry("b"))
-        members.take_notice(notice("a", DOWN), 1.0)
+        members.apply_notice(notice("a", DOWN), 1.0)
         self.assertEqual({"b"}, names(members))
-        members.take_notice(notice("a", READY), 2.0)
+        members.apply_notice(notice("a", READY), 2.0)
         self.assertEqual({"a", "b"}, names(members))
 
     def test_leaving_is_final_for_a_life(self):
         members = make(entry("a"))
-        members.take_notice(notice("a", LEAVING), 1.0)
-        members.take_notice(notice("a", READY), 2.0)
+        members.apply_notice(notice("a", LEAVING), 1.0)
+        members.apply_notice(notice("a", READY), 2.0)
         self.assertEqual(set(), names(members))
-        members.take_notice(notice("a", READY, 2), 3.0)
+        members.apply_notice(notice("a", READY, 2), 3.0)
         self.assertEqual({"a"}, names(members))
 
     def test_a_flapping_target_stays_out_until_its_penalty_fades(self):
         members = make(entry("a"), entry("b"))
         for number in range(4):
-            members.take_notice(notice("a", DOWN), 10.0 + number)
-            members.take_notice(notice("a", READY), 10.5 + number)
+            members.apply_notice(notice("a", DOWN), 10.0 + number)
+            members.apply_notice(notice("a", READY), 10.5 + number)
         self.assertEqual({"b"}, names(members, 14.0))
-        members.tick(15.0)
+        members.readmit_targets(15.0)
         self.assertEqual({"b"}, names(members, 15.0))
-        members.tick(200.0)
+        members.readmit_targets(200.0)
         self.assertEqual({"a", "b"}, names(members, 200.0))
 
     def test_a_suspect_target_goes_last_for_this_router_only_and_not_for_long(self):
@@ -109,8 +109,8 @@
 class HostChangesTest(TestCase):
     def test_a_router_that_lags_too_far_is_told_so(self):
         changes = HostChanges()
-        changes.take([entry("a", 5)], 5, is_full=True)
-        changes.take([entry("b", 6)], 6, is_full=False)
+        changes.record([entry("a", 5)], 5, is_full=True)
+        changes.record([entry("b", 6)], 6, is_full=False)
         self.assertIsNone(changes.since(4))
         self.assertEqual(["b"], [item.name for item in changes.since(5)])
         self.assertEqual([], changes.since(6))
@@ -139,73 +139,73 @@
 
 class LoadSumsTest(TestCase):
     def test_an_agent_is_summed_once_however_often_it_reports(self):
-        sums = AgentSums(SumSettings(), "r1")
+        sums = AgentSums(LoadReportSettings(), "r1")
         for sequence in range(1, 5):
-            sums.hear(beat("a", sequence, load=sequence * 10), 1.0)
-        sums.hear(beat("a", 2, load=999), 1.0)
+            sums.record_heartbeat(beat("a", sequence, load=sequence * 10), 1.0)
+        sums.record_heartbeat(beat("a", 2, load=999), 1.0)
         self.assertEqual([40], [item.load for item in sums.sums()])
 
     def test_a_leaving_agent_counts_as_load_but_not_as_target(self):
-        sums = AgentSums(SumSettings(), "r1")
-        sums.hear(beat("a", 1), 1.0)
-        sums.hear(beat("b", 1, state=LEAVING), 1.0)
+        sums = AgentSums(LoadReportSettings(), "r1")
+        sums.record_heartbeat(beat("a", 1), 1.0)
+        sums.record_heartbeat(beat("b", 1, state=LEAVING), 1.0)
         total = sums.sums()[0]
         self.assertEqual((20, 1), (total.load, total.targets))
 
     def test_silence_makes_news(self):
-        sums = AgentSums(SumSettings(), "r1")
-        self.assertEqual(READY, sums.hear(beat("a", 1), 1.0).state)
-        self.assertIsNone(sums.hear(beat("a", 2), 2.0))
+        sums = AgentSums(LoadReportSettings(), "r1")
+        self.assertEqual(READY, sums.record_heartbeat(beat("a", 1), 1.0).state)
+        self.assertIsNone(sums.record_heartbeat(beat("a", 2), 2.0))
         self.assertEqual([DOWN], [item.state for item in sums.expire(6.0)])
 
     def test_an_agent_that_moved_is_not_called_down(self):
-        sums = AgentSums(SumSettings(), "r1")
-        sums.hear(beat("a", 1), 1.0)
-        self.assertTrue(sums.hear_notice(notice("a", READY, origin="r2"), 3.0))
+        sums = AgentSums(LoadReportSettings(), "r1")
+        sums.record_heartbeat(beat("a", 1), 1.0)
+        self.assertTrue(sums.accept_notice(notice("a", READY, origin="r2"), 3.0))
         self.assertEqual([], sums.expire(9.0))
 
     def test_an_agent_heard_here_is_up_whatever_others_miss(self):
-        sums = AgentSums(SumSettings(), "r1")
-        sums.hear(beat("a", 1), 1.0)
-        self.assertFalse(sums.hear_notice(notice("a", DOWN, origin="r2"), 1.5))
+        sums = AgentSums(LoadReportSettings(), "r1")
+        sums.record_heartbeat(beat("a", 1), 1.0)
+        self.assertFalse(sums.accept_notice(notice("a", DOWN, origin="r2"), 1.5))
         self.assertEqual([READY], [item.state for item in sums.notices(1.5)])
 
     def test_a_domain_forgets_routers_that_fell_silent(self):
-        domain = DomainSums(SumSettings(), "d1", "r1")
-        domain.hear(report("r1", 1, 100), 0.0)
-        domain.hear(report("r2", 1, 50), 3.0)
+        domain = DomainSums(LoadReportSettings(), "d1", "r1")
+        domain.record_report(report("r1", 1, 100), 0.0)
+        domain.record_report(report("r2", 1, 50), 3.0)
         self.assertEqual(150, domain.summary(3.0).sums[0].load)
         self.assertEqual(50, domain.summary(5.0).sums[0].load)
 
     def test_old_reports_are_ignored(self):
-        domain = DomainSums(SumSettings(), "d1", "r1")
-        domain.hear(report("r1", 5, 100), 0.0)
-        domain.hear(report("r1", 4, 999), 0.0)
+        domain = DomainSums(LoadReportSettings(), "d1", "r1")
+        domain.record_report(report("r1", 5, 100), 0.0)
+        domain.record_report(report("r1", 4, 999), 0.0)
         self.assertEqual(100, domain.summary(0.0).sums[0].load)
 
     def test_two_aggregators_of_a_domain_are_not_added_up(self):
-        fleet = FleetSums(SumSettings())
+        fleet = FleetSums(LoadReportSettings())
         for origin in ("r1", "r2"):
-            domain = DomainSums(SumSettings(), "d1", origin)
-            domain.hear(report("r1", 1, 100), 0.0)
-            fleet.hear(domain.summary(0.0), 0.0)
-        other = DomainSums(SumSettings(), "d2", "r9")
-        other.hear(report("r9", 1, 30), 0.0)
-        fleet.hear(other.summary(0.0), 0.0)
+            domain = DomainSums(LoadReportSettings(), "d1", origin)
+            domain.record_report(report("r1", 1, 100), 0.0)
+            fleet.record_report(domain.summary(0.0), 0.0)
+        other = DomainSums(LoadReportSettings(), "d2", "r9")
+        other.record_report(report("r9", 1, 30), 0.0)
+        fleet.record_report(other.summary(0.0), 0.0)
         mean = fleet.means(1.0)[0]
         self.assertEqual((130, 2), (mean.load, mean.targets))
         self.assertEqual(1000, fleet.rates(1.0)[0].demand_permille)
 
     def test_a_domain_that_is_cut_off_stops_counting(self):
-        fleet = FleetSums(SumSettings())
-        domain = DomainSums(SumSettings(), "d1", "r1")
-        domain.hear(report("r1", 1, 100), 0.0)
-        fleet.hear(domain.summary(0.0), 0.0)
+        fleet = FleetSums(LoadReportSettings())
+        domain = DomainSums(LoadReportSettings(), "d1", "r1")
+        domain.record_report(report("r1", 1, 100), 0.0)
+        fleet.record_report(domain.summary(0.0), 0.0)
         self.assertEqual([], fleet.means(10.0))
 
     def test_all_agree_on_the_first_in_order(self):
         names = [f"r{number}" for number in range(50)]
         self.assertEqual(
-            first_in_order(names, "x", 2),
-            first_in_order(reversed(names), "x", 2),
+            first_by_rendezvous(names, "x", 2),
+            first_by_rendezvous(reversed(names), "x", 2),
         )
--- a/tests/process/test_seeded_bugs.py
+++ b/tests/process/test_seeded_bugs.py
@@ -10,19 +10,19 @@
 from primrosescale.connection.wire.ttypes import ClaimState
 from primrosescale.connection.wire.ttypes import Outcome
 from primrosescale.connection.wire.ttypes import Reason
-from primrosescale.process.configuration.version_keeper import VersionKeeper
+from primrosescale.process.configuration.version_manager import VersionManager
 from primrosescale.process.daemons.agent import Agent
 from primrosescale.process.daemons.agent_core import AgentCore
 from primrosescale.process.ledger import claim_writer
 from primrosescale.process.ledger.ledger_bucket import Decision
-from primrosescale.request.admission import Admission
+from primrosescale.request.admission import AdmissionController
 from primrosescale.request.agent_call import AgentCall
 from primrosescale.request.answer_check import AnswerCheck
 from primrosescale.request.attempts import AttemptPlan
 from primrosescale.request.call_table import CallTable
 from primrosescale.request.load_bound import LoadBound
 from primrosescale.request.routed_call import RoutedCall
-from primrosescale.version.head import HeadCheck
+from primrosescale.version.head import HeadVerifier
 from support.cells import run_cell
 from support.faults import ANSWERS
 from support.world import World
@@ -132,14 +132,14 @@
 
         with (
             mock.patch.object(RoutedCall, "_resumed", resumed),
-            mock.patch("primrosescale.request.call_names.CallNames.take", _forget),
+            mock.patch("primrosescale.request.call_names.CallIdRegistry.take", _forget),
             mock.patch.object(AgentCore, "_start", _start_unclaimed),
         ):
             world = run_cell("keyed", [("first byte", "silent to router")])
         self.assert_found("once", world.faults())
 
     def test_work_taken_after_leaving(self):
-        with mock.patch.object(Admission, "drain", lambda admission: None):
+        with mock.patch.object(AdmissionController, "drain", lambda admission: None):
             world = World(agents=1)
             world.stop_agent("a1")
             world.submit("r1", "late")
@@ -168,7 +168,7 @@
         self.assert_found("end", world.faults())
 
     def test_a_version_that_reverts(self):
-        with mock.patch.object(HeadCheck, "is_newer", _any_other):
+        with mock.patch.object(HeadVerifier, "is_newer", _any_other):
             world = World()
             world.roll_out(2, "[organisation new]\nkey_hashes =\n")
             world.run(3)
@@ -177,7 +177,7 @@
             world.roll_out(3, "[organisation newer]\nkey_hashes =\n")
             world.run(5)
             world.network.thaw(world.owner("r2"))
-            self.assertIsInstance(old.keeper, VersionKeeper)
+            self.assertIsInstance(old.keeper, VersionManager)
             world.run(5)
         self.assert_found("version", world.faults())
 
--- a/tests/process/test_version_keeper.py
+++ b/tests/process/test_version_keeper.py
@@ -6,11 +6,11 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.defer import succeed
 
-from primrosescale.process.configuration.version_keeper import SectionSource
-from primrosescale.process.configuration.version_keeper import VersionKeeper
-from primrosescale.process.configuration.version_keeper import VersionObserver
+from primrosescale.process.configuration.version_manager import SectionSource
+from primrosescale.process.configuration.version_manager import VersionManager
+from primrosescale.process.configuration.version_manager import VersionObserver
 from primrosescale.version.bundle import Bundle
-from primrosescale.version.head import HeadCheck
+from primrosescale.version.head import HeadVerifier
 from primrosescale.version.head import VersionHead
 from primrosescale.version.head import sign
 from primrosescale.version.section import build_tree
@@ -70,12 +70,12 @@
         self.observer = Observer()
         public = SIGNING.public_key().public_bytes_raw()
         self.assertTrue(PUBLIC)
-        check = HeadCheck({"approver": public})
-        self.keeper = VersionKeeper(check, self.observer, needs_organisations=True)
+        check = HeadVerifier({"approver": public})
+        self.keeper = VersionManager(check, self.observer, needs_organisations=True)
 
     def test_a_version_is_pulled_and_put_in_force(self):
         tree, head = make_version(1)
-        self.keeper.hear(head, Source(tree))
+        self.keeper.pull_if_newer(head, Source(tree))
         self.assertEqual([1], self.observer.versions)
         self.assertEqual("small", self.keeper.view.organisation_of("small").name)
         self.assertIsNone(self.keeper.view.organisation_of("nobody"))
@@ -83,50 +83,50 @@
     def test_a_lower_version_is_never_taken(self):
         old_tree, old = make_version(1)
         tree, head = make_version(2)
-        self.keeper.hear(head, Source(tree))
-        self.keeper.hear(old, Source(old_tree))
+        self.keeper.pull_if_newer(head, Source(tree))
+        self.keeper.pull_if_newer(old, Source(old_tree))
         self.assertEqual([2], self.observer.versions)
 
     def test_only_what_changed_is_pulled(self):
         tree, head = make_version(1)
-        self.keeper.hear(head, Source(tree))
+        self.keeper.pull_if_newer(head, Source(tree))
         tree, head = make_version(2, "[organisation x]\nkey_hashes =\n")
         source = Source(tree)
-        self.keeper.hear(head, source)
+        self.keeper.pull_if_newer(head, source)
         self.assertEqual(5, len(source.asked))
         self.assertEqual([1, 2], self.observer.versions)
 
     def test_an_altered_section_keeps_the_old_version_in_force(self):
         tree, head = make_version(1)
-        self.keeper.hear(head, Source(tree))
+        self.keeper.pull_if_newer(head, Source(tree))
         tree, head = make_version(2, "[organisation x]\nkey_hashes =\n")
         source = Source(tree)
         source.altered = set(tree.sections)
-        self.keeper.hear(head, source)
+        self.keeper.pull_if_newer(head, source)
         self.assertEqual([1], self.observer.versions)
         self.assertEqual(1, len(self.observer.failed))
-        self.keeper.hear(head, Source(tree))
+        self.keeper.pull_if_newer(head, Source(tree))
         self.assertEqual([1, 2], self.observer.versions)
 
     def test_a_source_without_the_sections_is_no_harm(self):
         tree, head = make_version(1)
         empty, _ = make_version(9, "[organisation y]\nkey_hashes =\n")
-        self.keeper.hear(head, Source(empty))
+        self.keeper.pull_if_newer(head, Source(empty))
         self.assertEqual(1, len(self.observer.failed))
-        self.keeper.hear(head, Source(tree))
+        self.keeper.pull_if_newer(head, Source(tree))
         self.assertEqual([1], self.observer.versions)
 
     def test_an_unsigned_head_is_refused_whoever_sends_it(self):
         tree, head = make_version(5)
         forged = VersionHead(5, head.digest, "approver", b"x" * 64)
-        self.keeper.hear(forged, Source(tree))
+        self.keeper.pull_if_newer(forged, Source(tree))
         self.assertEqual([], self.observer.versions)
         self.assertEqual(1, len(self.observer.refused))
 
     def test_a_signature_cannot_be_moved_to_another_number(self):
         tree, head = make_version(3)
         moved = VersionHead(99, head.digest, "approver", head.signature)
-        self.keeper.hear(moved, Source(tree))
+        self.keeper.pull_if_newer(moved, Source(tree))
         self.assertEqual([], self.observer.versions)
         self.assertEqual(1, len(self.observer.failed))
 
@@ -134,21 +134,21 @@
         tree, head = make_version(1)
         slow = Source(tree)
         slow.held = []
-        self.keeper.hear(head, slow)
+        self.keeper.pull_if_newer(head, slow)
         newer_tree, newer = make_version(2)
-        self.keeper.hear(newer, Source(newer_tree))
+        self.keeper.pull_if_newer(newer, Source(newer_tree))
         held, slow.held = slow.held, None
         for waiting, digest in held:
             waiting.callback(slow.data(digest))
-        self.keeper.hear(newer, Source(newer_tree))
+        self.keeper.pull_if_newer(newer, Source(newer_tree))
         self.assertEqual([1, 2], self.observer.versions)
 
     def test_a_request_keeps_its_version_and_the_last_one_drops_it(self):
         tree, head = make_version(1)
-        self.keeper.hear(head, Source(tree))
+        self.keeper.pull_if_newer(head, Source(tree))
         pinned = self.keeper.view.pin()
         tree, head = make_version(2)
-        self.keeper.hear(head, Source(tree))
+        self.keeper.pull_if_newer(head, Source(tree))
         self.assertEqual(1, self.keeper.retired)
         self.assertEqual(1, pinned.version)
         pinned.unpin()
@@ -156,19 +156,19 @@
 
     def test_sections_of_the_version_before_are_still_served(self):
         tree, head = make_version(1)
-        self.keeper.hear(head, Source(tree))
+        self.keeper.pull_if_newer(head, Source(tree))
         newer, newer_head = make_version(2, "[organisation x]\nkey_hashes =\n")
-        self.keeper.hear(newer_head, Source(newer))
+        self.keeper.pull_if_newer(newer_head, Source(newer))
         for digest in [*tree.sections, *newer.sections]:
             self.assertIsNotNone(self.keeper.section(digest))
 
     def test_agents_do_not_pull_organisations(self):
         tree, head = make_version(1)
         public = SIGNING.public_key().public_bytes_raw()
-        check = HeadCheck({"approver": public})
-        keeper = VersionKeeper(check, self.observer, needs_organisations=False)
+        check = HeadVerifier({"approver": public})
+        keeper = VersionManager(check, self.observer, needs_organisations=False)
         source = Source(tree)
-        keeper.hear(head, source)
+        keeper.pull_if_newer(head, source)
         self.assertIn("chat", keeper.view.services)
         self.assertIsNone(keeper.view.organisation("small"))
         self.assertTrue(len(source.asked) < len(tree.sections))
--- a/tests/request/test_admission.py
+++ b/tests/request/test_admission.py
@@ -5,7 +5,7 @@
 from testtools import TestCase
 
 from primrosescale.connection.wire.ttypes import Reason
-from primrosescale.request.admission import Admission
+from primrosescale.request.admission import AdmissionController
 from primrosescale.request.admission import AdmissionSettings
 from primrosescale.request.fair_queue import FairQueue
 from primrosescale.request.fair_queue import QueuedCall
@@ -27,7 +27,7 @@
         queue_limit=queue_limit,
         rate_default=rate,
     )
-    return Admission(settings, bound, TargetHealth(HealthSettings()))
+    return AdmissionController(settings, bound, TargetHealth(HealthSettings()))
 
 
 class FairQueueTest(TestCase):
@@ -206,7 +206,7 @@
     def test_nothing_is_taken_or_started_until_it_is_over(self):
         admission = make()
         admission.offer(call("early"), 0.0)
-        admission.rest(3.0, 0.0)
+        admission.pause(3.0, 0.0)
         refused = admission.offer(call(), 1.0)
         self.assertEqual(Reason.TARGET_UNHEALTHY, refused.reason)
         self.assertEqual(2.0, refused.retry_after)
@@ -217,7 +217,7 @@
     # Guards against a rest that is shortened by a later, shorter one.
     def test_the_latest_end_counts(self):
         admission = make()
-        admission.rest(3.0, 0.0)
-        admission.rest(0.5, 1.0)
+        admission.pause(3.0, 0.0)
+        admission.pause(0.5, 1.0)
         self.assertFalse(admission.offer(call(), 2.9).is_admitted)
         self.assertTrue(admission.offer(call(), 3.0).is_admitted)
--- a/tests/request/test_answers.py
+++ b/tests/request/test_answers.py
@@ -10,9 +10,9 @@
 
 from primrosescale.request.answer_buffer import AnswerBuffer
 from primrosescale.request.answer_check import AnswerCheck
-from primrosescale.request.call_names import CallName
-from primrosescale.request.call_names import CallNames
-from primrosescale.request.call_names import NameState
+from primrosescale.request.call_names import CallId
+from primrosescale.request.call_names import CallIdRegistry
+from primrosescale.request.call_names import CallIdState
 from primrosescale.request.exceptions import AnswerCutError
 from support.drawn import drawn
 
@@ -32,7 +32,7 @@
             buffer.append(b"y" * 10)
             while buffer.take(10):
                 buffer.credit(buffer.sent)
-        self.assertTrue(buffer.kept <= 30)
+        self.assertTrue(buffer.buffered_bytes <= 30)
 
     def test_a_reader_resumes_where_it_was(self):
         buffer = AnswerBuffer(window=100, keep=100)
@@ -99,21 +99,21 @@
 
 class CallNamesTest(TestCase):
     def test_a_name_is_known_until_no_copy_can_arrive(self):
-        names = CallNames(keep=60.0, limit=10)
-        name = CallName(1, 1)
+        names = CallIdRegistry(keep=60.0, limit=10)
+        name = CallId(1, 1)
         names.take(name, deadline=10.0)
-        names.forget_old(69.0)
-        self.assertEqual(NameState.TAKEN, names.state(name))
-        names.forget_old(72.0)
-        self.assertEqual(NameState.FRESH, names.state(name))
+        names.remove_expired(69.0)
+        self.assertEqual(CallIdState.TAKEN, names.state(name))
+        names.remove_expired(72.0)
+        self.assertEqual(CallIdState.FRESH, names.state(name))
 
     def test_a_barred_name_stays_barred(self):
-        names = CallNames(keep=60.0, limit=10)
-        names.bar(CallName(1, 2), 0.0)
-        self.assertEqual(NameState.BARRED, names.state(CallName(1, 2)))
+        names = CallIdRegistry(keep=60.0, limit=10)
+        names.block(CallId(1, 2), 0.0)
+        self.assertEqual(CallIdState.BARRED, names.state(CallId(1, 2)))
 
     def test_at_the_limit_no_name_fits(self):
-        names = CallNames(keep=60.0, limit=2)
-        names.take(CallName(1, 1), 0.0)
-        names.take(CallName(1, 2), 0.0)
+        names = CallIdRegistry(keep=60.0, limit=2)
+        names.take(CallId(1, 1), 0.0)
+        names.take(CallId(1, 2), 0.0)
         self.assertTrue(names.is_full)
--- a/tests/request/test_candidates.py
+++ b/tests/request/test_candidates.py
@@ -102,8 +102,8 @@
 class TargetLoadsTest(TestCase):
     def test_the_less_loaded_of_two_goes_first(self):
         loads = TargetLoads()
-        loads.hear("a", 5000, 0.0)
-        loads.hear("b", 100, 0.0)
+        loads.record("a", 5000, 0.0)
+        loads.record("b", 100, 0.0)
         found = loads.order([target("a"), target("b"), target("c")], "d9", 1.0)
         self.assertEqual(["b", "a", "c"], names(found))
 
@@ -115,7 +115,7 @@
 
     def test_an_old_load_counts_for_nothing(self):
         loads = TargetLoads()
-        loads.hear("a", 5000, 0.0)
-        loads.hear("b", 100, 0.0)
+        loads.record("a", 5000, 0.0)
+        loads.record("b", 100, 0.0)
         pair = [target("a", "d1"), target("b", "d2")]
         self.assertEqual(["a", "b"], names(loads.order(pair, "d1", 10.0)))
--- a/tests/request/test_cold_targets.py
+++ b/tests/request/test_cold_targets.py
@@ -16,7 +16,7 @@
 from entry.fakes import LOOKUP
 from entry.fakes import START
 from entry.fakes import STREAM
-from entry.fakes import Desk
+from entry.fakes import ForwardingHarness
 from entry.fakes import head
 from entry.fakes import request
 from entry.fakes import target
@@ -24,13 +24,13 @@
 from primrosescale.request.cold_targets import WINDOW_SECONDS
 from primrosescale.request.cold_targets import ColdSettings
 from primrosescale.request.cold_targets import ColdTargets
-from primrosescale.request.direct_port import Refusal
-from primrosescale.request.forward_tools import ForwardSettings
+from primrosescale.request.forward_tools import ForwardingSettings
+from primrosescale.request.forwarding_interfaces import Refusal
 from primrosescale.request.router_shares import SETTLING_SECONDS
 from primrosescale.request.router_shares import RouterShares
+from primrosescale.request.target_availability import TargetAvailability
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
-from primrosescale.request.target_room import TargetRoom
 from primrosescale.request.target_state import TargetState
 from primrosescale.version.routing_table import Service
 
@@ -61,7 +61,7 @@
         self.name = name
         self.shares = RouterShares(name)
         self.cold = ColdTargets(BOUND, self.shares, SERVICES.get)
-        self.shares.list_routers(listed, now, was_listed=was_listed)
+        self.shares.set_routers(listed, now, was_listed=was_listed)
 
 
 class ColdFleet:
@@ -77,7 +77,7 @@
             name: Router(name, self.listed, self.now) for name in sorted(self.listed)
         }
         self.states = [
-            TargetState(target(f"m{n}", warming_for=600.0), START)
+            TargetState(target(f"m{n}", warm_up_seconds=600.0), START)
             for n in range(targets)
         ]
         self.arrivals = defaultdict(list)
@@ -100,7 +100,7 @@
 
     def tell(self, listed, *hearers):
         for name in hearers:
-            self.routers[name].shares.list_routers(listed, self.now)
+            self.routers[name].shares.set_routers(listed, self.now)
 
     def most(self):
         """Return the most that one target got in any second."""
@@ -192,57 +192,57 @@
             listed = names(count)
             shares = [RouterShares(name) for name in sorted(listed)]
             for share in shares:
-                share.list_routers(listed, START, was_listed=True)
+                share.set_routers(listed, START, was_listed=True)
             for key in ("m1", "m2", "m3"):
-                owned = [share.own_tokens(key, 10, START) for share in shares]
+                owned = [share.own_permits(key, 10, START) for share in shares]
                 self.assertEqual(10, sum(owned))
 
     def test_what_falls_to_a_router_is_used_only_once_others_know(self):
         share = RouterShares("r0")
-        share.list_routers(names(2), START, was_listed=True)
-        before = share.own_tokens("m1", 10, START)
-        share.list_routers(names(1), START + 9)
-        self.assertEqual(before, share.own_tokens("m1", 10, START + 9))
+        share.set_routers(names(2), START, was_listed=True)
+        before = share.own_permits("m1", 10, START)
+        share.set_routers(names(1), START + 9)
+        self.assertEqual(before, share.own_permits("m1", 10, START + 9))
         settled = START + 9 + SETTLING_SECONDS
-        self.assertEqual(10, share.own_tokens("m1", 10, settled))
+        self.assertEqual(10, share.own_permits("m1", 10, settled))
 
     def test_what_falls_to_another_is_given_up_at_once(self):
         share = RouterShares("r0")
-        share.list_routers(names(1), START, was_listed=True)
-        share.list_routers(names(8), START + 9)
-        self.assertLess(share.own_tokens("m1", 10, START + 9), 6)
+        share.set_routers(names(1), START, was_listed=True)
+        share.set_routers(names(8), START + 9)
+        self.assertLess(share.own_permits("m1", 10, START + 9), 6)
 
     def test_a_list_that_goes_back_and_forth_adds_nothing(self):
         share = RouterShares("r0")
-        share.list_routers(names(8), START, was_listed=True)
-        least = share.own_tokens("m1", 10, START)
+        share.set_routers(names(8), START, was_listed=True)
+        least = share.own_permits("m1", 10, START)
         for step in range(20):
             now = START + step * 0.5
-            share.list_routers(names(1 if step % 2 else 8), now)
-            self.assertLessEqual(share.own_tokens("m1", 10, now), least)
+            share.set_routers(names(1 if step % 2 else 8), now)
+            self.assertLessEqual(share.own_permits("m1", 10, now), least)
 
     def test_a_new_router_has_nothing_before_the_others_know_it(self):
         share = RouterShares("r0")
-        self.assertEqual(0, share.own_tokens("m1", 10, START))
-        share.list_routers(names(1), START)
-        self.assertEqual(0, share.own_tokens("m1", 10, START))
+        self.assertEqual(0, share.own_permits("m1", 10, START))
+        share.set_routers(names(1), START)
+        self.assertEqual(0, share.own_permits("m1", 10, START))
         settled = START + SETTLING_SECONDS
-        self.assertEqual(10, share.own_tokens("m1", 10, settled))
+        self.assertEqual(10, share.own_permits("m1", 10, settled))
 
 
 class ColdSettingsTest(TestCase):
-    def tokens(self, rate, over, slack):
+    def permits(self, rate, over, slack):
         service = Service(name="s", slots=1, cache_tokens=0, cold_rate=rate)
-        return ColdSettings(over, slack).tokens(service)
+        return ColdSettings(over, slack).permits(service)
 
     def test_half_of_the_bound_and_no_more_than_the_rate(self):
-        self.assertEqual(10, self.tokens(10, 1.5, 5))
-        self.assertEqual(7, self.tokens(10, 1.5, 0))
-        self.assertEqual(10, self.tokens(10, 9, 9))
+        self.assertEqual(10, self.permits(10, 1.5, 5))
+        self.assertEqual(7, self.permits(10, 1.5, 0))
+        self.assertEqual(10, self.permits(10, 9, 9))
 
     def test_one_where_the_bound_allows_one(self):
-        self.assertEqual(1, self.tokens(0.5, 1.5, 0.5))
-        self.assertEqual(0, self.tokens(0.5, 1.5, 0.0))
+        self.assertEqual(1, self.permits(0.5, 1.5, 0.5))
+        self.assertEqual(0, self.permits(0.5, 1.5, 0.0))
 
 
 def listed(entry):
@@ -261,35 +261,35 @@
         return self.router.cold.is_cold(state, now)
 
     def test_as_long_as_its_entry_said(self):
-        state = TargetState(target("m1", warming_for=2.0), START)
+        state = TargetState(target("m1", warm_up_seconds=2.0), START)
         self.assertTrue(self.is_cold(state, START + 1.9))
         self.assertFalse(self.is_cold(state, START + 2.0))
 
     def test_again_at_any_moment(self):
         state = TargetState(target("m1"), START)
         self.assertFalse(self.is_cold(state, START))
-        state.told_cold(1.5, START + 50)
+        state.set_cold_for(1.5, START + 50)
         self.assertTrue(self.is_cold(state, START + 51))
 
     def test_after_its_domain_was_evacuated_before_any_entry_says_so(self):
         state = TargetState(target("m1"), START)
         state.evacuate(START + 1)
-        state.take_back(START + 9)
+        state.end_evacuation(START + 9)
         self.assertTrue(self.is_cold(state, START + 9 + COLD_SECONDS - 0.1))
         self.assertFalse(self.is_cold(state, START + 9 + COLD_SECONDS))
 
     def test_after_it_could_not_be_reached(self):
         state = TargetState(target("m1"), START)
         state.unreachable(START)
-        state.heard(START + 0.6)
+        state.bytes_received(START + 0.6)
         self.assertTrue(self.is_cold(state, START + 2.0))
         self.assertFalse(self.is_cold(state, START + 9.0))
 
     def test_an_entry_that_comes_late_does_not_make_it_warm(self):
         state = TargetState(target("m1"), START)
         state.evacuate(START)
-        state.take_back(START + 9)
-        state.told_cold(0.0, START + 9.5)
+        state.end_evacuation(START + 9)
+        state.set_cold_for(0.0, START + 9.5)
         self.assertTrue(self.is_cold(state, START + 10))
 
     # Guards against more than a cold target bears, sent once its entry is rewritten
@@ -306,7 +306,7 @@
         targets = listed(target("m1"))
         targets.state("m1").answered(head(cold_for=9.0), START)
         targets.remove("m1", START)
-        targets.forget_gone(START + 5)
+        targets.forget_expired(START + 5)
         self.assertIsNone(targets.state("m1"))
         targets.put(target("m1"), START + 6)
         self.assertTrue(self.is_cold(targets.state("m1"), START + 8.9))
@@ -319,7 +319,7 @@
         self.assertFalse(self.is_cold(state, START + 1))
 
     def test_targets_of_a_service_without_a_rate_never_are(self):
-        state = TargetState(target("p1", "portal", warming_for=9.0), START)
+        state = TargetState(target("p1", "portal", warm_up_seconds=9.0), START)
         self.assertFalse(self.is_cold(state, START))
         self.assertEqual(0, self.router.cold.wait(state, START))
         self.assertEqual([state], self.router.cold.open([state], START))
@@ -329,7 +329,7 @@
         state = TargetState(target("m1"), START)
         for _ in range(12):
             router.cold.sent(state, START + 1.0)
-        state.told_cold(3.0, START + 1.1)
+        state.set_cold_for(3.0, START + 1.1)
         self.assertNotEqual(0, router.cold.wait(state, START + 1.2))
         self.assertEqual([], router.cold.open([state], START + 1.2))
         self.assertEqual(0, router.cold.wait(state, START + 1.0 + WINDOW_SECONDS))
@@ -340,100 +340,103 @@
 
     def setUp(self):
         super().setUp()
-        self.desk = Desk([target(f"m{n}", slots=64) for n in (1, 2)])
+        self.harness = ForwardingHarness([target(f"m{n}", slots=64) for n in (1, 2)])
         self.count_for("r0", 1)
 
     def count_for(self, name, routers):
         router = Router(name, names(routers), START)
-        tools = self.desk.tools
+        tools = self.harness.tools
         self.cold = router.cold
-        tools.room = TargetRoom(router.cold)
+        tools.availability = TargetAvailability(router.cold)
         tools.chooser = TargetChooser(
-            ChoiceSettings(), self.desk.parts, tools.rng, room=tools.room
+            ChoiceSettings(),
+            self.harness.parts,
+            tools.rng,
+            availability=tools.availability,
         )
 
     def chill(self, *targets, seconds=COLD_SECONDS):
         for name in targets:
-            self.desk.state(name).told_cold(seconds, self.desk.clock.seconds())
+            self.harness.state(name).set_cold_for(seconds, self.harness.clock.seconds())
 
     def sent_to(self, name):
-        return sum(run.name == name for run in self.desk.caller.runs)
+        return sum(run.name == name for run in self.harness.caller.runs)
 
     def test_work_over_its_rate_goes_to_a_warm_one(self):
         self.chill("m1")
         for _ in range(60):
-            self.desk.call(request(STREAM))
+            self.harness.call(request(STREAM))
         self.assertLessEqual(self.sent_to("m1"), RATE)
         self.assertGreaterEqual(self.sent_to("m2"), 50)
 
     def test_repeats_and_resumed_streams_count(self):
         self.chill("m1", "m2")
         for _ in range(40):
-            self.desk.call(request(STREAM))
-            self.desk.caller.last.observer.run_cut("reset")
+            self.harness.call(request(STREAM))
+            self.harness.caller.last.observer.response_lost("reset")
         for name in ("m1", "m2"):
             self.assertLessEqual(self.sent_to(name), RATE)
 
     def test_a_silent_target_is_helped_by_no_cold_one_over_its_rate(self):
         self.chill("m2", seconds=30)
         for _ in range(30):
-            self.desk.call(request(STREAM))
-        self.desk.pass_time(1.0)
+            self.harness.call(request(STREAM))
+        self.harness.pass_time(1.0)
         self.assertLessEqual(self.sent_to("m2"), 2 * RATE)
 
     def test_what_can_wait_waits_for_room(self):
         self.chill("m1", "m2", seconds=30)
-        sinks = [self.desk.call(request(STREAM))[1] for _ in range(20)]
-        self.desk.pass_time(0.9)
-        _, late = self.desk.call(request(STREAM, now=self.desk.clock.seconds()))
+        sinks = [self.harness.call(request(STREAM))[1] for _ in range(20)]
+        self.harness.pass_time(0.9)
+        _, late = self.harness.call(request(STREAM, now=self.harness.clock.seconds()))
         self.assertIsNone(late.refusal)
-        self.desk.pass_time(0.3)
-        self.assertEqual(21, len(self.desk.caller.runs))
+        self.harness.pass_time(0.3)
+        self.assertEqual(21, len(self.harness.caller.runs))
         self.assertTrue(all(sink.refusal is None for sink in sinks))
 
     def test_what_cannot_be_served_in_time_is_refused_at_once_with_the_time(self):
         self.chill("m1", "m2", seconds=30)
         for _ in range(20):
-            self.desk.call(request(STREAM))
-        self.desk.pass_time(0.2)
-        _, sink = self.desk.call(request(STREAM, now=self.desk.clock.seconds()))
+            self.harness.call(request(STREAM))
+        self.harness.pass_time(0.2)
+        _, sink = self.harness.call(request(STREAM, now=self.harness.clock.seconds()))
         self.assertIs(Refusal.TARGETS_COLD, sink.refusal)
         self.assertAlmostEqual(WINDOW_SECONDS - 0.2, sink.retry_after, places=2)
-        self.assertEqual(20, len(self.desk.caller.runs))
+        self.assertEqual(20, len(self.harness.caller.runs))
 
     def test_a_router_without_a_token_says_when_they_are_warm(self):
         self.count_for("stranger", 3)
         self.chill("m1", "m2", seconds=2.0)
-        _, sink = self.desk.call(request(STREAM))
+        _, sink = self.harness.call(request(STREAM))
         self.assertIs(Refusal.TARGETS_COLD, sink.refusal)
         self.assertAlmostEqual(2.0, sink.retry_after, places=2)
 
     def test_a_caller_that_leaves_while_it_waits_is_forgotten(self):
         self.chill("m1", "m2", seconds=0.2)
         self.count_for("stranger", 3)
-        call, _ = self.desk.call(request(STREAM))
+        call, _ = self.harness.call(request(STREAM))
         call.caller_gone()
-        self.desk.pass_time(0.5)
-        self.assertEqual([], self.desk.caller.runs)
-        self.assertEqual(["caller_gone"], self.desk.ended)
+        self.harness.pass_time(0.5)
+        self.assertEqual([], self.harness.caller.runs)
+        self.assertEqual(["caller_gone"], self.harness.ended)
 
     def test_a_target_says_so_itself(self):
-        self.desk.call(request(STREAM))
-        run = self.desk.caller.last
-        run.observer.run_head(head(cold_for=2.0))
-        now = self.desk.clock.seconds()
-        self.assertTrue(self.cold.is_cold(self.desk.state(run.name), now))
+        self.harness.call(request(STREAM))
+        run = self.harness.caller.last
+        run.observer.response_head(head(cold_for=2.0))
+        now = self.harness.clock.seconds()
+        self.assertTrue(self.cold.is_cold(self.harness.state(run.name), now))
 
     def test_without_patience_it_is_refused_where_it_could_have_waited(self):
-        self.desk.tools.settings = ForwardSettings(cold_patience=0.0)
+        self.harness.tools.settings = ForwardingSettings(cold_patience=0.0)
         self.count_for("stranger", 3)
         self.chill("m1", "m2", seconds=0.1)
-        _, sink = self.desk.call(request(STREAM))
+        _, sink = self.harness.call(request(STREAM))
         self.assertIs(Refusal.TARGETS_COLD, sink.refusal)
 
     def test_plain_services_are_not_touched(self):
-        self.desk.states = [TargetState(target("p1", "portal"), START)]
+        self.harness.states = [TargetState(target("p1", "portal"), START)]
         self.chill("p1")
         for _ in range(50):
-            _, sink = self.desk.call(request(LOOKUP))
+            _, sink = self.harness.call(request(LOOKUP))
             self.assertIsNone(sink.refusal)
--- a/tests/request/test_harmful_requests.py
+++ b/tests/request/test_harmful_requests.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 from testtools import TestCase
 
+from primrosescale.request.harm_reports import CompleteAnswer
 from primrosescale.request.harm_reports import TargetEnd
-from primrosescale.request.harm_reports import WholeAnswer
 from primrosescale.request.harm_settings import HarmSettings
 from primrosescale.request.harmful_requests import HOLD_GROWTH
 from primrosescale.request.harmful_requests import MOST_ENDS
@@ -26,10 +26,10 @@
 
     def end(self, target, *fingerprints, at=NOW):
         for fingerprint in fingerprints:
-            self.requests.take_end(TargetEnd(fingerprint, target, at))
+            self.requests.record_end(TargetEnd(fingerprint, target, at))
 
     def answer(self, fingerprint, at=NOW):
-        return self.requests.take_answer(WholeAnswer(fingerprint, at))
+        return self.requests.record_answer(CompleteAnswer(fingerprint, at))
 
     def held_for(self, fingerprint=HARMFUL, now=NOW):
         return self.requests.held_for(fingerprint, now)
@@ -104,7 +104,7 @@
     def test_a_target_that_has_not_ended_speaks_against_nobody(self):
         for target in (1, 2, 3):
             self.end(target, HARMFUL, HARMLESS)
-        self.requests.target_lives(2)
+        self.requests.retract_ends(2)
         self.assertEqual(2, self.requests.ends_under(HARMFUL))
         self.assertEqual(0.0, self.held_for())
         self.assertEqual(2, self.requests.ends_under(HARMLESS))
@@ -130,10 +130,10 @@
         for target in range(7):
             self.end(target, HARMFUL, at=NOW + target)
         other = HarmfulRequests(SETTINGS)
-        for end in self.requests.proof(HARMFUL):
-            other.take_end(end)
+        for end in self.requests.sufficient_ends(HARMFUL):
+            other.record_end(end)
         self.assertGreater(other.held_for(HARMFUL, NOW + 7), 0)
-        self.assertEqual([], self.requests.proof(THIRD))
+        self.assertEqual([], self.requests.sufficient_ends(THIRD))
 
     def test_many_single_ends_push_no_nearly_proved_one_out(self):
         for target in (1, 2):
@@ -180,11 +180,11 @@
                 answered.add(fingerprint)
                 self.answer(fingerprint, at=NOW)
             else:
-                self.requests.target_lives(target)
+                self.requests.retract_ends(target)
         self.assertLessEqual(len(self.requests), SETTINGS.remembered)
         for fingerprint in answered:
             self.assertEqual(0, self.requests.ends_under(fingerprint))
         for target in range(6):
-            self.requests.target_lives(target)
+            self.requests.retract_ends(target)
         self.assertFalse(self.requests.may_hold)
         self.assertEqual({}, self.requests._at_target)
--- a/tests/request/test_lost_answers.py
+++ b/tests/request/test_lost_answers.py
@@ -4,9 +4,9 @@
 
 from testtools import TestCase
 
+from primrosescale.request.lost_answers import MAX_WAIT_SECONDS
 from primrosescale.request.lost_answers import MOST_ENDED
 from primrosescale.request.lost_answers import MOST_WAITING
-from primrosescale.request.lost_answers import WAIT_SECONDS
 from primrosescale.request.lost_answers import LostAnswers
 
 NOW = 1000.0
@@ -32,25 +32,25 @@
         self.assertEqual({}, self.lost.ended(7, NOW + 1))
         self.assertTrue(self.lost.has_ended(7, NOW + 2))
         self.assertFalse(self.lost.has_ended(8, NOW + 2))
-        self.assertFalse(self.lost.has_ended(7, NOW + 1 + WAIT_SECONDS))
+        self.assertFalse(self.lost.has_ended(7, NOW + 1 + MAX_WAIT_SECONDS))
 
     def test_a_target_that_lives_explains_them_otherwise(self):
         self.lost.lost(1, 7, NOW)
-        self.lost.lived(7, NOW + 0.1)
+        self.lost.seen_alive(7, NOW + 0.1)
         self.assertFalse(self.lost.is_waiting(7, NOW))
         self.assertEqual({}, self.lost.ended(7, NOW))
 
     def test_only_what_was_lost_before_is_explained_so(self):
         self.lost.lost(1, 7, NOW)
         self.lost.lost(2, 7, NOW + 1)
-        self.lost.lived(7, NOW + 0.5)
+        self.lost.seen_alive(7, NOW + 0.5)
         self.assertEqual({2: NOW + 1}, self.lost.ended(7, NOW + 1))
 
     def test_they_wait_for_a_while_only(self):
         self.lost.lost(1, 7, NOW)
-        self.assertTrue(self.lost.is_waiting(7, NOW + WAIT_SECONDS))
-        self.assertFalse(self.lost.is_waiting(7, NOW + WAIT_SECONDS + 0.1))
-        self.assertEqual({}, self.lost.ended(7, NOW + WAIT_SECONDS + 0.1))
+        self.assertTrue(self.lost.is_waiting(7, NOW + MAX_WAIT_SECONDS))
+        self.assertFalse(self.lost.is_waiting(7, NOW + MAX_WAIT_SECONDS + 0.1))
+        self.assertEqual({}, self.lost.ended(7, NOW + MAX_WAIT_SECONDS + 0.1))
 
     def test_their_number_is_bounded(self):
         for fingerprint in range(2 * MOST_WAITING):
--- a/tests/request/test_rate_limit.py
+++ b/tests/request/test_rate_limit.py
@@ -4,12 +4,12 @@
 
 from testtools import TestCase
 
-from primrosescale.request.directory import ChatDirectory
-from primrosescale.request.rate_limit import Demand
-from primrosescale.request.rate_limit import OrganisationLimiter
+from primrosescale.request.chat_directory import ChatDirectory
+from primrosescale.request.rate_limit import DemandRate
+from primrosescale.request.rate_limit import OrganisationRateLimiter
 from primrosescale.request.rate_limit import RateSettings
-from primrosescale.request.work import WorkEstimator
-from primrosescale.request.work import WorkSettings
+from primrosescale.request.work_estimate import WorkEstimator
+from primrosescale.request.work_estimate import WorkSettings
 
 
 def drive(limiters, rate, limit, seconds):
@@ -28,47 +28,51 @@
         refused += not is_taken
         if now - told >= 1.0:
             told = now
-            reports = [r for item in limiters for r in item.reports(len(limiters), now)]
+            reports = [
+                r
+                for item in limiters
+                for r in item.demands_to_report(len(limiters), now)
+            ]
             total = sum(report.rate for report in reports)
             for item in limiters:
-                item.hear_total(Demand("o", total), now)
+                item.update_total(DemandRate("o", total), now)
         now += step
     return taken, refused
 
 
 class OrganisationLimiterTest(TestCase):
     def test_one_router_holds_the_limit(self):
-        taken, _ = drive([OrganisationLimiter(RateSettings())], 100.0, 10.0, 60.0)
+        taken, _ = drive([OrganisationRateLimiter(RateSettings())], 100.0, 10.0, 60.0)
         self.assertTrue(550 <= taken <= 700, taken)
 
     def test_many_routers_hold_it_together(self):
-        limiters = [OrganisationLimiter(RateSettings()) for _ in range(20)]
+        limiters = [OrganisationRateLimiter(RateSettings()) for _ in range(20)]
         taken, _ = drive(limiters, 400.0, 50.0, 60.0)
         self.assertTrue(2400 <= taken <= 4200, taken)
 
     def test_an_organisation_under_its_limit_is_never_refused(self):
-        limiters = [OrganisationLimiter(RateSettings()) for _ in range(5)]
+        limiters = [OrganisationRateLimiter(RateSettings()) for _ in range(5)]
         _, refused = drive(limiters, 20.0, 50.0, 60.0)
         self.assertEqual(0, refused)
 
     def test_only_organisations_near_their_limit_are_reported(self):
-        limiter = OrganisationLimiter(RateSettings())
+        limiter = OrganisationRateLimiter(RateSettings())
         for number in range(1000):
             limiter.admit(f"idle{number}", 100.0, 0.0)
         for number in range(200):
             limiter.admit("busy", 100.0, number * 0.01)
-        names = [item.organisation for item in limiter.reports(10, 2.0)]
+        names = [item.organisation for item in limiter.demands_to_report(10, 2.0)]
         self.assertEqual(["busy"], names)
 
     def test_idle_meters_are_dropped(self):
-        limiter = OrganisationLimiter(RateSettings())
+        limiter = OrganisationRateLimiter(RateSettings())
         for number in range(1000):
             limiter.admit(f"o{number}", 100.0, 0.0)
-        limiter.reports(10, 100.0)
+        limiter.demands_to_report(10, 100.0)
         self.assertEqual(0, len(limiter))
 
     def test_advice_is_when_a_token_will_be_there(self):
-        limiter = OrganisationLimiter(RateSettings(burst=1.0))
+        limiter = OrganisationRateLimiter(RateSettings(burst=1.0))
         limiter.admit("o", 1.0, 0.0)
         wait = limiter.admit("o", 1.0, 0.0)
         self.assertTrue(0.9 < wait <= 1.0)
@@ -79,20 +83,20 @@
     def test_the_least_recent_chat_is_forgotten_first(self):
         directory = ChatDirectory(limit=2, keep=100.0)
         for number in range(3):
-            directory.served(f"c{number}", "a", 10, float(number))
+            directory.record_served(f"c{number}", "a", 10, float(number))
         self.assertIsNone(directory.find("c0", 3.0))
         self.assertEqual("a", directory.find("c2", 3.0).place)
 
     def test_an_old_record_counts_for_nothing(self):
         directory = ChatDirectory(limit=2, keep=10.0)
-        directory.served("c", "a", 10, 0.0)
+        directory.record_served("c", "a", 10, 0.0)
         self.assertIsNone(directory.find("c", 11.0))
 
     def test_the_hottest_chats_of_a_place(self):
         directory = ChatDirectory(limit=9, keep=100.0)
         for number, place in enumerate("abab"):
-            directory.served(f"c{number}", place, 10, float(number))
-        self.assertEqual(["c3", "c1"], directory.hottest("b", 5))
+            directory.record_served(f"c{number}", place, 10, float(number))
+        self.assertEqual(["c3", "c1"], directory.most_recent("b", 5))
 
 
 class WorkEstimatorTest(TestCase):
--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -27,7 +27,7 @@
 # Requests per second for a cold model engine, and how long it is cold.
 COLD_RATE = 10.0
 COLD_SECONDS = 3.0
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 # Number of newest versions whose probe route is kept in the configuration.
 KEPT_VERSIONS = 2
 
@@ -124,7 +124,7 @@
 
     def _cold_left(self):
         left = self.cold_until - reactor.seconds()
-        return max(0, round(left * MILLISECONDS))
+        return max(0, round(left * MILLISECONDS_PER_SECOND))
 
     def choose_foreign_entry(self, fraction):
         """Return an invalid entry for this target, chosen by a fraction below 1."""
--- a/tests/support/entry_site.py
+++ b/tests/support/entry_site.py
@@ -17,13 +17,13 @@
 from primrosescale.platform.entry import PlatformRecords
 from primrosescale.platform.http_codec import PlatformCodec
 from primrosescale.platform.object_platform import ObjectPlatform
+from primrosescale.process.entry.entry_dependencies import EntryDependencies
 from primrosescale.process.entry.entry_metrics import EntryMetrics
-from primrosescale.process.entry.entry_parts import EntryParts
 from primrosescale.process.entry.entry_settings import EntrySettings
-from primrosescale.process.entry.entry_settings import EntryWatches
+from primrosescale.process.entry.entry_settings import WatchedPrefixes
 from primrosescale.process.entry.store_watch import WatchedPrefix
 from primrosescale.process.events import EventLog
-from primrosescale.request.repeat_budget import RepeatBounds
+from primrosescale.request.shared_retry_budget import SharedRetryLimits
 
 LOOPBACK = "127.0.0.1"
 
@@ -143,17 +143,17 @@
         "reads_caches": False,
         "drain": 2.0,
         "revoke": 5.0,
-        "certain_for": 3.5,
+        "not_found_max_age": 3.5,
         "stop_within": 8.0,
-        "most_requests": 100,
-        "repeats": RepeatBounds(0.2, 10.0, 50.0),
+        "max_requests": 100,
+        "repeats": SharedRetryLimits(0.2, 10.0, 50.0),
     }
     return EntrySettings(**{**values, **fields})
 
 
 def router_watches(targets_wait=0.3):
     """Return what a router follows in the store, with short waits."""
-    return EntryWatches(
+    return WatchedPrefixes(
         configuration=WatchedPrefix(
             records.CONFIGURATION, 0.3, reads_after_failure=True
         ),
@@ -162,11 +162,13 @@
     )
 
 
-def router_parts(store, name, events, reread, *, caches=None, early=None):
+def router_dependencies(
+    store, name, events, read_settings, *, caches=None, listening_socket=None
+):
     """Return what a router is built with; its events go to a list."""
     log = EventLog(name)
     log.emit = lambda event, **said: events.append((event.name, said))
-    return EntryParts(
+    return EntryDependencies(
         reactor=reactor,
         platform=ObjectPlatform(reactor, store, 0.5),
         codec=PlatformCodec(),
@@ -176,6 +178,6 @@
         metrics=EntryMetrics(),
         rng=random.Random(1),
         caches=caches or EngineCaches(reactor),
-        reread=reread,
-        early=early,
+        read_settings=read_settings,
+        listening_socket=listening_socket,
     )
--- a/tests/support/faults.py
+++ b/tests/support/faults.py
@@ -9,8 +9,8 @@
 from primrosescale.connection.wire.ttypes import MemberState
 
 ANSWERS = (wire.Answer, wire.AnswerHead, wire.AnswerChunk, wire.AnswerEnd)
-OUTAGE = 4.0
-RESTART = 3.0
+OUTAGE_SECONDS = 4.0
+RESTART_SECONDS = 3.0
 
 
 def router_dies(world, agent):
@@ -22,18 +22,18 @@
     if world.is_process_dead(agent):
         return
     world.kill(agent)
-    world.clock.callLater(RESTART, world.start_agent, agent)
+    world.clock.callLater(RESTART_SECONDS, world.start_agent, agent)
 
 
 def target_dies(world, agent):
     target = world.targets[int(agent[1:])]
     target.is_dead = True
-    world.clock.callLater(RESTART, revive, target)
+    world.clock.callLater(RESTART_SECONDS, revive, target)
 
 
 def revive(target):
     target.is_dead = False
-    target.life += 1
+    target.incarnation += 1
 
 
 def agent_replaced(world, agent):
@@ -91,12 +91,16 @@
 
 def store_down(world, agent):
     world.store.settings.is_down = True
-    world.clock.callLater(OUTAGE, setattr, world.store.settings, "is_down", False)
+    world.clock.callLater(
+        OUTAGE_SECONDS, setattr, world.store.settings, "is_down", False
+    )
 
 
 def store_slow(world, agent):
     world.store.settings.latency = 1.5
-    world.clock.callLater(OUTAGE, setattr, world.store.settings, "latency", 0.002)
+    world.clock.callLater(
+        OUTAGE_SECONDS, setattr, world.store.settings, "latency", 0.002
+    )
 
 
 def write_answer_lost(world, agent):
@@ -112,9 +116,9 @@
 def lists_differ(world, agent):
     if "r1" in world.routers:
         members = world.routers["r1"].members
-        life = world.agents[agent].core.incarnation
-        notice = wire.MemberNotice(agent, life, MemberState.DOWN, "r9")
-        members.take_notice(notice, world.clock.seconds())
+        incarnation = world.agents[agent].core.incarnation
+        notice = wire.MemberNotice(agent, incarnation, MemberState.DOWN, "r9")
+        members.apply_notice(notice, world.clock.seconds())
 
 
 def target_leaves(world, agent):
--- a/tests/support/harm_fleet.py
+++ b/tests/support/harm_fleet.py
@@ -13,23 +13,23 @@
 from types import SimpleNamespace
 
 from primrosescale.process.entry.entry_metrics import EntryMetrics
-from primrosescale.process.entry.harm_news import HarmNews
-from primrosescale.process.entry.harm_watch import EntryHarmWatch
-from primrosescale.process.entry.router_news import RouterNews
-from primrosescale.request.direct_port import AnswerHead
-from primrosescale.request.direct_port import CallerSink
-from primrosescale.request.direct_port import Run
-from primrosescale.request.direct_port import TargetCaller
-from primrosescale.request.direct_port import TargetCheck
-from primrosescale.request.forward_tools import ForwardSettings
-from primrosescale.request.forward_tools import ForwardTools
+from primrosescale.process.entry.harm_report_exchange import HarmReportExchange
+from primrosescale.process.entry.harm_watch import EntryHarmMonitor
+from primrosescale.process.entry.state_exchange import StateExchange
+from primrosescale.request.forward_tools import ForwardingContext
+from primrosescale.request.forward_tools import ForwardingSettings
 from primrosescale.request.forwarded_call import ForwardedCall
+from primrosescale.request.forwarding_interfaces import AnswerHead
+from primrosescale.request.forwarding_interfaces import CallerSink
+from primrosescale.request.forwarding_interfaces import InFlightRequest
+from primrosescale.request.forwarding_interfaces import ProbeResult
+from primrosescale.request.forwarding_interfaces import TargetClient
 from primrosescale.request.harm_settings import HarmSettings
 from primrosescale.request.harmful_requests import HarmfulRequests
-from primrosescale.request.incoming import IncomingRequest
-from primrosescale.request.repeat_budget import RepeatBounds
-from primrosescale.request.repeat_budget import RepeatBudget
-from primrosescale.version.routing_table import Repeatability
+from primrosescale.request.incoming_request import IncomingRequest
+from primrosescale.request.shared_retry_budget import SharedRetryBudget
+from primrosescale.request.shared_retry_budget import SharedRetryLimits
+from primrosescale.version.routing_table import RetryPolicy
 from primrosescale.version.routing_table import Route
 from primrosescale.version.routing_table import WeightedService
 from support.router_fleet import LINK_SECONDS
@@ -54,7 +54,7 @@
     host="desk.example",
     path_prefix="/stories/",
     services=(WeightedService(SERVICE, 1.0),),
-    repeatability=Repeatability.IDEMPOTENT,
+    retry_policy=RetryPolicy.IDEMPOTENT,
     is_resumable=False,
     has_prompt=False,
     timeout=DEADLINE_SECONDS,
@@ -62,7 +62,7 @@
     gap_objective=0.0,
     max_targets=3,
     priority=1,
-    is_open=False,
+    allows_anonymous=False,
 )
 
 
@@ -82,7 +82,7 @@
     def finish(self):
         self.is_whole = True
 
-    def break_off(self):
+    def abort(self):
         pass
 
     def refuse(self, refusal, retry_after):
@@ -98,7 +98,7 @@
         self.runs = {}
 
 
-class VirtualRun(Run):
+class VirtualRun(InFlightRequest):
     """A request at one target."""
 
     def __init__(self, fleet, router_began_at, sending, observer):
@@ -113,13 +113,13 @@
         if not self.target.is_up:
             self.fleet.clock.callLater(LINK_SECONDS, self._not_sent)
             return
-        self.observer.run_sent()
+        self.observer.request_sent()
         self.fleet.clock.callLater(LINK_SECONDS, self._arrive)
 
     def _not_sent(self):
         if not self.is_over:
             self.is_over = True
-            self.observer.run_not_sent("refused")
+            self.observer.request_not_sent("refused")
 
     def _arrive(self):
         if not self.is_over:
@@ -131,25 +131,25 @@
         self.is_over = True
         self.target.runs.pop(self, None)
         request = self.sending.request
-        self.observer.run_head(
+        self.observer.response_head(
             AnswerHead(
                 status=200,
                 headers=(),
                 request_id=request.request_id,
-                is_receipted=True,
+                has_receipt=True,
                 is_not_run=False,
                 is_other_incarnation=False,
                 load=None,
                 length=4,
             )
         )
-        self.observer.run_data(b"done")
-        self.observer.run_done()
+        self.observer.response_data(b"done")
+        self.observer.response_done()
 
     def cut(self):
         if not self.is_over:
             self.is_over = True
-            self.observer.run_cut("connection closed")
+            self.observer.response_lost("connection closed")
 
     def cancel(self):
         self.is_over = True
@@ -163,7 +163,7 @@
         pass
 
 
-class VirtualCaller(TargetCaller):
+class VirtualCaller(TargetClient):
     """Sends requests of one router to the fleet's targets."""
 
     def __init__(self, fleet):
@@ -180,9 +180,9 @@
 
     def _checked(self, target, on_check):
         is_up = self._fleet.working[target.name].is_up
-        on_check(TargetCheck.CONNECTED if is_up else TargetCheck.ENDED)
+        on_check(ProbeResult.CONNECTED if is_up else ProbeResult.ENDED)
 
-    def end_former(self, present):
+    def abort_former(self, present):
         pass
 
 
@@ -195,11 +195,11 @@
             emit=lambda event, **said: self.events.append((self.name, event, said))
         )
         self.requests = HarmfulRequests(self.fleet.harm_settings)
-        self.harm_news = HarmNews(self.requests, log)
+        self.harm_news = HarmReportExchange(self.requests, log)
         self._watch_parts = SimpleNamespace(
             reactor=self.fleet.clock, log=log, metrics=EntryMetrics()
         )
-        return RouterNews(
+        return StateExchange(
             self.name,
             incarnation,
             self.targets,
@@ -213,17 +213,17 @@
     def begin(self, incarnation):
         super().begin(incarnation)
         caller = VirtualCaller(self.fleet)
-        self.harm = EntryHarmWatch(
+        self.harm = EntryHarmMonitor(
             self.requests,
             self.harm_news,
             self.targets,
             caller,
             self._watch_parts,
-            self.exchange.tell_soon,
+            self.exchange.send_soon,
         )
-        budget = RepeatBudget(RepeatBounds(0.2, 10.0, 60.0))
-        self.tools = ForwardTools(
-            settings=ForwardSettings(),
+        budget = SharedRetryBudget(SharedRetryLimits(0.2, 10.0, 60.0))
+        self.tools = ForwardingContext(
+            settings=ForwardingSettings(),
             clock=self.fleet.clock,
             rng=self.fleet.rng,
             caller=caller,
--- a/tests/support/history.py
+++ b/tests/support/history.py
@@ -7,7 +7,7 @@
 
 
 @dataclass
-class CallStory:
+class CallRecord:
     """One caller's request and everything known of it."""
 
     name: str
@@ -34,7 +34,7 @@
     """One time a target was handed a request."""
 
     target: str
-    agent_life: int
+    agent_incarnation: int
     call: str
     key: str
     at: float
@@ -45,7 +45,7 @@
     """One call that an agent took."""
 
     agent: str
-    life: int
+    agent_incarnation: int
     at: float
     load: int
     cap: float
@@ -72,14 +72,14 @@
     def admit(self, admission):
         self.admissions.append(admission)
 
-    def leave(self, agent, life, at):
-        self.leaving[agent, life] = at
+    def leave(self, agent, incarnation, at):
+        self.leaving[agent, incarnation] = at
 
     def plan_stop(self, names):
         self.planned.extend(names)
 
-    def adopt(self, process, life, version):
-        self.versions.setdefault((process, life), []).append(version)
+    def adopt(self, process, incarnation, version):
+        self.versions.setdefault((process, incarnation), []).append(version)
 
 
 def expected_body(name):
@@ -145,7 +145,7 @@
 
     def _none_after_leaving(self):
         for item in self.history.admissions:
-            left = self.history.leaving.get((item.agent, item.life))
+            left = self.history.leaving.get((item.agent, item.agent_incarnation))
             if left is not None and item.at > left:
                 yield f"leaving: {item.agent} took {item.call} after it left"
 
--- a/tests/support/router_fleet.py
+++ b/tests/support/router_fleet.py
@@ -15,15 +15,15 @@
 from collections import OrderedDict
 
 from primrosescale.connection.endpoint import Endpoint
-from primrosescale.process.entry.cache_shares import CacheShares
-from primrosescale.process.entry.other_router import OtherRouter
-from primrosescale.process.entry.router_exchange import NewsExchange
-from primrosescale.process.entry.router_news import RouterNews
+from primrosescale.process.entry.cache_ownership import CacheOwnership
+from primrosescale.process.entry.peer_router import PeerRouter
+from primrosescale.process.entry.router_datagrams import StateExchangeProtocol
+from primrosescale.process.entry.state_exchange import StateExchange
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.incoming import Prompt
-from primrosescale.request.incoming import PromptPart
-from primrosescale.request.part_directory import PartDirectory
+from primrosescale.request.incoming_request import Prompt
+from primrosescale.request.incoming_request import PromptPart
+from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 from primrosescale.request.router_shares import RouterShares
 from primrosescale.request.serving_target import ServingTarget
 from primrosescale.request.target_choice import ChoiceSettings
@@ -103,18 +103,18 @@
         How many long shared parts there are; 0 for plain requests.
     shared_tokens : int
         Mean length of these.
-    own_tokens : int
+    own_permits : int
         Mean length of what belongs to a request alone.
     output_tokens : int
         Mean length of an answer.
     """
 
-    def __init__(self, name, rate, subjects, shared_tokens, own_tokens, output_tokens):
+    def __init__(self, name, rate, subjects, shared_tokens, own_permits, output_tokens):
         self.name = name
         self.rate = rate
         self.subjects = subjects
         self.shared_tokens = shared_tokens
-        self.own_tokens = own_tokens
+        self.own_permits = own_permits
         self.output_tokens = output_tokens
 
 
@@ -200,18 +200,18 @@
         """Begin a life of the process, which knows nothing of a former one."""
         clock = self.fleet.clock
         self.targets = TargetList(2.0)
-        self.parts = PartDirectory()
+        self.parts = PrefixCacheIndex()
         self.freshness = Freshness(5.0)
         self.router_shares = RouterShares(self.name)
         self.news = self._build_news(incarnation)
-        self.shares = CacheShares(
+        self.shares = CacheOwnership(
             self.name,
             self.targets,
             self.parts,
             lambda: self.news.others,
             self.news.find,
         )
-        self.exchange = NewsExchange(
+        self.exchange = StateExchangeProtocol(
             self.news,
             lambda: 1,
             lambda: False,
@@ -226,12 +226,12 @@
             random.Random(f"{self.number} {incarnation}"),
             lambda: self.news.age(clock.seconds()),
             lambda: self.news.is_relayed,
-            unlisted_of=self.targets.unlisted_of,
-            own_share=self.router_shares.own_tokens,
+            recently_delisted=self.targets.recently_delisted,
+            own_share=self.router_shares.own_permits,
         )
 
     def _build_news(self, incarnation):
-        return RouterNews(
+        return StateExchange(
             self.name,
             incarnation,
             self.targets,
@@ -243,7 +243,7 @@
 
     def as_listed(self):
         endpoint = Endpoint("10.0.0.1", self.number)
-        return OtherRouter(self.name, endpoint, self.domain)
+        return PeerRouter(self.name, endpoint, self.domain)
 
 
 class Fleet:
@@ -289,16 +289,16 @@
         for number in range(targets):
             self.add_target(f"target-{number}", number)
         for router in self.routers:
-            self.list_routers(router)
+            self.set_routers(router)
             delay = self.rng.random() * 0.3
             self.clock.callLater(delay, router.exchange.startProtocol)
 
-    def list_routers(self, router):
+    def set_routers(self, router):
         now = self.clock.seconds()
         for other in self.routers:
             router.news.put(other.as_listed(), now)
         names = frozenset(other.name for other in self.routers)
-        router.router_shares.list_routers(names, now, was_listed=True)
+        router.router_shares.set_routers(names, now, was_listed=True)
 
     def add_target(self, name, number, delay=lambda: 0.0):
         """List a target, which each router hears of at a time of its own."""
@@ -327,7 +327,7 @@
 
     def _delist(self, router, name):
         router.targets.remove(name, 0.0)
-        for incarnation in router.targets.forget_gone(self.clock.seconds() + 9):
+        for incarnation in router.targets.forget_expired(self.clock.seconds() + 9):
             router.parts.forget_target(incarnation)
 
     def carry(self, sender, frame, number):
@@ -355,7 +355,7 @@
         router.exchange.stop()
         entries = [state.target for state in router.targets.states]
         router.begin(incarnation)
-        self.list_routers(router)
+        self.set_routers(router)
         for entry in entries:
             self._list(router, entry)
         router.is_up = True
@@ -390,10 +390,10 @@
             return
         state = choice.state
         state.sent(now)
-        if wanted is not None and router.parts.note_own(
+        if wanted is not None and router.parts.record_own_request(
             state.incarnation, wanted.parts, now, is_expected=choice.is_home
         ):
-            router.exchange.tell_soon()
+            router.exchange.send_soon()
         source = choice.fetch_from
         self.clock.callLater(
             LINK_SECONDS, self._arrive, router, state, kind, wanted, source
@@ -414,7 +414,7 @@
         shuffled = random.Random(f"{kind.name} {place}")
         tokens = max(1, int(shuffled.expovariate(1 / kind.shared_tokens)))
         tokens = min(tokens, 3 * kind.shared_tokens)
-        own = max(1, int(self.rng.expovariate(1 / kind.own_tokens)))
+        own = max(1, int(self.rng.expovariate(1 / kind.own_permits)))
         parts = (
             PromptPart(f"{kind.name[0]}{place % 8:07x}", 300),
             PromptPart(f"{kind.name[0]}{place + 8:07x}", tokens),
@@ -471,7 +471,7 @@
     def _answer(self, state, engine):
         now = self.clock.seconds()
         if engine.name in self.engines:
-            state.reported(LoadReport(engine.running, 0, SLOTS), now)
+            state.set_load(LoadReport(engine.running, 0, SLOTS), now)
             state.succeeded(now)
 
     def _end(self, state, engine):
--- a/tests/support/router_site.py
+++ b/tests/support/router_site.py
@@ -12,7 +12,7 @@
 from support.entry_site import LOOPBACK
 from support.entry_site import ask
 from support.entry_site import configuration
-from support.entry_site import router_parts
+from support.entry_site import router_dependencies
 from support.entry_site import router_settings
 from support.entry_site import router_watches
 from support.entry_site import target_entry
@@ -21,7 +21,7 @@
 from support.live import LiveTest
 
 
-class RouterSiteTest(LiveTest):
+class LoopbackRouterTest(LiveTest):
     """A store with a configuration, and whatever routers and targets a test starts."""
 
     run_tests_with = DeploymentRunTest.make_factory(timeout=60.0)
@@ -45,7 +45,7 @@
 
     def start_router(self, name, watches=None, **fields):
         settings = router_settings(name, **fields)
-        parts = router_parts(self.endpoint, name, self.events, lambda: settings)
+        parts = router_dependencies(self.endpoint, name, self.events, lambda: settings)
         router = EntryRouter(settings, watches or router_watches(), parts)
         router.start()
         self.addCleanup(router._close)
@@ -53,7 +53,7 @@
 
     def knows(self, router, targets):
         """Tell whether a router is ready and knows so many targets."""
-        return router.is_ready and len(router._knowledge.targets) == targets
+        return router.is_ready and len(router._store_state.targets) == targets
 
     @inlineCallbacks
     def until(self, test):
--- a/tests/support/shrinking_fleet.py
+++ b/tests/support/shrinking_fleet.py
@@ -72,7 +72,7 @@
     def keep_house(self):
         """Forget targets that are gone, as routers do four times a second."""
         for router in self.routers:
-            for incarnation in router.targets.forget_gone(self.clock.seconds()):
+            for incarnation in router.targets.forget_expired(self.clock.seconds()):
                 router.parts.forget_target(incarnation)
         self.clock.callLater(0.25, self.keep_house)
 
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -23,7 +23,7 @@
 from primrosescale.request.agent_call import CallPhase
 from primrosescale.request.answer_sink import AnswerSink
 from primrosescale.request.call_request import CallRequest
-from primrosescale.request.target_port import TargetRun
+from primrosescale.request.local_target_client import TargetRun
 from primrosescale.standin.memory_platform import MemoryPlatform
 from primrosescale.standin.object_store import ObjectStore
 from primrosescale.standin.object_store import StoreSettings
@@ -32,7 +32,7 @@
 from primrosescale.version.head import sign
 from primrosescale.version.section import build_tree
 from support.history import Admission
-from support.history import CallStory
+from support.history import CallRecord
 from support.history import Checker
 from support.history import History
 from support.history import Run
@@ -120,12 +120,12 @@
 class MemoryTools(Tools):
     """Tools whose links and targets are in memory."""
 
-    def __init__(self, settings, world, life):
+    def __init__(self, settings, world, incarnation):
         self.world = world
-        self.owner = f"{settings.process.name}#{life}"
+        self.owner = f"{settings.process.name}#{incarnation}"
         super().__init__(settings, MemoryReactor(world, self.owner))
-        self.rng = random.Random(f"{settings.process.name}{life}")
-        self.incarnation = 1000 + life
+        self.rng = random.Random(f"{settings.process.name}{incarnation}")
+        self.incarnation = 1000 + incarnation
         if settings.process.role == "router":
             # A router's incarnation names calls, so it is unique in the fleet.
             self.incarnation += 1000 * int(settings.process.name[1:])
@@ -181,7 +181,7 @@
         self.mode = "good"
         self.caches = {}
         self.is_dead = False
-        self.life = 0
+        self.incarnation = 0
 
     def start(self, call, receiver):
         run = FakeRun(self, call, receiver)
@@ -192,17 +192,17 @@
             return run
         key = "" if call.idempotent else call.key
         story = self.world.attempts[call.router, call.number]
-        run_of = Run(self.name, self.life, story.name, key, clock.seconds())
+        run_of = Run(self.name, self.incarnation, story.name, key, clock.seconds())
         self.world.history.run(run_of)
         self.world.reached("hand to target", name, self)
-        clock.callLater(self.gap, self._piece, run, 0, self.life)
+        clock.callLater(self.gap, self._piece, run, 0, self.incarnation)
         return run
 
-    def _piece(self, run, number, life):
+    def _piece(self, run, number, incarnation):
         name = run.call.body.decode()
         if self.world.is_process_dead(self.name) or run.is_over:
             return
-        if self.is_dead or life != self.life:
+        if self.is_dead or incarnation != self.incarnation:
             run.is_over = True
             run.receiver.target_failed(Outcome.UNKNOWN, "target died")
             return
@@ -231,7 +231,7 @@
             if not run.is_over or not self.world.is_process_dead(self.name):
                 run.receiver.target_done(0)
             return
-        self.world.clock.callLater(self.gap, self._piece, run, number + 1, life)
+        self.world.clock.callLater(self.gap, self._piece, run, number + 1, incarnation)
 
     def export_cache(self, chat):
         return succeed(b"kv" if chat in self.caches else b"")
@@ -380,17 +380,17 @@
         return MemoryPlatform(self.store, MemoryReactor(self, owner))
 
     def start_router(self, name):
-        life = self.lives[name] = self.lives.get(name, 0) + 1
+        incarnation = self.lives[name] = self.lives.get(name, 0) + 1
         seeds = ", ".join(f"127.0.0.1:{r.link_port}" for r in self.routers.values())
         text = "[router]\nport = 0\nadmin_port = 0\nlink_port = 0\n"
         text += f"seeds = {seeds}\n" if seeds else ""
         settings = self.settings(name, "router", text)
-        tools = MemoryTools(settings, self, life)
+        tools = MemoryTools(settings, self, incarnation)
         router = Router(settings, tools, self.platform(tools.owner))
         adopted = router.adopted
 
         def adopt(view):
-            self.history.adopt(name, life, view.version)
+            self.history.adopt(name, incarnation, view.version)
             adopted(view)
 
         router.adopted = adopt
@@ -426,11 +426,11 @@
         return self.start_agent(name, port=port)
 
     def start_agent(self, name, target=None, port=0):
-        life = self.lives[name] = self.lives.get(name, 0) + 1
+        incarnation = self.lives[name] = self.lives.get(name, 0) + 1
         number = int(name[1:])
         found = target or self.targets.get(number) or FakeTarget(self, name)
         found.is_dead = False
-        found.life += 1
+        found.incarnation += 1
         self.targets[number] = found
         seeds = ", ".join(f"127.0.0.1:{r.link_port}" for r in self.routers.values())
         text = (
@@ -439,15 +439,15 @@
             f"routers = {seeds}\n"
         )
         settings = self.settings(name, "agent", text)
-        tools = MemoryTools(settings, self, life)
+        tools = MemoryTools(settings, self, incarnation)
         agent = Agent(settings, tools, self.platform(tools.owner))
-        self._watch(agent, name, life)
+        self._watch(agent, name, incarnation)
         agent.listen()
         self.agents[name] = agent
         agent.start()
         return agent
 
-    def _watch(self, agent, name, life):
+    def _watch(self, agent, name, incarnation):
         admitted = agent.admitted
         adopted = agent.adopted
 
@@ -455,13 +455,13 @@
             own = load - call.queued.work
             cap = agent.core.bound.cap(own, call.queued.work, now)
             text = call.call.body.decode()
-            self.history.admit(Admission(name, life, now, load, cap, text))
+            self.history.admit(Admission(name, incarnation, now, load, cap, text))
             admitted(call, load, now)
             self.clock.callLater(0, self._check_queued, call, agent)
             self.reached("admit", text, agent)
 
         def adopt(view):
-            self.history.adopt(name, life, view.version)
+            self.history.adopt(name, incarnation, view.version)
             adopted(view)
 
         agent.admitted = admit
@@ -526,11 +526,11 @@
         now = self.clock.seconds()
         self.history.leave(name, self.lives[name], now)
         self.history.plan_stop(self.calls_at(name))
-        life = self.lives[name]
+        incarnation = self.lives[name]
         stopped = agent.stop()
 
         def exit_process(_):
-            if self.lives[name] == life:
+            if self.lives[name] == incarnation:
                 self.kill(name, with_reset=True)
 
         return stopped.addCallback(exit_process)
@@ -570,7 +570,7 @@
         """Make a request through a router."""
         chosen = self.routers[router]
         now = self.clock.seconds()
-        story = CallStory(name, key, not key, now, now + timeout)
+        story = CallRecord(name, key, not key, now, now + timeout)
         story.router = chosen
         story.text = text or name
         self.history.submit(story)
--- a/tests/version/test_version.py
+++ b/tests/version/test_version.py
@@ -11,14 +11,14 @@
 from primrosescale.version.diff import diff_text
 from primrosescale.version.exceptions import HeadError
 from primrosescale.version.exceptions import SectionError
-from primrosescale.version.head import HeadCheck
+from primrosescale.version.head import HeadVerifier
 from primrosescale.version.head import VersionHead
 from primrosescale.version.head import sign
 from primrosescale.version.records import ServiceRecord
 from primrosescale.version.section import Root
 from primrosescale.version.section import Section
 from primrosescale.version.section import build_tree
-from primrosescale.version.section import decode_group
+from primrosescale.version.section import decode_index
 from primrosescale.version.section import decode_leaf
 
 HASH = "a" * 64
@@ -118,7 +118,7 @@
         for group in root.groups:
             digests = [group.digest]
             for _ in range(3 if group.label == "organisation" else 1):
-                parts = [decode_group(found.sections[digest]) for digest in digests]
+                parts = [decode_index(found.sections[digest]) for digest in digests]
                 digests = [branch.digest for part in parts for branch in part]
             for digest in digests:
                 names |= {r.name for r in decode_leaf(found.sections[digest])}
@@ -134,7 +134,7 @@
             section = Section.of(data)
             self.assertRaises(SectionError, Root.decode, section)
         for data in (b"[1]", b"null", b"7"):
-            self.assertRaises(SectionError, decode_group, Section.of(data))
+            self.assertRaises(SectionError, decode_index, Section.of(data))
         for data in (b"[1]", b"null", b'[{"kind": "x"}]'):
             self.assertRaises(SectionError, decode_leaf, Section.of(data))
 
@@ -144,7 +144,7 @@
         super().setUp()
         self.key = Ed25519PrivateKey.generate()
         public = self.key.public_key().public_bytes_raw()
-        self.check = HeadCheck({"ann": public})
+        self.check = HeadVerifier({"ann": public})
 
     def head(self, digest="d", approver="ann", version=3):
         signature = sign(digest, self.key.private_bytes_raw())
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -52,7 +52,7 @@
     ),
     "its report and the reply": ("`process/daemons/router_control.py`", PARTS),
     "changes pulled": (
-        "sections by digest, `process/configuration/version_keeper.py`",
+        "sections by digest, `process/configuration/version_manager.py`",
         MEASURED,
     ),
     "changes served to routers": ("three pulls, then holders are named", PARTS),
