--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -1,4 +1,8 @@
-"""The main job on a small deployment, with its outcome checked."""
+"""The demo's workload on a small deployment, and the checks of its outcome.
+
+Callers hold chats of several turns and send switch requests twice, each through a
+router chosen at random, while one engine is restarted and another is drained.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
 from twisted.internet.defer import DeferredList
 from twisted.internet.defer import inlineCallbacks
 
-from primrosescale.standin.deployment import FLOOR
+from primrosescale.standin.deployment import FLOOR_WORK_UNITS
 from primrosescale.standin.deployment import LOOPBACK
 from primrosescale.standin.deployment import MODEL
 from primrosescale.standin.deployment import MODEL_SERVICE
@@ -28,48 +32,48 @@
     from primrosescale.standin.http_caller import Reply
 
 SEED = 7
-CHATS = 120
-TURNS = 5
-CASES = 40
+CHAT_COUNT = 120
+TURNS_PER_CHAT = 5
+CASE_COUNT = 40
 CONTEXT = "Here is the tariff file we talked about. " * 30
-PAUSE_BETWEEN_TURNS = 0.3
-SAMPLE_INTERVAL = 0.1
+SECONDS_BETWEEN_TURNS = 0.3
+SAMPLE_INTERVAL_SECONDS = 0.1
 OK = 200
 CONFLICT = 409
 RETRY_STATUSES = frozenset({409, 429, 503})
-REPEATS = 20
+MAX_REQUESTS_PER_CALL = 20
 
 
 @dataclass(slots=True)
 class Summary:
-    """What a run did.
+    """Counts and measurements of one run.
 
     Parameters
     ----------
     calls : int
-        Calls that had to be answered, however often they were asked.
+        Calls that had to be answered, however often they were retried.
     requests : int
-        Requests made, those that came back after a refusal included.
+        Requests made, including retries after a refusal.
     whole : int
-        Answers that were whole and the caller's own.
+        Complete answers with status 200.
     refusals : dict[str, int]
         Refusals by kind.
     refused : dict[str, int]
         Refusals by organisation.
     broken : list[str]
-        Invariants that did not hold, in words.
+        Descriptions of the invariants that did not hold.
     first_bytes : list[float]
         Seconds to the first token of streamed answers.
     prompt_tokens : int
-        Tokens of prompts that followed an earlier turn.
+        Prompt tokens of all turns but the first of each chat.
     cached_tokens : int
-        Those of them that came from a cache.
+        Those of them that an engine had in its prefix cache.
     skews : list[float]
-        Highest load over the bound's mean, sampled.
+        Sampled ratios of the highest load of an engine to the mean load.
     cases : int
-        Switch cases opened.
+        Switch cases opened; each is to run once.
     duplicates : int
-        Runs of a case beyond its first.
+        Runs of a case after its first.
     """
 
     calls: int = 0
@@ -86,21 +90,21 @@
     duplicates: int = 0
 
     def text(self) -> str:
-        """Return the summary for people.
+        """Format the summary as text.
 
         Returns
         -------
         str
-            A few lines.
+            One line for each figure.
         """
         reuse = 100 * self.cached_tokens / max(1, self.prompt_tokens)
         skew = max(self.skews, default=0.0)
-        middle = _share(self.first_bytes, 0.5) * 1000
-        late = _share(self.first_bytes, 0.95) * 1000
-        first = f"p50 {middle:.0f} ms, p95 {late:.0f} ms"
+        median = _quantile(self.first_bytes, 0.5) * 1000
+        p95 = _quantile(self.first_bytes, 0.95) * 1000
+        first = f"p50 {median:.0f} ms, p95 {p95:.0f} ms"
         lines = [
             f"calls                 {self.calls}",
-            f"answered whole        {self.whole}",
+            f"complete answers      {self.whole}",
             *self._refusal_lines(),
             f"switch cases          {self.cases} opened, {self.duplicates} duplicates",
             f"cache reuse           {reuse:.1f} % of returning prompts' tokens",
@@ -112,38 +116,38 @@
         return "\n".join(lines)
 
     def _refusal_lines(self) -> list[str]:
-        """Tell who had to come back; in a surge large organisations give way."""
+        """Format the refusals; in a surge large organisations are refused first."""
         total = sum(self.refusals.values())
         if not total:
-            return ["asked to come back    none"]
+            return ["told to retry         none"]
         kinds = ", ".join(f"{k} {n}" for k, n in sorted(self.refusals.items()))
         mean = sum(weight for _, weight in ORGANISATIONS) / len(ORGANISATIONS)
         large = [name for name, weight in ORGANISATIONS if weight > mean]
-        theirs = sum(self.refused.get(name, 0) for name in large)
+        of_large = sum(self.refused.get(name, 0) for name in large)
         return [
-            f"asked to come back    {total} of {self.requests} requests ({kinds})",
+            f"told to retry         {total} of {self.requests} requests ({kinds})",
             (
-                f"  of these            {theirs} large organisations ({len(large)}),"
-                f" {total - theirs} small ones ({len(ORGANISATIONS) - len(large)})"
+                f"  of these            {of_large} large organisations ({len(large)}),"
+                f" {total - of_large} small ones ({len(ORGANISATIONS) - len(large)})"
             ),
             (
                 "  why                 all chats begin within 2 s: the bound on each"
-                " engine's load holds,"
+                " engine's load holds;"
             ),
             (
-                "                      and who has most waiting gives way; each came"
-                " back when told to"
+                "                      organisations with most queued calls are refused"
+                " and retry as told"
             ),
         ]
 
 
 class DemoRun:
-    """Returning chats, confirmations, a restart and a drain.
+    """Runs chats with several turns, switch requests, a restart and a drain.
 
     Parameters
     ----------
     deployment : Deployment
-        What is called.
+        The deployment that is called.
     caller : HttpCaller
         Makes the calls.
     reactor : Any
@@ -162,36 +166,36 @@
 
     @inlineCallbacks
     def run(self) -> Generator[Any, Any, Summary]:
-        """Do the whole run.
+        """Run the workload and check its outcome.
 
         Returns
         -------
         Deferred[Summary]
-            What came of it.
+            Its counts, measurements and broken invariants.
         """
-        self._sample()
+        self._sample_load_skew()
         weights = [weight**2 for _, weight in ORGANISATIONS]
         names = [name for name, _ in ORGANISATIONS]
         work = [
             self._chat(self._rng.choices(names, weights)[0], f"chat-{number}")
-            for number in range(CHATS)
+            for number in range(CHAT_COUNT)
         ]
-        work += [self._confirm(number) for number in range(CASES)]
-        work.append(self._disturb())
+        work += [self._confirm_switch(number) for number in range(CASE_COUNT)]
+        work.append(self._restart_and_drain())
         results = yield DeferredList(work, consumeErrors=True)
         self._is_sampling = False
-        for is_good, result in results:
-            if not is_good:
+        for is_successful, result in results:
+            if not is_successful:
                 self._summary.broken.append(result.getErrorMessage())
         self._check_cases()
         return self._summary
 
     @inlineCallbacks
     def _chat(self, organisation: str, chat: str) -> Generator[Any, Any, None]:
-        """Take some turns, each with the whole history."""
+        """Run the turns of a chat; each sends the whole history."""
         messages = [{"role": "user", "content": f"{CONTEXT} I am {chat}."}]
         yield self._deployment.pause(self._rng.uniform(0, 2.0))
-        for turn in range(TURNS):
+        for turn in range(TURNS_PER_CHAT):
             is_streamed = turn % 2 == 0
             fields = {
                 "model": MODEL,
@@ -201,23 +205,23 @@
                 "max_tokens": 30,
             }
             body = json.dumps(fields).encode()
-            reply = yield self._ask(organisation, "/v1/chat/completions", body, {})
+            reply = yield self._call(organisation, "/v1/chat/completions", body, {})
             if reply.status == OK:
                 self._check_chat(reply, f"{organisation}/{chat}", is_streamed)
                 self._count_reuse(reply, len(body), turn)
             messages.append({"role": "assistant", "content": "noted " * 20})
             messages.append({"role": "user", "content": f"and then, {turn}?"})
-            yield self._deployment.pause(PAUSE_BETWEEN_TURNS)
+            yield self._deployment.pause(SECONDS_BETWEEN_TURNS)
 
     @inlineCallbacks
-    def _confirm(self, number: int) -> Generator[Any, Any, None]:
-        """Open a switch case, and ask again through another router."""
+    def _confirm_switch(self, number: int) -> Generator[Any, Any, None]:
+        """Send a switch request twice; the second may reach another router."""
         yield self._deployment.pause(self._rng.uniform(0, 4.0))
         case = f"case-{number}"
         body = json.dumps({"case": case}).encode()
         headers = {"Idempotency-Key": f"switch-{number}"}
         for _ in range(2):
-            reply = yield self._ask(
+            reply = yield self._call(
                 "grid-exchange", "/services/portal/switches", body, headers
             )
             if reply.status != OK:
@@ -226,7 +230,7 @@
                 self._summary.broken.append(f"{case} got another case's answer")
 
     @inlineCallbacks
-    def _disturb(self) -> Generator[Any, Any, None]:
+    def _restart_and_drain(self) -> Generator[Any, Any, None]:
         """Restart one engine and drain another while the load runs."""
         yield self._deployment.pause(1.5)
         yield self._deployment.stop_target("engine-2")
@@ -235,21 +239,21 @@
         yield self._deployment.stop_target("engine-5")
 
     @inlineCallbacks
-    def _ask(
+    def _call(
         self,
         organisation: str,
         path: str,
         body: bytes,
         headers: dict[str, str],
     ) -> Generator[Any, Any, Any]:
-        """Make a request, and come back when told to."""
+        """Send a request, and retry it after the time that a refusal names."""
         sent = {
             "Authorization": f"Bearer {organisation_key(organisation)}",
             "Content-Type": "application/json",
             **headers,
         }
         self._summary.calls += 1
-        for _ in range(REPEATS):
+        for _ in range(MAX_REQUESTS_PER_CALL):
             router = self._rng.choice(self._deployment.routers)
             url = f"http://{LOOPBACK}:{router.http_port}{path}"
             self._summary.requests += 1
@@ -260,8 +264,8 @@
             self._summary.refusals[kind] = self._summary.refusals.get(kind, 0) + 1
             refused = self._summary.refused
             refused[organisation] = refused.get(organisation, 0) + 1
-            after = float(reply.json().get("retry_after", 0.2))
-            yield self._deployment.pause(min(1.0, after))
+            retry_delay = float(reply.json().get("retry_after", 0.2))
+            yield self._deployment.pause(min(1.0, retry_delay))
         if reply.status == OK and reply.is_whole:
             self._summary.whole += 1
         elif reply.status not in RETRY_STATUSES:
@@ -274,9 +278,11 @@
         if is_streamed:
             self._summary.first_bytes.append(reply.first_byte)
             if not text.rstrip().endswith("[DONE]"):
-                self._summary.broken.append(f"{chat}: stream without its end")
+                self._summary.broken.append(
+                    f"{chat}: stream ended without its last event"
+                )
         if chat not in text:
-            self._summary.broken.append(f"{chat}: answer of another chat")
+            self._summary.broken.append(f"{chat}: answer belongs to another chat")
 
     def _count_reuse(self, reply: Reply, size: int, turn: int) -> None:
         if turn == 0:
@@ -292,8 +298,8 @@
         if self._summary.duplicates:
             self._summary.broken.append("a non-idempotent request ran twice")
 
-    def _sample(self) -> None:
-        """Compare each engine's load with its bound's own view of the mean."""
+    def _sample_load_skew(self) -> None:
+        """Record the ratio of the highest load to the mean, above the load floor."""
         if not self._is_sampling:
             return
         loads = [
@@ -302,14 +308,14 @@
             if isinstance(target.resource, EngineResource)
         ]
         mean = sum(loads) / max(1, len(loads))
-        if mean >= FLOOR:
+        if mean >= FLOOR_WORK_UNITS:
             self._summary.skews.append(max(loads) / mean)
-        self._reactor.callLater(SAMPLE_INTERVAL, self._sample)
+        self._reactor.callLater(SAMPLE_INTERVAL_SECONDS, self._sample_load_skew)
 
 
-def _share(values: list[float], share: float) -> float:
-    """Return the value that a share of the values does not exceed."""
+def _quantile(values: list[float], fraction: float) -> float:
+    """Return the value that the given fraction of the values does not exceed."""
     if not values:
         return 0.0
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
--- a/src/primrosescale/standin/deployment.py
+++ b/src/primrosescale/standin/deployment.py
@@ -1,4 +1,7 @@
-"""A whole deployment in one process, over real sockets on the loopback."""
+"""A deployment in one process: routers, agents and stand-ins for the rest.
+
+All of them communicate over TCP on the loopback interface.
+"""
 
 from __future__ import annotations
 
@@ -39,18 +42,18 @@
 LOOPBACK = "127.0.0.1"
 REGION = "riga"
 DOMAINS = ("d1", "d2", "d3", "d4")
-ENGINES = 5
-PORTALS = 4
-ROUTERS = 3
+ENGINE_COUNT = 5
+PORTAL_COUNT = 4
+ROUTER_COUNT = 3
 MODEL_SERVICE = "assistant"
 PLAIN_SERVICE = "portal"
 MODEL = "riga-assistant"
 AUTHOR_KEY = "demo-author-key"
 APPROVER_KEY = "demo-approver-key"
-FLOOR = 600
+FLOOR_WORK_UNITS = 600
 TOKENS_PER_SECOND = 60.0
-SETTLE_POLL = 0.05
-SETTLE_TRIES = 200
+SETTLE_POLL_SECONDS = 0.05
+MAX_SETTLE_POLLS = 200
 ORGANISATIONS = (
     ("grid-exchange", 4),
     ("portal-north", 4),
@@ -83,7 +86,7 @@
 
 @dataclass(slots=True)
 class DeployedTarget:
-    """A target and the agent before it.
+    """A target and the agent in front of it.
 
     Parameters
     ----------
@@ -94,11 +97,11 @@
     domain : str
         Its failure domain.
     resource : EngineResource | PlainServiceResource
-        The stand-in.
+        The stand-in for the target.
     port : Any
-        Where the stand-in listens.
+        The port on which the stand-in listens.
     agent : Agent
-        The agent.
+        The agent in front of it.
     """
 
     name: str
@@ -110,7 +113,7 @@
 
 
 class Deployment:
-    """Riga's deployment on stand-ins.
+    """Routers, agents and targets of the region riga, on stand-ins.
 
     Parameters
     ----------
@@ -130,7 +133,7 @@
 
     @property
     def store(self) -> ObjectStore:
-        """Return what the platform keeps."""
+        """Return the platform's object store."""
         return self._store
 
     @property
@@ -145,42 +148,42 @@
 
     @property
     def runs(self) -> Counter[str]:
-        """Return how often the portal ran each case."""
+        """Return how often the portal service ran each case."""
         return self._runs
 
     @inlineCallbacks
     def start(self, caller: HttpCaller) -> Generator[Any, Any, None]:
-        """Start everything and roll the first bundle out.
+        """Start all processes and roll out the first bundle.
 
         Parameters
         ----------
         caller : HttpCaller
-            Makes the operators' calls.
+            Client for the operators' calls.
 
         Returns
         -------
         Deferred[None]
-            When the bundle is in force everywhere.
+            Fires when the bundle is in force everywhere.
         """
         resource = PlatformResource(MemoryPlatform(self._store, self._reactor))
         self._platform_port = self._listen(resource)
-        for number in range(ROUTERS):
+        for number in range(ROUTER_COUNT):
             yield self._start_router(number)
-        for number in range(ENGINES):
+        for number in range(ENGINE_COUNT):
             yield self.start_target(f"engine-{number + 1}", MODEL_SERVICE, number)
-        for number in range(PORTALS):
+        for number in range(PORTAL_COUNT):
             yield self.start_target(f"portal-{number + 1}", PLAIN_SERVICE, number)
         yield self.roll_out(caller, self.bundle_text())
         yield self.settle(1)
 
     @inlineCallbacks
     def stop(self) -> Generator[Any, Any, None]:
-        """Stop everything.
+        """Stop all processes and close their ports.
 
         Returns
         -------
         Deferred[None]
-            When all ports are closed.
+            Fires when all ports are closed.
         """
         for target in list(self._targets.values()):
             yield target.agent.stop()
@@ -207,17 +210,17 @@
         service : str
             Its service.
         number : int
-            Chooses its failure domain.
+            Number from which its failure domain follows.
 
         Returns
         -------
         Deferred[None]
-            When the agent has joined.
+            Fires when the agent has joined.
         """
         domain = DOMAINS[number % len(DOMAINS)]
-        resource = self._resource(name, service)
+        resource = self._make_resource(name, service)
         port = self._listen(resource)
-        agent = self._agent(name, service, domain, port.getHost().port)
+        agent = self._make_agent(name, service, domain, port.getHost().port)
         agent.listen()
         self._targets[name] = DeployedTarget(
             name, service, domain, resource, port, agent
@@ -236,7 +239,7 @@
         Returns
         -------
         Deferred[None]
-            When it has gone.
+            Fires when both have stopped.
         """
         target = self._targets.pop(name)
         yield target.agent.stop()
@@ -244,10 +247,10 @@
 
     @inlineCallbacks
     def restart_target(self, name: str) -> Generator[Any, Any, None]:
-        """Start a target again behind its agent: same name, same address.
+        """Restart a target behind its agent, with the same name and address.
 
-        What it was working on is cut off, and it has forgotten all. One that
-        moves is stopped and started, with a new agent; see `stop_target`.
+        Its connections are aborted and its state is lost. A target that moves to
+        another address is stopped with `stop_target` and started with a new agent.
 
         Parameters
         ----------
@@ -257,7 +260,7 @@
         Returns
         -------
         Deferred[None]
-            When the new life takes calls.
+            Fires when the new incarnation accepts calls.
         """
         target = self._targets[name]
         number = target.port.getHost().port
@@ -265,34 +268,34 @@
         yield target.port.stopListening()
         for connection in connections:
             connection.transport.abortConnection()
-        target.resource = self._resource(name, target.service)
+        target.resource = self._make_resource(name, target.service)
         target.port = self._listen(target.resource, number)
 
     def write_foreign_hosts(self, entries: list[Any]) -> None:
-        """Have another writer's entries stand in the list of hosts.
+        """Put entries of another writer into the list of hosts.
 
         Parameters
         ----------
         entries : list[Any]
-            What stands there besides the fleet's own; empty to take it away.
+            Entries beside the fleet's own; empty to remove them.
         """
         self._store.foreign_hosts = entries
 
     @inlineCallbacks
     def roll_out(self, caller: HttpCaller, text: str) -> Generator[Any, Any, int]:
-        """Create, sign and roll out a bundle as operators do.
+        """Create, sign and roll out a bundle through the admin API.
 
         Parameters
         ----------
         caller : HttpCaller
-            Makes the calls.
+            Client for the calls.
         text : str
             The bundle's INI text.
 
         Returns
         -------
         Deferred[int]
-            Its version.
+            The bundle's version.
         """
         base = f"http://{LOOPBACK}:{self._routers[0].admin_port}/admin/v1"
         created = yield caller.json("POST", f"{base}/bundles", AUTHOR_KEY, text)
@@ -306,7 +309,7 @@
 
     @inlineCallbacks
     def settle(self, version: int) -> Generator[Any, Any, None]:
-        """Wait until a version is in force everywhere.
+        """Wait until a version is in force everywhere and all members are known.
 
         Parameters
         ----------
@@ -316,42 +319,44 @@
         Returns
         -------
         Deferred[None]
-            When it is; fails with `StandInError` after a while.
+            Fires then; fails with `StandInError` after `MAX_SETTLE_POLLS` polls.
         """
-        for _ in range(SETTLE_TRIES):
+        for _ in range(MAX_SETTLE_POLLS):
             versions = [router.keeper.version for router in self._routers]
             versions += [t.agent.keeper.version for t in self._targets.values()]
             known = [len(router.members) for router in self._routers]
-            expected = ROUTERS + len(self._targets)
+            expected = ROUTER_COUNT + len(self._targets)
             if min(versions) >= version and min(known) >= expected:
                 return
-            yield self.pause(SETTLE_POLL)
-        raise StandInError("the fleet did not settle", "look at the log for its cause")
+            yield self.pause(SETTLE_POLL_SECONDS)
+        raise StandInError(
+            "the deployment did not settle in time", "see the log for the cause"
+        )
 
     def pause(self, seconds: float) -> Deferred[None]:
-        """Wait.
+        """Wait for some time.
 
         Parameters
         ----------
         seconds : float
-            How long.
+            Time to wait, in seconds.
 
         Returns
         -------
         Deferred[None]
-            When the time is over.
+            Fires after that time.
         """
         result: Deferred[None] = Deferred()
         self._reactor.callLater(seconds, result.callback, None)
         return result
 
     def bundle_text(self, *, limit: float = 0.0) -> str:
-        """Return the deployment's bundle.
+        """Return the text of the deployment's bundle.
 
         Parameters
         ----------
         limit : float
-            Requests a second of each organisation; 0 for no limit.
+            Rate limit of each organisation in requests a second; 0 for none.
 
         Returns
         -------
@@ -373,27 +378,27 @@
 
     @inlineCallbacks
     def _start_router(self, number: int) -> Generator[Any, Any, None]:
-        text = self._common(f"router-{number + 1}", "router", DOMAINS[number])
+        text = self._common_settings(f"router-{number + 1}", "router", DOMAINS[number])
         text += "[router]\nport = 0\nadmin_port = 0\nlink_port = 0\n"
         settings = read_settings(text, "router")
         tools = Tools(settings, self._reactor)
-        router = Router(settings, tools, self._platform())
+        router = Router(settings, tools, self._make_platform_client())
         router.listen()
         self._routers.append(router)
         yield router.start()
 
-    def _agent(self, name: str, service: str, domain: str, port: int) -> Agent:
+    def _make_agent(self, name: str, service: str, domain: str, port: int) -> Agent:
         seeds = ", ".join(f"{LOOPBACK}:{r.link_port}" for r in self._routers)
-        text = self._common(name, "agent", domain)
+        text = self._common_settings(name, "agent", domain)
         text += (
             f"[agent]\nservice = {service}\ntarget_port = {port}\nport = 0\n"
             f"routers = {seeds}\n"
         )
         settings = read_settings(text, "agent")
         tools = Tools(settings, self._reactor)
-        return Agent(settings, tools, self._platform())
+        return Agent(settings, tools, self._make_platform_client())
 
-    def _common(self, name: str, role: str, domain: str) -> str:
+    def _common_settings(self, name: str, role: str, domain: str) -> str:
         public = self._signing.public_key().public_bytes_raw()
         approver = base64.b64encode(public).decode()
         author_hash = hashlib.sha256(AUTHOR_KEY.encode()).hexdigest()
@@ -408,13 +413,13 @@
             f"operators = author:{author_hash}, approver:{approver_hash}\n"
         )
 
-    def _platform(self) -> HttpPlatform:
+    def _make_platform_client(self) -> HttpPlatform:
         endpoint = Endpoint(LOOPBACK, self._platform_port.getHost().port)
         platform = HttpPlatform(self._reactor, endpoint, 2.0)
         self._platforms.append(platform)
         return platform
 
-    def _resource(
+    def _make_resource(
         self, name: str, service: str
     ) -> EngineResource | PlainServiceResource:
         if service == MODEL_SERVICE:
@@ -423,7 +428,7 @@
         return PlainServiceResource(name, 0.01, self._reactor, self._runs)
 
     def _listen(self, resource: Any, number: int = 0) -> Any:
-        """Serve a resource; its port knows the connections that are open."""
+        """Serve a resource on a port whose factory keeps track of its connections."""
         site = Site(resource)
         site.noisy = False
         factory = WrappingFactory(site)
@@ -432,4 +437,7 @@
 
 
 def _model_service() -> str:
-    return f"[service {MODEL_SERVICE}]\nkind = model\nmodels = {MODEL}\nfloor = {FLOOR}"
+    return (
+        f"[service {MODEL_SERVICE}]\nkind = model\nmodels = {MODEL}\n"
+        f"floor = {FLOOR_WORK_UNITS}"
+    )
--- a/src/primrosescale/standin/engine.py
+++ b/src/primrosescale/standin/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in of a model engine: batches, caches prefixes, takes orders."""
+"""A stand-in for a model engine: generates tokens, caches prefixes, takes orders."""
 
 from __future__ import annotations
 
@@ -19,31 +19,31 @@
 
     from primrosescale.clock import Clock
 
-DEFAULT_OUTPUT = 40
-WORD_TEXT = "token "
+DEFAULT_OUTPUT_TOKENS = 40
+GENERATED_WORD = "token "
 OK = 200
 BAD_REQUEST = 400
 NOT_FOUND = 404
 CONFLICT = 409
-FAILURE = 500
+INTERNAL_SERVER_ERROR = 500
 
 
 @dataclass(slots=True)
 class EngineSettings:
-    """How a stand-in engine behaves; may be changed while it runs.
+    """Behaviour of a stand-in engine; may be changed while it runs.
 
     Parameters
     ----------
     tokens_per_second : float
-        Tokens generated for one request in a second.
+        Tokens generated for one request per second.
     prefill_per_second : float
-        Prompt tokens read in a second.
+        Prompt tokens processed per second.
     cache_tokens : int
-        Prompt tokens its cache holds.
+        Capacity of its prefix cache, in tokens.
     checks_fence : bool
-        Whether it refuses an order with an old fencing number.
+        Whether it refuses an order with a stale fencing number.
     fails : bool
-        Whether it answers every request with an error at once.
+        Whether it answers every chat completion with an error at once.
     """
 
     tokens_per_second: float = 200.0
@@ -54,12 +54,12 @@
 
 
 class PrefixCache:
-    """Prompt tokens by chat, the least recently used dropped first.
+    """Number of cached tokens by chat; evicts the least recently stored chat first.
 
     Parameters
     ----------
     limit : int
-        Tokens held at the most.
+        Capacity in tokens.
     """
 
     def __init__(self, limit: int) -> None:
@@ -69,15 +69,15 @@
 
     @property
     def chats(self) -> list[str]:
-        """Return the chats that have tokens here."""
+        """Return the chats that have cached tokens."""
         return list(self._chats)
 
     def __contains__(self, chat: object) -> bool:
-        """Tell whether a chat has tokens here."""
+        """Tell whether a chat has cached tokens."""
         return chat in self._chats
 
     def hit(self, chat: str, prompt: int) -> int:
-        """Return the tokens of a prompt that are held.
+        """Return how many tokens of a prompt are cached.
 
         Parameters
         ----------
@@ -89,20 +89,20 @@
         Returns
         -------
         int
-            At most the prompt's.
+            At most the tokens of the prompt.
         """
         held = self._chats.get(chat, 0) if chat else 0
         return min(held, prompt)
 
     def store(self, chat: str, tokens: int) -> None:
-        """Hold a chat's tokens.
+        """Set the number of cached tokens of a chat.
 
         Parameters
         ----------
         chat : str
             The chat; empty for none.
         tokens : int
-            How many.
+            Number of tokens.
         """
         if not chat:
             return
@@ -113,7 +113,7 @@
             self._total -= dropped
 
     def tokens(self, chat: str) -> int:
-        """Return the tokens held of a chat.
+        """Return how many tokens of a chat are cached.
 
         Parameters
         ----------
@@ -123,13 +123,13 @@
         Returns
         -------
         int
-            0 for none.
+            0 when the chat is not cached.
         """
         return self._chats.get(chat, 0)
 
 
 class Generation:
-    """One request the engine is working on.
+    """One chat completion that the engine generates.
 
     Parameters
     ----------
@@ -144,7 +144,7 @@
     output : int
         Tokens it will generate.
     is_streamed : bool
-        Whether tokens go out as they come.
+        Whether each token is sent as an event.
     """
 
     def __init__(
@@ -165,59 +165,59 @@
         self._is_streamed = is_streamed
         self._done = 0
         self._is_cancelled = False
-        request.notifyFinish().addErrback(self._cancelled)
+        request.notifyFinish().addErrback(self._handle_disconnect)
 
     def begin(self) -> None:
-        """Read the prompt, then generate."""
+        """Process the prompt tokens that are not cached, then generate."""
         cached = self._engine.cache.hit(self._chat, self._prompt)
         settings = self._engine.settings
         self._request.setHeader(b"x-cached-tokens", str(cached).encode())
         wait = (self._prompt - cached) / settings.prefill_per_second
-        self._engine.clock.callLater(wait, self._first)
+        self._engine.clock.callLater(wait, self._start_output)
 
-    def _first(self) -> None:
+    def _start_output(self) -> None:
         if self._is_cancelled:
             return
         if self._is_streamed:
             self._request.setHeader(b"content-type", b"text/event-stream")
         else:
             self._request.setHeader(b"content-type", b"application/json")
-        self._token()
+        self._generate_token()
 
-    def _token(self) -> None:
+    def _generate_token(self) -> None:
         if self._is_cancelled:
             return
         self._done += 1
         if self._is_streamed:
-            self._request.write(_event(self._chat, self._done))
+            self._request.write(_stream_event(self._chat, self._done))
         if self._done >= self._output:
-            self._end()
+            self._finish()
             return
         gap = 1.0 / self._engine.settings.tokens_per_second
-        self._engine.clock.callLater(gap, self._token)
+        self._engine.clock.callLater(gap, self._generate_token)
 
-    def _end(self) -> None:
-        self._engine.ended(self._chat, self._prompt + self._output)
+    def _finish(self) -> None:
+        self._engine.record_answered(self._chat, self._prompt + self._output)
         if self._is_streamed:
             self._request.write(b"data: [DONE]\n\n")
         else:
-            text = f"{self._chat}: " + WORD_TEXT * self._output
-            self._request.write(_completion(text, self._prompt, self._output))
+            text = f"{self._chat}: " + GENERATED_WORD * self._output
+            self._request.write(_completion_body(text, self._prompt, self._output))
         self._request.finish()
 
-    def _cancelled(self, _: Any) -> None:
+    def _handle_disconnect(self, _: Any) -> None:
         if not self._is_cancelled:
             self._is_cancelled = True
-            self._engine.cancelled()
+            self._engine.record_cancelled()
 
 
 class EngineResource(Resource):
-    """Serves chat completions, cache, load and orders.
+    """Serves chat completions, cache entries, load and orders over HTTP.
 
     Parameters
     ----------
     settings : EngineSettings
-        How it behaves.
+        Behaviour of the engine.
     clock : Clock
         Source of timers.
     """
@@ -237,60 +237,60 @@
 
     @property
     def settings(self) -> EngineSettings:
-        """Return how it behaves."""
+        """Return the settings, which may be changed in place."""
         return self._settings
 
     @property
     def clock(self) -> Clock:
-        """Return its source of timers."""
+        """Return the source of timers."""
         return self._clock
 
     @property
     def cache(self) -> PrefixCache:
-        """Return its prefix cache."""
+        """Return the prefix cache."""
         return self._cache
 
     @property
     def running(self) -> int:
-        """Return how many requests it is working on."""
+        """Return the number of requests in flight."""
         return self._running
 
     @property
     def cancelled_count(self) -> int:
-        """Return how many requests were cancelled."""
+        """Return how many requests were cancelled by a disconnect."""
         return self._cancelled
 
     @property
     def answered_count(self) -> int:
-        """Return how many requests were answered whole."""
+        """Return how many requests were answered completely."""
         return self._answered
 
     @property
     def state(self) -> dict[str, Any]:
-        """Return what orders have made of it."""
+        """Return the model, version and role that orders have set."""
         return self._state
 
     @property
     def fence(self) -> int:
-        """Return the highest fencing number seen."""
+        """Return the highest fencing number received."""
         return self._fence
 
-    def ended(self, chat: str, tokens: int) -> None:
-        """Take in that a request was answered.
+    def record_answered(self, chat: str, tokens: int) -> None:
+        """Record that a request was answered completely.
 
         Parameters
         ----------
         chat : str
             Its chat.
         tokens : int
-            Tokens of prompt and answer.
+            Tokens of the prompt and the answer.
         """
         self._running -= 1
         self._answered += 1
         self._cache.store(chat, tokens)
 
-    def cancelled(self) -> None:
-        """Take in that a request was cancelled."""
+    def record_cancelled(self) -> None:
+        """Record that a request was cancelled."""
         self._running -= 1
         self._cancelled += 1
 
@@ -311,30 +311,32 @@
         request.setHeader(b"x-request-id", echo.encode())
         path = request.path.decode()
         if path == "/v1/chat/completions":
-            self._complete(request)
+            self._serve_completion(request)
         elif path.startswith("/cache/"):
-            self._move_cache(request, path[len("/cache/") :])
+            self._serve_cache(request, path[len("/cache/") :])
         elif path == "/orders":
-            self._order(request)
+            self._serve_order(request)
         elif path == "/state":
-            _reply(request, OK, {**self._state, "fence": self._fence})
+            _send_json(request, OK, {**self._state, "fence": self._fence})
         elif path == "/load":
-            _reply(request, OK, {"running": self._running})
+            _send_json(request, OK, {"running": self._running})
         else:
-            _reply(request, NOT_FOUND, {"error": "no such path"})
+            _send_json(request, NOT_FOUND, {"error": "no such path"})
         return NOT_DONE_YET
 
-    def _complete(self, request: Request) -> None:
+    def _serve_completion(self, request: Request) -> None:
         if self._settings.fails:
-            _reply(request, FAILURE, {"error": "stand-in was told to fail"})
+            _send_json(
+                request, INTERNAL_SERVER_ERROR, {"error": "stand-in was told to fail"}
+            )
             return
         body = request_body(request)
         try:
             fields = json.loads(body)
         except ValueError:
-            _reply(request, BAD_REQUEST, {"error": "not JSON"})
+            _send_json(request, BAD_REQUEST, {"error": "not JSON"})
             return
-        output = int(fields.get("max_tokens") or DEFAULT_OUTPUT)
+        output = int(fields.get("max_tokens") or DEFAULT_OUTPUT_TOKENS)
         self._running += 1
         Generation(
             request,
@@ -345,39 +347,39 @@
             is_streamed=bool(fields.get("stream")),
         ).begin()
 
-    def _move_cache(self, request: Request, chat: str) -> None:
+    def _serve_cache(self, request: Request, chat: str) -> None:
         if request.method == b"GET":
             tokens = self._cache.tokens(chat)
             status = OK if tokens else NOT_FOUND
-            _reply(request, status, {"tokens": tokens})
+            _send_json(request, status, {"tokens": tokens})
             return
         tokens = int(json.loads(request_body(request))["tokens"])
         self._cache.store(chat, tokens)
-        _reply(request, OK, {})
+        _send_json(request, OK, {})
 
-    def _order(self, request: Request) -> None:
+    def _serve_order(self, request: Request) -> None:
         order = json.loads(request_body(request))
         fence = int(order.pop("fence"))
         if self._settings.checks_fence and fence < self._fence:
-            _reply(request, CONFLICT, {"error": "old fence", "fence": self._fence})
+            _send_json(request, CONFLICT, {"error": "old fence", "fence": self._fence})
             return
         self._fence = max(self._fence, fence)
         self._state.update(order)
-        _reply(request, OK, {**self._state, "fence": self._fence})
+        _send_json(request, OK, {**self._state, "fence": self._fence})
 
 
-def _event(chat: str, number: int) -> bytes:
+def _stream_event(chat: str, number: int) -> bytes:
     delta = {"choices": [{"delta": {"content": f"{chat}#{number} "}}]}
     return b"data: " + json.dumps(delta).encode() + b"\n\n"
 
 
-def _completion(text: str, prompt: int, output: int) -> bytes:
+def _completion_body(text: str, prompt: int, output: int) -> bytes:
     message = {"role": "assistant", "content": text}
     usage = {"prompt_tokens": prompt, "completion_tokens": output}
     return json.dumps({"choices": [{"message": message}], "usage": usage}).encode()
 
 
-def _reply(request: Request, status: int, fields: dict[str, Any]) -> None:
+def _send_json(request: Request, status: int, fields: dict[str, Any]) -> None:
     body = json.dumps(fields).encode()
     request.setResponseCode(status)
     request.setHeader(b"content-length", str(len(body)).encode())
--- a/src/primrosescale/standin/memory_platform.py
+++ b/src/primrosescale/standin/memory_platform.py
@@ -1,4 +1,4 @@
-"""The stand-in platform without a network between, for tests and the demo."""
+"""The platform interface on an object store in memory, without a network."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
     from primrosescale.connection.wire.ttypes import HostEntry
     from primrosescale.standin.object_store import ObjectStore
 
-WATCH_STEP = 0.05
+WATCH_POLL_SECONDS = 0.05
 
 
 class MemoryPlatform(Platform):
-    """Calls an object store after its latency.
+    """Performs calls on an object store in memory, after the store's latency.
 
     Parameters
     ----------
     store : ObjectStore
-        What is kept.
+        The object store.
     clock : Clock
         Source of time and timers.
     """
@@ -42,27 +42,31 @@
 
     @property
     def store(self) -> ObjectStore:
-        """Return what is kept."""
+        """Return the object store."""
         return self._store
 
     def get(self, key: str) -> Deferred[StoredObject | None]:
         """Read an object; see `Platform.get`."""
-        return self._later(lambda: self._store.get(key, self._now()))
+        return self._call_after_latency(lambda: self._store.get(key, self._now()))
 
     def put(self, key: str, value: bytes, expected: int) -> Deferred[int]:
         """Write an object; see `Platform.put`."""
-        return self._later(
+        return self._call_after_latency(
             lambda: self._store.put(key, value, expected, self._now()),
             is_write=True,
         )
 
     def delete(self, key: str) -> Deferred[None]:
         """Delete an object; see `Platform.delete`."""
-        return self._later(lambda: self._store.delete(key, self._now()), is_write=True)
+        return self._call_after_latency(
+            lambda: self._store.delete(key, self._now()), is_write=True
+        )
 
     def list(self, prefix: str, after: str, limit: int) -> Deferred[list[StoredObject]]:
         """Read objects; see `Platform.list`."""
-        return self._later(lambda: self._store.list(prefix, after, limit, self._now()))
+        return self._call_after_latency(
+            lambda: self._store.list(prefix, after, limit, self._now())
+        )
 
     def watch(self, prefix: str, since: int, wait: float) -> Deferred[WatchResult]:
         """Wait for a change; see `Platform.watch`."""
@@ -79,11 +83,11 @@
 
     def hosts(self, since: int) -> Deferred[HostList]:
         """Read the list of hosts; see `Platform.hosts`."""
-        return self._later(lambda: self._store.hosts(since, self._now()))
+        return self._call_after_latency(lambda: self._store.hosts(since, self._now()))
 
     def announce(self, entry: HostEntry) -> Deferred[None]:
         """Put a host on the list; see `Platform.announce`."""
-        return self._later(
+        return self._call_after_latency(
             lambda: self._store.announce(entry, self._now()),
             is_write=True,
         )
@@ -99,35 +103,39 @@
         if found.changes or self._now() >= until:
             result.callback(found)
             return
-        self._clock.callLater(WATCH_STEP, self._poll, result, prefix, since, until)
+        self._clock.callLater(
+            WATCH_POLL_SECONDS, self._poll, result, prefix, since, until
+        )
 
     def _now(self) -> float:
         return self._clock.seconds()
 
-    def _later(
-        self, act: Callable[[], Any], *, is_write: bool = False
+    def _call_after_latency(
+        self, operation: Callable[[], Any], *, is_write: bool = False
     ) -> Deferred[Any]:
         result: Deferred[Any] = Deferred()
-        half = self._store.settings.latency / 2
-        self._clock.callLater(half, self._act, act, result, is_write, half)
+        half_latency = self._store.settings.latency / 2
+        self._clock.callLater(
+            half_latency, self._run_operation, operation, result, is_write, half_latency
+        )
         return result
 
-    def _act(
+    def _run_operation(
         self,
-        act: Callable[[], Any],
+        operation: Callable[[], Any],
         result: Deferred[Any],
         is_write: bool,
-        half: float,
+        half_latency: float,
     ) -> None:
         try:
-            value = act()
+            value = operation()
         except PlatformError:
-            self._clock.callLater(half, result.errback, Failure())
+            self._clock.callLater(half_latency, result.errback, Failure())
             return
         settings = self._store.settings
         if is_write and settings.lost_answers > 0:
             settings.lost_answers -= 1
-            lost = Failure(PlatformAnswerLostError("stand-in was told to lose it"))
-            self._clock.callLater(half, result.errback, lost)
+            lost = Failure(PlatformAnswerLostError("lost by the stand-in's settings"))
+            self._clock.callLater(half_latency, result.errback, lost)
             return
-        self._clock.callLater(half, result.callback, value)
+        self._clock.callLater(half_latency, result.callback, value)
--- a/src/primrosescale/standin/plain_service.py
+++ b/src/primrosescale/standin/plain_service.py
@@ -1,4 +1,4 @@
-"""A stand-in of a plain service that counts what it was made to do."""
+"""A stand-in for a plain service that counts how often it ran each case."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 
 class PlainServiceResource(Resource):
-    """Answers every call after a while and counts runs by their subject.
+    """Answers every request after a delay and counts runs by case.
 
     Parameters
     ----------
     name : str
         Name of the target.
     delay : float
-        Seconds a call takes.
+        Seconds until a request is answered.
     clock : Clock
         Source of timers.
     runs : Counter[str]
-        Runs by the ``case`` that a call's body names; may be shared.
+        Number of runs by the ``case`` in a request's body; may be shared.
     """
 
     isLeaf = True
@@ -51,7 +51,7 @@
 
     @property
     def runs(self) -> Counter[str]:
-        """Return the runs by subject."""
+        """Return the number of runs by case."""
         return self._runs
 
     def render(self, request: Request) -> int:
@@ -69,13 +69,13 @@
         """
         gone: list[bool] = []
         request.notifyFinish().addErrback(lambda _: gone.append(True))
-        case = _case_of(request_body(request))
+        case = _parse_case(request_body(request))
         if case:
             self._runs[case] += 1
-        self._clock.callLater(self._delay, self._answer, request, case, gone)
+        self._clock.callLater(self._delay, self._send_answer, request, case, gone)
         return NOT_DONE_YET
 
-    def _answer(self, request: Request, case: str, gone: list[bool]) -> None:
+    def _send_answer(self, request: Request, case: str, gone: list[bool]) -> None:
         if gone:
             return
         echo = request.getHeader("X-Request-Id") or ""
@@ -93,7 +93,7 @@
         request.finish()
 
 
-def _case_of(body: bytes) -> str:
+def _parse_case(body: bytes) -> str:
     try:
         fields = json.loads(body) if body else {}
     except ValueError:
--- a/src/primrosescale/standin/platform_site.py
+++ b/src/primrosescale/standin/platform_site.py
@@ -1,4 +1,4 @@
-"""The stand-in platform over HTTP."""
+"""Serves the stand-in platform over HTTP."""
 
 from __future__ import annotations
 
@@ -33,19 +33,19 @@
 NO_CONTENT = 204
 BAD_REQUEST = 400
 NOT_FOUND = 404
-CONFLICT = 412
+PRECONDITION_FAILED = 412
 TOO_LARGE = 413
-UNAVAILABLE = 503
-DEFAULT_LIMIT = 500
+SERVICE_UNAVAILABLE = 503
+DEFAULT_PAGE_SIZE = 500
 
 
 class PlatformResource(Resource):
-    """Serves objects, watches and the list of hosts.
+    """HTTP resource for objects, watches and the list of hosts.
 
     Parameters
     ----------
     platform : MemoryPlatform
-        What is served.
+        The platform that is served.
     """
 
     isLeaf = True
@@ -65,16 +65,16 @@
         Returns
         -------
         int
-            `NOT_DONE_YET`: every answer takes its latency.
+            `NOT_DONE_YET`: every answer comes after the store's latency.
         """
         gone: list[bool] = []
         request.notifyFinish().addErrback(lambda _: gone.append(True))
         parts = [unquote(part.decode()) for part in request.path.split(b"/")[2:]]
         answered = self._route(request, request.method.decode(), parts)
         if answered is None:
-            _answer(request, BAD_REQUEST, b"unknown call")
+            _send_response(request, BAD_REQUEST, b"unknown call")
             return NOT_DONE_YET
-        answered.addErrback(self._fail, request, gone)
+        answered.addErrback(self._send_error, request, gone)
         answered.addErrback(lambda failure: failure.printTraceback())
         return NOT_DONE_YET
 
@@ -87,85 +87,97 @@
         kind = parts[0] if parts else ""
         key = "/".join(parts[1:])
         if kind == "objects" and key:
-            return self._object(request, method, key)
+            return self._serve_object(request, method, key)
         if kind == "objects" and method == "GET":
-            limit = int(_argument(request, "limit", str(DEFAULT_LIMIT)))
-            prefix = _argument(request, "prefix", "")
-            listed = self._platform.list(prefix, _argument(request, "after", ""), limit)
-            return listed.addCallback(lambda items: _send(request, _items(items)))
+            limit = int(_query_argument(request, "limit", str(DEFAULT_PAGE_SIZE)))
+            prefix = _query_argument(request, "prefix", "")
+            listed = self._platform.list(
+                prefix, _query_argument(request, "after", ""), limit
+            )
+            return listed.addCallback(
+                lambda items: _send_json(request, _list_fields(items))
+            )
         if kind == "watch" and method == "GET":
-            since = int(_argument(request, "since", "0"))
-            wait = float(_argument(request, "wait", "0"))
+            since = int(_query_argument(request, "since", "0"))
+            wait = float(_query_argument(request, "wait", "0"))
             watched = self._platform.watch(
-                _argument(request, "prefix", ""), since, wait
+                _query_argument(request, "prefix", ""), since, wait
+            )
+            return watched.addCallback(
+                lambda found: _send_json(request, _watch_fields(found))
             )
-            return watched.addCallback(lambda found: _send(request, _watch(found)))
         if kind == "hosts" and method == "GET":
-            listing = self._platform.hosts(int(_argument(request, "since", "0")))
+            listing = self._platform.hosts(int(_query_argument(request, "since", "0")))
             foreign = self._platform.store.foreign_hosts
             return listing.addCallback(
-                lambda found: _send(request, _hosts(found, foreign))
+                lambda found: _send_json(request, _host_fields(found, foreign))
             )
         if kind == "hosts" and method == "PUT":
             entry = host_from_fields(json.loads(request_body(request)))
             announced = self._platform.announce(entry)
-            return announced.addCallback(lambda _: _answer(request, OK, b""))
+            return announced.addCallback(lambda _: _send_response(request, OK, b""))
         return None
 
-    def _object(self, request: Request, method: str, key: str) -> Deferred[Any] | None:
+    def _serve_object(
+        self, request: Request, method: str, key: str
+    ) -> Deferred[Any] | None:
         if method == "GET":
             return self._platform.get(key).addCallback(_send_object, request)
         if method == "PUT":
-            expected = _expected(request)
+            expected = _expected_version(request)
             written = self._platform.put(key, request_body(request), expected)
-            return written.addCallback(lambda v: _answer(request, OK, b"", v))
+            return written.addCallback(lambda v: _send_response(request, OK, b"", v))
         if method == "DELETE":
             deleted = self._platform.delete(key)
-            return deleted.addCallback(lambda _: _answer(request, NO_CONTENT, b""))
+            return deleted.addCallback(
+                lambda _: _send_response(request, NO_CONTENT, b"")
+            )
         return None
 
-    def _fail(self, failure: Failure, request: Request, gone: list[bool]) -> None:
+    def _send_error(self, failure: Failure, request: Request, gone: list[bool]) -> None:
         error = failure.value
         failure.trap(PlatformError)
         if gone:
             return
         if isinstance(error, PlatformConflictError):
-            _answer(request, CONFLICT, str(error).encode(), error.current)
+            _send_response(
+                request, PRECONDITION_FAILED, str(error).encode(), error.current
+            )
         elif isinstance(error, PlatformLimitError):
-            _answer(request, TOO_LARGE, str(error).encode())
+            _send_response(request, TOO_LARGE, str(error).encode())
         elif isinstance(error, PlatformAnswerLostError):
             request.loseConnection()
         else:
-            _answer(request, UNAVAILABLE, str(error).encode())
+            _send_response(request, SERVICE_UNAVAILABLE, str(error).encode())
 
 
-def _expected(request: Request) -> int:
+def _expected_version(request: Request) -> int:
     tag = request.getHeader("If-Match")
     return int(tag.strip('"')) if tag else 0
 
 
-def _argument(request: Request, name: str, default: str) -> str:
+def _query_argument(request: Request, name: str, default: str) -> str:
     values: list[bytes] = request.args.get(name.encode(), [])
     return values[0].decode() if values else default
 
 
 def _send_object(found: StoredObject | None, request: Request) -> None:
     if found is None:
-        _answer(request, NOT_FOUND, b"")
+        _send_response(request, NOT_FOUND, b"")
     else:
-        _answer(request, OK, found.value, found.version)
+        _send_response(request, OK, found.value, found.version)
 
 
-def _items(items: list[StoredObject]) -> dict[str, Any]:
-    return {"items": [_fields(item) for item in items]}
+def _list_fields(items: list[StoredObject]) -> dict[str, Any]:
+    return {"items": [_object_fields(item) for item in items]}
 
 
-def _watch(found: WatchResult) -> dict[str, Any]:
-    items = [_fields(item) for item in found.changes]
+def _watch_fields(found: WatchResult) -> dict[str, Any]:
+    items = [_object_fields(item) for item in found.changes]
     return {"revision": found.revision, "items": items}
 
 
-def _hosts(found: HostList, foreign: list[Any]) -> dict[str, Any]:
+def _host_fields(found: HostList, foreign: list[Any]) -> dict[str, Any]:
     return {
         "version": found.version,
         "is_full": found.is_full,
@@ -173,16 +185,18 @@
     }
 
 
-def _fields(item: StoredObject) -> dict[str, Any]:
+def _object_fields(item: StoredObject) -> dict[str, Any]:
     value = base64.b64encode(item.value).decode()
     return {"key": item.key, "version": item.version, "value": value}
 
 
-def _send(request: Request, fields: dict[str, Any]) -> None:
-    _answer(request, OK, json.dumps(fields).encode())
+def _send_json(request: Request, fields: dict[str, Any]) -> None:
+    _send_response(request, OK, json.dumps(fields).encode())
 
 
-def _answer(request: Request, status: int, body: bytes, version: int = 0) -> None:
+def _send_response(
+    request: Request, status: int, body: bytes, version: int = 0
+) -> None:
     if request.finished or getattr(request, "_disconnected", False):
         return
     request.setResponseCode(status)
--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -1,4 +1,4 @@
-"""A stand-in of the users' targets: plain answers, streams and their faults."""
+"""A stand-in for the users' targets: plain answers, event streams and faults."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
     from collections.abc import Callable
 
 OK = 200
-FAILED = 500
-FULL = 503
+INTERNAL_SERVER_ERROR = 500
+SERVICE_UNAVAILABLE = 503
 MISDIRECTED = 421
-RECEIPT = b"3e1b.07"
-REPORT = b"/api/report"
-HELD_PARTS = b"/api/kv-list"
-INCARNATION = b"Primrosescale-Instance-Id"
+DEFAULT_SIGNATURE = b"3e1b.07"
+REPORT_PATH = b"/api/report"
+HELD_PARTS_PATH = b"/api/kv-list"
+INCARNATION_HEADER = b"Primrosescale-Instance-Id"
 
 
 class EngineFault(Enum):
-    """What becomes of one request."""
+    """Fault with which a request is answered, or not answered."""
 
     FAIL = "fail"
     DECLINE = "decline"
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class Arrival:
-    """A request as it arrived.
+    """A request as the engine received it.
 
     Parameters
     ----------
@@ -60,9 +60,9 @@
     body : bytes
         Body.
     is_left : bool
-        Whether its connection was closed before the answer was whole.
+        Whether its connection was closed before the answer was complete.
     has_run : bool
-        Whether the engine began to work on it.
+        Whether the engine began to run it.
     """
 
     method: bytes
@@ -74,22 +74,22 @@
 
 
 @dataclass(slots=True)
-class EngineLife:
-    """All that belongs to one life of an engine, replaced whole at a start.
+class EngineIncarnation:
+    """State of one incarnation of an engine; replaced as a whole at a restart.
 
     Parameters
     ----------
     started_at : int | None
-        Its start in Unix milliseconds; None for an engine that tells none.
+        Its start in Unix milliseconds; None for an engine that reports none.
     sequence : int
-        Orders that it has accepted.
+        Number of orders that it has accepted.
     held : list[tuple[str, int]]
-        Prompt parts that it holds, with their tokens.
+        Prompt parts in its prefix cache, with their tokens.
     running : int
-        Requests that are being worked on.
+        Number of requests in flight.
     silent_until : float
-        Until when it sends nothing to anyone, in seconds of its source of
-        time: it reads, works and keeps its connections.
+        Time until which it sends nothing to anyone, in seconds of the engine's
+        reactor; it still reads, runs requests and keeps its connections.
     """
 
     started_at: int | None = None
@@ -98,62 +98,62 @@
     running: int = 0
     silent_until: float = 0.0
 
-    def said(self, **fields: Any) -> dict[str, Any]:
-        """Return what it says of itself, with its start if it tells one.
+    def with_start(self, **fields: Any) -> dict[str, Any]:
+        """Return fields with the start added, if the engine reports one.
 
         Parameters
         ----------
         **fields : Any
-            What else it says.
+            The other fields.
 
         Returns
         -------
         dict[str, Any]
             The fields.
         """
-        told = {} if self.started_at is None else {"born": self.started_at}
-        return {**fields, **told}
+        start = {} if self.started_at is None else {"born": self.started_at}
+        return {**fields, **start}
 
 
 @dataclass(slots=True)
 class EngineScript:
-    """How an engine behaves; may be changed while it runs.
+    """Behaviour of an engine and what it received; may be changed while it runs.
 
     Parameters
     ----------
     name : str
-        Its name; another one for what is another target.
+        Its unique name; another one makes it another target.
     faults : list[EngineFault]
-        Faults of the requests to come, in order.
+        Faults of the next requests, in order.
     events : int
-        Events of a stream; 0 for plain answers.
+        Number of events of a stream; 0 for plain answers.
     cut_after : int
-        Events after which a cut stream ends.
+        Number of events after which a cut stream ends.
     gap : float
         Seconds between events.
     body : bytes
-        A plain answer.
+        Body of a plain answer.
     delay : float
         Seconds before a plain answer.
     arrivals : list[Arrival]
-        Requests so far.
-    names_request : bool
-        Whether answers and events hold the request's name, so that a caller
-        can tell its own from others.
+        Requests received so far.
+    echoes_request_id : bool
+        Whether answers and events contain the request id, so that a caller can
+        tell its own answer from others.
     receipt : bytes
-        What its answers are signed with.
+        Signature of its answers.
     health_path : bytes
-        Where it says that it is healthy; empty for nowhere.
+        Path of its health check; empty for none.
     on_arrival : Callable[[Arrival], None] | None
-        Told of each request, once it is decided whether it runs.
+        Called for each request, once it is decided whether it runs.
     is_leaving : bool
-        Whether its answers say that it leaves.
+        Whether its answers report that it leaves.
     rest : float | None
-        Seconds without requests that it asks for when it declines one.
+        Pause in seconds that it requests when it declines a request.
     is_resting : bool
         Whether it declines all requests.
-    life : EngineLife
-        What belongs to its present life.
+    current_incarnation : EngineIncarnation
+        State of its present incarnation.
     """
 
     name: str = "i-1"
@@ -164,22 +164,22 @@
     body: bytes = b"done"
     delay: float = 0.0
     arrivals: list[Arrival] = field(default_factory=list)
-    names_request: bool = False
-    receipt: bytes = RECEIPT
+    echoes_request_id: bool = False
+    receipt: bytes = DEFAULT_SIGNATURE
     health_path: bytes = b""
     on_arrival: Callable[[Arrival], None] | None = None
     is_leaving: bool = False
     rest: float | None = None
     is_resting: bool = False
-    life: EngineLife = field(default_factory=EngineLife)
+    current_incarnation: EngineIncarnation = field(default_factory=EngineIncarnation)
 
     @property
     def running(self) -> int:
-        """Return how many requests its present life works on."""
-        return self.life.running
+        """Return how many requests the present incarnation has in flight."""
+        return self.current_incarnation.running
 
-    def own_words(self, method: bytes, path: bytes) -> dict[str, Any] | None:
-        """Return what it says of itself when asked for that.
+    def self_description(self, method: bytes, path: bytes) -> dict[str, Any] | None:
+        """Return its report, cache contents or health when a request asks for one.
 
         Parameters
         ----------
@@ -193,34 +193,40 @@
         dict[str, Any] | None
             The fields; None for a caller's request.
         """
-        asked = path.partition(b"?")[0]
-        life = self.life
-        if method != b"GET" or asked not in {REPORT, HELD_PARTS, self.health_path}:
+        requested_path = path.partition(b"?")[0]
+        incarnation = self.current_incarnation
+        if method != b"GET" or requested_path not in {
+            REPORT_PATH,
+            HELD_PARTS_PATH,
+            self.health_path,
+        }:
             return None
-        if asked == HELD_PARTS:
-            held = [["", part, tokens, "m"] for part, tokens in life.held]
-            return life.said(epoch=life.started_at or 0, next=len(held), held=held)
-        if asked == REPORT:
-            return life.said(
+        if requested_path == HELD_PARTS_PATH:
+            held = [["", part, tokens, "m"] for part, tokens in incarnation.held]
+            return incarnation.with_start(
+                epoch=incarnation.started_at or 0, next=len(held), held=held
+            )
+        if requested_path == REPORT_PATH:
+            return incarnation.with_start(
                 stage="both",
                 models=[{"name": "m", "version": 1, "adapters": []}],
                 busy=False,
-                sequence=life.sequence,
+                sequence=incarnation.sequence,
                 waiting=0,
-                running=life.running,
-                kv_used=sum(tokens for _, tokens in life.held),
+                running=incarnation.running,
+                kv_used=sum(tokens for _, tokens in incarnation.held),
                 kv_total=90000,
                 handles=0,
             )
-        return life.said()
+        return incarnation.with_start()
 
-    def answer_to(self, request_id: bytes) -> bytes:
-        """Return the whole plain answer to a request.
+    def plain_answer(self, request_id: bytes) -> bytes:
+        """Return the body of the complete plain answer to a request.
 
         Parameters
         ----------
         request_id : bytes
-            Name of the request.
+            Id of the request.
 
         Returns
         -------
@@ -228,29 +234,31 @@
             The body.
         """
         return (
-            b"%b for %b" % (self.body, request_id) if self.names_request else self.body
+            b"%b for %b" % (self.body, request_id)
+            if self.echoes_request_id
+            else self.body
         )
 
 
 class _EngineRequest(Request):
-    """One request at the engine."""
+    """One request at the engine, answered as the script says."""
 
-    # A connection may be lost before its request is whole.
-    _has_arrived = False
-    _is_working = False
+    # A connection may be lost before its request is received completely.
+    _is_received = False
+    _is_running = False
 
     def process(self) -> None:
-        """Answer by the script."""
+        """Answer the request as the script says."""
         channel: Any = self.channel
         self._script: EngineScript = channel.script
-        self._life: EngineLife = channel.life
-        words = self._script.own_words(self.method, self.uri)
-        if words is not None:
-            channel.when_awake(lambda: self._say(words))
+        self._incarnation: EngineIncarnation = channel.incarnation
+        description = self._script.self_description(self.method, self.uri)
+        if description is not None:
+            channel.when_not_silent(lambda: self._send_description(description))
             return
-        self._has_arrived = True
+        self._is_received = True
         content: Any = self.content
-        self._arrival = Arrival(
+        self._received = Arrival(
             self.method,
             self.uri,
             {
@@ -260,24 +268,28 @@
             content.read(),
         )
         self._receipt = self._script.receipt
-        self._script.arrivals.append(self._arrival)
+        self._script.arrivals.append(self._received)
         fault = self._script.faults.pop(0) if self._script.faults else None
         if self._script.is_resting:
             fault = EngineFault.DECLINE
-        expected = self._arrival.headers.get(names.EXPECTED_INCARNATION.lower())
-        is_other = expected is not None and expected.decode() != self._script.name
-        self._is_working = not is_other and fault is not EngineFault.DECLINE
-        self._arrival.has_run = self._is_working
-        self._life.running += self._is_working
+        expected = self._received.headers.get(names.EXPECTED_INCARNATION.lower())
+        is_misdirected = expected is not None and expected.decode() != self._script.name
+        self._is_running = not is_misdirected and fault is not EngineFault.DECLINE
+        self._received.has_run = self._is_running
+        self._incarnation.running += self._is_running
         if self._script.on_arrival is not None:
-            self._script.on_arrival(self._arrival)
-        channel.when_awake(lambda: self._begin(fault, is_other=is_other))
+            self._script.on_arrival(self._received)
+        channel.when_not_silent(
+            lambda: self._begin_answer(fault, is_misdirected=is_misdirected)
+        )
 
-    def _say(self, words: dict[str, Any]) -> None:
+    def _send_description(self, description: dict[str, Any]) -> None:
         if self._disconnected:
             return
-        body = json.dumps(words).encode()
-        self.responseHeaders.setRawHeaders(INCARNATION, [self._script.name.encode()])
+        body = json.dumps(description).encode()
+        self.responseHeaders.setRawHeaders(
+            INCARNATION_HEADER, [self._script.name.encode()]
+        )
         if self._script.is_leaving:
             self.responseHeaders.setRawHeaders(names.LEAVING, [b"1"])
         self.responseHeaders.setRawHeaders(b"Content-Type", [b"application/json"])
@@ -285,49 +297,49 @@
         self.write(body)
         self.finish()
 
-    def _begin(self, fault: EngineFault | None, *, is_other: bool) -> None:
+    def _begin_answer(self, fault: EngineFault | None, *, is_misdirected: bool) -> None:
         channel: Any = self.channel
-        if self._arrival.is_left:
+        if self._received.is_left:
             return
-        if is_other:
-            self._head(MISDIRECTED, fault)
-            self._end()
+        if is_misdirected:
+            self._send_head(MISDIRECTED, fault)
+            self._finish_answer()
         elif fault is EngineFault.RESET:
             channel.transport.abortConnection()
         elif fault is EngineFault.FAIL:
-            self._head(FAILED, fault)
-            self._end()
+            self._send_head(INTERNAL_SERVER_ERROR, fault)
+            self._finish_answer()
         elif fault is EngineFault.DECLINE:
             self.responseHeaders.setRawHeaders(names.NOT_RUN, [b"1"])
             if self._script.rest is not None:
                 rest = b"%g" % self._script.rest
                 self.responseHeaders.setRawHeaders(names.RETRY_AFTER, [rest])
-            self._head(FULL, fault)
-            self._end()
+            self._send_head(SERVICE_UNAVAILABLE, fault)
+            self._finish_answer()
         elif fault is not EngineFault.SILENT:
-            channel.later(self._script.delay, lambda: self._run(fault))
+            channel.call_later(self._script.delay, lambda: self._answer(fault))
 
     def connectionLost(self, reason: Any) -> None:
-        """Note that the connection ended early."""
+        """Record that the connection ended before the answer was complete."""
         super().connectionLost(reason)
-        if self._has_arrived:
-            self._arrival.is_left = True
-            self._stop_working()
+        if self._is_received:
+            self._received.is_left = True
+            self._count_finished()
 
-    def _stop_working(self) -> None:
-        self._life.running -= self._is_working
-        self._is_working = False
+    def _count_finished(self) -> None:
+        self._incarnation.running -= self._is_running
+        self._is_running = False
 
-    def _run(self, fault: EngineFault | None) -> None:
-        if self._arrival.is_left:
+    def _answer(self, fault: EngineFault | None) -> None:
+        if self._received.is_left:
             return
         channel: Any = self.channel
         if fault in {EngineFault.NO_LENGTH, EngineFault.NO_LENGTH_RESET}:
-            self._unframed(is_reset=fault is EngineFault.NO_LENGTH_RESET)
+            self._send_unframed(is_reset=fault is EngineFault.NO_LENGTH_RESET)
             return
         if not self._script.events:
-            body = self._script.answer_to(self._id)
-            self._head(OK, fault, len(body))
+            body = self._script.plain_answer(self._request_id)
+            self._send_head(OK, fault, len(body))
             cut = fault is EngineFault.CUT
             self.write(body[:2] if cut else body)
             if cut:
@@ -337,44 +349,46 @@
                 channel.transport.write(
                     b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"
                 )
-            self._end()
+            self._finish_answer()
             return
-        last = self._arrival.headers.get(names.LAST_EVENT.lower(), b"0")
-        self._head(OK, fault)
-        self._event(int(last) + 1, fault)
+        last = self._received.headers.get(names.LAST_EVENT.lower(), b"0")
+        self._send_head(OK, fault)
+        self._send_event(int(last) + 1, fault)
 
-    def _event(self, number: int, fault: EngineFault | None) -> None:
+    def _send_event(self, number: int, fault: EngineFault | None) -> None:
         channel: Any = self.channel
-        if self._arrival.is_left:
+        if self._received.is_left:
             return
         if number > self._script.events:
-            self._end()
+            self._finish_answer()
             return
         if fault is EngineFault.CUT and number > self._script.cut_after:
             self.write(b"id: %d\nda" % number)
-            channel.later(0.01, channel.transport.abortConnection)
+            channel.call_later(0.01, channel.transport.abortConnection)
             return
-        word = self._id if self._script.names_request else b"word"
+        word = self._request_id if self._script.echoes_request_id else b"word"
         self.write(b"id: %d\ndata: %b\n\n" % (number, word))
-        channel.later(self._script.gap, lambda: self._event(number + 1, fault))
+        channel.call_later(
+            self._script.gap, lambda: self._send_event(number + 1, fault)
+        )
 
-    def _unframed(self, *, is_reset: bool) -> None:
+    def _send_unframed(self, *, is_reset: bool) -> None:
         channel: Any = self.channel
-        body = self._script.answer_to(self._id)
+        body = self._script.plain_answer(self._request_id)
         channel.transport.write(
             b"HTTP/1.1 200 OK\r\nConnection: close\r\n%b: %b\r\n%b: %b\r\n\r\n%b"
-            % (names.REQUEST_ID, self._id, names.RECEIPT, self._receipt, body),
+            % (names.REQUEST_ID, self._request_id, names.RECEIPT, self._receipt, body),
         )
         if is_reset:
-            channel.later(0.01, channel.transport.abortConnection)
+            channel.call_later(0.01, channel.transport.abortConnection)
         else:
             channel.transport.loseConnection()
 
-    def _head(
+    def _send_head(
         self, status: int, fault: EngineFault | None, length: int | None = None
     ) -> None:
         self.setResponseCode(status)
-        echoed = b"another" if fault is EngineFault.WRONG_ID else self._id
+        echoed = b"another" if fault is EngineFault.WRONG_ID else self._request_id
         self.responseHeaders.setRawHeaders(names.REQUEST_ID, [echoed])
         if fault is not EngineFault.NO_RECEIPT:
             self.responseHeaders.setRawHeaders(names.RECEIPT, [self._receipt])
@@ -386,12 +400,12 @@
         self.write(b"")
 
     @property
-    def _id(self) -> bytes:
-        return self._arrival.headers.get(names.REQUEST_ID.lower(), b"")
+    def _request_id(self) -> bytes:
+        return self._received.headers.get(names.REQUEST_ID.lower(), b"")
 
-    def _end(self) -> None:
-        self._stop_working()
-        if not self._arrival.is_left:
+    def _finish_answer(self) -> None:
+        self._count_finished()
+        if not self._received.is_left:
             self.finish()
 
 
@@ -405,36 +419,36 @@
     ) -> None:
         super().__init__()
         self.script = script
-        self.life = script.life
+        self.incarnation = script.current_incarnation
         self._reactor = reactor
-        self._open = open_channels
+        self._open_channels = open_channels
         open_channels.add(self)
 
-    def later(self, seconds: float, act: Callable[[], Any]) -> None:
-        """Do something later."""
-        self._reactor.callLater(seconds, self.when_awake, act)
+    def call_later(self, seconds: float, act: Callable[[], Any]) -> None:
+        """Call a function after some seconds, once the engine is not silent."""
+        self._reactor.callLater(seconds, self.when_not_silent, act)
 
-    def when_awake(self, act: Callable[[], Any]) -> None:
-        """Do something once the engine sends again: now, unless it is silent."""
-        left = self.life.silent_until - self._reactor.seconds()
-        if left > 0:
-            self._reactor.callLater(left, self.when_awake, act)
+    def when_not_silent(self, act: Callable[[], Any]) -> None:
+        """Call a function now, or once the engine's silence has ended."""
+        remaining = self.incarnation.silent_until - self._reactor.seconds()
+        if remaining > 0:
+            self._reactor.callLater(remaining, self.when_not_silent, act)
         else:
             act()
 
     def connectionLost(self, reason: Any = connectionDone) -> None:
-        """Note that the connection has ended."""
-        self._open.discard(self)
+        """Remove the connection from the open ones."""
+        self._open_channels.discard(self)
         super().connectionLost(reason)
 
 
 class UsersEngine(ServerFactory):
-    """Makes connections of one engine.
+    """Server factory of one engine; its connections share the script.
 
     Parameters
     ----------
     script : EngineScript
-        How it behaves.
+        Behaviour of the engine.
     reactor : Any
         Source of time and timers.
     """
@@ -444,34 +458,36 @@
     def __init__(self, script: EngineScript, reactor: Any = default_reactor) -> None:
         self._script = script
         self._reactor = reactor
-        self._open: set[Any] = set()
+        self._open_channels: set[Any] = set()
 
     def restart(self, started_at: int | None) -> None:
-        """Start again under the same name: all of the former life is gone.
+        """Restart under the same name with the state of a new incarnation.
 
-        What was running is cut off, and nothing of it is remembered. Where it
-        listens does not change; a caller that moves it makes another port with
-        this factory and closes the former one.
+        Open connections are aborted and the faults to come are cleared. The engine
+        keeps its port; a caller that moves it listens on another port with this
+        factory and closes the former one.
 
         Parameters
         ----------
         started_at : int | None
-            Start of the new life in Unix milliseconds; None to tell none.
+            Start of the new incarnation in Unix milliseconds; None to report none.
         """
-        self._script.life = EngineLife(started_at)
+        self._script.current_incarnation = EngineIncarnation(started_at)
         self._script.faults.clear()
-        for channel in list(self._open):
+        for channel in list(self._open_channels):
             channel.transport.abortConnection()
 
     def fall_silent(self, seconds: float) -> None:
-        """Send nothing to anyone for a while, as when a long prompt is read.
+        """Send nothing for some seconds, as an engine does that reads a long prompt.
 
         Parameters
         ----------
         seconds : float
-            How long.
+            Length of the silence in seconds.
         """
-        self._script.life.silent_until = self._reactor.seconds() + seconds
+        self._script.current_incarnation.silent_until = (
+            self._reactor.seconds() + seconds
+        )
 
     def buildProtocol(self, addr: Any) -> HTTPChannel:
         """Return the protocol of a new connection.
@@ -479,14 +495,14 @@
         Parameters
         ----------
         addr : Any
-            Where it comes from.
+            Address of the peer.
 
         Returns
         -------
         HTTPChannel
             The protocol.
         """
-        return _EngineChannel(self._script, self._reactor, self._open)
+        return _EngineChannel(self._script, self._reactor, self._open_channels)
 
     def log(self, request: Any) -> None:
         """Write no access log.
--- a/src/primrosescale/standin/users_store.py
+++ b/src/primrosescale/standin/users_store.py
@@ -1,7 +1,7 @@
-"""A stand-in of the users' object store, with its faults.
+"""A stand-in for the users' object store, with its faults.
 
-It speaks the other side of ``platform/object_platform.py``, so this module and
-that package are the only ones that know the store's fields.
+It is the server for the client in ``platform/object_platform.py``; only this module
+and the ``platform`` package contain the store's field names.
 """
 
 from __future__ import annotations
@@ -23,36 +23,36 @@
 CONFLICT = 409
 HISTORY_GONE = 410
 UNAVAILABLE = 503
-PAGE = 500
+DEFAULT_PAGE_SIZE = 500
 
 
 @dataclass(frozen=True, slots=True)
 class RawContent:
-    """Content that is answered as it is, whether it can be read or not.
+    """Content that is sent as it is, whether it can be decoded or not.
 
     Parameters
     ----------
     data : bytes
-        Bytes in the place of the content's JSON text.
+        Bytes sent in place of the content's JSON text.
     """
 
     data: bytes
 
 
 def foreign_entries(good: dict[str, Any]) -> dict[str, Any]:
-    """Return what another writer might put in the place of a target's entry.
+    """Return unusable contents that another writer might write as a target's entry.
 
     Parameters
     ----------
     good : dict[str, Any]
-        An entry that can be used, with all its fields.
+        A valid entry with all its fields.
 
     Returns
     -------
     dict[str, Any]
-        Contents that name no target to use, by what is wrong with them.
+        Contents that name no usable target, by what is wrong with them.
     """
-    odd: dict[str, list[Any]] = {
+    bad_values: dict[str, list[Any]] = {
         "service": [None, 7, "nobody-knows-it", ["portal"], "\ud800"],
         "address": [None, 7, "nowhere", "127.0.0.1", "127.0.0.1:0", ":80", ["a", 1]],
         "zone": [None, 7, True, {}],
@@ -62,15 +62,15 @@
     }
     found: dict[str, Any] = {
         f"no {name}": {k: v for k, v in good.items() if k != name}
-        for name in odd
-        # Not every writer tells its start.
+        for name in bad_values
+        # An entry without a start is valid: not every writer reports one.
         if name != "born"
     }
-    for name, values in odd.items():
+    for name, values in bad_values.items():
         for value in values:
             found[f"{name} {value!a}"] = {**good, name: value}
-    wholes: list[Any] = [None, 7, True, "text", [], {}, [good]]
-    found.update({f"whole {whole!a:.20}": whole for whole in wholes})
+    whole_contents: list[Any] = [None, 7, True, "text", [], {}, [good]]
+    found.update({f"whole {whole!a:.20}": whole for whole in whole_contents})
     text = json.dumps(good).encode()
     found["bytes, none of a text"] = RawContent(b'"\xff\xfe\x80"')
     found["bytes, beside a good text"] = RawContent(
@@ -80,7 +80,7 @@
 
 
 class StoreFault(Enum):
-    """What becomes of one call."""
+    """Fault with which a call is answered, or not answered."""
 
     BUSY = 503
     MANY = 429
@@ -91,8 +91,8 @@
 
 
 @dataclass(slots=True)
-class _Watcher:
-    """A watch that waits."""
+class _WaitingWatch:
+    """A watch that waits for a change."""
 
     request: Any
     kind: str
@@ -102,35 +102,35 @@
 
 @dataclass(slots=True)
 class StoreFaults:
-    """Faults to come; may be changed while the store runs.
+    """Faults of the store; may be changed while it runs.
 
     Parameters
     ----------
     next_calls : list[StoreFault]
-        Faults of the calls to come, in order.
+        Faults of the next calls, in order.
     all_calls : StoreFault | None
-        Fault of every call while it is set.
+        Fault of every call; None for none.
     page : int
-        Objects on one page of a list.
+        Maximum number of objects on one page of a list.
     is_deaf : bool
-        Whether watches hear nothing.
+        Whether watches report no changes.
     is_stale : bool
-        Whether calls that allow it read what was there when it began.
+        Whether reads that allow stale data get a copy; see `UsersStore.fall_behind`.
     """
 
     next_calls: list[StoreFault] = field(default_factory=list)
     all_calls: StoreFault | None = None
-    page: int = PAGE
+    page: int = DEFAULT_PAGE_SIZE
     is_deaf: bool = False
     is_stale: bool = False
 
-    def take(self) -> StoreFault | None:
-        """Return the fault of a call.
+    def next_fault(self) -> StoreFault | None:
+        """Return the fault of the next call.
 
         Returns
         -------
         StoreFault | None
-            The fault; None for a call that works.
+            The fault; None for a call that succeeds.
         """
         if self.all_calls is not None:
             return self.all_calls
@@ -138,7 +138,7 @@
 
 
 class UsersStore(Resource):
-    """Objects of kinds, with revisions, conditions and watches.
+    """Objects by kind and name, with revisions, conditional writes and watches.
 
     Parameters
     ----------
@@ -153,16 +153,16 @@
         self._reactor = reactor
         self._objects: dict[str, dict[str, dict[str, Any]]] = {}
         self._revision = 1
-        self._forgotten = 0
+        self._forgotten_revision = 0
         self._history: list[tuple[int, str, bool, dict[str, Any]]] = []
-        self._watchers: list[_Watcher] = []
-        # What stale reads find, with its revision.
+        self._waiting_watches: list[_WaitingWatch] = []
+        # The objects that stale reads return, with their revision.
         self._stale: tuple[dict[str, dict[str, dict[str, Any]]], int] = ({}, 1)
         self.faults = StoreFaults()
         self.calls: list[str] = []
 
     def write(self, kind: str, name: str, spec: Any) -> int:
-        """Write an object as the operator or a target does.
+        """Write an object unconditionally, as the operator or a target does.
 
         Parameters
         ----------
@@ -180,17 +180,17 @@
         """
         self._revision += 1
         known = self._objects.setdefault(kind, {}).get(name)
-        made = known["metadata"]["create_revision"] if known else self._revision
+        created = known["metadata"]["create_revision"] if known else self._revision
         meta: dict[str, Any] = {
             "name": name,
             "revision": self._revision,
-            "create_revision": made,
+            "create_revision": created,
             "finalizers": [],
             "deleting": False,
         }
         item: dict[str, Any] = {"metadata": meta, "spec": spec, "status": None}
         self._objects[kind][name] = item
-        self._note(kind, item, is_deleted=False)
+        self._record_change(kind, item, is_deleted=False)
         return self._revision
 
     def remove(self, kind: str, name: str) -> bool:
@@ -206,17 +206,17 @@
         Returns
         -------
         bool
-            Whether it was there.
+            Whether it existed.
         """
         item = self._objects.get(kind, {}).pop(name, None)
         if item is None:
             return False
         self._revision += 1
-        self._note(kind, item, is_deleted=True)
+        self._record_change(kind, item, is_deleted=True)
         return True
 
     def content(self, kind: str, name: str) -> Any:
-        """Return the content of an object, to be written again or changed.
+        """Return a copy of an object's content, to be written again or changed.
 
         Parameters
         ----------
@@ -228,32 +228,32 @@
         Returns
         -------
         Any
-            A copy of the content; None where there is no such object.
+            The copy; None when there is no such object.
         """
         item = self._objects.get(kind, {}).get(name)
         return copy.deepcopy(item["spec"]) if item else None
 
     def fall_behind(self) -> None:
-        """From now on, reads that may be stale find what is there now."""
+        """Have stale reads return the present objects from now on."""
         self._stale = (copy.deepcopy(self._objects), self._revision)
         self.faults.is_stale = True
 
     def catch_up(self) -> None:
-        """Have stale reads find the present again, and tell watches of it."""
+        """End stale reads and report the missed changes to waiting watches."""
         self.faults.is_stale = self.faults.is_deaf = False
-        for watcher in list(self._watchers):
-            if self._events(watcher.kind, watcher.since):
-                watcher.timer.cancel()
-                self._end_watch(watcher)
+        for waiting_watch in list(self._waiting_watches):
+            if self._events(waiting_watch.kind, waiting_watch.since):
+                waiting_watch.timer.cancel()
+                self._end_watch(waiting_watch)
 
     def forget_history(self) -> None:
-        """Forget all changes so far and cut all watches."""
-        self._forgotten = self._revision
+        """Drop the history of changes and abort all waiting watches."""
+        self._forgotten_revision = self._revision
         self._history.clear()
-        for watcher in list(self._watchers):
-            self._watchers.remove(watcher)
-            watcher.timer.cancel()
-            watcher.request.transport.abortConnection()
+        for waiting_watch in list(self._waiting_watches):
+            self._waiting_watches.remove(waiting_watch)
+            waiting_watch.timer.cancel()
+            waiting_watch.request.transport.abortConnection()
 
     def render(self, request: Any) -> int:
         """Answer one call.
@@ -266,25 +266,25 @@
         Returns
         -------
         int
-            `NOT_DONE_YET`: it may be answered later or never.
+            `NOT_DONE_YET`: the answer may come later or never.
         """
         self.calls.append(f"{request.method.decode()} {request.uri.decode()}")
-        fault = self.faults.take()
+        fault = self.faults.next_fault()
         parts = [part.decode() for part in request.path.split(b"/")[3:]]
         kind, name = parts[0], "/".join(parts[1:])
         if fault in {StoreFault.BUSY, StoreFault.MANY}:
-            _answer(request, int(fault.value), {"error": "busy"})
+            _send_json(request, int(fault.value), {"error": "busy"})
         elif fault is StoreFault.RESET:
             request.transport.abortConnection()
         elif fault is StoreFault.NONSENSE:
-            _write(request, OK, b"<html>")
+            _send_response(request, OK, b"<html>")
         elif fault is StoreFault.LOST:
             self._act(request, kind, name)
             request.transport.abortConnection()
         elif fault is None:
             status, fields = self._act(request, kind, name)
             if fields is not None:
-                _answer(request, status, fields)
+                _send_json(request, status, fields)
         return NOT_DONE_YET
 
     def _act(self, request: Any, kind: str, name: str) -> tuple[int, Any]:
@@ -323,9 +323,11 @@
         Returns
         -------
         int
-            Watches.
+            Number of watches.
         """
-        return sum(1 for watcher in self._watchers if watcher.kind == kind)
+        return sum(
+            1 for waiting_watch in self._waiting_watches if waiting_watch.kind == kind
+        )
 
     def _list(self, request: Any, kind: str) -> dict[str, Any]:
         after = request.args.get(b"after", [b""])[0].decode()
@@ -339,36 +341,42 @@
         }
 
     def _read(self, request: Any) -> tuple[dict[str, dict[str, dict[str, Any]]], int]:
-        """Return what a call reads, and its revision."""
+        """Return the objects that a call reads, and their revision."""
         if self.faults.is_stale and request.args.get(b"allow_stale") == [b"1"]:
             return self._stale
         return self._objects, self._revision
 
     def _watch(self, request: Any, kind: str) -> tuple[int, Any]:
         since = int(request.args[b"watch"][0])
-        if since < self._forgotten:
+        if since < self._forgotten_revision:
             return HISTORY_GONE, {"error": "gone"}
         events = self._events(kind, since)
         wait = int(request.args.get(b"wait_ms", [b"0"])[0]) / 1000
         if events or not wait:
             return OK, {"events": events, "current_rev": self._revision}
-        watcher = _Watcher(request, kind, since)
-        watcher.timer = self._reactor.callLater(wait, self._end_watch, watcher)
-        self._watchers.append(watcher)
-        request.notifyFinish().addErrback(lambda _: self._drop(watcher))
+        waiting_watch = _WaitingWatch(request, kind, since)
+        waiting_watch.timer = self._reactor.callLater(
+            wait, self._end_watch, waiting_watch
+        )
+        self._waiting_watches.append(waiting_watch)
+        request.notifyFinish().addErrback(lambda _: self._remove_watch(waiting_watch))
         return OK, None
 
-    def _end_watch(self, watcher: _Watcher) -> None:
-        self._watchers.remove(watcher)
+    def _end_watch(self, waiting_watch: _WaitingWatch) -> None:
+        self._waiting_watches.remove(waiting_watch)
         events = (
-            [] if self.faults.is_deaf else self._events(watcher.kind, watcher.since)
+            []
+            if self.faults.is_deaf
+            else self._events(waiting_watch.kind, waiting_watch.since)
+        )
+        _send_json(
+            waiting_watch.request, OK, {"events": events, "current_rev": self._revision}
         )
-        _answer(watcher.request, OK, {"events": events, "current_rev": self._revision})
 
-    def _drop(self, watcher: _Watcher) -> None:
-        if watcher in self._watchers:
-            self._watchers.remove(watcher)
-            watcher.timer.cancel()
+    def _remove_watch(self, waiting_watch: _WaitingWatch) -> None:
+        if waiting_watch in self._waiting_watches:
+            self._waiting_watches.remove(waiting_watch)
+            waiting_watch.timer.cancel()
 
     def _events(self, kind: str, since: int) -> list[dict[str, Any]]:
         if self.faults.is_deaf:
@@ -379,29 +387,31 @@
             if revision > since and of_kind == kind
         ]
 
-    def _note(self, kind: str, item: dict[str, Any], *, is_deleted: bool) -> None:
+    def _record_change(
+        self, kind: str, item: dict[str, Any], *, is_deleted: bool
+    ) -> None:
         self._history.append((self._revision, kind, is_deleted, copy.deepcopy(item)))
-        for watcher in list(self._watchers):
-            if watcher.kind == kind and not self.faults.is_deaf:
-                watcher.timer.cancel()
-                self._end_watch(watcher)
+        for waiting_watch in list(self._waiting_watches):
+            if waiting_watch.kind == kind and not self.faults.is_deaf:
+                waiting_watch.timer.cancel()
+                self._end_watch(waiting_watch)
 
 
-def _answer(request: Any, status: int, fields: Any) -> None:
+def _send_json(request: Any, status: int, fields: Any) -> None:
     raw: dict[bytes, bytes] = {}
 
-    def stand_for(content: RawContent) -> str:
+    def placeholder(content: RawContent) -> str:
         name = f"raw content {len(raw)}"
         raw[json.dumps(name).encode()] = content.data
         return name
 
-    body = json.dumps(fields, default=stand_for).encode()
+    body = json.dumps(fields, default=placeholder).encode()
     for name, data in raw.items():
         body = body.replace(name, data, 1)
-    _write(request, status, body)
+    _send_response(request, status, body)
 
 
-def _write(request: Any, status: int, body: bytes) -> None:
+def _send_response(request: Any, status: int, body: bytes) -> None:
     if request.finished or request._disconnected:  # noqa: SLF001 - twisted has no property
         return
     request.setResponseCode(status)
--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -1,4 +1,4 @@
-"""The targets, the store and the operator that the routers meet."""
+"""The stand-in targets and store of a soak, and the operator who writes versions."""
 
 from __future__ import annotations
 
@@ -13,37 +13,37 @@
 from primrosescale.standin.users_store import UsersStore
 from primrosescale.standin.users_store import foreign_entries
 from soak.fault_proxy import FaultProxy
-from soak.history import Cold
+from soak.history import ColdPeriod
+from soak.history import Delivery
 from soak.history import Entry
-from soak.history import Ran
-from soak.history import Rest
+from soak.history import PauseRequest
 from soak.history import Version
 
 LOOPBACK = "127.0.0.1"
 EVENTS = 8
 SLOTS = 16
-# Failure domains of the targets, in turn.
+# Failure domains; targets are assigned to them in turn.
 DOMAINS = "ab"
-# Requests a second that a cold model engine bears, and how long it is cold.
+# Requests per second for a cold model engine, and how long it is cold.
 COLD_RATE = 10.0
 COLD_SECONDS = 3.0
 MILLISECONDS_PER_SECOND = 1000
-# Versions whose route is still there: the newest two.
+# Number of newest versions whose probe route is kept in the configuration.
 KEPT_VERSIONS = 2
 
 
 class Target:
-    """One target: its program's stand-in, its link and its entry."""
+    """One target: a stand-in engine, the link to it and its entry in the store."""
 
-    def __init__(self, name, service, history, peers, rng, on_harm, domain="a"):
-        self._on_harm = on_harm
+    def __init__(self, name, service, history, peers, rng, on_harmful_run, domain="a"):
+        self._on_harmful_run = on_harmful_run
         self.domain = domain
         self.cold_until = 0.0
         self.service = service
-        self.life = 0
+        self.generation = 0
         self.start = 0
-        # Changes whenever something is done to it that undoes what was planned.
-        self.turn = 0
+        # Counts the changes that cancel what was planned for the target before.
+        self.change_count = 0
         self._base = name
         self._history = history
         self._peers = peers
@@ -52,12 +52,12 @@
             events=0 if plain else EVENTS,
             gap=rng.uniform(0.01, 0.05),
             delay=rng.uniform(0.02, 0.09) if plain else 0.03,
-            names_request=True,
-            on_arrival=self._arrived,
+            echoes_request_id=True,
+            on_arrival=self._record_request,
         )
         self.engine = UsersEngine(self.script)
         self._listen()
-        self.begin()
+        self.replace_in_place()
 
     def _listen(self):
         self._listener = reactor.listenTCP(0, self.engine, interface=LOOPBACK)
@@ -67,26 +67,26 @@
     def name(self):
         return self.script.name
 
-    def begin(self):
-        """Become another target at the same address; what runs goes on."""
-        self.life += 1
-        self.script.name = f"{self._base}-{self.life}"
+    def replace_in_place(self):
+        """Become another target at the same address; requests in flight go on."""
+        self.generation += 1
+        self.script.name = f"{self._base}-{self.generation}"
         self.script.faults.clear()
         self._start()
-        self.script.life.started_at = self.start
+        self.script.current_incarnation.started_at = self.start
 
-    def end(self, *, moves):
-        """End at once; what starts in its place is elsewhere or here at once."""
+    def replace(self, *, moves):
+        """End at once, and become another target at the same or another address."""
         self.link.reset()
         self.engine.restart(None)
         if moves:
             self.link.close()
             self._listener.stopListening()
             self._listen()
-        self.begin()
+        self.replace_in_place()
 
     def restart(self, *, moves):
-        """Start again under the same name, here or elsewhere."""
+        """Restart under the same name, at the same or another address."""
         self._history.ended[self.name, self.start] = reactor.seconds()
         self._start()
         self.link.reset()
@@ -97,7 +97,7 @@
             self._listen()
 
     def _start(self):
-        self.turn += 1
+        self.change_count += 1
         self.script.is_leaving = self.script.is_resting = False
         self.start = max(int(time.time() * 1000), self.start + 1)
         self.script.receipt = f"{self.name}/{self.start}".encode()
@@ -112,45 +112,47 @@
             "state": state,
             "slots": SLOTS,
             "cold_remaining_ms": self._cold_left(),
-            "sequence": self.script.life.sequence,
+            "sequence": self.script.current_incarnation.sequence,
             "born": self.start,
         }
 
-    def chill(self, seconds):
-        """Become cold for a while, from now on."""
+    def become_cold(self, seconds):
+        """Become cold now for some seconds."""
         now = reactor.seconds()
         self.cold_until = now + seconds
-        self._history.cold.append(Cold(self.name, self.start, now, now + seconds))
+        self._history.cold.append(ColdPeriod(self.name, self.start, now, now + seconds))
 
     def _cold_left(self):
         left = self.cold_until - reactor.seconds()
         return max(0, round(left * MILLISECONDS_PER_SECOND))
 
-    def foreign(self, how):
-        """Return an entry of another writer that names it, by a number below 1."""
+    def choose_foreign_entry(self, fraction):
+        """Return an invalid entry for this target, chosen by a fraction below 1."""
         found = list(foreign_entries(self.entry()).values())
-        return found[int(how * len(found))]
+        return found[int(fraction * len(found))]
 
-    def _arrived(self, arrival):
+    def _record_request(self, arrival):
         name = arrival.headers.get(names.REQUEST_ID.lower(), b"").decode()
         if not name:
             return
-        harm = self._history.harm.get(arrival.body)
+        harm = self._history.harmful_contents.get(arrival.body)
         if harm is not None:
             harm.arrivals.append((name, reactor.seconds()))
             if arrival.has_run:
-                self._on_harm(self, harm)
+                self._on_harmful_run(self, harm)
             return
-        # What was meant for another target at the address is told so, and no rest.
+        # A misdirected request is answered as such and gets no request for a pause.
         if self.script.is_resting and not self._is_misdirected(arrival):
             now, rest = reactor.seconds(), self.script.rest
-            self._history.rests.append(Rest(self.name, self.start, name, now, rest))
+            self._history.pause_requests.append(
+                PauseRequest(self.name, self.start, name, now, rest)
+            )
         peers = [t for t in self._peers if t.service == self.service]
         mean = sum(t.script.running for t in peers) / len(peers)
         load = self.script.running
         now = reactor.seconds()
         self._history.ran.append(
-            Ran(
+            Delivery(
                 name,
                 self.name,
                 self.service,
@@ -174,7 +176,7 @@
 
 
 class Operator:
-    """Writes versions: a route of its own each, and keys that come and go."""
+    """Writes versions, each with a probe route of its own and changing keys."""
 
     def __init__(self, store, history, *, is_cold=False):
         self._store = store
@@ -194,15 +196,15 @@
         version = Version(self.number, reactor.seconds(), tuple(self._keys))
         self._history.versions.append(version)
 
-    def key(self, rng):
-        """Return a key that a caller uses: mostly one that holds."""
+    def choose_key(self, rng):
+        """Return a key for a caller: mostly a valid one, or one of the last version."""
         held = self._history.versions
         if rng.random() < 0.1 and len(held) > 1:
             return rng.choice(held[-2].keys)
         return rng.choice(self._keys)
 
-    def probed(self, rng):
-        """Return a version whose route a caller asks for."""
+    def choose_probed_version(self, rng):
+        """Return a version whose probe route a caller requests."""
         return rng.randint(max(1, self.number - KEPT_VERSIONS), self.number)
 
     def _content(self):
@@ -243,13 +245,13 @@
 class Backends:
     """The store with its entries, and all targets."""
 
-    def __init__(self, portals, models, history, rng, on_harm, *, is_cold=False):
-        self._on_harm = on_harm
+    def __init__(self, portals, models, history, rng, on_harmful_run, *, is_cold=False):
+        self._on_harmful_run = on_harmful_run
         self.store = UsersStore(reactor)
         self._history = history
         self._rng = rng
-        # What only entries of other writers name.
-        self._strangers = []
+        # Targets that are named only by entries of other writers.
+        self._unlisted_targets = []
         self._site = Site(self.store)
         self._site.noisy = False
         self._listener = reactor.listenTCP(0, self._site, interface=LOOPBACK)
@@ -271,12 +273,12 @@
             self._history,
             self.targets,
             self._rng,
-            self._on_harm,
+            self._on_harmful_run,
             domain,
         )
 
-    def of_domain(self, domain):
-        """Return the model engines of a failure domain."""
+    def models_in_domain(self, domain):
+        """Return the model engines in a failure domain."""
         return [
             target
             for target in self.targets
@@ -285,7 +287,7 @@
 
     def list(self, target, state="ready"):
         """Write a target's entry."""
-        self._closes(target)
+        self._end_entries(target)
         if state == "ready":
             now = reactor.seconds()
             entry = Entry(target.name, target.service, target.start, now)
@@ -295,27 +297,27 @@
 
     def delist(self, target):
         """Remove a target's entry."""
-        self._closes(target)
+        self._end_entries(target)
         self.store.remove("servers", target.name)
 
     def crash(self, target):
-        """End a target at once; another is soon at its address."""
-        self._closes(target)
+        """End a target at once; another takes its address and is listed later."""
+        self._end_entries(target)
         target.link.reset()
-        target.begin()
+        target.replace_in_place()
 
-    def end(self, target, *, moves):
-        """End a target at once; another starts in its place."""
-        self._closes(target)
-        target.end(moves=moves)
+    def replace(self, target, *, moves):
+        """End a target at once; another starts at the same or another address."""
+        self._end_entries(target)
+        target.replace(moves=moves)
 
     def restart(self, target, *, moves):
-        """Start a target again under its name; its entry stays as it is."""
-        self._closes(target)
+        """Restart a target under its name; its entry stays as it is."""
+        self._end_entries(target)
         target.restart(moves=moves)
 
-    def is_alone(self, target):
-        """Tell whether no other target of its service has a good entry."""
+    def is_only_listed(self, target):
+        """Tell whether no other target of its service has a valid entry."""
         now = {(t.name, t.start) for t in self.targets if t is not target}
         return not any(
             entry.service == target.service and (entry.target, entry.start) in now
@@ -323,33 +325,33 @@
             if entry.until > reactor.seconds()
         )
 
-    def stranger(self, name, service):
-        """Return a target that no good entry names."""
+    def unlisted_target(self, name, service):
+        """Return a new target that no valid entry names."""
         found = self._target(name, service)
-        self._strangers.append(found)
+        self._unlisted_targets.append(found)
         return found
 
     def write_foreign(self, target, content):
-        """Write an entry of another writer, in the place of a good one if any."""
-        self._closes(target)
+        """Write an entry of another writer in place of the target's own, if any."""
+        self._end_entries(target)
         now = reactor.seconds()
         entry = Entry(target.name, target.service, target.start, now)
-        self._history.foreign.append(entry)
+        self._history.foreign_entries.append(entry)
         self.store.write("servers", target.name, content)
         return entry
 
-    def write_old(self, target, content):
-        """Write what a former life of the target had written, once more."""
-        self._closes(target)
+    def write_former_entry(self, target, content):
+        """Write the entry of a former incarnation of the target again."""
+        self._end_entries(target)
         self.store.write("servers", target.name, content)
 
-    def _closes(self, target):
-        """Note that what stood in the store of a target stands no more."""
-        for entry in (*self._history.listed, *self._history.foreign):
+    def _end_entries(self, target):
+        """Record that the present entries of a target are no longer in the store."""
+        for entry in (*self._history.listed, *self._history.foreign_entries):
             if entry.target == target.name:
                 entry.until = min(entry.until, reactor.seconds())
 
     def close(self):
-        for target in (*self.targets, *self._strangers):
+        for target in (*self.targets, *self._unlisted_targets):
             target.close()
         self._listener.stopListening()
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections open until the router is gone."""
+"""Callers of the routers; each keeps its connection open while it works."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 from soak.history import ANSWERED
 from soak.history import CUT
 from soak.history import LEFT
-from soak.history import Asked
-from soak.history import Harm
-
-CONNECT_TIMEOUT = 1
-# Seconds that a caller waits beyond its deadline before it leaves.
-PATIENCE = 1.0
-# Share of requests whose caller leaves early.
-LEAVES_EARLY = 0.04
-# Share of the prompts that begin a chat, with no part that an engine holds.
-NEW_CHATS = 0.4
-# The key of the callers whose request ends targets; it is never withdrawn.
+from soak.history import CallerRequest
+from soak.history import HarmfulContent
+
+CONNECT_TIMEOUT_SECONDS = 1
+# Time that a caller waits beyond its deadline before it disconnects.
+WAIT_AFTER_DEADLINE_SECONDS = 1.0
+# Share of requests whose caller disconnects early.
+EARLY_ABORT_SHARE = 0.04
+# Share of the prompts that begin a new chat, with no part in any engine's cache.
+NEW_CHAT_SHARE = 0.4
+# Key of the callers whose requests end targets; it is never withdrawn.
 HARMFUL_KEY = b"harm"
-# What is asked for, how often, with which time limit in seconds.
-KINDS = {
+# Kinds of requests: method, service, weight and deadline in seconds.
+REQUEST_KINDS = {
     "plain": ("GET", "portal", 30, 1.5),
     "once": ("POST", "portal", 25, 1.5),
     "story": ("POST", "model", 25, 6.0),
@@ -42,8 +42,8 @@
 }
 
 
-class _Body(Protocol):
-    """Collects a body and tells how it ended."""
+class _BodyCollector(Protocol):
+    """Collects a body and reports whether it was complete."""
 
     def __init__(self):
         self.data = b""
@@ -57,34 +57,36 @@
 
 
 class HarmfulCaller:
-    """Sends one request that ends targets, again and again, to any router."""
+    """Sends one request that ends targets repeatedly, each time to any router."""
 
     def __init__(self, body, rng, fleet, history):
         self._body = body
         self._rng = rng
         self._fleet = fleet
-        self._harm = history.harm[body] = Harm()
+        self._harm = history.harmful_contents[body] = HarmfulContent()
         self._is_stopped = False
 
     def stop(self):
-        """Send no more."""
+        """Stop sending requests."""
         self._is_stopped = True
 
     @inlineCallbacks
     def run(self, pause):
-        """Send it until stopped, with pauses of about this length."""
+        """Send the request until stopped, with pauses of about this length."""
         while not self._is_stopped:
             yield deferLater(reactor, pause * self._rng.uniform(0.3, 1.7), lambda: None)
             try:
-                yield self._ask()
-            except Exception:  # noqa: BLE001 - it tries again elsewhere
+                yield self._send_request()
+            except Exception:  # noqa: BLE001 - it retries at another router
                 continue
 
     @inlineCallbacks
-    def _ask(self):
+    def _send_request(self):
         router = self._fleet.choose(self._rng)
-        way = TCP4ClientEndpoint(reactor, router.address, CALLERS_PORT, CONNECT_TIMEOUT)
-        connection = yield connectProtocol(way, _Closing())
+        endpoint = TCP4ClientEndpoint(
+            reactor, router.address, CALLERS_PORT, CONNECT_TIMEOUT_SECONDS
+        )
+        connection = yield connectProtocol(endpoint, _UnreadConnection())
         name = f"h{len(self._harm.routers)}-{self._body.decode()}"
         self._harm.routers[name] = router.name
         connection.transport.write(
@@ -103,8 +105,8 @@
         yield connection.closed
 
 
-class _Closing(Protocol):
-    """A connection whose answer does not matter."""
+class _UnreadConnection(Protocol):
+    """A connection whose answer is ignored."""
 
     def __init__(self):
         self.closed = Deferred()
@@ -114,7 +116,7 @@
 
 
 class Caller:
-    """Sends one request after the other, each to a router that is ready."""
+    """Sends one request after the other to a ready router."""
 
     def __init__(self, number, rng, fleet, history, operator):
         self._number = number
@@ -124,119 +126,127 @@
         self._operator = operator
         self._channel = None
         self._router = None
-        self._life = 0
+        self._process_number = 0
         self._count = 0
         self._is_stopped = False
 
     def stop(self):
-        """Send no more."""
+        """Stop sending requests."""
         self._is_stopped = True
         if self._channel is not None:
             self._channel.transport.abortConnection()
 
     @inlineCallbacks
     def run(self, pause):
-        """Send requests until stopped, with pauses of about this length."""
+        """Send requests until stopped, with pauses of about this length in seconds."""
         while not self._is_stopped:
             yield deferLater(reactor, pause * self._rng.uniform(0.3, 1.7), lambda: None)
             if not self._is_stopped:
-                yield self._ask()
+                yield self._send_request()
 
     @inlineCallbacks
     def _connect(self):
         router = self._fleet.choose(self._rng)
-        way = TCP4ClientEndpoint(reactor, router.address, CALLERS_PORT, CONNECT_TIMEOUT)
+        endpoint = TCP4ClientEndpoint(
+            reactor, router.address, CALLERS_PORT, CONNECT_TIMEOUT_SECONDS
+        )
         protocol = HTTP11ClientProtocol(lambda _: None)
-        channel = yield connectProtocol(way, protocol)
-        self._channel, self._router, self._life = channel, router, router.life
-
-    def _draw(self):
-        kinds = list(KINDS)
-        kind = self._rng.choices(kinds, [KINDS[k][2] for k in kinds])[0]
-        method, service, _, limit = KINDS[kind]
-        version = self._operator.probed(self._rng) if kind == "probe" else 0
+        channel = yield connectProtocol(endpoint, protocol)
+        self._channel, self._router, self._process_number = (
+            channel,
+            router,
+            router.process_number,
+        )
+
+    def _draw_request(self):
+        kinds = list(REQUEST_KINDS)
+        kind = self._rng.choices(kinds, [REQUEST_KINDS[k][2] for k in kinds])[0]
+        method, service, _, limit = REQUEST_KINDS[kind]
+        version = (
+            self._operator.choose_probed_version(self._rng) if kind == "probe" else 0
+        )
         prefix = f"v{version}" if version else "plain" if kind == "probe" else kind
         self._count += 1
         name = f"c{self._number}-{self._count}"
-        asked = Asked(
+        request = CallerRequest(
             name=name,
             kind=kind,
             path=f"/{prefix}/x",
             service=service,
-            key=self._operator.key(self._rng),
+            key=self._operator.choose_key(self._rng),
             router=self._router.name,
-            life=self._life,
+            process_number=self._process_number,
             sent_at=reactor.seconds(),
             deadline=limit,
             version=version,
         )
-        self._history.asked[name] = asked
-        return asked, method
+        self._history.sent_requests[name] = request
+        return request, method
 
     @inlineCallbacks
-    def _ask(self):
+    def _send_request(self):
         if self._channel is None or self._channel.state != "QUIESCENT":
             try:
                 yield self._connect()
-            except Exception:  # noqa: BLE001 - a caller tries again elsewhere
+            except Exception:  # noqa: BLE001 - a caller retries at another router
                 return
-        asked, method = self._draw()
-        limit = asked.deadline + PATIENCE
-        if self._rng.random() < LEAVES_EARLY:
+        request, method = self._draw_request()
+        limit = request.deadline + WAIT_AFTER_DEADLINE_SECONDS
+        if self._rng.random() < EARLY_ABORT_SHARE:
             limit = self._rng.uniform(0.02, 0.3)
         channel = self._channel
-        leaving = reactor.callLater(limit, self._leave, asked, channel)
+        time_out = reactor.callLater(limit, self._abort, request, channel)
         try:
-            yield self._exchange(asked, method, channel)
-        except Exception:  # noqa: BLE001 - any failure is a cut exchange
-            asked.outcome = asked.outcome or CUT
+            yield self._exchange(request, method, channel)
+        except Exception:  # noqa: BLE001 - any failure counts as a cut answer
+            request.outcome = request.outcome or CUT
         finally:
-            if leaving.active():
-                leaving.cancel()
-        asked.ended_at = reactor.seconds()
-        if asked.outcome != ANSWERED:
+            if time_out.active():
+                time_out.cancel()
+        request.ended_at = reactor.seconds()
+        if request.outcome != ANSWERED:
             channel.transport.abortConnection()
             self._channel = None
 
     @inlineCallbacks
-    def _exchange(self, asked, method, channel):
+    def _exchange(self, request, method, channel):
         body = b"b" * 300 if method == "POST" else None
         headers = {
             b"Host": b"desk.example",
-            names.REQUEST_ID: asked.name.encode(),
-            names.TIME_LEFT: b"%d" % (asked.deadline * 1000),
-            names.AUTHORIZATION: b"Bearer " + asked.key.encode(),
+            names.REQUEST_ID: request.name.encode(),
+            names.TIME_LEFT: b"%d" % (request.deadline * 1000),
+            names.AUTHORIZATION: b"Bearer " + request.key.encode(),
         }
-        if asked.service == "model":
+        if request.service == "model":
             chat = self._rng.randrange(12)
             parts = b"aa:200,b%d:1500,d%d:40" % (chat, self._count)
-            asked.is_new = self._rng.random() < NEW_CHATS
-            if asked.is_new:
+            request.is_new_chat = self._rng.random() < NEW_CHAT_SHARE
+            if request.is_new_chat:
                 parts = b"f%x%x:1740" % (self._number, self._count)
             headers[names.PROMPT_PARTS] = parts
             headers[names.TOKENS] = b"1740,60"
-        request = Request._construct(
+        http_request = Request._construct(
             method.encode(),
-            asked.path.encode(),
+            request.path.encode(),
             Headers({name: [value] for name, value in headers.items()}),
             body_producer(body),
             persistent=True,
         )
-        response = yield channel.request(request)
-        asked.status = response.code
-        asked.echoed = (response.headers.getRawHeaders(names.REQUEST_ID) or [b""])[
+        response = yield channel.request(http_request)
+        request.status = response.code
+        request.echoed = (response.headers.getRawHeaders(names.REQUEST_ID) or [b""])[
             0
         ].decode()
         signature = response.headers.getRawHeaders(names.RECEIPT) or [b""]
-        asked.signed = signature[0].decode()
+        request.signed = signature[0].decode()
         if response.headers.hasHeader(names.LEAVING):
-            asked.left_at = reactor.seconds()
-        collected = _Body()
+            request.leaving_reported_at = reactor.seconds()
+        collected = _BodyCollector()
         response.deliverBody(collected)
         is_whole = yield collected.ended
-        asked.body = collected.data
-        asked.outcome = asked.outcome or (ANSWERED if is_whole else CUT)
+        request.body = collected.data
+        request.outcome = request.outcome or (ANSWERED if is_whole else CUT)
 
-    def _leave(self, asked, channel):
-        asked.outcome = LEFT
+    def _abort(self, request, channel):
+        request.outcome = LEFT
         channel.transport.abortConnection()
--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -1,7 +1,7 @@
-"""A loopback proxy whose links are delayed, held back, cut or reset.
+"""A loopback TCP proxy that delays, holds back or resets its connections.
 
-Bytes that are held back come later, as a network that is cut and mended brings
-them; nothing is dropped from the middle of a connection.
+Bytes that were held back are delivered when the fault ends, as TCP does after a
+network partition; no bytes are lost from the middle of a connection.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from twisted.internet.protocol import Protocol
 
 LOOPBACK = "127.0.0.1"
-CONNECT_TIMEOUT = 5
+CONNECT_TIMEOUT_SECONDS = 5
 
 
 class LinkFault(Enum):
-    """What the link does."""
+    """Fault of all connections of a proxy."""
 
     NONE = "none"
     DELAY = "delay"
@@ -29,110 +29,127 @@
     RESET = "reset"
 
 
-class _Way:
-    """Bytes in one direction of one connection."""
+class _Direction:
+    """Forwards the bytes of one direction of a connection."""
 
     def __init__(self, proxy, is_answer):
         self._proxy = proxy
         self._is_answer = is_answer
-        self._waiting = deque()
-        self.other = None
+        self._held_back = deque()
+        self.destination = None
 
-    def pass_on(self, data):
+    def forward(self, data):
         if self._proxy.fault is LinkFault.DELAY:
-            self._waiting.append(data)
+            self._held_back.append(data)
             reactor.callLater(self._proxy.delay, self.flush_one)
-        elif self._proxy.holds(self._is_answer) or self._waiting or not self.other:
-            self._waiting.append(data)
+        elif (
+            self._proxy.is_held(self._is_answer)
+            or self._held_back
+            or not self.destination
+        ):
+            self._held_back.append(data)
         else:
             self._send(data)
 
     def flush_one(self):
-        if self._waiting and not self._proxy.holds(self._is_answer) and self.other:
-            self._send(self._waiting.popleft())
+        if (
+            self._held_back
+            and not self._proxy.is_held(self._is_answer)
+            and self.destination
+        ):
+            self._send(self._held_back.popleft())
 
     def flush(self):
-        while self._waiting and self.other:
-            self._send(self._waiting.popleft())
+        while self._held_back and self.destination:
+            self._send(self._held_back.popleft())
 
     def _send(self, data):
         if data is None:
-            self.other.transport.loseConnection()
+            self.destination.transport.loseConnection()
         else:
-            self.other.transport.write(data)
+            self.destination.transport.write(data)
 
 
-class _Side(Protocol):
+class _ProxyEnd(Protocol):
     """One end of a proxied connection."""
 
-    def __init__(self, proxy, way):
+    def __init__(self, proxy, direction):
         self._proxy = proxy
-        self._way = way
+        self._direction = direction
 
     def dataReceived(self, data):
-        self._way.pass_on(data)
+        self._direction.forward(data)
 
     def connectionLost(self, reason=None):
-        self._way.pass_on(None)
-        self._proxy.sides.discard(self)
+        self._direction.forward(None)
+        self._proxy.open_ends.discard(self)
 
 
 class FaultProxy(Factory):
-    """Stands before one port; all its connections share one state."""
+    """Proxy in front of one port; all its connections have the same fault."""
 
     noisy = False
 
     def __init__(self, port):
-        self._target = TCP4ClientEndpoint(reactor, LOOPBACK, port, CONNECT_TIMEOUT)
-        self._ways = []
-        self.sides = set()
+        self._target = TCP4ClientEndpoint(
+            reactor, LOOPBACK, port, CONNECT_TIMEOUT_SECONDS
+        )
+        self._directions = []
+        self.open_ends = set()
         self.fault = LinkFault.NONE
         self.delay = 0.0
         self._listener = reactor.listenTCP(0, self, interface=LOOPBACK)
         self.port = self._listener.getHost().port
 
-    def holds(self, is_answer):
+    def is_held(self, is_answer):
         return self.fault is LinkFault.SILENT or (
             self.fault is LinkFault.ONE_WAY and is_answer
         )
 
     def buildProtocol(self, addr):
-        there, back = _Way(self, is_answer=False), _Way(self, is_answer=True)
-        self._ways += [there, back]
-        caller = _Side(self, there)
-        target = _Side(self, back)
-        back.other = caller
-        self.sides.add(caller)
-        opening = connectProtocol(self._target, target)
-
-        def opened(_):
-            self.sides.add(target)
+        to_target, to_caller = (
+            _Direction(self, is_answer=False),
+            _Direction(self, is_answer=True),
+        )
+        self._directions += [to_target, to_caller]
+        caller = _ProxyEnd(self, to_target)
+        target = _ProxyEnd(self, to_caller)
+        to_caller.destination = caller
+        self.open_ends.add(caller)
+        connecting = connectProtocol(self._target, target)
+
+        def connected(_):
+            self.open_ends.add(target)
             if self.fault is LinkFault.RESET:
                 target.transport.abortConnection()
-            there.other = target
-            if not self.holds(is_answer=False):
-                there.flush()
+            to_target.destination = target
+            if not self.is_held(is_answer=False):
+                to_target.flush()
 
         def failed(_):
             caller.transport.abortConnection()
 
-        opening.addCallbacks(opened, failed)
+        connecting.addCallbacks(connected, failed)
         return caller
 
     def set(self, fault, delay=0.0):
-        """Change what the links do from now on."""
+        """Set the fault of all present and new connections."""
         self.fault, self.delay = fault, delay
         if fault is LinkFault.RESET:
             self.reset()
         elif fault is LinkFault.NONE:
-            for way in self._ways:
-                way.flush()
-            self._ways = [way for way in self._ways if way.other in self.sides]
+            for direction in self._directions:
+                direction.flush()
+            self._directions = [
+                direction
+                for direction in self._directions
+                if direction.destination in self.open_ends
+            ]
 
     def reset(self):
-        """Reset the connections that are open."""
-        for side in list(self.sides):
-            side.transport.abortConnection()
+        """Reset all open connections."""
+        for end in list(self.open_ends):
+            end.transport.abortConnection()
 
     def close(self):
         self.reset()
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The programs under test, as processes, and how they are started and ended."""
+"""The routers under test as processes, and a stand-in for the load balancer."""
 
 from __future__ import annotations
 
@@ -21,10 +21,11 @@
 CALLERS_PORT = 8227
 READY_PORT = 8220
 LINKS_PORT = 7340
-# The balancer asks this often, and two misses take a router out.
-ASK_EVERY = 0.5
-MISSES = 2
-RESTART_AFTER = 0.4
+# The balancer probes each router at this interval; a router that misses two probes
+# in a row gets no new connections.
+PROBE_INTERVAL_SECONDS = 0.5
+MAX_MISSED_PROBES = 2
+RESTART_DELAY_SECONDS = 0.4
 BOUNDS = {
     "drain_ms": 2000,
     "grace_s": 8,
@@ -39,55 +40,56 @@
 }
 
 
-def own_address(number):
-    """Return a loopback address that no other run uses, for one router.
+def router_address(number):
+    """Return a loopback address for one router that no other run uses.
 
-    Ports that the system chooses may be taken while a router is restarted.
+    Addresses with fixed ports are used because a port chosen by the system may be
+    taken by another process while the router is restarted.
     """
     run = os.getpid()
     return f"127.{10 + (run >> 8) % 200}.{run % 256}.{number + 1}"
 
 
-class _Ready(Protocol):
-    """Asks one router whether it is ready."""
+class _ReadinessProbe(Protocol):
+    """Probes the readiness of one router."""
 
-    def __init__(self, answered):
-        self._answered = answered
+    def __init__(self, report):
+        self._report = report
         self._data = b""
 
     def connectionMade(self):
         self.transport.write(b"GET /api/ready HTTP/1.1\r\nHost: r\r\n\r\n")
-        reactor.callLater(ASK_EVERY, self.transport.abortConnection)
+        reactor.callLater(PROBE_INTERVAL_SECONDS, self.transport.abortConnection)
 
     def dataReceived(self, data):
         self._data += data
-        self._answered(self._data.startswith(b"HTTP/1.1 200"))
+        self._report(self._data.startswith(b"HTTP/1.1 200"))
         self.transport.loseConnection()
 
 
 class RouterProcess:
-    """One router, its settings file, its log and its link to the store."""
+    """One router process with its settings file, log and link to the store."""
 
     def __init__(self, number, folder, store_port, history):
         self.name = name = f"r{number}"
-        self.address = own_address(number)
-        self.life = 0
-        self.misses = 0
+        self.address = router_address(number)
+        self.process_number = 0
+        self.missed_probes = 0
         self.is_paused = False
         self.is_stopping = False
-        self._was_open = False
+        self._accepted_connections = False
         self.store = FaultProxy(store_port)
-        self._boot = folder / f"{name}.json"
+        self._settings_path = folder / f"{name}.json"
         self._log = (folder / f"{name}.log").open("ab")
         self._history = history
-        self._child = None
-        self._wanted = False
+        self._process = None
+        self._should_run = False
         self._is_first = True
         self.write_settings()
 
     @property
     def is_running(self):
-        return self._child is not None and self._child.poll() is None
+        return self._process is not None and self._process.poll() is None
 
     def write_settings(self, memory=300):
         """Write the settings file as the platform does."""
@@ -106,19 +108,19 @@
             "bounds": BOUNDS,
             "platform": {"address": f"127.0.0.1:{self.store.port}"},
         }
-        self._boot.write_text(json.dumps(fields))
+        self._settings_path.write_text(json.dumps(fields))
 
     def start(self):
-        """Start the program; it is started again whenever it ends."""
-        self._wanted = True
+        """Start the process; it is restarted whenever it ends."""
+        self._should_run = True
         self.is_stopping = self.is_paused = False
-        self.life += 1
-        self.misses = 0
-        self._child = subprocess.Popen(
+        self.process_number += 1
+        self.missed_probes = 0
+        self._process = subprocess.Popen(
             [sys.executable, "-S", "-OO", "-m", "primrosescale.platform"],
             env={
                 **os.environ,
-                "PRIMROSESCALE_BOOT": str(self._boot),
+                "PRIMROSESCALE_BOOT": str(self._settings_path),
                 "PYTHONPATH": os.pathsep.join(sys.path),
             },
             stdout=self._log,
@@ -126,61 +128,73 @@
         )
         self._is_first = False
 
-    def look_after(self):
-        """Start it again once it has ended; note an end of its own."""
-        if not self._wanted or self._child is None or self._child.poll() is None:
+    def restart_if_ended(self):
+        """Restart the process if it has ended; record an unexpected exit."""
+        if (
+            not self._should_run
+            or self._process is None
+            or self._process.poll() is None
+        ):
             return
-        status = self._child.returncode
+        status = self._process.returncode
         expected = {-signal.SIGKILL}
         if self.is_stopping:
             expected.add(0)
-        if self.is_stopping and not self._was_open:
-            # The interpreter itself was still starting; nobody was connected.
+        if self.is_stopping and not self._accepted_connections:
+            # The interpreter was still starting and no caller was connected.
             expected.add(-signal.SIGTERM)
         if status not in expected:
-            self._history.own_ends.append(f"{self.name} ended with status {status}")
-        self._child = None
+            self._history.unexpected_exits.append(
+                f"{self.name} ended with status {status}"
+            )
+        self._process = None
         self.write_settings()
-        reactor.callLater(RESTART_AFTER, self._start_again)
+        reactor.callLater(RESTART_DELAY_SECONDS, self._start_again)
 
     def _start_again(self):
-        if self._wanted and self._child is None:
+        if self._should_run and self._process is None:
             self.start()
 
-    def ask_to_stop(self):
+    def request_stop(self):
         """Send SIGTERM as the platform does before planned work."""
         self.is_stopping = True
         with socket.socket() as probe:
-            self._was_open = probe.connect_ex((self.address, CALLERS_PORT)) == 0
+            self._accepted_connections = (
+                probe.connect_ex((self.address, CALLERS_PORT)) == 0
+            )
         self.signal(signal.SIGTERM)
 
     def signal(self, number):
-        """Send a signal to the process that was started, if it lives."""
+        """Send a signal to the process if it is running."""
         if self.is_running:
-            self._child.send_signal(number)
+            self._process.send_signal(number)
 
-    def end(self):
-        """End it for good."""
-        self._wanted = False
+    def kill(self):
+        """Kill the process without a restart, and close its log and link."""
+        self._should_run = False
         if self.is_running:
-            self._child.send_signal(signal.SIGKILL)
-            self._child.wait()
+            self._process.send_signal(signal.SIGKILL)
+            self._process.wait()
         self._log.close()
         return self.store.close()
 
-    def ask_ready(self):
-        """Count a miss unless the router says that it is ready."""
-        self.misses += 1
-        way = TCP4ClientEndpoint(reactor, self.address, READY_PORT, ASK_EVERY)
-        connectProtocol(way, _Ready(self._told)).addErrback(lambda _: None)
+    def probe_readiness(self):
+        """Count a missed probe unless the router answers that it is ready."""
+        self.missed_probes += 1
+        endpoint = TCP4ClientEndpoint(
+            reactor, self.address, READY_PORT, PROBE_INTERVAL_SECONDS
+        )
+        connectProtocol(endpoint, _ReadinessProbe(self._record_readiness)).addErrback(
+            lambda _: None
+        )
 
-    def _told(self, is_ready):
+    def _record_readiness(self, is_ready):
         if is_ready:
-            self.misses = 0
+            self.missed_probes = 0
 
 
 class Fleet:
-    """All routers, and the balancer before them."""
+    """All routers, and the load balancer in front of them."""
 
     def __init__(self, count, folder, store_port, history):
         self.routers = [
@@ -189,22 +203,25 @@
         self._loops = []
 
     def start(self):
-        """Start all routers and look after them."""
+        """Start all routers, their restarts and the readiness probes."""
         for router in self.routers:
             router.start()
-            for act, every in ((router.look_after, 0.1), (router.ask_ready, ASK_EVERY)):
-                loop = LoopingCall(act)
-                loop.start(every)
+            for check, interval_seconds in (
+                (router.restart_if_ended, 0.1),
+                (router.probe_readiness, PROBE_INTERVAL_SECONDS),
+            ):
+                loop = LoopingCall(check)
+                loop.start(interval_seconds)
                 self._loops.append(loop)
 
     def choose(self, rng):
-        """Return a router for a new connection."""
-        ready = [r for r in self.routers if r.misses < MISSES]
+        """Return a random ready router for a new connection."""
+        ready = [r for r in self.routers if r.missed_probes < MAX_MISSED_PROBES]
         return rng.choice(ready or self.routers)
 
     def stop(self):
-        """End all processes that were started."""
+        """Kill all router processes."""
         for loop in self._loops:
             loop.stop()
         for router in self.routers:
-            router.end()
+            router.kill()
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -1,6 +1,6 @@
-"""What must always hold, checked on what callers and targets saw.
+"""The routers' promises, checked on what callers and targets recorded.
 
-Each check takes a history and returns what breaks the promise, as lines.
+Each check takes a history and yields one line for each violation of its promise.
 """
 
 from __future__ import annotations
@@ -16,81 +16,86 @@
 DENIALS = {401, 403, 404}
 STREAMS = {"story", "draft"}
 EVENT = re.compile(rb"id: (\d+)\ndata: (\S+)\n\n")
-# Bounds as the soak's settings file states them, in seconds.
-DRAIN = 2.0
-REVOKE = 5.0
-IN_FORCE = 2.0
-NEVER_BACK = 0.25
-# Time after a fault of a link in which what it held back may still come.
-LINK_CALM = 3.0
-STOP_GRACE = 8.0
-EVACUATED = 5.0
-# From when on a rest counts, and the requests of one router that may come in it.
-REST_BEGINS = 0.5
-REST_MOST = 2
-# Requests that a cold model engine may get in a second.
-COLD_MOST = 20
-# What the callers' own clock may be off by: both ends are one process.
-SLACK = 0.1
+# Bounds from the settings file of the soak's routers, in seconds.
+DRAIN_SECONDS = 2.0
+REVOKE_SECONDS = 5.0
+IN_FORCE_SECONDS = 2.0
+VERSION_GRACE_SECONDS = 0.25
+# After a link fault, requests that the link held back may arrive for this long.
+LINK_DELIVERY_SECONDS = 3.0
+STOP_GRACE_SECONDS = 8.0
+EVACUATION_SECONDS = 5.0
+# A requested pause is judged from this time on; one router may send this many
+# requests during it.
+PAUSE_EFFECTIVE_SECONDS = 0.5
+MAX_REQUESTS_IN_PAUSE = 2
+# Requests that a cold model engine may receive within one second.
+MAX_COLD_RUNS_PER_SECOND = 20
+# Tolerance for times recorded by callers and targets, which share one process.
+SLACK_SECONDS = 0.1
 BUDGET_RATIO = 0.2
-BUDGET_WINDOW = 10.0
-BUDGET_EXTRA = 30.0
+BUDGET_WINDOW_SECONDS = 10.0
+BUDGET_EXTRA_REQUESTS = 30.0
 LOAD_MULTIPLE = 2.0
-LOAD_MARGIN = 3.0
-LOAD_SHARE = 0.03
-LOAD_LEAST = 20
-RECOVERED_AFTER = 6.0
-RECOVERED_SHARE = 0.9
-ANSWER_SLACK = 0.5
-# Time until each calm router has sent work to a target that came (back), if it
-# had at least so many requests for its service.
-AT_WORK = 5.0
-AT_WORK_LEAST = {"portal": 40, "model": 30}
-# Time after which nothing of a life that has ended reaches a caller.
-LIFE_OVER = 1.0
-# Ends of targets under a request after which it is held back, the time in which
-# routers hear of them, and how many more it may reach.
-HARM_ENDS = 3
-HARM_HEARD = 3.0
-HARM_MORE = 3
-# Share of the requests that get to the neighbours of an entry that names nothing.
-NEIGHBOURS_SHARE = 0.5
-NEIGHBOURS_LEAST = 20
+LOAD_MARGIN_REQUESTS = 3.0
+MAX_OVERLOAD_SHARE = 0.03
+MIN_OVERLOADS = 20
+RECOVERY_SECONDS = 6.0
+MIN_RECOVERED_SHARE = 0.9
+ANSWER_SLACK_SECONDS = 0.5
+# Time within which each undisturbed router must have sent requests to a target that
+# was listed (again), if it had at least this many requests for the service.
+WORK_WITHIN_SECONDS = 5.0
+MIN_REQUESTS_BY_SERVICE = {"portal": 40, "model": 30}
+# Time after which no answer of an ended incarnation may reach a caller.
+FORMER_ANSWER_SECONDS = 1.0
+# A request is held back after it ended this many targets. Routers exchange reports of
+# the ends within this time; after it, the request may reach this many more targets.
+ENDS_UNTIL_HELD_BACK = 3
+HARM_EXCHANGE_SECONDS = 3.0
+MAX_LATE_ARRIVALS = 3
+# Minimum share of requests that must reach the other targets of a service while
+# another writer's entry is in its list, and the requests needed to judge it.
+MIN_NEIGHBOUR_SHARE = 0.5
+MIN_NEIGHBOUR_REQUESTS = 20
 
 
 def at_most_once(history):
-    """Nothing that may run once runs twice."""
-    for name, runs in history.runs_of().items():
-        asked = history.asked.get(name)
-        if asked is None:
-            yield f"{name} ran though nobody sent it"
-        elif not asked.may_repeat and len(runs) > 1:
-            yield f"{name} ({asked.kind}) ran {len(runs)} times"
+    """A request that may run only once never runs twice."""
+    for name, runs in history.runs_by_request().items():
+        request = history.sent_requests.get(name)
+        if request is None:
+            yield f"{name} ran though no caller sent it"
+        elif not request.may_retry and len(runs) > 1:
+            yield f"{name} ({request.kind}) ran {len(runs)} times"
 
 
 def not_run_is_true(history):
-    """A refusal that says "not run" is never contradicted by a target."""
-    runs = history.runs_of()
-    for asked in history.asked.values():
-        refused = asked.outcome == ANSWERED and asked.status in REFUSALS
-        if refused and asked.name in runs:
-            yield f"{asked.name} was refused with {asked.status} and has run"
-
-
-def answers_are_whole(history, events):
-    """A success is the whole answer to the caller's own request."""
-    for asked in history.asked.values():
-        if asked.outcome != ANSWERED or asked.status != OK:
+    """A request that was refused as not run did not run at any target."""
+    runs = history.runs_by_request()
+    for request in history.sent_requests.values():
+        refused = request.outcome == ANSWERED and request.status in REFUSALS
+        if refused and request.name in runs:
+            yield f"{request.name} was refused with {request.status} and has run"
+
+
+def answers_are_complete(history, events):
+    """A successful answer is complete and belongs to the caller's own request."""
+    for request in history.sent_requests.values():
+        if request.outcome != ANSWERED or request.status != OK:
             continue
-        if asked.echoed != asked.name:
-            yield f"{asked.name} got the answer to {asked.echoed or 'nobody'}"
-        elif asked.kind in STREAMS:
-            found = EVENT.findall(asked.body)
-            wanted = [(b"%d" % n, asked.name.encode()) for n in range(1, events + 1)]
+        if request.echoed != request.name:
+            yield f"{request.name} got the answer to {request.echoed or 'nobody'}"
+        elif request.kind in STREAMS:
+            found = EVENT.findall(request.body)
+            wanted = [(b"%d" % n, request.name.encode()) for n in range(1, events + 1)]
             if found != wanted:
-                yield f"{asked.name} got events {[int(n) for n, _ in found]} as whole"
-        elif asked.body != b"done for %b" % asked.name.encode():
-            yield f"{asked.name} got another body: {asked.body[:60]!r}"
+                yield (
+                    f"{request.name} got events {[int(n) for n, _ in found]} as a"
+                    f" complete answer"
+                )
+        elif request.body != b"done for %b" % request.name.encode():
+            yield f"{request.name} got another body: {request.body[:60]!r}"
 
 
 def withdrawn_keys_end(history):
@@ -99,283 +104,332 @@
     for version in history.versions:
         for key in version.keys:
             last_held[key] = version.number
-    gone_at = {}
+    withdrawn_at = {}
     for key, number in last_held.items():
         later = [v.acked_at for v in history.versions if v.number > number]
         if later:
-            gone_at[key] = min(later)
-    for name in history.runs_of():
-        asked = history.asked.get(name)
-        if asked is None or asked.key not in gone_at:
+            withdrawn_at[key] = min(later)
+    for name in history.runs_by_request():
+        request = history.sent_requests.get(name)
+        if request is None or request.key not in withdrawn_at:
             continue
-        late = asked.sent_at - gone_at[asked.key]
-        if late > REVOKE + SLACK:
-            yield f"{name} ran with a key withdrawn {late:.2f} s before"
+        delay = request.sent_at - withdrawn_at[request.key]
+        if delay > REVOKE_SECONDS + SLACK_SECONDS:
+            yield f"{name} ran with a key withdrawn {delay:.2f} s before"
 
 
 def leaving_targets_get_no_work(history):
-    """A target that said it leaves gets nothing new after the bound.
+    """A target listed as draining gets no new request after the bound.
 
-    What was meant for a former target at its address, and waited on the way, counts
-    for neither: the target says that it is another one. Nor does what the link to it
-    has held back.
+    Two kinds of late requests are allowed: those meant for a former target at the same
+    address, which the present one answers as misdirected, and those that the link to
+    the target held back.
     """
-    for run in history.ran:
-        if run.is_misdirected or _was_held_back(history, run):
+    for delivery in history.ran:
+        if delivery.is_misdirected or _was_held_back(history, delivery):
             continue
-        told_at = history.draining.get((run.target, run.start))
-        asked = history.asked.get(run.name)
-        if told_at is None or asked is None:
+        notified_at = history.draining.get((delivery.target, delivery.start))
+        request = history.sent_requests.get(delivery.name)
+        if notified_at is None or request is None:
             continue
-        late = run.at - told_at
-        scopes = {asked.router, "store", f"store of {asked.router}"}
-        if late > DRAIN + SLACK and history.is_calm(told_at, run.at, scopes):
-            yield f"{run.name} reached {run.target} {late:.2f} s after its notice"
+        delay = delivery.at - notified_at
+        scopes = {request.router, "store", f"store of {request.router}"}
+        if delay > DRAIN_SECONDS + SLACK_SECONDS and history.is_undisturbed(
+            notified_at, delivery.at, scopes
+        ):
+            yield (
+                f"{delivery.name} reached {delivery.target} {delay:.2f} s after its"
+                f" notice"
+            )
 
 
-def _was_held_back(history, run):
-    """Tell whether the link to a run's target was harmed just before it came."""
-    return _is_link_harmed(history, run.target, run.at - LINK_CALM, run.at)
+def _was_held_back(history, delivery):
+    """Tell whether the link to the target was faulty just before the delivery."""
+    return _is_link_harmed(
+        history, delivery.target, delivery.at - LINK_DELIVERY_SECONDS, delivery.at
+    )
 
 
 def _is_link_harmed(history, target, began, ended):
-    """Tell whether the link to a target was harmed at some moment of a time."""
+    """Tell whether the link to a target was faulty at some moment of a period."""
     return any(
-        trouble.scope == target
-        and trouble.kind.startswith("link")
-        and trouble.began <= ended
-        and (trouble.ended is None or trouble.ended >= began)
-        for trouble in history.troubles
+        disturbance.scope == target
+        and disturbance.kind.startswith("link")
+        and disturbance.began <= ended
+        and (disturbance.ended is None or disturbance.ended >= began)
+        for disturbance in history.disturbances
     )
 
 
 def planned_stops_cut_nothing(history):
-    """A router that is asked to stop finishes what it has."""
-    for router, life, told_at in history.stops:
-        for asked in history.asked.values():
-            if (asked.router, asked.life) != (router, life) or asked.outcome != CUT:
+    """A router that is asked to stop finishes its requests in flight."""
+    for router, process, notified_at in history.planned_stops:
+        for request in history.sent_requests.values():
+            if (request.router, request.process_number) != (
+                router,
+                process,
+            ) or request.outcome != CUT:
                 continue
-            ended = asked.ended_at or asked.sent_at
-            if not told_at - STOP_GRACE <= asked.sent_at <= told_at + 2.0:
+            ended = request.ended_at or request.sent_at
+            if (
+                not notified_at - STOP_GRACE_SECONDS
+                <= request.sent_at
+                <= notified_at + 2.0
+            ):
                 continue
-            if ended < told_at or ended - told_at > STOP_GRACE - 1.0:
+            if ended < notified_at or ended - notified_at > STOP_GRACE_SECONDS - 1.0:
                 continue
-            everything = {t.scope for t in history.troubles if not t.is_planned}
-            if history.is_calm(asked.sent_at, ended, everything):
-                yield f"{asked.name} was cut by the planned stop of {router}"
+            all_scopes = {t.scope for t in history.disturbances if not t.is_planned}
+            if history.is_undisturbed(request.sent_at, ended, all_scopes):
+                yield f"{request.name} was cut by the planned stop of {router}"
 
 
 def versions_come_and_stay(history):
-    """A version is in force in time and is never left for an older one."""
+    """A version is in force in time and is never replaced by an older one."""
     acked = {version.number: version for version in history.versions}
     seen = {}
-    probes = [a for a in history.asked.values() if a.version and a.outcome == ANSWERED]
-    for asked in sorted(probes, key=lambda a: a.ended_at):
-        life = (asked.router, asked.life)
-        if asked.status == OK and asked.version > seen.get(life, (0, 0.0))[0]:
-            seen[life] = (asked.version, asked.ended_at)
-    for asked in probes:
-        life = (asked.router, asked.life)
-        newest, since = seen.get(life, (0, 0.0))
-        version = acked[asked.version]
-        since_then = [v for v in history.versions if v.number >= asked.version]
-        is_held = all(asked.key in v.keys for v in since_then)
-        is_dropped = since_then[-1].number > asked.version + 1
-        scopes = {asked.router, "store", f"store of {asked.router}"}
-        after = asked.sent_at - version.acked_at
-        if asked.status in DENIALS and is_held and not is_dropped:
-            is_calm = history.is_calm(version.acked_at, asked.ended_at, scopes)
-            if after > IN_FORCE + SLACK and is_calm:
-                yield f"{asked.name} on version {asked.version} got {asked.status}"
-            if newest >= asked.version and asked.sent_at > since + NEVER_BACK:
-                yield f"{asked.name}: {asked.router} went back before {newest}"
-        if asked.status == OK and newest > asked.version + 1:
-            if asked.sent_at > since + NEVER_BACK:
-                yield f"{asked.name}: {asked.router} went back from {newest}"
-
-
-def repeats_are_bounded(history):
-    """Retries of all routers together stay within their budget."""
+    probes = [
+        a for a in history.sent_requests.values() if a.version and a.outcome == ANSWERED
+    ]
+    for request in sorted(probes, key=lambda a: a.ended_at):
+        process = (request.router, request.process_number)
+        if request.status == OK and request.version > seen.get(process, (0, 0.0))[0]:
+            seen[process] = (request.version, request.ended_at)
+    for request in probes:
+        process = (request.router, request.process_number)
+        newest, since = seen.get(process, (0, 0.0))
+        version = acked[request.version]
+        since_then = [v for v in history.versions if v.number >= request.version]
+        is_held = all(request.key in v.keys for v in since_then)
+        is_dropped = since_then[-1].number > request.version + 1
+        scopes = {request.router, "store", f"store of {request.router}"}
+        after = request.sent_at - version.acked_at
+        if request.status in DENIALS and is_held and not is_dropped:
+            is_undisturbed = history.is_undisturbed(
+                version.acked_at, request.ended_at, scopes
+            )
+            if after > IN_FORCE_SECONDS + SLACK_SECONDS and is_undisturbed:
+                yield (
+                    f"{request.name} on version {request.version} got {request.status}"
+                )
+            if (
+                newest >= request.version
+                and request.sent_at > since + VERSION_GRACE_SECONDS
+            ):
+                yield f"{request.name}: {request.router} went back before {newest}"
+        if request.status == OK and newest > request.version + 1:
+            if request.sent_at > since + VERSION_GRACE_SECONDS:
+                yield f"{request.name}: {request.router} went back from {newest}"
+
+
+def retries_are_bounded(history):
+    """The retries of all routers together stay within the shared retry budget."""
     seen = set()
     arrivals = {}
-    for run in sorted(history.ran, key=lambda r: r.at):
-        if run.name in seen:
-            arrivals.setdefault(run.service, []).append(run.at)
-        seen.add(run.name)
+    for delivery in sorted(history.ran, key=lambda r: r.at):
+        if delivery.name in seen:
+            arrivals.setdefault(delivery.service, []).append(delivery.at)
+        seen.add(delivery.name)
     for service, times in arrivals.items():
-        sent = [a.sent_at for a in history.asked.values() if a.service == service]
+        sent = [
+            a.sent_at for a in history.sent_requests.values() if a.service == service
+        ]
         for end in times:
-            repeats = sum(1 for at in times if end - BUDGET_WINDOW < at <= end)
-            asked = max(
-                sum(1 for at in sent if end - back - BUDGET_WINDOW < at <= end - back)
-                for back in (0.0, BUDGET_WINDOW / 2, BUDGET_WINDOW)
+            retries = sum(1 for at in times if end - BUDGET_WINDOW_SECONDS < at <= end)
+            sent_count = max(
+                sum(
+                    1
+                    for at in sent
+                    if end - back - BUDGET_WINDOW_SECONDS < at <= end - back
+                )
+                for back in (0.0, BUDGET_WINDOW_SECONDS / 2, BUDGET_WINDOW_SECONDS)
             )
-            if repeats > BUDGET_RATIO * asked + BUDGET_EXTRA:
-                yield f"{service} got {repeats} repeats for {asked} requests"
+            if retries > BUDGET_RATIO * sent_count + BUDGET_EXTRA_REQUESTS:
+                yield f"{service} got {retries} retries for {sent_count} requests"
                 break
 
 
 def load_is_even(history):
-    """No target holds more than a multiple of its service's mean in calm times."""
-    calm = [
-        run
-        for run in history.ran
-        if history.is_calm(
-            run.at - 2.0,
-            run.at,
-            {t.scope for t in history.troubles if not t.is_planned},
+    """Without disturbances, few requests reach a target above the load bound."""
+    judged = [
+        delivery
+        for delivery in history.ran
+        if history.is_undisturbed(
+            delivery.at - 2.0,
+            delivery.at,
+            {t.scope for t in history.disturbances if not t.is_planned},
         )
     ]
-    over = [r for r in calm if r.load > LOAD_MULTIPLE * r.mean + LOAD_MARGIN]
-    if len(over) >= LOAD_LEAST and len(over) > LOAD_SHARE * len(calm):
-        yield f"{len(over)} of {len(calm)} requests reached a target over the bound"
+    over = [r for r in judged if r.load > LOAD_MULTIPLE * r.mean + LOAD_MARGIN_REQUESTS]
+    if len(over) >= MIN_OVERLOADS and len(over) > MAX_OVERLOAD_SHARE * len(judged):
+        yield f"{len(over)} of {len(judged)} requests reached a target over the bound"
 
 
 def answers_come_in_time(history):
-    """A calm router leaves no caller without an answer at the deadline."""
-    for asked in history.asked.values():
-        ended = asked.ended_at
+    """An undisturbed router answers each caller by the deadline."""
+    for request in history.sent_requests.values():
+        ended = request.ended_at
         if ended is None:
             continue
-        late = ended - asked.sent_at - asked.deadline
-        if late > ANSWER_SLACK and history.is_calm(
-            asked.sent_at, ended, {asked.router, "store", f"store of {asked.router}"}
+        delay = ended - request.sent_at - request.deadline
+        if delay > ANSWER_SLACK_SECONDS and history.is_undisturbed(
+            request.sent_at,
+            ended,
+            {request.router, "store", f"store of {request.router}"},
         ):
-            yield f"{asked.name} had no answer {late:.2f} s after its deadline"
+            yield f"{request.name} had no answer {delay:.2f} s after its deadline"
 
 
-def former_lives_are_over(history):
-    """An answer is of a life that ran the request, and comes while it lasts."""
-    runs = history.runs_of()
-    for asked in history.asked.values():
-        if asked.outcome != ANSWERED or asked.status != OK or not asked.signed:
+def former_incarnations_do_not_answer(history):
+    """An answer is signed by an incarnation that ran the request and has not ended."""
+    runs = history.runs_by_request()
+    for request in history.sent_requests.values():
+        if request.outcome != ANSWERED or request.status != OK or not request.signed:
             continue
-        target, _, start = asked.signed.rpartition("/")
-        lives = {(run.target, run.start) for run in runs.get(asked.name, ())}
-        if (target, int(start)) not in lives:
-            yield f"{asked.name} got an answer of {asked.signed}, where it never ran"
+        target, _, start = request.signed.rpartition("/")
+        incarnations = {
+            (delivery.target, delivery.start) for delivery in runs.get(request.name, ())
+        }
+        if (target, int(start)) not in incarnations:
+            yield (
+                f"{request.name} got an answer of {request.signed}, where it never ran"
+            )
             continue
-        ends = [history.ended.get(life) for life in lives]
+        ends = [history.ended.get(incarnation) for incarnation in incarnations]
         if None in ends:
             continue
-        late = asked.ended_at - max(ends)
-        if late > LIFE_OVER and history.is_calm(
-            max(ends), asked.ended_at, {asked.router}
+        delay = request.ended_at - max(ends)
+        if delay > FORMER_ANSWER_SECONDS and history.is_undisturbed(
+            max(ends), request.ended_at, {request.router}
         ):
-            yield f"{asked.name} got an answer of {target} {late:.2f} s after its end"
+            yield (
+                f"{request.name} got an answer of {target} {delay:.2f} s after its end"
+            )
 
 
 def good_entries_get_work(history):
-    """Each calm router sends work to a target whose entry is there again."""
-    for entry, router, until, has_worked in _at_work(history):
-        if not has_worked:
-            late = until - entry.at
-            yield f"{entry.target} got nothing from {router} in {late:.2f} s"
+    """Each undisturbed router sends requests to a target that is listed again."""
+    for entry, router, until, got_work in _judged_entries(history):
+        if not got_work:
+            delay = until - entry.at
+            yield f"{entry.target} got nothing from {router} in {delay:.2f} s"
 
 
-def _at_work(history):
-    """Return each good entry and calm router, by when it had enough to send.
+def _judged_entries(history):
+    """Yield each valid entry with a router that must have sent it requests by a time.
 
-    What is judged is the time after the last trouble that touched the router or
-    the store, and before the first of the target's own, which may keep routers away
-    from it for longer. Model engines are chosen by what they hold, so only new
-    chats count there, and all routers as one.
+    The judged period begins after the last disturbance of the router or the store. It
+    ends before the first disturbance of the target, which may keep routers away from
+    it for longer. Routers prefer model engines with cached prefixes, so for models
+    only requests of new chats count, and all routers are judged together.
     """
-    asked_by = _asked_by_router(history)
-    came = {}
-    for run in history.ran:
-        if run.name in history.asked:
-            came.setdefault((run.target, run.start), []).append(run)
+    requests_by_router = _requests_by_router(history)
+    received = {}
+    for delivery in history.ran:
+        if delivery.name in history.sent_requests:
+            received.setdefault((delivery.target, delivery.start), []).append(delivery)
     for entry in history.listed:
-        gone_at = _untouched_until(history, entry)
-        each = [(router,) for router in asked_by]
-        groups = [tuple(asked_by)] if entry.service == "model" else each
-        least = AT_WORK_LEAST[entry.service]
+        withdrawn_at = _undisturbed_until(history, entry)
+        each = [(router,) for router in requests_by_router]
+        groups = [tuple(requests_by_router)] if entry.service == "model" else each
+        required = MIN_REQUESTS_BY_SERVICE[entry.service]
         for group in groups:
             scopes = {"store", *group}
             scopes |= {f"store of {router}" for router in group}
-            since = history.calm_since(entry.at, gone_at, scopes)
+            since = history.undisturbed_since(entry.at, withdrawn_at, scopes)
             times = sorted(
-                asked.sent_at
+                request.sent_at
                 for router in group
-                for asked in asked_by[router]
-                if asked.service == entry.service
-                and asked.is_new
-                # Its news of the entry needs a moment to come.
-                and since + IN_FORCE < asked.sent_at < gone_at
+                for request in requests_by_router[router]
+                if request.service == entry.service
+                and request.is_new_chat
+                # The router needs this long to learn of the entry.
+                and since + IN_FORCE_SECONDS < request.sent_at < withdrawn_at
             )
-            if len(times) < least:
+            if len(times) < required:
                 continue
-            until = max(since + AT_WORK, times[least - 1]) + SLACK
-            if until > gone_at:
+            until = (
+                max(since + WORK_WITHIN_SECONDS, times[required - 1]) + SLACK_SECONDS
+            )
+            if until > withdrawn_at:
                 continue
-            has_worked = any(
-                since <= run.at <= until and history.asked[run.name].router in group
-                for run in came.get((entry.target, entry.start), ())
+            got_work = any(
+                since <= delivery.at <= until
+                and history.sent_requests[delivery.name].router in group
+                for delivery in received.get((entry.target, entry.start), ())
             )
-            yield entry, " and ".join(group), until, has_worked
+            yield entry, " and ".join(group), until, got_work
 
 
-def _untouched_until(history, entry):
-    """Return until when an entry stood with no trouble at its target.
+def _undisturbed_until(history, entry):
+    """Return until when an entry was listed without a disturbance of its target.
 
-    One that says in its answers that it leaves is owed no work, however long after
-    that its entry stands there.
+    A target that reports in its answers that it leaves needs to get no requests,
+    however long its entry stays listed.
     """
     began = (
-        max(trouble.began, entry.at)
-        for trouble in history.troubles
-        if trouble.scope in entry.scopes
-        and (trouble.ended is None or trouble.ended > entry.at)
+        max(disturbance.began, entry.at)
+        for disturbance in history.disturbances
+        if disturbance.scope in entry.scopes
+        and (disturbance.ended is None or disturbance.ended > entry.at)
     )
-    said = (
-        told_at
-        for (target, start, *_), told_at in _first_leaving_answers(history).items()
+    reported = (
+        notified_at
+        for (target, start, *_), notified_at in _first_leaving_reports(history).items()
         if (target, start) == (entry.target, entry.start)
     )
-    return min([entry.until, *began, *said])
+    return min([entry.until, *began, *reported])
 
 
-def _asked_by_router(history):
-    """Return what each router was asked and could pass on, in order."""
+def _requests_by_router(history):
+    """Return the requests with a valid key to each router, in order of sending."""
     newest = set(history.versions[-1].keys) if history.versions else set()
     found = {}
-    for asked in sorted(history.asked.values(), key=lambda a: a.sent_at):
-        if asked.key in newest and not asked.version:
-            found.setdefault(asked.router, []).append(asked)
+    for request in sorted(history.sent_requests.values(), key=lambda a: a.sent_at):
+        if request.key in newest and not request.version:
+            found.setdefault(request.router, []).append(request)
     return found
 
 
 def foreign_entries_get_no_work(history):
-    """What another writer's entry names gets no request once that is known."""
-    for entry in history.foreign:
-        for run in history.ran:
-            asked = history.asked.get(run.name)
-            if run.target != entry.target or asked is None or run.at > entry.until:
+    """The target named by another writer's invalid entry gets no late request."""
+    for entry in history.foreign_entries:
+        for delivery in history.ran:
+            request = history.sent_requests.get(delivery.name)
+            if (
+                delivery.target != entry.target
+                or request is None
+                or delivery.at > entry.until
+            ):
                 continue
-            if run.is_misdirected:
-                # Sent by the entry of the target before it at that address.
+            if delivery.is_misdirected:
+                # Sent to the former target at the same address.
                 continue
-            scopes = {asked.router, "store", f"store of {asked.router}"}
-            late = run.at - history.calm_since(entry.at, run.at, scopes)
-            if late > IN_FORCE + SLACK:
-                yield f"{run.name} reached {run.target} {late:.2f} s after its entry"
+            scopes = {request.router, "store", f"store of {request.router}"}
+            delay = delivery.at - history.undisturbed_since(
+                entry.at, delivery.at, scopes
+            )
+            if delay > IN_FORCE_SECONDS + SLACK_SECONDS:
+                yield (
+                    f"{delivery.name} reached {delivery.target} {delay:.2f} s after its"
+                    f" entry"
+                )
 
 
 def neighbours_keep_work(history):
-    """Targets beside an entry of another writer get work as before."""
-    for entry, router, sent, got in _beside_foreign(history):
-        if got < NEIGHBOURS_SHARE * sent:
+    """An entry of another writer does not keep requests from the other targets."""
+    for entry, router, sent, served in _neighbour_requests(history):
+        if served < MIN_NEIGHBOUR_SHARE * sent:
             yield (
-                f"{got} of {sent} requests at {router} got to the targets"
+                f"{served} of {sent} requests at {router} got to the targets"
                 f" beside {entry.target}"
             )
 
 
-def _beside_foreign(history):
-    """Return each foreign entry and router, what it was sent and passed on."""
-    runs = history.runs_of()
-    for entry in history.foreign:
+def _neighbour_requests(history):
+    """Yield each foreign entry, router, and its counts of sent and served requests."""
+    runs = history.runs_by_request()
+    for entry in history.foreign_entries:
         others = {
             good.target
             for good in history.listed
@@ -383,240 +437,276 @@
             and good.target != entry.target
             and good.at < entry.at
             and good.until >= entry.until
-            and history.is_calm(entry.at, entry.until, good.scopes)
+            and history.is_undisturbed(entry.at, entry.until, good.scopes)
         }
-        # There has to be something beside it that may get work.
+        # Without another listed target, no request can be served.
         if not others:
             continue
-        for router, all_asked in _asked_by_router(history).items():
+        for router, all_requests in _requests_by_router(history).items():
             scopes = {router, "store", f"store of {router}"}
             sent = [
-                asked
-                for asked in all_asked
-                if asked.service == entry.service
-                and asked.sent_at < entry.until - asked.deadline / 2
-                and asked.sent_at > history.calm_since(entry.at, asked.sent_at, scopes)
+                request
+                for request in all_requests
+                if request.service == entry.service
+                and request.sent_at < entry.until - request.deadline / 2
+                and request.sent_at
+                > history.undisturbed_since(entry.at, request.sent_at, scopes)
             ]
-            got = [
-                asked
-                for asked in sent
-                if any(r.target != entry.target for r in runs.get(asked.name, ()))
+            served = [
+                request
+                for request in sent
+                if any(r.target != entry.target for r in runs.get(request.name, ()))
             ]
-            if len(sent) >= NEIGHBOURS_LEAST:
-                yield entry, router, len(sent), len(got)
+            if len(sent) >= MIN_NEIGHBOUR_REQUESTS:
+                yield entry, router, len(sent), len(served)
 
 
-def _over_a_silence(history):
-    """Return the streams that were at a silent target, and the silence."""
-    runs = history.runs_of()
+def _streams_over_silences(history):
+    """Return the streams that ran at a target during its silence, and the silence."""
+    runs = history.runs_by_request()
     found = []
     for silence in history.silences:
-        for asked in history.asked.values():
-            ran = [r for r in runs.get(asked.name, ()) if r.at < silence.ended]
-            if asked.kind not in STREAMS or asked.outcome == LEFT:
+        for request in history.sent_requests.values():
+            delivered = [r for r in runs.get(request.name, ()) if r.at < silence.ended]
+            if request.kind not in STREAMS or request.outcome == LEFT:
                 continue
-            if silence.target not in {r.target for r in ran} or not asked.ended_at:
+            if (
+                silence.target not in {r.target for r in delivered}
+                or not request.ended_at
+            ):
                 continue
-            places = {r.target for r in runs[asked.name]}
-            scopes = {f"{of}{name}" for name in places for of in ("", "life of ")}
-            if asked.ended_at > silence.began and history.is_calm(
-                asked.sent_at, asked.ended_at, {asked.router, *scopes}
+            targets = {r.target for r in runs[request.name]}
+            scopes = {f"{of}{name}" for name in targets for of in ("", "life of ")}
+            if request.ended_at > silence.began and history.is_undisturbed(
+                request.sent_at, request.ended_at, {request.router, *scopes}
             ):
-                found.append((asked, silence))
+                found.append((request, silence))
     return found
 
 
 def silence_ends_no_answer(history):
-    """A stream at a target that falls silent for a while ends whole."""
-    for asked, silence in _over_a_silence(history):
-        if asked.outcome != ANSWERED or asked.status != OK:
-            how = f"{asked.outcome} {asked.status}"
-            yield f"{asked.name} at {silence.target}, which was silent, ended: {how}"
+    """A stream at a target that is silent for a while is answered completely."""
+    for request, silence in _streams_over_silences(history):
+        if request.outcome != ANSWERED or request.status != OK:
+            how = f"{request.outcome} {request.status}"
+            yield f"{request.name} at {silence.target}, which was silent, ended: {how}"
 
 
-def judged(history):
-    """Return how much the checks of what is seldom had to judge."""
-    streams = _over_a_silence(history)
+def count_judged(history):
+    """Count the cases that the checks of rare events judged."""
+    streams = _streams_over_silences(history)
     return {
         "streams over a silence": len(streams),
         "at the only target": sum(1 for _, s in streams if s.is_alone),
         "silences": len(history.silences),
-        "targets ended by requests": sum(len(h.ends) for h in history.harm.values()),
+        "targets ended by requests": sum(
+            len(h.ends) for h in history.harmful_contents.values()
+        ),
         "restarts": len(history.ended),
         "evacuations": len(history.evacuations),
-        "runs in evacuated domains": sum(1 for _ in _in_evacuated(history)),
-        "answers that said that a target leaves": len(_first_leaving_answers(history)),
-        "rests asked for": sum(1 for _ in _in_rests(history)),
+        "runs in evacuated domains": sum(
+            1 for _ in _runs_in_evacuated_domains(history)
+        ),
+        "answers that said that a target leaves": len(_first_leaving_reports(history)),
+        "rests asked for": sum(1 for _ in _requests_in_pauses(history)),
         "cold targets": len(history.cold),
         "runs at cold targets": sum(
             len(_runs_while_cold(history, cold)) for cold in history.cold
         ),
-        "good entries at a router": sum(1 for _ in _at_work(history)),
-        "entries of other writers": len(history.foreign),
-        "their neighbours at a router": sum(1 for _ in _beside_foreign(history)),
+        "good entries at a router": sum(1 for _ in _judged_entries(history)),
+        "entries of other writers": len(history.foreign_entries),
+        "their neighbours at a router": sum(1 for _ in _neighbour_requests(history)),
     }
 
 
 def evacuated_domains_get_no_work(history):
-    """A target of a failure domain that was evacuated gets nothing after the bound."""
-    for run, evacuation, late in _in_evacuated(history):
-        if late > EVACUATED + SLACK:
-            yield f"{run.name} reached {run.target} {late:.2f} s after {evacuation.at}"
+    """A target of an evacuated failure domain gets no request after the bound."""
+    for delivery, evacuation, delay in _runs_in_evacuated_domains(history):
+        if delay > EVACUATION_SECONDS + SLACK_SECONDS:
+            yield (
+                f"{delivery.name} reached {delivery.target} {delay:.2f} s after"
+                f" {evacuation.at}"
+            )
 
 
-def _in_evacuated(history):
-    """Return each run in an evacuated domain, and how late it was sent there."""
+def _runs_in_evacuated_domains(history):
+    """Yield each run in an evacuated domain and its time since the evacuation."""
     for evacuation in history.evacuations:
-        for run in history.ran:
-            asked = history.asked.get(run.name)
-            if run.domain != evacuation.domain or asked is None or not run.has_run:
+        for delivery in history.ran:
+            request = history.sent_requests.get(delivery.name)
+            if (
+                delivery.domain != evacuation.domain
+                or request is None
+                or not delivery.has_run
+            ):
                 continue
-            if not evacuation.at < run.at < evacuation.until:
+            if not evacuation.at < delivery.at < evacuation.until:
                 continue
-            scopes = {asked.router, "store", f"store of {asked.router}"}
-            if history.is_calm(evacuation.at, run.at, scopes):
-                yield run, evacuation, run.at - evacuation.at
+            scopes = {request.router, "store", f"store of {request.router}"}
+            if history.is_undisturbed(evacuation.at, delivery.at, scopes):
+                yield delivery, evacuation, delivery.at - evacuation.at
 
 
 def cold_targets_get_their_rate(history):
-    """A cold target gets no more in any second than it bears, whoever sends it."""
+    """A cold target gets no more requests in any second than its limit, in total."""
     for cold in history.cold:
         times = _runs_while_cold(history, cold)
-        for first, last in zip(times, times[COLD_MOST:], strict=False):
+        for first, last in zip(times, times[MAX_COLD_RUNS_PER_SECOND:], strict=False):
             if last - first < 1.0:
-                yield f"{cold.target} got over {COLD_MOST} in the second of {first:.2f}"
+                yield (
+                    f"{cold.target} got over {MAX_COLD_RUNS_PER_SECOND} in the second"
+                    f" of {first:.2f}"
+                )
                 break
 
 
 def _runs_while_cold(history, cold):
     return sorted(
-        run.at
-        for run in history.ran
-        if (run.target, run.start) == (cold.target, cold.start)
-        and run.has_run
-        and cold.at <= run.at <= cold.until
+        delivery.at
+        for delivery in history.ran
+        if (delivery.target, delivery.start) == (cold.target, cold.start)
+        and delivery.has_run
+        and cold.at <= delivery.at <= cold.until
     )
 
 
 def leaving_answers_end_work(history):
-    """A router that passed on that a target leaves sends it nothing after the bound."""
-    first = _first_leaving_answers(history)
-    for run in history.ran:
-        asked = history.asked.get(run.name)
-        if asked is None:
+    """A router that passed on a target's leaving report sends it no late requests."""
+    first = _first_leaving_reports(history)
+    for delivery in history.ran:
+        request = history.sent_requests.get(delivery.name)
+        if request is None:
             continue
-        told_at = first.get((run.target, run.start, asked.router, asked.life))
-        if told_at is None or asked.sent_at - told_at <= DRAIN + SLACK:
+        notified_at = first.get(
+            (delivery.target, delivery.start, request.router, request.process_number)
+        )
+        if (
+            notified_at is None
+            or request.sent_at - notified_at <= DRAIN_SECONDS + SLACK_SECONDS
+        ):
             continue
-        if history.is_calm(told_at, run.at, {asked.router}):
-            late = asked.sent_at - told_at
-            yield f"{run.name} reached {run.target} {late:.2f} s after its own notice"
+        if history.is_undisturbed(notified_at, delivery.at, {request.router}):
+            delay = request.sent_at - notified_at
+            yield (
+                f"{delivery.name} reached {delivery.target} {delay:.2f} s after its"
+                f" own notice"
+            )
 
 
-def _first_leaving_answers(history):
-    """Return when each router first passed on that a life of a target leaves."""
+def _first_leaving_reports(history):
+    """Return when each router first passed on that an incarnation leaves."""
     first = {}
-    for asked in history.asked.values():
-        if asked.left_at is None or not asked.signed:
+    for request in history.sent_requests.values():
+        if request.leaving_reported_at is None or not request.signed:
             continue
-        target, _, start = asked.signed.rpartition("/")
-        key = (target, int(start), asked.router, asked.life)
-        first[key] = min(asked.left_at, first.get(key, asked.left_at))
+        target, _, start = request.signed.rpartition("/")
+        key = (target, int(start), request.router, request.process_number)
+        first[key] = min(
+            request.leaving_reported_at, first.get(key, request.leaving_reported_at)
+        )
     return first
 
 
-def rests_are_kept(history):
-    """A router sends next to nothing to a target that asked it for a rest."""
-    for rest, router, came in _in_rests(history):
-        if len(came) > REST_MOST:
-            since = f"a rest from {rest.at:.2f}"
-            yield f"{rest.target} got {len(came)} of {router} in {since}"
+def requested_pauses_are_kept(history):
+    """A router sends at most a few requests during a pause that a target requested."""
+    for pause, router, received in _requests_in_pauses(history):
+        if len(received) > MAX_REQUESTS_IN_PAUSE:
+            since = f"a requested pause from {pause.at:.2f}"
+            yield f"{pause.target} got {len(received)} of {router} in {since}"
 
 
-def _in_rests(history):
-    """Return each rest, its router, and the requests that came from it meanwhile."""
+def _requests_in_pauses(history):
+    """Yield each requested pause, its router and the router's requests during it."""
     by_target = {}
-    for run in history.ran:
-        by_target.setdefault((run.target, run.start), []).append(run)
-    for rest in history.rests:
-        asker = history.asked.get(rest.name)
-        if asker is None:
+    for delivery in history.ran:
+        by_target.setdefault((delivery.target, delivery.start), []).append(delivery)
+    for pause in history.pause_requests:
+        declined = history.sent_requests.get(pause.name)
+        if declined is None:
             continue
-        until = rest.at + rest.seconds
-        came = [
-            run
-            for run in by_target.get((rest.target, rest.start), ())
-            if rest.at + REST_BEGINS < run.at < until - SLACK
-            and run.name in history.asked
-            and history.asked[run.name].router == asker.router
-            and history.asked[run.name].life == asker.life
+        until = pause.at + pause.seconds
+        received = [
+            delivery
+            for delivery in by_target.get((pause.target, pause.start), ())
+            if pause.at + PAUSE_EFFECTIVE_SECONDS < delivery.at < until - SLACK_SECONDS
+            and delivery.name in history.sent_requests
+            and history.sent_requests[delivery.name].router == declined.router
+            and history.sent_requests[delivery.name].process_number
+            == declined.process_number
         ]
-        if _is_link_harmed(history, rest.target, rest.at, until):
+        if _is_link_harmed(history, pause.target, pause.at, until):
             continue
-        if history.is_calm(rest.at, until, {asker.router}):
-            yield rest, asker.router, came
+        if history.is_undisturbed(pause.at, until, {declined.router}):
+            yield pause, declined.router, received
 
 
 def harmful_requests_are_held_back(history):
-    """What ends targets reaches few more once routers had time to hear of it."""
-    for body, harm in history.harm.items():
+    """Harmful requests reach few more targets once routers exchanged reports."""
+    for body, harm in history.harmful_contents.items():
         ends = sorted(harm.ends)
-        if len(ends) < HARM_ENDS:
+        if len(ends) < ENDS_UNTIL_HELD_BACK:
             continue
-        known_at = ends[HARM_ENDS - 1] + HARM_HEARD
+        known_at = ends[ENDS_UNTIL_HELD_BACK - 1] + HARM_EXCHANGE_SECONDS
         late = [
             name
             for name, at in harm.arrivals
             if at > known_at
-            and history.is_calm(at - HARM_HEARD, at, {harm.routers[name]})
+            and history.is_undisturbed(
+                at - HARM_EXCHANGE_SECONDS, at, {harm.routers[name]}
+            )
         ]
-        if len(late) > HARM_MORE:
+        if len(late) > MAX_LATE_ARRIVALS:
             yield f"{body!r} reached {len(late)} more targets, {len(ends)} ended"
 
 
-def processes_stay(history):
-    """No router ends by itself."""
-    yield from history.own_ends
+def processes_do_not_exit(history):
+    """No router process exits unexpectedly."""
+    yield from history.unexpected_exits
 
 
 def service_recovers(history):
-    """Callers are served again soon after the last trouble."""
-    if history.quiet_from is None:
+    """Callers are served again soon after the last disturbance."""
+    if history.last_disturbance_ended is None:
         return
-    since = history.quiet_from + RECOVERED_AFTER
-    late = [a for a in history.asked.values() if a.sent_at > since and a.ended_at]
-    late = [a for a in late if a.key in history.versions[-1].keys and not a.version]
-    good = [a for a in late if a.outcome == ANSWERED and a.status == OK]
-    if not late:
-        yield "nobody asked after the last trouble"
-    elif len(good) < RECOVERED_SHARE * len(late):
-        yield f"{len(good)} of {len(late)} requests were served after the last trouble"
-
-
-def broken(history, events):
-    """Return all that breaks a promise, by promise."""
+    since = history.last_disturbance_ended + RECOVERY_SECONDS
+    recent = [
+        a for a in history.sent_requests.values() if a.sent_at > since and a.ended_at
+    ]
+    recent = [a for a in recent if a.key in history.versions[-1].keys and not a.version]
+    good = [a for a in recent if a.outcome == ANSWERED and a.status == OK]
+    if not recent:
+        yield "no requests were sent after the last disturbance"
+    elif len(good) < MIN_RECOVERED_SHARE * len(recent):
+        yield (
+            f"{len(good)} of {len(recent)} requests were served after the last"
+            " disturbance"
+        )
+
+
+def find_broken(history, events):
+    """Return the violations of each broken promise, by its name."""
     checks = {
         "at most once": at_most_once(history),
         "not run is true": not_run_is_true(history),
-        "whole answers": answers_are_whole(history, events),
+        "whole answers": answers_are_complete(history, events),
         "withdrawn keys": withdrawn_keys_end(history),
         "leaving targets": leaving_targets_get_no_work(history),
         "planned stops": planned_stops_cut_nothing(history),
         "versions": versions_come_and_stay(history),
-        "repeats": repeats_are_bounded(history),
+        "repeats": retries_are_bounded(history),
         "load": load_is_even(history),
         "in time": answers_come_in_time(history),
-        "former lives": former_lives_are_over(history),
+        "former lives": former_incarnations_do_not_answer(history),
         "good entries": good_entries_get_work(history),
         "foreign entries": foreign_entries_get_no_work(history),
         "their neighbours": neighbours_keep_work(history),
         "evacuated domains": evacuated_domains_get_no_work(history),
         "cold targets": cold_targets_get_their_rate(history),
         "leaving answers": leaving_answers_end_work(history),
-        "rests": rests_are_kept(history),
+        "rests": requested_pauses_are_kept(history),
         "harmful requests": harmful_requests_are_held_back(history),
         "silence": silence_ends_no_answer(history),
-        "processes": processes_stay(history),
+        "processes": processes_do_not_exit(history),
         "recovery": service_recovers(history),
     }
     found = {name: list(lines) for name, lines in checks.items()}
--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -1,16 +1,16 @@
-"""What goes wrong in a soak, and when; all of it follows from the seed."""
+"""Draws the faults and planned work of a soak, and their times, from its seed."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Seconds of trouble and of planned work alone, by turns; within the trouble,
-# faults overlap.
-ROUGH_SECONDS = 9.0
-PLANNED_SECONDS = 5.0
-ROUGH_PAUSE = 0.7
-PLANNED_PAUSE = 1.2
-ROUGH = {
+# Periods with faults and planned work alternate with periods of planned work alone;
+# faults may overlap.
+FAULT_SPELL_SECONDS = 9.0
+PLANNED_SPELL_SECONDS = 5.0
+FAULT_INTERVAL_SECONDS = 0.7
+PLANNED_INTERVAL_SECONDS = 1.2
+FAULT_KINDS = {
     "kill": 3,
     "kill_all": 1,
     "pause": 3,
@@ -21,77 +21,92 @@
     "target_faults": 4,
     "target_crash": 2,
 }
-# Drawn in a series of their own beside the others, in the same spells.
-BESIDE = {"reborn": 3, "foreign": 3, "lone_silence": 1}
-BESIDE_PAUSE = 1.5
-# What happens to failure domains, in a series of its own where it is asked for.
-DOMAINS = {"evacuate": 3, "chill": 2, "cold_return": 2}
-DOMAINS_PAUSE = 4.0
-# What targets say in their answers, in a series of its own where it is asked for.
-STATEMENTS = {"say_leaving": 3, "ask_rest": 4, "all_ask_rest": 1}
-STATEMENTS_PAUSE = 3.0
-PLANNED = {"term": 3, "term_two": 1, "hup": 2, "change": 4, "withdraw": 3, "drain": 2}
+# Drawn as a separate series, in the periods with faults.
+EXTRA_KINDS = {"reborn": 3, "foreign": 3, "lone_silence": 1}
+EXTRA_INTERVAL_SECONDS = 1.5
+# Events of failure domains; an optional separate series.
+DOMAIN_KINDS = {"evacuate": 3, "chill": 2, "cold_return": 2}
+DOMAIN_INTERVAL_SECONDS = 4.0
+# Self-reports of targets in their answers; an optional separate series.
+SELF_REPORT_KINDS = {"say_leaving": 3, "ask_rest": 4, "all_ask_rest": 1}
+SELF_REPORT_INTERVAL_SECONDS = 3.0
+PLANNED_KINDS = {
+    "term": 3,
+    "term_two": 1,
+    "hup": 2,
+    "change": 4,
+    "withdraw": 3,
+    "drain": 2,
+}
 
 
 @dataclass(frozen=True)
 class Step:
-    """Something to do at a time, for a while, to something drawn."""
+    """One event of a soak.
+
+    `choice` and `how` are fractions below 1: one chooses the object that the event
+    affects, the other the variant of the event.
+    """
 
     at: float
     kind: str
-    lasts: float
-    pick: float
+    duration: float
+    choice: float
     how: float
 
 
-def draw(rng, seconds, beside=None, without=()):
-    """Return the steps of a soak, in order.
+def draw(rng, seconds, extra_rng=None, without=()):
+    """Return the steps of a soak, in order of time.
 
-    What `beside` draws leaves the other series of the seed as it is.
+    Steps drawn with `extra_rng` do not change the main series of the seed.
     """
-    steps = _first_series(rng, seconds)
-    kinds = {kind: n for kind, n in BESIDE.items() if kind not in without}
+    steps = _draw_main_series(rng, seconds)
+    kinds = {kind: n for kind, n in EXTRA_KINDS.items() if kind not in without}
     at = 0.0
-    while beside is not None and kinds:
-        at += beside.expovariate(1 / BESIDE_PAUSE)
+    while extra_rng is not None and kinds:
+        at += extra_rng.expovariate(1 / EXTRA_INTERVAL_SECONDS)
         if at >= seconds:
             break
-        kind = beside.choices(list(kinds), list(kinds.values()))[0]
-        lasts = beside.uniform(0.5, 5.0)
-        step = Step(at, kind, lasts, beside.random(), beside.random())
-        if at % (ROUGH_SECONDS + PLANNED_SECONDS) < ROUGH_SECONDS:
+        kind = extra_rng.choices(list(kinds), list(kinds.values()))[0]
+        duration = extra_rng.uniform(0.5, 5.0)
+        step = Step(at, kind, duration, extra_rng.random(), extra_rng.random())
+        if at % (FAULT_SPELL_SECONDS + PLANNED_SPELL_SECONDS) < FAULT_SPELL_SECONDS:
             steps.append(step)
     return sorted(steps, key=lambda step: step.at)
 
 
 def draw_domains(rng, seconds):
-    """Return what happens to failure domains in a soak, in order."""
-    return _draw_alone(rng, seconds, DOMAINS, DOMAINS_PAUSE)
+    """Return the steps of failure domains, in order of time."""
+    return _draw_series(rng, seconds, DOMAIN_KINDS, DOMAIN_INTERVAL_SECONDS)
 
 
-def draw_statements(rng, seconds):
-    """Return when targets say in a soak that they leave or want rest, in order."""
-    return _draw_alone(rng, seconds, STATEMENTS, STATEMENTS_PAUSE)
+def draw_self_reports(rng, seconds):
+    """Return the steps in which targets report leaving or request pauses, in order."""
+    return _draw_series(rng, seconds, SELF_REPORT_KINDS, SELF_REPORT_INTERVAL_SECONDS)
 
 
-def _draw_alone(rng, seconds, kinds, pause):
+def _draw_series(rng, seconds, kinds, mean_interval):
     steps = []
     at = rng.uniform(0.5, 2.0)
     while at < seconds:
         kind = rng.choices(list(kinds), list(kinds.values()))[0]
         steps.append(Step(at, kind, rng.uniform(0.5, 5.0), rng.random(), rng.random()))
-        at += rng.expovariate(1 / pause)
+        at += rng.expovariate(1 / mean_interval)
     return steps
 
 
-def _first_series(rng, seconds):
+def _draw_main_series(rng, seconds):
     steps = []
     at = rng.uniform(1.0, 2.0)
     while at < seconds:
-        is_rough = at % (ROUGH_SECONDS + PLANNED_SECONDS) < ROUGH_SECONDS
-        kinds = {**ROUGH, **PLANNED} if is_rough else PLANNED
+        has_faults = (
+            at % (FAULT_SPELL_SECONDS + PLANNED_SPELL_SECONDS) < FAULT_SPELL_SECONDS
+        )
+        kinds = {**FAULT_KINDS, **PLANNED_KINDS} if has_faults else PLANNED_KINDS
         kind = rng.choices(list(kinds), list(kinds.values()))[0]
-        lasts = rng.uniform(0.5, 5.0)
-        steps.append(Step(at, kind, lasts, rng.random(), rng.random()))
-        at += rng.expovariate(1 / (ROUGH_PAUSE if is_rough else PLANNED_PAUSE))
+        duration = rng.uniform(0.5, 5.0)
+        steps.append(Step(at, kind, duration, rng.random(), rng.random()))
+        at += rng.expovariate(
+            1 / (FAULT_INTERVAL_SECONDS if has_faults else PLANNED_INTERVAL_SECONDS)
+        )
     return steps
