--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,11 +1,12 @@
-"""Runs routers as processes among faults and checks what they promise.
+"""Runs routers as processes under faults and checks what they promise.
 
     python tests/soak/soak.py --seed 7 --seconds 40 --routers 4
 
-The routers' programs are the real ones, the store and the targets stand-ins in
-this process. Faults come from outside: signals, links through a loopback proxy,
-a store and targets that fail. Clocks are not stepped: the routers use one that
-nothing but a suspended host moves, which a paused process comes near to.
+The routers are the real program; the store and the targets are stand-ins in this
+process. Faults come from outside the routers: signals, a loopback proxy on their
+links, and failures of the store and the targets. Clocks are not stepped: the routers
+use a monotonic clock, which only a suspended host would change, and a paused process
+has nearly the same effect.
 """
 
 from __future__ import annotations
@@ -37,65 +38,74 @@
 from soak.callers import HarmfulCaller
 from soak.fault_proxy import LinkFault
 from soak.fleet import Fleet
+from soak.history import Disturbance
 from soak.history import Evacuation
 from soak.history import History
 from soak.history import Silence
-from soak.history import Trouble
 
 PORTALS = 4
 MODELS = 4
-# A few hundred processes that start together share the cores for a minute.
-START_PATIENCE = 120.0
+# A few hundred processes that start together take about a minute.
+MAX_START_SECONDS = 120.0
 LINK_FAULTS = [fault for fault in LinkFault if fault is not LinkFault.NONE]
-LINK_DELAY = 0.3
-# Seconds until a crashed target is back, and until its entry goes.
-BACK_AFTER = 1.5
-LAPSE_AFTER = 2.0
-# Seconds between two requests that end targets, of work on one until the end, which
-# comes before its answer is whole, and until another target has started instead.
-HARM_PAUSE = 0.5
-HARM_WORK = 0.1
-HARM_BACK_AFTER = 2.5
-# Share of these that start elsewhere; the others do so where the former one was.
+LINK_DELAY_SECONDS = 0.3
+# Time until a crashed target is listed again, and until its former entry lapses.
+TARGET_RETURN_SECONDS = 1.5
+ENTRY_LAPSE_SECONDS = 2.0
+# Time between two requests that end targets; the time for which a target runs such a
+# request before it ends, which is shorter than a complete answer takes; and the time
+# until another target is listed in its place.
+HARMFUL_INTERVAL_SECONDS = 0.5
+MAX_HARMFUL_RUN_SECONDS = 0.1
+HARMED_RETURN_SECONDS = 2.5
+# Share of these that start at another address; the others keep the former one.
 MOVES_SHARE = 0.5
-# A planned stop takes this long at the most.
-STOP_SECONDS = 9.0
-QUIET_SECONDS = 12.0
-# A leaving target goes on serving for the time in which it may get work.
-LEAVES_AFTER = 2.4
-BURST = 12
-# A domain is evacuated for so much longer than the time in which that must be known.
-EVACUATED_LEAST = 5.5
-# Share of evacuations after which engines are cold, and how late they may say so.
-COLD_AFTER = 0.7
-TOLD_LATE = 2.0
-# How a target starts again under its name.
-RESTARTS = ("at once", "told late", "moved", "moved, told late", "twice", "older after")
-RESTARTS += ("while the store lags",)
-AGAIN_AFTER = 0.4
-OLDER_AFTER = 0.5
-OLDER_LASTS = 2.0
+# A router that has not stopped after this time is killed.
+MAX_STOP_SECONDS = 9.0
+RECOVERY_CHECK_SECONDS = 12.0
+# A leaving target serves for the time in which it may still get requests.
+LEAVE_SECONDS = 2.4
+MAX_FAULTS_IN_BURST = 12
+# An evacuation lasts longer than the 5 s within which all routers must follow it.
+MIN_EVACUATION_SECONDS = 5.5
+# Share of evacuations after which engines are cold, and how late they may report it.
+COLD_RETURN_SHARE = 0.7
+MAX_REPORT_DELAY_SECONDS = 2.0
+# Ways in which a target restarts under its name.
+RESTART_VARIANTS = (
+    "at once",
+    "told late",
+    "moved",
+    "moved, told late",
+    "twice",
+    "older after",
+)
+RESTART_VARIANTS += ("while the store lags",)
+SECOND_RESTART_SECONDS = 0.4
+FORMER_ENTRY_DELAY_SECONDS = 0.5
+FORMER_ENTRY_SECONDS = 2.0
 RESTART_SECONDS = 3.0
-# Entries of other writers stay for longer than they may be acted on.
+# Entries of other writers stay longer than routers may take to ignore them.
 FOREIGN_SECONDS = 2.5
-# Shares of them that stand in the list of routers, and under new names.
-FOREIGN_ROUTERS = 0.15
-FOREIGN_NEW = 0.5
-# How long an engine that reads a long prompt sends nothing, in seconds.
-SILENT_LEAST = 0.3
-SILENT_MOST = 1.5
-# Share of targets that say that they leave whose entries lapse and return meanwhile.
-LAPSES_SHARE = 0.4
-# Seconds of rest that targets ask for.
-REST_LEAST = 0.7
-REST_MOST = 4.0
-UNFINISHED = 2
-# How often the soak looks whether it was itself held up, in seconds.
-LOOK_EVERY = 0.05
+# Upper bounds of a number drawn below 1: below the first, the entry is written to the
+# list of routers; below the second, under a new name.
+FOREIGN_ROUTERS_SHARE = 0.15
+FOREIGN_NEW_SHARE = 0.5
+# Length of the silence of an engine that reads a long prompt.
+MIN_SILENT_SECONDS = 0.3
+MAX_SILENT_SECONDS = 1.5
+# Share of targets that report leaving whose entry lapses and returns meanwhile.
+ENTRY_LAPSE_SHARE = 0.4
+# Length of the pauses that targets request.
+MIN_PAUSE_SECONDS = 0.7
+MAX_PAUSE_SECONDS = 4.0
+UNFINISHED_STATUS = 2
+# Interval at which the soak measures whether its own process was stalled.
+STALL_CHECK_SECONDS = 0.05
 
 
 class Soak:
-    """One run."""
+    """One run of routers, targets and callers with the steps of a seed."""
 
     def __init__(
         self,
@@ -110,17 +120,17 @@
         statements=False,
     ):
         self._rng = random.Random(seed)
-        # Of its own, so that what else the seed draws stays as it is.
-        self._beside = random.Random(f"beside {seed}")
+        # A separate generator, so that its draws do not change those of the main one.
+        self._extra_rng = random.Random(f"beside {seed}")
         self._without = without
-        self._is_lone = False
-        self._strangers = 0
+        self._has_lone_model = False
+        self._unlisted_count = 0
         self.history = History()
         self._backends = Backends(
-            PORTALS, MODELS, self.history, self._rng, self._harmed, is_cold=domains
+            PORTALS, MODELS, self.history, self._rng, self._run_harmful, is_cold=domains
         )
-        self._domains = random.Random(f"domains {seed}") if domains else None
-        self._statements = random.Random(f"said {seed}") if statements else None
+        self._domain_rng = random.Random(f"domains {seed}") if domains else None
+        self._self_report_rng = random.Random(f"said {seed}") if statements else None
         self._fleet = Fleet(routers, folder, self._backends.store_port, self.history)
         self._operator = self._backends.operator
         self._callers = [
@@ -142,62 +152,64 @@
             )
             for n in range(harmful)
         ]
-        self._ending = []
-        # Longest time for which the machine kept this process from running:
-        # callers seem to wait for longer by that.
-        self.held_up = 0.0
-        self._looked_at = None
+        self._disturbance_ends = []
+        # Longest time for which this process was kept from running; callers seem to
+        # wait longer by that time.
+        self.longest_stall = 0.0
+        self._checked_at = None
 
     @inlineCallbacks
     def run(self, seconds, pause):
-        """Run for so long; return what broke."""
+        """Run for some seconds and return the violations of each broken promise."""
         self._operator.write(self._rng)
         self._fleet.start()
-        yield self._until_ready()
-        self._look()
+        yield self._wait_until_ready()
+        self._measure_stalls()
         for caller in self._callers:
             caller.run(pause)
         for caller in self._harmful:
-            caller.run(HARM_PAUSE)
+            caller.run(HARMFUL_INTERVAL_SECONDS)
         began = reactor.seconds()
-        steps = schedule.draw(self._rng, seconds, self._beside, self._without)
-        if self._domains is not None:
-            steps += schedule.draw_domains(self._domains, seconds)
-        if self._statements is not None:
-            steps += schedule.draw_statements(self._statements, seconds)
+        steps = schedule.draw(self._rng, seconds, self._extra_rng, self._without)
+        if self._domain_rng is not None:
+            steps += schedule.draw_domains(self._domain_rng, seconds)
+        if self._self_report_rng is not None:
+            steps += schedule.draw_self_reports(self._self_report_rng, seconds)
         steps.sort(key=lambda step: step.at)
         if self._harmful:
-            # Routers that are all killed at once forget what they held back.
+            # Routers that are all killed at once lose their record of harmful requests.
             steps = [step for step in steps if step.kind != "kill_all"]
         for step in steps:
             yield self._wait(began + step.at - reactor.seconds())
             getattr(self, f"_{step.kind}")(step)
         for caller in self._harmful:
             caller.stop()
-        yield self._wait(max(self._ending, default=0.0) - reactor.seconds())
-        self.history.quiet_from = reactor.seconds()
-        yield self._wait(QUIET_SECONDS)
+        yield self._wait(max(self._disturbance_ends, default=0.0) - reactor.seconds())
+        self.history.last_disturbance_ended = reactor.seconds()
+        yield self._wait(RECOVERY_CHECK_SECONDS)
         for caller in self._callers:
             caller.stop()
         yield self._wait(0.1)
-        return promises.broken(self.history, EVENTS)
+        return promises.find_broken(self.history, EVENTS)
 
-    def _look(self):
+    def _measure_stalls(self):
         now = reactor.seconds()
-        if self._looked_at is not None:
-            self.held_up = max(self.held_up, now - self._looked_at - LOOK_EVERY)
-        self._looked_at = now
-        reactor.callLater(LOOK_EVERY, self._look)
+        if self._checked_at is not None:
+            self.longest_stall = max(
+                self.longest_stall, now - self._checked_at - STALL_CHECK_SECONDS
+            )
+        self._checked_at = now
+        reactor.callLater(STALL_CHECK_SECONDS, self._measure_stalls)
 
     def stop(self):
-        """End all that was started."""
+        """Stop all routers, targets and the store."""
         self._fleet.stop()
         self._backends.close()
 
     @inlineCallbacks
-    def _until_ready(self):
-        until = reactor.seconds() + START_PATIENCE
-        while any(r.misses for r in self._fleet.routers):
+    def _wait_until_ready(self):
+        until = reactor.seconds() + MAX_START_SECONDS
+        while any(r.missed_probes for r in self._fleet.routers):
             if reactor.seconds() > until:
                 raise TimeoutError("the routers did not become ready")
             yield self._wait(0.1)
@@ -205,31 +217,33 @@
     def _wait(self, seconds):
         return deferLater(reactor, max(0.0, seconds), lambda: None)
 
-    # What may happen
+    # Steps of the schedule, by kind, and their helpers
 
-    def _begin(self, kind, scope, lasts, undo=None, *, is_planned=False):
+    def _record_disturbance(
+        self, kind, scope, duration, undo=None, *, is_planned=False
+    ):
         now = reactor.seconds()
-        trouble = Trouble(kind, scope, now, is_planned=is_planned)
-        self.history.troubles.append(trouble)
-        self._ending.append(now + lasts)
+        disturbance = Disturbance(kind, scope, now, is_planned=is_planned)
+        self.history.disturbances.append(disturbance)
+        self._disturbance_ends.append(now + duration)
 
         def end():
-            trouble.ended = reactor.seconds()
+            disturbance.ended = reactor.seconds()
             if undo is not None:
                 undo()
 
-        reactor.callLater(lasts, end)
+        reactor.callLater(duration, end)
 
     def _router(self, step):
         routers = self._fleet.routers
-        return routers[int(step.pick * len(routers))]
+        return routers[int(step.choice * len(routers))]
 
     def _target(self, step):
         targets = self._backends.targets
-        return targets[int(step.pick * len(targets))]
+        return targets[int(step.choice * len(targets))]
 
     def _kill_one(self, router):
-        self._begin("kill", router.name, 3.0)
+        self._record_disturbance("kill", router.name, 3.0)
         router.signal(signal.SIGCONT)
         router.signal(signal.SIGKILL)
 
@@ -245,36 +259,38 @@
         if router.is_paused:
             return
         router.is_paused = True
-        life = router.life
+        process_number = router.process_number
 
         def resume():
             router.is_paused = False
-            if router.life == life:
+            if router.process_number == process_number:
                 router.signal(signal.SIGCONT)
 
         router.signal(signal.SIGSTOP)
-        self._begin("pause", router.name, step.lasts, resume)
+        self._record_disturbance("pause", router.name, step.duration, resume)
 
     def _term(self, step):
         router = self._router(step)
         if router.is_stopping or not router.is_running:
             return
-        life = router.life
+        process_number = router.process_number
         now = reactor.seconds()
-        self.history.stops.append((router.name, life, now))
-        router.ask_to_stop()
+        self.history.planned_stops.append((router.name, process_number, now))
+        router.request_stop()
 
         def kill_late():
-            if router.life == life and router.is_running:
+            if router.process_number == process_number and router.is_running:
                 router.signal(signal.SIGCONT)
                 router.signal(signal.SIGKILL)
 
-        self._begin("term", router.name, STOP_SECONDS, kill_late, is_planned=True)
+        self._record_disturbance(
+            "term", router.name, MAX_STOP_SECONDS, kill_late, is_planned=True
+        )
 
     def _term_two(self, step):
         self._term(step)
-        later = (step.pick + step.how) % 1.0
-        self._term(schedule.Step(step.at, step.kind, step.lasts, later, step.how))
+        later = (step.choice + step.how) % 1.0
+        self._term(schedule.Step(step.at, step.kind, step.duration, later, step.how))
 
     def _hup(self, step):
         router = self._router(step)
@@ -290,11 +306,11 @@
     def _router_store(self, step):
         router = self._router(step)
         fault = LINK_FAULTS[int(step.how * len(LINK_FAULTS))]
-        router.store.set(fault, LINK_DELAY)
-        self._begin(
+        router.store.set(fault, LINK_DELAY_SECONDS)
+        self._record_disturbance(
             f"store {fault.value}",
             f"store of {router.name}",
-            step.lasts,
+            step.duration,
             lambda: router.store.set(LinkFault.NONE),
         )
 
@@ -303,32 +319,39 @@
         found = list(StoreFault)[int(step.how * len(StoreFault))]
         faults.all_calls = found
 
-        def mend():
+        def end_fault():
             faults.all_calls = None
 
-        self._begin(f"store {found.name}", "store", step.lasts, mend)
+        self._record_disturbance(
+            f"store {found.name}", "store", step.duration, end_fault
+        )
 
     def _store_forgets(self, step):
         self._backends.store.forget_history()
-        self._begin("store forgets", "store", 1.0)
+        self._record_disturbance("store forgets", "store", 1.0)
 
     def _target_link(self, step):
         target = self._target(step)
         fault = LINK_FAULTS[int(step.how * len(LINK_FAULTS))]
-        target.link.set(fault, LINK_DELAY)
-        self._begin(
+        target.link.set(fault, LINK_DELAY_SECONDS)
+        self._record_disturbance(
             f"link {fault.value}",
             target.name,
-            step.lasts,
+            step.duration,
             lambda: target.link.set(LinkFault.NONE),
         )
 
     def _target_faults(self, step):
         target = self._target(step)
         fault = list(EngineFault)[int(step.how * len(EngineFault))]
-        target.script.faults += [fault] * (1 + int(step.lasts / 5 * BURST))
-        self._begin(
-            f"faults {fault.name}", target.name, step.lasts, target.script.faults.clear
+        target.script.faults += [fault] * (
+            1 + int(step.duration / 5 * MAX_FAULTS_IN_BURST)
+        )
+        self._record_disturbance(
+            f"faults {fault.name}",
+            target.name,
+            step.duration,
+            target.script.faults.clear,
         )
 
     def _target_crash(self, step):
@@ -336,36 +359,44 @@
         name = target.name
         store = self._backends.store
         self._backends.crash(target)
-        reactor.callLater(LAPSE_AFTER, store.remove, "servers", name)
-        self._begin("crash", name, BACK_AFTER)
-        self._later(target, BACK_AFTER, self._backends.list, target)
+        reactor.callLater(ENTRY_LAPSE_SECONDS, store.remove, "servers", name)
+        self._record_disturbance("crash", name, TARGET_RETURN_SECONDS)
+        self._call_if_unchanged(
+            target, TARGET_RETURN_SECONDS, self._backends.list, target
+        )
 
-    def _harmed(self, target, harm):
-        """Have a target end under a request that it has begun to run.
+    def _run_harmful(self, target, harm):
+        """Have a target end soon while it runs a harmful request.
 
-        Whatever else is done to the target meanwhile, unless that ends the run.
+        Other changes of the target do not prevent this, unless its incarnation ended.
         """
-        life = target.script.life
+        incarnation = target.script.current_incarnation
 
         def end():
-            if target.script.life is life:
-                self._end(target, harm)
+            if target.script.current_incarnation is incarnation:
+                self._end_target(target, harm)
 
-        reactor.callLater(HARM_WORK * self._beside.uniform(0.2, 1.0), end)
+        reactor.callLater(
+            MAX_HARMFUL_RUN_SECONDS * self._extra_rng.uniform(0.2, 1.0), end
+        )
 
-    def _end(self, target, harm):
+    def _end_target(self, target, harm):
         name = target.name
         harm.ends.append(reactor.seconds())
-        self._backends.end(target, moves=self._beside.random() < MOVES_SHARE)
-        reactor.callLater(LAPSE_AFTER, self._backends.store.remove, "servers", name)
-        self._begin("end", name, HARM_BACK_AFTER)
-        self._later(target, HARM_BACK_AFTER, self._backends.list, target)
+        self._backends.replace(target, moves=self._extra_rng.random() < MOVES_SHARE)
+        reactor.callLater(
+            ENTRY_LAPSE_SECONDS, self._backends.store.remove, "servers", name
+        )
+        self._record_disturbance("end", name, HARMED_RETURN_SECONDS)
+        self._call_if_unchanged(
+            target, HARMED_RETURN_SECONDS, self._backends.list, target
+        )
 
     def _domain(self, step):
-        return DOMAINS[int(step.pick * len(DOMAINS))]
+        return DOMAINS[int(step.choice * len(DOMAINS))]
 
     def _evacuate(self, step):
-        """Have a domain get nothing for a while; its engines may be cold after it."""
+        """Evacuate a failure domain for a while; its engines may be cold afterwards."""
         domain = self._domain(step)
         now = reactor.seconds()
         if any(each.until > now for each in self.history.evacuations):
@@ -373,216 +404,252 @@
         evacuation = Evacuation(domain, now)
         self.history.evacuations.append(evacuation)
         self._backends.store.write("evacuations", domain, {})
-        lasts = EVACUATED_LEAST + step.lasts
+        duration = MIN_EVACUATION_SECONDS + step.duration
 
-        def take_back():
+        def end_evacuation():
             evacuation.until = reactor.seconds()
             self._backends.store.remove("evacuations", domain)
-            if step.how < COLD_AFTER:
-                for target in self._backends.of_domain(domain):
-                    self._chill_one(target, step.how)
+            if step.how < COLD_RETURN_SHARE:
+                for target in self._backends.models_in_domain(domain):
+                    self._make_cold(target, step.how)
 
-        self._begin("evacuate", f"domain {domain}", lasts, take_back)
+        self._record_disturbance(
+            "evacuate", f"domain {domain}", duration, end_evacuation
+        )
 
     def _chill(self, step):
-        """Have an engine be cold again, while it serves."""
+        """Have a serving engine become cold."""
         models = [t for t in self._backends.targets if t.service == "model"]
-        target = models[int(step.pick * len(models))]
-        self._chill_one(target, step.how)
+        target = models[int(step.choice * len(models))]
+        self._make_cold(target, step.how)
 
-    def _chill_one(self, target, how):
-        """Have an engine be cold, and say so in the store somewhat later."""
-        target.chill(COLD_SECONDS)
+    def _make_cold(self, target, how):
+        """Have an engine become cold and report it in the store a little later."""
+        target.become_cold(COLD_SECONDS)
         if not self._is_draining(target):
-            self._later(target, how * TOLD_LATE, self._backends.list, target)
+            self._call_if_unchanged(
+                target, how * MAX_REPORT_DELAY_SECONDS, self._backends.list, target
+            )
 
     def _cold_return(self, step):
-        """Have the engines of a domain end, and come back together, cold."""
+        """Have the engines of a failure domain crash and return together, cold."""
         store = self._backends.store
-        for target in self._backends.of_domain(self._domain(step)):
+        for target in self._backends.models_in_domain(self._domain(step)):
             name = target.name
             self._backends.crash(target)
-            reactor.callLater(LAPSE_AFTER, store.remove, "servers", name)
-            self._begin("cold return", name, BACK_AFTER)
-            self._later(target, BACK_AFTER, self._come_back, target)
+            reactor.callLater(ENTRY_LAPSE_SECONDS, store.remove, "servers", name)
+            self._record_disturbance("cold return", name, TARGET_RETURN_SECONDS)
+            self._call_if_unchanged(
+                target, TARGET_RETURN_SECONDS, self._return_cold, target
+            )
 
-    def _come_back(self, target):
-        target.chill(COLD_SECONDS)
+    def _return_cold(self, target):
+        target.become_cold(COLD_SECONDS)
         self._backends.list(target)
 
     def _drain(self, step):
-        """Have a target leave as planned, and another take its address."""
+        """Have a target drain as planned and another target take its address."""
         target = self._target(step)
         if not self._is_draining(target):
-            self._leave(target, 0.0)
+            self._drain_target(target, 0.0)
 
     def _is_draining(self, target):
         return (target.name, target.start) in self.history.draining
 
-    def _leave(self, target, back_after):
-        target.turn += 1
-        name, turn = target.name, target.turn
+    def _drain_target(self, target, back_after):
+        target.change_count += 1
+        name, change_count = target.name, target.change_count
         self._backends.list(target, "draining")
         self.history.draining[name, target.start] = reactor.seconds()
 
         def leave():
-            if target.turn == turn:
+            if target.change_count == change_count:
                 self._backends.delist(target)
-                target.begin()
-                self._later(target, back_after, self._backends.list, target)
+                target.replace_in_place()
+                self._call_if_unchanged(target, back_after, self._backends.list, target)
 
-        self._begin("drain", name, LEAVES_AFTER, leave, is_planned=True)
+        self._record_disturbance("drain", name, LEAVE_SECONDS, leave, is_planned=True)
 
-    def _later(self, target, seconds, act, *values):
-        """Do something unless something else is done to the target before."""
-        turn = target.turn
+    def _call_if_unchanged(self, target, seconds, function, *values):
+        """Call a function later, unless the target has changed by then."""
+        change_count = target.change_count
 
-        def act_then():
-            if target.turn == turn:
-                act(*values)
+        def call_if_unchanged():
+            if target.change_count == change_count:
+                function(*values)
 
-        reactor.callLater(seconds, act_then)
+        reactor.callLater(seconds, call_if_unchanged)
 
     def _reborn(self, step):
-        """Have a target start again under its name."""
+        """Have a target restart under its name."""
         target = self._target(step)
-        way = RESTARTS[int(step.how * len(RESTARTS))]
-        moves = way in {"moved", "moved, told late", "older after"}
+        variant = RESTART_VARIANTS[int(step.how * len(RESTART_VARIANTS))]
+        moves = variant in {"moved", "moved, told late", "older after"}
         backends, store = self._backends, self._backends.store
         former = target.entry()
         backends.restart(target, moves=moves)
-        late = step.lasts / 4 if way.endswith("told late") else 0.0
-        self._begin(f"restart {way}", f"life of {target.name}", RESTART_SECONDS)
-        if way == "while the store lags":
+        report_delay = step.duration / 4 if variant.endswith("told late") else 0.0
+        self._record_disturbance(
+            f"restart {variant}", f"life of {target.name}", RESTART_SECONDS
+        )
+        if variant == "while the store lags":
             store.faults.is_deaf = True
-            self._begin("store lags", "store", step.lasts / 2, store.catch_up)
-        self._later(target, late, backends.list, target)
-        if way == "twice":
-            self._later(target, AGAIN_AFTER, self._again, target)
-        if way == "older after":
-            self._later(target, OLDER_AFTER, backends.write_old, target, former)
-            back = OLDER_AFTER + OLDER_LASTS
-            self._later(target, back, backends.list, target)
-
-    def _again(self, target):
+            self._record_disturbance(
+                "store lags", "store", step.duration / 2, store.catch_up
+            )
+        self._call_if_unchanged(target, report_delay, backends.list, target)
+        if variant == "twice":
+            self._call_if_unchanged(
+                target, SECOND_RESTART_SECONDS, self._restart_again, target
+            )
+        if variant == "older after":
+            self._call_if_unchanged(
+                target,
+                FORMER_ENTRY_DELAY_SECONDS,
+                backends.write_former_entry,
+                target,
+                former,
+            )
+            restored_after = FORMER_ENTRY_DELAY_SECONDS + FORMER_ENTRY_SECONDS
+            self._call_if_unchanged(target, restored_after, backends.list, target)
+
+    def _restart_again(self, target):
         self._backends.restart(target, moves=False)
         self._backends.list(target)
 
     def _say_leaving(self, step):
-        """Have a target say that it leaves while its entry is ready, and then leave."""
+        """Have a target report leaving while listed as ready, and then leave."""
         target = self._target(step)
         if self._is_draining(target) or target.script.is_leaving:
             return
-        target.turn += 1
+        target.change_count += 1
         target.script.is_leaving = True
-        turn = target.turn
-        # Its entry may lapse meanwhile and be written again.
-        if step.how < LAPSES_SHARE:
-            self._later(target, step.how, self._backends.delist, target)
-            self._later(target, LAPSE_AFTER, self._backends.list, target)
+        change_count = target.change_count
+        # Its entry may lapse and be written again meanwhile.
+        if step.how < ENTRY_LAPSE_SHARE:
+            self._call_if_unchanged(target, step.how, self._backends.delist, target)
+            self._call_if_unchanged(
+                target, ENTRY_LAPSE_SECONDS, self._backends.list, target
+            )
 
         def leave():
-            if target.turn == turn:
+            if target.change_count == change_count:
                 self._backends.delist(target)
-                target.begin()
+                target.replace_in_place()
                 self._backends.list(target)
 
-        self._begin("says leaving", target.name, LEAVES_AFTER + step.lasts, leave)
+        self._record_disturbance(
+            "says leaving", target.name, LEAVE_SECONDS + step.duration, leave
+        )
 
     def _ask_rest(self, step):
-        """Have a target turn all requests away for a while and ask for rest."""
-        self._rest_one(self._target(step), step)
+        """Have a target decline all requests for a while and request pauses."""
+        self._request_pause(self._target(step), step)
 
     def _all_ask_rest(self, step):
-        """Have all targets of a service do so."""
+        """Have all targets of a service decline requests and request pauses."""
         service = self._target(step).service
         for target in self._backends.targets:
             if target.service == service:
-                self._rest_one(target, step)
+                self._request_pause(target, step)
 
-    def _rest_one(self, target, step):
+    def _request_pause(self, target, step):
         script = target.script
-        script.rest = REST_LEAST + step.how * (REST_MOST - REST_LEAST)
+        script.rest = MIN_PAUSE_SECONDS + step.how * (
+            MAX_PAUSE_SECONDS - MIN_PAUSE_SECONDS
+        )
         script.is_resting = True
 
         def end():
             script.is_resting = False
 
-        reactor.callLater(step.lasts, end)
-        # Routers may keep away until the end of a rest that was asked for last.
-        self._begin("asks for rest", target.name, step.lasts + script.rest)
+        reactor.callLater(step.duration, end)
+        # Routers may stay away until the end of the pause that was requested last.
+        self._record_disturbance(
+            "asks for rest", target.name, step.duration + script.rest
+        )
 
     def _foreign(self, step):
-        """Have another writer put an entry there, or in the place of a good one."""
+        """Write an entry of another writer: new, or in place of a target's own."""
         target = self._target(step)
         backends, store = self._backends, self._backends.store
-        lasts = FOREIGN_SECONDS + step.lasts
-        way = step.lasts % 1.0
-        self._strangers += 1
-        name = f"stranger{self._strangers}"
-        if way < FOREIGN_ROUTERS:
-            store.write("routers", name, target.foreign(step.how))
-            self._begin("foreign router", name, lasts)
-            reactor.callLater(lasts, store.remove, "routers", name)
-        elif way < FOREIGN_NEW:
-            stranger = backends.stranger(name, target.service)
-            backends.write_foreign(stranger, stranger.foreign(step.how))
-            self._begin("foreign new", f"entry of {stranger.name}", lasts)
-            reactor.callLater(lasts, backends.delist, stranger)
+        duration = FOREIGN_SECONDS + step.duration
+        variant = step.duration % 1.0
+        self._unlisted_count += 1
+        name = f"stranger{self._unlisted_count}"
+        if variant < FOREIGN_ROUTERS_SHARE:
+            store.write("routers", name, target.choose_foreign_entry(step.how))
+            self._record_disturbance("foreign router", name, duration)
+            reactor.callLater(duration, store.remove, "routers", name)
+        elif variant < FOREIGN_NEW_SHARE:
+            unlisted = backends.unlisted_target(name, target.service)
+            backends.write_foreign(unlisted, unlisted.choose_foreign_entry(step.how))
+            self._record_disturbance(
+                "foreign new", f"entry of {unlisted.name}", duration
+            )
+            reactor.callLater(duration, backends.delist, unlisted)
         elif not self._is_draining(target):
-            target.turn += 1
-            backends.write_foreign(target, target.foreign(step.how))
-            self._begin("foreign instead", f"entry of {target.name}", lasts)
-            self._later(target, lasts, backends.list, target)
+            target.change_count += 1
+            backends.write_foreign(target, target.choose_foreign_entry(step.how))
+            self._record_disturbance(
+                "foreign instead", f"entry of {target.name}", duration
+            )
+            self._call_if_unchanged(target, duration, backends.list, target)
 
     def _lone_silence(self, step):
-        """Have all model engines leave but one, and that one fall silent."""
+        """Drain all model engines but one, and have that one fall silent."""
         models = [t for t in self._backends.targets if t.service == "model"]
-        left = models[int(step.pick * len(models))]
-        if self._is_lone or self._is_draining(left):
+        lone_model = models[int(step.choice * len(models))]
+        if self._has_lone_model or self._is_draining(lone_model):
             return
-        self._is_lone = True
-        lasts = SILENT_LEAST + step.how * (SILENT_MOST - SILENT_LEAST)
-        began = LEAVES_AFTER + AGAIN_AFTER
+        self._has_lone_model = True
+        duration = MIN_SILENT_SECONDS + step.how * (
+            MAX_SILENT_SECONDS - MIN_SILENT_SECONDS
+        )
+        began = LEAVE_SECONDS + SECOND_RESTART_SECONDS
         for target in models:
-            if target is not left and not self._is_draining(target):
-                self._leave(target, AGAIN_AFTER + lasts + AGAIN_AFTER)
-        reactor.callLater(began, self._fall_silent, left, lasts)
+            if target is not lone_model and not self._is_draining(target):
+                self._drain_target(
+                    target, SECOND_RESTART_SECONDS + duration + SECOND_RESTART_SECONDS
+                )
+        reactor.callLater(began, self._fall_silent, lone_model, duration)
 
         def end():
-            self._is_lone = False
+            self._has_lone_model = False
 
-        self._begin("lone silence", "models", began + lasts + AGAIN_AFTER, end)
+        self._record_disturbance(
+            "lone silence", "models", began + duration + SECOND_RESTART_SECONDS, end
+        )
 
-    def _fall_silent(self, target, lasts):
+    def _fall_silent(self, target, duration):
         now = reactor.seconds()
-        is_alone = self._backends.is_alone(target)
-        silence = Silence(target.name, now, now + lasts, is_alone)
+        is_alone = self._backends.is_only_listed(target)
+        silence = Silence(target.name, now, now + duration, is_alone)
         self.history.silences.append(silence)
-        target.engine.fall_silent(lasts)
+        target.engine.fall_silent(duration)
 
 
 def summary(soak):
-    """Return what a run was made of."""
+    """Return counts of a run's requests, faults and judged cases."""
     history = soak.history
     outcomes = {}
-    for asked in history.asked.values():
-        key = f"{asked.outcome or 'open'} {asked.status or ''}".strip()
+    for request in history.sent_requests.values():
+        key = f"{request.outcome or 'open'} {request.status or ''}".strip()
         outcomes[key] = outcomes.get(key, 0) + 1
     kinds = {}
-    for trouble in history.troubles:
-        kinds[trouble.kind] = kinds.get(trouble.kind, 0) + 1
+    for disturbance in history.disturbances:
+        kinds[disturbance.kind] = kinds.get(disturbance.kind, 0) + 1
     return {
         "requests": outcomes,
         "runs": len(history.ran),
         "troubles": kinds,
-        "judged": promises.judged(history),
-        "held up": f"{soak.held_up:.2f} s",
+        "judged": promises.count_judged(history),
+        "held up": f"{soak.longest_stall:.2f} s",
     }
 
 
 def main():
-    """Run one soak and exit with 1 if a promise was broken."""
+    """Run one soak; return 1 if a promise was broken and 2 if it did not finish."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, required=True)
     parser.add_argument("--seconds", type=float, default=40.0)
@@ -590,16 +657,23 @@
     parser.add_argument("--callers", type=int, default=30)
     parser.add_argument("--pause", type=float, default=0.3)
     parser.add_argument(
-        "--without", nargs="*", default=[], choices=list(schedule.BESIDE)
+        "--without", nargs="*", default=[], choices=list(schedule.EXTRA_KINDS)
     )
-    parser.add_argument("--harmful", type=int, default=0, help="such requests")
     parser.add_argument(
-        "--domains", action="store_true", help="evacuations and cold engines too"
+        "--harmful",
+        type=int,
+        default=0,
+        help="number of distinct requests that end targets",
+    )
+    parser.add_argument(
+        "--domains",
+        action="store_true",
+        help="also evacuate failure domains and start cold engines",
     )
     parser.add_argument(
         "--statements",
         action="store_true",
-        help="targets that say that they leave or want rest too",
+        help="also have targets report leaving and request pauses",
     )
     parser.add_argument("--keep", default="", help="folder for logs")
     arguments = parser.parse_args()
@@ -608,7 +682,7 @@
     status = []
 
     @inlineCallbacks
-    def play():
+    def run_soak():
         soak = Soak(
             arguments.seed,
             arguments.routers,
@@ -619,7 +693,7 @@
             domains=arguments.domains,
             statements=arguments.statements,
         )
-        # Also when the run is terminated.
+        # Runs also when the soak is terminated.
         reactor.addSystemEventTrigger("before", "shutdown", soak.stop)
         found = yield soak.run(arguments.seconds, arguments.pause)
         sys.stdout.write(f"seed {arguments.seed}: {json.dumps(summary(soak))}\n")
@@ -630,13 +704,13 @@
 
     def failed(failure):
         sys.stdout.write(f"seed {arguments.seed}: did not finish\n{failure}\n")
-        status.append(UNFINISHED)
+        status.append(UNFINISHED_STATUS)
 
     reactor.callWhenRunning(
-        lambda: play().addErrback(failed).addBoth(lambda _: reactor.stop())
+        lambda: run_soak().addErrback(failed).addBoth(lambda _: reactor.stop())
     )
     reactor.run()
-    return status[0] if status else UNFINISHED
+    return status[0] if status else UNFINISHED_STATUS
 
 
 if __name__ == "__main__":
--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -1,13 +1,13 @@
-"""Counts what real routers send to targets that leave, or rest, by their own word.
+"""Counts what routers send to targets that report leaving or request pauses.
 
     python tests/soak/statements.py --routers 4
 
-The entries of all targets stay as they are throughout, so that answers alone tell. For
-each of three ways, in a run of its own: requests that reach a target from a router
-later than 2 s after that router passed on an answer which says that the target leaves;
-rests in which more than two requests of a router came, and the most that came in one;
-and the share of callers that were served, meanwhile and once the rests are over. Left
-out are those that leave early by their own will, and keys that were withdrawn.
+The entries of all targets stay unchanged, so that routers learn of it from answers
+alone. In each of three runs it counts: requests that reach a target from a router later
+than 2 s after that router passed on an answer which reports that the target leaves;
+requested pauses in which more than two requests of a router were received, and the most
+in one pause; and the share of callers that were served during the run and after the
+pauses. Callers that disconnect early and withdrawn keys are not counted.
 """
 
 from __future__ import annotations
@@ -33,28 +33,28 @@
 from soak.history import LEFT
 from soak.history import History
 
-OF_EACH_SERVICE = 6
-CALLERS = 40
-PAUSE = 0.05
-REST = 3.0
+TARGETS_PER_SERVICE = 6
+CALLER_COUNT = 40
+CALLER_PAUSE_SECONDS = 0.05
+REQUESTED_PAUSE_SECONDS = 3.0
 WARM_SECONDS = 2.0
-SECONDS = 12.0
-# Seconds after the last rest from which on callers should be served again.
+MEASURED_SECONDS = 12.0
+# Time after the last pause from which callers should be served again.
 RETURN_SECONDS = 0.5
 AFTER_SECONDS = 4.0
-START_PATIENCE = 60.0
-# Statuses of keys that hold no longer, and of routes that are gone.
-NOT_OWED = (401, 404)
+MAX_START_SECONDS = 60.0
+# Statuses for withdrawn keys and removed routes.
+EXPECTED_REFUSALS = (401, 404)
 
 
-class Play:
-    """Routers, targets and callers in one way."""
+class StatementsRun:
+    """Routers, targets and callers of one run."""
 
     def __init__(self, routers, folder, seed):
         self.history = History()
         rng = random.Random(seed)
         self._backends = Backends(
-            OF_EACH_SERVICE, OF_EACH_SERVICE, self.history, rng, lambda *_: None
+            TARGETS_PER_SERVICE, TARGETS_PER_SERVICE, self.history, rng, lambda *_: None
         )
         self._fleet = Fleet(routers, folder, self._backends.store_port, self.history)
         operator = self._backends.operator
@@ -67,57 +67,63 @@
                 self.history,
                 operator,
             )
-            for number in range(CALLERS)
+            for number in range(CALLER_COUNT)
         ]
 
-    def some(self, count):
-        """Return so many targets, of both services in turn."""
+    def choose_targets(self, count):
+        """Return this many targets, from both services in turn."""
         targets = self._backends.targets
-        pairs = zip(targets[:OF_EACH_SERVICE], targets[OF_EACH_SERVICE:], strict=True)
+        pairs = zip(
+            targets[:TARGETS_PER_SERVICE], targets[TARGETS_PER_SERVICE:], strict=True
+        )
         return [target for pair in pairs for target in pair][:count]
 
     @inlineCallbacks
     def run(self, begin, end):
-        """Have callers come; `begin` and `end` are what targets do meanwhile.
+        """Run callers, and call `begin` and `end` around the measured period.
 
-        Returns the shares of callers served meanwhile and after it.
+        Returns the shares of callers served in that period and after the pauses.
         """
         self._fleet.start()
-        until = reactor.seconds() + START_PATIENCE
-        while any(router.misses for router in self._fleet.routers):
+        until = reactor.seconds() + MAX_START_SECONDS
+        while any(router.missed_probes for router in self._fleet.routers):
             if reactor.seconds() > until:
                 raise TimeoutError("the routers did not become ready")
             yield wait(0.1)
         for caller in self._callers:
-            caller.run(PAUSE)
+            caller.run(CALLER_PAUSE_SECONDS)
         yield wait(WARM_SECONDS)
         began = reactor.seconds()
         begin()
-        yield wait(SECONDS)
+        yield wait(MEASURED_SECONDS)
         end()
         ended = reactor.seconds()
-        yield wait(REST + RETURN_SECONDS + AFTER_SECONDS)
+        yield wait(REQUESTED_PAUSE_SECONDS + RETURN_SECONDS + AFTER_SECONDS)
         for caller in self._callers:
             caller.stop()
-        rests = [rest.at + rest.seconds for rest in self.history.rests]
-        back_at = max([ended, *rests]) + RETURN_SECONDS
-        return self.served(began, ended), self.served(back_at, back_at + AFTER_SECONDS)
-
-    def served(self, began, ended):
-        """Return the share of callers served that came in a time."""
-        owed = [
-            asked
-            for asked in self.history.asked.values()
-            if began <= asked.sent_at < ended
-            and asked.ended_at is not None
-            and asked.outcome != LEFT
-            and asked.status not in NOT_OWED
+        pauses = [pause.at + pause.seconds for pause in self.history.pause_requests]
+        returned_at = max([ended, *pauses]) + RETURN_SECONDS
+        return self.served_share(began, ended), self.served_share(
+            returned_at, returned_at + AFTER_SECONDS
+        )
+
+    def served_share(self, began, ended):
+        """Return the share of the requests sent in a period that were served."""
+        counted = [
+            request
+            for request in self.history.sent_requests.values()
+            if began <= request.sent_at < ended
+            and request.ended_at is not None
+            and request.outcome != LEFT
+            and request.status not in EXPECTED_REFUSALS
         ]
-        good = sum(asked.outcome == ANSWERED and asked.status == 200 for asked in owed)
-        return good / len(owed) if owed else 0.0
+        good = sum(
+            request.outcome == ANSWERED and request.status == 200 for request in counted
+        )
+        return good / len(counted) if counted else 0.0
 
     def stop(self):
-        """End all that was started."""
+        """Stop all routers, targets and the store."""
         self._fleet.stop()
         self._backends.close()
 
@@ -127,60 +133,62 @@
 
 
 @inlineCallbacks
-def leaving(routers, folder, seed):
-    """Four targets say that they leave."""
-    play = Play(routers, folder, seed)
+def measure_leaving(routers, folder, seed):
+    """Measure a run in which four targets report that they leave."""
+    statements_run = StatementsRun(routers, folder, seed)
 
     def begin():
-        for target in play.some(4):
+        for target in statements_run.choose_targets(4):
             target.script.is_leaving = True
 
     try:
-        served, _ = yield play.run(begin, lambda: None)
+        served, _ = yield statements_run.run(begin, lambda: None)
     finally:
-        play.stop()
-    late = sum(1 for _ in promises.leaving_answers_end_work(play.history))
-    told = promises.judged(play.history)["answers that said that a target leaves"]
-    return f"4 leave: {late} late requests, {told} first answers; served {served:.3f}"
+        statements_run.stop()
+    late = sum(1 for _ in promises.leaving_answers_end_work(statements_run.history))
+    result = promises.count_judged(statements_run.history)[
+        "answers that said that a target leaves"
+    ]
+    return f"4 leave: {late} late requests, {result} first answers; served {served:.3f}"
 
 
 @inlineCallbacks
-def resting(routers, folder, seed, count):
-    """Some targets turn all requests away and ask for rest."""
-    play = Play(routers, folder, seed)
+def measure_pauses(routers, folder, seed, count):
+    """Measure a run in which targets decline all requests and request pauses."""
+    statements_run = StatementsRun(routers, folder, seed)
 
     def begin():
-        for target in play.some(count):
-            target.script.rest = REST
+        for target in statements_run.choose_targets(count):
+            target.script.rest = REQUESTED_PAUSE_SECONDS
             target.script.is_resting = True
 
     def end():
-        for target in play.some(count):
+        for target in statements_run.choose_targets(count):
             target.script.is_resting = False
 
     try:
-        served, after = yield play.run(begin, end)
+        served, after = yield statements_run.run(begin, end)
     finally:
-        play.stop()
-    rests = list(promises._in_rests(play.history))
-    most = max((len(came) for _, _, came in rests), default=0)
-    broken = sum(1 for _ in promises.rests_are_kept(play.history))
+        statements_run.stop()
+    pauses = list(promises._requests_in_pauses(statements_run.history))
+    most = max((len(received) for _, _, received in pauses), default=0)
+    broken = sum(1 for _ in promises.requested_pauses_are_kept(statements_run.history))
     return (
-        f"{count} rest: {broken} of {len(rests)} rests broken, most in one {most}; "
+        f"{count} rest: {broken} of {len(pauses)} rests broken, most in one {most}; "
         f"served {served:.3f}, after it {after:.3f}"
     )
 
 
 @inlineCallbacks
-def play_all(arguments, folder):
+def run_all(arguments, folder):
     routers, seed = arguments.routers, arguments.seed
-    for way in (
-        lambda: leaving(routers, folder, seed),
-        lambda: resting(routers, folder, seed, 4),
-        lambda: resting(routers, folder, seed, 2 * OF_EACH_SERVICE),
+    for measure in (
+        lambda: measure_leaving(routers, folder, seed),
+        lambda: measure_pauses(routers, folder, seed, 4),
+        lambda: measure_pauses(routers, folder, seed, 2 * TARGETS_PER_SERVICE),
     ):
-        told = yield way()
-        sys.stdout.write(f"{routers} routers, {told}\n")
+        result = yield measure()
+        sys.stdout.write(f"{routers} routers, {result}\n")
 
 
 def main():
@@ -191,7 +199,7 @@
     failed = []
 
     def begin():
-        done = play_all(arguments, Path(tempfile.mkdtemp(prefix="statements-")))
+        done = run_all(arguments, Path(tempfile.mkdtemp(prefix="statements-")))
         done.addErrback(failed.append)
         done.addBoth(lambda _: reactor.stop())
 
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -1,4 +1,4 @@
-"""Each check of the soak finds what it is there for, and nothing else."""
+"""Tests that each check of the soak finds its violations and nothing else."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from soak.history import ANSWERED
 from soak.history import CUT
 from soak.history import LEFT
-from soak.history import Asked
-from soak.history import Cold
+from soak.history import CallerRequest
+from soak.history import ColdPeriod
+from soak.history import Delivery
+from soak.history import Disturbance
 from soak.history import Entry
 from soak.history import Evacuation
-from soak.history import Harm
+from soak.history import HarmfulContent
 from soak.history import History
-from soak.history import Ran
-from soak.history import Rest
+from soak.history import PauseRequest
 from soak.history import Silence
-from soak.history import Trouble
 from soak.history import Version
 
 EVENTS = 2
-LIVES = {"signed": "t0/1"}
+SIGNED = {"signed": "t0/1"}
 STREAM = b"id: 1\ndata: s\n\nid: 2\ndata: s\n\n"
 
 
-def asked(name="a", **fields):
+def request(name="a", **fields):
     values = {
         "name": name,
         "kind": "plain",
@@ -33,7 +33,7 @@
         "service": "portal",
         "key": "k0",
         "router": "r0",
-        "life": 1,
+        "process_number": 1,
         "sent_at": 100.0,
         "deadline": 1.5,
         "ended_at": 100.2,
@@ -42,12 +42,12 @@
         "body": b"done for " + name.encode(),
         "echoed": name,
     }
-    return Asked(**{**values, **fields})
+    return CallerRequest(**{**values, **fields})
 
 
-def ran(name="a", at=100.1, **fields):
+def delivery(name="a", at=100.1, **fields):
     values = {"target": "t0", "service": "portal", "has_run": True}
-    return Ran(name=name, at=at, **{**values, **fields})
+    return Delivery(name=name, at=at, **{**values, **fields})
 
 
 class PromisesTest(TestCase):
@@ -55,36 +55,38 @@
         super().setUp()
         self.history = History(versions=[Version(1, 0.0, ("k0", "k1"))])
 
-    def put(self, *items):
+    def add(self, *items):
         for item in items:
-            if isinstance(item, Asked):
-                self.history.asked[item.name] = item
+            if isinstance(item, CallerRequest):
+                self.history.sent_requests[item.name] = item
             else:
                 self.history.ran.append(item)
 
     def broken(self):
-        return list(promises.broken(self.history, EVENTS))
+        return list(promises.find_broken(self.history, EVENTS))
 
     def test_a_proper_exchange_breaks_nothing(self):
         body = b"id: 1\ndata: s\n\nid: 2\ndata: s\n\n"
-        self.put(asked(), ran(), asked("s", kind="story", body=body), ran("s"))
+        self.add(
+            request(), delivery(), request("s", kind="story", body=body), delivery("s")
+        )
         self.assertEqual([], self.broken())
 
     def test_a_second_run_of_what_may_run_once(self):
-        self.put(asked(kind="once"), ran(), ran(at=100.3, target="t1"))
+        self.add(request(kind="once"), delivery(), delivery(at=100.3, target="t1"))
         self.assertEqual(["at most once"], self.broken())
 
     def test_a_second_run_of_what_may_repeat_is_allowed(self):
-        self.put(asked(), ran(), ran(at=100.3, target="t1"))
+        self.add(request(), delivery(), delivery(at=100.3, target="t1"))
         self.assertEqual([], self.broken())
 
     def test_a_run_that_nobody_asked_for(self):
-        self.put(ran("ghost"))
+        self.add(delivery("ghost"))
         self.assertEqual(["at most once"], self.broken())
 
     def test_a_refusal_of_what_has_run(self):
         for status in (408, 421, 429, 503):
-            self.put(asked(status=status), ran())
+            self.add(request(status=status), delivery())
             self.assertEqual(["not run is true"], self.broken())
 
     def test_answers_that_are_not_whole_or_another_s(self):
@@ -97,18 +99,20 @@
             {"kind": "story", "body": event + event},
             {"kind": "story", "body": event + b"id: 2\ndata: b\n\n"},
         ):
-            self.put(asked(**fields))
+            self.add(request(**fields))
             self.assertEqual(["whole answers"], self.broken(), fields)
 
     def test_a_withdrawn_key_that_is_accepted_too_long(self):
         self.history.versions.append(Version(2, 94.0, ("k1",)))
-        self.put(asked(), ran())
+        self.add(request(), delivery())
         self.assertEqual(["withdrawn keys"], self.broken())
         self.history.versions[-1].acked_at = 96.0
         self.assertEqual([], self.broken())
 
     def test_a_harmful_request_that_reaches_many_targets(self):
-        harm = self.history.harm[b"x"] = Harm(ends=[100.0, 101.0, 102.0])
+        harm = self.history.harmful_contents[b"x"] = HarmfulContent(
+            ends=[100.0, 101.0, 102.0]
+        )
         for number in range(8):
             harm.routers[f"h{number}"] = "r0"
             harm.arrivals.append((f"h{number}", 102.5 + number))
@@ -118,105 +122,109 @@
 
     def test_work_for_a_target_that_leaves(self):
         self.history.draining["t0", 0] = 97.0
-        self.put(asked(), ran())
+        self.add(request(), delivery())
         self.assertEqual(["leaving targets"], self.broken())
-        self.history.troubles.append(Trouble("silent", "store of r0", 98.0, 99.0))
+        self.history.disturbances.append(
+            Disturbance("silent", "store of r0", 98.0, 99.0)
+        )
         self.assertEqual([], self.broken())
 
     def test_a_planned_stop_that_cuts(self):
-        self.history.stops.append(("r0", 1, 100.1))
-        self.put(asked(outcome=CUT, status=0))
+        self.history.planned_stops.append(("r0", 1, 100.1))
+        self.add(request(outcome=CUT, status=0))
         self.assertEqual(["planned stops"], self.broken())
-        self.history.troubles.append(Trouble("silent", "t3", 99.0, 101.0))
+        self.history.disturbances.append(Disturbance("silent", "t3", 99.0, 101.0))
         self.assertEqual([], self.broken())
 
     def test_a_version_that_is_late(self):
         self.history.versions.append(Version(2, 97.0, ("k0",)))
-        self.put(asked(kind="probe", version=2, status=404))
+        self.add(request(kind="probe", version=2, status=404))
         self.assertEqual(["versions"], self.broken())
-        self.history.asked["a"].sent_at = 98.5
+        self.history.sent_requests["a"].sent_at = 98.5
         self.assertEqual([], self.broken())
 
     def test_a_version_that_goes_back(self):
         self.history.versions += [Version(n, 90.0, ("k0",)) for n in (2, 3, 4)]
-        self.put(asked("new", kind="probe", version=4, ended_at=100.0))
-        self.history.asked["new"].body = b"done for new"
-        self.put(asked(kind="probe", version=2, sent_at=101.0, ended_at=101.1))
-        self.put(ran("new"), ran())
+        self.add(request("new", kind="probe", version=4, ended_at=100.0))
+        self.history.sent_requests["new"].body = b"done for new"
+        self.add(request(kind="probe", version=2, sent_at=101.0, ended_at=101.1))
+        self.add(delivery("new"), delivery())
         self.assertEqual(["versions"], self.broken())
-        self.history.asked["a"].life = 2
+        self.history.sent_requests["a"].process_number = 2
         self.assertEqual([], self.broken())
 
     def test_a_storm_of_repeats(self):
         for number in range(40):
             name = f"n{number}"
-            self.put(asked(name), ran(name), ran(name, at=100.2, target="t1"))
+            self.add(
+                request(name), delivery(name), delivery(name, at=100.2, target="t1")
+            )
         self.assertEqual(["repeats"], self.broken())
 
     def test_a_target_that_holds_too_much_in_calm_times(self):
         for number in range(30):
             name = f"n{number}"
-            self.put(asked(name), ran(name, load=9, mean=2.0))
+            self.add(request(name), delivery(name, load=9, mean=2.0))
         self.assertEqual(["load"], self.broken())
-        self.history.troubles.append(Trouble("kill", "r1", 99.0, 99.5))
+        self.history.disturbances.append(Disturbance("kill", "r1", 99.0, 99.5))
         self.assertEqual([], self.broken())
 
     def test_a_caller_left_waiting(self):
-        self.put(asked(ended_at=102.3, outcome=CUT, status=0))
+        self.add(request(ended_at=102.3, outcome=CUT, status=0))
         self.assertEqual(["in time"], self.broken())
 
     def test_a_process_that_ends_by_itself(self):
-        self.history.own_ends.append("r0 ended with status 1")
+        self.history.unexpected_exits.append("r0 ended with status 1")
         self.assertEqual(["processes"], self.broken())
 
     def test_service_that_does_not_come_back(self):
-        self.history.quiet_from = 90.0
+        self.history.last_disturbance_ended = 90.0
         self.assertEqual(["recovery"], self.broken())
-        self.put(asked(), ran(), asked("b", status=502))
+        self.add(request(), delivery(), request("b", status=502))
         self.assertEqual(["recovery"], self.broken())
-        self.put(asked("b", status=502, sent_at=95.0, ended_at=95.2))
+        self.add(request("b", status=502, sent_at=95.0, ended_at=95.2))
         self.assertEqual([], self.broken())
 
     def test_what_may_run_once_runs_at_both_lives_of_a_target(self):
-        self.put(asked(kind="once"), ran(start=1), ran(at=100.3, start=2))
+        self.add(request(kind="once"), delivery(start=1), delivery(at=100.3, start=2))
         self.assertEqual(["at most once"], self.broken())
 
     def test_not_run_is_said_of_what_a_former_life_ran(self):
         self.history.ended["t0", 1] = 100.15
-        self.put(asked(kind="once", status=503), ran(start=1))
+        self.add(request(kind="once", status=503), delivery(start=1))
         self.assertEqual(["not run is true"], self.broken())
 
     def test_an_answer_of_a_life_that_never_ran_it(self):
-        self.put(asked(signed="t0/2"), ran(start=1))
+        self.add(request(signed="t0/2"), delivery(start=1))
         self.assertEqual(["former lives"], self.broken())
-        self.history.asked["a"].signed = "t0/1"
+        self.history.sent_requests["a"].signed = "t0/1"
         self.assertEqual([], self.broken())
 
     def test_an_answer_of_a_life_that_has_ended(self):
         self.history.ended["t0", 1] = 99.0
-        self.put(asked(**LIVES), ran(at=98.9, start=1))
+        self.add(request(**SIGNED), delivery(at=98.9, start=1))
         self.assertEqual(["former lives"], self.broken())
-        # A stream that went on at another life keeps its first signature.
-        self.put(ran(start=2))
+        # A stream that resumed at another incarnation keeps its first signature.
+        self.add(delivery(start=2))
         self.assertEqual([], self.broken())
 
     def test_an_answer_of_a_life_that_ends_while_it_is_sent(self):
         self.history.ended["t0", 1] = 99.5
-        self.put(asked(**LIVES), ran(at=99.4, start=1))
+        self.add(request(**SIGNED), delivery(at=99.4, start=1))
         self.assertEqual([], self.broken())
 
-    def put_requests(self, count, *, target, since=100.0, **fields):
-        """Put requests, ten a second, that run at one target."""
+    def add_requests(self, count, *, target, since=100.0, **fields):
+        """Put ten requests a second that run at one target."""
         for number in range(count):
             name, at = f"{target}-{number}", since + number / 10
-            self.put(asked(name, sent_at=at, ended_at=at + 0.1))
-            self.put(ran(name, at + 0.05, target=target, **fields))
+            self.add(request(name, sent_at=at, ended_at=at + 0.1))
+            self.add(delivery(name, at + 0.05, target=target, **fields))
 
     def test_a_new_life_that_gets_no_work(self):
         self.history.listed.append(Entry("t0", "portal", 2, 95.0))
-        self.put_requests(60, target="t1")
+        self.add_requests(60, target="t1")
         self.assertEqual(["good entries"], self.broken())
-        # Work for the former life is none for the new one.
+        # A request to the former incarnation does not count for the new one.
         self.history.ran[0].target, self.history.ran[0].start = "t0", 1
         self.assertEqual(["good entries"], self.broken())
         self.history.ran[0].start = 2
@@ -224,39 +232,39 @@
 
     def test_one_router_that_stopped_following_the_list(self):
         self.history.listed.append(Entry("t0", "portal", 2, 95.0))
-        self.put_requests(60, target="t1")
-        self.put(asked("b", router="r1"), ran("b", start=2))
+        self.add_requests(60, target="t1")
+        self.add(request("b", router="r1"), delivery("b", start=2))
         self.assertEqual(["good entries"], self.broken())
-        # Only what comes after the last trouble counts.
-        self.history.troubles.append(Trouble("kill", "r0", 96.0, 97.0))
+        # Only requests after the last disturbance count.
+        self.history.disturbances.append(Disturbance("kill", "r0", 96.0, 97.0))
         self.assertEqual([], self.broken())
-        self.history.troubles[0].ended = 92.0
+        self.history.disturbances[0].ended = 92.0
         self.assertEqual(["good entries"], self.broken())
 
     def test_a_target_with_troubles_of_its_own_may_get_no_work(self):
         self.history.listed.append(Entry("t0", "portal", 2, 95.0))
-        self.put_requests(60, target="t1")
+        self.add_requests(60, target="t1")
         for began, ended, wanted in (
             (97.0, 98.0, []),
             (94.0, 96.0, []),
-            # What the life before it met is no reason.
+            # A disturbance of the former incarnation is no excuse.
             (93.0, 94.9, ["good entries"]),
             (105.5, None, ["good entries"]),
         ):
-            self.history.troubles[:] = [Trouble("link", "t0", began, ended)]
+            self.history.disturbances[:] = [Disturbance("link", "t0", began, ended)]
             self.assertEqual(wanted, self.broken(), (began, ended))
 
     def test_an_entry_that_went_before_enough_was_asked(self):
         self.history.listed.append(Entry("t0", "portal", 2, 95.0, until=101.0))
-        self.put_requests(60, target="t1")
+        self.add_requests(60, target="t1")
         self.assertEqual([], self.broken())
 
     def test_work_for_what_another_writer_s_entry_names(self):
         entry = Entry("t0", "portal", 1, 97.0, until=100.3)
-        self.history.foreign.append(entry)
-        self.put(asked(), ran())
+        self.history.foreign_entries.append(entry)
+        self.add(request(), delivery())
         self.assertEqual(["foreign entries"], self.broken())
-        # Sent by the entry of the target before it at that address.
+        # Sent to the former target at the same address.
         self.history.ran[-1].is_misdirected = True
         self.assertEqual([], self.broken())
         self.history.ran[-1].is_misdirected = False
@@ -265,113 +273,125 @@
             vars(entry).update(changed)
             self.assertEqual([], self.broken(), changed)
             vars(entry).update(was)
-        self.history.troubles.append(Trouble("silent", "store of r0", 98.0, 99.0))
+        self.history.disturbances.append(
+            Disturbance("silent", "store of r0", 98.0, 99.0)
+        )
         self.assertEqual([], self.broken())
 
     def test_neighbours_of_another_writer_s_entry_that_lose_their_work(self):
-        self.history.foreign.append(Entry("t0", "portal", 1, 99.0, until=104.0))
+        self.history.foreign_entries.append(Entry("t0", "portal", 1, 99.0, until=104.0))
         for name in ("t1", "t2"):
             self.history.listed.append(Entry(name, "portal", 1, 50.0, until=104.0))
-        self.put_requests(30, target="t1")
-        for run in self.history.ran:
-            run.has_run = False
+        self.add_requests(30, target="t1")
+        for delivered in self.history.ran:
+            delivered.has_run = False
         self.assertEqual(["their neighbours"], self.broken())
-        for run in self.history.ran[:20]:
-            run.has_run = True
+        for delivered in self.history.ran[:20]:
+            delivered.has_run = True
         self.assertEqual([], self.broken())
 
-    def put_stream(self, **fields):
+    def add_stream(self, **fields):
         values = {"kind": "draft", "body": STREAM, "deadline": 6.0, "ended_at": 101.5}
-        self.put(asked("s", **{**values, **fields}), ran("s"))
+        self.add(request("s", **{**values, **fields}), delivery("s"))
 
     def test_a_stream_that_ends_as_its_engine_is_silent(self):
         self.history.silences.append(Silence("t0", 100.2, 101.2))
         for fields in ({"outcome": CUT}, {"status": 502, "outcome": ANSWERED}):
             self.history.ran.clear()
-            self.put_stream(**fields)
+            self.add_stream(**fields)
             self.assertEqual(["silence"], self.broken(), fields)
-        self.history.troubles.append(Trouble("faults", "t0", 99.0, 101.0))
+        self.history.disturbances.append(Disturbance("faults", "t0", 99.0, 101.0))
         self.assertEqual([], self.broken())
 
     def test_streams_that_a_silence_has_not_ended(self):
         self.history.silences.append(Silence("t0", 100.2, 101.2))
         for fields in ({}, {"outcome": LEFT}, {"outcome": CUT, "ended_at": 100.1}):
-            self.history.asked.clear()
+            self.history.sent_requests.clear()
             self.history.ran.clear()
-            self.put_stream(**fields)
+            self.add_stream(**fields)
             self.assertEqual([], self.broken(), fields)
 
 
 class DomainsTest(PromisesTest):
-    def evacuate(self, until=120.0):
+    def add_evacuation(self, until=120.0):
         self.history.evacuations.append(Evacuation("a", 100.0, until))
 
     def late(self):
         return list(promises.evacuated_domains_get_no_work(self.history))
 
     def test_what_reaches_an_evacuated_domain_late_is_found(self):
-        self.evacuate()
-        self.put(asked(), ran(at=104.9, domain="a"))
+        self.add_evacuation()
+        self.add(request(), delivery(at=104.9, domain="a"))
         self.assertEqual([], self.late())
-        self.put(ran(at=105.2, domain="a"))
+        self.add(delivery(at=105.2, domain="a"))
         self.assertEqual(1, len(self.late()))
 
     def test_other_domains_and_what_comes_after_the_return_are_not(self):
-        self.evacuate(until=110.0)
-        self.put(asked(), ran(at=106.0, domain="b"), ran(at=110.1, domain="a"))
+        self.add_evacuation(until=110.0)
+        self.add(
+            request(), delivery(at=106.0, domain="b"), delivery(at=110.1, domain="a")
+        )
         self.assertEqual([], self.late())
 
     def test_nor_is_what_another_target_in_its_place_did_not_run(self):
-        self.evacuate()
-        self.put(asked(), ran(at=106.0, domain="a", has_run=False))
+        self.add_evacuation()
+        self.add(request(), delivery(at=106.0, domain="a", has_run=False))
         self.assertEqual([], self.late())
 
     def test_nor_is_a_router_that_lost_the_store(self):
-        self.evacuate()
-        self.put(asked(), ran(at=106.0, domain="a"))
-        self.history.troubles.append(Trouble("cut", "store of r0", 101.0, 104.0))
+        self.add_evacuation()
+        self.add(request(), delivery(at=106.0, domain="a"))
+        self.history.disturbances.append(
+            Disturbance("cut", "store of r0", 101.0, 104.0)
+        )
         self.assertEqual([], self.late())
 
     def test_a_target_of_an_evacuated_domain_may_get_no_work(self):
         for number in range(60):
             at = 100.0 + number / 10
-            self.put(asked(f"a{number}", sent_at=at, ended_at=at + 0.1))
-            self.put(ran(f"a{number}", at + 0.05, target="t1"))
+            self.add(request(f"a{number}", sent_at=at, ended_at=at + 0.1))
+            self.add(delivery(f"a{number}", at + 0.05, target="t1"))
         entry = Entry("t0", "portal", 2, 95.0, domain="a")
         self.history.listed.append(entry)
-        due = list(promises.good_entries_get_work(self.history))
-        self.assertEqual(1, len(due))
-        # Listed while it was evacuated, under a name of its own.
-        self.history.troubles.append(Trouble("evacuate", "domain a", 93.0, 110.0))
+        overdue = list(promises.good_entries_get_work(self.history))
+        self.assertEqual(1, len(overdue))
+        # Listed under a new name while its domain was evacuated.
+        self.history.disturbances.append(
+            Disturbance("evacuate", "domain a", 93.0, 110.0)
+        )
         self.assertEqual([], list(promises.good_entries_get_work(self.history)))
         entry.domain = "b"
-        self.assertEqual(due, list(promises.good_entries_get_work(self.history)))
+        self.assertEqual(overdue, list(promises.good_entries_get_work(self.history)))
 
     def test_a_target_that_said_that_it_leaves_may_get_no_work(self):
         for number in range(60):
             at = 100.0 + number / 10
-            self.put(asked(f"a{number}", sent_at=at, ended_at=at + 0.1))
-            self.put(ran(f"a{number}", at + 0.05, target="t1"))
+            self.add(request(f"a{number}", sent_at=at, ended_at=at + 0.1))
+            self.add(delivery(f"a{number}", at + 0.05, target="t1"))
         self.history.listed.append(Entry("t0", "portal", 2, 95.0))
-        due = list(promises.good_entries_get_work(self.history))
-        self.assertEqual(1, len(due))
-        # By a router of its own; another start of the target did not say so.
-        for start, wanted in ((1, due), (2, [])):
-            said = asked("said", router="r9", left_at=97.0, signed=f"t0/{start}")
-            self.put(said)
+        overdue = list(promises.good_entries_get_work(self.history))
+        self.assertEqual(1, len(overdue))
+        # Passed on by another router; only the same start of the target counts.
+        for start, wanted in ((1, overdue), (2, [])):
+            reported = request(
+                "said", router="r9", leaving_reported_at=97.0, signed=f"t0/{start}"
+            )
+            self.add(reported)
             self.assertEqual(wanted, list(promises.good_entries_get_work(self.history)))
 
     def test_what_was_meant_for_a_former_target_is_no_work_for_a_leaving_one(self):
         self.history.draining["t0", 0] = 100.0
-        self.put(asked(sent_at=103.0, ended_at=103.2))
-        self.put(ran(at=103.1, has_run=False))
+        self.add(request(sent_at=103.0, ended_at=103.2))
+        self.add(delivery(at=103.1, has_run=False))
         self.assertEqual(["leaving targets"], self.broken())
         self.history.ran[-1].is_misdirected = True
         self.assertEqual([], self.broken())
 
     def test_what_a_link_held_back_is_no_new_work_for_a_leaving_target(self):
         self.history.draining["t0", 0] = 100.0
-        self.put(asked(sent_at=99.9, ended_at=103.2, deadline=6.0), ran(at=103.1))
+        self.add(
+            request(sent_at=99.9, ended_at=103.2, deadline=6.0), delivery(at=103.1)
+        )
         self.assertEqual(["leaving targets"], self.broken())
         for began, ended, wanted in (
             (99.0, 103.0, []),
@@ -379,82 +399,95 @@
             (96.0, 100.0, ["leaving targets"]),
             (103.2, None, ["leaving targets"]),
         ):
-            self.history.troubles[:] = [Trouble("link silent", "t0", began, ended)]
+            self.history.disturbances[:] = [
+                Disturbance("link silent", "t0", began, ended)
+            ]
             self.assertEqual(wanted, self.broken(), (began, ended))
 
     def test_work_for_a_target_after_its_own_notice(self):
-        self.put(asked(left_at=100.1, **LIVES), ran(start=1))
-        late = 100.1 + promises.DRAIN + promises.SLACK
-        self.put(asked("b", sent_at=late, ended_at=late + 1), ran("b", late, start=1))
+        self.add(request(leaving_reported_at=100.1, **SIGNED), delivery(start=1))
+        late = 100.1 + promises.DRAIN_SECONDS + promises.SLACK_SECONDS
+        self.add(
+            request("b", sent_at=late, ended_at=late + 1), delivery("b", late, start=1)
+        )
         self.assertEqual([], self.broken())
-        self.put(asked("c", sent_at=late + 1, ended_at=late + 2))
-        self.put(ran("c", late + 1.1, start=1))
+        self.add(request("c", sent_at=late + 1, ended_at=late + 2))
+        self.add(delivery("c", late + 1.1, start=1))
         self.assertEqual(["leaving answers"], self.broken())
 
     def test_another_router_life_or_target_has_not_passed_it_on(self):
-        self.put(asked(left_at=100.1, **LIVES), ran(start=1))
-        for n, fields in enumerate(({"router": "r1"}, {"life": 2})):
-            self.put(asked(f"b{n}", sent_at=105.0, ended_at=105.2, **fields))
-            self.put(ran(f"b{n}", 105.1, start=1))
-        self.put(asked("c", sent_at=105.0, ended_at=105.2), ran("c", 105.1, start=2))
+        self.add(request(leaving_reported_at=100.1, **SIGNED), delivery(start=1))
+        for n, fields in enumerate(({"router": "r1"}, {"process_number": 2})):
+            self.add(request(f"b{n}", sent_at=105.0, ended_at=105.2, **fields))
+            self.add(delivery(f"b{n}", 105.1, start=1))
+        self.add(
+            request("c", sent_at=105.0, ended_at=105.2), delivery("c", 105.1, start=2)
+        )
         self.assertEqual([], self.broken())
 
     def test_a_pause_of_the_router_excuses_it(self):
-        self.put(asked(left_at=100.1, **LIVES), ran(start=1))
-        self.put(asked("b", sent_at=105.0, ended_at=105.2), ran("b", 105.1, start=1))
+        self.add(request(leaving_reported_at=100.1, **SIGNED), delivery(start=1))
+        self.add(
+            request("b", sent_at=105.0, ended_at=105.2), delivery("b", 105.1, start=1)
+        )
         self.assertEqual(["leaving answers"], self.broken())
-        self.history.troubles.append(Trouble("pause", "r0", 102.0, 103.0))
+        self.history.disturbances.append(Disturbance("pause", "r0", 102.0, 103.0))
         self.assertEqual([], self.broken())
 
-    def rest(self, at=100.0, seconds=3.0):
-        self.put(asked("turned", sent_at=at), ran("turned", at, has_run=False))
-        self.history.rests.append(Rest("t0", 0, "turned", at, seconds))
+    def add_pause(self, at=100.0, seconds=3.0):
+        self.add(request("turned", sent_at=at), delivery("turned", at, has_run=False))
+        self.history.pause_requests.append(PauseRequest("t0", 0, "turned", at, seconds))
 
     def test_more_than_two_requests_in_a_rest(self):
-        self.rest()
+        self.add_pause()
         for n, at in enumerate((100.4, 100.6, 102.0, 103.1)):
-            self.put(asked(f"b{n}", sent_at=at, ended_at=at + 0.2), ran(f"b{n}", at))
+            self.add(
+                request(f"b{n}", sent_at=at, ended_at=at + 0.2), delivery(f"b{n}", at)
+            )
         self.assertEqual([], self.broken())
-        self.put(asked("c", sent_at=101.0, ended_at=101.2), ran("c", 101.1))
+        self.add(request("c", sent_at=101.0, ended_at=101.2), delivery("c", 101.1))
         self.assertEqual(["rests"], self.broken())
 
     def test_of_other_routers_any_number_may_come_in_a_rest(self):
-        self.rest()
+        self.add_pause()
         for n in range(9):
-            self.put(asked(f"b{n}", sent_at=101.0, ended_at=101.2, router="r1"))
-            self.put(ran(f"b{n}", 101.1))
+            self.add(request(f"b{n}", sent_at=101.0, ended_at=101.2, router="r1"))
+            self.add(delivery(f"b{n}", 101.1))
         self.assertEqual([], self.broken())
 
     def test_a_link_that_held_requests_back_excuses_them(self):
-        self.rest()
+        self.add_pause()
         for n in range(9):
-            self.put(asked(f"b{n}", sent_at=101.0, ended_at=101.2), ran(f"b{n}", 101.1))
+            self.add(
+                request(f"b{n}", sent_at=101.0, ended_at=101.2),
+                delivery(f"b{n}", 101.1),
+            )
         self.assertEqual(["rests"], self.broken())
-        self.history.troubles.append(Trouble("link delay", "t0", 99.0, 100.2))
+        self.history.disturbances.append(Disturbance("link delay", "t0", 99.0, 100.2))
         self.assertEqual([], self.broken())
 
-    def over(self):
+    def find_overloads(self):
         return list(promises.cold_targets_get_their_rate(self.history))
 
-    def chill(self, start=0):
-        self.history.cold.append(Cold("t0", start, 100.0, 103.0))
+    def add_cold_period(self, start=0):
+        self.history.cold.append(ColdPeriod("t0", start, 100.0, 103.0))
 
     def test_a_cold_target_that_gets_too_much_in_a_second_is_found(self):
-        self.chill()
-        for n in range(promises.COLD_MOST):
-            self.put(ran(at=101.0 + n * 0.04))
-        self.assertEqual([], self.over())
-        self.put(ran(at=101.9))
-        self.assertEqual(1, len(self.over()))
+        self.add_cold_period()
+        for n in range(promises.MAX_COLD_RUNS_PER_SECOND):
+            self.add(delivery(at=101.0 + n * 0.04))
+        self.assertEqual([], self.find_overloads())
+        self.add(delivery(at=101.9))
+        self.assertEqual(1, len(self.find_overloads()))
 
     def test_what_is_spread_is_not(self):
-        self.chill()
+        self.add_cold_period()
         for n in range(55):
-            self.put(ran(at=100.0 + n * 0.053))
-        self.assertEqual([], self.over())
+            self.add(delivery(at=100.0 + n * 0.053))
+        self.assertEqual([], self.find_overloads())
 
     def test_nor_what_another_life_of_it_gets_or_what_comes_when_it_is_warm(self):
-        self.chill(start=7)
+        self.add_cold_period(start=7)
         for n in range(60):
-            self.put(ran(at=101.0 + n * 0.01), ran(at=103.01, start=7))
-        self.assertEqual([], self.over())
+            self.add(delivery(at=101.0 + n * 0.01), delivery(at=103.01, start=7))
+        self.assertEqual([], self.find_overloads())
--- a/tests/soak/test_schedule.py
+++ b/tests/soak/test_schedule.py
@@ -1,4 +1,4 @@
-"""What a seed draws."""
+"""Tests of the series of steps that a seed draws."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 
 
 class ScheduleTest(TestCase):
-    def draw(self, beside=None, without=()):
-        return schedule.draw(random.Random(7), SECONDS, beside, without)
+    def draw(self, extra=None, without=()):
+        return schedule.draw(random.Random(7), SECONDS, extra, without)
 
     def test_the_second_series_leaves_the_first_as_it_is(self):
         first = self.draw()
         both = self.draw(random.Random(8))
-        beside = [step for step in both if step.kind in schedule.BESIDE]
-        self.assertEqual(first, [step for step in both if step not in beside])
-        self.assertEqual(set(schedule.BESIDE), {step.kind for step in beside})
+        extra = [step for step in both if step.kind in schedule.EXTRA_KINDS]
+        self.assertEqual(first, [step for step in both if step not in extra])
+        self.assertEqual(set(schedule.EXTRA_KINDS), {step.kind for step in extra})
         self.assertEqual(sorted(both, key=lambda step: step.at), both)
 
     def test_domains_have_a_series_of_their_own(self):
         steps = schedule.draw_domains(random.Random(8), SECONDS)
-        self.assertEqual(set(schedule.DOMAINS), {step.kind for step in steps})
+        self.assertEqual(set(schedule.DOMAIN_KINDS), {step.kind for step in steps})
         self.assertEqual(sorted(steps, key=lambda step: step.at), steps)
         self.assertEqual(steps, schedule.draw_domains(random.Random(8), SECONDS))
 
     def test_statements_have_a_series_of_their_own(self):
-        steps = schedule.draw_statements(random.Random(8), SECONDS)
-        self.assertEqual(set(schedule.STATEMENTS), {step.kind for step in steps})
-        self.assertEqual(steps, schedule.draw_statements(random.Random(8), SECONDS))
+        steps = schedule.draw_self_reports(random.Random(8), SECONDS)
+        self.assertEqual(set(schedule.SELF_REPORT_KINDS), {step.kind for step in steps})
+        self.assertEqual(steps, schedule.draw_self_reports(random.Random(8), SECONDS))
 
     def test_what_is_left_out_is_not_drawn(self):
         steps = self.draw(random.Random(8), ["foreign", "lone_silence"])
-        drawn = {step.kind for step in steps} & set(schedule.BESIDE)
+        drawn = {step.kind for step in steps} & set(schedule.EXTRA_KINDS)
         self.assertEqual({"reborn"}, drawn)
         self.assertEqual(
-            self.draw(), self.draw(random.Random(8), list(schedule.BESIDE))
+            self.draw(), self.draw(random.Random(8), list(schedule.EXTRA_KINDS))
         )
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""Short soaks with fixed seeds, in CI; longer ones are run by hand."""
+"""Short soaks with fixed seeds for CI; longer ones are run by hand."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from testtools import TestCase
 
 PROGRAM = Path(__file__).resolve().parent / "soak.py"
-PATIENCE = 180
-ENDS_WITHIN = 10
-# Seeds that failed once, with the seconds they ran and the cause.
+MAX_RUN_SECONDS = 180
+MAX_STOP_SECONDS = 10
+# Seeds that failed once, with the length of their runs in seconds and the cause.
 FAILED_ONCE = {
-    1: (25, "SIGTERM in the 0.4 s in which a router is loaded killed it"),
+    1: (25, "SIGTERM killed a router in the 0.4 s in which its program is loaded"),
 }
 
 
 class SoakTest(TestCase):
-    def start(self, seed, seconds, without=(), harmful=0, *, more=()):
-        words = [f"--seed={seed}", f"--seconds={seconds}", "--routers=3"]
-        words += [f"--harmful={harmful}"]
-        words += [f"--{series}" for series in more]
-        words += ["--without", *without]
+    def start(self, seed, seconds, without=(), harmful=0, *, extra_series=()):
+        arguments = [f"--seed={seed}", f"--seconds={seconds}", "--routers=3"]
+        arguments += [f"--harmful={harmful}"]
+        arguments += [f"--{series}" for series in extra_series]
+        arguments += ["--without", *without]
         process = subprocess.Popen(
-            [sys.executable, str(PROGRAM), *words, "--callers=15"],
+            [sys.executable, str(PROGRAM), *arguments, "--callers=15"],
             stdout=subprocess.PIPE,
             text=True,
         )
@@ -33,10 +33,10 @@
         return process
 
     def end(self, process):
-        """End a run that a failed test left."""
+        """Terminate a run that a failed test left running."""
         if process.poll() is None:
             process.terminate()
-            process.communicate(timeout=ENDS_WITHIN)
+            process.communicate(timeout=MAX_STOP_SECONDS)
 
     def children(self, process):
         found = Path(f"/proc/{process.pid}/task/{process.pid}/children").read_text()
@@ -44,40 +44,42 @@
 
     def test_seeds_break_no_promise(self):
         wanted = {20261202: 10, **{s: t for s, (t, _) in FAILED_ONCE.items()}}
-        self.break_no_promise(wanted, ["reborn", "foreign"])
+        self.assert_no_promise_broken(wanted, ["reborn", "foreign"])
 
     def test_restarts_and_foreign_entries_break_no_promise(self):
-        self.break_no_promise({20261202: 10})
+        self.assert_no_promise_broken({20261202: 10})
 
     def test_requests_that_end_targets_break_no_promise(self):
-        self.break_no_promise({20261204: 12}, harmful=2)
+        self.assert_no_promise_broken({20261204: 12}, harmful=2)
 
     def test_evacuations_and_cold_targets_break_no_promise(self):
-        self.break_no_promise({20261205: 15}, more=["domains"])
+        self.assert_no_promise_broken({20261205: 15}, extra_series=["domains"])
 
     def test_targets_that_leave_or_rest_by_their_answers_break_no_promise(self):
-        self.break_no_promise({20261206: 15}, more=["statements"])
+        self.assert_no_promise_broken({20261206: 15}, extra_series=["statements"])
 
-    def break_no_promise(self, wanted, without=(), harmful=0, *, more=()):
-        """Play seeds, each for so many seconds, at the same time."""
+    def assert_no_promise_broken(
+        self, wanted, without=(), harmful=0, *, extra_series=()
+    ):
+        """Run all seeds at once, each for its seconds, and check their results."""
         running = {
-            seed: self.start(seed, time, without, harmful, more=more)
+            seed: self.start(seed, time, without, harmful, extra_series=extra_series)
             for seed, time in wanted.items()
         }
         for seed, process in running.items():
-            said, _ = process.communicate(timeout=PATIENCE)
-            self.assertEqual(0, process.returncode, said)
-            self.assertIn(f"seed {seed}: ", said)
+            output, _ = process.communicate(timeout=MAX_RUN_SECONDS)
+            self.assertEqual(0, process.returncode, output)
+            self.assertIn(f"seed {seed}: ", output)
 
     def test_a_run_that_is_terminated_leaves_no_router(self):
         process = self.start(20261203, 60)
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + MAX_RUN_SECONDS
         while not self.children(process):
             self.assertLess(time.monotonic(), until)
             time.sleep(0.05)
         routers = self.children(process)
         process.terminate()
-        process.communicate(timeout=ENDS_WITHIN)
+        process.communicate(timeout=MAX_STOP_SECONDS)
         left = [number for number in routers if Path(f"/proc/{number}").exists()]
         self.assertEqual([], left)
         self.assertEqual(2, process.returncode)
