--- a/src/primrosescale/request/forwarded_call.py
+++ b/src/primrosescale/request/forwarded_call.py
@@ -112,7 +112,7 @@
 
     @property
     def is_suspect(self) -> bool:
-        """Tell whether an answer was lost or the request held back, as if harmful."""
+        """Tell whether an answer was lost or the harm monitor held the request back."""
         return self._is_suspect
 
     @property
--- a/src/primrosescale/request/target_attempt.py
+++ b/src/primrosescale/request/target_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one target: its progress, its buffer, its log record."""
+"""One attempt of a request at one target: its progress, buffer and log record."""
 
 from __future__ import annotations
 
