--- a/src/primrosescale/request/cold_targets.py
+++ b/src/primrosescale/request/cold_targets.py
@@ -1,10 +1,11 @@
-"""Limits the rate of requests to cold targets, which have just started or returned.
+"""Limits the rate of requests to cold targets, which have empty caches.
 
+A target is cold for some time after it has started or become reachable again.
 A target with empty caches and no load looks better than all others, so that every
 router sends to it at once, and it crashes under the load. While it is cold, all
 routers together send it no more requests in a second than it can handle, whether or
-not they reach the store and each other: each router uses only the permits that are
-its own by the list of routers, and counts them over any one second.
+not they reach the store and each other: each router uses only the permits that the
+list of routers assigns to it, and counts them over any one second.
 
 Only half of what a target can handle is divided into permits, so that the bound also
 holds while two lists of routers are in force that have nothing in common.
@@ -125,7 +126,7 @@
         return service is not None and now < state.cold_until(service.cold_seconds)
 
     def open(self, states: Sequence[TargetState], now: float) -> list[TargetState]:
-        """Return which of some targets may be sent a request now.
+        """Return which of the given targets may be sent a request now.
 
         Parameters
         ----------
--- a/src/primrosescale/request/evacuations.py
+++ b/src/primrosescale/request/evacuations.py
@@ -1,4 +1,4 @@
-"""Keeps which failure domains are evacuated: their targets get no new requests."""
+"""Determines which failure domains are evacuated: their targets get no new requests."""
 
 from __future__ import annotations
 
@@ -60,11 +60,11 @@
 
     @property
     def is_worth_sharing(self) -> bool:
-        """Return whether the list is worth reporting: some domain was ever in it."""
+        """Return whether to report the list: only once it has ever had a domain."""
         return self._has_had_any
 
     def update(self, received: EvacuationList, now: float) -> bool:
-        """Take over a list of evacuated domains, unless it is older.
+        """Replace the known list of evacuated domains, unless the new one is older.
 
         Parameters
         ----------
--- a/src/primrosescale/request/freshness.py
+++ b/src/primrosescale/request/freshness.py
@@ -30,7 +30,7 @@
 
     @property
     def bound(self) -> float:
-        """Return for how many seconds a read may be relied on."""
+        """Return for how many seconds after a read was sent keys are accepted."""
         return self._bound - MARGIN_SECONDS
 
     def configure(self, bound: float) -> None:
--- a/src/primrosescale/request/harmful_requests.py
+++ b/src/primrosescale/request/harmful_requests.py
@@ -1,11 +1,11 @@
-"""Decides which requests are harmful, as targets end running them, and holds them back.
+"""Decides which requests are harmful, as they crash targets, and holds them back.
 
 A harmful request ends each target that begins to run it, and is sent again and again,
-under new ids and at any entry host. Each end also loses the requests of many other
-callers, which run on one target after the other too where a service has few targets.
-Ends are therefore counted by the content of the requests that were running, from the
-reports of all routers. One end more is required where other requests explain all the
-ends better, or while targets end so often that chance may explain them.
+under new ids and through any router. Each end also loses the requests of many other
+callers; where a service has few targets, these too run on one ending target after the
+other. Ends are therefore counted by the content of the requests that were running, from
+the reports of all routers. One end more is required where other requests explain all
+the ends better, or while targets end so often that chance may explain them.
 
 A complete answer whose target kept running clears a request of all earlier ends, and
 from then on more ends are required; a complete answer whose target ended just after
@@ -29,8 +29,8 @@
 
 # Additional ends required where other requests or chance may explain the ends.
 EXTRA_ENDS_IF_EXPLAINED = 1
-# Share of requests that run on a target as it ends, above which chance explains three
-# ends of one request in ten thousand.
+# Share of requests whose target ends while it runs them, above which chance alone gives
+# three ends to more than one request in ten thousand.
 MAX_CHANCE_SHARE = 0.046
 # Half-life of the outcomes in that share, and the number of good answers assumed before
 # the first outcomes.
@@ -42,7 +42,7 @@
 ANSWERED_MULTIPLE = 2
 # Additional ends required where targets ended just after answering it completely.
 EXTRA_ENDS_AFTER_ANSWER = 2
-# Factor by which each further end lengthens the hold; allows three trials in a day.
+# Factor by which each further end lengthens the hold; it allows three trials in a day.
 HOLD_GROWTH_FACTOR = 12.0
 # Time for which an end counts.
 MEMORY_SECONDS = 172_800.0
@@ -103,7 +103,7 @@
 
     def __init__(self, settings: HarmSettings) -> None:
         self._settings = settings
-        # The one that was updated longest ago first.
+        # The one whose last new end was recorded longest ago comes first.
         self._evidence: OrderedDict[int, _Evidence] = OrderedDict()
         # When requests were last answered completely, the oldest first.
         self._answered: OrderedDict[int, float] = OrderedDict()
@@ -222,7 +222,9 @@
             True if it has the required number of ends, whatever explains them.
         """
         evidence = self._evidence.get(fingerprint)
-        return evidence is not None and len(evidence.ends) >= self._needed(evidence)
+        return evidence is not None and len(evidence.ends) >= self._required_ends(
+            evidence
+        )
 
     def last_answer(self, fingerprint: int) -> CompleteAnswer | None:
         """Return the last remembered complete answer to a request.
@@ -293,13 +295,13 @@
             Seconds; 0 if it may be sent.
         """
         evidence = self._evidence.get(fingerprint)
-        if evidence is None or len(evidence.ends) < self._needed(evidence):
+        if evidence is None or len(evidence.ends) < self._required_ends(evidence):
             return 0.0
         until = evidence.trial_at + TRIAL_SECONDS
         if self._is_explained_by_widespread_ends(evidence, now):
             return 0.0
         if self._is_sufficient(fingerprint, evidence, now):
-            until = max(until, evidence.last_end + self._hold(evidence))
+            until = max(until, evidence.last_end + self._hold_seconds(evidence))
         return max(0.0, until - now)
 
     def ends_under(self, fingerprint: int) -> int:
@@ -350,14 +352,14 @@
         if evidence is None:
             return []
         newest = sorted(evidence.ends.items(), key=lambda item: -item[1])
-        most = self._needed(evidence) + EXTRA_ENDS_IF_EXPLAINED
+        required = self._required_ends(evidence) + EXTRA_ENDS_IF_EXPLAINED
         was_answered = evidence.ended_after_answer
         return [
             TargetEnd(fingerprint, target, at, was_answered)
-            for target, at in newest[:most]
+            for target, at in newest[:required]
         ]
 
-    def _hold(self, evidence: _Evidence) -> float:
+    def _hold_seconds(self, evidence: _Evidence) -> float:
         settings = self._settings
         if evidence.answered_at:
             # Its ends may date from a time in which many targets ended.
@@ -366,11 +368,11 @@
         return min(settings.longest_hold, settings.hold * HOLD_GROWTH_FACTOR**trials)
 
     def _is_sufficient(self, fingerprint: int, evidence: _Evidence, now: float) -> bool:
-        more = len(evidence.ends) - self._needed(evidence)
+        more = len(evidence.ends) - self._required_ends(evidence)
         if more >= EXTRA_ENDS_IF_EXPLAINED:
             return True
-        is_chance_enough = self._may_be_chance(now)
-        return not is_chance_enough and not self._is_explained(fingerprint, evidence)
+        may_be_chance = self._may_be_chance(now)
+        return not may_be_chance and not self._is_explained(fingerprint, evidence)
 
     def _is_explained_by_widespread_ends(self, evidence: _Evidence, now: float) -> bool:
         """Return whether it was answered before and targets now end often.
@@ -390,7 +392,7 @@
         return bad > MAX_CHANCE_SHARE * (good + bad + PRIOR_ANSWERS)
 
     def _is_explained(self, fingerprint: int, evidence: _Evidence) -> bool:
-        """Return whether at each end another request ran that has more ends."""
+        """Return whether at each end the target also ran a request with more ends."""
         return all(
             any(
                 len(self._evidence[other].ends) > len(evidence.ends)
@@ -400,7 +402,7 @@
             for target in evidence.ends
         )
 
-    def _needed(self, evidence: _Evidence) -> int:
+    def _required_ends(self, evidence: _Evidence) -> int:
         if evidence.answered_at:
             return ANSWERED_MULTIPLE * self._settings.ends
         more = EXTRA_ENDS_AFTER_ANSWER if evidence.ended_after_answer else 0
--- a/src/primrosescale/request/prefix_cache_index.py
+++ b/src/primrosescale/request/prefix_cache_index.py
@@ -1,9 +1,9 @@
 """Estimates which target holds which parts of prompts in its prefix cache.
 
 A target does not prefill a part again that it holds, which matters for returning
-chats. The directory therefore records where parts went, from this router's own
-requests and from the reports of peer routers. Targets evict the least recently used
-parts when their cache is full, and so does the directory. Each record belongs to one
+chats. The index therefore records where parts went, from this router's own requests
+and from the reports of peer routers. Targets evict the least recently used parts when
+their cache is full, and so does the index. Each record belongs to one
 incarnation of a target: a target that restarts holds nothing.
 """
 
@@ -24,9 +24,9 @@
 # Parts last used longer ago are not relied on, whatever the cache size: peer routers
 # may have caused evictions that were not reported here.
 MAX_USE_AGE_SECONDS = 60.0
-# Share of a target's cache that is assumed to be usable. Running requests share one
-# copy of their common parts; what is not reported to a router (the chats of other
-# routers) is not counted here.
+# Share of a target's cache that the parts recorded here are assumed to fill before the
+# target evicts any. Running requests share one copy of their common parts; parts that
+# are not reported to this router (the chats of peer routers) are not counted.
 CACHE_SHARE = 1.0
 # Parts recorded for one target, also where the size of its cache is not known.
 MAX_PARTS_PER_TARGET = 4096
@@ -34,8 +34,8 @@
 # they rely on it has passed: early enough to tolerate one lost datagram, and less often
 # than with each use.
 REPORT_AGAIN_SECONDS = MAX_USE_AGE_SECONDS / 2
-# Prefilling a shorter shared prefix takes about as long as copying it, so that its
-# place is not worth reporting in a large fleet.
+# Prefilling a shorter shared prefix takes about as long as copying it, so that a large
+# fleet need not report which target holds it.
 MIN_REPORTED_TOKENS = 1000
 
 
@@ -88,7 +88,7 @@
         self.parts: OrderedDict[str, _HeldPart] = OrderedDict()
         self.tokens = 0
 
-    def note(self, use: PartUse, capacity: int) -> tuple[_HeldPart, bool]:
+    def record(self, use: PartUse, capacity: int) -> tuple[_HeldPart, bool]:
         """Record a use; return the part, and whether it was not held before."""
         known = self.parts.get(use.part)
         if known is None:
@@ -159,20 +159,20 @@
         """
         for name in use.before:
             # Their tokens are counted where they are reported or sent themselves.
-            self._note(PartUse(name, use.target, 0, use.used_at))
-        held, is_new = self._note(use)
+            self._record(PartUse(name, use.target, 0, use.used_at))
+        held, is_new = self._record(use)
         held.reported_at = max(held.reported_at, use.used_at)
         return is_new
 
-    def _note(self, use: PartUse) -> tuple[_HeldPart, bool]:
+    def _record(self, use: PartUse) -> tuple[_HeldPart, bool]:
         holder = self._holders.get(use.target)
         if holder is None:
             holder = self._holders[use.target] = _HeldParts()
-        return holder.note(use, self._capacity.get(use.target, 0))
+        return holder.record(use, self._capacity.get(use.target, 0))
 
     @property
     def has_away_from_home(self) -> bool:
-        """Return whether a prompt to be reported went elsewhere than to its home."""
+        """Return whether any prompt that went elsewhere than home is yet unreported."""
         return bool(self._away_from_home)
 
     def record_own_request(
@@ -210,7 +210,7 @@
         last_shared = len(parts) - 2
         for place, part in enumerate(parts):
             use = PartUse(part.name, target, part.tokens, now)
-            held, was_unknown = self._note(use)
+            held, was_unknown = self._record(use)
             if place > last_shared:
                 held.is_shared = held.is_shared and not was_unknown
                 continue
@@ -221,10 +221,10 @@
                 held.reported_at = now
                 self._updates[(part.name, target)] = use
                 if place == last_shared and not is_expected:
-                    self._note_away_from_home(use, parts)
+                    self._record_away_from_home(use, parts)
         return any_is_new
 
-    def _note_away_from_home(self, use: PartUse, parts: Sequence[PromptPart]) -> None:
+    def _record_away_from_home(self, use: PartUse, parts: Sequence[PromptPart]) -> None:
         shared = parts[:-1]
         if sum(part.tokens for part in shared) >= MIN_REPORTED_TOKENS:
             before = tuple(part.name for part in shared[:-1])
--- a/src/primrosescale/request/prompt_homes.py
+++ b/src/primrosescale/request/prompt_homes.py
@@ -19,10 +19,11 @@
     from primrosescale.request.incoming_request import Prompt
     from primrosescale.request.target_state import TargetState
 
-# Targets that this router listed within this time of the first one were there when it
-# started; they may have any age.
+# Targets that this router listed within this time of the first one existed before it
+# started, and may have run for any time.
 LISTED_TOGETHER_SECONDS = 2.0
-# A target that has been listed for this long has received prompts as their home.
+# A target that has been listed for this long has received prompts of which it is the
+# home.
 ESTABLISHED_SECONDS = 3.0
 # A target that has been listed for this long has received most prompts of which it is
 # the home and need not copy from the former homes any more; returning chats come
@@ -83,7 +84,7 @@
     Returns
     -------
     TargetState
-        The target that holds the prompt if any holds it without a report.
+        The target that may be assumed to hold the prompt without a report.
     """
     first_listed_at = _first_listed_at(states)
     known = [
--- a/src/primrosescale/request/router_shares.py
+++ b/src/primrosescale/request/router_shares.py
@@ -1,10 +1,10 @@
 """Divides a rate limit among all routers without communication between them.
 
-It is made for a bound on what all routers together send to one target that may be
-smaller than the number of routers. A rate of a few requests a second is divided into
-as many permits; each permit belongs to one router by a consistent-hash ring of router
-names, so that routers with the same list agree without messages, and routers whose
-lists differ by a few disagree on few permits.
+The limit applies to what all routers together send to one target, and may be smaller
+than the number of routers. A rate of a few requests a second is divided into as many
+permits; a consistent-hash ring of router names assigns each permit to one router, so
+that routers with the same list agree without messages, and routers whose lists differ
+by a few names disagree on few permits.
 
 A permit that a change of the list assigns to a router is used only once its peers have
 had time to learn of the change; one that it assigns to a peer router is given up at
@@ -17,8 +17,8 @@
 
 from primrosescale.request.candidates import TargetRing
 
-# Time within which all routers that reach the store have learned of a change of their
-# list, which each reads again two seconds after the last time.
+# Time within which all routers that reach the store have learned of a change of the
+# list of routers; each reads it again two seconds after its last read.
 SETTLING_SECONDS = 3.0
 
 
@@ -37,7 +37,7 @@
         self._name = name
         self._names: frozenset[str] = frozenset()
         self._ring: TargetRing | None = None
-        # Rings that peer routers may still use, each with the time until which.
+        # Rings that peer routers may still use, each with the end of that time.
         self._previous_rings: list[tuple[float, TargetRing | None]] = []
         self._own_counts: dict[tuple[str, int], int] = {}
 
@@ -106,7 +106,8 @@
 def _ring_of(names: frozenset[str]) -> TargetRing:
     """Return the hash ring of some routers, which must not be changed.
 
-    It is cached, so that a list that alternates needs no new ring each time.
+    It is cached, so that no new ring is needed each time the list alternates between
+    the same names.
     """
     ring = TargetRing()
     ring.fill(names)
--- a/src/primrosescale/request/serving_target.py
+++ b/src/primrosescale/request/serving_target.py
@@ -1,4 +1,4 @@
-"""Describes a target as it stands in the list of targets."""
+"""Describes one incarnation of a target as the list of targets gives it."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     is_draining : bool
         Whether it is leaving and must get no new requests.
     warm_up_seconds : float
-        Seconds for which it is still slow after its start.
+        Seconds for which it is still cold (slow after its start).
     started_at : int | None
         Its start, in Unix milliseconds of its own clock; None when not given.
     """
--- a/src/primrosescale/request/target_availability.py
+++ b/src/primrosescale/request/target_availability.py
@@ -1,7 +1,7 @@
 """Decides whether each target may be sent a request now.
 
-Its entry, its own answers, evacuations, cold starts and silence all bear on that;
-this is the only place that combines them.
+It is the only place that combines the target's entry, its self-reports, evacuations,
+cold starts and silence.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
     states : list[TargetState]
         The targets.
     cold : int
-        Cold targets that have already received all they may for now.
+        Cold targets that have already received all requests they may for now.
     resting : int
         Targets in a requested pause, or whose requests are still limited after one.
     """
@@ -91,7 +91,7 @@
         )
 
     def open(self, states: Sequence[TargetState], now: float) -> AvailableTargets:
-        """Return which of some targets may be sent a request now.
+        """Return which of the given targets may be sent a request now.
 
         Parameters
         ----------
@@ -130,7 +130,7 @@
         return pause if self._cold is None else max(pause, self._cold.wait(state, now))
 
     def shortest_wait(self, states: Iterable[TargetState], now: float) -> float | None:
-        """Return after how long one of some targets may be sent a request.
+        """Return after how long the first of the given targets may be sent a request.
 
         Parameters
         ----------
--- a/src/primrosescale/request/target_choice.py
+++ b/src/primrosescale/request/target_choice.py
@@ -7,11 +7,12 @@
 that the target already has.
 
 With many routers, each learns of its peers' requests late. All would then choose
-the same target until the next state updates arrive, and none of them afterwards. A
-large fleet therefore chooses among the home of a prompt (the first target by
-rendezvous hashing), the targets that are known to hold it, and two sampled at
-random. Where the state updates are older still, the home and the holders are left
-out above a load limit that is drawn anew for each choice.
+the same target until the next state updates arrive, and none of them afterwards. In a
+large fleet, or while state updates are stale, a router therefore chooses among two
+targets sampled at random and up to two that hold the prompt. Where no target is known
+to hold it, its home (the first target by rendezvous hashing) takes the place of the
+holders. While state updates are stale, the home and the holders are left out above a
+load limit that is drawn anew for each choice.
 """
 
 from __future__ import annotations
@@ -46,11 +47,11 @@
 # Upper bound of the random tie break; smaller than the difference that one request
 # makes.
 TIE_BREAK_REQUESTS = 0.01
-# Age of peer routers' state updates, in seconds, beyond which the target that is
-# best by them would be chosen by all routers at once.
+# Above this age of peer routers' state updates a router no longer looks for the best
+# of all targets: all routers would choose the same one at once.
 STALE_LOAD_SECONDS = 0.7
-# Targets sampled at random in that case; with more, the best of them would again be
-# the same for many routers.
+# Targets sampled at random instead; with more, the best of them would again be the
+# same for many routers.
 SAMPLED_TARGETS = 2
 # The load limit for targets that hold the prompt is drawn between this share of the
 # mean load and the load bound.
@@ -126,7 +127,8 @@
     passed_cold : int
         Targets passed over since they are cold and have no permit left.
     passed_resting : int
-        Targets passed over since their requested pause has not ended, or has just.
+        Targets passed over since they are in a requested pause, or since their
+        requests are still limited after one.
     """
 
     state: TargetState
@@ -174,7 +176,7 @@
 
     @property
     def mean_without_departing(self) -> float:
-        """Return the mean load once the departing targets are gone."""
+        """Return the mean load if serving targets took over that of departing ones."""
         return self._total / len(self.serving)
 
     @property
@@ -211,7 +213,8 @@
         Returns targets of a service whose entries are gone and that may still run.
     own_share : Callable[[str, int, float], int]
         Returns this router's share of the requests that all routers together may
-        have at a target, by the target's name, their number and the current time.
+        have at a target, given the target's name, the number of those requests and
+        the current time.
     """
 
     def __init__(
@@ -337,7 +340,8 @@
         Returns
         -------
         bool
-            Whether each router is limited to its share of what they may have.
+            Whether each router keeps to its own share of the requests that the
+            serving targets may have.
         """
         serving = [state for state in states if state.takes_work]
         return bool(serving) and self._is_crowded_by(self._loads(states, serving, now))
@@ -385,7 +389,10 @@
     def _within_bound(
         self, usable: Sequence[TargetState], loads: _Loads
     ) -> list[TargetState]:
-        """Return the targets within the load bound, or else the least loaded one."""
+        """Return the targets within the load bound, or else the least loaded one.
+
+        While state updates are stale, it is the least loaded one of a random sample.
+        """
         bound = self._bound(loads)
         bounded = [state for state in usable if loads.of(state) + 1 <= bound]
         if bounded:
@@ -462,7 +469,10 @@
         loads: _Loads,
         limit: float,
     ) -> list[TargetState]:
-        """Return a random sample, and a sample of holders with load below a limit."""
+        """Return a random sample, and a sample of holders with load below a limit.
+
+        Where no target holds all shared tokens, the home takes the holders' place.
+        """
         max_held = max(held[state.target.name] for state in bounded)
         if _holds_all_shared(prompt, max_held):
             holders = [
@@ -504,9 +514,9 @@
 
         def cost(state: TargetState) -> float:
             name = state.target.name
-            fetched = max(0, max_held - held[name])
-            read = prompt.prompt_tokens - max(max_held, held[name])
-            total = read + fetched * settings.fetch_weight
+            copied = max(0, max_held - held[name])
+            prefilled = prompt.prompt_tokens - max(max_held, held[name])
+            total = prefilled + copied * settings.fetch_weight
             total += loads.of(state) * settings.tokens_per_request
             failing = max(0.0, state.failure_share(now) - usual_failures)
             total += failing**2 * settings.failure_weight
@@ -558,10 +568,11 @@
     known: dict[str, int],
     now: float,
 ) -> dict[str, int]:
-    """Return the tokens that each target is assumed to hold, the home at least as many.
+    """Return the tokens that each target is assumed to hold, its home included.
 
-    A prompt goes elsewhere only when its home is loaded, and is then copied from the
-    home, which therefore holds it too.
+    Where any target holds all shared tokens of a prompt, the home is assumed to hold
+    as many: a prompt goes elsewhere only when its home is loaded, and is then copied
+    from the home.
     """
     max_held = max(known.values())
     if max_held < shared_tokens(prompt):
--- a/src/primrosescale/request/target_health.py
+++ b/src/primrosescale/request/target_health.py
@@ -1,7 +1,9 @@
-"""Decides whether a target is healthy enough to be given calls.
+"""Circuit breaker of an agent: decides whether its target is healthy enough for calls.
 
 A target that answers quickly with errors looks idle. Its agent therefore stops
 accepting calls when too many answers fail, and lets single calls probe the target.
+The target itself is called closed while it gets no calls but probes; in the usual
+terms the breaker is then open.
 """
 
 from __future__ import annotations
@@ -72,7 +74,10 @@
         return self._outcomes.failure_share
 
     def admits(self, now: float) -> bool:
-        """Return whether a call may be accepted; a probe is counted as accepted.
+        """Return whether a call may be accepted.
+
+        While the target is closed, a call that is accepted is a probe; no other call
+        is accepted until its outcome is known or the longest pause has passed.
 
         Parameters
         ----------
@@ -136,6 +141,8 @@
             self._pause = min(self._settings.longest_pause, self._pause * 2)
             self._close(now)
             return
+        # Earlier answers have decayed, so that `minimum_samples` answers in quick
+        # succession count for slightly less.
         enough = self._outcomes.total >= self._settings.minimum_samples * 0.9
         if enough and self.failure_share > self._settings.failure_share:
             self._close(now)
--- a/src/primrosescale/request/target_loads.py
+++ b/src/primrosescale/request/target_loads.py
@@ -34,9 +34,9 @@
 class TargetLoads:
     """Orders the candidates of requests for which no prompt cache matters.
 
-    Of the first two candidates the less loaded goes first; where the loads are
-    close or not known recently, the one in the router's own failure domain does.
-    This takes no extra messages: loads are piggybacked on answers.
+    Of the first two candidates the less loaded goes first; where their loads are
+    close, or one was not received recently, the one in the router's own failure
+    domain does. This takes no extra messages: loads are piggybacked on answers.
     """
 
     def __init__(self) -> None:
--- a/src/primrosescale/request/target_state.py
+++ b/src/primrosescale/request/target_state.py
@@ -29,11 +29,11 @@
 # that it covers a dozen or more outcomes per target; a longer half-life would keep
 # sending callers to a target that has begun to fail.
 OUTCOME_HALF_LIFE_SECONDS = 2.0
-# A target that could not be reached is left out for the first pause, which doubles
-# with each further failure up to the maximum: a restart takes some seconds.
+# A target that could not be reached gets no requests during the first pause, which
+# doubles with each further failure up to the maximum: a restart takes some seconds.
 FIRST_UNREACHABLE_PAUSE_SECONDS = 0.5
 MAX_UNREACHABLE_PAUSE_SECONDS = 4.0
-# A working target sends to each stream many times within this time. Prefilling a long
+# A working target sends data on each stream many times in this time. Prefilling a long
 # prompt keeps a target silent for about as long, so that silence is a reason to try
 # other targets but no proof that this one is lost.
 SILENT_SECONDS = 0.45
@@ -132,7 +132,8 @@
         self._awaiting_since = now
         self._evacuated_at: float | None = None
         self._cold_until = now + target.warm_up_seconds
-        # When it may have become reachable again; it is assumed to be cold from then.
+        # When it may next have got requests after a time without any, as it was
+        # unreachable or evacuated; it is assumed to be cold from then.
         self._assumed_cold_from = -math.inf
 
     @property
@@ -183,8 +184,8 @@
         Returns
         -------
         bool
-            True while its entry says that it is leaving, and for some seconds after
-            an answer did.
+            True while its entry marks it as leaving, and for some seconds after one
+            of its answers reported it.
         """
         if self._target.is_draining:
             return True
@@ -201,7 +202,7 @@
         Returns
         -------
         bool
-            False if it is avoided, or if answers of it were lost lately.
+            False if it is avoided, or if its share of failures is high.
         """
         return (
             not self.is_avoided(now) and self.failure_share(now) < CRASHED_FAILURE_SHARE
@@ -223,8 +224,8 @@
         Parameters
         ----------
         target : ServingTarget
-            The same incarnation of the target as listed now; a start that is known
-            already is kept where the entry has none.
+            The same incarnation of the target as listed now; a known start time is
+            kept where the entry has none.
         """
         if target.started_at is None:
             target = replace(target, started_at=self._incarnation.started_at)
@@ -307,7 +308,8 @@
         Returns
         -------
         bool
-            True unless it is avoided, or was evacuated longer ago.
+            True unless it is avoided, or was evacuated longer ago than the grace
+            period.
         """
         if self.is_avoided(now):
             return False
@@ -448,10 +450,10 @@
         """
         total = self._report.running + self._report.waiting
         others = max(0, total - self._own_at_report)
-        faded = others * 0.5 ** (
+        decayed = others * 0.5 ** (
             (now - self._reported_at) / LOAD_REPORT_HALF_LIFE_SECONDS
         )
-        return float(self._own_requests + max(self._peer_requests.total(now), faded))
+        return float(self._own_requests + max(self._peer_requests.total(now), decayed))
 
     def failure_share(self, now: float) -> float:
         """Return the share of failures among recent outcomes.
@@ -487,7 +489,7 @@
         return self._outcomes.counts(now)
 
     def succeeded(self, now: float) -> None:
-        """Record a good outcome.
+        """Record a good outcome, which also ends a pause after failed connections.
 
         Parameters
         ----------
--- a/src/primrosescale/request/target_statements.py
+++ b/src/primrosescale/request/target_statements.py
@@ -1,8 +1,9 @@
-"""Keeps the self-reports of targets in answers: leaving, cold, or a requested pause.
+"""Decides from a target's self-reports in answers when it may be sent requests.
 
+A target may report that it is leaving or cold, or request a pause.
 No entry in the list of targets revokes a self-report. While the store is unavailable,
 or a target's entry is late, its own answers are the only information on what it may
-be sent. An overloaded target may request a pause, some seconds without requests; the
+be sent. An overloaded target requests a pause, some seconds without requests; the
 requests that it refused would all return at the end of the pause, so that the rate is
 raised step by step afterwards.
 """
