--- a/src/primrosescale/request/target_state.py
+++ b/src/primrosescale/request/target_state.py
@@ -29,8 +29,8 @@
 # that it covers a dozen or more outcomes per target; a longer half-life would keep
 # sending callers to a target that has begun to fail.
 OUTCOME_HALF_LIFE_SECONDS = 2.0
-# A target that could not be reached gets no requests during the first pause, which
-# doubles with each further failure up to the maximum: a restart takes some seconds.
+# A target that could not be reached is avoided during the first pause, which doubles
+# with each further failure up to the maximum: a restart takes some seconds.
 FIRST_UNREACHABLE_PAUSE_SECONDS = 0.5
 MAX_UNREACHABLE_PAUSE_SECONDS = 4.0
 # A working target sends data on each stream many times in this time. Prefilling a long
@@ -132,8 +132,8 @@
         self._awaiting_since = now
         self._evacuated_at: float | None = None
         self._cold_until = now + target.warm_up_seconds
-        # When it may next have got requests after a time without any, as it was
-        # unreachable or evacuated; it is assumed to be cold from then.
+        # End of its last time without requests, when it was unreachable or evacuated;
+        # it is assumed to be cold from then.
         self._assumed_cold_from = -math.inf
 
     @property
@@ -586,6 +586,7 @@
         Returns
         -------
         bool
-            True while it gets no requests.
+            True until the end of the pause; it gets requests only where no other target
+            can take them.
         """
         return now < self._paused_until
