--- a/src/primrosescale/process/entry/state_exchange.py
+++ b/src/primrosescale/process/entry/state_exchange.py
@@ -38,25 +38,26 @@
     from primrosescale.request.freshness import Freshness
     from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 
-# Bounds the datagram to a size that no link fragments.
+# Keeps datagrams below the size at which links fragment them.
 MAX_PARTS = 36
-# Bytes a second that a router spends on updates to all others; the users allow 22 KB/s
-# for all control traffic.
+# Bytes a second that a router spends on updates to all others; the limit for all
+# control traffic is 22 KB/s.
 DIRECT_BYTES_PER_SECOND = 12_000.0
 TYPICAL_DATAGRAM_BYTES = 180
 MIN_INTERVAL_SECONDS = 0.25
 # Routers that poll the store often on behalf of all. With four, polling independently
-# of each other, the newest answer is half as old as with two, for one more call a
-# second in all.
+# of each other, the newest answer is half as old as with two, at the cost of one more
+# call a second in all.
 POLLING_ROUTERS = 4
 # An update of another router is valid for this many of its intervals.
-FRESH_INTERVALS = 4
+VALID_INTERVALS = 4
 # A listed router that has been silent for so long is removed from the list. Network
 # cuts and restarts last some seconds; a router that is alive after all lists itself
 # again.
 SILENT_REMOVAL_SECONDS = 60.0
-# Routers that left the list whose addresses are kept.
+# Number of routers no longer listed whose addresses are kept.
 MAX_FORMER_ROUTERS = 64
+# In messages, the age of a configuration that was never read.
 UNKNOWN = -1
 # The origin under which target states store load received from relays.
 RELAYED_ORIGIN = "relays"
@@ -82,12 +83,13 @@
     settings : StateExchangeSettings | None
         Limits and intervals; None for the defaults.
     harm : HarmReportExchange | None
-        Exchange of reports on targets that ended while they ran requests; None for
-        none.
+        Exchange of reports on targets that ended while they ran requests; None to
+        exchange none.
     evacuations : Evacuations | None
         Failure domains that get no requests; None if evacuations are not followed.
     leaving : LeavingTargetExchange | None
-        Exchange of targets that announced that they leave; None for none.
+        Exchange of targets that announced that they are leaving; None to exchange
+        none.
     """
 
     def __init__(
@@ -119,11 +121,12 @@
         self._relay = StateRelay(name, self._topology, settings)
         self._sequence = 0
         self._round_messages = 0
-        # Time of the oldest load received from relays, and the targets that it covers.
+        # Time of the oldest load in the sum last received from relays, and the keys of
+        # the targets with requests in that sum.
         self._known_at = -math.inf
         self._relayed_targets: frozenset[int] = frozenset()
-        # Since when this router is the first relay, to which all routers of its domain
-        # report.
+        # Since when this router has been the first relay, to which all routers of its
+        # domain report.
         self._first_relay_since = math.inf
 
     @property
@@ -138,12 +141,16 @@
 
     @property
     def is_relayed(self) -> bool:
-        """Return whether updates are sent by relays."""
+        """Return whether updates are sent through relays."""
         return self._topology.is_relayed
 
     @property
     def is_urgent(self) -> bool:
-        """Return whether something should be sent before the next round."""
+        """Return whether an update should be sent before the next round.
+
+        Always true without relays. With relays, true only for prompts that were sent
+        elsewhere than to their homes, and for new harm reports.
+        """
         if not self._topology.is_relayed or self._parts.has_away_from_home:
             return True
         return self._harm is not None and self._harm.is_urgent
@@ -275,15 +282,15 @@
         Returns
         -------
         bool
-            True for the first few of those that reach the store; with relays, for the
-            first relay of each domain.
+            True for the first few of those that reach the store. With relays, true for
+            the first relay of each domain, and for a router without recent updates.
         """
         if self._topology.is_relayed:
             is_alone = not self.recent_peers(now)
             return is_alone or self._topology.rank(now) == 0
-        own_place = target_key(self._name)
+        own_key = target_key(self._name)
         before = sum(
-            target_key(peer.router.name) < own_place and not peer.is_store_lost
+            target_key(peer.router.name) < own_key and not peer.is_store_lost
             for peer in self._recent_peers(now)
         )
         return before < POLLING_ROUTERS
@@ -302,7 +309,7 @@
         """Return the seconds for which an update of another router is valid."""
         if self._topology.is_relayed:
             return self._settings.keep
-        return FRESH_INTERVALS * self.interval
+        return VALID_INTERVALS * self.interval
 
     def silent_routers(self, now: float) -> list[str]:
         """Return listed routers from which nothing has been received for long.
@@ -443,7 +450,7 @@
         for peer in self._peers.values():
             message = self._new_message(peer, header, now)
             message.targets = targets
-            # Ends are few; they take the place of as many prompt parts.
+            # Harm reports are few; they take the place of as many prompt parts.
             message.parts = parts[-(MAX_PARTS - len(ends) - len(held)) :]
             message.ends = ends or None
             message.held = held or None
@@ -488,7 +495,7 @@
         held: list[wire.EndNews],
         now: float,
     ) -> tuple[PeerRouter, wire.RouterNews]:
-        """Return the message for an update by relays."""
+        """Return the message for an update that is sent through relays."""
         peer = self._peers[item.name]
         message = self._new_message(peer, header, now)
         message.scope = item.scope
@@ -547,7 +554,7 @@
     def _apply_freshness(
         self, peer: PeerState, message: wire.RouterNews, version: int
     ) -> None:
-        """Treat the other router's request to the store like one of this router's own.
+        """Count the peer's last request to the store as one of this router's own.
 
         The peer's newest answer belongs to a request that it sent no earlier than the
         reported age before this router sent the message that is replied to here. That
@@ -592,16 +599,16 @@
         self, origin: str, loads: LoadSum, before: frozenset[int], now: float
     ) -> None:
         """Replace the load of an origin in the states of targets."""
-        fresh_until = now + self._validity_seconds
+        valid_until = now + self._validity_seconds
         states = self._codec.keys.states
         for key in before.union(loads.running):
             state = states.get(key)
             if state is not None:
-                state.set_peer_requests(origin, loads.running.get(key, 0), fresh_until)
+                state.set_peer_requests(origin, loads.running.get(key, 0), valid_until)
         for key, (good, bad) in loads.outcomes.items():
             state = states.get(key)
             if state is not None:
-                state.set_peer_outcomes(origin, good, bad, fresh_until)
+                state.set_peer_outcomes(origin, good, bad, valid_until)
 
     def _apply_parts(self, message: wire.RouterNews, now: float) -> None:
         states = self._codec.keys.states
@@ -620,7 +627,7 @@
 
 
 class _RoundHeader:
-    """Fields that all messages of a round share."""
+    """Fields that are the same in all messages of a round."""
 
     __slots__ = ("age", "is_store_lost", "leaving", "list_revision", "version")
 
