--- a/src/primrosescale/process/entry/target_client.py
+++ b/src/primrosescale/process/entry/target_client.py
@@ -161,12 +161,12 @@
             return
         self._end()
         channel = self._channel
-        is_whole = bool(reason.check(ResponseDone))
+        is_complete = bool(reason.check(ResponseDone))
         if reason.check(PotentialDataLoss) and channel is not None:
             # The body is delimited by the end of the connection: it is complete only
             # after an orderly close.
-            is_whole = not channel.was_reset
-        if not is_whole:
+            is_complete = not channel.was_reset
+        if not is_complete:
             self._state.failed_at = self._clock.seconds()
             self._abort()
             self._observer.response_lost(failure_text(reason))
@@ -193,7 +193,7 @@
         self._channel = channel
         request = self._sending.request
         headers = self._codec.target_headers(self._sending)
-        made = Request._construct(  # noqa: SLF001 - the only way to bypass twisted's own pool
+        http_request = Request._construct(  # noqa: SLF001 - the only way to bypass twisted's own pool
             request.method,
             request.path,
             headers,
@@ -201,7 +201,7 @@
             persistent=True,
         )
         self._observer.request_sent()
-        answered = channel.begin(made)
+        answered = channel.begin(http_request)
         answered.addCallback(self._head)
         answered.addErrback(self._failed)
 
@@ -276,7 +276,7 @@
         self._states: dict[str, list[_IncarnationState]] = {}
         # Shared by all targets: idle connections are rarely dropped by one target
         # alone, rather by something in front of them.
-        self._rest_limit = IdleLimit()
+        self._idle_limit = IdleLimit()
 
     def send(
         self, sending: OutgoingRequest, observer: ResponseObserver
@@ -322,10 +322,10 @@
         ]
         for state in former:
             state.pool.close()
-        self._forget_former_rest_limits(present)
+        self._forget_former_idle_limits(present)
         for state in former:
-            # A request that is spared now runs at the present incarnation and ends
-            # with it.
+            # A request that is not aborted here runs at the present incarnation, and is
+            # aborted when that has ended.
             failed_at, state.failed_at = state.failed_at, math.inf
             for in_flight_request in list(state.runs):
                 in_flight_request.target_ended(failed_at)
@@ -371,19 +371,19 @@
             self._reactor,
             target.endpoint,
             CONNECT_TIMEOUT_SECONDS,
-            self._rest_limit,
+            self._idle_limit,
             target.incarnation,
         )
         state = _IncarnationState(target.incarnation, pool)
         self._states.setdefault(target.name, []).append(state)
         return state
 
-    def _forget_former_rest_limits(self, present: TargetIncarnation) -> None:
+    def _forget_former_idle_limits(self, present: TargetIncarnation) -> None:
         """Discard idle limits that were learned from former incarnations."""
-        for source in self._rest_limit.sources:
+        for source in self._idle_limit.sources:
             if isinstance(source, TargetIncarnation) and source.name == present.name:
                 if source.is_followed_by(present):
-                    self._rest_limit.forget(source)
+                    self._idle_limit.forget(source)
 
     def _drop_ended(self, target: str) -> None:
         """Discard closed incarnations without requests in flight."""
--- a/tests/entry/test_entry_router.py
+++ b/tests/entry/test_entry_router.py
@@ -282,7 +282,7 @@
         for _ in range(4):
             yield self.ask(text())
         yield deferLater(reactor, 0.15, lambda: None)
-        limit = self.router._target_client._rest_limit
+        limit = self.router._target_client._idle_limit
         self.assertTrue(limit.allows(0.1, reactor.seconds()))
         for script in self.scripts.values():
             script.faults.append(EngineFault.RESET)
