--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -4,6 +4,10 @@
 Reports are therefore summed by relays. Each sum is stored under the router that sent
 it and replaced as a whole. If a relay fails, stalls or is cut off, its routers get no
 updates until they have turned to the next one.
+
+Besides loads, messages contain which targets prompt parts were sent to, and harm
+reports: which targets ended while they ran which requests, and which of these requests
+were answered completely or tried again since. Relays queue these and forward them.
 """
 
 from __future__ import annotations
@@ -26,17 +30,17 @@
     from primrosescale.process.entry.relay_topology import RelayTopology
     from primrosescale.process.entry.relay_topology import StateExchangeSettings
 
-# Prompt parts that wait to be forwarded; the oldest are dropped, each of which costs
-# one prompt that is prefilled once more.
+# Prompt parts that wait to be forwarded. Beyond that, the oldest are dropped; each of
+# them may cost prefilling one prompt once more.
 MAX_QUEUED_PARTS = 200
-# Prompt parts in one message of a relay: 27 a second, 700 bytes to each router that it
-# sends to. Loads, which become stale, are not delayed for more of them.
+# Prompt parts in one message of a relay, which sends each receiver 27 of them (700
+# bytes) a second. Loads, which become stale, are not delayed to send more of them.
 MAX_PARTS_PER_MESSAGE = 4
-# Ends of targets that wait to be forwarded, and those in one message of a relay.
+# Harm reports that wait to be forwarded, and those in one message of a relay.
 MAX_QUEUED_ENDS = 200
 MAX_ENDS_PER_MESSAGE = 12
-# For this many seconds an end is forwarded only once, however many routers report it;
-# and the number of ends that are remembered for that.
+# For this many seconds a harm report is forwarded only once, however many routers send
+# it; and the number of reports that are remembered for that.
 END_DEDUPLICATION_SECONDS = 5.0
 MAX_REMEMBERED_ENDS = 2048
 # If two relays report the same domain, the one whose sum covers more routers is
@@ -57,20 +61,20 @@
 
 
 class RelayedUpdate:
-    """What is sent to one router in a round.
+    """An update to one router in a round.
 
     Parameters
     ----------
     name : str
         The router.
     scope : NewsScope
-        Whose load it is.
+        Which routers' load it contains.
     loads : LoadSum
         The load.
     parts : list[wire.PartNews]
         Which targets prompt parts were sent to.
     ends : list[wire.EndNews]
-        Which targets ended while they ran which requests.
+        Harm reports.
     wants_fleet : bool
         Whether the router is asked for the load of the whole fleet.
     """
@@ -142,7 +146,7 @@
 
 
 class _ForwardedEnds:
-    """Ends that were forwarded recently, so that none is sent twice."""
+    """Harm reports that were forwarded recently, so that none is sent twice."""
 
     __slots__ = ("_forwarded_at",)
 
@@ -154,11 +158,14 @@
     def filter_new(
         self, ends: Iterable[wire.EndNews], now: float
     ) -> Iterator[wire.EndNews]:
-        """Yield the ends that were not forwarded recently, and record them."""
+        """Yield the reports that were not forwarded recently, and record them."""
         for end in ends:
             key = (end.fingerprint, end.target, end.is_try)
-            passed_at = self._forwarded_at.get(key)
-            if passed_at is not None and now - passed_at < END_DEDUPLICATION_SECONDS:
+            forwarded_at = self._forwarded_at.get(key)
+            if (
+                forwarded_at is not None
+                and now - forwarded_at < END_DEDUPLICATION_SECONDS
+            ):
                 continue
             self._forwarded_at.pop(key, None)
             self._forwarded_at[key] = now
@@ -173,12 +180,12 @@
 
 
 def _not_from_router(name: str, queued: list[_QueuedItem[Item]]) -> list[Item]:
-    """Return the items to send to a router, without those it sent itself."""
+    """Return the items to send to a router, without those that came from it."""
     return [each.item for each in queued if each.origin != name]
 
 
 class StateRelay:
-    """Load of other routers: by router, by domain and in total.
+    """Load of other routers by router, by domain and in total, and items to forward.
 
     Parameters
     ----------
@@ -215,7 +222,7 @@
     def receive(
         self, message: wire.RouterNews, loads: LoadSum | None, now: float
     ) -> None:
-        """Process a message of the exchange by relays.
+        """Process a message of the exchange through relays.
 
         Parameters
         ----------
@@ -248,7 +255,7 @@
         Parameters
         ----------
         scope : NewsScope
-            Whose load it is.
+            Which routers' load it is.
         origin : str
             The router that reports it.
         loads : LoadSum
@@ -303,7 +310,7 @@
             whichever covers more routers.
         """
         aggregated = self._aggregated(now)
-        totals = self._fresh(self._fleets, now)
+        totals = self._recent(self._fleets, now)
         if not totals:
             return aggregated
         best = max(
@@ -329,16 +336,16 @@
         parts : list[wire.PartNews]
             Which targets this router sent prompt parts to.
         ends : list[wire.EndNews]
-            Which targets ended while they ran which of its requests.
+            Harm reports of this router.
         now : float
             Present time in seconds.
         is_urgent : bool
-            Whether only this router's relays are sent to.
+            Whether to send only to this router's relays, not to those it relays to.
 
         Returns
         -------
         list[RelayedUpdate]
-            One item for each router.
+            The updates. A relay may get two: this router's report and a sum.
         """
         self._parts.add(self._name, parts, is_from_own_domain=True)
         new_ends = self._forwarded_ends.filter_new(ends, now)
@@ -364,7 +371,7 @@
     def _answers(self, own: LoadSum, now: float) -> list[RelayedUpdate]:
         """Return the sums for routers that ask, and for relays of other domains.
 
-        Empty if this router is not a relay and no router takes it for one.
+        Empty if this router is not a relay and no router asks it to act as one.
         """
         self._subscribers = {
             n: until for n, until in self._subscribers.items() if now < until
@@ -384,7 +391,7 @@
         ends = self._ends.take()
         if not others and not members:
             return []
-        reports = [received.loads for received in self._fresh(self._reports, now)]
+        reports = [received.loads for received in self._recent(self._reports, now)]
         domain = total_load([own, *reports], now)
         updates = [
             RelayedUpdate(
@@ -399,7 +406,7 @@
         fleet = total_load([own, self._aggregated(now)], now)
         for name in members:
             report = self._reports.get(name)
-            is_counted = report is not None and self._is_fresh(report, now)
+            is_counted = report is not None and self._is_recent(report, now)
             loads = fleet.without(report.loads) if report and is_counted else fleet
             updates.append(
                 RelayedUpdate(
@@ -413,12 +420,14 @@
         return updates
 
     def _aggregated(self, now: float) -> LoadSum:
-        reports = [received.loads for received in self._fresh(self._reports, now)]
-        domains = [received.loads for received in self._fresh(self._domains, now)]
+        reports = [received.loads for received in self._recent(self._reports, now)]
+        domains = [received.loads for received in self._recent(self._domains, now)]
         return total_load([*reports, *domains], now)
 
-    def _fresh(self, sums: dict[str, _ReceivedSum], now: float) -> list[_ReceivedSum]:
-        return [received for received in sums.values() if self._is_fresh(received, now)]
+    def _recent(self, sums: dict[str, _ReceivedSum], now: float) -> list[_ReceivedSum]:
+        return [
+            received for received in sums.values() if self._is_recent(received, now)
+        ]
 
-    def _is_fresh(self, received: _ReceivedSum, now: float) -> bool:
+    def _is_recent(self, received: _ReceivedSum, now: float) -> bool:
         return now - received.received_at <= self._settings.keep
--- a/src/primrosescale/process/entry/relay_topology.py
+++ b/src/primrosescale/process/entry/relay_topology.py
@@ -1,12 +1,12 @@
-"""Decides which routers exchange state updates with each other, and by which relays.
+"""Decides which routers exchange state updates, and through which relays.
 
 In a small fleet each router sends its updates to all others. In a large one that
-would exceed the bytes allowed, or updates would arrive too late to balance load by.
-There, each router reports to the relays of its own failure domain. Relays aggregate
-these reports, exchange sums with the relays of other domains, and send the total to
-the routers of their own domain. The relays of a domain are the first routers in an
-order of names that all routers derive alike, so there is no election. A router that
-is asked to act as a relay does so, whether or not it is one by its own list.
+would exceed the limit on bytes sent, or updates would arrive too late to balance load
+with. There, each router reports to the relays of its own failure domain. Relays
+aggregate these reports, exchange sums with the relays of other domains, and send the
+total to the routers of their own domain. The relays of a domain are the first routers
+in an order of names that all routers derive alike, so there is no election. A router
+that is asked to act as a relay does so, whether or not it is one by its own list.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 
 # A domain has at least two relays, so that one may be lost.
 MIN_RELAYS_PER_DOMAIN = 2
-# Messages in a row that a relay may leave unanswered: 1 s. A datagram in a thousand is
-# lost, and hosts may stall for some tenths of a second.
+# Messages in a row that a relay may leave unanswered, about 1 s of them. One datagram
+# in a thousand is lost, and hosts may stall for some tenths of a second.
 MAX_UNANSWERED_MESSAGES = 6
 # A relay that did not answer is tried again after this time, for two messages.
 SUSPICION_SECONDS = 5.0
@@ -35,8 +35,8 @@
 
     most_direct: int = option(
         COUNT,
-        "routers up to which each sends updates to all others; beyond that, updates "
-        "would be more than 0.5 s old within the bytes allowed",
+        "number of routers up to which each sends updates to all others; with more, "
+        "updates would be more than 0.5 s old within the limit on bytes sent",
         32,
     )
     routers_a_relay: int = option(
@@ -53,7 +53,7 @@
     keep: float = option(
         SECONDS,
         "seconds for which a relayed report counts; a router whose report is not "
-        "renewed by then is taken to be gone",
+        "renewed by then is considered gone",
         1.2,
     )
     bytes_per_second: int = option(
@@ -75,7 +75,7 @@
 
 
 class RelayTopology:
-    """Relays of all failure domains, and the routers that one router talks to.
+    """Relays of all failure domains, and the peers with which one router communicates.
 
     Parameters
     ----------
@@ -98,7 +98,7 @@
 
     @property
     def is_relayed(self) -> bool:
-        """Return whether state updates are sent by relays."""
+        """Return whether state updates are sent through relays."""
         return len(self._domain_of) > self._settings.most_direct
 
     def put(self, name: str, domain: str) -> None:
@@ -190,7 +190,7 @@
         Returns
         -------
         bool
-            True for a relay, as far as this router can tell.
+            True for a relay by the list of routers known here.
         """
         return self.rank(now) is not None
 
@@ -231,7 +231,7 @@
     def peer_relays(self, now: float) -> list[str]:
         """Return the relays of other domains that this one exchanges sums with.
 
-        Relays of the same rank talk to each other, so that the loss of one leaves the
+        Relays of the same rank exchange sums, so that the loss of one leaves the
         connections of the others intact.
 
         Parameters
@@ -253,7 +253,7 @@
         return found
 
     def expect_answer(self, name: str, now: float) -> None:
-        """Record that a message was sent that a router has to answer.
+        """Record that a message was sent to a router that has to answer it.
 
         Parameters
         ----------
@@ -262,13 +262,13 @@
         now : float
             Present time in seconds.
         """
-        answers = self._suspicions.setdefault(name, _RelaySuspicion())
-        answers.unanswered_messages += 1
-        if answers.unanswered_messages >= MAX_UNANSWERED_MESSAGES:
-            answers.unanswered_messages = (
+        suspicion = self._suspicions.setdefault(name, _RelaySuspicion())
+        suspicion.unanswered_messages += 1
+        if suspicion.unanswered_messages >= MAX_UNANSWERED_MESSAGES:
+            suspicion.unanswered_messages = (
                 MAX_UNANSWERED_MESSAGES - MESSAGES_AFTER_SUSPICION
             )
-            answers.suspected_until = now + SUSPICION_SECONDS
+            suspicion.suspected_until = now + SUSPICION_SECONDS
 
     def answer_received(self, name: str) -> None:
         """Record that a router has answered as a relay.
@@ -281,11 +281,11 @@
         self._suspicions.pop(name, None)
 
     def _is_suspected(self, name: str, now: float) -> bool:
-        answers = self._suspicions.get(name)
-        return answers is not None and now < answers.suspected_until
+        suspicion = self._suspicions.get(name)
+        return suspicion is not None and now < suspicion.suspected_until
 
     def _relays(self, domain: str, now: float) -> list[str]:
-        """Return the relays of a domain, leaving out those that do not answer."""
+        """Return the relays of a domain, without suspected routers unless all are."""
         order = self._orders.get(domain)
         if order is None:
             names = self._domains[domain]
