--- a/src/primrosescale/process/entry/store_connection.py
+++ b/src/primrosescale/process/entry/store_connection.py
@@ -57,7 +57,7 @@
         Returns
         -------
         bool
-            Whether the one before failed.
+            Whether the request before failed.
         """
         if self._lost_at is None:
             return False
--- a/src/primrosescale/process/entry/store_state.py
+++ b/src/primrosescale/process/entry/store_state.py
@@ -38,9 +38,10 @@
 
 
 # Age of the configuration at which this router polls the store although other routers
-# do so on behalf of all: their requests leave it at most twice a watch of 1.5 s old,
-# and a round of updates more.
+# do so on behalf of all. With their requests it is at most two watches of 1.5 s old,
+# plus one round of updates.
 POLL_AGE_SECONDS = 3.4
+# Minimum pause between two such polls.
 POLL_PAUSE_SECONDS = 0.7
 # The same while the last request is still pending: on a slow link its answer may be on
 # its way, and a second one would only delay it.
@@ -87,11 +88,11 @@
 
     def __init__(
         self,
-        knowledge: StoreState,
+        store_state: StoreState,
         connection: StoreConnection,
         prefix: str,
     ) -> None:
-        self._store_state = knowledge
+        self._store_state = store_state
         self._connection = connection
         self._prefix = prefix
 
@@ -137,7 +138,7 @@
     routers : WatchListener
         Follows the list of routers.
     polls_store : Callable[[], bool]
-        Returns whether this router polls the store on behalf of others too.
+        Returns whether this router polls the store on behalf of the others too.
     evacuations : Evacuations | None
         Failure domains that get no requests; None if evacuations are not followed.
     """
@@ -180,7 +181,7 @@
         self._handler = _ConfigurationHandler(
             self, self._connection, watches.configuration.prefix
         )
-        self._asks_often = polls_store
+        self._polls_store = polls_store
         self._polled_at: float | None = None
         self._is_polling = False
         self._reported_version = 0
@@ -222,10 +223,11 @@
 
     @property
     def is_behind(self) -> bool:
-        """Return whether the store has a version that this router cannot decode.
+        """Return whether the version last read could not be adopted.
 
-        That version may withdraw keys, so answers of the store do not confirm the keys
-        of the version known here.
+        It could not be decoded, or it is older than the version known here. It may
+        withdraw keys, so answers of the store do not confirm the keys of the version
+        known here.
         """
         return self._is_behind
 
@@ -275,7 +277,7 @@
     def poll_if_stale(
         self, newest_version: int, newest_list_revision: int, now: float
     ) -> None:
-        """Poll the store if others know more or the last answer is too old.
+        """Poll the store if peer routers know more or its last answer is too old.
 
         Parameters
         ----------
@@ -300,8 +302,8 @@
     def renew_watches(self) -> None:
         """Send the pending requests of all watches again.
 
-        A store that stopped answering this router may never answer what it was asked
-        before; changes would go unnoticed until the wait is over.
+        A store that stopped answering this router may never answer the requests that
+        it received before; changes would go unnoticed until their wait is over.
         """
         for watch in self._watches:
             watch.renew()
@@ -382,7 +384,8 @@
         return self._connection.lost_at is not None
 
     def _configuration_wait(self) -> float:
-        if self._asks_often():
+        """Return for how long the store may hold a configuration request open."""
+        if self._polls_store():
             return self._watched.wait
         return max(self._watched.wait, self._watched.longest_wait)
 
--- a/src/primrosescale/process/entry/store_watch.py
+++ b/src/primrosescale/process/entry/store_watch.py
@@ -26,9 +26,10 @@
     from primrosescale.process.transport.platform import StoredObject
     from primrosescale.process.transport.platform import WatchResult
 
-# Pause after a failed request, growing by half up to the maximum. During an outage the
-# store is polled two or three times a second, which notices its end soon enough for a
-# bound of 2 s and is a thousandth of the store's rate for four routers.
+# Pause after a failed request, growing by half up to the maximum. During an outage each
+# router polls the store two or three times a second. That detects the end of the outage
+# soon enough for a bound of 2 s; with four routers it is a thousandth of the store's
+# request rate.
 MIN_PAUSE_SECONDS = 0.1
 MAX_PAUSE_SECONDS = 0.5
 PAUSE_GROWTH = 1.5
@@ -95,9 +96,9 @@
         Seconds between a change and the next request, so that changes that arrive
         together are read together.
     reads_after_failure : bool
-        Whether all objects are read after a failed request. That is answered at
-        once, whereas a watch may be held open by a store that has not caught up;
-        suitable for prefixes with few objects.
+        Whether all objects are read after a failed request. Such a read is answered
+        at once, whereas a watch may be held open by a store that has not caught up.
+        Suitable for prefixes with few objects.
     """
 
     prefix: str
@@ -129,8 +130,8 @@
         the value in `watched`.
     defers_polling : Callable[[], bool]
         Returns whether another watch polls a store that does not answer, and renews
-        this one when it does: three watches that poll through an outage cost three
-        times as much and notice its end no sooner.
+        this one when the store answers again: three watches that poll through an
+        outage cost three times as much and detect its end no sooner.
     """
 
     def __init__(
