--- a/src/primrosescale/process/entry/harm_report_exchange.py
+++ b/src/primrosescale/process/entry/harm_report_exchange.py
@@ -1,8 +1,9 @@
 """Exchanges reports on targets that ended while they ran requests.
 
-Each report is sent several times, since a datagram may be lost. The ends because of
-which a request is held back are repeated, a few at a time. So a router that starts, or
-that could not be reached for a while, holds back the same requests within seconds.
+Each report is sent several times, since a datagram may be lost. Besides, the ends
+because of which requests are held back are sent again and again, a few at a time. So a
+router that starts, or that could not be reached for a while, holds back the same
+requests within seconds.
 """
 
 from __future__ import annotations
@@ -66,7 +67,7 @@
         self._requests = requests
         self._log = log
         self._pending: deque[_PendingReport] = deque(maxlen=MAX_PENDING_REPORTS)
-        self._held_at = 0.0
+        self._held_sent_at = 0.0
         self._held_queue: deque[TargetEnd] = deque()
         self._known_held: set[int] = set()
         # Called for each end that another router reported.
@@ -101,7 +102,7 @@
         return True
 
     def _queue_known_answer(self, end: TargetEnd) -> None:
-        """Queue a complete answer that only this router may know of."""
+        """Queue the last complete answer to the request; peers may not know of it."""
         answer = self._requests.last_answer(end.fingerprint)
         is_queued = any(each.item == answer for each in self._pending)
         if answer is not None and not is_queued:
@@ -118,7 +119,8 @@
         Returns
         -------
         list[wire.EndNews]
-            A few of all; each is returned several times.
+            At most `MAX_REPORTS_PER_MESSAGE`; successive calls return each report
+            several times.
         """
         count = min(MAX_REPORTS_PER_MESSAGE, len(self._pending))
         sent = [self._pending.popleft() for _ in range(count)]
@@ -139,11 +141,12 @@
         Returns
         -------
         list[wire.EndNews]
-            The next few of all in turn, once a second.
+            The next few of all in turn; none if the last call that returned some was
+            less than a second ago.
         """
-        if now - self._held_at < HELD_INTERVAL_SECONDS:
+        if now - self._held_sent_at < HELD_INTERVAL_SECONDS:
             return []
-        self._held_at = now
+        self._held_sent_at = now
         held = self._requests.held(now)
         self._known_held.intersection_update(held)
         if not self._held_queue:
--- a/src/primrosescale/process/entry/harm_watch.py
+++ b/src/primrosescale/process/entry/harm_watch.py
@@ -1,7 +1,7 @@
 """Detects which targets have ended, to find the requests that end targets.
 
-A lost answer alone proves little, and neither does a complete answer whose target ends
-just afterwards. Further evidence decides:
+A lost answer alone does not show that its target has ended, and a complete answer does
+not show that its target survived the request. Further evidence decides:
 
 - A refused new connection shows that the target has ended. An accepted one shows
   nothing, because the next process may listen at the same address.
@@ -63,7 +63,7 @@
     ----------
     requests : HarmfulRequests
         Evaluates the reports of all routers.
-    news : HarmReportExchange
+    report_exchange : HarmReportExchange
         Exchanges reports with peer routers.
     targets : TargetList
         The known targets and their states.
@@ -78,27 +78,27 @@
     def __init__(
         self,
         requests: HarmfulRequests,
-        news: HarmReportExchange,
+        report_exchange: HarmReportExchange,
         targets: TargetList,
         target_client: TargetClient,
         parts: EntryDependencies,
         send_soon: Callable[[], None],
     ) -> None:
         self._requests = requests
-        self._report_exchange = news
+        self._report_exchange = report_exchange
         self._targets = targets
         self._target_client = target_client
         self._reactor: Any = parts.reactor
         self._log = parts.log
         self._metrics = parts.metrics
         self._send_soon = send_soon
-        news.on_end = self._on_peer_end
+        report_exchange.on_end = self._on_peer_end
         self._lost_answers = LostAnswers()
         self._unconfirmed_answers = UnconfirmedAnswers()
         self._confirmation_timer: Timer | None = None
-        # Targets that are being probed by opening a connection, by short name.
+        # Targets that are being probed by opening a connection, by `target_key`.
         self._pending_probes: set[int] = set()
-        # When this router detected the end of targets, by short name, in seconds.
+        # When this router detected the end of targets, in seconds, by `target_key`.
         self._ended_at: dict[int, float] = {}
 
     def held_for(self, request: IncomingRequest, now: float) -> float:
--- a/src/primrosescale/process/entry/leaving_exchange.py
+++ b/src/primrosescale/process/entry/leaving_exchange.py
@@ -27,11 +27,11 @@
 
 
 class LeavingTargetExchange:
-    """Sends other routers the targets that announced that they leave; applies theirs.
+    """Exchanges with other routers which targets announced that they are leaving.
 
     Each router sends all that it knows for as long as it knows it, including what it
-    received. So it spreads whichever routers exchange updates, and despite lost
-    datagrams.
+    received. So the information reaches all routers, whichever of them exchange
+    updates, and despite lost datagrams.
 
     Parameters
     ----------
@@ -62,7 +62,7 @@
     def to_send(self) -> list[int]:
         """Return the keys of leaving targets whose entries do not show it yet."""
         keys = []
-        # The most recent first: earlier announcements are known everywhere.
+        # The most recent first: the other routers already know earlier ones.
         for name, target in reversed(list(self._leaving.items())):
             state = self._targets.state(name)
             if state is None:
@@ -81,7 +81,7 @@
         told_by: str,
         now: float,
     ) -> None:
-        """Apply what another router reports of leaving targets.
+        """Apply what another router reports on leaving targets.
 
         Parameters
         ----------
