--- a/src/primrosescale/process/entry/__init__.py
+++ b/src/primrosescale/process/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry router: it accepts callers' requests and sends them to targets itself."""
+"""The entry router process: accepts callers' requests, connects to targets directly."""
--- a/src/primrosescale/process/entry/cache_ownership.py
+++ b/src/primrosescale/process/entry/cache_ownership.py
@@ -27,7 +27,8 @@
     from primrosescale.request.prefix_cache_index import PrefixCacheIndex
     from primrosescale.request.target_state import TargetState
 
-# Bounds the datagram to a size that no link fragments: a prompt part takes 18 bytes.
+# Keeps datagrams below the size at which links fragment them: a prompt part takes 18
+# bytes.
 MAX_PARTS_PER_ANSWER = 60
 
 
@@ -167,13 +168,13 @@
         Returns
         -------
         list[tuple[PeerRouter, wire.CacheAnswer]]
-            Answers to the routers that have asked meanwhile.
+            Answers to the routers that have sent requests meanwhile.
         """
         self._is_own_share_read = True
         return self._pending_answers(now)
 
     def receive_answer(self, message: wire.CacheAnswer, now: float) -> None:
-        """Record what another router reports of its share.
+        """Record what another router reports on its share.
 
         Parameters
         ----------
--- a/src/primrosescale/process/entry/caller_site.py
+++ b/src/primrosescale/process/entry/caller_site.py
@@ -34,15 +34,14 @@
     from primrosescale.request.forwarding_interfaces import AnswerHead
 
 # In force until the first configuration is known; the values are those of the
-# configurations in use.
+# configurations in use. Callers reuse connections up to four fifths of the idle
+# timeout; the remaining fifth covers network delay.
 DEFAULT_LIMITS = CallerLimits(
     header_bytes=16384,
     body_bytes=4194304,
     header_timeout=3.0,
     idle_timeout=15.0,
 )
-# Callers reuse connections up to four fifths of the idle timeout; the remaining
-# fifth covers network delay.
 CLOSE = b"close"
 HEAD_TOO_LARGE = (
     b"HTTP/1.1 431 Request Header Fields Too Large\r\n"
--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -1,7 +1,7 @@
 """The entry router: accepts callers' HTTP requests and forwards them to targets.
 
 It is used on platforms where routers connect to targets directly. `EntryRouter` wires
-the parts together and decides when the process is ready, when it sends callers to its
+the parts together and decides when the process is ready, when callers are sent to its
 peers, and how it stops. Which target a request goes to is decided in
 `primrosescale.request`.
 """
--- a/src/primrosescale/process/entry/load_codec.py
+++ b/src/primrosescale/process/entry/load_codec.py
@@ -16,10 +16,10 @@
     from primrosescale.process.entry.target_list import TargetList
     from primrosescale.request.target_state import TargetState
 
-# Bounds the datagram to a size that no link fragments.
+# Keeps datagrams below the size at which links fragment them.
 MAX_TARGETS = 40
-# The same for sums, which are keyed by target only while the two routers know different
-# targets.
+# The same for sums, which contain the keys of targets only while sender and receiver
+# know different targets.
 MAX_SUMMED_TARGETS = 70
 # Smallest decayed count of failures that is sent.
 MIN_REPORTED_FAILURES = 0.05
@@ -165,8 +165,8 @@
         Returns
         -------
         LoadSum | None
-            None if it is in the order of a list of targets that is not the one known
-            here.
+            None if the loads cannot be assigned to targets: they are in the order of
+            the sender's list of targets, which differs from the one known here.
         """
         known_at = now - (message.age_ms or 0) / MILLISECONDS_PER_SECOND
         routers = 1 if message.routers is None else message.routers
@@ -188,7 +188,11 @@
 
 
 def _inflated(message: wire.RouterNews, max_count: int) -> bytes:
-    """Return the loads in a message, at most one more than there can be."""
+    """Return the loads in a message, one byte per target.
+
+    At most one byte more than `max_count` is inflated, which suffices to detect a
+    message that is too long.
+    """
     counts = message.running or b""
     if not message.is_packed:
         return counts
@@ -206,7 +210,7 @@
     Parameters
     ----------
     targets : Iterable[wire.TargetNews]
-        What a router reports of targets.
+        What a router reports on targets.
 
     Returns
     -------
--- a/src/primrosescale/process/entry/peer_router.py
+++ b/src/primrosescale/process/entry/peer_router.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from primrosescale.connection.endpoint import Endpoint
 
-# Messages to each other router whose sending time is remembered.
+# Number of messages to each other router whose sending times are kept.
 MAX_SENT_TIMES = 64
 
 
@@ -61,6 +61,7 @@
         self.router = router
         self.listed_at = now
         self.incarnation = 0
+        # Sequence number of its last message, within its incarnation.
         self.heard = 0
         self.received_at: float | None = None
         self.is_store_lost = False
@@ -99,8 +100,8 @@
         Returns
         -------
         bool
-            False for a message of a former incarnation, and for one that is older than
-            the last.
+            False for a message of a former incarnation, and for one that is not newer
+            than the last.
         """
         if incarnation < self.incarnation:
             return False
--- a/src/primrosescale/process/entry/router_datagrams.py
+++ b/src/primrosescale/process/entry/router_datagrams.py
@@ -39,8 +39,8 @@
     from primrosescale.process.entry.state_exchange import StateExchange
     from primrosescale.process.transport.platform import StoredObject
 
-# Where a prompt part went is sent almost at once, together with everything else that
-# comes up within this delay.
+# Urgent state, such as where a prompt part was sent, is sent after this delay, together
+# with everything else that becomes urgent within it.
 URGENT_DELAY_SECONDS = 0.005
 ANNOUNCE_RETRY_SECONDS = 0.5
 
@@ -142,7 +142,7 @@
         self._write_all([(other, request) for other in self._shares.unanswered])
 
     def answer_cache_requests(self) -> None:
-        """Answer pending requests: this router has read its own share."""
+        """Answer pending requests, now that this router has read its own share."""
         self._write_all(self._shares.share_read(self._reactor.seconds()))
 
     def _urgent_round(self) -> None:
@@ -296,6 +296,8 @@
     def remove_silent(self, now: float) -> None:
         """Remove the entries of routers that have been silent for long.
 
+        Only routers that poll the store do so.
+
         Parameters
         ----------
         now : float
@@ -325,8 +327,8 @@
             router = self._parts.decoder.router(stored)
         except UnreadableRecordError as error:
             # The last readable entry stays in force, so that the router's share of
-            # common budgets is not given to others. If the router is gone, its silence
-            # ends that.
+            # common budgets is not given to others. If the router is gone, it is
+            # removed because of its silence.
             self._refused.refuse(stored, error)
             if stored.name == self._settings.name:
                 self._rewrite_entry(stored)
--- a/src/primrosescale/process/entry/target_keys.py
+++ b/src/primrosescale/process/entry/target_keys.py
@@ -11,8 +11,8 @@
     from primrosescale.process.entry.target_list import TargetList
     from primrosescale.request.target_state import TargetState
 
-# Number of cached keys.
 MAX_CACHED_KEYS = 16384
+# Maps unsigned hashes to signed 32-bit integers, as messages contain them.
 SIGN_OFFSET = 2**31
 
 
@@ -20,8 +20,8 @@
 def target_key(name: str, started_at: int | None = None) -> int:
     """Return the 32-bit key of an incarnation of a target.
 
-    Data about an incarnation other than the present one known to the receiver, be
-    it a former one or one not yet known there, matches no key and is ignored.
+    Data about an incarnation other than the one that the receiver knows at present,
+    former or not yet known there, matches no key of the receiver and is ignored.
 
     Parameters
     ----------
--- a/src/primrosescale/process/entry/target_list.py
+++ b/src/primrosescale/process/entry/target_list.py
@@ -314,11 +314,11 @@
         known = self._known.get(name)
         if known is None or name in self._forget_at:
             return False
-        held_until = removed_at
+        retained_until = removed_at
         if not known.is_leaving:
-            held_until += self._drain * RETENTION_SHARE
+            retained_until += self._drain * RETENTION_SHARE
             self._delisted[name] = (known, removed_at + ASSUMED_DRAIN_SECONDS)
-        self._forget_at[name] = held_until
+        self._forget_at[name] = retained_until
         return True
 
     def forget_expired(self, now: float) -> list[TargetIncarnation]:
--- a/src/primrosescale/process/entry/target_restarts.py
+++ b/src/primrosescale/process/entry/target_restarts.py
@@ -20,8 +20,8 @@
 class TargetRestarts:
     """Ends requests at former incarnations of targets, and logs the restarts.
 
-    All state is keyed by incarnation. Therefore nothing has to be reset here for a
-    new incarnation to start empty.
+    All state is keyed by incarnation, so that a new incarnation starts empty without
+    anything being reset here.
 
     Parameters
     ----------
@@ -69,7 +69,7 @@
             )
         if not self._pending:
             # Deferred until the whole list has been read, so that a request ended at
-            # one target is not repeated at another that has ended too.
+            # one target is not retried at another that has ended too.
             self._reactor.callLater(0, self._end_former)
         self._pending.append(start)
 
