--- a/src/primrosescale/process/entry/cache_discovery.py
+++ b/src/primrosescale/process/entry/cache_discovery.py
@@ -40,10 +40,10 @@
 # that start together. In a small fleet each share is a large part of all cache
 # contents; in a large one, requests go to the targets chosen by hash order.
 EXTRA_READS = 12
-# By rounding, a timer may fire this much before the time that it was set for.
+# A timer may fire this much before the time that it was set for, by rounding.
 TIMER_SLACK_SECONDS = 0.001
-# Pauses before routers that have not answered are asked again. When routers were killed
-# together, those on hosts with half a core answer a second later than the first.
+# Pauses before routers that have not answered are asked again: of routers that were
+# killed together, those on hosts with half a core answer a second after the first.
 RETRY_PAUSES_SECONDS = (0.3, 0.6, 1.2)
 # Reporting its cache delays an engine's work, and each answer takes a connection. For
 # the remaining engines, requests go to the targets chosen by hash order.
@@ -124,8 +124,8 @@
         unanswered_targets = [
             state.target for state in self._shares.unanswered_targets()
         ]
-        max_reads = EXTRA_READS // self._shares.routers
-        for target in list(filter(has_cache, unanswered_targets))[:max_reads]:
+        most = EXTRA_READS // self._shares.routers
+        for target in list(filter(has_cache, unanswered_targets))[:most]:
             self._read(target)
 
     def _check_complete(self) -> None:
@@ -187,13 +187,13 @@
         if state is not None and state.incarnation.is_followed_by(incarnation):
             # In the store's entry, draining and warm-up still concern the former
             # incarnation.
-            restarted = replace(
+            begun = replace(
                 state.target,
                 started_at=incarnation.started_at,
                 is_draining=False,
                 warm_up_seconds=0.0,
             )
-            self._targets.put(restarted, now, told_by=TARGET)
+            self._targets.put(begun, now, told_by=TARGET)
         elif state is None or state.incarnation != incarnation:
             detail = f"not the known incarnation: started at {incarnation.started_at}"
             self._log.emit(Event.CACHE_NOT_READ, target=target.name, detail=detail)
