--- a/src/primrosescale/process/entry/leaving_exchange.py
+++ b/src/primrosescale/process/entry/leaving_exchange.py
@@ -44,7 +44,7 @@
     def __init__(self, targets: TargetList, log: Any) -> None:
         self._targets = targets
         self._log = log
-        # By name of the target, the most recent last.
+        # By name of the target, in the order in which the names were first recorded.
         self._leaving: dict[str, TargetIncarnation] = {}
 
     def record(self, target: TargetIncarnation) -> None:
@@ -62,7 +62,7 @@
     def to_send(self) -> list[int]:
         """Return the keys of leaving targets whose entries do not show it yet."""
         keys = []
-        # The most recent first: the other routers already know earlier ones.
+        # The last recorded first: the other routers already know earlier ones.
         for name, target in reversed(list(self._leaving.items())):
             state = self._targets.state(name)
             if state is None:
--- a/src/primrosescale/process/entry/target_list_sync.py
+++ b/src/primrosescale/process/entry/target_list_sync.py
@@ -74,7 +74,10 @@
 
     @property
     def revision(self) -> int:
-        """Return the store's revision of the newest known change of the list."""
+        """Return the store's revision of the newest change of the list received here.
+
+        It is 0 before the first change; receiving the whole list does not count.
+        """
         return self._revision
 
     def replaced(self, objects: tuple[StoredObject, ...], asked_at: float) -> None:
