--- a/src/primrosescale/process/entry/cache_discovery.py
+++ b/src/primrosescale/process/entry/cache_discovery.py
@@ -36,9 +36,9 @@
 CHECK_INTERVAL_SECONDS = 0.01
 # Routers that have not answered by then are still down, or gone.
 PEER_ANSWER_SECONDS = 0.06
-# Engines of the shares of such routers that are read, over all routers that start
-# together. In a small fleet each share is a large part of all cache contents; in a
-# large one, requests go to the targets chosen by hash order instead.
+# Number of engines in the shares of such routers that are read instead, by all routers
+# that start together. In a small fleet each share is a large part of all cache
+# contents; in a large one, requests go to the targets chosen by hash order.
 EXTRA_READS = 12
 # A timer may fire this much before the time that it was set for, by rounding.
 TIMER_SLACK_SECONDS = 0.001
@@ -94,7 +94,7 @@
     def start(
         self, has_cache: Callable[[ServingTarget], bool], on_done: Callable[[], None]
     ) -> None:
-        """Ask engines and routers.
+        """Ask this router's share of engines, and the other routers for theirs.
 
         Parameters
         ----------
