--- a/src/primrosescale/process/administration/admin_resource.py
+++ b/src/primrosescale/process/administration/admin_resource.py
@@ -69,7 +69,7 @@
 
 
 class PreconditionError(ConflictError):
-    """The head in force is not the one that If-Match names."""
+    """The stored head is not the one that If-Match names."""
 
 
 STATUS_BY_ERROR: tuple[tuple[type[Exception], int], ...] = (
@@ -188,6 +188,7 @@
         int
             `NOT_DONE_YET`.
         """
+        # Not empty once the client has disconnected; nothing is sent from then on.
         gone: list[bool] = []
         request.notifyFinish().addErrback(lambda _: gone.append(True))
         answered = self._answer(request, gone)
--- a/src/primrosescale/process/administration/administration.py
+++ b/src/primrosescale/process/administration/administration.py
@@ -98,8 +98,8 @@
     ----------
     platform : Platform
         Object store for sections, sign-offs, the head and the audit trail.
-    keeper : VersionManager
-        Cache of sections, so that known ones are not read again.
+    version_manager : VersionManager
+        Holds sections in memory, so that these are not read from the platform.
     check : HeadVerifier
         Verifies signatures of trusted approvers.
     clock : Clock
@@ -111,14 +111,14 @@
     def __init__(
         self,
         platform: Platform,
-        keeper: VersionManager,
+        version_manager: VersionManager,
         check: HeadVerifier,
         clock: Clock,
         wall_clock: Callable[[], float],
     ) -> None:
         self._platform = platform
-        self._keeper = keeper
-        self._check = check
+        self._version_manager = version_manager
+        self._verifier = check
         self._clock = clock
         self._wall_clock = wall_clock
 
@@ -180,7 +180,7 @@
             created_ms,
         )
         for section in tree.sections.values():
-            if self._keeper.section(section.digest) is None:
+            if self._version_manager.section(section.digest) is None:
                 yield self._create_object(section_key(section.digest), section.data)
         yield self._write_audit_entry(operator.name, "create", tree.digest)
         return BundleInfo(tree.digest, tree.root, "")
@@ -192,7 +192,7 @@
         operator: OperatorRecord,
         signature: bytes,
     ) -> Generator[Any, Any, BundleInfo]:
-        """Sign a version off.
+        """Store an approver's sign-off of a version.
 
         Parameters
         ----------
@@ -214,7 +214,7 @@
         if root.author == operator.name:
             raise NotAllowedError("nobody approves a bundle of their own")
         head = VersionHead(root.version, digest, operator.name, signature)
-        self._check.verify(head)
+        self._verifier.verify(head)
         yield self._create_object(SIGN_OFF_PREFIX + digest, head.encode())
         yield self._write_audit_entry(operator.name, "sign", digest)
         return BundleInfo(digest, root, operator.name)
@@ -246,7 +246,7 @@
         if signed is None:
             raise NotAllowedError(f"bundle {digest[:12]} is not signed off")
         head = VersionHead.decode(signed.value)
-        self._check.verify(head)
+        self._verifier.verify(head)
         stored = yield self.head()
         if stored.head.digest == digest:
             return BundleInfo(digest, root, head.approver)
@@ -444,7 +444,7 @@
 
     @inlineCallbacks
     def _section(self, digest: str) -> Generator[Any, Any, Section]:
-        known = self._keeper.section(digest)
+        known = self._version_manager.section(digest)
         if known is not None:
             return known
         found = yield self._platform.get(section_key(digest))
--- a/src/primrosescale/process/configuration/version_manager.py
+++ b/src/primrosescale/process/configuration/version_manager.py
@@ -120,7 +120,7 @@
     Parameters
     ----------
     check : HeadVerifier
-        Verifies announced heads and decides which are newer.
+        Verifies announced heads and decides which of two is newer.
     observer : VersionObserver
         Notified of adopted, refused and failed versions.
     needs_organisations : bool
@@ -134,7 +134,7 @@
         *,
         needs_organisations: bool,
     ) -> None:
-        self._check = check
+        self._verifier = check
         self._observer = observer
         self._needs_organisations = needs_organisations
         self._view: VersionView | None = None
@@ -203,18 +203,19 @@
         Returns
         -------
         Deferred[None]
-            Fires when the announcement has been processed; never fails.
+            Fires when the announcement has been processed. Refused heads and failed
+            pulls are reported to the observer and do not make it fail.
         """
-        if not self._check.is_newer(head, self.head):
+        if not self._verifier.is_newer(head, self.head):
             return succeed(None)
         if head != self._verified_head:
             try:
-                self._check.verify(head)
+                self._verifier.verify(head)
             except HeadError as error:
                 self._observer.head_refused(error)
                 return succeed(None)
             self._verified_head = head
-        if self._check.is_newer(head, self._newest_announced):
+        if self._verifier.is_newer(head, self._newest_announced):
             self._newest_announced = head
         if self._is_pulling:
             return succeed(None)
@@ -292,7 +293,7 @@
         return GroupView(branch.label, branch.digest, leaves, indexes)
 
     def _activate(self, view: VersionView, sections: dict[str, Section]) -> None:
-        if not self._check.is_newer(view.head, self.head):
+        if not self._verifier.is_newer(view.head, self.head):
             return
         if self._view is not None and self._view.pins:
             self._retired.append(self._view)
--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -1,8 +1,9 @@
-"""Decides claims on requests and stores them in the ledger, batched by bucket.
+"""Grants or refuses claims on idempotency keys and stores them in the ledger.
 
-Any router may write any bucket. Routers choose the same writer of a bucket by
-candidate order, so that claims are batched. If two routers write one bucket,
-conditional updates keep it consistent and only throughput is lost.
+Any router may write any bucket of the ledger. All routers choose the same writer of
+a bucket by rendezvous hashing, so that its claims are stored in batches. If two
+routers write one bucket, conditional updates keep it consistent and only throughput
+is lost.
 """
 
 from __future__ import annotations
@@ -49,7 +50,7 @@
 
 @dataclass(slots=True, eq=False)
 class _PendingRequest:
-    """A request waiting for its bucket's next update."""
+    """A request about a claim, waiting for the next update of its bucket."""
 
     request: wire.ClaimRequest
     until: float
@@ -70,7 +71,7 @@
 
 
 class ClaimWriter:
-    """Decides on claims and stores the decisions.
+    """Decides requests to claim, record or abandon keys and stores the decisions.
 
     Parameters
     ----------
@@ -102,7 +103,7 @@
 
     @property
     def decided(self) -> int:
-        """Return the number of requests decided so far."""
+        """Return the number of requests about claims decided so far."""
         return self._decided
 
     @property
@@ -119,7 +120,7 @@
         )
 
     def submit(self, request: wire.ClaimRequest) -> Deferred[wire.ClaimReply]:
-        """Decide on a claim and store the decision.
+        """Decide a request about a claim and store the decision.
 
         Parameters
         ----------
@@ -182,7 +183,7 @@
 
     @inlineCallbacks
     def _update_bucket(self, number: int, bucket: _Bucket) -> Generator[Any, Any, None]:
-        """Decide and store one batch; after an error, mark the bucket for reloading."""
+        """Decide and store one batch; after a failure, the bucket is read again."""
         batch = list(bucket.pending)
         try:
             if not self._has_layout:
@@ -357,5 +358,5 @@
 
 
 def _ignore_outage(failure: Failure) -> None:
-    """Leave an expired segment in the store; no tail refers to it any more."""
+    """Ignore a failed deletion: the segment stays, but no tail refers to it."""
     failure.trap(PlatformError)
--- a/src/primrosescale/process/ledger/remote_ledger.py
+++ b/src/primrosescale/process/ledger/remote_ledger.py
@@ -43,7 +43,8 @@
     """Sends claims to the writer of a key's bucket, then to the calling router.
 
     Recorded answers and abandoned claims are sent again until a router has
-    stored them, so that a short outage of the platform loses neither.
+    stored them, so that a short outage of the platform loses neither. While
+    `MAX_UNSETTLED` of them are not stored yet, further ones are dropped.
 
     Parameters
     ----------
--- a/src/primrosescale/process/membership/fleet_status.py
+++ b/src/primrosescale/process/membership/fleet_status.py
@@ -13,7 +13,7 @@
 
 def fleet_status(
     router: str,
-    keeper: VersionManager,
+    version_manager: VersionManager,
     control: RouterControl,
 ) -> dict[str, Any]:
     """Return the status of the fleet for the administration API.
@@ -22,7 +22,7 @@
     ----------
     router : str
         Name of the router that answers.
-    keeper : VersionManager
+    version_manager : VersionManager
         Configuration versions of that router.
     control : RouterControl
         Control traffic of that router, which receives domain reports.
@@ -30,8 +30,8 @@
     Returns
     -------
     dict[str, Any]
-        The router's version, the lowest versions by failure domain, hosts that
-        lag behind, and the age of the reports.
+        The router's version, the lowest versions by failure domain, agents that
+        lag behind, and the ages of the mean loads and of the reports.
     """
     domains = [_domain(report) for report in control.domains]
     lowest = [
@@ -42,12 +42,13 @@
     ]
     return {
         "router": router,
-        "version": keeper.version,
-        "digest": keeper.head.digest,
-        "approver": keeper.head.approver,
-        "in_force_everywhere": bool(lowest) and min(lowest) >= keeper.version > 0,
+        "version": version_manager.version,
+        "digest": version_manager.head.digest,
+        "approver": version_manager.head.approver,
+        "in_force_everywhere": bool(lowest)
+        and min(lowest) >= version_manager.version > 0,
         "lowest_version": min(lowest, default=0),
-        "older_versions_in_use": keeper.retired,
+        "older_versions_in_use": version_manager.retired,
         "news_age": round(control.load_report_age, 3),
         "domains": domains,
     }
--- a/src/primrosescale/process/membership/heartbeat.py
+++ b/src/primrosescale/process/membership/heartbeat.py
@@ -112,7 +112,7 @@
     pool : LinkPool
         Connections to routers.
     host : HeartbeatAgent
-        The agent.
+        The agent: supplies its state and receives updates.
     clock : Clock
         Source of the current time.
     """
@@ -151,11 +151,11 @@
 
     @property
     def has_recent_reply(self) -> bool:
-        """Return whether a router has answered one of the last heartbeats."""
+        """Return whether at most `MAX_MISSED_HEARTBEATS` heartbeats are unanswered."""
         return self._sequence - self._answered_sequence <= MAX_MISSED_HEARTBEATS
 
     def send(self) -> None:
-        """Send a heartbeat; change the router when the last ones went unanswered."""
+        """Send a heartbeat; avoid a router that left too many unanswered."""
         now = self._clock.seconds()
         if not self.has_recent_reply and self._current is not None:
             self._avoided_until[self._current] = now + AVOID_SECONDS
--- a/src/primrosescale/process/membership/host_changes.py
+++ b/src/primrosescale/process/membership/host_changes.py
@@ -54,7 +54,7 @@
         Parameters
         ----------
         version : int
-            Version that the other router has.
+            Version of the list that the other router has.
 
         Returns
         -------
--- a/src/primrosescale/process/membership/load_sums.py
+++ b/src/primrosescale/process/membership/load_sums.py
@@ -130,7 +130,7 @@
         Returns
         -------
         list[wire.MemberNotice]
-            A notice for each that it is down.
+            For each of them, a notice that it is down.
         """
         limit = now - self._settings.agent_lost_after
         lost = [n for n, last in self._agents.items() if last.received_at <= limit]
@@ -146,9 +146,10 @@
     def accept_notice(self, notice: wire.MemberNotice, now: float) -> bool:
         """Check a peer router's notice of an agent against this router's heartbeats.
 
-        An agent that has fallen silent here and is ready at a peer now reports
-        to that peer, and is removed here. An agent that a peer reports as down
-        while its heartbeats arrive here is up, and a notice says so.
+        An agent whose heartbeats are overdue here and that is ready at a peer now
+        reports to that peer, and is removed here. An agent that a peer reports as
+        down while its heartbeats arrive here is up; a notice of its state corrects
+        the report.
 
         Parameters
         ----------
--- a/src/primrosescale/process/membership/members.py
+++ b/src/primrosescale/process/membership/members.py
@@ -1,9 +1,9 @@
 """Membership: the hosts that a router knows and the targets that it may choose.
 
 It combines three sources, each more recent and narrower than the one before:
-the platform's list of hosts, which lags; notices that an agent's heartbeats
-began, stopped or announce that it leaves, which reach all routers within
-seconds; and this router's own failures to connect, which it does not share.
+the platform's list of hosts, which lags; notices that an agent is up, down or
+leaving, made from its heartbeats, which reach all routers within seconds; and this
+router's own failures to connect, which it does not share.
 """
 
 from __future__ import annotations
@@ -270,6 +270,8 @@
     def apply_notice(self, notice: MemberNotice, now: float) -> None:
         """Apply a notice of an agent's state.
 
+        An agent that is leaving stays so until it is down or restarts.
+
         Parameters
         ----------
         notice : MemberNotice
--- a/src/primrosescale/process/metrics.py
+++ b/src/primrosescale/process/metrics.py
@@ -38,7 +38,7 @@
 
 
 class Metrics:
-    """Sends metrics to statsd; sends nothing when none is configured.
+    """Sends metrics to statsd; sends nothing without a statsd port.
 
     Parameters
     ----------
--- a/src/primrosescale/process/tracing.py
+++ b/src/primrosescale/process/tracing.py
@@ -112,7 +112,7 @@
     log : EventLog
         Event log that spans are written to.
     share : float
-        Share of requests traced when the caller does not say.
+        Share of requests traced when the caller sends no trace context.
     rng : Random
         Random numbers for sampling.
     """
--- a/src/primrosescale/version/bundle.py
+++ b/src/primrosescale/version/bundle.py
@@ -98,7 +98,7 @@
         return "\n\n".join(blocks) + "\n"
 
     def faults(self) -> list[Fault]:
-        """Return all faults of the records, alone and in their references.
+        """Return the faults of each record and of the references between records.
 
         Returns
         -------
@@ -151,7 +151,7 @@
 
 
 def _cross_record_faults(records: Iterable[Record]) -> list[Fault]:
-    """Check references between records and key hashes used twice."""
+    """Return the faults of references between records and of shared key hashes."""
     faults: list[Fault] = []
     items = list(records)
     models = {r.name for r in items if isinstance(r, ModelRecord)}
--- a/src/primrosescale/version/exceptions.py
+++ b/src/primrosescale/version/exceptions.py
@@ -6,7 +6,7 @@
 
 
 class VersionError(PrimrosescaleError):
-    """Base of the errors of this package."""
+    """Base class of the errors of configuration versions."""
 
 
 class SectionError(VersionError):
@@ -20,7 +20,7 @@
 
 
 class HeadError(VersionError):
-    """A head is not signed by a trusted approver or is not newer."""
+    """A head is malformed, not validly signed or does not match its root section."""
 
     def __init__(self, version: int, detail: str) -> None:
         super().__init__(
@@ -30,7 +30,7 @@
 
 
 class ConflictError(VersionError):
-    """Another operator changed the configuration in the meantime."""
+    """The head is not the one that a change is based on."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(
@@ -40,7 +40,7 @@
 
 
 class NotAllowedError(VersionError):
-    """The operator lacks the role or the team that a change requires."""
+    """The operator may not make a change, or its bundle is not signed off."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(
@@ -50,7 +50,7 @@
 
 
 class NotFoundError(VersionError):
-    """No bundle has the given name."""
+    """No bundle, section or administration call has the given name."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"no bundle {name}", "list them with 'bundle history'")
--- a/src/primrosescale/version/routing_table.py
+++ b/src/primrosescale/version/routing_table.py
@@ -1,4 +1,4 @@
-"""Immutable routing table of one version: finds routes, services and key holders.
+"""Immutable routing table of one version: finds routes, services, organisations.
 
 A table is built once for a version and never changed, so that a request can use
 the table under which it was accepted until it ends.
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Route:
-    """Services and handling of the requests of a host name and path prefix.
+    """How requests to a host name and path prefix are handled, and by which services.
 
     Parameters
     ----------
@@ -116,8 +116,8 @@
     cache_tokens : int
         Capacity of one target's prefix cache in tokens; 0 for plain services.
     cold_rate : float
-        Requests per second that a target can take while it is cold; 0 for no
-        lower limit than when it is warm.
+        Requests per second that a target can take while it is cold; 0 for no limit
+        besides those of a warm target.
     cold_seconds : float
         Seconds for which a target is cold after its start.
     """
@@ -138,7 +138,7 @@
     name : str
         Unique name.
     priority : int | None
-        Rank of its requests, which overrides that of the route; None for none.
+        Rank of its requests; None to use the route's.
     allowed_regions : frozenset[str]
         Regions whose targets may receive its requests; empty for all.
     """
--- a/src/primrosescale/version/view.py
+++ b/src/primrosescale/version/view.py
@@ -259,7 +259,7 @@
 def _match_key_hash(
     record: OrganisationRecord, sent_hash: bytes
 ) -> OrganisationRecord | None:
-    """Return the record if one of its hashes equals a key's, in constant time."""
+    """Return the record if it has the hash; each comparison takes constant time."""
     for item in record.key_hashes:
         if hmac.compare_digest(bytes.fromhex(item), sent_hash):
             return record
