--- a/src/primrosescale/process/ledger/ledger_bucket.py
+++ b/src/primrosescale/process/ledger/ledger_bucket.py
@@ -1,8 +1,8 @@
 """Storage format of the ledger's buckets and the rules that decide claims.
 
-Claims are spread over buckets by a hash of their idempotency key. The recent claims
-of a bucket are in its tail, a segment that is rewritten with each update. A full
-tail is sealed: stored as a segment that never changes.
+Claims are spread over buckets by the digest of their key. The recent claims of a
+bucket are in its tail, a segment that is rewritten with each update. A full tail is
+sealed: stored as a segment that never changes.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class LedgerFormatError(ProcessError):
-    """A stored object of the ledger is missing, malformed or of another layout."""
+    """An object of the ledger is missing, malformed or of another format or layout."""
 
     def __init__(self, name: str, detail: str) -> None:
         super().__init__(
@@ -79,7 +79,7 @@
     Parameters
     ----------
     key : bytes
-        Digest of the idempotency key.
+        Digest of service, organisation and idempotency key.
     buckets : int
         Number of buckets.
 
--- a/src/primrosescale/process/membership/load_sums.py
+++ b/src/primrosescale/process/membership/load_sums.py
@@ -147,9 +147,9 @@
         """Check a peer router's notice of an agent against this router's heartbeats.
 
         An agent whose heartbeats are overdue here and that is ready at a peer now
-        reports to that peer, and is removed here. An agent that a peer reports as
-        down while its heartbeats arrive here is up; a notice of its state corrects
-        the report.
+        reports to that peer, and is removed here. A notice that an agent is down
+        while its heartbeats arrive here is rejected, and a notice of its state is
+        posted instead, unless the notice is about a later incarnation.
 
         Parameters
         ----------
--- a/src/primrosescale/version/exceptions.py
+++ b/src/primrosescale/version/exceptions.py
@@ -20,7 +20,7 @@
 
 
 class HeadError(VersionError):
-    """A head is malformed, not validly signed or does not match its root section."""
+    """A head is malformed, lacks a trusted signature or does not match its root."""
 
     def __init__(self, version: int, detail: str) -> None:
         super().__init__(
