--- a/src/primrosescale/process/daemons/agent.py
+++ b/src/primrosescale/process/daemons/agent.py
@@ -1,8 +1,9 @@
-"""The agent process: forwards the calls of routers to the one target beside it.
+"""The agent process: forwards the calls of routers to the target on its host.
 
 It reports its load to a router by heartbeats, follows the accepted version of the
-configuration, orders the engine to run what that version asks for, and on a stop
-drains and hands the caches of recent chats to the targets that serve them next.
+configuration, and orders the engine to run the model that this version assigns to
+it. When it is stopped, it drains and hands the caches of recent chats over to the
+targets that serve them next.
 """
 
 from __future__ import annotations
@@ -164,13 +165,13 @@
             lambda: self._core.health.failure_share,
             context.wall_clock,
         )
-        self._was_closed = False
+        self._was_tripped = False
         self._sources = LinkSources()
         self._spans: dict[CallId, TraceSpan] = {}
         self._state = MemberState.READY
-        self._port: Any = None
+        self._listening_port: Any = None
         self._loops: list[Any] = []
-        self._successors: list[wire.HostEntry] = []
+        self._known_targets: list[wire.HostEntry] = []
 
     @property
     def core(self) -> AgentCore:
@@ -179,13 +180,13 @@
 
     @property
     def keeper(self) -> VersionManager:
-        """Return the keeper of configuration versions."""
+        """Return the manager of configuration versions."""
         return self._keeper
 
     @property
     def link_port(self) -> int:
         """Return the TCP port on which routers connect."""
-        return int(self._port.getHost().port)
+        return int(self._listening_port.getHost().port)
 
     @property
     def ledger(self) -> RemoteLedger:
@@ -205,7 +206,7 @@
             self._context.reactor,
             self._settings.link,
         )
-        self._port = self._context.listen(
+        self._listening_port = self._context.listen(
             self._agent_settings.port, factory, self._agent_settings.address
         )
 
@@ -239,7 +240,8 @@
         -------
         Deferred[None]
             Fires when all calls have ended and the process has released its ports
-            and connections; calls still running after ``stop_within`` are cut.
+            and connections; calls that still run after ``stop_within`` seconds
+            are not waited for.
         """
         self._state = MemberState.LEAVING
         self._core.drain()
@@ -259,7 +261,7 @@
             if loop.running:
                 loop.stop()
         self._pool.close()
-        yield self._port.stopListening()
+        yield self._listening_port.stopListening()
         yield self._target.close()
         self._log(Event.PROCESS_STOPPED)
 
@@ -277,12 +279,12 @@
         self._core.bound.update(view)
 
     def update_head(self, head: VersionHead, link: Link) -> None:
-        """Update the version head; see `HeartbeatAgent.update_head`."""
+        """Pull the head's version if it is newer; see `HeartbeatAgent.update_head`."""
         self._keeper.pull_if_newer(head, self._sources.of(link))
 
     def set_known_targets(self, targets: list[wire.HostEntry]) -> None:
         """Store the service's targets; see `HeartbeatAgent.set_known_targets`."""
-        self._successors = targets
+        self._known_targets = targets
 
     def link_ready(self, link: Link) -> None:
         """Handle a connection whose router has sent its hello."""
@@ -326,14 +328,14 @@
             reason = "" if failure is None else wire.Reason(failure.reason).name
             trace_span.end(answered=is_answered, reason=reason)
 
-    def refused(self, name: CallId, reason: wire.Reason) -> None:
+    def refused(self, call_id: CallId, reason: wire.Reason) -> None:
         """Count a refused call."""
         self._context.metrics.count(Metric.REFUSED)
 
-    def duplicate(self, name: CallId) -> None:
+    def duplicate(self, call_id: CallId) -> None:
         """Count and log a duplicate of a known call."""
         self._context.metrics.count(Metric.DUPLICATES)
-        self._log(Event.AGENT_DUPLICATE, router=name.router, call=name.number)
+        self._log(Event.AGENT_DUPLICATE, router=call_id.router, call=call_id.number)
 
     def import_failed(self, detail: str) -> None:
         """Log that a handed-over cache could not be imported."""
@@ -386,11 +388,11 @@
             )
 
     def _log_circuit_breaker(self) -> None:
-        is_closed = self._core.health.is_closed
-        if is_closed and not self._was_closed:
+        is_tripped = self._core.health.is_closed
+        if is_tripped and not self._was_tripped:
             share = self._core.health.failure_share
             self._log(Event.TARGET_CLOSED, failure_share=round(share, 3))
-        self._was_closed = is_closed
+        self._was_tripped = is_tripped
 
     def _heartbeat_tick(self) -> None:
         self._log_circuit_breaker()
@@ -418,11 +420,11 @@
             self._agent_settings.hand_over,
         )
         until = self._now() + MAX_HAND_OVER_WAIT_SECONDS
-        while chats and not self._successors and self._now() < until:
+        while chats and not self._known_targets and self._now() < until:
             yield self._context.pause(STOP_POLL_SECONDS)
         entries = {
             entry.name: entry
-            for entry in self._successors
+            for entry in self._known_targets
             if entry.name != self._settings.process.name
             and entry.region == self._settings.process.region
         }
--- a/src/primrosescale/process/daemons/agent_core.py
+++ b/src/primrosescale/process/daemons/agent_core.py
@@ -114,7 +114,7 @@
         Limits and retention times.
     incarnation : int
         This agent's incarnation.
-    port : LocalTargetClient
+    target : LocalTargetClient
         Client of the target.
     ledger : Ledger
         Ledger of claims on idempotency keys.
@@ -128,7 +128,7 @@
         self,
         settings: AgentCoreSettings,
         incarnation: int,
-        port: LocalTargetClient,
+        target: LocalTargetClient,
         ledger: Ledger,
         observer: AgentObserver,
         clock: Clock,
@@ -136,7 +136,7 @@
         now = clock.seconds()
         self._settings = settings
         self._incarnation = incarnation
-        self._port = port
+        self._target = target
         self._ledger = ledger
         self._observer = observer
         self._clock = clock
@@ -185,7 +185,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Return whether no call waits, runs or still has bytes to send."""
+        """Return whether no call is queued, runs or still has bytes to send."""
         if not self._admission.is_idle:
             return False
         return all(call.phase is CallPhase.ENDED for call in self._calls.values())
@@ -225,53 +225,53 @@
         self._call_ids.remove_expired(now)
         limit = now - self._settings.answer_keep
         while self._ended:
-            name, ended_at = next(iter(self._ended.items()))
+            call_id, ended_at = next(iter(self._ended.items()))
             if ended_at > limit:
                 break
-            self._evict(name)
+            self._evict(call_id)
         self._start_next()
 
     def _call(self, link: Link, message: wire.Call) -> None:
         now = self._clock.seconds()
-        name = CallId(message.router, message.number)
+        call_id = CallId(message.router, message.number)
         if message.target_incarnation != self._incarnation:
             self._refuse(
                 link,
-                name,
+                call_id,
                 Reason.REPLACED,
                 detail="the call was addressed to an earlier incarnation of the agent",
             )
             return
-        state = self._call_ids.state(name)
+        state = self._call_ids.state(call_id)
         if state is not CallIdState.FRESH:
             # A duplicate of a known call: only the first copy is answered.
-            self._observer.duplicate(name)
+            self._observer.duplicate(call_id)
             return
         deadline = now + message.deadline_ms / MILLISECONDS_PER_SECOND
         if (
             self._call_ids.is_full
             or self._answer_bytes > self._settings.max_kept_answer_bytes
         ):
-            self._refuse(link, name, Reason.MEMORY_FULL, retry_after=1.0)
+            self._refuse(link, call_id, Reason.MEMORY_FULL, retry_after=1.0)
             return
-        self._call_ids.take(name, deadline)
+        self._call_ids.take(call_id, deadline)
         place = self._find_other_place(message, now)
         if place:
-            self._call_ids.block(name, deadline)
-            self._refuse(link, name, Reason.ELSEWHERE, place=place)
+            self._call_ids.block(call_id, deadline)
+            self._refuse(link, call_id, Reason.ELSEWHERE, place=place)
             return
-        self._offer(link, name, message, deadline, now)
+        self._offer(link, call_id, message, deadline, now)
 
     def _offer(
         self,
         link: Link,
-        name: CallId,
+        call_id: CallId,
         message: wire.Call,
         deadline: float,
         now: float,
     ) -> None:
         call = AgentCall(
-            name,
+            call_id,
             message,
             link,
             deadline,
@@ -291,12 +291,12 @@
         call.queued = queued
         verdict = self._admission.offer(queued, now)
         if verdict.reason is not None:
-            # Blocked, so that a router that did not receive this refusal and asks
-            # again gets the same result.
-            self._call_ids.block(name, deadline)
-            self._refuse(link, name, verdict.reason, retry_after=verdict.retry_after)
+            # Blocked, so that a router that did not receive this refusal and resumes
+            # the call gets the same result.
+            self._call_ids.block(call_id, deadline)
+            self._refuse(link, call_id, verdict.reason, retry_after=verdict.retry_after)
             return
-        self._calls[name] = call
+        self._calls[call_id] = call
         self._observer.admitted(call, self._admission.load, now)
         call.deadline_timer = self._clock.callLater(
             max(0.0, deadline - now),
@@ -337,7 +337,7 @@
     def _refuse(
         self,
         link: Link,
-        name: CallId,
+        call_id: CallId,
         reason: Reason,
         *,
         retry_after: float = 0.0,
@@ -345,11 +345,11 @@
         detail: str = "",
     ) -> None:
         """Send a refusal: the call has not run and never will."""
-        self._observer.refused(name, reason)
+        self._observer.refused(call_id, reason)
         link.send(
             wire.CallFailed(
-                router=name.router,
-                number=name.number,
+                router=call_id.router,
+                number=call_id.number,
                 outcome=Outcome.NOT_RUN,
                 reason=reason,
                 retry_after_ms=int(retry_after * MILLISECONDS_PER_SECOND),
@@ -377,8 +377,8 @@
             writer=message.ledger,
         )
         call.begin_claim(claim)
-        asked = self._ledger.claim(claim, call.link)
-        asked.addCallback(self._claimed, call, claim)
+        claiming = self._ledger.claim(claim, call.link)
+        claiming.addCallback(self._claimed, call, claim)
 
     def _claimed(self, reply: wire.ClaimReply, call: AgentCall, claim: Claim) -> None:
         state = reply.state
@@ -418,7 +418,7 @@
     def _run(self, call: AgentCall) -> None:
         call.mark_running()
         self._observer.started(call)
-        call.begin_run(self._port.start(call.call, call))
+        call.begin_run(self._target.start(call.call, call))
 
     def _call_ended(self, call: AgentCall, is_answered: bool) -> None:
         now = self._clock.seconds()
@@ -498,32 +498,32 @@
             call.fail(Outcome.NOT_RUN, reason)
 
     def _resume(self, link: Link, message: wire.Resume) -> None:
-        name = CallId(message.router, message.number)
+        call_id = CallId(message.router, message.number)
         if message.target_incarnation != self._incarnation:
-            self._report_unknown(link, name, Reason.REPLACED)
+            self._report_unknown(link, call_id, Reason.REPLACED)
             return
-        call = self._calls.get(name)
+        call = self._calls.get(call_id)
         if call is not None:
             call.resume(link, message.offset)
             return
         now = self._clock.seconds()
-        if self._call_ids.state(name) is CallIdState.TAKEN:
-            self._report_unknown(link, name, Reason.ANSWER_EVICTED)
+        if self._call_ids.state(call_id) is CallIdState.TAKEN:
+            self._report_unknown(link, call_id, Reason.ANSWER_EVICTED)
             return
         if (
             message.age_ms / MILLISECONDS_PER_SECOND
             > self._settings.call_id_keep_seconds
         ):
-            self._report_unknown(link, name, Reason.ANSWER_EVICTED)
+            self._report_unknown(link, call_id, Reason.ANSWER_EVICTED)
             return
-        self._call_ids.block(name, now + self._settings.call_id_keep_seconds)
-        self._refuse(link, name, Reason.NEVER_ARRIVED)
+        self._call_ids.block(call_id, now + self._settings.call_id_keep_seconds)
+        self._refuse(link, call_id, Reason.NEVER_ARRIVED)
 
-    def _report_unknown(self, link: Link, name: CallId, reason: Reason) -> None:
+    def _report_unknown(self, link: Link, call_id: CallId, reason: Reason) -> None:
         link.send(
             wire.CallFailed(
-                router=name.router,
-                number=name.number,
+                router=call_id.router,
+                number=call_id.number,
                 outcome=Outcome.UNKNOWN,
                 reason=reason,
                 retry_after_ms=0,
@@ -539,15 +539,15 @@
             self._directory.record_served(message.chat, message.place, 0, now)
 
     def _import(self, message: wire.CacheImport) -> None:
-        taken = self._port.import_cache(message.chat, message.data)
-        taken.addCallbacks(
+        importing = self._target.import_cache(message.chat, message.data)
+        importing.addCallbacks(
             self._imported,
             lambda failure: self._observer.import_failed(failure.getErrorMessage()),
             callbackArgs=(message,),
         )
 
-    def _imported(self, is_taken: bool, message: wire.CacheImport) -> None:
-        if is_taken:
+    def _imported(self, is_imported: bool, message: wire.CacheImport) -> None:
+        if is_imported:
             now = self._clock.seconds()
             name = self._settings.name
             self._directory.record_served(message.chat, name, message.tokens, now)
@@ -558,8 +558,8 @@
     def _find(self, router: int, number: int) -> AgentCall | None:
         return self._calls.get(CallId(router, number))
 
-    def _evict(self, name: CallId) -> None:
-        del self._ended[name]
-        call = self._calls.pop(name, None)
+    def _evict(self, call_id: CallId) -> None:
+        del self._ended[call_id]
+        call = self._calls.pop(call_id, None)
         if call is not None:
             self._answer_bytes = max(0, self._answer_bytes - call.buffered_bytes)
--- a/src/primrosescale/process/daemons/agent_observer.py
+++ b/src/primrosescale/process/daemons/agent_observer.py
@@ -54,24 +54,24 @@
         """
 
     @abstractmethod
-    def refused(self, name: CallId, reason: Reason) -> None:
+    def refused(self, call_id: CallId, reason: Reason) -> None:
         """Handle that a call was refused and will never run.
 
         Parameters
         ----------
-        name : CallId
+        call_id : CallId
             Identifier of the call.
         reason : Reason
             Why it was refused.
         """
 
     @abstractmethod
-    def duplicate(self, name: CallId) -> None:
+    def duplicate(self, call_id: CallId) -> None:
         """Handle that a duplicate of a known call was dropped.
 
         Parameters
         ----------
-        name : CallId
+        call_id : CallId
             Identifier of the call.
         """
 
--- a/src/primrosescale/process/daemons/daemon.py
+++ b/src/primrosescale/process/daemons/daemon.py
@@ -1,6 +1,7 @@
-"""What router and agent processes are built with.
+"""Dependencies of router and agent processes, built from their settings.
 
-The reactor, log, metrics, traces, TLS, listeners, dialers and periodic calls.
+They are the reactor, log, metrics, traces and TLS, and functions that open listeners
+and connections and call a function periodically.
 """
 
 from __future__ import annotations
@@ -44,7 +45,7 @@
 
     Parameters
     ----------
-    own : wire.Hello
+    hello : wire.Hello
         Hello that this process sends first on a connection.
     handler : LinkHandler
         Receives the messages and the end of each connection.
@@ -58,12 +59,12 @@
 
     def __init__(
         self,
-        own: wire.Hello,
+        hello: wire.Hello,
         handler: LinkHandler,
         clock: Clock,
         settings: LinkSettings,
     ) -> None:
-        self._own = own
+        self._hello = hello
         self._handler = handler
         self._clock = clock
         self._settings = settings
@@ -81,11 +82,11 @@
         Link
             Protocol of the connection.
         """
-        return Link(self._own, self._handler, self._clock, self._settings)
+        return Link(self._hello, self._handler, self._clock, self._settings)
 
 
 class Tools:
-    """Parts that a router or an agent is built with.
+    """Dependencies of a router or an agent.
 
     Parameters
     ----------
@@ -197,10 +198,10 @@
         return result
 
     def repeat(self, interval: float, act: Callable[[], Any]) -> LoopingCall:
-        """Call a function periodically, also after a call that raised an error.
+        """Call a function periodically, and go on when a call raises an error.
 
-        If an unexpected error ended the loop, the process would seem alive but
-        report nothing, so the error is logged and the loop continues.
+        If an unexpected error ended the loop, the process would seem to work but do
+        no more periodic work, so the error is logged and the loop continues.
 
         Parameters
         ----------
@@ -214,12 +215,12 @@
         LoopingCall
             The running loop.
         """
-        loop = LoopingCall(self._guarded, act)
+        loop = LoopingCall(self._call_and_log_errors, act)
         loop.clock = self.reactor
         loop.start(interval, now=False)
         return loop
 
-    def _guarded(self, act: Callable[[], Any]) -> None:
+    def _call_and_log_errors(self, act: Callable[[], Any]) -> None:
         try:
             act()
         except Exception:  # noqa: BLE001 - logged, and the loop must go on
--- a/src/primrosescale/process/daemons/engine_orders.py
+++ b/src/primrosescale/process/daemons/engine_orders.py
@@ -7,9 +7,10 @@
 checks fencing numbers refuses a late order of a paused predecessor; an engine that
 does not check them is reconciled again, so that such an order has no lasting effect.
 
-A roll-out goes through failure domains in a configured order: a domain waits until
-each earlier one has reported the version as running with few errors. The number of
-engines that load weights at the same time is limited by leased slots.
+A roll-out goes through failure domains in a configured order: a domain waits until,
+in each earlier one, an agent has recorded that its engine runs the version with few
+errors. The number of engines that load weights at the same time is limited by leased
+slots.
 """
 
 from __future__ import annotations
@@ -166,7 +167,7 @@
         Parameters
         ----------
         desired : DesiredEngineState
-            State that was ordered.
+            State that is ordered.
         fence : int
             Fencing number of the order.
         """
@@ -190,7 +191,7 @@
         desired : DesiredEngineState
             State that is to be ordered.
         domain : str
-            Domain that has not reported success.
+            Earlier domain that has not recorded success.
         """
 
 
@@ -201,7 +202,7 @@
     ----------
     settings : OrderSettings
         The agent and its engine.
-    port : EnginePort
+    engine : EnginePort
         Client of the engine.
     platform : Platform
         Store of fencing numbers, slots and progress.
@@ -216,14 +217,14 @@
     def __init__(
         self,
         settings: OrderSettings,
-        port: EnginePort,
+        engine: EnginePort,
         platform: Platform,
         observer: OrderObserver,
         error_share: Callable[[], float],
         wall_clock: Callable[[], float],
     ) -> None:
         self._settings = settings
-        self._port = port
+        self._engine = engine
         self._platform = platform
         self._observer = observer
         self._error_share = error_share
@@ -276,7 +277,7 @@
     def _reconcile(self, desired: DesiredEngineState) -> Generator[Any, Any, None]:
         if not self._fence:
             yield self._acquire_fence()
-        data = yield self._port.state()
+        data = yield self._engine.state()
         if desired.is_met_by(json.loads(data)):
             yield self._report_progress(desired)
             return
@@ -286,8 +287,8 @@
         if waits_for:
             self._observer.roll_out_held(desired, waits_for)
             return
-        is_own = yield self._holds_fence()
-        if not is_own:
+        holds_fence = yield self._holds_fence()
+        if not holds_fence:
             self._is_replaced = True
             return
         has_slot = yield self._acquire_slot()
@@ -304,7 +305,7 @@
             "role": desired.role,
         }
         self._observer.order_sent(desired, self._fence)
-        yield self._port.order(json.dumps(order).encode())
+        yield self._engine.order(json.dumps(order).encode())
 
     @inlineCallbacks
     def _acquire_fence(self) -> Generator[Any, Any, None]:
@@ -323,7 +324,10 @@
 
     @inlineCallbacks
     def _holds_fence(self) -> Generator[Any, Any, bool]:
-        """Return whether no successor has a higher fencing number."""
+        """Return whether no successor has a higher fencing number.
+
+        Not looked up for an engine that checks fencing numbers itself.
+        """
         if self._settings.checks_fence:
             return True
         found = yield self._platform.get(FENCE_PREFIX + self._settings.agent)
@@ -333,7 +337,7 @@
     def _unfinished_earlier_domain(
         self, desired: DesiredEngineState
     ) -> Generator[Any, Any, str]:
-        """Return the first earlier domain without success; empty if none."""
+        """Return the first earlier domain that has not recorded success, if any."""
         own = self._settings.domain
         order = desired.domains
         earlier = order[: order.index(own)] if own in order else order
--- a/src/primrosescale/process/daemons/router.py
+++ b/src/primrosescale/process/daemons/router.py
@@ -161,7 +161,7 @@
             self,
             reactor,
         )
-        self._under_way: dict[RoutedCall, _ActiveCall] = {}
+        self._active_calls: dict[RoutedCall, _ActiveCall] = {}
         self._inbound: set[Link] = set()
         self._ports: list[Any] = []
         self._loops: list[Any] = []
@@ -175,7 +175,7 @@
 
     @property
     def keeper(self) -> VersionManager:
-        """Return the keeper of configuration versions."""
+        """Return the manager of configuration versions."""
         return self._keeper
 
     @property
@@ -206,7 +206,7 @@
     @property
     def under_way(self) -> int:
         """Return the number of requests in flight."""
-        return len(self._under_way)
+        return len(self._active_calls)
 
     @property
     def control_bytes(self) -> int:
@@ -242,7 +242,7 @@
     @property
     def is_full(self) -> bool:
         """Return whether the limit of requests in flight is reached."""
-        return len(self._under_way) >= self._settings.router.calls_limit
+        return len(self._active_calls) >= self._settings.router.calls_limit
 
     def listen(self) -> None:
         """Open the ports of callers, of connections and of the administration API."""
@@ -290,19 +290,19 @@
         -------
         Deferred[None]
             Fires when all requests have ended and the router has closed its ports;
-            requests still in flight after ``stop_within`` are cut.
+            requests still in flight after ``stop_within`` seconds are not waited for.
         """
         self._is_stopping = True
-        self._log(Event.PROCESS_STOPPING, under_way=len(self._under_way))
+        self._log(Event.PROCESS_STOPPING, under_way=len(self._active_calls))
         if self._settings.platform.register:
             yield self._announce(is_leaving=True)
         if self._ports:
             yield self._ports[0].stopListening()
         until = self.now() + self._settings.process.stop_within
-        while self._under_way and self.now() < until:
+        while self._active_calls and self.now() < until:
             yield self._context.pause(STOP_POLL_SECONDS)
-        if self._under_way:
-            self._log(Event.STOP_CUT, under_way=len(self._under_way))
+        if self._active_calls:
+            self._log(Event.STOP_CUT, under_way=len(self._active_calls))
         for loop in self._loops:
             if loop.running:
                 loop.stop()
@@ -319,7 +319,7 @@
         return float(self._context.reactor.seconds())
 
     def limit(self, organisation: OrganisationRecord) -> float:
-        """Count a request against a limit; see `CallGate.limit`."""
+        """Count a request against its organisation's limit; see `CallGate.limit`."""
         rate = organisation.requests_per_second
         return self._limiter.admit(organisation.name, rate, self.now())
 
@@ -372,7 +372,7 @@
             context.reactor,
             self._settings.call,
         )
-        self._under_way[call] = _ActiveCall(view.pin(), trace_span, now)
+        self._active_calls[call] = _ActiveCall(view.pin(), trace_span, now)
         sink.bind(call)
         call.start()
 
@@ -391,7 +391,7 @@
 
     def call_ended(self, call: RoutedCall, report: CallReport) -> None:
         """Handle the end of a call; see `CallTableListener.call_ended`."""
-        active = self._under_way.pop(call, None)
+        active = self._active_calls.pop(call, None)
         if active is None:
             return
         active.view.unpin()
@@ -537,7 +537,7 @@
     def _tick(self) -> None:
         self._control.tick()
         metrics = self._context.metrics
-        metrics.gauge(Metric.CALLS_UNDER_WAY, len(self._under_way))
+        metrics.gauge(Metric.CALLS_UNDER_WAY, len(self._active_calls))
         metrics.gauge(Metric.LINKS, self._pool.size)
         metrics.gauge(Metric.STRAYS, self._table.strays)
         metrics.gauge(Metric.CONTROL_BYTES, self.control_bytes)
--- a/src/primrosescale/process/daemons/router_control.py
+++ b/src/primrosescale/process/daemons/router_control.py
@@ -3,10 +3,10 @@
 Agents send heartbeats to a router of their failure domain, and routers report to the
 aggregators of the domain. Aggregators are chosen by rendezvous hashing; they send the
 sums of their domain to the aggregators of the other domains, and watch the platform
-for new version heads and changes of the list of hosts. Replies to reports bring mean
-loads, the accepted version head, changes of the list, notices of agents and request
-rates of organisations. A router that no aggregator answers asks the platform and its
-seed routers itself.
+for new version heads and changes of the list of hosts. Replies to reports contain
+mean loads, the accepted version head, changes of the list, notices of agents and
+request rates of organisations. While no aggregator answers, a router asks the platform
+and its seed routers itself.
 """
 
 from __future__ import annotations
@@ -132,7 +132,7 @@
     members : Members
         Known hosts.
     keeper : VersionManager
-        Keeper of configuration versions.
+        Manager of configuration versions.
     limiter : OrganisationRateLimiter
         Request rate limits of organisations.
     platform : Platform
@@ -191,7 +191,8 @@
         self._is_watching = False
         self._watch_revision = 0
         self._is_listing = False
-        # Reported only when it changes, not with each reading of the list.
+        # Reported to the observer only when it changes, not at each reading of the
+        # list.
         self._unreadable: tuple[str, ...] = ()
         self._listed_at = -1.0e9
         self._last_reply_at = clock.seconds()
@@ -350,7 +351,7 @@
         if beat.state == MemberState.LEAVING:
             members = self._members.targets_of(beat.service_name)
             targets = [member.entry for member in members]
-        aged = int((now - self._means_at) * PERMILLE)
+        elapsed_ms = int((now - self._means_at) * PERMILLE)
         link.send(
             wire.HeartbeatReply(
                 sequence=beat.sequence,
@@ -359,7 +360,7 @@
                         mean.service_name,
                         mean.load,
                         mean.targets,
-                        mean.age_ms + aged,
+                        mean.age_ms + elapsed_ms,
                     )
                     for mean in self._means
                     if mean.service_name == beat.service_name
@@ -378,7 +379,8 @@
         changes = self._changes.since(report.list_version)
         entries = changes
         if entries is None:
-            # The platform may be down, so the entries known here are sent.
+            # The changes are no longer retained, and the platform may be down, so the
+            # entries known here are sent.
             known = report.list_version
             entries = self._members.entries_after(known, MAX_CHANGES_PER_MESSAGE)
         link.send(
@@ -530,8 +532,8 @@
         reading.addErrback(self._report_platform_failure)
         report = self._make_report(now)
         for endpoint in self._seeds:
-            asked = self._pool.get(endpoint)
-            asked.addCallbacks(
+            connecting = self._pool.get(endpoint)
+            connecting.addCallbacks(
                 lambda link: link.send(report),
                 lambda _: None,
             )
@@ -609,7 +611,7 @@
         return self._keeper.pull_if_newer(head, self._platform_source)
 
     def _head_for(self, version: int) -> wire.Head:
-        """Return the head for a process at a version; no head if it is current."""
+        """Return the head for a process at a version; `NO_HEAD` if it is current."""
         head = self._keeper.head
         return to_wire(head if head.version > version else NO_HEAD)
 
