--- a/src/primrosescale/platform/__init__.py
+++ b/src/primrosescale/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: translates its names, formats and calls."""
+"""Adapter to the users' platform: its object store, settings file and headers."""
--- a/src/primrosescale/platform/engine_calls.py
+++ b/src/primrosescale/platform/engine_calls.py
@@ -31,8 +31,8 @@
     OverflowError,
     RecursionError,
 )
-# The engine answers between its own steps, of which several of a few ms each may
-# come first.
+# An engine answers only between its processing steps, and several steps of a few ms
+# each may run before it does.
 TIMEOUT_SECONDS = 0.6
 
 
--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -43,7 +43,7 @@
 STORE_TIMEOUT_SECONDS = 0.5
 # Keys may be accepted for 5 s after the store was last polled. The four routers
 # that poll it on behalf of all do so every 0.9-1.5 s, independently of each other,
-# so callers are served through the first 3 s of an outage of the store.
+# so callers are served during the first 3 s of an outage of the store.
 CONFIGURATION_WAIT_SECONDS = 1.5
 # Wait time of watches of routers that rely on the polls of their peers. A change
 # ends the wait at once, and a router that learns of a newer version from a peer's
@@ -54,30 +54,32 @@
 # next one that is still waiting, and one round of state updates from the router that
 # polled.
 NOT_FOUND_MAX_AGE_SECONDS = 2 * CONFIGURATION_WAIT_SECONDS + STORE_TIMEOUT_SECONDS + 0.5
-# A leaving target must be detected within 2 s. A watch whose connection has gone
-# silent is found by keep-alive probes, sooner than by a shorter wait.
+# A leaving target must be detected within 2 s, which does not limit this wait: a
+# change ends a watch at once, and keep-alive probes detect a watch whose connection
+# has gone silent sooner than a shorter wait would.
 TARGETS_WAIT_SECONDS = 8.0
 
-# Share of the deployment's load multiple up to which targets are loaded: peers'
-# requests become known a quarter of a second late, which needs a margin.
+# Share of the deployment's load multiple up to which this router loads targets. The
+# rest is a margin for requests of peers, which become known a quarter of a second
+# late.
 LOAD_MULTIPLE_SHARE = 0.75
-# Memory that one request may take: the longest body expected, 72 KB, four times
-# over in buffers, and as much again in reserve.
+# Memory that one request may take: the longest body expected, 72 KB, is held in
+# buffers four times, and as much again is kept in reserve.
 BYTES_PER_REQUEST = 600_000
-# Changes come in bursts: versions 0.1-0.3 s apart, all targets of a release, all
-# routers at a start. After a change, a watch waits for a batching delay before its
-# next call. The delay is a share of the time within which the change must take
-# effect: for the configuration, that in which a version must be in force; for
-# targets, that in which a leaving target may still get requests. Routers have no such
-# limit. The delay halves the calls during a burst and only delays changes that come
-# within it.
+# Changes come in bursts: versions 0.1-0.3 s apart, all targets replaced by a release,
+# all routers at a start-up. After a change, a watch waits for a batching delay before
+# its next call. The delay is a share of the time within which the change must take
+# effect: for the configuration, the time within which a version must be in force; for
+# targets, the time for which a leaving target may still get requests. For routers
+# there is no such limit. The delay halves the calls during a burst and only delays
+# changes that follow another one within it.
 CONFIGURATION_BATCHING_SHARE = 0.2
 TARGETS_BATCHING_SHARE = 0.3
 ROUTERS_BATCHING_SECONDS = 2.0
-# Routers come and go seldom, and no time limit applies to their changes.
+# Routers are added and removed rarely, and no time limit applies to their changes.
 ROUTERS_WAIT_SECONDS = 20.0
-# Failure domains are evacuated seldom. A watch whose connection has gone silent is
-# found by keep-alive probes, and peers also report evacuations in state updates.
+# Failure domains are evacuated rarely. A watch whose connection has gone silent is
+# detected by keep-alive probes, and peers also report evacuations in state updates.
 EVACUATIONS_WAIT_SECONDS = 20.0
 
 
--- a/src/primrosescale/platform/field_reader.py
+++ b/src/primrosescale/platform/field_reader.py
@@ -26,14 +26,14 @@
 if TYPE_CHECKING:
     from primrosescale.process.transport.platform import StoredObject
 
-# Characters of a name: those of the longest host name (RFC 1035).
+# Maximum characters of a name: those of the longest host name (RFC 1035).
 MAX_NAME_LENGTH = 253
 # Largest integer that every JSON implementation represents exactly (RFC 8259).
 MAX_SAFE_INTEGER = 2**53 - 1
 # Names are sent in headers and logged, so they consist of visible ASCII characters.
 NAME = re.compile(r"[!-~]+")
 PORT = re.compile(r"[0-9]{1,5}")
-# Characters of a value that are quoted in the reason of a refusal.
+# Maximum characters of a value that the reason of a refusal quotes.
 MAX_QUOTED_CHARACTERS = 64
 
 _ABSENT = object()
@@ -78,7 +78,7 @@
         missing or invalid.
     """
 
-    __slots__ = ("_context", "_fields", "_within")
+    __slots__ = ("_context", "_fields", "_location")
 
     def __init__(
         self,
@@ -87,7 +87,7 @@
         location: tuple[FieldReader, str, int | None] | None = None,
     ) -> None:
         self._context = context
-        self._within = location
+        self._location = location
         if type(fields) is not dict:
             self.refuse("", f"{_type_name(fields)}, not an object")
         self._fields: dict[str, Any] = fields
@@ -178,10 +178,10 @@
         str
             Field names from the outermost on, such as ``a[0].b``.
         """
-        if self._within is None:
+        if self._location is None:
             return field
-        parent, name, number = self._within
-        path = parent.path(name) + ("" if number is None else f"[{number}]")
+        parent, name, index = self._location
+        path = parent.path(name) + ("" if index is None else f"[{index}]")
         return f"{path}.{field}" if field else path
 
     def has(self, field: str) -> bool:
@@ -454,8 +454,8 @@
             One reader for each object; empty when the list is absent.
         """
         return [
-            FieldReader(self._context, item, (self, field, number))
-            for number, item in enumerate(self._list(field))
+            FieldReader(self._context, item, (self, field, index))
+            for index, item in enumerate(self._list(field))
         ]
 
     def require(self, field: str) -> None:
--- a/src/primrosescale/platform/host_settings.py
+++ b/src/primrosescale/platform/host_settings.py
@@ -14,8 +14,8 @@
 SETTINGS_FILE_VARIABLE = "PRIMROSESCALE_BOOT"
 SECONDS_PER_MILLISECOND = 0.001
 
-# Used for bounds that a deployment leaves out. The users' deployments state all of
-# them, with these values.
+# Used for bounds that the settings file leaves out. The users' deployments state all
+# of them, with these values.
 DEFAULT_BOUNDS: dict[str, float] = {
     "drain_ms": 2000,
     "config_apply_ms": 2000,
@@ -92,7 +92,8 @@
     callers : Endpoint | None
         Endpoint on which callers connect; None on hosts without callers.
     readiness : Endpoint | None
-        Endpoint on which the load balancer checks readiness; None as above.
+        Endpoint on which the load balancer checks readiness; None on hosts without
+        callers.
     first_internal_port : int
         First of the ports for connections between routers.
     store : Endpoint
--- a/src/primrosescale/platform/http_codec.py
+++ b/src/primrosescale/platform/http_codec.py
@@ -36,7 +36,9 @@
 COLD_REMAINING = b"Primrosescale-Cold-Remaining"
 LEAVING = b"Server-Leaving"
 PRIORITY = b"Primrosescale-Request-Priority"
+# Endpoint of another target, from which the prompt's cache may be copied.
 FETCH_FROM = b"Kv-Fetch"
+# Number of the last event received of a stream that is resumed.
 LAST_EVENT = b"Last-Event-Id"
 AUTHORIZATION = b"Authorization"
 BEARER_PREFIX = "bearer "
@@ -224,7 +226,8 @@
             tuple(parts), int(prompt_tokens), int(max_tokens), _first(headers, MODEL)
         )
     except ValueError:
-        # The target validates the prompt; the router only lacks a hint for its choice.
+        # The target validates the prompt; without it, the router only lacks a hint
+        # for its choice of a target.
         return None
 
 
--- a/src/primrosescale/platform/program.py
+++ b/src/primrosescale/platform/program.py
@@ -22,8 +22,8 @@
 if TYPE_CHECKING:
     from primrosescale.platform.host_settings import HostSettings
 
-# Objects that exist after the start are frozen and never collected. Collecting the
-# young generation seldom keeps pauses under a millisecond.
+# Objects that exist after the start are frozen and never collected. Pauses stay under
+# a millisecond when the young generation is collected rarely.
 GC_THRESHOLD_OBJECTS = 20_000
 
 
@@ -39,7 +39,7 @@
     -------
     int
         Exit status: 0 after a planned stop, 78 for settings that cannot be used,
-        1 when a port is in use.
+        64 for invalid arguments, 1 when a port cannot be opened.
     """
     # Imports create no garbage, and collections would take a tenth of the start-up
     # time.
@@ -52,7 +52,7 @@
 
 
 def _start_router(host: HostSettings, pending: list[int]) -> int:
-    """Open the callers' port, import the rest, which takes 0.4 s, and run it.
+    """Open the callers' port, import the rest, which takes 0.4 s, and run the router.
 
     `pending` contains the signals received before the router runs.
     """
--- a/src/primrosescale/platform/records.py
+++ b/src/primrosescale/platform/records.py
@@ -34,7 +34,8 @@
     "unsafe": RetryPolicy.ONCE,
     "streaming": RetryPolicy.STREAM,
 }
-# Limits used when a version states none; those of the users' deployments.
+# Limits used for those that a version leaves out; the values of the users'
+# deployments.
 DEFAULT_LIMITS: dict[str, float] = {
     "max_header_bytes": 16384,
     "max_body_bytes": 4194304,
@@ -43,22 +44,23 @@
 }
 # States of a target on the platform, and whether a target in it is leaving.
 IS_DRAINING_BY_STATE = {"ready": False, "draining": True}
-# Requests that a target runs at once. Each takes a connection, and the router's side
-# has no more ports than these.
+# Maximum requests that a target runs at once. Each takes a connection, and a router
+# has no more local ports than these.
 MAX_SLOTS = 65535
 # One day; no wait is that long.
 MAX_DURATION_MILLISECONDS = 86_400_000
-# Bytes that a caller may send: a thousand times those of the largest object of the
-# store.
+# Upper bound of the configured limits on bytes that a caller may send: a thousand
+# times those of the largest object of the store.
 MAX_CALLER_BYTES = 1_048_576_000
-# Characters of a path or key; longer ones do not fit in the head of a request.
+# Maximum characters of a path or key; longer ones do not fit in the head of a request.
 MAX_HEAD_TEXT_LENGTH = 16384
-# Targets to which a request may be sent, priorities, and weights of a split; ten
+# Targets to which a request may be sent, and priorities; like `MAX_WEIGHT`, ten
 # thousand times the values in use.
 MAX_TARGETS_PER_REQUEST = 10_000
 MAX_PRIORITY = 10_000
-# More than a target could be sent.
+# More requests than a target could be sent.
 MAX_REQUESTS_PER_SECOND = 1_000_000
+# Weight of a service in a split.
 MAX_WEIGHT = 1_000_000
 
 REMEDY_TABLE = "correct it in the store; the last valid version stays in force"
@@ -81,7 +83,7 @@
     def read(
         self, items: Iterable[FieldReader], regions: Collection[str]
     ) -> list[Route]:
-        """Return the routes of a version and cache them in place of the last ones.
+        """Return the routes of a version, and cache only these from then on.
 
         Parameters
         ----------
@@ -187,7 +189,7 @@
         domain=reader.text("zone"),
         slots=reader.integer("slots", MAX_SLOTS),
         is_draining=IS_DRAINING_BY_STATE[state],
-        # Time for which a target that has just started stays slow.
+        # Time for which a target that has just started stays cold.
         warm_up_seconds=reader.number_or(
             "cold_remaining_ms", 0, MAX_DURATION_MILLISECONDS
         )
@@ -255,8 +257,8 @@
 def _allowed_regions(item: FieldReader, regions: Collection[str]) -> frozenset[str]:
     """Return the regions to which requests may be sent.
 
-    An unknown region is refused: with it, requests might be sent nowhere, or
-    anywhere.
+    An unknown region is refused: if it were accepted, requests could be sent to no
+    target; if it were ignored, they could be sent to any.
     """
     allowed = frozenset(item.texts("allowed_regions", MAX_HEAD_TEXT_LENGTH))
     unknown = sorted(allowed.difference(regions)) if regions else []
@@ -294,8 +296,8 @@
 
 def _keys(table: FieldReader, regions: Collection[str]) -> dict[str, Organisation]:
     keys: dict[str, Organisation] = {}
-    # Without the list no caller needs a key. Only a version that leaves it out means
-    # that, so null is refused.
+    # Without the list, no caller needs a key. Only leaving the list out has this
+    # meaning, so null is refused.
     table.refuse_null("tenants")
     for item in table.children("tenants"):
         rank = item.integer("priority", MAX_PRIORITY) if item.has("priority") else None
--- a/src/primrosescale/platform/store_answer.py
+++ b/src/primrosescale/platform/store_answer.py
@@ -26,7 +26,7 @@
 BINARY = "base64"
 # Revisions are sent to peer routers as signed 64-bit integers.
 MAX_REVISION = 2**63 - 1
-# Content from which no record can be decoded.
+# Content of a malformed object, from which no record can be decoded.
 UNREADABLE = b""
 # Exceptions that encoding or decoding malformed content may raise.
 MALFORMED = (KeyError, TypeError, ValueError, AttributeError, RecursionError)
@@ -82,8 +82,8 @@
     Returns
     -------
     StoredObject
-        The object. Without a readable name its name is empty; when it is
-        malformed otherwise, its content is unreadable.
+        The object. Its name is empty when it cannot be read, and its content is
+        empty when the object is malformed.
     """
     meta = item.get("metadata") if isinstance(item, dict) else None
     name = meta.get("name") if isinstance(meta, dict) else None
@@ -153,8 +153,8 @@
 
 
 def _is_revision(value: Any) -> bool:
-    is_whole = isinstance(value, int) and not isinstance(value, bool)
-    return is_whole and 0 <= value <= MAX_REVISION
+    is_integer = isinstance(value, int) and not isinstance(value, bool)
+    return is_integer and 0 <= value <= MAX_REVISION
 
 
 def _is_serialisable(spec: Any) -> bool:
