--- a/src/primrosescale/process/transport/callers_resource.py
+++ b/src/primrosescale/process/transport/callers_resource.py
@@ -46,7 +46,7 @@
 
 
 class RefusedError(ProcessError):
-    """A request is refused before any work was done for it.
+    """A request is refused before any work is done for it.
 
     Parameters
     ----------
@@ -126,7 +126,7 @@
         Returns
         -------
         str
-            ``address:port``.
+            ``address:port``; empty when no router is known.
         """
 
     @abstractmethod
@@ -370,7 +370,7 @@
     try:
         seconds = float(text)
     except ValueError as error:
-        detail = f"header {TIMEOUT_HEADER} is no number of seconds"
+        detail = f"header {TIMEOUT_HEADER} is not a number of seconds"
         raise RefusedError(problems.BAD_REQUEST, detail) from error
     if not seconds > 0:
         raise RefusedError(problems.BAD_REQUEST, f"{TIMEOUT_HEADER} is not above 0")
@@ -418,5 +418,5 @@
 def _output_tokens(fields: dict[str, Any]) -> int:
     limit = fields.get("max_completion_tokens", fields.get("max_tokens", 0))
     if isinstance(limit, bool) or not isinstance(limit, int) or limit < 0:
-        raise RefusedError(problems.BAD_REQUEST, "'max_tokens' is no whole number")
+        raise RefusedError(problems.BAD_REQUEST, "'max_tokens' is not a whole number")
     return min(limit, 2**31 - 1)
--- a/src/primrosescale/process/transport/engine_port.py
+++ b/src/primrosescale/process/transport/engine_port.py
@@ -1,4 +1,4 @@
-"""Interface of a target on the agent's host that may be an engine taking orders."""
+"""Interface through which an agent uses its target and sends orders to an engine."""
 
 from __future__ import annotations
 
--- a/src/primrosescale/process/transport/http_bodies.py
+++ b/src/primrosescale/process/transport/http_bodies.py
@@ -40,19 +40,19 @@
         Returns
         -------
         Deferred[None]
-            Has fired already.
+            Has already fired.
         """
         consumer.write(self._body)
         return succeed(None)
 
     def pauseProducing(self) -> None:
-        """Do nothing: the body is written already."""
+        """Do nothing: the body has already been written."""
 
     def resumeProducing(self) -> None:
-        """Do nothing: the body is written already."""
+        """Do nothing: the body has already been written."""
 
     def stopProducing(self) -> None:
-        """Do nothing: the body is written already."""
+        """Do nothing: the body has already been written."""
 
 
 def body_producer(body: bytes | None) -> IBodyProducer | None:
--- a/src/primrosescale/process/transport/http_call.py
+++ b/src/primrosescale/process/transport/http_call.py
@@ -1,4 +1,4 @@
-"""HTTP client for the platform's service, with adaptive time-outs."""
+"""HTTP client with adaptive time-outs, for the platform's service and engines."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 
 
 # After each failed call the time-out grows, up to four times its configured value,
-# so that a service that is slow for a while is not taken for silent. Each complete
-# answer shortens it again.
+# so that a service that is slow for a while is not treated as unreachable. Each
+# complete answer shortens it again.
 TIMEOUT_GROWTH = 2.0
 MAX_TIMEOUT_FACTOR = 4.0
 # Limit for receiving the body of an answer, even if bytes keep arriving. An object
@@ -43,7 +43,7 @@
 
 
 class Reply:
-    """An answer of the platform.
+    """An answer of the service.
 
     Parameters
     ----------
@@ -64,10 +64,11 @@
 
 
 class _BodyCollector(Protocol):
-    """Collects the body of an answer, as long as bytes keep arriving.
+    """Collects the body of an answer; fails when no bytes arrive for some time.
 
-    A large answer takes longer over a slow link than a small one. Aborting it
-    midway and retrying would fill the link with incomplete answers.
+    There is no limit for the complete body here: a large answer takes longer over a
+    slow link than a small one, and aborting it midway and retrying would fill the
+    link with incomplete answers.
 
     Parameters
     ----------
@@ -106,7 +107,7 @@
 
 
 class HttpCaller:
-    """Makes HTTP calls; distinguishes an unreachable service from a lost answer.
+    """Makes HTTP calls; reports failed writes apart, as they may have taken effect.
 
     Parameters
     ----------
@@ -115,7 +116,7 @@
     endpoint : Endpoint
         Endpoint of the service.
     timeout : float
-        Seconds to wait for an answer after calls that succeeded.
+        Seconds to wait for an answer; longer after calls that failed.
     """
 
     def __init__(self, reactor: Any, endpoint: Endpoint, timeout: float) -> None:
@@ -211,7 +212,7 @@
 
     @inlineCallbacks
     def _connect(self) -> Generator[Any, Any, TargetChannel]:
-        """Return a connection without a pending request, a kept or a new one."""
+        """Return an idle connection, or open a new one."""
         idle = self._pool.idle(self._reactor.seconds())
         if idle is not None:
             return idle
--- a/src/primrosescale/process/transport/http_platform.py
+++ b/src/primrosescale/process/transport/http_platform.py
@@ -179,7 +179,7 @@
         raise HostEntryError(f"a {type(fields).__name__}")
     found: dict[str, Any] = {name: fields.get(name) for name in HOST_FIELDS}
     for name, value in found.items():
-        # In Python bool is a subclass of int; True is no valid number here.
+        # In Python bool is a subclass of int; True is not a valid number here.
         if type(value) is not HOST_FIELD_TYPES.get(name, str):
             raise HostEntryError(f"{name} is {value!r:.{MAX_SHOWN_CHARACTERS}}")
     if not found["name"] or found["role"] not in ROLES:
--- a/src/primrosescale/process/transport/http_sink.py
+++ b/src/primrosescale/process/transport/http_sink.py
@@ -29,7 +29,7 @@
 
     A non-streamed answer is buffered until it is complete, so that a truncated
     one never reaches the caller. Beyond the limit it is passed on in chunks; if
-    it is truncated then, the final chunk is never sent.
+    it is truncated after that, the final chunk is never sent.
 
     Parameters
     ----------
--- a/src/primrosescale/process/transport/http_target.py
+++ b/src/primrosescale/process/transport/http_target.py
@@ -58,14 +58,14 @@
 
 
 class _BodyForwarder(Protocol):
-    """Passes the body of an answer to its run."""
+    """Passes the body of an answer to its `_HttpRun`."""
 
     def __init__(self, run: _HttpRun, cached_tokens: int) -> None:
         self._run = run
         self._cached_tokens = cached_tokens
 
     def connectionMade(self) -> None:
-        """Give the run the transport, so that it can pause the body."""
+        """Pass the transport to the run, so that it can pause the body."""
         self._run.body_started(self.transport)
 
     def dataReceived(self, data: bytes) -> None:
@@ -99,7 +99,7 @@
         answer.addErrback(self._failed)
 
     def cancel(self) -> None:
-        """Close the connection to stop the target; see `TargetRun.cancel`."""
+        """Close the connection, so that the target stops; see `TargetRun.cancel`."""
         if self._has_ended:
             return
         self._has_ended = True
--- a/src/primrosescale/process/transport/tls.py
+++ b/src/primrosescale/process/transport/tls.py
@@ -67,11 +67,11 @@
     @property
     def client(self) -> Any:
         """Return the connection creator of the connecting side."""
-        return _FleetClient(self._options)
+        return _ClientConnectionCreator(self._options)
 
 
 @implementer(IOpenSSLClientConnectionCreator)
-class _FleetClient:
+class _ClientConnectionCreator:
     """Creates client connections that trust the deployment's authority."""
 
     def __init__(self, options: CertificateOptions) -> None:
