--- a/src/primrosescale/platform/object_platform.py
+++ b/src/primrosescale/platform/object_platform.py
@@ -1,4 +1,4 @@
-"""Client of the users' object store that implements `Platform`."""
+"""Client of the users' object store, for entry routers; implements `Platform`."""
 
 from __future__ import annotations
 
--- a/src/primrosescale/process/daemons/agent.py
+++ b/src/primrosescale/process/daemons/agent.py
@@ -94,12 +94,12 @@
     """
 
     def __init__(self, settings: Settings, context: Tools, platform: Platform) -> None:
-        own = settings.agent
-        if own is None:
+        agent_settings = settings.agent
+        if agent_settings is None:
             raise SettingsError("no section [agent]", "add it to the settings")
         process = settings.process
         self._settings = settings
-        self._agent_settings: AgentSettings = own
+        self._agent_settings: AgentSettings = agent_settings
         self._context = context
         self._platform = platform
         reactor = context.reactor
@@ -119,9 +119,9 @@
         )
         self._heartbeat = Heartbeat(
             process.name,
-            own.service,
+            agent_settings.service,
             context.incarnation,
-            [parse_endpoint(text) for text in own.routers],
+            [parse_endpoint(text) for text in agent_settings.routers],
             settings.sums,
             self._pool,
             self,
@@ -134,12 +134,12 @@
             lambda: self._heartbeat.router,
         )
         self._target = context.target(
-            Endpoint(own.target_address, own.target_port),
-            must_echo=own.must_echo,
+            Endpoint(agent_settings.target_address, agent_settings.target_port),
+            must_echo=agent_settings.must_echo,
             timeout=DIAL_TIMEOUT_SECONDS,
         )
         self._core = AgentCore(
-            _core_settings(settings, own),
+            _core_settings(settings, agent_settings),
             context.incarnation,
             self._target,
             self._ledger,
@@ -154,10 +154,10 @@
         self._orders = EngineOrders(
             OrderSettings(
                 process.name,
-                own.service,
+                agent_settings.service,
                 process.domain,
                 context.incarnation,
-                own.checks_fence,
+                agent_settings.checks_fence,
             ),
             self._target,
             platform,
@@ -494,17 +494,19 @@
         self._context.log.emit(event, **fields)
 
 
-def _core_settings(settings: Settings, own: AgentSettings) -> AgentCoreSettings:
+def _core_settings(
+    settings: Settings, agent_settings: AgentSettings
+) -> AgentCoreSettings:
     return AgentCoreSettings(
         name=settings.process.name,
-        service=own.service,
+        service=agent_settings.service,
         admission=settings.admission,
         bound=settings.bound,
         health=settings.health,
         work=settings.work,
         stream=settings.stream,
-        chats=own.chats,
-        chat_keep=own.chat_keep,
-        answer_keep=own.answer_keep,
-        recorded_answer=own.recorded_answer,
+        chats=agent_settings.chats,
+        chat_keep=agent_settings.chat_keep,
+        answer_keep=agent_settings.answer_keep,
+        recorded_answer=agent_settings.recorded_answer,
     )
--- a/src/primrosescale/process/daemons/engine_orders.py
+++ b/src/primrosescale/process/daemons/engine_orders.py
@@ -338,9 +338,9 @@
         self, desired: DesiredEngineState
     ) -> Generator[Any, Any, str]:
         """Return the first earlier domain that has not recorded success, if any."""
-        own = self._settings.domain
+        own_domain = self._settings.domain
         order = desired.domains
-        earlier = order[: order.index(own)] if own in order else order
+        earlier = order[: order.index(own_domain)] if own_domain in order else order
         for domain in earlier:
             found = yield self._platform.get(_progress_key(desired, domain))
             if found is None:
--- a/src/primrosescale/process/transport/http_platform.py
+++ b/src/primrosescale/process/transport/http_platform.py
@@ -1,4 +1,4 @@
-"""HTTP client of the platform's object and host-list API."""
+"""Client of the platform's HTTP API for objects and hosts, for routers and agents."""
 
 from __future__ import annotations
 
--- a/src/primrosescale/process/transport/http_target.py
+++ b/src/primrosescale/process/transport/http_target.py
@@ -191,7 +191,7 @@
 
 
 class HttpTarget(EnginePort):
-    """A target reached over HTTP on its own host.
+    """A target reached over HTTP on the agent's host.
 
     Connections are reused for idempotent requests only. If a reused connection
     breaks at once, the request may have run, and a retry could run it a second
