--- a/src/primrosescale/ini/reader.py
+++ b/src/primrosescale/ini/reader.py
@@ -49,9 +49,7 @@
         parser.read_string(text, source)
     except ParserError as error:
         problem = " ".join(str(error).split())
-        raise IniError(
-            f"invalid INI: {problem}", "correct the line it names"
-        ) from error
+        raise IniError(f"not INI: {problem}", "mend the line it names") from error
     return parser
 
 
@@ -135,9 +133,7 @@
 def _invalid_value(
     section: str, key: str, text: str, declaration: OptionDeclaration
 ) -> Fault:
-    return Fault(
-        section, key, text, "invalid value", f"write {declaration.kind.expects}"
-    )
+    return Fault(section, key, text, "wrong value", f"write {declaration.kind.expects}")
 
 
 def _unknown_option(section: str, key: str, text: str, known: list[str]) -> Fault:
--- a/src/primrosescale/version/bundle.py
+++ b/src/primrosescale/version/bundle.py
@@ -141,11 +141,11 @@
     name = name.strip()
     if kind not in CLASS_BY_KIND:
         remedy = f"name it '[KIND NAME]' with KIND one of {', '.join(CLASS_BY_KIND)}"
-        faults.append(Fault(section, "", "", "unknown record kind", remedy))
+        faults.append(Fault(section, "", "", "unknown kind of record", remedy))
         return None
     if not NAME_PATTERN.fullmatch(name):
         remedy = "use 1 to 63 letters, digits, dots, dashes and underscores"
-        faults.append(Fault(section, "", "", "invalid name", remedy))
+        faults.append(Fault(section, "", "", "wrong name", remedy))
         return None
     return RecordName(kind, name)
 
@@ -186,12 +186,12 @@
     if record.deadline > record.deadline_cap:
         remedy = "write at most the value of deadline_cap"
         value = str(record.deadline)
-        faults.append(Fault(section, "deadline", value, "exceeds deadline_cap", remedy))
+        faults.append(Fault(section, "deadline", value, "over its cap", remedy))
     for rule in record.non_idempotent:
         method, _, path = rule.partition(" ")
         if (not method.isupper() and method != "*") or not path.startswith("/"):
             remedy = "write 'METHOD /path' such as 'POST /switches'"
-            problem = "invalid rule"
+            problem = "wrong rule"
             faults.append(Fault(section, "non_idempotent", rule, problem, remedy))
     return faults
 
@@ -212,7 +212,7 @@
         other = organisation_by_hash.setdefault(item, record.name)
         if other != record.name:
             problem = f"key also belongs to organisation {other}"
-            remedy = "give each organisation its own keys"
+            remedy = "give each organisation keys of its own"
             faults.append(Fault(section, "key_hashes", item, problem, remedy))
     return faults
 
@@ -221,10 +221,10 @@
     if len(value) == HASH_HEX_LENGTH and set(value) <= HEX_DIGITS:
         return []
     remedy = "write the key's SHA-256 as 64 lower-case hex digits"
-    return [Fault(section, key, value, "not a SHA-256 hash", remedy)]
+    return [Fault(section, key, value, "not a hash", remedy)]
 
 
 def _dangling_reference(section: str, key: str, value: str) -> Fault:
     return Fault(
-        section, key, value, "refers to no record", "add the record or correct the name"
+        section, key, value, "names nothing", "add the record or mend the name"
     )
--- a/src/primrosescale/version/exceptions.py
+++ b/src/primrosescale/version/exceptions.py
@@ -34,8 +34,8 @@
 
     def __init__(self, detail: str) -> None:
         super().__init__(
-            f"conflict with another change: {detail}",
-            "review it with 'bundle diff', then create your bundle again",
+            f"another change came first: {detail}",
+            "look at it with 'bundle diff', then create your bundle anew",
         )
 
 
--- a/src/primrosescale/version/head.py
+++ b/src/primrosescale/version/head.py
@@ -159,13 +159,11 @@
         """
         key = self._keys.get(head.approver)
         if key is None:
-            raise HeadError(
-                head.version, f"{head.approver!r} is not a trusted approver"
-            )
+            raise HeadError(head.version, f"{head.approver!r} is no trusted approver")
         try:
             key.verify(head.signature, signed_message(head.digest))
         except InvalidSignature as error:
-            raise HeadError(head.version, "its signature is invalid") from error
+            raise HeadError(head.version, "its signature is wrong") from error
 
     def is_newer(self, head: VersionHead, known: VersionHead) -> bool:
         """Tell whether a head replaces the known one.
--- a/src/primrosescale/version/section.py
+++ b/src/primrosescale/version/section.py
@@ -92,9 +92,9 @@
             When they do not, or exceed `MAX_SECTION_BYTES`.
         """
         if len(self.data) > MAX_SECTION_BYTES:
-            raise SectionError(self.digest, "larger than 1 MB")
+            raise SectionError(self.digest, "over 1 MB")
         if digest_of(self.data) != self.digest:
-            raise SectionError(self.digest, "its bytes do not match its digest")
+            raise SectionError(self.digest, "its bytes were altered")
 
 
 @dataclass(frozen=True, slots=True)
@@ -178,7 +178,7 @@
         try:
             fields = json.loads(section.data)
             if fields["format"] != FORMAT:
-                raise SectionError(section.digest, "its format is not supported")
+                raise SectionError(section.digest, "its format is unknown")
             return cls(
                 int(fields["version"]),
                 str(fields["base"]),
