--- a/src/primrosescale/process/daemons/agent_core.py
+++ b/src/primrosescale/process/daemons/agent_core.py
@@ -235,12 +235,7 @@
         now = self._clock.seconds()
         call_id = CallId(message.router, message.number)
         if message.target_incarnation != self._incarnation:
-            self._refuse(
-                link,
-                call_id,
-                Reason.REPLACED,
-                detail="the call was addressed to an earlier incarnation of the agent",
-            )
+            self._refuse(link, call_id, Reason.REPLACED, detail="agent was replaced")
             return
         state = self._call_ids.state(call_id)
         if state is not CallIdState.FRESH:
@@ -307,7 +302,7 @@
             displaced_call.item.fail(
                 Outcome.NOT_RUN,
                 Reason.DISPLACED,
-                "displaced by an organisation with less queued work for its weight",
+                "gave way to an organisation with less waiting",
                 self._admission.expected_wait(displaced_call),
             )
         self._start_next()
@@ -396,12 +391,7 @@
             call.fail(Outcome.NOT_RUN, Reason.KEY_REUSED, detail)
         elif state == ClaimState.UNAVAILABLE:
             self._ledger.abandon(claim)
-            call.fail(
-                Outcome.NOT_RUN,
-                Reason.STORE_UNAVAILABLE,
-                "the claim ledger is unavailable",
-                1.0,
-            )
+            call.fail(Outcome.NOT_RUN, Reason.STORE_UNAVAILABLE, "no claim", 1.0)
         else:
             detail = "an earlier request with the key may be running or have run"
             call.fail(Outcome.UNKNOWN, Reason.KEY_HELD, detail)
@@ -410,9 +400,7 @@
         if answer.whole:
             call.replay(answer)
             return
-        detail = (
-            "an earlier request with the key ran; its answer was too large to record"
-        )
+        detail = "an earlier request with the key ran; its answer was too long to keep"
         call.fail(Outcome.UNKNOWN, Reason.KEY_HELD, detail)
 
     def _run(self, call: AgentCall) -> None:
@@ -528,7 +516,7 @@
                 reason=reason,
                 retry_after_ms=0,
                 place="",
-                detail="this agent no longer keeps the call's state",
+                detail="the call's state is not kept here",
                 load=self._load(),
             ),
         )
--- a/src/primrosescale/request/answer_buffer.py
+++ b/src/primrosescale/request/answer_buffer.py
@@ -159,9 +159,7 @@
             beyond the end of the answer.
         """
         if offset < self._start or offset > self.length:
-            raise AnswerCutError(
-                f"bytes from offset {offset} on are no longer buffered"
-            )
+            raise AnswerCutError(f"bytes from {offset} on are not kept")
         self._sent = offset
         self._credited = max(self._credited, offset)
 
--- a/src/primrosescale/request/answer_check.py
+++ b/src/primrosescale/request/answer_check.py
@@ -41,7 +41,7 @@
             When bytes are missing before the piece.
         """
         if offset > self._offset:
-            raise AnswerCutError(f"bytes {self._offset} to {offset} missing")
+            raise AnswerCutError(f"bytes {self._offset} to {offset} are missing")
         fresh = data[self._offset - offset :]
         self._digest.update(fresh)
         self._offset += len(fresh)
@@ -63,9 +63,9 @@
             When length or digest differ.
         """
         if length != self._offset:
-            raise AnswerCutError(f"received {self._offset} of {length} bytes")
+            raise AnswerCutError(f"{self._offset} bytes of {length} have come")
         if digest != self._digest.digest():
-            raise AnswerCutError("digest mismatch")
+            raise AnswerCutError("the digest differs")
 
 
 def answer_digest(body: bytes) -> bytes:
--- a/src/primrosescale/request/exceptions.py
+++ b/src/primrosescale/request/exceptions.py
@@ -14,6 +14,6 @@
 
     def __init__(self, detail: str) -> None:
         super().__init__(
-            f"answer incomplete or altered: {detail}",
-            "retry; repeating an idempotent request is safe",
+            f"answer is not whole: {detail}",
+            "ask again; a repeat of an idempotent request is safe",
         )
--- a/src/primrosescale/request/routed_call.py
+++ b/src/primrosescale/request/routed_call.py
@@ -368,7 +368,7 @@
 
     def _receive_complete(self, message: wire.Answer) -> None:
         if answer_digest(message.body) != message.digest:
-            raise AnswerCutError("the digest of the answer does not match its body")
+            raise AnswerCutError("the digest differs")
         self._sink.head(message.status, message.headers)
         self._sink.data(message.body)
         self._finish(message.cached_tokens)
@@ -489,7 +489,7 @@
         if self._is_done or epoch != self._attempt_epoch or link.peer is None:
             return
         if link.peer.incarnation != self._target_incarnation:
-            self._lost("the agent has restarted with another incarnation")
+            self._lost("the agent was replaced")
             return
         self._link = link
         link.expect()
@@ -551,9 +551,7 @@
             return
         may_run = self._is_in_flight or self._plan.may_have_run
         outcome = Outcome.UNKNOWN if may_run else Outcome.NOT_RUN
-        failure = AttemptFailure(
-            outcome, Reason.DEADLINE, detail="the deadline has passed"
-        )
+        failure = AttemptFailure(outcome, Reason.DEADLINE, detail="deadline passed")
         if self._sink.has_begun:
             self._sink.cut(failure)
         else:
