--- a/src/primrosescale/process/transport/callers_resource.py
+++ b/src/primrosescale/process/transport/callers_resource.py
@@ -370,7 +370,7 @@
     try:
         seconds = float(text)
     except ValueError as error:
-        detail = f"header {TIMEOUT_HEADER} is not a number of seconds"
+        detail = f"header {TIMEOUT_HEADER} is no number of seconds"
         raise RefusedError(problems.BAD_REQUEST, detail) from error
     if not seconds > 0:
         raise RefusedError(problems.BAD_REQUEST, f"{TIMEOUT_HEADER} is not above 0")
@@ -418,5 +418,5 @@
 def _output_tokens(fields: dict[str, Any]) -> int:
     limit = fields.get("max_completion_tokens", fields.get("max_tokens", 0))
     if isinstance(limit, bool) or not isinstance(limit, int) or limit < 0:
-        raise RefusedError(problems.BAD_REQUEST, "'max_tokens' is not a whole number")
+        raise RefusedError(problems.BAD_REQUEST, "'max_tokens' is no whole number")
     return min(limit, 2**31 - 1)
