--- a/benchmarks/rest_use.py
+++ b/benchmarks/rest_use.py
@@ -85,14 +85,14 @@
 
     def reject(self, now):
         is_new_pause = not self.self_reports.has_requested_pause(now)
-        self.self_reports.take(head(503, rest=PAUSE_SECONDS), SLOTS, now)
+        self.self_reports.record_answer(head(503, rest=PAUSE_SECONDS), SLOTS, now)
         if is_new_pause:
             self._due = sorted(
                 now + self._rng.uniform(0.5, PAUSE_SECONDS) for _ in range(self._trials)
             )
 
     def succeed(self, now):
-        self.self_reports.take(head(200), SLOTS, now)
+        self.self_reports.record_answer(head(200), SLOTS, now)
 
 
 def simulate(routers, trials, load, rejecting):
--- a/src/primrosescale/connection/rest_limit.py
+++ b/src/primrosescale/connection/rest_limit.py
@@ -20,7 +20,7 @@
 ALLOWED_IDLE_SHARE = 0.25
 # Seconds for which a loss lowers the limit. Observed disturbances last 5-8 s; each
 # connection that is opened in place of a reused one costs 1 ms.
-DISTRUST_SECONDS = 10.0
+LOSS_RETENTION_SECONDS = 10.0
 # Losses after a shorter idle time are ignored: the target failed rather than
 # dropping an idle connection. Known targets keep idle connections for at least
 # 0.3 s.
@@ -81,7 +81,7 @@
         losses = self._losses.values()
         self._allowed = min((allowed for allowed, _ in losses), default=math.inf)
         last_loss = max((lost_at for _, lost_at in losses), default=-math.inf)
-        self._until = last_loss + DISTRUST_SECONDS
+        self._until = last_loss + LOSS_RETENTION_SECONDS
 
     def allows(self, idle_seconds: float, now: float) -> bool:
         """Return whether a connection with the given idle time may be reused.
--- a/src/primrosescale/connection/target_channel.py
+++ b/src/primrosescale/connection/target_channel.py
@@ -74,7 +74,7 @@
         return self._opened_at
 
     @property
-    def rested(self) -> float | None:
+    def idle_before_request(self) -> float | None:
         """Return how long it had been idle before the last request.
 
         In seconds; None for the first request on the connection.
@@ -256,10 +256,10 @@
         Endpoint on which the target listens.
     timeout : float
         Maximum seconds for opening a connection.
-    rest_limit : IdleLimit
+    idle_limit : IdleLimit
         Maximum idle time of connections that are reused.
     source : Hashable
-        Identifies the target in the losses recorded in `rest_limit`.
+        Identifies the target in the losses recorded in `idle_limit`.
     """
 
     def __init__(
@@ -267,13 +267,13 @@
         reactor: Any,
         endpoint: Endpoint,
         timeout: float,
-        rest_limit: IdleLimit,
+        idle_limit: IdleLimit,
         source: Hashable = None,
     ) -> None:
         self._reactor = reactor
         self._endpoint = endpoint
         self._timeout = timeout
-        self._rest_limit = rest_limit
+        self._idle_limit = idle_limit
         self._source = source
         self._is_closed = False
         self._idle: list[TargetChannel] = []
@@ -310,7 +310,7 @@
         self.sweep(now)
         for index in range(len(self._idle) - 1, -1, -1):
             channel = self._idle[index]
-            is_allowed = self._rest_limit.allows(channel.idle_seconds(now), now)
+            is_allowed = self._idle_limit.allows(channel.idle_seconds(now), now)
             if is_allowed and channel.can_be_reused(now):
                 return self._idle.pop(index)
         return None
@@ -331,7 +331,7 @@
         )
         return factory.opened
 
-    def give_back(self, channel: TargetChannel, now: float) -> None:
+    def release(self, channel: TargetChannel, now: float) -> None:
         """Return a connection whose last answer was complete to the pool.
 
         Parameters
@@ -360,8 +360,8 @@
         now : float
             Current time, in seconds.
         """
-        if channel.rested is not None:
-            self._rest_limit.lost(channel.rested, now, self._source)
+        if channel.idle_before_request is not None:
+            self._idle_limit.lost(channel.idle_before_request, now, self._source)
 
     def sweep(self, now: float) -> None:
         """Close connections that can no longer be reused.
--- a/src/primrosescale/console/commands/agent.py
+++ b/src/primrosescale/console/commands/agent.py
@@ -8,7 +8,7 @@
 
 if TYPE_CHECKING:
     from primrosescale.process.daemons.agent import Agent
-    from primrosescale.process.daemons.daemon import Tools
+    from primrosescale.process.daemons.daemon import DaemonContext
     from primrosescale.process.settings import Settings
     from primrosescale.process.transport.platform import Platform
 
@@ -31,7 +31,9 @@
         """Return an example of its use."""
         return "primrosescale agent --settings settings/riga/agent-assistant-1.ini"
 
-    def make(self, settings: Settings, context: Tools, platform: Platform) -> Agent:
+    def make(
+        self, settings: Settings, context: DaemonContext, platform: Platform
+    ) -> Agent:
         """Build an agent."""
         from primrosescale.process.daemons.agent import Agent  # noqa: PLC0415
 
--- a/src/primrosescale/console/commands/demo.py
+++ b/src/primrosescale/console/commands/demo.py
@@ -82,9 +82,9 @@
     ) -> Generator[Any, Any, None]:
         from primrosescale.standin.demo_run import DemoRun  # noqa: PLC0415
         from primrosescale.standin.deployment import Deployment  # noqa: PLC0415
-        from primrosescale.standin.http_caller import HttpCaller  # noqa: PLC0415
+        from primrosescale.standin.http_caller import DemoClient  # noqa: PLC0415
 
-        caller = HttpCaller(reactor)
+        caller = DemoClient(reactor)
         deployment = Deployment(reactor)
         yield deployment.start(caller)
         summary = yield DemoRun(deployment, caller, reactor).run()
@@ -99,9 +99,9 @@
         from twisted.internet.defer import Deferred  # noqa: PLC0415
 
         from primrosescale.standin.deployment import Deployment  # noqa: PLC0415
-        from primrosescale.standin.http_caller import HttpCaller  # noqa: PLC0415
+        from primrosescale.standin.http_caller import DemoClient  # noqa: PLC0415
 
-        caller = HttpCaller(reactor)
+        caller = DemoClient(reactor)
         deployment = Deployment(reactor)
         yield deployment.start(caller)
         sys.stdout.write(_usage_examples(deployment))
--- a/src/primrosescale/console/commands/router.py
+++ b/src/primrosescale/console/commands/router.py
@@ -7,7 +7,7 @@
 from primrosescale.console.daemon_command import DaemonCommand
 
 if TYPE_CHECKING:
-    from primrosescale.process.daemons.daemon import Tools
+    from primrosescale.process.daemons.daemon import DaemonContext
     from primrosescale.process.daemons.router import Router
     from primrosescale.process.settings import Settings
     from primrosescale.process.transport.platform import Platform
@@ -31,7 +31,9 @@
         """Return an example of its use."""
         return "primrosescale router --settings settings/riga/router-1.ini"
 
-    def make(self, settings: Settings, context: Tools, platform: Platform) -> Router:
+    def make(
+        self, settings: Settings, context: DaemonContext, platform: Platform
+    ) -> Router:
         """Build a router."""
         from primrosescale.process.daemons.router import Router  # noqa: PLC0415
 
--- a/src/primrosescale/console/daemon_command.py
+++ b/src/primrosescale/console/daemon_command.py
@@ -18,7 +18,7 @@
 
     from primrosescale.console.exit_codes import ExitCode
     from primrosescale.process.daemons.agent import Agent
-    from primrosescale.process.daemons.daemon import Tools
+    from primrosescale.process.daemons.daemon import DaemonContext
     from primrosescale.process.daemons.router import Router
     from primrosescale.process.settings import Settings
     from primrosescale.process.transport.platform import Platform
@@ -35,7 +35,7 @@
     def make(
         self,
         settings: Settings,
-        context: Tools,
+        context: DaemonContext,
         platform: Platform,
     ) -> Router | Agent:
         """Build the daemon.
@@ -44,7 +44,7 @@
         ----------
         settings : Settings
             Settings of the process.
-        context : Tools
+        context : DaemonContext
             Reactor, log, metrics and traces.
         platform : Platform
             Client of the platform's object store and list of hosts.
@@ -60,12 +60,12 @@
         settings = settings_for(values, self.name)
         from twisted.internet import reactor  # noqa: PLC0415
 
-        from primrosescale.process.daemons.daemon import Tools  # noqa: PLC0415
+        from primrosescale.process.daemons.daemon import DaemonContext  # noqa: PLC0415
         from primrosescale.process.transport.http_platform import HttpPlatform  # noqa: PLC0415
 
         endpoint = Endpoint(settings.platform.address, settings.platform.port)
         platform = HttpPlatform(reactor, endpoint, settings.platform.timeout)
-        daemon = self.make(settings, Tools(settings, reactor), platform)
+        daemon = self.make(settings, DaemonContext(settings, reactor), platform)
 
         def start() -> Deferred[Any]:
             daemon.listen()
--- a/src/primrosescale/ini/options.py
+++ b/src/primrosescale/ini/options.py
@@ -14,7 +14,7 @@
 METADATA_KEY = "option"
 TRUE_WORDS = frozenset({"yes", "true", "on", "1"})
 FALSE_WORDS = frozenset({"no", "false", "off", "0"})
-HIGHEST_PORT = 65535
+MAX_PORT = 65535
 
 
 class OptionKind(ABC):
@@ -71,17 +71,17 @@
         Lowest value allowed.
     maximum : float
         Highest value allowed.
-    is_whole : bool
+    is_integer : bool
         Whether only integers are allowed.
     """
 
     minimum: float = 0.0
     maximum: float = math.inf
-    is_whole: bool = False
+    is_integer: bool = False
 
     def parse(self, text: str) -> Any:
         """Return the number; see `OptionKind.parse`."""
-        value = int(text) if self.is_whole else float(text)
+        value = int(text) if self.is_integer else float(text)
         if not self.minimum <= value <= self.maximum:
             raise ValueError(text)
         return value
@@ -89,7 +89,7 @@
     @property
     def expects(self) -> str:
         """Return the range as text."""
-        noun = "a whole number" if self.is_whole else "a number"
+        noun = "a whole number" if self.is_integer else "a number"
         if math.isinf(self.maximum):
             return f"{noun} of at least {self.minimum:g}"
         return f"{noun} from {self.minimum:g} to {self.maximum:g}"
@@ -165,7 +165,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Words(OptionKind):
+class StringList(OptionKind):
     """A list of texts separated by commas or line breaks.
 
     Parameters
@@ -196,10 +196,10 @@
         return ", ".join(value)
 
 
-PORT = Number(0, HIGHEST_PORT, is_whole=True)
+PORT = Number(0, MAX_PORT, is_integer=True)
 SECONDS = Number(0.0)
-COUNT = Number(0, is_whole=True)
-POSITIVE = Number(1, is_whole=True)
+COUNT = Number(0, is_integer=True)
+POSITIVE = Number(1, is_integer=True)
 NAME = Text(may_be_empty=False)
 
 
--- a/src/primrosescale/platform/engine_calls.py
+++ b/src/primrosescale/platform/engine_calls.py
@@ -11,7 +11,7 @@
 from primrosescale.process.entry.codec import CacheReader
 from primrosescale.process.entry.codec import EngineCacheContents
 from primrosescale.process.exceptions import TargetError
-from primrosescale.process.transport.http_call import HttpCaller
+from primrosescale.process.transport.http_call import HttpClient
 from primrosescale.request.incoming_request import PromptPart
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
 TIMEOUT_SECONDS = 0.6
 
 
-class EngineCaches(CacheReader):
+class EngineCacheReader(CacheReader):
     """Reads the cache contents of model engines; see `CacheReader`.
 
     Parameters
@@ -51,7 +51,7 @@
     @inlineCallbacks
     def read(self, target: ServingTarget) -> Generator[Any, Any, EngineCacheContents]:
         """Read the cache contents of one engine; see `CacheReader.read`."""
-        caller = HttpCaller(self._reactor, target.endpoint, TIMEOUT_SECONDS)
+        caller = HttpClient(self._reactor, target.endpoint, TIMEOUT_SECONDS)
         try:
             reply = yield caller.call("GET", CACHE_LIST_PATH)
         finally:
--- a/src/primrosescale/platform/entry.py
+++ b/src/primrosescale/platform/entry.py
@@ -8,8 +8,8 @@
 
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.platform import records
-from primrosescale.platform.engine_calls import EngineCaches
-from primrosescale.platform.exceptions import BootFileError
+from primrosescale.platform.engine_calls import EngineCacheReader
+from primrosescale.platform.exceptions import SettingsFileError
 from primrosescale.platform.host_settings import SETTINGS_FILE_VARIABLE
 from primrosescale.platform.host_settings import HostSettings
 from primrosescale.platform.host_settings import own_host_settings
@@ -81,7 +81,7 @@
 EVACUATIONS_WAIT_SECONDS = 20.0
 
 
-class PlatformRecords(RecordDecoder):
+class PlatformRecordDecoder(RecordDecoder):
     """Decodes the platform's records; see `RecordDecoder`.
 
     Parameters
@@ -136,7 +136,7 @@
 
     Raises
     ------
-    BootFileError
+    SettingsFileError
         When the host has no address for callers or for readiness checks.
     """
     settings = entry_settings(host, metrics_port)
@@ -148,13 +148,13 @@
         reactor=reactor,
         platform=ObjectPlatform(reactor, host.store, STORE_TIMEOUT_SECONDS),
         codec=PlatformCodec(),
-        decoder=PlatformRecords(host.regions.values()),
+        decoder=PlatformRecordDecoder(host.regions.values()),
         log=log,
         writer=writer,
         metrics=EntryMetrics(),
         rng=rng,
         read_settings=lambda: entry_settings(own_host_settings(), metrics_port),
-        caches=EngineCaches(reactor),
+        caches=EngineCacheReader(reactor),
         listening_socket=listening_socket,
     )
     prefixes = WatchedPrefixes(
@@ -199,12 +199,12 @@
 
     Raises
     ------
-    BootFileError
+    SettingsFileError
         When the host has no address for callers or for readiness checks.
     """
     if host.callers is None or host.readiness is None:
         detail = "no listen address for callers or readiness; run this on an entry host"
-        raise BootFileError(os.environ.get(SETTINGS_FILE_VARIABLE, ""), detail)
+        raise SettingsFileError(os.environ.get(SETTINGS_FILE_VARIABLE, ""), detail)
     bounds = host.bounds
     metrics = Endpoint(host.address, metrics_port) if metrics_port else None
     return EntrySettings(
--- a/src/primrosescale/platform/exceptions.py
+++ b/src/primrosescale/platform/exceptions.py
@@ -14,7 +14,7 @@
     """A record of the platform's store is invalid; see `UnreadableRecordError`."""
 
 
-class BootFileError(AdapterError):
+class SettingsFileError(AdapterError):
     """The settings file that the platform writes is missing or invalid."""
 
     def __init__(self, path: str, detail: str) -> None:
--- a/src/primrosescale/platform/field_reader.py
+++ b/src/primrosescale/platform/field_reader.py
@@ -19,7 +19,7 @@
 from xxhash import xxh3_128_digest
 
 from primrosescale.connection.endpoint import Endpoint
-from primrosescale.ini.options import HIGHEST_PORT
+from primrosescale.ini.options import MAX_PORT
 from primrosescale.platform.exceptions import RecordError
 from primrosescale.platform.json_reader import read_json
 
@@ -383,7 +383,7 @@
         """
         text = self.text(field)
         address, _, port = text.rpartition(":")
-        if not PORT.fullmatch(port) or not 0 < int(port) <= HIGHEST_PORT:
+        if not PORT.fullmatch(port) or not 0 < int(port) <= MAX_PORT:
             self.refuse(field, f"{_quoted(text)} has no valid port")
         self._check_address(field, address)
         return Endpoint(address, int(port))
@@ -418,7 +418,7 @@
         int
             The port number, at least 1.
         """
-        number = self.integer(field, HIGHEST_PORT)
+        number = self.integer(field, MAX_PORT)
         if not number:
             self.refuse(field, "0 is not a port")
         return number
--- a/src/primrosescale/platform/host_settings.py
+++ b/src/primrosescale/platform/host_settings.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from primrosescale.connection.endpoint import Endpoint
-from primrosescale.platform.exceptions import BootFileError
+from primrosescale.platform.exceptions import SettingsFileError
 
 SETTINGS_FILE_VARIABLE = "PRIMROSESCALE_BOOT"
 SECONDS_PER_MILLISECOND = 0.001
@@ -128,7 +128,7 @@
 
     Raises
     ------
-    BootFileError
+    SettingsFileError
         When the settings file cannot be used.
     """
     return read_host_settings(os.environ.get(SETTINGS_FILE_VARIABLE, ""))
@@ -149,19 +149,19 @@
 
     Raises
     ------
-    BootFileError
+    SettingsFileError
         When the file cannot be read, or a field is missing or invalid.
     """
     try:
         fields = json.loads(Path(path).read_bytes())
     except (OSError, ValueError) as error:
-        raise BootFileError(path, str(error)) from error
+        raise SettingsFileError(path, str(error)) from error
     try:
         return _decode(fields)
     except KeyError as error:
-        raise BootFileError(path, f"field {error} is missing") from error
+        raise SettingsFileError(path, f"field {error} is missing") from error
     except (TypeError, ValueError, AttributeError, IndexError) as error:
-        raise BootFileError(path, f"invalid field: {error}") from error
+        raise SettingsFileError(path, f"invalid field: {error}") from error
 
 
 def parse_endpoint(text: str) -> Endpoint:
--- a/src/primrosescale/platform/http_codec.py
+++ b/src/primrosescale/platform/http_codec.py
@@ -12,7 +12,7 @@
 from primrosescale.request.incoming_request import Prompt
 from primrosescale.request.incoming_request import PromptPart
 from primrosescale.request.request_resolver import CallerHead
-from primrosescale.request.retry_after import is_odd_rest
+from primrosescale.request.retry_after import is_irregular_retry_after
 from primrosescale.request.retry_after import requested_pause
 from primrosescale.request.target_state import LoadReport
 
@@ -152,7 +152,7 @@
             cold_for=None if cold_left is None else cold_left * SECONDS_PER_MILLISECOND,
             is_leaving=b"1" in headers.getRawHeaders(LEAVING, []),
             rest=requested_pause(status, retry_after_values),
-            is_rest_odd=is_odd_rest(status, retry_after_values),
+            is_rest_odd=is_irregular_retry_after(status, retry_after_values),
         )
 
     def refusal_headers(
--- a/src/primrosescale/platform/object_platform.py
+++ b/src/primrosescale/platform/object_platform.py
@@ -23,8 +23,8 @@
 from primrosescale.process.exceptions import PlatformHistoryGoneError
 from primrosescale.process.exceptions import PlatformLimitError
 from primrosescale.process.exceptions import PlatformUnavailableError
-from primrosescale.process.transport.called_platform import CalledPlatform
-from primrosescale.process.transport.platform import MAX_VALUE
+from primrosescale.process.transport.called_platform import BaseHttpPlatform
+from primrosescale.process.transport.platform import MAX_VALUE_BYTES
 from primrosescale.process.transport.platform import MUST_NOT_EXIST
 from primrosescale.process.transport.platform import HostList
 from primrosescale.process.transport.platform import WatchResult
@@ -49,7 +49,7 @@
 MAX_PAGES = 1000
 
 
-class ObjectPlatform(CalledPlatform):
+class ObjectPlatform(BaseHttpPlatform):
     """Reads, writes and watches objects in the users' object store.
 
     Keys are ``kind/name``. Values are JSON texts; other bytes are stored as base64
@@ -68,7 +68,7 @@
     @inlineCallbacks
     def put(self, key: str, value: bytes, expected: int) -> Generator[Any, Any, int]:
         """Write an object; see `Platform.put`."""
-        if len(value) > MAX_VALUE:
+        if len(value) > MAX_VALUE_BYTES:
             raise PlatformLimitError(key, len(value))
         meta: dict[str, Any] = {"name": _name(key)}
         method, path = "POST", BASE + quote(_kind(key))
--- a/src/primrosescale/process/daemons/agent.py
+++ b/src/primrosescale/process/daemons/agent.py
@@ -24,8 +24,8 @@
 from primrosescale.process.daemons.agent_core import AgentCore
 from primrosescale.process.daemons.agent_core import AgentCoreSettings
 from primrosescale.process.daemons.agent_observer import AgentObserver
+from primrosescale.process.daemons.daemon import DaemonContext
 from primrosescale.process.daemons.daemon import LinkFactory
-from primrosescale.process.daemons.daemon import Tools
 from primrosescale.process.daemons.engine_orders import EngineOrders
 from primrosescale.process.daemons.engine_orders import OrderObserver
 from primrosescale.process.daemons.engine_orders import OrderSettings
@@ -49,7 +49,7 @@
     from primrosescale.process.daemons.engine_orders import DesiredEngineState
     from primrosescale.process.settings import AgentSettings
     from primrosescale.process.settings import Settings
-    from primrosescale.process.transport.engine_port import EnginePort
+    from primrosescale.process.transport.engine_port import LocalEngineClient
     from primrosescale.process.transport.platform import Platform
     from primrosescale.request.agent_call import AgentCall
     from primrosescale.request.call_names import CallId
@@ -81,7 +81,7 @@
     ----------
     settings : Settings
         Settings of the process, with a section ``[agent]``.
-    context : Tools
+    context : DaemonContext
         Reactor, log, metrics and traces.
     platform : Platform
         Client of the platform's object store and list of hosts.
@@ -92,7 +92,9 @@
         When the settings have no section ``[agent]``.
     """
 
-    def __init__(self, settings: Settings, context: Tools, platform: Platform) -> None:
+    def __init__(
+        self, settings: Settings, context: DaemonContext, platform: Platform
+    ) -> None:
         own = settings.agent
         if own is None:
             raise SettingsError("no section [agent]", "add it to the settings")
@@ -164,7 +166,7 @@
             lambda: self._core.health.failure_share,
             context.wall_clock,
         )
-        self._was_closed = False
+        self._was_tripped = False
         self._sources = LinkSources()
         self._spans: dict[CallId, TraceSpan] = {}
         self._state = MemberState.READY
@@ -193,7 +195,7 @@
         return self._ledger
 
     @property
-    def target(self) -> EnginePort:
+    def target(self) -> LocalEngineClient:
         """Return the client of the target."""
         return self._target
 
@@ -312,7 +314,7 @@
         if traceparent:
             tracing = self._context.tracing
             trace_span = tracing.start("agent", traceparent, may_begin=False)
-            self._spans[call.name] = trace_span
+            self._spans[call.call_id] = trace_span
             call.call.traceparent = trace_span.traceparent
 
     def started(self, call: AgentCall) -> None:
@@ -320,7 +322,7 @@
 
     def ended(self, call: AgentCall, is_answered: bool, now: float) -> None:
         """End the trace span of an ended call."""
-        trace_span = self._spans.pop(call.name, None)
+        trace_span = self._spans.pop(call.call_id, None)
         if trace_span is not None:
             failure = call.failure
             reason = "" if failure is None else wire.Reason(failure.reason).name
@@ -386,11 +388,11 @@
             )
 
     def _log_circuit_breaker(self) -> None:
-        is_closed = self._core.health.is_closed
-        if is_closed and not self._was_closed:
+        is_tripped = self._core.health.is_tripped
+        if is_tripped and not self._was_tripped:
             share = self._core.health.failure_share
             self._log(Event.TARGET_CLOSED, failure_share=round(share, 3))
-        self._was_closed = is_closed
+        self._was_tripped = is_tripped
 
     def _heartbeat_tick(self) -> None:
         self._log_circuit_breaker()
--- a/src/primrosescale/process/daemons/agent_core.py
+++ b/src/primrosescale/process/daemons/agent_core.py
@@ -426,7 +426,7 @@
         if queued is not None:
             if not self._admission.withdraw(queued):
                 self._admission.finished(queued, now)
-        self._ended[call.name] = now
+        self._ended[call.call_id] = now
         self._answer_bytes += call.buffered_bytes
         self._unflushed.pop(call, None)
         self._record_health(call, is_answered, now)
--- a/src/primrosescale/process/daemons/daemon.py
+++ b/src/primrosescale/process/daemons/daemon.py
@@ -35,7 +35,7 @@
     from primrosescale.connection.link import LinkSettings
     from primrosescale.connection.wire import ttypes as wire
     from primrosescale.process.settings import Settings
-    from primrosescale.process.transport.engine_port import EnginePort
+    from primrosescale.process.transport.engine_port import LocalEngineClient
     from primrosescale.process.transport.tls import LinkTls
 
 
@@ -84,7 +84,7 @@
         return Link(self._own, self._handler, self._clock, self._settings)
 
 
-class Tools:
+class DaemonContext:
     """Parts that a router or an agent is built with.
 
     Parameters
@@ -134,7 +134,7 @@
 
     def target(
         self, endpoint: Endpoint, *, must_echo: bool, timeout: float
-    ) -> EnginePort:
+    ) -> LocalEngineClient:
         """Return the client through which an agent reaches its target.
 
         Parameters
@@ -148,7 +148,7 @@
 
         Returns
         -------
-        EnginePort
+        LocalEngineClient
             Client of the target.
         """
         return HttpTarget(self.reactor, endpoint, must_echo=must_echo, timeout=timeout)
--- a/src/primrosescale/process/daemons/engine_orders.py
+++ b/src/primrosescale/process/daemons/engine_orders.py
@@ -32,7 +32,7 @@
     from collections.abc import Callable
     from collections.abc import Generator
 
-    from primrosescale.process.transport.engine_port import EnginePort
+    from primrosescale.process.transport.engine_port import LocalEngineClient
     from primrosescale.process.transport.platform import Platform
     from primrosescale.process.transport.platform import StoredObject
     from primrosescale.version.view import VersionView
@@ -201,7 +201,7 @@
     ----------
     settings : OrderSettings
         The agent and its engine.
-    port : EnginePort
+    port : LocalEngineClient
         Client of the engine.
     platform : Platform
         Store of fencing numbers, slots and progress.
@@ -216,7 +216,7 @@
     def __init__(
         self,
         settings: OrderSettings,
-        port: EnginePort,
+        port: LocalEngineClient,
         platform: Platform,
         observer: OrderObserver,
         error_share: Callable[[], float],
--- a/src/primrosescale/process/daemons/router.py
+++ b/src/primrosescale/process/daemons/router.py
@@ -26,8 +26,8 @@
 from primrosescale.process.configuration.section_sources import LinkSources
 from primrosescale.process.configuration.version_manager import VersionManager
 from primrosescale.process.configuration.version_manager import VersionObserver
+from primrosescale.process.daemons.daemon import DaemonContext
 from primrosescale.process.daemons.daemon import LinkFactory
-from primrosescale.process.daemons.daemon import Tools
 from primrosescale.process.daemons.router_control import ControlObserver
 from primrosescale.process.daemons.router_control import Identity
 from primrosescale.process.daemons.router_control import RouterControl
@@ -41,7 +41,7 @@
 from primrosescale.process.settings import parse_endpoint
 from primrosescale.process.transport.bounded_request import BoundedRequest
 from primrosescale.process.transport.callers_resource import CallersResource
-from primrosescale.process.transport.callers_resource import CallGate
+from primrosescale.process.transport.callers_resource import CallRouter
 from primrosescale.process.transport.callers_resource import RefusedError
 from primrosescale.process.transport.quiet_site import QuietSite
 from primrosescale.request.attempts import AttemptPlan
@@ -95,7 +95,7 @@
 
 
 class Router(
-    LinkHandler, CallGate, CallTableListener, ControlObserver, VersionObserver
+    LinkHandler, CallRouter, CallTableListener, ControlObserver, VersionObserver
 ):
     """A router.
 
@@ -103,13 +103,15 @@
     ----------
     settings : Settings
         Settings of the process.
-    context : Tools
+    context : DaemonContext
         Reactor, log, metrics and traces.
     platform : Platform
         Client of the platform's object store and list of hosts.
     """
 
-    def __init__(self, settings: Settings, context: Tools, platform: Platform) -> None:
+    def __init__(
+        self, settings: Settings, context: DaemonContext, platform: Platform
+    ) -> None:
         self._settings = settings
         self._context = context
         self._platform = platform
@@ -319,12 +321,12 @@
         return float(self._context.reactor.seconds())
 
     def limit(self, organisation: OrganisationRecord) -> float:
-        """Count a request against a limit; see `CallGate.limit`."""
+        """Count a request against a limit; see `CallRouter.limit`."""
         rate = organisation.requests_per_second
         return self._limiter.admit(organisation.name, rate, self.now())
 
-    def ledger_of(self, service: str, organisation: str, key: str) -> str:
-        """Return the router that writes a key's claim; see `CallGate.ledger_of`."""
+    def ledger_endpoint(self, service: str, organisation: str, key: str) -> str:
+        """Return the router that writes a key's claim; see `CallRouter`."""
         digest = claim_key(service, organisation, key)
         bucket = bucket_of(digest, self._settings.ledger.buckets)
         routers = self._members.routers("", self.now())
@@ -340,7 +342,7 @@
         view: VersionView,
         sink: HttpSink,
     ) -> None:
-        """Route a call; see `CallGate.route`."""
+        """Route a call; see `CallRouter.route`."""
         now = self.now()
         context = self._context
         trace_span = context.tracing.start(
--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -217,7 +217,7 @@
             settings=settings.forward,
             clock=parts.reactor,
             rng=parts.rng,
-            caller=self._target_client,
+            client=self._target_client,
             chooser=TargetChooser(
                 settings.choice,
                 self._prefix_index,
--- a/src/primrosescale/process/entry/target_client.py
+++ b/src/primrosescale/process/entry/target_client.py
@@ -172,7 +172,7 @@
             self._observer.response_lost(failure_text(reason))
             return
         if channel is not None:
-            self._state.pool.give_back(channel, self._clock.seconds())
+            self._state.pool.release(channel, self._clock.seconds())
         self._observer.response_done()
 
     def _opened(self, channel: TargetChannel) -> None:
@@ -276,7 +276,7 @@
         self._states: dict[str, list[_IncarnationState]] = {}
         # Shared by all targets: idle connections are rarely dropped by one target
         # alone, rather by something in front of them.
-        self._rest_limit = IdleLimit()
+        self._idle_limit = IdleLimit()
 
     def send(
         self, sending: OutgoingRequest, observer: ResponseObserver
@@ -304,7 +304,7 @@
     ) -> None:
         def opened(channel: TargetChannel) -> None:
             # Kept for the next request, in place of the connection that was lost.
-            pool.give_back(channel, self._reactor.seconds())
+            pool.release(channel, self._reactor.seconds())
             on_check(ProbeResult.CONNECTED)
 
         def not_opened(failure: Failure) -> None:
@@ -322,7 +322,7 @@
         ]
         for state in former:
             state.pool.close()
-        self._forget_former_rest_limits(present)
+        self._forget_former_idle_limits(present)
         for state in former:
             # A request that is spared now runs at the present incarnation and ends
             # with it.
@@ -371,19 +371,19 @@
             self._reactor,
             target.endpoint,
             CONNECT_TIMEOUT_SECONDS,
-            self._rest_limit,
+            self._idle_limit,
             target.incarnation,
         )
         state = _IncarnationState(target.incarnation, pool)
         self._states.setdefault(target.name, []).append(state)
         return state
 
-    def _forget_former_rest_limits(self, present: TargetIncarnation) -> None:
+    def _forget_former_idle_limits(self, present: TargetIncarnation) -> None:
         """Discard idle limits that were learned from former incarnations."""
-        for source in self._rest_limit.sources:
+        for source in self._idle_limit.sources:
             if isinstance(source, TargetIncarnation) and source.name == present.name:
                 if source.is_followed_by(present):
-                    self._rest_limit.forget(source)
+                    self._idle_limit.forget(source)
 
     def _drop_ended(self, target: str) -> None:
         """Discard closed incarnations without requests in flight."""
--- a/src/primrosescale/process/settings.py
+++ b/src/primrosescale/process/settings.py
@@ -25,8 +25,8 @@
 from primrosescale.ini.options import Address
 from primrosescale.ini.options import Flag
 from primrosescale.ini.options import Number
+from primrosescale.ini.options import StringList
 from primrosescale.ini.options import Text
-from primrosescale.ini.options import Words
 from primrosescale.ini.options import option
 from primrosescale.ini.reader import parse_text
 from primrosescale.ini.reader import read_section
@@ -88,7 +88,7 @@
     )
     link_idle: float = option(SECONDS, "seconds until an idle link closes", 30.0)
     seeds: tuple[str, ...] = option(
-        Words(),
+        StringList(),
         "address:port of routers to contact at start while the platform is down",
         (),
     )
@@ -104,7 +104,7 @@
     address: str = option(Address(), "IP address to listen on", LOOPBACK)
     port: int = option(PORT, "port that routers connect to", 8090)
     routers: tuple[str, ...] = option(
-        Words(),
+        StringList(),
         "address:port of routers of the domain to report to at start",
     )
     must_echo: bool = option(
@@ -169,12 +169,12 @@
     """Trusted approvers and bootstrap operators."""
 
     approvers: tuple[str, ...] = option(
-        Words(),
+        StringList(),
         "name:key of each approver, the Ed25519 public key in base64",
         (),
     )
     operators: tuple[str, ...] = option(
-        Words(),
+        StringList(),
         "name:hash of operators with all roles, for the first bundle",
         (),
     )
--- a/src/primrosescale/process/transport/called_platform.py
+++ b/src/primrosescale/process/transport/called_platform.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 from typing import Any
 
-from primrosescale.process.transport.http_call import HttpCaller
+from primrosescale.process.transport.http_call import HttpClient
 from primrosescale.process.transport.platform import Platform
 
 if TYPE_CHECKING:
@@ -14,7 +14,7 @@
     from primrosescale.connection.endpoint import Endpoint
 
 
-class CalledPlatform(Platform):
+class BaseHttpPlatform(Platform):
     """A platform whose service is called over HTTP.
 
     Parameters
@@ -28,7 +28,7 @@
     """
 
     def __init__(self, reactor: Any, endpoint: Endpoint, timeout: float) -> None:
-        self._caller = HttpCaller(reactor, endpoint, timeout)
+        self._caller = HttpClient(reactor, endpoint, timeout)
 
     @property
     def calls(self) -> int:
--- a/src/primrosescale/process/transport/callers_resource.py
+++ b/src/primrosescale/process/transport/callers_resource.py
@@ -73,7 +73,7 @@
         return self._document
 
 
-class CallGate(ABC):
+class CallRouter(ABC):
     """Interface of the router that `CallersResource` uses."""
 
     @property
@@ -111,7 +111,7 @@
         """Return whether the limit of requests in flight is reached."""
 
     @abstractmethod
-    def ledger_of(self, service: str, organisation: str, key: str) -> str:
+    def ledger_endpoint(self, service: str, organisation: str, key: str) -> str:
         """Return the endpoint of the router that writes the claim of a key.
 
         Parameters
@@ -167,7 +167,7 @@
 
     Parameters
     ----------
-    gate : CallGate
+    router : CallRouter
         The router.
     answer_limit : int
         Maximum bytes of a non-streamed answer that are buffered.
@@ -175,9 +175,9 @@
 
     isLeaf = True
 
-    def __init__(self, gate: CallGate, answer_limit: int) -> None:
+    def __init__(self, router: CallRouter, answer_limit: int) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
-        self._router = gate
+        self._router = router
         self._answer_limit = answer_limit
 
     def render(self, request: Request) -> int:
@@ -301,7 +301,7 @@
             raise RefusedError(problems.KEY_REQUIRED, f"{method} {path}")
         ledger = ""
         if not is_idempotent and key:
-            ledger = self._router.ledger_of(service.name, organisation.name, key)
+            ledger = self._router.ledger_endpoint(service.name, organisation.name, key)
         return CallRequest(
             service=service.name,
             organisation=organisation.name,
@@ -344,8 +344,8 @@
         self._router.route(call, service, view, sink)
 
 
-def _require_view(gate: CallGate) -> VersionView:
-    view = gate.view
+def _require_view(router: CallRouter) -> VersionView:
+    view = router.view
     if view is None:
         raise RefusedError(problems.NOT_READY, retry_after=1.0)
     return view
--- a/src/primrosescale/process/transport/engine_port.py
+++ b/src/primrosescale/process/transport/engine_port.py
@@ -11,7 +11,7 @@
     from twisted.internet.defer import Deferred
 
 
-class EnginePort(LocalTargetClient):
+class LocalEngineClient(LocalTargetClient):
     """A target as used by its agent, including orders to engines."""
 
     @abstractmethod
--- a/src/primrosescale/process/transport/http_call.py
+++ b/src/primrosescale/process/transport/http_call.py
@@ -105,7 +105,7 @@
             self.collected.errback(reason)
 
 
-class HttpCaller:
+class HttpClient:
     """Makes HTTP calls; distinguishes an unreachable service from a lost answer.
 
     Parameters
@@ -205,7 +205,7 @@
         self._current_timeout = max(
             self._timeout, self._current_timeout / TIMEOUT_GROWTH
         )
-        self._pool.give_back(channel, self._reactor.seconds())
+        self._pool.release(channel, self._reactor.seconds())
         tag = response.headers.getRawHeaders("ETag", ['"0"'])[0]
         return Reply(response.code, int(tag.strip('"')), content)
 
--- a/src/primrosescale/process/transport/http_platform.py
+++ b/src/primrosescale/process/transport/http_platform.py
@@ -13,15 +13,15 @@
 from twisted.web.http_headers import Headers
 
 from primrosescale.connection.wire.ttypes import HostEntry
-from primrosescale.ini.options import HIGHEST_PORT
+from primrosescale.ini.options import MAX_PORT
 from primrosescale.process.exceptions import HostEntryError
 from primrosescale.process.exceptions import PlatformConflictError
 from primrosescale.process.exceptions import PlatformLimitError
 from primrosescale.process.exceptions import PlatformUnavailableError
 from primrosescale.process.membership.members import AGENT_ROLE
 from primrosescale.process.membership.members import ROUTER_ROLE
-from primrosescale.process.transport.called_platform import CalledPlatform
-from primrosescale.process.transport.platform import MAX_VALUE
+from primrosescale.process.transport.called_platform import BaseHttpPlatform
+from primrosescale.process.transport.platform import MAX_VALUE_BYTES
 from primrosescale.process.transport.platform import MUST_NOT_EXIST
 from primrosescale.process.transport.platform import HostList
 from primrosescale.process.transport.platform import StoredObject
@@ -54,7 +54,7 @@
 MAX_SHOWN_CHARACTERS = 60
 
 
-class HttpPlatform(CalledPlatform):
+class HttpPlatform(BaseHttpPlatform):
     """Accesses the platform's service over HTTP."""
 
     @inlineCallbacks
@@ -69,7 +69,7 @@
     @inlineCallbacks
     def put(self, key: str, value: bytes, expected: int) -> Generator[Any, Any, int]:
         """Write an object; see `Platform.put`."""
-        if len(value) > MAX_VALUE:
+        if len(value) > MAX_VALUE_BYTES:
             raise PlatformLimitError(key, len(value))
         headers = Headers()
         if expected == MUST_NOT_EXIST:
@@ -189,7 +189,7 @@
         )
         raise HostEntryError(f"name and role are {shown}")
     has_valid_counters = min(found["version"], found["incarnation"]) >= 0
-    if not 0 < found["port"] <= HIGHEST_PORT or not has_valid_counters:
+    if not 0 < found["port"] <= MAX_PORT or not has_valid_counters:
         raise HostEntryError(
             "port, version and incarnation are"
             f" {found['port']!r:.{MAX_SHOWN_CHARACTERS}},"
--- a/src/primrosescale/process/transport/http_target.py
+++ b/src/primrosescale/process/transport/http_target.py
@@ -24,7 +24,7 @@
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.connection.wire.ttypes import Outcome
 from primrosescale.process.exceptions import TargetError
-from primrosescale.process.transport.engine_port import EnginePort
+from primrosescale.process.transport.engine_port import LocalEngineClient
 from primrosescale.process.transport.http_bodies import body_producer
 from primrosescale.request.local_target_client import TargetRun
 
@@ -190,7 +190,7 @@
         return self._endpoint
 
 
-class HttpTarget(EnginePort):
+class HttpTarget(LocalEngineClient):
     """A target reached over HTTP on its own host.
 
     Connections are reused for idempotent requests only. If a reused connection
--- a/src/primrosescale/process/transport/platform.py
+++ b/src/primrosescale/process/transport/platform.py
@@ -15,7 +15,7 @@
     from primrosescale.connection.wire.ttypes import HostEntry
 
 MUST_NOT_EXIST = 0
-MAX_VALUE = 1_000_000
+MAX_VALUE_BYTES = 1_000_000
 
 
 class StoredObject:
--- a/src/primrosescale/request/agent_call.py
+++ b/src/primrosescale/request/agent_call.py
@@ -82,7 +82,7 @@
 
     Parameters
     ----------
-    name : CallId
+    call_id : CallId
         Identifier of the call.
     call : wire.Call
         The call as received from the router.
@@ -104,6 +104,7 @@
         "_buffer",
         "_cached_tokens",
         "_call",
+        "_call_id",
         "_claim",
         "_deadline",
         "_failure",
@@ -113,7 +114,6 @@
         "_is_replay",
         "_link",
         "_load",
-        "_name",
         "_on_data",
         "_on_end",
         "_phase",
@@ -128,7 +128,7 @@
 
     def __init__(
         self,
-        name: CallId,
+        call_id: CallId,
         call: wire.Call,
         link: Link,
         deadline: float,
@@ -138,7 +138,7 @@
         load: Callable[[], int],
     ) -> None:
         self._load = load
-        self._name = name
+        self._call_id = call_id
         self._call = call
         self._link: Link | None = link
         self._deadline = deadline
@@ -162,9 +162,9 @@
         self.first_byte_at = 0.0
 
     @property
-    def name(self) -> CallId:
+    def call_id(self) -> CallId:
         """Return the identifier of the call."""
-        return self._name
+        return self._call_id
 
     @property
     def call(self) -> wire.Call:
@@ -316,8 +316,8 @@
         if run is not None:
             run.cancel()
         self._failure = wire.CallFailed(
-            router=self._name.router,
-            number=self._name.number,
+            router=self._call_id.router,
+            number=self._call_id.number,
             outcome=outcome,
             reason=reason,
             retry_after_ms=int(retry_after * MILLISECONDS_PER_SECOND),
@@ -332,8 +332,8 @@
         """Store the status and headers of the target's answer."""
         if self._phase is CallPhase.ENDED:
             return
-        name = self._name
-        self._head = wire.AnswerHead(name.router, name.number, status, headers)
+        call_id = self._call_id
+        self._head = wire.AnswerHead(call_id.router, call_id.number, status, headers)
         values = [
             header.value
             for header in headers
@@ -401,11 +401,11 @@
         try:
             self._buffer.resume(offset)
         except AnswerCutError as error:
-            name = self._name
+            call_id = self._call_id
             self._send(
                 wire.CallFailed(
-                    router=name.router,
-                    number=name.number,
+                    router=call_id.router,
+                    number=call_id.number,
                     outcome=Outcome.UNKNOWN,
                     reason=Reason.ANSWER_EVICTED,
                     retry_after_ms=0,
@@ -436,11 +436,13 @@
         if not self._head_sent:
             self._head_sent = True
             self._send(self._head)
-        name = self._name
+        call_id = self._call_id
         chunk = self._buffer.take(self._settings.piece)
         while chunk is not None:
             self._send(
-                wire.AnswerChunk(name.router, name.number, chunk.offset, chunk.data),
+                wire.AnswerChunk(
+                    call_id.router, call_id.number, chunk.offset, chunk.data
+                ),
             )
             chunk = self._buffer.take(self._settings.piece)
         if self._buffer.is_ended and self._buffer.is_sent:
@@ -472,12 +474,12 @@
         )
 
     def _send_end(self) -> None:
-        name = self._name
+        call_id = self._call_id
         buffer = self._buffer
         self._send(
             wire.AnswerEnd(
-                name.router,
-                name.number,
+                call_id.router,
+                call_id.number,
                 buffer.length,
                 buffer.digest,
                 self._cached_tokens,
--- a/src/primrosescale/request/cold_targets.py
+++ b/src/primrosescale/request/cold_targets.py
@@ -125,7 +125,9 @@
         service = self._limited_service(state)
         return service is not None and now < state.cold_until(service.cold_seconds)
 
-    def open(self, states: Sequence[TargetState], now: float) -> list[TargetState]:
+    def select_available(
+        self, states: Sequence[TargetState], now: float
+    ) -> list[TargetState]:
         """Return which of the given targets may be sent a request now.
 
         Parameters
--- a/src/primrosescale/request/event_stream.py
+++ b/src/primrosescale/request/event_stream.py
@@ -33,15 +33,15 @@
 class EventSplitter:
     """Buffers bytes of a stream and returns complete events."""
 
-    __slots__ = ("_rest",)
+    __slots__ = ("_remainder",)
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._remainder = b""
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Return the bytes of the last, incomplete event."""
-        return self._rest
+        return self._remainder
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Add bytes of the stream.
@@ -61,7 +61,7 @@
         ValueError
             When an event exceeds `MAX_EVENT_BYTES`.
         """
-        text = self._rest + data
+        text = self._remainder + data
         events: list[StreamEvent] = []
         start = 0
         while True:
@@ -72,8 +72,8 @@
             piece = text[start:end]
             events.append(StreamEvent(_number(piece), piece))
             start = end
-        self._rest = text[start:]
-        if len(self._rest) > MAX_EVENT_BYTES:
+        self._remainder = text[start:]
+        if len(self._remainder) > MAX_EVENT_BYTES:
             raise ValueError(f"event exceeds {MAX_EVENT_BYTES} bytes")
         return events
 
--- a/src/primrosescale/request/forward_tools.py
+++ b/src/primrosescale/request/forward_tools.py
@@ -148,7 +148,7 @@
         Source of time and timers.
     rng : Random
         Random generator.
-    caller : TargetClient
+    client : TargetClient
         Sends requests to targets.
     chooser : TargetChooser
         Chooses targets.
@@ -182,7 +182,7 @@
     settings: ForwardingSettings
     clock: Clock
     rng: Random
-    caller: TargetClient
+    client: TargetClient
     chooser: TargetChooser
     parts: PrefixCacheIndex
     states_of: Callable[[str], list[TargetState]]
--- a/src/primrosescale/request/forwarded_call.py
+++ b/src/primrosescale/request/forwarded_call.py
@@ -261,7 +261,7 @@
             self._tools.harm.answered(self._request, attempt.state, now)
         if not self._relay.has_begun:
             self._send_buffered(attempt, now)
-        attempt.close("answered", now, is_whole=True)
+        attempt.close("answered", now, is_complete=True)
         self._relay.finish()
         self._end("answered")
 
@@ -406,7 +406,7 @@
             traceparent=attempt.traceparent,
         )
         self._tools.availability.sent(attempt.state, now)
-        attempt.begin(self._tools.caller, sending, now)
+        attempt.begin(self._tools.client, sending, now)
 
     def _needs_new_connection(self, attempt: TargetAttempt, now: float) -> bool:
         """Tell whether the attempt must not risk a stale pooled connection.
--- a/src/primrosescale/request/retry_after.py
+++ b/src/primrosescale/request/retry_after.py
@@ -42,7 +42,7 @@
     return min(max(map(_seconds, values), default=0.0), MAX_PAUSE_SECONDS) or None
 
 
-def is_odd_rest(status: int, values: Sequence[str]) -> bool:
+def is_irregular_retry_after(status: int, values: Sequence[str]) -> bool:
     """Tell whether Retry-After is anything but one number within bounds.
 
     Parameters
--- a/src/primrosescale/request/target_attempt.py
+++ b/src/primrosescale/request/target_attempt.py
@@ -239,7 +239,7 @@
     @property
     def is_inside_event(self) -> bool:
         """Tell whether the last event received is incomplete."""
-        return bool(self._splitter.rest)
+        return bool(self._splitter.remainder)
 
     @property
     def buffered_bytes(self) -> int:
@@ -265,7 +265,7 @@
         else:
             self._in_flight = in_flight
 
-    def close(self, outcome: str, now: float, *, is_whole: bool = False) -> None:
+    def close(self, outcome: str, now: float, *, is_complete: bool = False) -> None:
         """End the attempt; the listener is not called again.
 
         Parameters
@@ -274,7 +274,7 @@
             How it ended.
         now : float
             Present time in seconds.
-        is_whole : bool
+        is_complete : bool
             Whether its answer is complete, so that the connection can be reused.
         """
         if self._is_over:
@@ -286,7 +286,7 @@
         if self._is_paused:
             self._state.resume_reading(now)
         self._state.ended()
-        if self._in_flight is not None and not is_whole:
+        if self._in_flight is not None and not is_complete:
             self._in_flight.cancel()
 
     def pause(self) -> None:
--- a/src/primrosescale/request/target_availability.py
+++ b/src/primrosescale/request/target_availability.py
@@ -90,7 +90,9 @@
             TargetCondition.SUSPECT if state.is_avoided(now) else TargetCondition.READY
         )
 
-    def open(self, states: Sequence[TargetState], now: float) -> AvailableTargets:
+    def select_available(
+        self, states: Sequence[TargetState], now: float
+    ) -> AvailableTargets:
         """Return which of the given targets may be sent a request now.
 
         Parameters
@@ -106,7 +108,11 @@
             Those for which a request need not wait.
         """
         unpaused = [state for state in states if not state.self_reports.wait(now)]
-        available = unpaused if self._cold is None else self._cold.open(unpaused, now)
+        available = (
+            unpaused
+            if self._cold is None
+            else self._cold.select_available(unpaused, now)
+        )
         return AvailableTargets(
             available, len(unpaused) - len(available), len(states) - len(unpaused)
         )
--- a/src/primrosescale/request/target_choice.py
+++ b/src/primrosescale/request/target_choice.py
@@ -306,7 +306,7 @@
         if not serving:
             return None
         untried = [state for state in serving if state.incarnation not in tried]
-        allowed = self._availability.open(untried, now)
+        allowed = self._availability.select_available(untried, now)
         usable = [state for state in allowed.states if not state.is_avoided(now)]
         usable = usable or allowed.states
         if not usable:
--- a/src/primrosescale/request/target_health.py
+++ b/src/primrosescale/request/target_health.py
@@ -64,7 +64,7 @@
         self._probe_until = 0.0
 
     @property
-    def is_closed(self) -> bool:
+    def is_tripped(self) -> bool:
         """Return whether the target gets no calls but probes."""
         return self._closed_until is not None
 
--- a/src/primrosescale/request/target_state.py
+++ b/src/primrosescale/request/target_state.py
@@ -372,7 +372,7 @@
         self.bytes_received(now)
         if head.load is not None:
             self.set_load(head.load, now)
-        return self._self_reports.take(head, self.slots, now)
+        return self._self_reports.record_answer(head, self.slots, now)
 
     def bytes_received(self, now: float) -> None:
         """Record that bytes were received from it.
--- a/src/primrosescale/request/target_statements.py
+++ b/src/primrosescale/request/target_statements.py
@@ -153,7 +153,7 @@
             self._allowance = max(0, self._allowance - 1)
             self._sent_at = now
 
-    def take(self, head: AnswerHead, slots: int, now: float) -> bool:
+    def record_answer(self, head: AnswerHead, slots: int, now: float) -> bool:
         """Record what the head of an answer reports.
 
         Parameters
--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -28,7 +28,7 @@
     from collections.abc import Generator
 
     from primrosescale.standin.deployment import Deployment
-    from primrosescale.standin.http_caller import HttpCaller
+    from primrosescale.standin.http_caller import DemoClient
     from primrosescale.standin.http_caller import Reply
 
 SEED = 7
@@ -148,14 +148,14 @@
     ----------
     deployment : Deployment
         The deployment that is called.
-    caller : HttpCaller
+    caller : DemoClient
         Makes the calls.
     reactor : Any
         Twisted's reactor.
     """
 
     def __init__(
-        self, deployment: Deployment, caller: HttpCaller, reactor: Any
+        self, deployment: Deployment, caller: DemoClient, reactor: Any
     ) -> None:
         self._deployment = deployment
         self._caller = caller
--- a/src/primrosescale/standin/deployment.py
+++ b/src/primrosescale/standin/deployment.py
@@ -20,7 +20,7 @@
 
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.process.daemons.agent import Agent
-from primrosescale.process.daemons.daemon import Tools
+from primrosescale.process.daemons.daemon import DaemonContext
 from primrosescale.process.daemons.router import Router
 from primrosescale.process.settings import read_settings
 from primrosescale.process.transport.http_platform import HttpPlatform
@@ -37,7 +37,7 @@
 if TYPE_CHECKING:
     from collections.abc import Generator
 
-    from primrosescale.standin.http_caller import HttpCaller
+    from primrosescale.standin.http_caller import DemoClient
 
 LOOPBACK = "127.0.0.1"
 REGION = "riga"
@@ -152,12 +152,12 @@
         return self._runs
 
     @inlineCallbacks
-    def start(self, caller: HttpCaller) -> Generator[Any, Any, None]:
+    def start(self, caller: DemoClient) -> Generator[Any, Any, None]:
         """Start all processes and roll out the first bundle.
 
         Parameters
         ----------
-        caller : HttpCaller
+        caller : DemoClient
             Client for the operators' calls.
 
         Returns
@@ -282,12 +282,12 @@
         self._store.foreign_hosts = entries
 
     @inlineCallbacks
-    def roll_out(self, caller: HttpCaller, text: str) -> Generator[Any, Any, int]:
+    def roll_out(self, caller: DemoClient, text: str) -> Generator[Any, Any, int]:
         """Create, sign and roll out a bundle through the admin API.
 
         Parameters
         ----------
-        caller : HttpCaller
+        caller : DemoClient
             Client for the calls.
         text : str
             The bundle's INI text.
@@ -381,8 +381,8 @@
         text = self._common_settings(f"router-{number + 1}", "router", DOMAINS[number])
         text += "[router]\nport = 0\nadmin_port = 0\nlink_port = 0\n"
         settings = read_settings(text, "router")
-        tools = Tools(settings, self._reactor)
-        router = Router(settings, tools, self._make_platform_client())
+        context = DaemonContext(settings, self._reactor)
+        router = Router(settings, context, self._make_platform_client())
         router.listen()
         self._routers.append(router)
         yield router.start()
@@ -395,8 +395,8 @@
             f"routers = {seeds}\n"
         )
         settings = read_settings(text, "agent")
-        tools = Tools(settings, self._reactor)
-        return Agent(settings, tools, self._make_platform_client())
+        context = DaemonContext(settings, self._reactor)
+        return Agent(settings, context, self._make_platform_client())
 
     def _common_settings(self, name: str, role: str, domain: str) -> str:
         public = self._signing.public_key().public_bytes_raw()
--- a/src/primrosescale/standin/http_caller.py
+++ b/src/primrosescale/standin/http_caller.py
@@ -90,7 +90,7 @@
         )
 
 
-class HttpCaller:
+class DemoClient:
     """HTTP client that keeps connections open and never retries by itself.
 
     Parameters
--- a/src/primrosescale/standin/object_store.py
+++ b/src/primrosescale/standin/object_store.py
@@ -9,7 +9,7 @@
 from primrosescale.process.exceptions import PlatformConflictError
 from primrosescale.process.exceptions import PlatformLimitError
 from primrosescale.process.exceptions import PlatformUnavailableError
-from primrosescale.process.transport.platform import MAX_VALUE
+from primrosescale.process.transport.platform import MAX_VALUE_BYTES
 from primrosescale.process.transport.platform import HostList
 from primrosescale.process.transport.platform import StoredObject
 from primrosescale.process.transport.platform import WatchResult
@@ -184,7 +184,7 @@
             When the value is too large.
         """
         self._count_write(now)
-        if len(value) > MAX_VALUE:
+        if len(value) > MAX_VALUE_BYTES:
             raise PlatformLimitError(key, len(value))
         found = self._objects.get(key)
         current = found.version if found is not None else 0
--- a/src/primrosescale/standin/users_engine.py
+++ b/src/primrosescale/standin/users_engine.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True)
-class Arrival:
+class ReceivedRequest:
     """A request as the engine received it.
 
     Parameters
@@ -135,7 +135,7 @@
         Body of a plain answer.
     delay : float
         Seconds before a plain answer.
-    arrivals : list[Arrival]
+    arrivals : list[ReceivedRequest]
         Requests received so far.
     echoes_request_id : bool
         Whether answers and events contain the request id, so that a caller can
@@ -144,7 +144,7 @@
         Signature of its answers.
     health_path : bytes
         Path of its health check; empty for none.
-    on_arrival : Callable[[Arrival], None] | None
+    on_arrival : Callable[[ReceivedRequest], None] | None
         Called for each request, once it is decided whether it runs.
     is_leaving : bool
         Whether its answers report that it leaves.
@@ -163,11 +163,11 @@
     gap: float = 0.005
     body: bytes = b"done"
     delay: float = 0.0
-    arrivals: list[Arrival] = field(default_factory=list)
+    arrivals: list[ReceivedRequest] = field(default_factory=list)
     echoes_request_id: bool = False
     receipt: bytes = DEFAULT_SIGNATURE
     health_path: bytes = b""
-    on_arrival: Callable[[Arrival], None] | None = None
+    on_arrival: Callable[[ReceivedRequest], None] | None = None
     is_leaving: bool = False
     rest: float | None = None
     is_resting: bool = False
@@ -258,7 +258,7 @@
             return
         self._is_received = True
         content: Any = self.content
-        self._received = Arrival(
+        self._received = ReceivedRequest(
             self.method,
             self.uri,
             {
@@ -442,7 +442,7 @@
         super().connectionLost(reason)
 
 
-class UsersEngine(ServerFactory):
+class ScriptedEngine(ServerFactory):
     """Server factory of one engine; its connections share the script.
 
     Parameters
--- a/src/primrosescale/standin/users_store.py
+++ b/src/primrosescale/standin/users_store.py
@@ -112,16 +112,17 @@
         Fault of every call; None for none.
     page : int
         Maximum number of objects on one page of a list.
-    is_deaf : bool
+    drops_watch_events : bool
         Whether watches report no changes.
     is_stale : bool
-        Whether reads that allow stale data get a copy; see `UsersStore.fall_behind`.
+        Whether reads that allow stale data get a copy; see
+        `ObjectPlatformStore.fall_behind`.
     """
 
     next_calls: list[StoreFault] = field(default_factory=list)
     all_calls: StoreFault | None = None
     page: int = DEFAULT_PAGE_SIZE
-    is_deaf: bool = False
+    drops_watch_events: bool = False
     is_stale: bool = False
 
     def next_fault(self) -> StoreFault | None:
@@ -137,7 +138,7 @@
         return self.next_calls.pop(0) if self.next_calls else None
 
 
-class UsersStore(Resource):
+class ObjectPlatformStore(Resource):
     """Objects by kind and name, with revisions, conditional writes and watches.
 
     Parameters
@@ -240,7 +241,7 @@
 
     def catch_up(self) -> None:
         """End stale reads and report the missed changes to waiting watches."""
-        self.faults.is_stale = self.faults.is_deaf = False
+        self.faults.is_stale = self.faults.drops_watch_events = False
         for waiting_watch in list(self._waiting_watches):
             if self._events(waiting_watch.kind, waiting_watch.since):
                 waiting_watch.timer.cancel()
@@ -366,7 +367,7 @@
         self._waiting_watches.remove(waiting_watch)
         events = (
             []
-            if self.faults.is_deaf
+            if self.faults.drops_watch_events
             else self._events(waiting_watch.kind, waiting_watch.since)
         )
         _send_json(
@@ -379,7 +380,7 @@
             waiting_watch.timer.cancel()
 
     def _events(self, kind: str, since: int) -> list[dict[str, Any]]:
-        if self.faults.is_deaf:
+        if self.faults.drops_watch_events:
             return []
         return [
             {"deleted": is_deleted, "object": item}
@@ -392,7 +393,7 @@
     ) -> None:
         self._history.append((self._revision, kind, is_deleted, copy.deepcopy(item)))
         for waiting_watch in list(self._waiting_watches):
-            if waiting_watch.kind == kind and not self.faults.is_deaf:
+            if waiting_watch.kind == kind and not self.faults.drops_watch_events:
                 waiting_watch.timer.cancel()
                 self._end_watch(waiting_watch)
 
--- a/src/primrosescale/version/records.py
+++ b/src/primrosescale/version/records.py
@@ -12,8 +12,8 @@
 from primrosescale.ini.options import SECONDS
 from primrosescale.ini.options import Flag
 from primrosescale.ini.options import Number
+from primrosescale.ini.options import StringList
 from primrosescale.ini.options import Text
-from primrosescale.ini.options import Words
 from primrosescale.ini.options import option
 
 MAX_DEADLINE_SECONDS = 3600.0
@@ -28,7 +28,7 @@
 
     name: str
     kind: str = option(Text(("model", "plain")), "model engines or a plain service")
-    models: tuple[str, ...] = option(Words(), "models its engines run", ())
+    models: tuple[str, ...] = option(StringList(), "models its engines run", ())
     team: str = option(Text(), "team that owns it", "")
     deadline: float = option(
         Number(0.1, MAX_DEADLINE_SECONDS),
@@ -41,12 +41,12 @@
         300.0,
     )
     candidates: int = option(
-        Number(1, 16, is_whole=True),
+        Number(1, 16, is_integer=True),
         "maximum number of targets tried for one request",
         8,
     )
     non_idempotent: tuple[str, ...] = option(
-        Words(),
+        StringList(),
         "calls that run at most once: 'METHOD /path'; a trailing * matches any suffix",
         (),
     )
@@ -100,7 +100,7 @@
 
     name: str
     key_hashes: tuple[str, ...] = option(
-        Words(),
+        StringList(),
         "SHA-256 of each bearer key, in hex; never the key itself",
     )
     team: str = option(Text(), "team that owns it", "")
@@ -108,7 +108,7 @@
         POSITIVE, "its share of an engine at capacity, relative to other weights", 1
     )
     priority: int = option(
-        Number(0, 9, is_whole=True),
+        Number(0, 9, is_integer=True),
         "priority class; lower numbers are served first",
         5,
     )
@@ -118,7 +118,7 @@
         0.0,
     )
     services: tuple[str, ...] = option(
-        Words(),
+        StringList(),
         "services it may call; empty for all",
         (),
     )
@@ -130,10 +130,10 @@
 
     name: str
     version: str = option(NAME, "version to load")
-    adapters: tuple[str, ...] = option(Words(), "adapters to load", ())
+    adapters: tuple[str, ...] = option(StringList(), "adapters to load", ())
     team: str = option(Text(), "team that owns it", "")
     domains: tuple[str, ...] = option(
-        Words(),
+        StringList(),
         "failure domains in roll-out order; empty for all at once",
         (),
     )
@@ -165,10 +165,10 @@
     name: str
     key_hash: str = option(NAME, "SHA-256 of the operator's bearer key, in hex")
     roles: tuple[str, ...] = option(
-        Words(OPERATOR_ROLES), "roles that the operator holds"
+        StringList(OPERATOR_ROLES), "roles that the operator holds"
     )
     teams: tuple[str, ...] = option(
-        Words(),
+        StringList(),
         "teams whose records they may change; * for all",
         (),
     )
--- a/tests/adapter/test_cache_answers.py
+++ b/tests/adapter/test_cache_answers.py
@@ -7,7 +7,7 @@
 from twisted.web.resource import Resource
 
 from entry.fakes import target
-from primrosescale.platform.engine_calls import EngineCaches
+from primrosescale.platform.engine_calls import EngineCacheReader
 from primrosescale.process.exceptions import TargetError
 from support.foreign import DEEP
 from support.live import DeploymentRunTest
@@ -32,7 +32,7 @@
         super().setUp()
         self.engine = Engine()
         self.target = target("m1", endpoint=self.serve(self.engine))
-        self.caches = EngineCaches(reactor)
+        self.caches = EngineCacheReader(reactor)
 
     @inlineCallbacks
     def test_cache_contents_are_decoded(self):
--- a/tests/adapter/test_engine_calls.py
+++ b/tests/adapter/test_engine_calls.py
@@ -9,7 +9,7 @@
 from twisted.web.resource import Resource
 
 from entry.fakes import target
-from primrosescale.platform.engine_calls import EngineCaches
+from primrosescale.platform.engine_calls import EngineCacheReader
 from primrosescale.process.entry.codec import EngineCacheContents
 from primrosescale.process.exceptions import TargetError
 from primrosescale.request.incoming_request import PromptPart
@@ -39,7 +39,7 @@
 
     def read(self, **fields):
         endpoint = self.serve(Engine({"epoch": 1, "next": 2, "held": HELD, **fields}))
-        return EngineCaches(reactor).read(target("m1", endpoint=endpoint))
+        return EngineCacheReader(reactor).read(target("m1", endpoint=endpoint))
 
     @inlineCallbacks
     def test_the_start_time_is_decoded_with_the_parts(self):
--- a/tests/adapter/test_large_configuration.py
+++ b/tests/adapter/test_large_configuration.py
@@ -15,7 +15,7 @@
 from testtools import TestCase
 
 from primrosescale.platform import records
-from primrosescale.platform.entry import PlatformRecords
+from primrosescale.platform.entry import PlatformRecordDecoder
 from primrosescale.platform.exceptions import RecordError
 from primrosescale.platform.records import RouteCache
 from primrosescale.platform.records import decode_routing_table
@@ -106,7 +106,7 @@
             self.assertRaises(RecordError, self.read, invalid)
 
     def test_the_decoder_caches_routes_across_versions(self):
-        decoder = PlatformRecords()
+        decoder = PlatformRecordDecoder()
         decoder.table(as_stored(self.fields))
         with mock.patch.object(records, "_route") as decode_route:
             decoder.table(as_stored({**self.fields, "version": 2}))
--- a/tests/adapter/test_object_platform.py
+++ b/tests/adapter/test_object_platform.py
@@ -17,14 +17,14 @@
 from primrosescale.process.exceptions import PlatformHistoryGoneError
 from primrosescale.process.exceptions import PlatformLimitError
 from primrosescale.process.exceptions import PlatformUnavailableError
+from primrosescale.standin.users_store import ObjectPlatformStore
 from primrosescale.standin.users_store import StoreFault
-from primrosescale.standin.users_store import UsersStore
 from support.live import LiveTest
 
 TIMEOUT = 0.3
 
 
-class DelayingStore(UsersStore):
+class DelayingStore(ObjectPlatformStore):
     """A store that can delay a write past the caller's time-out, or send slowly."""
 
     def __init__(self):
--- a/tests/adapter/test_store_answer.py
+++ b/tests/adapter/test_store_answer.py
@@ -16,7 +16,7 @@
 from primrosescale.platform.store_answer import answer_fields
 from primrosescale.platform.store_answer import stored_object
 from primrosescale.process.exceptions import PlatformUnavailableError
-from primrosescale.standin.users_store import UsersStore
+from primrosescale.standin.users_store import ObjectPlatformStore
 from support.drawn import drawn
 from support.foreign import DEEP
 from support.foreign import TARGET
@@ -82,7 +82,7 @@
     return json.dumps(fields).encode().replace(b'"?"', raw)
 
 
-class RawStore(UsersStore):
+class RawStore(ObjectPlatformStore):
     """A store that sends the given answers first."""
 
     def __init__(self):
--- a/tests/adapter/test_translation.py
+++ b/tests/adapter/test_translation.py
@@ -16,8 +16,8 @@
 from entry.fakes import request
 from entry.fakes import target
 from primrosescale.platform.entry import CONFIGURATION_BATCHING_SHARE
-from primrosescale.platform.exceptions import BootFileError
 from primrosescale.platform.exceptions import RecordError
+from primrosescale.platform.exceptions import SettingsFileError
 from primrosescale.platform.host_settings import read_host_settings
 from primrosescale.platform.http_codec import PlatformCodec
 from primrosescale.platform.records import decode_router
@@ -186,11 +186,11 @@
             {**SETTINGS, "platform": {"address": "10.0.0.1:99999"}},
             {**SETTINGS, "bounds": {"drain_ms": "soon"}},
         ):
-            error = self.assertRaises(BootFileError, self.read, invalid)
+            error = self.assertRaises(SettingsFileError, self.read, invalid)
             self.assertIn("settings file", str(error))
 
     def test_a_missing_file_raises_boot_file_error(self):
-        self.assertRaises(BootFileError, read_host_settings, "/nowhere/node.json")
+        self.assertRaises(SettingsFileError, read_host_settings, "/nowhere/node.json")
 
 
 class CodecTest(TestCase):
--- a/tests/connection/test_rest_limit.py
+++ b/tests/connection/test_rest_limit.py
@@ -13,7 +13,7 @@
 from twisted.web.http_headers import Headers
 
 from primrosescale.connection.endpoint import Endpoint
-from primrosescale.connection.rest_limit import DISTRUST_SECONDS
+from primrosescale.connection.rest_limit import LOSS_RETENTION_SECONDS
 from primrosescale.connection.rest_limit import IdleLimit
 from primrosescale.connection.target_channel import ChannelPool
 from support.live import DeploymentRunTest
@@ -46,7 +46,7 @@
 
     def test_losses_expire(self):
         self.limit.lost(0.4, START)
-        later = START + DISTRUST_SECONDS
+        later = START + LOSS_RETENTION_SECONDS
         self.assertTrue(self.limit.allows(60.0, later))
         self.limit.lost(2.0, later)
         self.assertTrue(self.limit.allows(0.4, later))
@@ -68,8 +68,8 @@
 
     def test_forgetting_the_latest_source_brings_the_expiry_forward(self):
         self.limit.forget("p2")
-        self.assertFalse(self.limit.allows(0.4, 100.0 + DISTRUST_SECONDS - 0.1))
-        self.assertTrue(self.limit.allows(0.4, 100.0 + DISTRUST_SECONDS))
+        self.assertFalse(self.limit.allows(0.4, 100.0 + LOSS_RETENTION_SECONDS - 0.1))
+        self.assertTrue(self.limit.allows(0.4, 100.0 + LOSS_RETENTION_SECONDS))
 
 
 class ResettingServer(Protocol):
@@ -109,8 +109,8 @@
         channel = yield self.pool.open()
         response = yield self.ask(channel)
         yield readBody(response)
-        self.assertIsNone(channel.rested)
-        self.pool.give_back(channel, reactor.seconds())
+        self.assertIsNone(channel.idle_before_request)
+        self.pool.release(channel, reactor.seconds())
 
     @inlineCallbacks
     def test_after_a_loss_on_a_kept_one_others_that_rested_are_left(self):
@@ -121,7 +121,7 @@
         lost = []
         yield self.ask(channel).addErrback(lost.append)
         self.assertEqual(1, len(lost))
-        self.assertGreaterEqual(channel.rested, 0.1)
+        self.assertGreaterEqual(channel.idle_before_request, 0.1)
         self.pool.lost(channel, reactor.seconds())
         self.assertIsNone(self.pool.idle(reactor.seconds()))
 
@@ -131,7 +131,7 @@
         response = yield self.ask(channel)
         yield readBody(response)
         self.pool.close()
-        self.pool.give_back(channel, reactor.seconds())
+        self.pool.release(channel, reactor.seconds())
         yield deferLater(reactor, 0.02, lambda: None)
         self.assertTrue(channel.is_lost)
 
--- a/tests/entry/fakes.py
+++ b/tests/entry/fakes.py
@@ -243,7 +243,7 @@
             settings=ForwardingSettings(),
             clock=self.clock,
             rng=rng,
-            caller=self.caller,
+            client=self.caller,
             chooser=TargetChooser(choice or ChoiceSettings(), self.parts, rng),
             parts=self.parts,
             states_of=lambda service: [
--- a/tests/entry/test_entry_router.py
+++ b/tests/entry/test_entry_router.py
@@ -16,7 +16,7 @@
 from primrosescale.connection.early_listener import open_listener
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.platform import http_codec as names
-from primrosescale.platform.exceptions import BootFileError
+from primrosescale.platform.exceptions import SettingsFileError
 from primrosescale.process.entry.cache_discovery import MAX_ENGINES_READ
 from primrosescale.process.entry.codec import CacheReader
 from primrosescale.process.entry.codec import EngineCacheContents
@@ -29,9 +29,9 @@
 from primrosescale.request.prefix_cache_index import PrefixCacheIndex
 from primrosescale.standin.users_engine import EngineFault
 from primrosescale.standin.users_engine import EngineScript
-from primrosescale.standin.users_engine import UsersEngine
+from primrosescale.standin.users_engine import ScriptedEngine
+from primrosescale.standin.users_store import ObjectPlatformStore
 from primrosescale.standin.users_store import StoreFault
-from primrosescale.standin.users_store import UsersStore
 from support.entry_site import LOOPBACK
 from support.entry_site import Caller
 from support.entry_site import configuration
@@ -72,7 +72,7 @@
 
     def setUp(self):
         super().setUp()
-        self.store = UsersStore()
+        self.store = ObjectPlatformStore()
         self.store.write("config", "main", configuration())
         self.scripts = {}
         self.addresses = {}
@@ -82,7 +82,7 @@
 
     def listen(self, name, **fields):
         script = EngineScript(name=name, **fields)
-        port = reactor.listenTCP(0, UsersEngine(script), interface=LOOPBACK)
+        port = reactor.listenTCP(0, ScriptedEngine(script), interface=LOOPBACK)
         self.addCleanup(port.stopListening)
         self.addresses[id(script)] = f"{LOOPBACK}:{port.getHost().port}"
         return script
@@ -282,7 +282,7 @@
         for _ in range(4):
             yield self.ask(text())
         yield deferLater(reactor, 0.15, lambda: None)
-        limit = self.router._target_client._rest_limit
+        limit = self.router._target_client._idle_limit
         self.assertTrue(limit.allows(0.1, reactor.seconds()))
         for script in self.scripts.values():
             script.faults.append(EngineFault.RESET)
@@ -462,7 +462,7 @@
     @inlineCallbacks
     def test_a_newer_version_reported_by_a_peer_is_read(self):
         yield self.start()
-        self.store.faults.is_deaf = True
+        self.store.faults.drops_watch_events = True
         self.store.write("config", "main", configuration(2, keys=("k2",)))
         peer = StateExchange(
             "r2", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0)
@@ -511,10 +511,10 @@
 
     def drain_without_notification(self, name):
         """Drain a target without notifying the pending watch; return the revision."""
-        self.store.faults.is_deaf = True
+        self.store.faults.drops_watch_events = True
         entry = target_entry("model", f"{LOOPBACK}:1", state="draining")
         revision = self.store.write("servers", name, entry)
-        self.store.faults.is_deaf = False
+        self.store.faults.drops_watch_events = False
         return revision
 
     def knows_as_draining(self, name):
@@ -684,7 +684,7 @@
         self.assertIn(("SETTINGS_RELOADED", {"is_changed": True}), self.events)
 
         def fail():
-            raise BootFileError("node.json", "field 'ip' is missing")
+            raise SettingsFileError("node.json", "field 'ip' is missing")
 
         self.parts.read_settings = fail
         self.settings = replace(self.settings, callers=Endpoint("127.0.0.2", 0))
@@ -776,9 +776,9 @@
         peer.put(PeerRouter("r1", Endpoint("127.0.0.1", 1)), 0.0)
         now = reactor.seconds()
         self.router._state_exchange.put(PeerRouter("r2", Endpoint("127.0.0.1", 1)), now)
-        self.store.faults.is_deaf = True
+        self.store.faults.drops_watch_events = True
         revision = self.restart("m1", "model")
-        self.store.faults.is_deaf = False
+        self.store.faults.drops_watch_events = False
         [(_, message)] = peer.compose(1, reactor.seconds(), list_revision=revision)
         self.router._state_exchange.receive(message, 1, reactor.seconds())
         yield self.eventually(lambda: self.incarnation("m1").started_at == SECOND)
--- a/tests/entry/test_foreign_entries.py
+++ b/tests/entry/test_foreign_entries.py
@@ -18,7 +18,7 @@
 
 from entry.fakes import make_incarnation
 from primrosescale.connection.endpoint import Endpoint
-from primrosescale.platform.entry import PlatformRecords
+from primrosescale.platform.entry import PlatformRecordDecoder
 from primrosescale.process.entry.entry_metrics import EntryMetrics
 from primrosescale.process.entry.entry_settings import WatchedPrefixes
 from primrosescale.process.entry.log_writer import LogWriter
@@ -77,7 +77,7 @@
         self.listed = TargetListSync(
             self.targets,
             0.0,
-            PlatformRecords(),
+            PlatformRecordDecoder(),
             RefusedRecords(RecordKind.TARGET, self.log, self.metrics),
             self.log,
             lambda: self.now,
@@ -325,7 +325,7 @@
             reactor=Clock(),
             platform=Store(),
             rng=random.Random(1),
-            decoder=PlatformRecords(),
+            decoder=PlatformRecordDecoder(),
             log=self.log,
             metrics=EntryMetrics(),
         )
@@ -382,7 +382,7 @@
         parts = SimpleNamespace(
             reactor=self.clock,
             platform=SimpleNamespace(announce=self.announce),
-            decoder=PlatformRecords(),
+            decoder=PlatformRecordDecoder(),
             log=self.log,
             metrics=EntryMetrics(),
         )
--- a/tests/entry/test_harmful_requests.py
+++ b/tests/entry/test_harmful_requests.py
@@ -19,8 +19,8 @@
 
 from primrosescale.process.entry.entry_router import EntryRouter
 from primrosescale.standin.users_engine import EngineScript
-from primrosescale.standin.users_engine import UsersEngine
-from primrosescale.standin.users_store import UsersStore
+from primrosescale.standin.users_engine import ScriptedEngine
+from primrosescale.standin.users_store import ObjectPlatformStore
 from support.entry_site import LOOPBACK
 from support.entry_site import ask
 from support.entry_site import configuration
@@ -61,7 +61,7 @@
             self.script.events = EVENTS
             self.script.gap = ANSWER_SECONDS / EVENTS
         self.script.on_arrival = lambda arrival: test.arrived(self, arrival)
-        self.engine = UsersEngine(self.script)
+        self.engine = ScriptedEngine(self.script)
         self.port = reactor.listenTCP(0, self.engine, interface=LOOPBACK)
         self.number = self.port.getHost().port
 
@@ -74,7 +74,7 @@
 
     def setUp(self):
         super().setUp()
-        self.store = UsersStore()
+        self.store = ObjectPlatformStore()
         self.store.write("config", "main", configuration())
         self.endpoint = self.serve(self.store)
         self.started = 0
--- a/tests/entry/test_restart_transport.py
+++ b/tests/entry/test_restart_transport.py
@@ -271,7 +271,7 @@
         yield self.eventually(lambda: idle.data.count(b"\r\n\r\n") == 2)
         idle.transport.abortConnection()
         yield self.eventually(lambda: "cut" in observer.calls)
-        limit = self.caller._rest_limit
+        limit = self.caller._idle_limit
         self.assertFalse(limit.allows(0.1, reactor.seconds()))
         self.caller.abort_former(make_incarnation("p1", SECOND))
         self.assertTrue(limit.allows(0.1, reactor.seconds()))
--- a/tests/entry/test_rules_of_knowledge.py
+++ b/tests/entry/test_rules_of_knowledge.py
@@ -199,7 +199,7 @@
                 found += splitter.feed(text[start : start + size])
             self.assertEqual([1, 2, None], [item.number for item in found])
             self.assertEqual(text, b"".join(item.data for item in found))
-            self.assertEqual(b"", splitter.rest)
+            self.assertEqual(b"", splitter.remainder)
 
     def test_an_event_without_end_is_an_error(self):
         self.assertRaises(ValueError, EventSplitter().feed, b"x" * 300_000)
--- a/tests/entry/test_silent_target.py
+++ b/tests/entry/test_silent_target.py
@@ -442,7 +442,7 @@
             [target(f"t{n + 1}", service) for n in range(seed % 4 + 1)]
         )
         self._harness.caller = RandomCaller(self._harness.clock, self._rng)
-        self._harness.tools.caller = self._harness.caller
+        self._harness.tools.client = self._harness.caller
         incoming = request(self._route, deadline=1006.0)
         self._call, self._sink = self._harness.call(incoming)
         self._engines = {}
@@ -537,7 +537,7 @@
 
     def __init__(self, count, service="portal"):
         super().__init__([target(f"t{n + 1}", service) for n in range(count)])
-        self.caller = self.tools.caller = ManualCaller()
+        self.caller = self.tools.client = ManualCaller()
 
 
 class ManualCaller(FakeCaller):
--- a/tests/process/test_callers.py
+++ b/tests/process/test_callers.py
@@ -19,7 +19,7 @@
 from primrosescale.standin.deployment import MODEL
 from primrosescale.standin.deployment import Deployment
 from primrosescale.standin.deployment import organisation_key
-from primrosescale.standin.http_caller import HttpCaller
+from primrosescale.standin.http_caller import DemoClient
 from primrosescale.version.head import sign
 from support.live import TIMEOUT
 from support.live import DeploymentRunTest
@@ -55,7 +55,7 @@
     @inlineCallbacks
     def setUp(self):
         super().setUp()
-        self.caller = HttpCaller(reactor)
+        self.caller = DemoClient(reactor)
         self.deployment = Deployment(reactor)
         self.addCleanup(self.end)
         yield self.deployment.start(self.caller)
--- a/tests/process/test_fleet.py
+++ b/tests/process/test_fleet.py
@@ -5,12 +5,12 @@
 from testtools import TestCase
 
 from primrosescale.connection.wire import ttypes as wire
-from support.world import World
+from support.world import SimulatedFleet
 
 
 class FleetTest(TestCase):
     def test_calls_are_answered_completely_and_run_once(self):
-        world = World()
+        world = SimulatedFleet()
         for number in range(20):
             key = f"k{number}" if number % 2 else ""
             world.submit(f"r{1 + number % 2}", f"c{number}", key=key)
@@ -21,7 +21,7 @@
         self.assertEqual([], world.faults())
 
     def test_a_retry_with_the_same_key_gets_the_recorded_answer(self):
-        world = World()
+        world = SimulatedFleet()
         first = world.submit("r1", "one", key="k")
         world.run(3)
         second = world.submit("r2", "two", key="k", text="one")
@@ -31,7 +31,7 @@
         self.assertEqual(1, len(world.history.runs))
 
     def test_a_version_is_in_force_everywhere_within_six_seconds(self):
-        world = World(routers=4, agents=6)
+        world = SimulatedFleet(routers=4, agents=6)
         head = world.roll_out(2, "[organisation new]\nkey_hashes =\n")
         world.run(6)
         for process in [*world.routers.values(), *world.agents.values()]:
@@ -39,7 +39,7 @@
         self.assertEqual([], world.faults())
 
     def test_no_router_serves_a_version_to_its_whole_domain(self):
-        world = World(routers=9, agents=0, domains=1)
+        world = SimulatedFleet(routers=9, agents=0, domains=1)
         pulls = {}
 
         def count(sender, receiver, data):
@@ -53,7 +53,7 @@
         self.assertTrue(max(map(len, pulls.values())) <= 5, pulls)
 
     def test_a_version_spreads_although_both_aggregators_of_a_domain_are_gone(self):
-        world = World(routers=6, agents=2, domains=1)
+        world = SimulatedFleet(routers=6, agents=2, domains=1)
         aggregators = [n for n, r in world.routers.items() if r.control.is_aggregator]
         self.assertEqual(2, len(aggregators))
         for name in aggregators:
@@ -64,7 +64,7 @@
         self.assertEqual({2}, {p.keeper.version for p in processes})
 
     def test_a_router_that_starts_while_the_store_is_down_serves_what_peers_have(self):
-        world = World(routers=3)
+        world = SimulatedFleet(routers=3)
         world.store.settings.is_down = True
         router = world.start_router("r9")
         self.assertFalse(router.is_ready)
@@ -76,7 +76,7 @@
         self.assertEqual([], world.faults())
 
     def test_a_router_that_has_never_received_a_head_is_not_ready(self):
-        world = World(routers=1, agents=0)
+        world = SimulatedFleet(routers=1, agents=0)
         world.store.settings.is_down = True
         world.kill("r1")
         router = world.start_router("r2")
@@ -84,7 +84,7 @@
         self.assertFalse(router.is_ready)
 
     def test_a_region_cut_off_for_long_catches_up_and_never_reverts(self):
-        world = World(routers=4, agents=4, domains=2)
+        world = SimulatedFleet(routers=4, agents=4, domains=2)
         sides = [
             [n for n in (*world.routers, *world.agents) if int(n[1:]) % 2 == side]
             for side in (0, 1)
@@ -108,7 +108,7 @@
         self.assertEqual({"whole"}, outcomes)
 
     def test_an_accepted_version_survives_the_restart_of_everything(self):
-        world = World(routers=2, agents=2)
+        world = SimulatedFleet(routers=2, agents=2)
         world.roll_out(2, "[organisation a]\nkey_hashes =\n")
         world.run(6)
         for name in [*world.routers, *world.agents]:
@@ -123,7 +123,7 @@
         self.assertEqual({2}, {p.keeper.version for p in processes})
 
     def test_an_agent_keeps_reporting_when_its_router_dies(self):
-        world = World(routers=3, agents=2, domains=1)
+        world = SimulatedFleet(routers=3, agents=2, domains=1)
         for name in list(world.routers)[:2]:
             world.kill(name)
         world.run(15)
@@ -132,7 +132,7 @@
         self.assertEqual(2, len(left.members.service("case")))
 
     def test_an_agent_cut_off_from_its_router_reports_to_another(self):
-        world = World(routers=3, agents=1, domains=1)
+        world = SimulatedFleet(routers=3, agents=1, domains=1)
         current = world.agents["a1"]._heartbeat.router
         (name,) = [n for n, r in world.routers.items() if r.link_port == current.port]
         world.network.cut(world.owner(name), world.owner("a1"))
@@ -142,7 +142,7 @@
         self.assertTrue(world.agents["a1"]._heartbeat.has_recent_reply)
 
     def test_a_call_whose_refusal_was_lost_is_still_not_run_when_resumed(self):
-        world = World(routers=1, agents=1)
+        world = SimulatedFleet(routers=1, agents=1)
         world.subject = "refused"
         world.agents["a1"].core.drain()
 
@@ -155,7 +155,7 @@
         self.assertEqual(("not run", []), (story.outcome, world.faults()))
 
     def test_a_leaving_agent_hands_the_caches_of_its_chats_to_their_next_target(self):
-        world = World(routers=2, agents=3, service="chat")
+        world = SimulatedFleet(routers=2, agents=3, service="chat")
         world.submit("r1", "first", chat="c")
         world.run(3)
         (run,) = world.history.runs
@@ -172,7 +172,7 @@
 
     # Guards against calls that an agent sends to a target in its requested pause.
     def test_a_target_that_requests_a_pause_gets_no_calls_until_it_is_over(self):
-        world = World(routers=2, agents=2)
+        world = SimulatedFleet(routers=2, agents=2)
         for target in world.targets.values():
             target.mode = "rest"
         began = world.clock.seconds()
--- a/tests/process/test_seeded_bugs.py
+++ b/tests/process/test_seeded_bugs.py
@@ -25,7 +25,7 @@
 from primrosescale.version.head import HeadVerifier
 from support.cells import run_cell
 from support.faults import ANSWERS
-from support.world import World
+from support.world import SimulatedFleet
 
 
 class SeededBugsTest(TestCase):
@@ -69,7 +69,7 @@
             call.fail(Outcome.NOT_RUN, reason)
 
         with mock.patch.object(AgentCore, "_stop", stop):
-            world = World()
+            world = SimulatedFleet()
             for target in world.targets.values():
                 target.gap = 1.0
             world.submit("r1", "slow", timeout=2.0)
@@ -142,7 +142,7 @@
 
     def test_work_admitted_after_leaving(self):
         with mock.patch.object(AdmissionController, "drain", lambda admission: None):
-            world = World(agents=1)
+            world = SimulatedFleet(agents=1)
             world.stop_agent("a1")
             world.submit("r1", "late")
             world.run(5)
@@ -150,7 +150,7 @@
 
     def test_work_admitted_over_the_bound(self):
         with mock.patch.object(LoadBound, "admits", lambda *_: True):
-            world = World(agents=2)
+            world = SimulatedFleet(agents=2)
             for number in range(60):
                 world.submit("r1", f"c{number}", timeout=3.0)
             world.run(5)
@@ -171,7 +171,7 @@
 
     def test_a_version_that_reverts(self):
         with mock.patch.object(HeadVerifier, "is_newer", _any_other):
-            world = World()
+            world = SimulatedFleet()
             world.roll_out(2, "[organisation new]\nkey_hashes =\n")
             world.run(3)
             old = world.routers["r2"]
--- a/tests/request/test_admission.py
+++ b/tests/request/test_admission.py
@@ -174,7 +174,7 @@
         health = TargetHealth(HealthSettings(first_pause=1.0))
         for _ in range(6):
             health.failed(0.0)
-        self.assertTrue(health.is_closed)
+        self.assertTrue(health.is_tripped)
         self.assertFalse(health.admits(0.5))
         self.assertTrue(health.admits(1.1))
         self.assertFalse(health.admits(1.2))
@@ -196,7 +196,7 @@
             health.succeeded(number * 0.01)
             if number % 4 == 0:
                 health.failed(number * 0.01)
-        self.assertFalse(health.is_closed)
+        self.assertFalse(health.is_tripped)
 
 
 class RequestedPauseTest(TestCase):
--- a/tests/request/test_cold_targets.py
+++ b/tests/request/test_cold_targets.py
@@ -338,7 +338,7 @@
         state = TargetState(target("p1", "portal", warm_up_seconds=9.0), START)
         self.assertFalse(self.is_cold(state, START))
         self.assertEqual(0, self.router.cold.wait(state, START))
-        self.assertEqual([state], self.router.cold.open([state], START))
+        self.assertEqual([state], self.router.cold.select_available([state], START))
 
     def test_what_was_sent_while_it_was_warm_counts(self):
         router = Router("r0", names(1), START)
@@ -347,7 +347,7 @@
             router.cold.sent(state, START + 1.0)
         state.set_cold_for(3.0, START + 1.1)
         self.assertNotEqual(0, router.cold.wait(state, START + 1.2))
-        self.assertEqual([], router.cold.open([state], START + 1.2))
+        self.assertEqual([], router.cold.select_available([state], START + 1.2))
         self.assertEqual(0, router.cold.wait(state, START + 1.0 + WINDOW_SECONDS))
 
 
--- a/tests/request/test_target_statements.py
+++ b/tests/request/test_target_statements.py
@@ -33,7 +33,7 @@
     def __init__(self, routers):
         self.routers = [TargetSelfReports() for _ in range(routers)]
         for self_reports in self.routers:
-            self_reports.take(
+            self_reports.record_answer(
                 head(503, is_not_run=True, rest=PAUSE_SECONDS), SLOTS, START
             )
         # Times at which requests were sent.
@@ -51,7 +51,7 @@
             if now >= START + seconds:
                 return
             if what == "answer":
-                self_reports.take(head(), SLOTS, now)
+                self_reports.record_answer(head(), SLOTS, now)
                 continue
             if not self_reports.wait(now):
                 self_reports.sent(now)
@@ -108,7 +108,7 @@
         self.self_reports = TargetSelfReports()
 
     def request_pause(self, seconds, now=START):
-        return self.self_reports.take(
+        return self.self_reports.record_answer(
             head(503, is_not_run=True, rest=seconds), SLOTS, now
         )
 
@@ -119,11 +119,13 @@
         self.assertTrue(self.request_pause(1.0, START + 5))
 
     def test_leaving_is_new_once_and_is_final(self):
-        self.assertTrue(self.self_reports.take(head(is_leaving=True), SLOTS, START))
+        self.assertTrue(
+            self.self_reports.record_answer(head(is_leaving=True), SLOTS, START)
+        )
         self.assertFalse(
-            self.self_reports.take(head(is_leaving=True), SLOTS, START + 1)
+            self.self_reports.record_answer(head(is_leaving=True), SLOTS, START + 1)
         )
-        self.self_reports.take(head(), SLOTS, START + 2)
+        self.self_reports.record_answer(head(), SLOTS, START + 2)
         self.assertTrue(self.self_reports.is_leaving)
         self.assertEqual(START, self.self_reports.leaving_since)
 
@@ -139,14 +141,14 @@
     def test_a_declined_request_does_not_raise_the_limit(self):
         self.request_pause(1.0)
         self.self_reports.sent(START + 1)
-        self.self_reports.take(head(503, is_not_run=True), SLOTS, START + 1.1)
+        self.self_reports.record_answer(head(503, is_not_run=True), SLOTS, START + 1.1)
         self.assertTrue(self.self_reports.wait(START + 1.2) > 0)
 
     # Guards against raising the limit for answers to requests sent before the pause.
     def test_an_answer_during_a_pause_does_not_raise_the_limit(self):
         self.request_pause(1.0)
         for number in range(90):
-            self.self_reports.take(head(), SLOTS, START + number / 100)
+            self.self_reports.record_answer(head(), SLOTS, START + number / 100)
         self.assertTrue(self.self_reports.is_limited)
         self.self_reports.sent(START + 1)
         self.assertTrue(self.self_reports.wait(START + 1.1) > 0)
--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -9,8 +9,8 @@
 
 from primrosescale.platform import http_codec as names
 from primrosescale.standin.users_engine import EngineScript
-from primrosescale.standin.users_engine import UsersEngine
-from primrosescale.standin.users_store import UsersStore
+from primrosescale.standin.users_engine import ScriptedEngine
+from primrosescale.standin.users_store import ObjectPlatformStore
 from primrosescale.standin.users_store import foreign_entries
 from soak.fault_proxy import FaultProxy
 from soak.history import ColdPeriod
@@ -55,7 +55,7 @@
             echoes_request_id=True,
             on_arrival=self._record_request,
         )
-        self.engine = UsersEngine(self.script)
+        self.engine = ScriptedEngine(self.script)
         self._listen()
         self.replace_in_place()
 
@@ -247,7 +247,7 @@
 
     def __init__(self, portals, models, history, rng, on_harmful_run, *, is_cold=False):
         self._on_harmful_run = on_harmful_run
-        self.store = UsersStore(reactor)
+        self.store = ObjectPlatformStore(reactor)
         self._history = history
         self._rng = rng
         # Targets that are named only by entries of other writers.
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -493,7 +493,7 @@
             f"restart {variant}", f"life of {target.name}", RESTART_SECONDS
         )
         if variant == "while the store lags":
-            store.faults.is_deaf = True
+            store.faults.drops_watch_events = True
             self._record_disturbance(
                 "store lags", "store", step.duration / 2, store.catch_up
             )
--- a/tests/soak/test_backends.py
+++ b/tests/soak/test_backends.py
@@ -7,7 +7,7 @@
 from testtools import TestCase
 
 from primrosescale.platform import http_codec as names
-from primrosescale.standin.users_engine import Arrival
+from primrosescale.standin.users_engine import ReceivedRequest
 from soak.backends import Target
 from soak.history import History
 
@@ -29,7 +29,7 @@
         headers = {names.REQUEST_ID.lower(): b"r1"}
         if expected:
             headers[names.EXPECTED_INCARNATION.lower()] = expected.encode()
-        self.target._record_request(Arrival(b"POST", b"/plain/x", headers, b""))
+        self.target._record_request(ReceivedRequest(b"POST", b"/plain/x", headers, b""))
         return len(self.history.pause_requests)
 
     def test_it_asks_for_a_rest_of_requests_that_are_meant_for_it(self):
--- a/tests/standin/test_users_engine.py
+++ b/tests/standin/test_users_engine.py
@@ -11,17 +11,17 @@
 from twisted.python.failure import Failure
 
 from primrosescale.standin.users_engine import EngineScript
-from primrosescale.standin.users_engine import UsersEngine
+from primrosescale.standin.users_engine import ScriptedEngine
 
 FIRST_START = 1_790_000_000_000
 
 
-class UsersEngineTest(TestCase):
+class ScriptedEngineTest(TestCase):
     def setUp(self):
         super().setUp()
         self.clock = Clock()
         self.script = EngineScript(name="i-1", events=3, gap=0.1, health_path=b"/up")
-        self.engine = UsersEngine(self.script, self.clock)
+        self.engine = ScriptedEngine(self.script, self.clock)
 
     def ask(self, path, method=b"POST"):
         """Send a request on a connection of its own; return its transport."""
--- a/tests/standin/test_users_store.py
+++ b/tests/standin/test_users_store.py
@@ -9,9 +9,9 @@
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.task import deferLater
 
-from primrosescale.process.transport.http_call import HttpCaller
+from primrosescale.process.transport.http_call import HttpClient
+from primrosescale.standin.users_store import ObjectPlatformStore
 from primrosescale.standin.users_store import RawContent
-from primrosescale.standin.users_store import UsersStore
 from primrosescale.standin.users_store import foreign_entries
 from support.live import LiveTest
 
@@ -45,8 +45,8 @@
 class LaggingStoreTest(LiveTest):
     def setUp(self):
         super().setUp()
-        self.store = UsersStore()
-        self.caller = HttpCaller(reactor, self.serve(self.store), 2.0)
+        self.store = ObjectPlatformStore()
+        self.caller = HttpClient(reactor, self.serve(self.store), 2.0)
         self.addCleanup(self.caller.close)
         self.store.write("servers", "t1", ENTRY)
 
@@ -76,7 +76,7 @@
 
     @inlineCallbacks
     def test_watches_hear_late_of_what_came_while_it_lagged(self):
-        self.store.faults.is_deaf = True
+        self.store.faults.drops_watch_events = True
         found = []
         watching = self.read(f"{LIST}?watch=2&wait_ms=2000").addCallback(found.append)
         while not self.store.waiting("servers"):
--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from support.faults import FAULTS
-from support.world import World
+from support.world import SimulatedFleet
 
 STEPS = (
     "accept",
@@ -44,7 +44,7 @@
     injections : list
         Pairs of step and fault to inject there.
     """
-    world = World(service="case" if kind == "keyed" else "chat")
+    world = SimulatedFleet(service="case" if kind == "keyed" else "chat")
     world.subject = SUBJECT
     if any(step == "queue" for step, _ in injections):
         _occupy_slots(world)
--- a/tests/support/entry_site.py
+++ b/tests/support/entry_site.py
@@ -13,8 +13,8 @@
 
 from primrosescale.connection.endpoint import Endpoint
 from primrosescale.platform import records
-from primrosescale.platform.engine_calls import EngineCaches
-from primrosescale.platform.entry import PlatformRecords
+from primrosescale.platform.engine_calls import EngineCacheReader
+from primrosescale.platform.entry import PlatformRecordDecoder
 from primrosescale.platform.http_codec import PlatformCodec
 from primrosescale.platform.object_platform import ObjectPlatform
 from primrosescale.process.entry.entry_dependencies import EntryDependencies
@@ -172,12 +172,12 @@
         reactor=reactor,
         platform=ObjectPlatform(reactor, store, 0.5),
         codec=PlatformCodec(),
-        decoder=PlatformRecords(),
+        decoder=PlatformRecordDecoder(),
         log=log,
         writer=None,
         metrics=EntryMetrics(),
         rng=random.Random(1),
-        caches=caches or EngineCaches(reactor),
+        caches=caches or EngineCacheReader(reactor),
         read_settings=read_settings,
         listening_socket=listening_socket,
     )
--- a/tests/support/harm_fleet.py
+++ b/tests/support/harm_fleet.py
@@ -225,7 +225,7 @@
             settings=ForwardingSettings(),
             clock=self.fleet.clock,
             rng=self.fleet.rng,
-            caller=caller,
+            client=caller,
             chooser=self.chooser,
             parts=self.parts,
             states_of=self.targets.of_service,
--- a/tests/support/router_site.py
+++ b/tests/support/router_site.py
@@ -7,8 +7,8 @@
 from twisted.internet.task import deferLater
 
 from primrosescale.process.entry.entry_router import EntryRouter
-from primrosescale.standin.users_engine import UsersEngine
-from primrosescale.standin.users_store import UsersStore
+from primrosescale.standin.users_engine import ScriptedEngine
+from primrosescale.standin.users_store import ObjectPlatformStore
 from support.entry_site import LOOPBACK
 from support.entry_site import ask
 from support.entry_site import configuration
@@ -28,7 +28,7 @@
 
     def setUp(self):
         super().setUp()
-        self.store = UsersStore()
+        self.store = ObjectPlatformStore()
         self.store.write("config", "main", configuration())
         self.endpoint = self.serve(self.store)
         self.events = []
@@ -36,7 +36,7 @@
 
     def start_target(self, script, **fields):
         """Start a portal target, list it in the store and return its entry."""
-        port = reactor.listenTCP(0, UsersEngine(script), interface=LOOPBACK)
+        port = reactor.listenTCP(0, ScriptedEngine(script), interface=LOOPBACK)
         self.addCleanup(port.stopListening)
         address = f"{LOOPBACK}:{port.getHost().port}"
         entry = target_entry("portal", address, **fields)
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -15,11 +15,11 @@
 from primrosescale.connection.wire.ttypes import Outcome
 from primrosescale.process.configuration.section_sources import section_key
 from primrosescale.process.daemons.agent import Agent
-from primrosescale.process.daemons.daemon import Tools
+from primrosescale.process.daemons.daemon import DaemonContext
 from primrosescale.process.daemons.router import Router
 from primrosescale.process.daemons.router_control import HEAD_KEY
 from primrosescale.process.settings import read_settings
-from primrosescale.process.transport.engine_port import EnginePort
+from primrosescale.process.transport.engine_port import LocalEngineClient
 from primrosescale.request.agent_call import CallPhase
 from primrosescale.request.answer_sink import AnswerSink
 from primrosescale.request.call_request import CallRequest
@@ -117,7 +117,7 @@
         return FakePort(self.world.network, 0)
 
 
-class MemoryContext(Tools):
+class MemoryContext(DaemonContext):
     """A process context whose links and targets are in memory."""
 
     def __init__(self, settings, world, incarnation):
@@ -171,7 +171,7 @@
         self.is_paused = False
 
 
-class FakeTarget(EnginePort):
+class FakeTarget(LocalEngineClient):
     """A target that sends the answer of a call in pieces."""
 
     def __init__(self, world, name, pieces=8, gap=0.02):
@@ -296,7 +296,7 @@
         self._end("unknown", f"cut {failure.reason.name}")
 
 
-class World:
+class SimulatedFleet:
     """A simulated fleet and the history of its calls, runs and versions."""
 
     def __init__(self, routers=2, agents=3, service="case", domains=2, slots=4):
@@ -540,7 +540,7 @@
         """Return the calls of an agent whose callers still wait."""
         found = []
         for call in self.agents[name].core._calls.values():
-            story = self.attempts.get((call.name.router, call.name.number))
+            story = self.attempts.get((call.call_id.router, call.call_id.number))
             if story is not None and not story.ends:
                 found.append(story.name)
         return found
@@ -595,7 +595,9 @@
             is_idempotent=not key,
             version=view.version,
             traceparent="",
-            ledger=chosen.ledger_of(self.service, organisation, key) if key else "",
+            ledger=chosen.ledger_endpoint(self.service, organisation, key)
+            if key
+            else "",
             is_streamed=is_streamed,
         )
         self.reached("accept", name)
