--- a/benchmarks/choice_cost.py
+++ b/benchmarks/choice_cost.py
@@ -23,8 +23,8 @@
 from primrosescale.request.cold_targets import ColdTargets
 from primrosescale.request.incoming_request import Prompt
 from primrosescale.request.incoming_request import PromptPart
-from primrosescale.request.prefix_cache_index import PartUse
-from primrosescale.request.prefix_cache_index import PrefixCacheIndex
+from primrosescale.request.part_directory import PartUse
+from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.router_shares import RouterShares
 from primrosescale.request.serving_target import ServingTarget
 from primrosescale.request.target_availability import TargetAvailability
--- a/benchmarks/entry_news.py
+++ b/benchmarks/entry_news.py
@@ -14,7 +14,7 @@
 from primrosescale.request.freshness import Freshness
 from primrosescale.request.incoming_request import Prompt
 from primrosescale.request.incoming_request import PromptPart
-from primrosescale.request.prefix_cache_index import PrefixCacheIndex
+from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.serving_target import ServingTarget
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
--- a/src/primrosescale/console/commands/demo.py
+++ b/src/primrosescale/console/commands/demo.py
@@ -80,9 +80,9 @@
     def _run_demo(
         self, reactor: Any, result: list[ExitCode]
     ) -> Generator[Any, Any, None]:
+        from primrosescale.standin.demo_client import DemoClient  # noqa: PLC0415
         from primrosescale.standin.demo_run import DemoRun  # noqa: PLC0415
         from primrosescale.standin.deployment import Deployment  # noqa: PLC0415
-        from primrosescale.standin.http_caller import DemoClient  # noqa: PLC0415
 
         caller = DemoClient(reactor)
         deployment = Deployment(reactor)
@@ -98,8 +98,8 @@
     def _serve(self, reactor: Any, result: list[ExitCode]) -> Generator[Any, Any, None]:
         from twisted.internet.defer import Deferred  # noqa: PLC0415
 
+        from primrosescale.standin.demo_client import DemoClient  # noqa: PLC0415
         from primrosescale.standin.deployment import Deployment  # noqa: PLC0415
-        from primrosescale.standin.http_caller import DemoClient  # noqa: PLC0415
 
         caller = DemoClient(reactor)
         deployment = Deployment(reactor)
--- a/src/primrosescale/platform/engine_calls.py
+++ b/src/primrosescale/platform/engine_calls.py
@@ -11,7 +11,7 @@
 from primrosescale.process.entry.codec import CacheReader
 from primrosescale.process.entry.codec import EngineCacheContents
 from primrosescale.process.exceptions import TargetError
-from primrosescale.process.transport.http_call import HttpClient
+from primrosescale.process.transport.http_client import HttpClient
 from primrosescale.request.incoming_request import PromptPart
 
 if TYPE_CHECKING:
--- a/src/primrosescale/platform/object_platform.py
+++ b/src/primrosescale/platform/object_platform.py
@@ -23,7 +23,7 @@
 from primrosescale.process.exceptions import PlatformHistoryGoneError
 from primrosescale.process.exceptions import PlatformLimitError
 from primrosescale.process.exceptions import PlatformUnavailableError
-from primrosescale.process.transport.called_platform import BaseHttpPlatform
+from primrosescale.process.transport.base_http_platform import BaseHttpPlatform
 from primrosescale.process.transport.platform import MAX_VALUE_BYTES
 from primrosescale.process.transport.platform import MUST_NOT_EXIST
 from primrosescale.process.transport.platform import HostList
@@ -32,7 +32,7 @@
 if TYPE_CHECKING:
     from collections.abc import Generator
 
-    from primrosescale.process.transport.http_call import Reply
+    from primrosescale.process.transport.http_client import Reply
     from primrosescale.process.transport.platform import StoredObject
 
 
--- a/src/primrosescale/process/daemons/agent.py
+++ b/src/primrosescale/process/daemons/agent.py
@@ -49,7 +49,7 @@
     from primrosescale.process.daemons.engine_orders import DesiredEngineState
     from primrosescale.process.settings import AgentSettings
     from primrosescale.process.settings import Settings
-    from primrosescale.process.transport.engine_port import LocalEngineClient
+    from primrosescale.process.transport.local_engine_client import LocalEngineClient
     from primrosescale.process.transport.platform import Platform
     from primrosescale.request.agent_call import AgentCall
     from primrosescale.request.call_names import CallId
--- a/src/primrosescale/process/daemons/daemon.py
+++ b/src/primrosescale/process/daemons/daemon.py
@@ -35,7 +35,7 @@
     from primrosescale.connection.link import LinkSettings
     from primrosescale.connection.wire import ttypes as wire
     from primrosescale.process.settings import Settings
-    from primrosescale.process.transport.engine_port import LocalEngineClient
+    from primrosescale.process.transport.local_engine_client import LocalEngineClient
     from primrosescale.process.transport.tls import LinkTls
 
 
--- a/src/primrosescale/process/daemons/engine_orders.py
+++ b/src/primrosescale/process/daemons/engine_orders.py
@@ -32,7 +32,7 @@
     from collections.abc import Callable
     from collections.abc import Generator
 
-    from primrosescale.process.transport.engine_port import LocalEngineClient
+    from primrosescale.process.transport.local_engine_client import LocalEngineClient
     from primrosescale.process.transport.platform import Platform
     from primrosescale.process.transport.platform import StoredObject
     from primrosescale.version.view import VersionView
--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -52,7 +52,7 @@
 from primrosescale.request.forwarding_interfaces import Refusal
 from primrosescale.request.freshness import Freshness
 from primrosescale.request.harmful_requests import HarmfulRequests
-from primrosescale.request.prefix_cache_index import PrefixCacheIndex
+from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.request_resolver import RequestResolver
 from primrosescale.request.router_shares import RouterShares
 from primrosescale.request.shared_retry_budget import SharedRetryBudget
--- a/src/primrosescale/process/entry/state_exchange.py
+++ b/src/primrosescale/process/entry/state_exchange.py
@@ -23,7 +23,7 @@
 from primrosescale.process.entry.relay_topology import StateExchangeSettings
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.request.evacuations import EvacuationList
-from primrosescale.request.prefix_cache_index import PartUse
+from primrosescale.request.part_directory import PartUse
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -36,7 +36,7 @@
     from primrosescale.process.entry.target_list import TargetList
     from primrosescale.request.evacuations import Evacuations
     from primrosescale.request.freshness import Freshness
-    from primrosescale.request.prefix_cache_index import PrefixCacheIndex
+    from primrosescale.request.part_directory import PrefixCacheIndex
 
 # Bounds the datagram to a size that no link fragments.
 MAX_PARTS = 36
--- a/src/primrosescale/process/entry/target_restarts.py
+++ b/src/primrosescale/process/entry/target_restarts.py
@@ -13,7 +13,7 @@
     from primrosescale.process.entry.entry_dependencies import EntryDependencies
     from primrosescale.process.entry.target_list import IncarnationStart
     from primrosescale.request.forwarding_interfaces import TargetClient
-    from primrosescale.request.prefix_cache_index import PrefixCacheIndex
+    from primrosescale.request.part_directory import PrefixCacheIndex
     from primrosescale.request.target_incarnation import TargetIncarnation
 
 
--- a/src/primrosescale/process/transport/called_platform.py
+++ b/src/primrosescale/process/transport/base_http_platform.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 from typing import Any
 
-from primrosescale.process.transport.http_call import HttpClient
+from primrosescale.process.transport.http_client import HttpClient
 from primrosescale.process.transport.platform import Platform
 
 if TYPE_CHECKING:
--- a/src/primrosescale/process/transport/http_platform.py
+++ b/src/primrosescale/process/transport/http_platform.py
@@ -20,7 +20,7 @@
 from primrosescale.process.exceptions import PlatformUnavailableError
 from primrosescale.process.membership.members import AGENT_ROLE
 from primrosescale.process.membership.members import ROUTER_ROLE
-from primrosescale.process.transport.called_platform import BaseHttpPlatform
+from primrosescale.process.transport.base_http_platform import BaseHttpPlatform
 from primrosescale.process.transport.platform import MAX_VALUE_BYTES
 from primrosescale.process.transport.platform import MUST_NOT_EXIST
 from primrosescale.process.transport.platform import HostList
@@ -32,7 +32,7 @@
 
     from twisted.internet.defer import Deferred
 
-    from primrosescale.process.transport.http_call import Reply
+    from primrosescale.process.transport.http_client import Reply
 
 
 OK = 200
--- a/src/primrosescale/process/transport/http_target.py
+++ b/src/primrosescale/process/transport/http_target.py
@@ -24,8 +24,8 @@
 from primrosescale.connection.wire import ttypes as wire
 from primrosescale.connection.wire.ttypes import Outcome
 from primrosescale.process.exceptions import TargetError
-from primrosescale.process.transport.engine_port import LocalEngineClient
 from primrosescale.process.transport.http_bodies import body_producer
+from primrosescale.process.transport.local_engine_client import LocalEngineClient
 from primrosescale.request.local_target_client import TargetRun
 
 if TYPE_CHECKING:
--- a/src/primrosescale/request/forward_tools.py
+++ b/src/primrosescale/request/forward_tools.py
@@ -24,7 +24,7 @@
     from primrosescale.request.forwarding_interfaces import TargetClient
     from primrosescale.request.harm_monitor import HarmMonitor
     from primrosescale.request.incoming_request import IncomingRequest
-    from primrosescale.request.prefix_cache_index import PrefixCacheIndex
+    from primrosescale.request.part_directory import PrefixCacheIndex
     from primrosescale.request.shared_retry_budget import SharedRetryBudget
     from primrosescale.request.silent_target import SilenceReport
     from primrosescale.request.target_choice import ChoiceSettings
--- a/src/primrosescale/request/target_choice.py
+++ b/src/primrosescale/request/target_choice.py
@@ -36,7 +36,7 @@
     from random import Random
 
     from primrosescale.request.incoming_request import Prompt
-    from primrosescale.request.prefix_cache_index import PrefixCacheIndex
+    from primrosescale.request.part_directory import PrefixCacheIndex
     from primrosescale.request.target_incarnation import TargetIncarnation
     from primrosescale.request.target_state import TargetState
 
--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -27,9 +27,9 @@
 if TYPE_CHECKING:
     from collections.abc import Generator
 
+    from primrosescale.standin.demo_client import DemoClient
+    from primrosescale.standin.demo_client import Reply
     from primrosescale.standin.deployment import Deployment
-    from primrosescale.standin.http_caller import DemoClient
-    from primrosescale.standin.http_caller import Reply
 
 SEED = 7
 CHAT_COUNT = 120
--- a/src/primrosescale/standin/deployment.py
+++ b/src/primrosescale/standin/deployment.py
@@ -37,7 +37,7 @@
 if TYPE_CHECKING:
     from collections.abc import Generator
 
-    from primrosescale.standin.http_caller import DemoClient
+    from primrosescale.standin.demo_client import DemoClient
 
 LOOPBACK = "127.0.0.1"
 REGION = "riga"
--- a/tests/adapter/test_object_platform.py
+++ b/tests/adapter/test_object_platform.py
@@ -17,8 +17,8 @@
 from primrosescale.process.exceptions import PlatformHistoryGoneError
 from primrosescale.process.exceptions import PlatformLimitError
 from primrosescale.process.exceptions import PlatformUnavailableError
-from primrosescale.standin.users_store import ObjectPlatformStore
-from primrosescale.standin.users_store import StoreFault
+from primrosescale.standin.object_platform_store import ObjectPlatformStore
+from primrosescale.standin.object_platform_store import StoreFault
 from support.live import LiveTest
 
 TIMEOUT = 0.3
--- a/tests/adapter/test_store_answer.py
+++ b/tests/adapter/test_store_answer.py
@@ -16,7 +16,7 @@
 from primrosescale.platform.store_answer import answer_fields
 from primrosescale.platform.store_answer import stored_object
 from primrosescale.process.exceptions import PlatformUnavailableError
-from primrosescale.standin.users_store import ObjectPlatformStore
+from primrosescale.standin.object_platform_store import ObjectPlatformStore
 from support.drawn import drawn
 from support.foreign import DEEP
 from support.foreign import TARGET
--- a/tests/adapter/test_translation.py
+++ b/tests/adapter/test_translation.py
@@ -355,7 +355,11 @@
         r"internal_ports|cold_remaining_ms|current_rev|truncated|wait_ms|bounds|"
         r"config_apply_ms|revoke_ms|drain_ms|metadata|spec)\""
     )
-    ALLOWED = ("platform/", "standin/users_store.py", "standin/users_engine.py")
+    ALLOWED = (
+        "platform/",
+        "standin/object_platform_store.py",
+        "standin/scripted_engine.py",
+    )
 
     def test_nothing_outside_the_adapter_contains_wire_names(self):
         for path in SOURCE.rglob("*.py"):
--- a/tests/entry/fakes.py
+++ b/tests/entry/fakes.py
@@ -18,7 +18,7 @@
 from primrosescale.request.incoming_request import IncomingRequest
 from primrosescale.request.incoming_request import Prompt
 from primrosescale.request.incoming_request import PromptPart
-from primrosescale.request.prefix_cache_index import PrefixCacheIndex
+from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.serving_target import ServingTarget
 from primrosescale.request.shared_retry_budget import SharedRetryBudget
 from primrosescale.request.shared_retry_budget import SharedRetryLimits
--- a/tests/entry/test_asked_rest.py
+++ b/tests/entry/test_asked_rest.py
@@ -24,7 +24,7 @@
 from entry.fakes import head
 from entry.fakes import request
 from entry.fakes import target
-from primrosescale.standin.users_engine import EngineScript
+from primrosescale.standin.scripted_engine import EngineScript
 from support.router_site import LoopbackRouterTest
 
 # Seconds after the answer from which on requests in the pause are counted.
--- a/tests/entry/test_evacuations.py
+++ b/tests/entry/test_evacuations.py
@@ -38,10 +38,10 @@
 from primrosescale.request.evacuations import Evacuations
 from primrosescale.request.forwarding_interfaces import Refusal
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.prefix_cache_index import PartUse
-from primrosescale.request.prefix_cache_index import PrefixCacheIndex
+from primrosescale.request.part_directory import PartUse
+from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.target_choice import ChoiceSettings
-from primrosescale.standin.users_engine import EngineScript
+from primrosescale.standin.scripted_engine import EngineScript
 from support.entry_site import LOOPBACK
 from support.entry_site import router_watches
 from support.router_site import LoopbackRouterTest
--- a/tests/entry/test_harmful_requests.py
+++ b/tests/entry/test_harmful_requests.py
@@ -18,9 +18,9 @@
 from twisted.internet.task import deferLater
 
 from primrosescale.process.entry.entry_router import EntryRouter
-from primrosescale.standin.users_engine import EngineScript
-from primrosescale.standin.users_engine import ScriptedEngine
-from primrosescale.standin.users_store import ObjectPlatformStore
+from primrosescale.standin.object_platform_store import ObjectPlatformStore
+from primrosescale.standin.scripted_engine import EngineScript
+from primrosescale.standin.scripted_engine import ScriptedEngine
 from support.entry_site import LOOPBACK
 from support.entry_site import ask
 from support.entry_site import configuration
--- a/tests/entry/test_leaving_answers.py
+++ b/tests/entry/test_leaving_answers.py
@@ -34,8 +34,8 @@
 from primrosescale.process.events import EventLog
 from primrosescale.request.forwarding_interfaces import Refusal
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.prefix_cache_index import PrefixCacheIndex
-from primrosescale.standin.users_engine import EngineScript
+from primrosescale.request.part_directory import PrefixCacheIndex
+from primrosescale.standin.scripted_engine import EngineScript
 from support.entry_site import LOOPBACK
 from support.router_site import LoopbackRouterTest
 
--- a/tests/entry/test_prompt_homes.py
+++ b/tests/entry/test_prompt_homes.py
@@ -9,8 +9,8 @@
 from entry.fakes import START
 from entry.fakes import prompt
 from entry.fakes import target
-from primrosescale.request.prefix_cache_index import PartUse
-from primrosescale.request.prefix_cache_index import PrefixCacheIndex
+from primrosescale.request.part_directory import PartUse
+from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.prompt_homes import ESTABLISHED_SECONDS
 from primrosescale.request.prompt_homes import SETTLED_SECONDS
 from primrosescale.request.prompt_homes import established_home
--- a/tests/entry/test_restart.py
+++ b/tests/entry/test_restart.py
@@ -28,7 +28,7 @@
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.forwarding_interfaces import Refusal
 from primrosescale.request.freshness import Freshness
-from primrosescale.request.prefix_cache_index import PrefixCacheIndex
+from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
 from primrosescale.request.target_state import LoadReport
--- a/tests/entry/test_shrinking_fleet.py
+++ b/tests/entry/test_shrinking_fleet.py
@@ -18,7 +18,7 @@
 from entry.fakes import head
 from entry.fakes import target
 from primrosescale.process.entry.target_list import TargetList
-from primrosescale.request.prefix_cache_index import PrefixCacheIndex
+from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
 from support.router_fleet import SERVICE
--- a/tests/entry/test_stale_loads.py
+++ b/tests/entry/test_stale_loads.py
@@ -11,7 +11,7 @@
 from entry.fakes import START
 from entry.fakes import prompt
 from entry.fakes import target
-from primrosescale.request.prefix_cache_index import PrefixCacheIndex
+from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.target_choice import ChoiceSettings
 from primrosescale.request.target_choice import TargetChooser
 from primrosescale.request.target_state import LoadReport
--- a/tests/process/test_callers.py
+++ b/tests/process/test_callers.py
@@ -14,12 +14,12 @@
 from twisted.internet.endpoints import connectProtocol
 from twisted.internet.protocol import Protocol
 
+from primrosescale.standin.demo_client import DemoClient
 from primrosescale.standin.deployment import APPROVER_KEY
 from primrosescale.standin.deployment import AUTHOR_KEY
 from primrosescale.standin.deployment import MODEL
 from primrosescale.standin.deployment import Deployment
 from primrosescale.standin.deployment import organisation_key
-from primrosescale.standin.http_caller import DemoClient
 from primrosescale.version.head import sign
 from support.live import TIMEOUT
 from support.live import DeploymentRunTest
--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -8,10 +8,10 @@
 from twisted.web.server import Site
 
 from primrosescale.platform import http_codec as names
-from primrosescale.standin.users_engine import EngineScript
-from primrosescale.standin.users_engine import ScriptedEngine
-from primrosescale.standin.users_store import ObjectPlatformStore
-from primrosescale.standin.users_store import foreign_entries
+from primrosescale.standin.object_platform_store import ObjectPlatformStore
+from primrosescale.standin.object_platform_store import foreign_entries
+from primrosescale.standin.scripted_engine import EngineScript
+from primrosescale.standin.scripted_engine import ScriptedEngine
 from soak.fault_proxy import FaultProxy
 from soak.history import ColdPeriod
 from soak.history import Delivery
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -26,8 +26,8 @@
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.task import deferLater
 
-from primrosescale.standin.users_engine import EngineFault
-from primrosescale.standin.users_store import StoreFault
+from primrosescale.standin.object_platform_store import StoreFault
+from primrosescale.standin.scripted_engine import EngineFault
 from soak import promises
 from soak import schedule
 from soak.backends import COLD_SECONDS
--- a/tests/soak/test_backends.py
+++ b/tests/soak/test_backends.py
@@ -7,7 +7,7 @@
 from testtools import TestCase
 
 from primrosescale.platform import http_codec as names
-from primrosescale.standin.users_engine import ReceivedRequest
+from primrosescale.standin.scripted_engine import ReceivedRequest
 from soak.backends import Target
 from soak.history import History
 
--- a/tests/standin/test_users_engine.py
+++ b/tests/standin/test_users_engine.py
@@ -10,8 +10,8 @@
 from twisted.internet.testing import StringTransport
 from twisted.python.failure import Failure
 
-from primrosescale.standin.users_engine import EngineScript
-from primrosescale.standin.users_engine import ScriptedEngine
+from primrosescale.standin.scripted_engine import EngineScript
+from primrosescale.standin.scripted_engine import ScriptedEngine
 
 FIRST_START = 1_790_000_000_000
 
--- a/tests/standin/test_users_store.py
+++ b/tests/standin/test_users_store.py
@@ -9,10 +9,10 @@
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.task import deferLater
 
-from primrosescale.process.transport.http_call import HttpClient
-from primrosescale.standin.users_store import ObjectPlatformStore
-from primrosescale.standin.users_store import RawContent
-from primrosescale.standin.users_store import foreign_entries
+from primrosescale.process.transport.http_client import HttpClient
+from primrosescale.standin.object_platform_store import ObjectPlatformStore
+from primrosescale.standin.object_platform_store import RawContent
+from primrosescale.standin.object_platform_store import foreign_entries
 from support.live import LiveTest
 
 ENTRY = {
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -19,7 +19,7 @@
 from primrosescale.process.daemons.router import Router
 from primrosescale.process.daemons.router_control import HEAD_KEY
 from primrosescale.process.settings import read_settings
-from primrosescale.process.transport.engine_port import LocalEngineClient
+from primrosescale.process.transport.local_engine_client import LocalEngineClient
 from primrosescale.request.agent_call import CallPhase
 from primrosescale.request.answer_sink import AnswerSink
 from primrosescale.request.call_request import CallRequest
