--- a/benchmarks/entry_news.py
+++ b/benchmarks/entry_news.py
@@ -57,12 +57,14 @@
         self.rng = random.Random(5)
         self.targets = TargetList(2.0)
         self.parts = PrefixCacheIndex()
-        self.news = StateExchange("r0", 1, self.targets, self.parts, Freshness(5.0))
+        self.state_exchange = StateExchange(
+            "r0", 1, self.targets, self.parts, Freshness(5.0)
+        )
         for number in range(TARGETS):
             self.targets.put(make_target(number, FIRST_STARTED_AT + number), START_TIME)
         for number in range(1, routers):
             endpoint = Endpoint("127.0.0.1", 7000 + number)
-            self.news.put(PeerRouter(f"r{number}", endpoint), START_TIME)
+            self.state_exchange.put(PeerRouter(f"r{number}", endpoint), START_TIME)
 
     def send_requests(self, now):
         for state in self.targets.states:
@@ -92,11 +94,13 @@
     router = Router(routers)
     total = 0
     for number in range(ROUNDS):
-        now = START_TIME + number * router.news.interval
+        now = START_TIME + number * router.state_exchange.interval
         router.send_requests(now)
         if number == ROUNDS // 2:
             router.restart(restarts, now)
-        total += sum(len(encode(message)) for _, message in router.news.compose(1, now))
+        total += sum(
+            len(encode(message)) for _, message in router.state_exchange.compose(1, now)
+        )
         router.finish_requests()
     return total / ROUNDS
 
--- a/src/primrosescale/console/commands/demo.py
+++ b/src/primrosescale/console/commands/demo.py
@@ -84,11 +84,11 @@
         from primrosescale.standin.demo_run import DemoRun  # noqa: PLC0415
         from primrosescale.standin.deployment import Deployment  # noqa: PLC0415
 
-        caller = DemoClient(reactor)
+        client = DemoClient(reactor)
         deployment = Deployment(reactor)
-        yield deployment.start(caller)
-        summary = yield DemoRun(deployment, caller, reactor).run()
-        yield caller.close()
+        yield deployment.start(client)
+        summary = yield DemoRun(deployment, client, reactor).run()
+        yield client.close()
         yield deployment.stop()
         sys.stdout.write(summary.text() + "\n")
         broken = bool(summary.broken)
@@ -101,9 +101,9 @@
         from primrosescale.standin.demo_client import DemoClient  # noqa: PLC0415
         from primrosescale.standin.deployment import Deployment  # noqa: PLC0415
 
-        caller = DemoClient(reactor)
+        client = DemoClient(reactor)
         deployment = Deployment(reactor)
-        yield deployment.start(caller)
+        yield deployment.start(client)
         sys.stdout.write(_usage_examples(deployment))
         sys.stdout.flush()
         stopping: Deferred[None] = Deferred()
--- a/src/primrosescale/platform/engine_calls.py
+++ b/src/primrosescale/platform/engine_calls.py
@@ -51,11 +51,11 @@
     @inlineCallbacks
     def read(self, target: ServingTarget) -> Generator[Any, Any, EngineCacheContents]:
         """Read the cache contents of one engine; see `CacheReader.read`."""
-        caller = HttpClient(self._reactor, target.endpoint, TIMEOUT_SECONDS)
+        client = HttpClient(self._reactor, target.endpoint, TIMEOUT_SECONDS)
         try:
-            reply = yield caller.call("GET", CACHE_LIST_PATH)
+            reply = yield client.call("GET", CACHE_LIST_PATH)
         finally:
-            caller.close()
+            client.close()
         if reply.status != OK:
             raise TargetError(f"status {reply.status}")
         try:
--- a/src/primrosescale/platform/object_platform.py
+++ b/src/primrosescale/platform/object_platform.py
@@ -59,7 +59,7 @@
     @inlineCallbacks
     def get(self, key: str) -> Generator[Any, Any, StoredObject | None]:
         """Read an object; see `Platform.get`."""
-        reply = yield self._caller.call("GET", _path(key))
+        reply = yield self._client.call("GET", _path(key))
         if reply.status == NOT_FOUND:
             return None
         _require_status(reply, OK)
@@ -76,7 +76,7 @@
             meta["revision"] = expected
             method, path = "PUT", _path(key)
         body = json.dumps({"metadata": meta, "spec": _spec(value)}).encode()
-        reply = yield self._caller.call(method, path, body, JSON_TYPE)
+        reply = yield self._client.call(method, path, body, JSON_TYPE)
         if reply.status == CONFLICT:
             raise PlatformConflictError(key, _revision(reply))
         if reply.status == NOT_FOUND:
@@ -89,7 +89,7 @@
     @inlineCallbacks
     def delete(self, key: str) -> Generator[Any, Any, None]:
         """Delete an object; see `Platform.delete`."""
-        reply = yield self._caller.call("DELETE", _path(key), b"")
+        reply = yield self._client.call("DELETE", _path(key), b"")
         if reply.status != NOT_FOUND:
             _require_status(reply, OK, NO_CONTENT)
 
@@ -118,7 +118,7 @@
         kind = _kind(prefix)
         query = urlencode({"watch": since, "wait_ms": int(wait * 1000)})
         path = f"{BASE}{quote(kind)}?{query}"
-        reply = yield self._caller.call("GET", path, extra=wait)
+        reply = yield self._client.call("GET", path, extra=wait)
         if reply.status == HISTORY_GONE:
             raise PlatformHistoryGoneError(prefix, since)
         _require_status(reply, OK)
@@ -163,7 +163,7 @@
         revision: int | None = None
         for _ in range(MAX_PAGES):
             query = f"?{_query(after=after)}" if after else ""
-            reply = yield self._caller.call("GET", f"{BASE}{quote(kind)}{query}")
+            reply = yield self._client.call("GET", f"{BASE}{quote(kind)}{query}")
             _require_status(reply, OK)
             fields = answer_fields(reply.body)
             page = [stored_object(kind, item) for item in list_member(fields, "items")]
--- a/src/primrosescale/platform/store_answer.py
+++ b/src/primrosescale/platform/store_answer.py
@@ -1,4 +1,4 @@
-"""Decodes answers of the users' store so that a malformed object affects no other.
+"""Decodes answers of the object store so that a malformed object affects no other.
 
 Anyone may have written the objects of the store. An object that is nested too
 deeply for the parser, contains invalid UTF-8, or a number of thousands of digits
--- a/src/primrosescale/process/entry/harm_watch.py
+++ b/src/primrosescale/process/entry/harm_watch.py
@@ -63,7 +63,7 @@
     ----------
     requests : HarmfulRequests
         Evaluates the reports of all routers.
-    news : HarmReportExchange
+    report_exchange : HarmReportExchange
         Exchanges reports with peer routers.
     targets : TargetList
         The known targets and their states.
@@ -78,21 +78,21 @@
     def __init__(
         self,
         requests: HarmfulRequests,
-        news: HarmReportExchange,
+        report_exchange: HarmReportExchange,
         targets: TargetList,
         target_client: TargetClient,
         parts: EntryDependencies,
         send_soon: Callable[[], None],
     ) -> None:
         self._requests = requests
-        self._report_exchange = news
+        self._report_exchange = report_exchange
         self._targets = targets
         self._target_client = target_client
         self._reactor: Any = parts.reactor
         self._log = parts.log
         self._metrics = parts.metrics
         self._send_soon = send_soon
-        news.on_end = self._on_peer_end
+        report_exchange.on_end = self._on_peer_end
         self._lost_answers = LostAnswers()
         self._unconfirmed_answers = UnconfirmedAnswers()
         self._confirmation_timer: Timer | None = None
--- a/src/primrosescale/process/entry/store_state.py
+++ b/src/primrosescale/process/entry/store_state.py
@@ -87,11 +87,11 @@
 
     def __init__(
         self,
-        knowledge: StoreState,
+        store_state: StoreState,
         connection: StoreConnection,
         prefix: str,
     ) -> None:
-        self._store_state = knowledge
+        self._store_state = store_state
         self._connection = connection
         self._prefix = prefix
 
--- a/src/primrosescale/process/transport/base_http_platform.py
+++ b/src/primrosescale/process/transport/base_http_platform.py
@@ -28,12 +28,12 @@
     """
 
     def __init__(self, reactor: Any, endpoint: Endpoint, timeout: float) -> None:
-        self._caller = HttpClient(reactor, endpoint, timeout)
+        self._client = HttpClient(reactor, endpoint, timeout)
 
     @property
     def calls(self) -> int:
         """Return the number of calls made."""
-        return self._caller.calls
+        return self._client.calls
 
     def close(self) -> Deferred[None]:
         """Close idle connections.
@@ -43,4 +43,4 @@
         Deferred[None]
             Fires when they are closed.
         """
-        return self._caller.close()
+        return self._client.close()
--- a/src/primrosescale/process/transport/http_platform.py
+++ b/src/primrosescale/process/transport/http_platform.py
@@ -154,7 +154,7 @@
         headers: Headers | None = None,
         extra: float = 0.0,
     ) -> Deferred[Reply]:
-        return self._caller.call(method, "/v1" + path, body, headers, extra)
+        return self._client.call(method, "/v1" + path, body, headers, extra)
 
 
 def host_from_fields(fields: Any) -> HostEntry:
--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -148,17 +148,17 @@
     ----------
     deployment : Deployment
         The deployment that is called.
-    caller : DemoClient
+    client : DemoClient
         Makes the calls.
     reactor : Any
         Twisted's reactor.
     """
 
     def __init__(
-        self, deployment: Deployment, caller: DemoClient, reactor: Any
+        self, deployment: Deployment, client: DemoClient, reactor: Any
     ) -> None:
         self._deployment = deployment
-        self._caller = caller
+        self._client = client
         self._reactor = reactor
         self._rng = random.Random(SEED)  # noqa: S311 - a load, not a secret
         self._summary = Summary()
@@ -257,7 +257,7 @@
             router = self._rng.choice(self._deployment.routers)
             url = f"http://{LOOPBACK}:{router.http_port}{path}"
             self._summary.requests += 1
-            reply = yield self._caller.call("POST", url, sent, body)
+            reply = yield self._client.call("POST", url, sent, body)
             if reply.status not in RETRY_STATUSES:
                 break
             kind = str(reply.json().get("type", "")).rpartition(":")[2]
--- a/src/primrosescale/standin/deployment.py
+++ b/src/primrosescale/standin/deployment.py
@@ -152,12 +152,12 @@
         return self._runs
 
     @inlineCallbacks
-    def start(self, caller: DemoClient) -> Generator[Any, Any, None]:
+    def start(self, client: DemoClient) -> Generator[Any, Any, None]:
         """Start all processes and roll out the first bundle.
 
         Parameters
         ----------
-        caller : DemoClient
+        client : DemoClient
             Client for the operators' calls.
 
         Returns
@@ -173,7 +173,7 @@
             yield self.start_target(f"engine-{number + 1}", MODEL_SERVICE, number)
         for number in range(PORTAL_COUNT):
             yield self.start_target(f"portal-{number + 1}", PLAIN_SERVICE, number)
-        yield self.roll_out(caller, self.bundle_text())
+        yield self.roll_out(client, self.bundle_text())
         yield self.settle(1)
 
     @inlineCallbacks
@@ -282,12 +282,12 @@
         self._store.foreign_hosts = entries
 
     @inlineCallbacks
-    def roll_out(self, caller: DemoClient, text: str) -> Generator[Any, Any, int]:
+    def roll_out(self, client: DemoClient, text: str) -> Generator[Any, Any, int]:
         """Create, sign and roll out a bundle through the admin API.
 
         Parameters
         ----------
-        caller : DemoClient
+        client : DemoClient
             Client for the calls.
         text : str
             The bundle's INI text.
@@ -298,13 +298,13 @@
             The bundle's version.
         """
         base = f"http://{LOOPBACK}:{self._routers[0].admin_port}/admin/v1"
-        created = yield caller.json("POST", f"{base}/bundles", AUTHOR_KEY, text)
+        created = yield client.json("POST", f"{base}/bundles", AUTHOR_KEY, text)
         digest = str(created["digest"])
         signature = sign(digest, self._signing.private_bytes_raw())
         body = {"signature": signature.hex()}
         url = f"{base}/bundles/{digest}/sign-off"
-        yield caller.json("PUT", url, APPROVER_KEY, body)
-        yield caller.json("POST", f"{base}/head", AUTHOR_KEY, {"digest": digest})
+        yield client.json("PUT", url, APPROVER_KEY, body)
+        yield client.json("POST", f"{base}/head", AUTHOR_KEY, {"digest": digest})
         return int(created["version"])
 
     @inlineCallbacks
--- a/src/primrosescale/standin/object_platform_store.py
+++ b/src/primrosescale/standin/object_platform_store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the users' object store, with its faults.
+"""A stand-in for the platform's object store, with its faults.
 
 It is the server for the client in ``platform/object_platform.py``; only this module
 and the ``platform`` package contain the store's field names.
--- a/tests/adapter/test_object_platform.py
+++ b/tests/adapter/test_object_platform.py
@@ -1,4 +1,4 @@
-"""`ObjectPlatform` against a stand-in of the users' store, with each of its faults."""
+"""`ObjectPlatform` against a stand-in for the object store, with each of its faults."""
 
 from __future__ import annotations
 
--- a/tests/entry/test_cache_shares.py
+++ b/tests/entry/test_cache_shares.py
@@ -131,7 +131,7 @@
         router = self.fleet.routers[4]
         for other in self.fleet.routers:
             if other is not router:
-                other.news.remove(router.name)
+                other.state_exchange.remove(router.name)
         self.restart(router)
         self.fleet.run(MAX_WAIT_SECONDS)
         self.assertGreater(self.known_share(router), 0.95)
--- a/tests/entry/test_evacuations.py
+++ b/tests/entry/test_evacuations.py
@@ -245,7 +245,7 @@
     def __init__(self, name, others, settings=None, domain="x"):
         self.name = name
         self.evacuations = Evacuations(lambda *_: None)
-        self.news = StateExchange(
+        self.state_exchange = StateExchange(
             name,
             1,
             TargetList(2.0),
@@ -257,7 +257,7 @@
         )
         for number, other in enumerate(others):
             endpoint = Endpoint(LOOPBACK, 7000 + number)
-            self.news.put(PeerRouter(other, endpoint, "x"), START)
+            self.state_exchange.put(PeerRouter(other, endpoint, "x"), START)
 
 
 class EvacuationNewsTest(TestCase):
@@ -274,10 +274,10 @@
             sent = [
                 (router.name, message)
                 for side in sides.values()
-                for router, message in side.news.compose(1, at)
+                for router, message in side.state_exchange.compose(1, at)
             ]
             for name, message in sent:
-                sides[name].news.receive(decode(encode(message)), 1, at)
+                sides[name].state_exchange.receive(decode(encode(message)), 1, at)
 
     def test_an_evacuation_and_its_end_are_passed_on(self):
         sides = self.sides(4)
@@ -303,7 +303,7 @@
             "r1", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0)
         )
         unaware.put(PeerRouter("r0", Endpoint(LOOPBACK, 1), "x"), START)
-        [(_, message)] = sides["r0"].news.compose(1, START)
+        [(_, message)] = sides["r0"].state_exchange.compose(1, START)
         self.assertTrue(unaware.receive(decode(encode(message)), 1, START))
         [(_, message)] = unaware.compose(1, START)
         self.assertIsNone(message.evacuated_revision)
--- a/tests/entry/test_foreign_entries.py
+++ b/tests/entry/test_foreign_entries.py
@@ -334,7 +334,7 @@
             targets=WatchedPrefix("servers/", 8.0),
             routers=WatchedPrefix("routers/", 20.0),
         )
-        self.knowledge = StoreState(
+        self.store_state = StoreState(
             SimpleNamespace(revoke=5.0, drain=2.0),
             watches,
             parts,
@@ -348,7 +348,7 @@
     def receive(self, fields, version, name="main"):
         value = json.dumps(fields).encode()
         stored = StoredObject(f"config/{name}", version, value)
-        self.knowledge._handler.replaced((stored,), 0.0)
+        self.store_state._handler.replaced((stored,), 0.0)
 
     def test_an_unreadable_version_is_logged_once_per_change(self):
         for _ in range(5):
@@ -357,17 +357,17 @@
         self.assertEqual(
             ("main", "version"), (details["configuration"], details["field"])
         )
-        self.assertTrue(self.knowledge.is_behind)
-        self.assertEqual(7, self.knowledge.table.version)
+        self.assertTrue(self.store_state.is_behind)
+        self.assertEqual(7, self.store_state.table.version)
         self.receive({**CONFIGURATION, "version": 9}, 3)
-        self.assertFalse(self.knowledge.is_behind)
-        self.assertEqual(9, self.knowledge.table.version)
+        self.assertFalse(self.store_state.is_behind)
+        self.assertEqual(9, self.store_state.table.version)
 
     def test_an_object_with_a_longer_name_is_no_configuration(self):
         self.receive({**CONFIGURATION, "version": 99}, 2, name="main-of-another")
         self.receive({"version": "odd"}, 3, name="maintenance")
-        self.assertEqual(7, self.knowledge.table.version)
-        self.assertFalse(self.knowledge.is_behind)
+        self.assertEqual(7, self.store_state.table.version)
+        self.assertFalse(self.store_state.is_behind)
 
 
 class RoutersTest(TestCase):
@@ -376,7 +376,7 @@
         self.clock = Clock()
         self.log = Log()
         self.announced = []
-        self.news = StateExchange(
+        self.state_exchange = StateExchange(
             "r-0", 1, TargetList(2.0), PrefixCacheIndex(), Freshness(5.0)
         )
         parts = SimpleNamespace(
@@ -389,7 +389,7 @@
         settings = SimpleNamespace(
             name="r-0", domain="a", links=Endpoint("127.0.0.1", 1)
         )
-        self.registry = RouterRegistry(settings, 1, self.news, parts)
+        self.registry = RouterRegistry(settings, 1, self.state_exchange, parts)
         self.receive("r-1", ROUTER)
 
     def announce(self, listed):
@@ -405,13 +405,17 @@
         for _ in range(3):
             self.receive("r-2", {**ROUTER, "port": 99_999})
         self.receive("r-3", ROUTER)
-        self.assertEqual(["r-1", "r-3"], [router.name for router in self.news.others])
+        self.assertEqual(
+            ["r-1", "r-3"], [router.name for router in self.state_exchange.others]
+        )
         [details] = self.log.of(Event.ROUTER_REFUSED)
         self.assertEqual(("r-2", "port"), (details["router"], details["field"]))
 
     def test_a_router_whose_entry_becomes_unreadable_still_counts(self):
         self.receive("r-1", {**ROUTER, "port": "7340"}, 2)
-        self.assertEqual(["r-1"], [router.name for router in self.news.others])
+        self.assertEqual(
+            ["r-1"], [router.name for router in self.state_exchange.others]
+        )
         unreadable = StoredObject("routers/r-1", 2, b"\xff")
         self.registry.replaced((unreadable,), 0.0)
         self.assertEqual(2, self.registry.routers)
@@ -437,8 +441,8 @@
         for name, value in unreadable:
             self.receive(name, value)
         self.receive("r-9", ROUTER)
-        self.assertIn("r-9", [router.name for router in self.news.others])
-        for router in self.news.others:
+        self.assertIn("r-9", [router.name for router in self.state_exchange.others])
+        for router in self.state_exchange.others:
             self.assertTrue(0 < router.endpoint.port < 65536)
 
 
--- a/tests/entry/test_harm_fleet.py
+++ b/tests/entry/test_harm_fleet.py
@@ -65,7 +65,7 @@
     def test_routers_that_hear_of_each_other_by_relays(self):
         for seed in range(2):
             fleet = self.fleet(18, 10, 50.0, seed, settings=RELAYED_SETTINGS)
-            self.assertTrue(fleet.routers[0].news.is_relayed)
+            self.assertTrue(fleet.routers[0].state_exchange.is_relayed)
             self.check_after(fleet, self.harm(fleet, 2, 2.0), 30)
 
     def check_after(self, fleet, names, seconds):
--- a/tests/entry/test_harm_watch.py
+++ b/tests/entry/test_harm_watch.py
@@ -72,12 +72,17 @@
         for name in NAMES:
             self.targets.put(target(name), START)
         self.requests = HarmfulRequests(HarmSettings())
-        self.news = HarmReportExchange(self.requests, self.log)
+        self.exchange = HarmReportExchange(self.requests, self.log)
         parts = SimpleNamespace(
             reactor=self.clock, log=self.log, metrics=EntryMetrics()
         )
         self.watch = EntryHarmMonitor(
-            self.requests, self.news, self.targets, self.caller, parts, self.send_soon
+            self.requests,
+            self.exchange,
+            self.targets,
+            self.caller,
+            parts,
+            self.send_soon,
         )
         self.request = request(body=b"some content")
 
@@ -293,7 +298,7 @@
     def setUp(self):
         super().setUp()
         self.log = Log()
-        self.news = self.new()
+        self.exchange = self.new()
 
     def new(self):
         return HarmReportExchange(HarmfulRequests(HarmSettings()), self.log)
@@ -315,38 +320,38 @@
         )
 
     def test_each_end_is_sent_a_fixed_number_of_times(self):
-        self.assertTrue(self.news.record(TargetEnd(1, 7, START), START))
-        self.assertFalse(self.news.record(TargetEnd(1, 7, START), START))
-        self.assertTrue(self.news.is_urgent)
-        sent = [self.news.ends(START + 0.25 * turn) for turn in range(6)]
+        self.assertTrue(self.exchange.record(TargetEnd(1, 7, START), START))
+        self.assertFalse(self.exchange.record(TargetEnd(1, 7, START), START))
+        self.assertTrue(self.exchange.is_urgent)
+        sent = [self.exchange.ends(START + 0.25 * turn) for turn in range(6)]
         self.assertEqual(SENDS_PER_REPORT, sum(map(len, sent)))
         self.assertEqual([0, 250, 500], [e.age_ms for each in sent for e in each])
-        self.assertFalse(self.news.is_urgent)
+        self.assertFalse(self.exchange.is_urgent)
 
     def test_messages_stay_small_and_the_newest_goes_first(self):
         for number in range(100):
-            self.news.record(TargetEnd(number, 7, START), START)
-        sent = self.news.ends(START)
+            self.exchange.record(TargetEnd(number, 7, START), START)
+        sent = self.exchange.ends(START)
         self.assertEqual(MAX_REPORTS_PER_MESSAGE, len(sent))
         self.assertEqual(99, sent[0].fingerprint)
 
     def test_received_ends_are_applied(self):
         for number in (7, 8, 9):
-            self.news.record(TargetEnd(1, number, START), START)
+            self.exchange.record(TargetEnd(1, number, START), START)
         other = self.new()
-        other.receive(self.message(self.news.ends(START)), {}, START)
+        other.receive(self.message(self.exchange.ends(START)), {}, START)
         self.assertEqual([1], other._requests.held(START))
         self.assertEqual("r2", self.log.of(Event.REQUEST_HELD_BACK)[-1]["told_by"])
 
     def test_held_back_requests_are_sent_repeatedly(self):
         for number in (7, 8, 9):
-            self.news.record(TargetEnd(1, number, START), START)
+            self.exchange.record(TargetEnd(1, number, START), START)
         other = self.new()
         later = START + 60
-        held = self.news.held(later)
+        held = self.exchange.held(later)
         self.assertLessEqual(len(held), MAX_HELD_PER_MESSAGE)
-        self.assertEqual([], self.news.held(later + HELD_INTERVAL_SECONDS / 2))
-        self.assertNotEqual([], self.news.held(later + HELD_INTERVAL_SECONDS))
+        self.assertEqual([], self.exchange.held(later + HELD_INTERVAL_SECONDS / 2))
+        self.assertNotEqual([], self.exchange.held(later + HELD_INTERVAL_SECONDS))
         other.receive(self.message(held=held), {}, later)
         self.assertEqual([1], other._requests.held(later))
 
@@ -354,17 +359,17 @@
         other = self.new()
         # Each of these ends is also explained by another request.
         for number in (7, 8, 9, 10):
-            for each in (self.news, other):
+            for each in (self.exchange, other):
                 each.record(TargetEnd(2, number, START), START)
                 if number < 10:
                     each.record(TargetEnd(1, number, START), START)
         held_for = other._requests.held_for
         self.assertEqual(0.0, held_for(1, START))
-        self.news.record(SuspectTrial(1, START), START)
-        other.receive(self.message(self.news.ends(START)[:1]), {}, START)
+        self.exchange.record(SuspectTrial(1, START), START)
+        other.receive(self.message(self.exchange.ends(START)[:1]), {}, START)
         self.assertEqual(TRIAL_SECONDS, held_for(1, START))
         self.assertEqual(0.0, held_for(1, START + TRIAL_SECONDS))
-        self.assertFalse(self.news.record(SuspectTrial(3, START), START))
+        self.assertFalse(self.exchange.record(SuspectTrial(3, START), START))
 
     def test_an_end_is_ignored_if_the_target_sent_data_since(self):
         targets = TargetList(2.0)
@@ -374,10 +379,10 @@
         states = {key: state}
         state.bytes_received(START + 10)
         sent = wire.EndNews(1, 1000, key)
-        self.news.receive(self.message([sent]), states, START + 10)
-        self.assertEqual(0, self.news._requests.ends_under(1))
-        self.news.receive(self.message([sent]), states, START + 12)
-        self.assertEqual(1, self.news._requests.ends_under(1))
+        self.exchange.receive(self.message([sent]), states, START + 10)
+        self.assertEqual(0, self.exchange._requests.ends_under(1))
+        self.exchange.receive(self.message([sent]), states, START + 12)
+        self.assertEqual(1, self.exchange._requests.ends_under(1))
 
     def test_a_router_that_answered_the_request_reports_it_after_an_end(self):
         answered = self.new()
@@ -385,14 +390,14 @@
         end = TargetEnd(1, 7, START)
         answered.receive(self.message([wire.EndNews(1, 0, 7)]), {}, START)
         sent = answered.ends(START)
-        self.news.record(end, START)
-        self.news.receive(self.message(sent), {}, START)
+        self.exchange.record(end, START)
+        self.exchange.receive(self.message(sent), {}, START)
         self.assertEqual(
-            CompleteAnswer(1, START - 5), self.news._requests.last_answer(1)
+            CompleteAnswer(1, START - 5), self.exchange._requests.last_answer(1)
         )
         for number in (8, 9):
-            self.news.record(TargetEnd(1, number, START), START)
-        self.assertEqual([], self.news._requests.held(START))
+            self.exchange.record(TargetEnd(1, number, START), START)
+        self.assertEqual([], self.exchange._requests.held(START))
 
 
 class StubHarmMonitor(HarmMonitor):
--- a/tests/entry/test_knowledge.py
+++ b/tests/entry/test_knowledge.py
@@ -78,7 +78,7 @@
             targets=WatchedPrefix("targets/", 8.0, rest=REST),
             routers=WatchedPrefix("routers/", 20.0),
         )
-        self.knowledge = StoreState(
+        self.store_state = StoreState(
             SimpleNamespace(revoke=5.0, drain=2.0),
             watches,
             parts,
@@ -87,7 +87,7 @@
             IgnoringHandler(),
             lambda: True,
         )
-        self.knowledge.start(lambda: None)
+        self.store_state.start(lambda: None)
         self.store.reads.clear()
 
     def make_store(self):
@@ -95,8 +95,8 @@
 
     def pass_time(self, seconds, version=0, listed=0):
         for _ in range(int(seconds / TICK)):
-            self.knowledge.freshness.answered(self.clock.seconds())
-            self.knowledge.poll_if_stale(version, listed, self.clock.seconds())
+            self.store_state.freshness.answered(self.clock.seconds())
+            self.store_state.poll_if_stale(version, listed, self.clock.seconds())
             self.clock.advance(TICK)
 
 
@@ -118,7 +118,7 @@
         self.assertEqual((1, 2), (before, after))
 
     def test_requests_that_fail_after_the_stop_are_not_logged(self):
-        self.knowledge.stop()
+        self.store_state.stop()
         for _, asked in self.store.watches:
             asked.errback(PlatformUnavailableError("connection lost"))
         self.clock.advance(60.0)
@@ -126,7 +126,7 @@
         self.assertEqual(3, len(self.store.watches))
 
     def test_a_renewed_request_is_not_logged_as_failed(self):
-        self.knowledge.renew_watches()
+        self.store_state.renew_watches()
         self.assertEqual([], self.events)
         self.assertEqual(6, len(self.store.watches))
 
@@ -166,7 +166,7 @@
 
     def pass_outage(self, seconds):
         for _ in range(int(seconds / TICK)):
-            self.knowledge.poll_if_stale(1, 0, self.clock.seconds())
+            self.store_state.poll_if_stale(1, 0, self.clock.seconds())
             self.clock.advance(TICK)
 
     def test_one_watch_polls_on_behalf_of_all(self):
--- a/tests/entry/test_leaving_answers.py
+++ b/tests/entry/test_leaving_answers.py
@@ -126,7 +126,7 @@
         log = EventLog(name)
         log.emit = lambda event, **fields: self.events.append((event, fields))
         self.leaving_exchange = LeavingTargetExchange(self.targets, log)
-        self.news = StateExchange(
+        self.state_exchange = StateExchange(
             name,
             1,
             self.targets,
@@ -138,7 +138,7 @@
         )
         for number, other in enumerate(names):
             endpoint = Endpoint(LOOPBACK, 7000 + number)
-            self.news.put(PeerRouter(other, endpoint, "x"), START)
+            self.state_exchange.put(PeerRouter(other, endpoint, "x"), START)
 
     def receive_leaving(self, name, now=START):
         """Process an answer in which a target announces that it leaves."""
@@ -169,11 +169,13 @@
                 (router.name, message)
                 for name, side in routers_by_name.items()
                 if name not in lost
-                for router, message in side.news.compose(1, at)
+                for router, message in side.state_exchange.compose(1, at)
             ]
             for name, message in sent:
                 if name in routers_by_name:
-                    routers_by_name[name].news.receive(decode(encode(message)), 1, at)
+                    routers_by_name[name].state_exchange.receive(
+                        decode(encode(message)), 1, at
+                    )
 
     # Guards against requests of routers to which the leaving target has sent no answer.
     def test_all_routers_learn_of_it_in_time(self):
@@ -216,7 +218,7 @@
         routers_by_name = self.routers_by_name(2)
         routers_by_name["r0"].receive_leaving("m3")
         routers_by_name["r0"].targets.put(target("m3", is_draining=True), START)
-        [(_, message)] = routers_by_name["r0"].news.compose(1, START)
+        [(_, message)] = routers_by_name["r0"].state_exchange.compose(1, START)
         self.assertIsNone(message.leaving)
 
     # Guards against messages that grow with the fleet.
@@ -226,9 +228,11 @@
         )
         for number in range(200):
             routers_by_name["r0"].receive_leaving(f"m{number}", START + number / 100)
-        [(_, message)] = routers_by_name["r0"].news.compose(1, START + 3)
+        [(_, message)] = routers_by_name["r0"].state_exchange.compose(1, START + 3)
         self.assertEqual(40, len(message.leaving))
-        routers_by_name["r1"].news.receive(decode(encode(message)), 1, START + 3)
+        routers_by_name["r1"].state_exchange.receive(
+            decode(encode(message)), 1, START + 3
+        )
         self.assertIn("m199", routers_by_name["r1"].leaving)
 
 
--- a/tests/entry/test_news_relays.py
+++ b/tests/entry/test_news_relays.py
@@ -50,7 +50,7 @@
 
     def relays(self, domain):
         ranks = {
-            router.news.relay_rank(self.now()): router
+            router.state_exchange.relay_rank(self.now()): router
             for router in self.fleet.routers
             if router.domain == domain and router.is_up
         }
@@ -73,7 +73,9 @@
         self.fleet.run(1.0)
         for router in self.fleet.routers:
             self.assertEqual(ROUTERS / 2, self.seen(router), router.name)
-            self.assertEqual(ROUTERS - 1, router.news.recent_peers(self.now()))
+            self.assertEqual(
+                ROUTERS - 1, router.state_exchange.recent_peers(self.now())
+            )
 
     def test_requests_that_ended_are_not_counted(self):
         first = self.fleet.routers[0]
@@ -107,7 +109,7 @@
         member.parts.record_own_request(
             incarnation, wanted, self.now(), is_expected=True
         )
-        self.assertFalse(member.news.is_urgent)
+        self.assertFalse(member.state_exchange.is_urgent)
         self.fleet.run(1.0)
         self.assertEqual(
             0, self.fleet.routers[1].parts.held(incarnation, wanted, self.now())
@@ -189,18 +191,18 @@
         self.send(alone)
         self.fleet.run(3.0)
         self.assertEqual(1.0, self.seen(alone))
-        self.assertGreater(alone.news.age(self.now()), STALE_LOAD_SECONDS)
-        self.assertEqual(0, alone.news.recent_peers(self.now()))
-        self.assertTrue(alone.news.polls_store(self.now()))
+        self.assertGreater(alone.state_exchange.age(self.now()), STALE_LOAD_SECONDS)
+        self.assertEqual(0, alone.state_exchange.recent_peers(self.now()))
+        self.assertTrue(alone.state_exchange.polls_store(self.now()))
 
     def test_loads_stay_recent_for_all_others_meanwhile(self):
         self.fleet.lose(self.relays("domain-0")[0])
         self.fleet.run(TAKEOVER_SECONDS)
-        ages = [r.news.age(self.now()) for r in self.fleet.routers if r.is_up]
+        ages = [r.state_exchange.age(self.now()) for r in self.fleet.routers if r.is_up]
         # Two intervals more, while the last update of the lost relay is still valid.
         self.assertLess(max(ages), SETTINGS.keep + 4 * SETTINGS.interval)
         self.fleet.run(SETTINGS.keep)
-        ages = [r.news.age(self.now()) for r in self.fleet.routers if r.is_up]
+        ages = [r.state_exchange.age(self.now()) for r in self.fleet.routers if r.is_up]
         self.assertLess(max(ages), 0.5)
 
     def test_a_new_relay_considers_no_router_gone(self):
@@ -209,19 +211,19 @@
             self.fleet.lose(lost)
         self.fleet.run(2 * TAKEOVER_SECONDS)
         for router in self.members("domain-0"):
-            self.assertEqual([], router.news.silent_routers(self.now()))
+            self.assertEqual([], router.state_exchange.silent_routers(self.now()))
 
     def test_a_router_that_is_gone_is_noticed_by_its_domain_s_first_relay(self):
         [gone, *_] = self.members("domain-0")
         self.fleet.lose(gone)
         self.fleet.run(SILENT_REMOVAL_SECONDS + 1)
         first, second = self.relays("domain-0")
-        self.assertEqual([gone.name], first.news.silent_routers(self.now()))
-        self.assertEqual([], second.news.silent_routers(self.now()))
+        self.assertEqual([gone.name], first.state_exchange.silent_routers(self.now()))
+        self.assertEqual([], second.state_exchange.silent_routers(self.now()))
 
     def test_a_round_that_fails_is_not_the_last(self):
         [member, *_] = self.members("domain-0")
-        compose, failed = member.news.compose, []
+        compose, failed = member.state_exchange.compose, []
 
         def fail_once(*arguments, **fields):
             if not failed:
@@ -229,7 +231,7 @@
                 raise ZeroDivisionError
             return compose(*arguments, **fields)
 
-        member.news.compose = fail_once
+        member.state_exchange.compose = fail_once
         self.assertRaises(ZeroDivisionError, self.fleet.run, 1.0)
         self.send(member)
         self.fleet.run(1.0)
@@ -265,7 +267,7 @@
         for _ in range(20):
             message.sequence += 1
             for other in self.fleet.routers[1:]:
-                other.news.receive(decode(encode(message)), 1, self.now())
+                other.state_exchange.receive(decode(encode(message)), 1, self.now())
             self.fleet.run(0.15)
         for router in self.fleet.routers[1:]:
             self.assertEqual(1.0, self.seen(router), router.name)
@@ -274,7 +276,7 @@
         relay = self.relays("domain-0")[0]
         self.send(self.members("domain-0")[0])
         self.fleet.run(1.0)
-        for _, message in relay.news.compose(1, self.now()):
+        for _, message in relay.state_exchange.compose(1, self.now()):
             if message.scope != NewsScope.ROUTER and message.running is not None:
                 self.assertEqual([], [i for i in message.targets if i.running])
 
--- a/tests/entry/test_restart.py
+++ b/tests/entry/test_restart.py
@@ -258,11 +258,13 @@
     def __init__(self, name, started_at):
         self.targets = TargetList(2.0)
         self.parts = PrefixCacheIndex()
-        self.news = StateExchange(name, 1, self.targets, self.parts, Freshness(5.0))
+        self.state_exchange = StateExchange(
+            name, 1, self.targets, self.parts, Freshness(5.0)
+        )
         self.put_target(started_at)
         for number, other in enumerate(("a", "b")):
             endpoint = Endpoint("127.0.0.1", 7000 + number)
-            self.news.put(PeerRouter(other, endpoint), START)
+            self.state_exchange.put(PeerRouter(other, endpoint), START)
 
     def put_target(self, started_at):
         self.targets.put(target("m1", started_at=started_at), START)
@@ -285,8 +287,8 @@
         )
 
     def send_update(self, other):
-        [(_, message)] = self.news.compose(1, START)
-        other.news.receive(decode(encode(message)), 1, START)
+        [(_, message)] = self.state_exchange.compose(1, START)
+        other.state_exchange.receive(decode(encode(message)), 1, START)
 
 
 class PeerUpdateTest(TestCase):
@@ -327,7 +329,7 @@
         for started_at in (None, FIRST):
             side = PeerSetup("a", started_at)
             side.make_reports()
-            [(_, message)] = side.news.compose(1, START)
+            [(_, message)] = side.state_exchange.compose(1, START)
             sizes.append(len(encode(message)))
         # A 32-bit hash takes up to 5 bytes, and each is sent twice here.
         self.assertAlmostEqual(sizes[0], sizes[1], delta=2)
--- a/tests/entry/test_router_news.py
+++ b/tests/entry/test_router_news.py
@@ -30,7 +30,7 @@
         self.targets = TargetList(2.0)
         self.parts = PrefixCacheIndex()
         self.fresh = Freshness(5.0)
-        self.news = StateExchange(
+        self.state_exchange = StateExchange(
             name,
             incarnation,
             self.targets,
@@ -44,10 +44,12 @@
     def knows(self, *names, domains=1):
         for number, name in enumerate(names):
             endpoint = Endpoint("127.0.0.1", 7000 + number)
-            self.news.put(PeerRouter(name, endpoint, str(number % domains)), START)
+            self.state_exchange.put(
+                PeerRouter(name, endpoint, str(number % domains)), START
+            )
 
     def message(self, version=1, now=START):
-        [(_, message)] = self.news.compose(version, now)
+        [(_, message)] = self.state_exchange.compose(version, now)
         return decode(encode(message))
 
 
@@ -62,7 +64,7 @@
         self.a.targets.state("m1").sent(START)
         parts = prompt(("tariffs", 9000), ("chat", 10)).parts
         self.a.parts.record_own_request(make_incarnation("m3"), parts, START)
-        self.assertTrue(self.b.news.receive(self.a.message(), 1, START))
+        self.assertTrue(self.b.state_exchange.receive(self.a.message(), 1, START))
         self.assertEqual(1.0, self.b.targets.state("m1").load(START))
         self.assertEqual(9000, self.b.parts.held(make_incarnation("m3"), parts, START))
 
@@ -74,72 +76,72 @@
         for _ in range(2):
             self.a.targets.state("x80").sent(START)
         self.a.targets.state("x79").failed(START)
-        self.b.news.receive(self.a.message(), 1, START)
+        self.b.state_exchange.receive(self.a.message(), 1, START)
         self.assertEqual(2.0, self.b.targets.state("x80").load(START))
         self.assertGreater(self.b.targets.state("x79").failure_share(START), 0)
 
     def test_outdated_updates_and_unlisted_routers_are_ignored(self):
         first, second = self.a.message(), self.a.message()
-        self.assertTrue(self.b.news.receive(second, 1, START))
-        self.assertFalse(self.b.news.receive(first, 1, START))
+        self.assertTrue(self.b.state_exchange.receive(second, 1, START))
+        self.assertFalse(self.b.state_exchange.receive(first, 1, START))
         stranger = ExchangingRouter("c")
         stranger.knows("b")
-        self.assertFalse(self.b.news.receive(stranger.message(), 1, START))
+        self.assertFalse(self.b.state_exchange.receive(stranger.message(), 1, START))
 
     def test_updates_of_a_former_incarnation_are_ignored(self):
         before = self.a.message()
         again = ExchangingRouter("a", incarnation=2)
         again.knows("b")
-        self.assertTrue(self.b.news.receive(again.message(), 1, START))
-        self.assertFalse(self.b.news.receive(before, 1, START))
+        self.assertTrue(self.b.state_exchange.receive(again.message(), 1, START))
+        self.assertFalse(self.b.state_exchange.receive(before, 1, START))
 
     def test_another_router_s_request_to_the_store_counts_after_a_reply(self):
         self.a.fresh.answered(START - 10)
         self.b.fresh.answered(START - 1)
-        self.b.news.receive(self.a.message(now=START), 1, START)
-        self.a.news.receive(self.b.message(now=START + 0.1), 1, START + 9)
+        self.b.state_exchange.receive(self.a.message(now=START), 1, START)
+        self.a.state_exchange.receive(self.b.message(now=START + 0.1), 1, START + 9)
         # b's age was 1.1 s when it replied, and it replied after START.
         self.assertAlmostEqual(10.1, self.a.fresh.age(START + 9))
 
     def test_without_a_reply_it_counts_for_nothing(self):
         self.a.fresh.answered(START - 10)
         self.b.fresh.answered(START - 1)
-        self.a.news.receive(self.b.message(), 1, START)
+        self.a.state_exchange.receive(self.b.message(), 1, START)
         self.assertAlmostEqual(10.0, self.a.fresh.age(START))
 
     def test_another_version_proves_nothing(self):
         self.a.fresh.answered(START - 10)
         self.b.fresh.answered(START - 1)
-        self.b.news.receive(self.a.message(version=1), 2, START)
-        self.a.news.receive(self.b.message(version=2), 1, START)
+        self.b.state_exchange.receive(self.a.message(version=1), 2, START)
+        self.a.state_exchange.receive(self.b.message(version=2), 1, START)
         self.assertAlmostEqual(10.0, self.a.fresh.age(START))
 
     def test_a_router_without_the_store_knows_whether_others_reach_it(self):
-        self.assertFalse(self.a.news.peers_reach_store(START))
-        self.a.news.receive(self.b.message(version=2), 1, START)
-        self.assertTrue(self.a.news.peers_reach_store(START))
+        self.assertFalse(self.a.state_exchange.peers_reach_store(START))
+        self.a.state_exchange.receive(self.b.message(version=2), 1, START)
+        self.assertTrue(self.a.state_exchange.peers_reach_store(START))
 
     def test_an_outage_that_all_routers_see_is_not_one_router_s(self):
-        [(_, message)] = self.b.news.compose(1, START, is_store_lost=True)
-        self.a.news.receive(message, 1, START)
-        self.assertFalse(self.a.news.peers_reach_store(START))
+        [(_, message)] = self.b.state_exchange.compose(1, START, is_store_lost=True)
+        self.a.state_exchange.receive(message, 1, START)
+        self.assertFalse(self.a.state_exchange.peers_reach_store(START))
 
     def test_a_router_that_receives_no_more_updates_is_cut_off(self):
-        [(_, message)] = self.b.news.compose(1, START, is_store_lost=True)
-        self.a.news.receive(message, 1, START)
-        self.assertTrue(self.a.news.peers_reach_store(START + 4))
+        [(_, message)] = self.b.state_exchange.compose(1, START, is_store_lost=True)
+        self.a.state_exchange.receive(message, 1, START)
+        self.assertTrue(self.a.state_exchange.peers_reach_store(START + 4))
 
     def test_outcomes_of_a_router_whose_requests_fail_everywhere_are_ignored(self):
         for number in range(1, 6):
             self.a.targets.state(f"m{number}").failed(START)
-        self.b.news.receive(self.a.message(), 1, START)
+        self.b.state_exchange.receive(self.a.message(), 1, START)
         self.assertEqual(0.0, self.b.targets.state("m1").failure_share(START))
 
     def test_a_target_that_only_this_router_cannot_reach_stays_good_for_others(self):
         for number in range(1, 6):
             self.a.targets.state(f"m{number}").succeeded(START)
         self.a.targets.state("m1").unreachable(START)
-        self.b.news.receive(self.a.message(), 1, START)
+        self.b.state_exchange.receive(self.a.message(), 1, START)
         self.assertEqual(0.0, self.b.targets.state("m1").failure_share(START))
 
     def test_a_datagram_is_not_fragmented(self):
@@ -159,30 +161,35 @@
         for side in routers_by_name.values():
             side.knows(*names)
         for side in routers_by_name.values():
-            for router, message in side.news.compose(1, START):
-                routers_by_name[router.name].news.receive(
+            for router, message in side.state_exchange.compose(1, START):
+                routers_by_name[router.name].state_exchange.receive(
                     decode(encode(message)), 1, START
                 )
         polling = [
-            n for n, side in routers_by_name.items() if side.news.polls_store(START)
+            n
+            for n, side in routers_by_name.items()
+            if side.state_exchange.polls_store(START)
         ]
         self.assertEqual(4, len(polling))
         # When no updates of these arrive any more, every router polls.
         self.assertTrue(
-            all(s.news.polls_store(START + 9) for s in routers_by_name.values())
+            all(
+                s.state_exchange.polls_store(START + 9)
+                for s in routers_by_name.values()
+            )
         )
 
     def test_a_newer_version_of_another_router_is_noticed(self):
-        self.b.news.receive(self.a.message(version=7), 3, START)
-        self.assertEqual(7, self.b.news.newest_version(START))
-        self.assertEqual(0, self.b.news.newest_version(START + 9))
+        self.b.state_exchange.receive(self.a.message(version=7), 3, START)
+        self.assertEqual(7, self.b.state_exchange.newest_version(START))
+        self.assertEqual(0, self.b.state_exchange.newest_version(START + 9))
 
     def test_silent_routers_are_reported_unless_all_are_silent(self):
         self.a.knows("a", "b", "c")
-        self.assertEqual([], self.a.news.silent_routers(START + 100))
-        self.a.news.receive(self.b.message(), 1, START + 100)
-        self.assertEqual(["c"], self.a.news.silent_routers(START + 100))
-        self.assertEqual([], self.a.news.silent_routers(START + 59))
+        self.assertEqual([], self.a.state_exchange.silent_routers(START + 100))
+        self.a.state_exchange.receive(self.b.message(), 1, START + 100)
+        self.assertEqual(["c"], self.a.state_exchange.silent_routers(START + 100))
+        self.assertEqual([], self.a.state_exchange.silent_routers(START + 59))
 
     def test_load_missing_from_an_update_is_removed(self):
         for number in range(1, 81):
@@ -191,32 +198,36 @@
         for number in range(1, 81):
             self.a.targets.state(f"x{number}").succeeded(START)
         self.a.targets.state("x80").sent(START)
-        self.b.news.receive(self.a.message(), 1, START)
+        self.b.state_exchange.receive(self.a.message(), 1, START)
         self.a.targets.state("x80").ended()
         for number in range(1, 51):
             self.a.targets.state(f"x{number}").sent(START)
-        self.b.news.receive(self.a.message(), 1, START)
+        self.b.state_exchange.receive(self.a.message(), 1, START)
         self.assertEqual(0.0, self.b.targets.state("x80").load(START))
 
     def test_many_routers_get_updates_less_often(self):
         direct = ExchangingRouter("a", settings=StateExchangeSettings(most_direct=1000))
         direct.knows("a", "b")
-        self.assertEqual(0.25, direct.news.interval)
+        self.assertEqual(0.25, direct.state_exchange.interval)
         direct.knows(*(f"r{number}" for number in range(420)))
-        sent = (len(direct.news.others)) * TYPICAL_DATAGRAM_BYTES / direct.news.interval
-        self.assertTrue(len(direct.news.others) >= 420)
+        sent = (
+            (len(direct.state_exchange.others))
+            * TYPICAL_DATAGRAM_BYTES
+            / direct.state_exchange.interval
+        )
+        self.assertTrue(len(direct.state_exchange.others) >= 420)
         self.assertAlmostEqual(DIRECT_BYTES_PER_SECOND, sent)
 
     def test_updates_to_many_routers_stay_within_the_bytes_allowed(self):
-        self.assertEqual(0.25, self.a.news.interval)
+        self.assertEqual(0.25, self.a.state_exchange.interval)
         self.a.targets.state("m1").sent(START)
         names = [f"r{number}" for number in range(420)]
         self.a.knows(*names, domains=8)
-        self.assertTrue(len(self.a.news.others) >= 420)
-        messages = self.a.news.compose(1, START)
+        self.assertTrue(len(self.a.state_exchange.others) >= 420)
+        messages = self.a.state_exchange.compose(1, START)
         sent = sum(len(encode(message)) for _, message in messages)
-        self.assertLess(sent / self.a.news.interval, DIRECT_BYTES_PER_SECOND)
-        self.assertLess(3 * self.a.news.interval, 0.8)
+        self.assertLess(sent / self.a.state_exchange.interval, DIRECT_BYTES_PER_SECOND)
+        self.assertLess(3 * self.a.state_exchange.interval, 0.8)
 
 
 class FormerTest(TestCase):
@@ -224,12 +235,12 @@
         side = ExchangingRouter("a")
         count = MAX_FORMER_ROUTERS + 1
         side.knows(*(f"r{number}" for number in range(count)))
-        self.assertEqual("r0", side.news.find("r0").name)
+        self.assertEqual("r0", side.state_exchange.find("r0").name)
         for number in range(count):
-            side.news.remove(f"r{number}")
-        self.assertIsNone(side.news.find("r0"))
-        self.assertEqual("r1", side.news.find("r1").name)
-        self.assertEqual([], side.news.others)
+            side.state_exchange.remove(f"r{number}")
+        self.assertIsNone(side.state_exchange.find("r0"))
+        self.assertEqual("r1", side.state_exchange.find("r1").name)
+        self.assertEqual([], side.state_exchange.others)
 
 
 class OutcomesTest(TestCase):
@@ -249,12 +260,12 @@
 
     def exchange_updates(self):
         for side in self.routers_by_name:
-            _, message = side.news.compose(1, START)[0]
+            _, message = side.state_exchange.compose(1, START)[0]
             frame = encode(message)
             self.assertLess(len(frame), MAX_DATAGRAM_BYTES)
             for other in self.routers_by_name:
                 if other is not side:
-                    other.news.receive(decode(frame), 1, START)
+                    other.state_exchange.receive(decode(frame), 1, START)
 
     def share(self, name):
         return self.routers_by_name[0].targets.state(name).failure_share(START)
--- a/tests/entry/test_rules_of_knowledge.py
+++ b/tests/entry/test_rules_of_knowledge.py
@@ -70,11 +70,11 @@
         super().setUp()
         self.fresh = Freshness(5.0)
         self.fresh.answered(START)
-        self.gate = RequestResolver(self.fresh, 2.0, random.Random(1))
+        self.resolver = RequestResolver(self.fresh, 2.0, random.Random(1))
 
     def resolve(self, now=START + 1, known=None, **fields):
         known = table() if known is None else known
-        return self.gate.resolve(caller_head(**fields), b"", known, now)
+        return self.resolver.resolve(caller_head(**fields), b"", known, now)
 
     def test_a_proper_request_is_accepted(self):
         found = self.resolve()
@@ -115,7 +115,7 @@
         self.assertEqual("", found.organisation)
 
     def test_requests_before_the_first_configuration_are_refused(self):
-        found = self.gate.resolve(caller_head(), b"", None, START)
+        found = self.resolver.resolve(caller_head(), b"", None, START)
         self.assertEqual(Refusal.NO_CONFIGURATION, found)
 
     def test_a_request_without_an_id_is_refused(self):
--- a/tests/standin/test_users_engine.py
+++ b/tests/standin/test_users_engine.py
@@ -1,4 +1,4 @@
-"""Tests of restarts and silences of the stand-in for the users' engines."""
+"""Tests of restarts and silences of the scripted stand-in engine."""
 
 from __future__ import annotations
 
--- a/tests/support/harm_fleet.py
+++ b/tests/support/harm_fleet.py
@@ -188,13 +188,13 @@
 class HarmRouter(FleetRouter):
     """A router with all parts that decide about its requests."""
 
-    def _build_news(self, incarnation):
+    def _build_state_exchange(self, incarnation):
         self.events = self.fleet.events
         log = SimpleNamespace(
             emit=lambda event, **said: self.events.append((self.name, event, said))
         )
         self.requests = HarmfulRequests(self.fleet.harm_settings)
-        self.harm_news = HarmReportExchange(self.requests, log)
+        self.harm_exchange = HarmReportExchange(self.requests, log)
         self._watch_parts = SimpleNamespace(
             reactor=self.fleet.clock, log=log, metrics=EntryMetrics()
         )
@@ -206,7 +206,7 @@
             self.freshness,
             self.domain,
             self.fleet.settings,
-            self.harm_news,
+            self.harm_exchange,
         )
 
     def begin(self, incarnation):
@@ -214,7 +214,7 @@
         caller = VirtualCaller(self.fleet)
         self.harm = EntryHarmMonitor(
             self.requests,
-            self.harm_news,
+            self.harm_exchange,
             self.targets,
             caller,
             self._watch_parts,
--- a/tests/support/router_fleet.py
+++ b/tests/support/router_fleet.py
@@ -203,16 +203,16 @@
         self.parts = PrefixCacheIndex()
         self.freshness = Freshness(5.0)
         self.router_shares = RouterShares(self.name)
-        self.news = self._build_news(incarnation)
+        self.state_exchange = self._build_state_exchange(incarnation)
         self.shares = CacheOwnership(
             self.name,
             self.targets,
             self.parts,
-            lambda: self.news.others,
-            self.news.find,
+            lambda: self.state_exchange.others,
+            self.state_exchange.find,
         )
         self.exchange = StateExchangeProtocol(
-            self.news,
+            self.state_exchange,
             lambda: 1,
             lambda: False,
             lambda: 0,
@@ -224,13 +224,13 @@
             ChoiceSettings(),
             self.parts,
             random.Random(f"{self.number} {incarnation}"),
-            lambda: self.news.age(clock.seconds()),
-            lambda: self.news.is_relayed,
+            lambda: self.state_exchange.age(clock.seconds()),
+            lambda: self.state_exchange.is_relayed,
             recently_delisted=self.targets.recently_delisted,
             own_share=self.router_shares.own_permits,
         )
 
-    def _build_news(self, incarnation):
+    def _build_state_exchange(self, incarnation):
         return StateExchange(
             self.name,
             incarnation,
@@ -296,7 +296,7 @@
     def set_routers(self, router):
         now = self.clock.seconds()
         for other in self.routers:
-            router.news.put(other.as_listed(), now)
+            router.state_exchange.put(other.as_listed(), now)
         names = frozenset(other.name for other in self.routers)
         router.router_shares.set_routers(names, now, was_listed=True)
 
@@ -380,7 +380,7 @@
             return
         now = self.clock.seconds()
         if self.is_settled:
-            self.ages.append(router.news.age(now))
+            self.ages.append(router.state_exchange.age(now))
         kind, wanted = self._draw()
         choice = router.chooser.choose(
             router.targets.of_service(SERVICE), (), wanted, now
