--- a/src/primrosescale/console/commands/demo.py
+++ b/src/primrosescale/console/commands/demo.py
@@ -80,15 +80,15 @@
     def _run_demo(
         self, reactor: Any, result: list[ExitCode]
     ) -> Generator[Any, Any, None]:
+        from primrosescale.standin.demo_client import DemoClient  # noqa: PLC0415
         from primrosescale.standin.demo_run import DemoRun  # noqa: PLC0415
         from primrosescale.standin.deployment import Deployment  # noqa: PLC0415
-        from primrosescale.standin.http_caller import HttpCaller  # noqa: PLC0415
 
-        caller = HttpCaller(reactor)
+        client = DemoClient(reactor)
         deployment = Deployment(reactor)
-        yield deployment.start(caller)
-        summary = yield DemoRun(deployment, caller, reactor).run()
-        yield caller.close()
+        yield deployment.start(client)
+        summary = yield DemoRun(deployment, client, reactor).run()
+        yield client.close()
         yield deployment.stop()
         sys.stdout.write(summary.text() + "\n")
         broken = bool(summary.broken)
@@ -98,12 +98,12 @@
     def _serve(self, reactor: Any, result: list[ExitCode]) -> Generator[Any, Any, None]:
         from twisted.internet.defer import Deferred  # noqa: PLC0415
 
+        from primrosescale.standin.demo_client import DemoClient  # noqa: PLC0415
         from primrosescale.standin.deployment import Deployment  # noqa: PLC0415
-        from primrosescale.standin.http_caller import HttpCaller  # noqa: PLC0415
 
-        caller = HttpCaller(reactor)
+        client = DemoClient(reactor)
         deployment = Deployment(reactor)
-        yield deployment.start(caller)
+        yield deployment.start(client)
         sys.stdout.write(_usage_examples(deployment))
         sys.stdout.flush()
         stopping: Deferred[None] = Deferred()
--- a/src/primrosescale/platform/object_platform.py
+++ b/src/primrosescale/platform/object_platform.py
@@ -23,8 +23,8 @@
 from primrosescale.process.exceptions import PlatformHistoryGoneError
 from primrosescale.process.exceptions import PlatformLimitError
 from primrosescale.process.exceptions import PlatformUnavailableError
-from primrosescale.process.transport.called_platform import CalledPlatform
-from primrosescale.process.transport.platform import MAX_VALUE
+from primrosescale.process.transport.base_http_platform import BaseHttpPlatform
+from primrosescale.process.transport.platform import MAX_VALUE_BYTES
 from primrosescale.process.transport.platform import MUST_NOT_EXIST
 from primrosescale.process.transport.platform import HostList
 from primrosescale.process.transport.platform import WatchResult
@@ -32,7 +32,7 @@
 if TYPE_CHECKING:
     from collections.abc import Generator
 
-    from primrosescale.process.transport.http_call import Reply
+    from primrosescale.process.transport.http_client import Reply
     from primrosescale.process.transport.platform import StoredObject
 
 
@@ -49,7 +49,7 @@
 MAX_PAGES = 1000
 
 
-class ObjectPlatform(CalledPlatform):
+class ObjectPlatform(BaseHttpPlatform):
     """Reads, writes and watches objects in the users' object store.
 
     Keys are ``kind/name``. Values are JSON texts; other bytes are stored as base64
@@ -59,7 +59,7 @@
     @inlineCallbacks
     def get(self, key: str) -> Generator[Any, Any, StoredObject | None]:
         """Read an object; see `Platform.get`."""
-        reply = yield self._caller.call("GET", _path(key))
+        reply = yield self._client.call("GET", _path(key))
         if reply.status == NOT_FOUND:
             return None
         _require_status(reply, OK)
@@ -68,7 +68,7 @@
     @inlineCallbacks
     def put(self, key: str, value: bytes, expected: int) -> Generator[Any, Any, int]:
         """Write an object; see `Platform.put`."""
-        if len(value) > MAX_VALUE:
+        if len(value) > MAX_VALUE_BYTES:
             raise PlatformLimitError(key, len(value))
         meta: dict[str, Any] = {"name": _name(key)}
         method, path = "POST", BASE + quote(_kind(key))
@@ -76,7 +76,7 @@
             meta["revision"] = expected
             method, path = "PUT", _path(key)
         body = json.dumps({"metadata": meta, "spec": _spec(value)}).encode()
-        reply = yield self._caller.call(method, path, body, JSON_TYPE)
+        reply = yield self._client.call(method, path, body, JSON_TYPE)
         if reply.status == CONFLICT:
             raise PlatformConflictError(key, _revision(reply))
         if reply.status == NOT_FOUND:
@@ -89,7 +89,7 @@
     @inlineCallbacks
     def delete(self, key: str) -> Generator[Any, Any, None]:
         """Delete an object; see `Platform.delete`."""
-        reply = yield self._caller.call("DELETE", _path(key), b"")
+        reply = yield self._client.call("DELETE", _path(key), b"")
         if reply.status != NOT_FOUND:
             _require_status(reply, OK, NO_CONTENT)
 
@@ -118,7 +118,7 @@
         kind = _kind(prefix)
         query = urlencode({"watch": since, "wait_ms": int(wait * 1000)})
         path = f"{BASE}{quote(kind)}?{query}"
-        reply = yield self._caller.call("GET", path, extra=wait)
+        reply = yield self._client.call("GET", path, extra=wait)
         if reply.status == HISTORY_GONE:
             raise PlatformHistoryGoneError(prefix, since)
         _require_status(reply, OK)
@@ -163,7 +163,7 @@
         revision: int | None = None
         for _ in range(MAX_PAGES):
             query = f"?{_query(after=after)}" if after else ""
-            reply = yield self._caller.call("GET", f"{BASE}{quote(kind)}{query}")
+            reply = yield self._client.call("GET", f"{BASE}{quote(kind)}{query}")
             _require_status(reply, OK)
             fields = answer_fields(reply.body)
             page = [stored_object(kind, item) for item in list_member(fields, "items")]
--- a/src/primrosescale/process/daemons/engine_orders.py
+++ b/src/primrosescale/process/daemons/engine_orders.py
@@ -33,7 +33,7 @@
     from collections.abc import Callable
     from collections.abc import Generator
 
-    from primrosescale.process.transport.engine_port import EnginePort
+    from primrosescale.process.transport.local_engine_client import LocalEngineClient
     from primrosescale.process.transport.platform import Platform
     from primrosescale.process.transport.platform import StoredObject
     from primrosescale.version.view import VersionView
@@ -202,7 +202,7 @@
     ----------
     settings : OrderSettings
         The agent and its engine.
-    engine : EnginePort
+    engine : LocalEngineClient
         Client of the engine.
     platform : Platform
         Store of fencing numbers, slots and progress.
@@ -217,7 +217,7 @@
     def __init__(
         self,
         settings: OrderSettings,
-        engine: EnginePort,
+        engine: LocalEngineClient,
         platform: Platform,
         observer: OrderObserver,
         error_share: Callable[[], float],
--- a/src/primrosescale/process/entry/target_client.py
+++ b/src/primrosescale/process/entry/target_client.py
@@ -172,7 +172,7 @@
             self._observer.response_lost(failure_text(reason))
             return
         if channel is not None:
-            self._state.pool.give_back(channel, self._clock.seconds())
+            self._state.pool.release(channel, self._clock.seconds())
         self._observer.response_done()
 
     def _opened(self, channel: TargetChannel) -> None:
@@ -304,7 +304,7 @@
     ) -> None:
         def opened(channel: TargetChannel) -> None:
             # Kept for the next request, in place of the connection that was lost.
-            pool.give_back(channel, self._reactor.seconds())
+            pool.release(channel, self._reactor.seconds())
             on_check(ProbeResult.CONNECTED)
 
         def not_opened(failure: Failure) -> None:
--- a/src/primrosescale/process/transport/called_platform.py
+++ b/src/primrosescale/process/transport/base_http_platform.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 from typing import Any
 
-from primrosescale.process.transport.http_call import HttpCaller
+from primrosescale.process.transport.http_client import HttpClient
 from primrosescale.process.transport.platform import Platform
 
 if TYPE_CHECKING:
@@ -14,7 +14,7 @@
     from primrosescale.connection.endpoint import Endpoint
 
 
-class CalledPlatform(Platform):
+class BaseHttpPlatform(Platform):
     """A platform whose service is called over HTTP.
 
     Parameters
@@ -28,12 +28,12 @@
     """
 
     def __init__(self, reactor: Any, endpoint: Endpoint, timeout: float) -> None:
-        self._caller = HttpCaller(reactor, endpoint, timeout)
+        self._client = HttpClient(reactor, endpoint, timeout)
 
     @property
     def calls(self) -> int:
         """Return the number of calls made."""
-        return self._caller.calls
+        return self._client.calls
 
     def close(self) -> Deferred[None]:
         """Close idle connections.
@@ -43,4 +43,4 @@
         Deferred[None]
             Fires when they are closed.
         """
-        return self._caller.close()
+        return self._client.close()
--- a/src/primrosescale/request/forward_tools.py
+++ b/src/primrosescale/request/forward_tools.py
@@ -24,7 +24,7 @@
     from primrosescale.request.forwarding_interfaces import TargetClient
     from primrosescale.request.harm_monitor import HarmMonitor
     from primrosescale.request.incoming_request import IncomingRequest
-    from primrosescale.request.prefix_cache_index import PrefixCacheIndex
+    from primrosescale.request.part_directory import PrefixCacheIndex
     from primrosescale.request.shared_retry_budget import SharedRetryBudget
     from primrosescale.request.silent_target import SilenceReport
     from primrosescale.request.target_choice import ChoiceSettings
@@ -148,7 +148,7 @@
         Source of time and timers.
     rng : Random
         Random generator.
-    caller : TargetClient
+    client : TargetClient
         Sends requests to targets.
     chooser : TargetChooser
         Chooses targets.
@@ -182,7 +182,7 @@
     settings: ForwardingSettings
     clock: Clock
     rng: Random
-    caller: TargetClient
+    client: TargetClient
     chooser: TargetChooser
     parts: PrefixCacheIndex
     states_of: Callable[[str], list[TargetState]]
--- a/src/primrosescale/request/target_choice.py
+++ b/src/primrosescale/request/target_choice.py
@@ -36,7 +36,7 @@
     from random import Random
 
     from primrosescale.request.incoming_request import Prompt
-    from primrosescale.request.prefix_cache_index import PrefixCacheIndex
+    from primrosescale.request.part_directory import PrefixCacheIndex
     from primrosescale.request.target_incarnation import TargetIncarnation
     from primrosescale.request.target_state import TargetState
 
@@ -306,7 +306,7 @@
         if not serving:
             return None
         untried = [state for state in serving if state.incarnation not in tried]
-        allowed = self._availability.open(untried, now)
+        allowed = self._availability.select_available(untried, now)
         usable = [state for state in allowed.states if not state.is_avoided(now)]
         usable = usable or allowed.states
         if not usable:
--- a/src/primrosescale/standin/demo_run.py
+++ b/src/primrosescale/standin/demo_run.py
@@ -27,9 +27,9 @@
 if TYPE_CHECKING:
     from collections.abc import Generator
 
+    from primrosescale.standin.demo_client import DemoClient
+    from primrosescale.standin.demo_client import Reply
     from primrosescale.standin.deployment import Deployment
-    from primrosescale.standin.http_caller import HttpCaller
-    from primrosescale.standin.http_caller import Reply
 
 SEED = 7
 CHAT_COUNT = 120
@@ -148,17 +148,17 @@
     ----------
     deployment : Deployment
         The deployment that is called.
-    caller : HttpCaller
+    client : DemoClient
         Makes the calls.
     reactor : Any
         Twisted's reactor.
     """
 
     def __init__(
-        self, deployment: Deployment, caller: HttpCaller, reactor: Any
+        self, deployment: Deployment, client: DemoClient, reactor: Any
     ) -> None:
         self._deployment = deployment
-        self._caller = caller
+        self._client = client
         self._reactor = reactor
         self._rng = random.Random(SEED)  # noqa: S311 - a load, not a secret
         self._summary = Summary()
@@ -257,7 +257,7 @@
             router = self._rng.choice(self._deployment.routers)
             url = f"http://{LOOPBACK}:{router.http_port}{path}"
             self._summary.requests += 1
-            reply = yield self._caller.call("POST", url, sent, body)
+            reply = yield self._client.call("POST", url, sent, body)
             if reply.status not in RETRY_STATUSES:
                 break
             kind = str(reply.json().get("type", "")).rpartition(":")[2]
--- a/tests/entry/fakes.py
+++ b/tests/entry/fakes.py
@@ -18,7 +18,7 @@
 from primrosescale.request.incoming_request import IncomingRequest
 from primrosescale.request.incoming_request import Prompt
 from primrosescale.request.incoming_request import PromptPart
-from primrosescale.request.prefix_cache_index import PrefixCacheIndex
+from primrosescale.request.part_directory import PrefixCacheIndex
 from primrosescale.request.serving_target import ServingTarget
 from primrosescale.request.shared_retry_budget import SharedRetryBudget
 from primrosescale.request.shared_retry_budget import SharedRetryLimits
@@ -243,7 +243,7 @@
             settings=ForwardingSettings(),
             clock=self.clock,
             rng=rng,
-            caller=self.caller,
+            client=self.caller,
             chooser=TargetChooser(choice or ChoiceSettings(), self.parts, rng),
             parts=self.parts,
             states_of=lambda service: [
--- a/tests/entry/test_cache_shares.py
+++ b/tests/entry/test_cache_shares.py
@@ -31,8 +31,8 @@
 from primrosescale.process.entry.target_keys import target_key
 from primrosescale.process.entry.target_list import TargetList
 from primrosescale.request.incoming_request import PromptPart
-from primrosescale.request.prefix_cache_index import PartUse
-from primrosescale.request.prefix_cache_index import PrefixCacheIndex
+from primrosescale.request.part_directory import PartUse
+from primrosescale.request.part_directory import PrefixCacheIndex
 from support.router_fleet import START as FLEET_START
 from support.router_fleet import ExchangeParts
 from support.router_fleet import Fleet
@@ -131,7 +131,7 @@
         router = self.fleet.routers[4]
         for other in self.fleet.routers:
             if other is not router:
-                other.news.remove(router.name)
+                other.state_exchange.remove(router.name)
         self.restart(router)
         self.fleet.run(MAX_WAIT_SECONDS)
         self.assertGreater(self.known_share(router), 0.95)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -26,8 +26,8 @@
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.task import deferLater
 
-from primrosescale.standin.users_engine import EngineFault
-from primrosescale.standin.users_store import StoreFault
+from primrosescale.standin.object_platform_store import StoreFault
+from primrosescale.standin.scripted_engine import EngineFault
 from soak import promises
 from soak import schedule
 from soak.backends import COLD_SECONDS
@@ -493,7 +493,7 @@
             f"restart {variant}", f"life of {target.name}", RESTART_SECONDS
         )
         if variant == "while the store lags":
-            store.faults.is_deaf = True
+            store.faults.drops_watch_events = True
             self._record_disturbance(
                 "store lags", "store", step.duration / 2, store.catch_up
             )
--- a/tests/standin/test_users_engine.py
+++ b/tests/standin/test_users_engine.py
@@ -1,4 +1,4 @@
-"""Tests of restarts and silences of the stand-in for the users' engines."""
+"""Tests of restarts and silences of the scripted stand-in engine."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from twisted.internet.testing import StringTransport
 from twisted.python.failure import Failure
 
-from primrosescale.standin.users_engine import EngineScript
-from primrosescale.standin.users_engine import UsersEngine
+from primrosescale.standin.scripted_engine import EngineScript
+from primrosescale.standin.scripted_engine import ScriptedEngine
 
 FIRST_START = 1_790_000_000_000
 
 
-class UsersEngineTest(TestCase):
+class ScriptedEngineTest(TestCase):
     def setUp(self):
         super().setUp()
         self.clock = Clock()
         self.script = EngineScript(name="i-1", events=3, gap=0.1, health_path=b"/up")
-        self.engine = UsersEngine(self.script, self.clock)
+        self.engine = ScriptedEngine(self.script, self.clock)
 
     def ask(self, path, method=b"POST"):
         """Send a request on a connection of its own; return its transport."""
