--- a/src/primrosescale/request/target_health.py
+++ b/src/primrosescale/request/target_health.py
@@ -59,14 +59,14 @@
     def __init__(self, settings: HealthSettings) -> None:
         self._settings = settings
         self._outcomes = DecayingOutcomes(settings.memory, 0.0)
-        self._closed_until: float | None = None
+        self._tripped_until: float | None = None
         self._pause = settings.first_pause
         self._probe_until = 0.0
 
     @property
     def is_tripped(self) -> bool:
         """Return whether the target gets no calls but probes."""
-        return self._closed_until is not None
+        return self._tripped_until is not None
 
     @property
     def failure_share(self) -> float:
@@ -89,9 +89,9 @@
         bool
             False while the target is closed and no probe is due.
         """
-        if self._closed_until is None:
+        if self._tripped_until is None:
             return True
-        if now < self._closed_until or now < self._probe_until:
+        if now < self._tripped_until or now < self._probe_until:
             return False
         self._probe_until = now + self._settings.longest_pause
         return True
@@ -109,7 +109,7 @@
         float
             Seconds, not negative.
         """
-        return max(0.0, (self._closed_until or now) - now)
+        return max(0.0, (self._tripped_until or now) - now)
 
     def succeeded(self, now: float) -> None:
         """Record a good answer; it opens a closed target.
@@ -120,8 +120,8 @@
             Current time in seconds.
         """
         self._outcomes.add_good(now)
-        if self._closed_until is not None:
-            self._closed_until = None
+        if self._tripped_until is not None:
+            self._tripped_until = None
             self._outcomes.clear_bad()
             self._pause = self._settings.first_pause
 
@@ -134,7 +134,7 @@
             Current time in seconds.
         """
         self._outcomes.add_bad(now)
-        if self._closed_until is not None:
+        if self._tripped_until is not None:
             if not self._probe_until:
                 # This call was sent before the target was closed; it is no probe.
                 return
@@ -148,5 +148,5 @@
             self._close(now)
 
     def _close(self, now: float) -> None:
-        self._closed_until = now + self._pause
+        self._tripped_until = now + self._pause
         self._probe_until = 0.0
