--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -132,7 +132,7 @@
         f"[organisation org-{n:05d}]\nkey_hashes = {n:064x}\nteam = t\nweight = 2\n"
         for n in range(organisations)
     )
-    keeper = VersionManager(
+    version_manager = VersionManager(
         AcceptAllHeads({}), IgnoringObserver(), needs_organisations=True
     )
     trees = []
@@ -147,18 +147,22 @@
         )
         bundle = Bundle.from_ini(changed, "t")
         trees.append(build_tree(bundle, version, "", "a", 0))
-    keeper.pull_if_newer(
+    version_manager.pull_if_newer(
         VersionHead(1, trees[0].digest, "a", b""), TreeSource(trees[0])
     )
-    before = keeper.pulled_bytes
+    before = version_manager.pulled_bytes
     began = time.process_time()
     for tree in trees[1:]:
         head = VersionHead(tree.root.version, tree.digest, "a", b"")
-        keeper.pull_if_newer(head, TreeSource(tree))
+        version_manager.pull_if_newer(head, TreeSource(tree))
     elapsed = time.process_time() - began
     changes = len(trees) - 1
     root = len(trees[0].root.encode())
-    return (keeper.pulled_bytes - before) / changes, 1e6 * elapsed / changes, root
+    return (
+        (version_manager.pulled_bytes - before) / changes,
+        1e6 * elapsed / changes,
+        root,
+    )
 
 
 def main():
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -66,9 +66,9 @@
 class Source(SectionSource):
     def fetch(self, wanted): return succeed(sections[wanted])
 base = memory()
-keeper = VersionManager(AcceptAllHeads({{}}), IgnoringObserver(), needs_organisations=True)
-keeper.pull_if_newer(VersionHead(1, digest, 'a', b''), Source())
-assert keeper.version == 1
+version_manager = VersionManager(AcceptAllHeads({{}}), IgnoringObserver(), needs_organisations=True)
+version_manager.pull_if_newer(VersionHead(1, digest, 'a', b''), Source())
+assert version_manager.version == 1
 """,
     "chats": """
 from primrosescale.request.chat_directory import ChatDirectory
--- a/src/primrosescale/process/daemons/agent.py
+++ b/src/primrosescale/process/daemons/agent.py
@@ -148,7 +148,7 @@
             self,
             reactor,
         )
-        self._keeper = VersionManager(
+        self._version_manager = VersionManager(
             HeadVerifier(settings.approvers),
             self,
             needs_organisations=False,
@@ -181,9 +181,9 @@
         return self._core
 
     @property
-    def keeper(self) -> VersionManager:
+    def version_manager(self) -> VersionManager:
         """Return the manager of configuration versions."""
-        return self._keeper
+        return self._version_manager
 
     @property
     def link_port(self) -> int:
@@ -272,7 +272,7 @@
         return AgentState(
             self._core.admission.load,
             self._state,
-            self._keeper.version,
+            self._version_manager.version,
             self._core.health.failure_share,
         )
 
@@ -282,7 +282,7 @@
 
     def update_head(self, head: VersionHead, link: Link) -> None:
         """Pull the head's version if it is newer; see `HeartbeatAgent.update_head`."""
-        self._keeper.pull_if_newer(head, self._sources.of(link))
+        self._version_manager.pull_if_newer(head, self._sources.of(link))
 
     def set_known_targets(self, targets: list[wire.HostEntry]) -> None:
         """Store the service's targets; see `HeartbeatAgent.set_known_targets`."""
@@ -382,7 +382,7 @@
         )
 
     def _order_engine(self) -> None:
-        view = self._keeper.view
+        view = self._version_manager.view
         if view is not None and self._state == MemberState.READY:
             name = self._settings.process.name
             self._orders.tick(
--- a/src/primrosescale/process/daemons/router.py
+++ b/src/primrosescale/process/daemons/router.py
@@ -119,7 +119,7 @@
         reactor = context.reactor
         self._locality = Locality(process.region, process.domain)
         self._members = Members(settings.members, self._locality)
-        self._keeper = VersionManager(
+        self._version_manager = VersionManager(
             HeadVerifier(settings.approvers),
             self,
             needs_organisations=True,
@@ -154,7 +154,7 @@
             Identity(process.name, context.incarnation, process.domain),
             settings.sums,
             self._members,
-            self._keeper,
+            self._version_manager,
             self._limiter,
             platform,
             self._pool,
@@ -176,9 +176,9 @@
         return self._members
 
     @property
-    def keeper(self) -> VersionManager:
+    def version_manager(self) -> VersionManager:
         """Return the manager of configuration versions."""
-        return self._keeper
+        return self._version_manager
 
     @property
     def control(self) -> RouterControl:
@@ -234,12 +234,12 @@
     @property
     def is_ready(self) -> bool:
         """Return whether requests are accepted."""
-        return self._keeper.view is not None and not self._is_stopping
+        return self._version_manager.view is not None and not self._is_stopping
 
     @property
     def view(self) -> VersionView | None:
         """Return the configuration version in force; None before there is one."""
-        return self._keeper.view
+        return self._version_manager.view
 
     @property
     def is_full(self) -> bool:
@@ -475,12 +475,14 @@
         settings = self._settings
         administration = Administration(
             self._platform,
-            self._keeper,
+            self._version_manager,
             HeadVerifier(settings.approvers),
             self._context.reactor,
             self._context.wall_clock,
         )
-        keys = OperatorKeys(settings.trust.operators, lambda: self._keeper.view)
+        keys = OperatorKeys(
+            settings.trust.operators, lambda: self._version_manager.view
+        )
         resource = AdminResource(administration, keys, self.status, self._context.log)
 
         class OperatorsRequest(BoundedRequest):
@@ -499,7 +501,9 @@
             Answer of the administration API.
         """
         yield self._control.refresh_domains()
-        return fleet_status(self._settings.process.name, self._keeper, self._control)
+        return fleet_status(
+            self._settings.process.name, self._version_manager, self._control
+        )
 
     def _report_placement(self, call: RoutedCall, report: CallReport) -> None:
         """Report to a chat's first candidate which other target served the chat."""
--- a/src/primrosescale/process/daemons/router_control.py
+++ b/src/primrosescale/process/daemons/router_control.py
@@ -131,7 +131,7 @@
         Intervals and time-outs of heartbeats and reports.
     members : Members
         Known hosts.
-    keeper : VersionManager
+    version_manager : VersionManager
         Manager of configuration versions.
     limiter : OrganisationRateLimiter
         Request rate limits of organisations.
@@ -154,7 +154,7 @@
         identity: Identity,
         settings: LoadReportSettings,
         members: Members,
-        keeper: VersionManager,
+        version_manager: VersionManager,
         limiter: OrganisationRateLimiter,
         platform: Platform,
         pool: LinkPool,
@@ -166,7 +166,7 @@
         self._identity = identity
         self._settings = settings
         self._members = members
-        self._keeper = keeper
+        self._version_manager = version_manager
         self._limiter = limiter
         self._platform = platform
         self._pool = pool
@@ -315,7 +315,7 @@
         self._sequence += 1
         count = max(1, len(self._members.routers("", now)))
         demands = self._limiter.demands_to_report(count, now)
-        version = self._keeper.version
+        version = self._version_manager.version
         return wire.PeerReport(
             origin=self._identity.name,
             incarnation=self._identity.incarnation,
@@ -405,7 +405,7 @@
         that have already reported the version, so that no router serves the whole
         domain.
         """
-        version = self._keeper.version
+        version = self._version_manager.version
         if report.version >= version:
             return ""
         if self._assigned_version != version:
@@ -464,7 +464,7 @@
             self._apply_notice(notice, now)
 
     def _handle_section_request(self, link: Link, message: wire.SectionRequest) -> None:
-        section = self._keeper.section(message.digest)
+        section = self._version_manager.section(message.digest)
         data = b"" if section is None else section.data
         link.send(wire.SectionReply(message.digest, section is not None, data))
 
@@ -484,15 +484,17 @@
         for rate in self._fleet.rates(now):
             total = DemandRate(rate.organisation, rate.demand_permille / PERMILLE)
             self._limiter.update_total(total, now)
-        message = wire.DomainSums(summary, to_wire(self._keeper.head))
+        message = wire.DomainSums(summary, to_wire(self._version_manager.head))
         for domain in self._members.domains():
             others = self._aggregators(domain)
             if self._identity.name in others:
                 others.remove(self._identity.name)
             if others:
                 self._send_to_router(self._next_aggregator(others), message)
-        if self._stored_head.version > self._keeper.version:
-            self._keeper.pull_if_newer(self._stored_head, self._platform_source)
+        if self._stored_head.version > self._version_manager.version:
+            self._version_manager.pull_if_newer(
+                self._stored_head, self._platform_source
+            )
         self._watch()
         self._list_hosts_if_due(now)
 
@@ -608,13 +610,13 @@
             self._observer.platform_failed(str(error))
             return None
         self._stored_head = head
-        return self._keeper.pull_if_newer(head, self._platform_source)
+        return self._version_manager.pull_if_newer(head, self._platform_source)
 
     def _head_for(self, version: int) -> wire.Head:
         """Return the head for a process at a version; `NO_HEAD` if it is current."""
-        head = self._keeper.head
+        head = self._version_manager.head
         return to_wire(head if head.version > version else NO_HEAD)
 
     def _update_head(self, head: wire.Head, link: Link) -> None:
         if head.version:
-            self._keeper.pull_if_newer(from_wire(head), self._sources.of(link))
+            self._version_manager.pull_if_newer(from_wire(head), self._sources.of(link))
--- a/src/primrosescale/standin/deployment.py
+++ b/src/primrosescale/standin/deployment.py
@@ -322,8 +322,10 @@
             Fires then; fails with `StandInError` after `MAX_SETTLE_POLLS` polls.
         """
         for _ in range(MAX_SETTLE_POLLS):
-            versions = [router.keeper.version for router in self._routers]
-            versions += [t.agent.keeper.version for t in self._targets.values()]
+            versions = [router.version_manager.version for router in self._routers]
+            versions += [
+                t.agent.version_manager.version for t in self._targets.values()
+            ]
             known = [len(router.members) for router in self._routers]
             expected = ROUTER_COUNT + len(self._targets)
             if min(versions) >= version and min(known) >= expected:
--- a/tests/process/test_fleet.py
+++ b/tests/process/test_fleet.py
@@ -35,7 +35,7 @@
         head = world.roll_out(2, "[organisation new]\nkey_hashes =\n")
         world.run(6)
         for process in [*world.routers.values(), *world.agents.values()]:
-            self.assertEqual(head.digest, process.keeper.head.digest)
+            self.assertEqual(head.digest, process.version_manager.head.digest)
         self.assertEqual([], world.faults())
 
     def test_no_router_serves_a_version_to_its_whole_domain(self):
@@ -49,7 +49,9 @@
         world.network.on_frame.append(count)
         world.roll_out(2, "[organisation new]\nkey_hashes =\n")
         world.run(6)
-        self.assertEqual({2}, {r.keeper.version for r in world.routers.values()})
+        self.assertEqual(
+            {2}, {r.version_manager.version for r in world.routers.values()}
+        )
         self.assertTrue(max(map(len, pulls.values())) <= 5, pulls)
 
     def test_a_version_spreads_although_both_aggregators_of_a_domain_are_gone(self):
@@ -61,7 +63,7 @@
         world.roll_out(2, "[organisation new]\nkey_hashes =\n")
         world.run(12)
         processes = [*world.routers.values(), *world.agents.values()]
-        self.assertEqual({2}, {p.keeper.version for p in processes})
+        self.assertEqual({2}, {p.version_manager.version for p in processes})
 
     def test_a_router_that_starts_while_the_store_is_down_serves_what_peers_have(self):
         world = SimulatedFleet(routers=3)
@@ -102,7 +104,7 @@
         world.network.heal()
         world.run(15)
         processes = [*world.routers.values(), *world.agents.values()]
-        self.assertEqual({3}, {p.keeper.version for p in processes})
+        self.assertEqual({3}, {p.version_manager.version for p in processes})
         self.assertEqual([], world.faults())
         outcomes = {story.outcome for story in world.history.calls.values()}
         self.assertEqual({"whole"}, outcomes)
@@ -120,7 +122,7 @@
             world.start_agent(name)
         world.run(8)
         processes = [*world.routers.values(), *world.agents.values()]
-        self.assertEqual({2}, {p.keeper.version for p in processes})
+        self.assertEqual({2}, {p.version_manager.version for p in processes})
 
     def test_an_agent_keeps_reporting_when_its_router_dies(self):
         world = SimulatedFleet(routers=3, agents=2, domains=1)
--- a/tests/process/test_seeded_bugs.py
+++ b/tests/process/test_seeded_bugs.py
@@ -179,7 +179,7 @@
             world.roll_out(3, "[organisation newer]\nkey_hashes =\n")
             world.run(5)
             world.network.thaw(world.owner("r2"))
-            self.assertIsInstance(old.keeper, VersionManager)
+            self.assertIsInstance(old.version_manager, VersionManager)
             world.run(5)
         self.assert_found("version", world.faults())
 
--- a/tests/process/test_version_keeper.py
+++ b/tests/process/test_version_keeper.py
@@ -71,62 +71,66 @@
         public = SIGNING.public_key().public_bytes_raw()
         self.assertTrue(PUBLIC)
         check = HeadVerifier({"approver": public})
-        self.keeper = VersionManager(check, self.observer, needs_organisations=True)
+        self.version_manager = VersionManager(
+            check, self.observer, needs_organisations=True
+        )
 
     def test_a_version_is_pulled_and_put_in_force(self):
         tree, head = make_version(1)
-        self.keeper.pull_if_newer(head, FakeSource(tree))
+        self.version_manager.pull_if_newer(head, FakeSource(tree))
         self.assertEqual([1], self.observer.versions)
-        self.assertEqual("small", self.keeper.view.organisation_of("small").name)
-        self.assertIsNone(self.keeper.view.organisation_of("nobody"))
+        self.assertEqual(
+            "small", self.version_manager.view.organisation_of("small").name
+        )
+        self.assertIsNone(self.version_manager.view.organisation_of("nobody"))
 
     def test_a_lower_version_is_never_put_in_force(self):
         old_tree, old = make_version(1)
         tree, head = make_version(2)
-        self.keeper.pull_if_newer(head, FakeSource(tree))
-        self.keeper.pull_if_newer(old, FakeSource(old_tree))
+        self.version_manager.pull_if_newer(head, FakeSource(tree))
+        self.version_manager.pull_if_newer(old, FakeSource(old_tree))
         self.assertEqual([2], self.observer.versions)
 
     def test_only_what_changed_is_pulled(self):
         tree, head = make_version(1)
-        self.keeper.pull_if_newer(head, FakeSource(tree))
+        self.version_manager.pull_if_newer(head, FakeSource(tree))
         tree, head = make_version(2, "[organisation x]\nkey_hashes =\n")
         source = FakeSource(tree)
-        self.keeper.pull_if_newer(head, source)
+        self.version_manager.pull_if_newer(head, source)
         self.assertEqual(5, len(source.requested))
         self.assertEqual([1, 2], self.observer.versions)
 
     def test_an_altered_section_keeps_the_old_version_in_force(self):
         tree, head = make_version(1)
-        self.keeper.pull_if_newer(head, FakeSource(tree))
+        self.version_manager.pull_if_newer(head, FakeSource(tree))
         tree, head = make_version(2, "[organisation x]\nkey_hashes =\n")
         source = FakeSource(tree)
         source.altered = set(tree.sections)
-        self.keeper.pull_if_newer(head, source)
+        self.version_manager.pull_if_newer(head, source)
         self.assertEqual([1], self.observer.versions)
         self.assertEqual(1, len(self.observer.failed))
-        self.keeper.pull_if_newer(head, FakeSource(tree))
+        self.version_manager.pull_if_newer(head, FakeSource(tree))
         self.assertEqual([1, 2], self.observer.versions)
 
     def test_a_version_missing_at_one_source_is_pulled_from_another(self):
         tree, head = make_version(1)
         empty, _ = make_version(9, "[organisation y]\nkey_hashes =\n")
-        self.keeper.pull_if_newer(head, FakeSource(empty))
+        self.version_manager.pull_if_newer(head, FakeSource(empty))
         self.assertEqual(1, len(self.observer.failed))
-        self.keeper.pull_if_newer(head, FakeSource(tree))
+        self.version_manager.pull_if_newer(head, FakeSource(tree))
         self.assertEqual([1], self.observer.versions)
 
     def test_a_head_with_a_forged_signature_is_refused(self):
         tree, head = make_version(5)
         forged = VersionHead(5, head.digest, "approver", b"x" * 64)
-        self.keeper.pull_if_newer(forged, FakeSource(tree))
+        self.version_manager.pull_if_newer(forged, FakeSource(tree))
         self.assertEqual([], self.observer.versions)
         self.assertEqual(1, len(self.observer.refused))
 
     def test_a_signature_is_not_valid_for_another_number(self):
         tree, head = make_version(3)
         reused = VersionHead(99, head.digest, "approver", head.signature)
-        self.keeper.pull_if_newer(reused, FakeSource(tree))
+        self.version_manager.pull_if_newer(reused, FakeSource(tree))
         self.assertEqual([], self.observer.versions)
         self.assertEqual(1, len(self.observer.failed))
 
@@ -134,41 +138,43 @@
         tree, head = make_version(1)
         slow = FakeSource(tree)
         slow.delayed = []
-        self.keeper.pull_if_newer(head, slow)
+        self.version_manager.pull_if_newer(head, slow)
         newer_tree, newer = make_version(2)
-        self.keeper.pull_if_newer(newer, FakeSource(newer_tree))
+        self.version_manager.pull_if_newer(newer, FakeSource(newer_tree))
         delayed, slow.delayed = slow.delayed, None
         for waiting, digest in delayed:
             waiting.callback(slow.data(digest))
-        self.keeper.pull_if_newer(newer, FakeSource(newer_tree))
+        self.version_manager.pull_if_newer(newer, FakeSource(newer_tree))
         self.assertEqual([1, 2], self.observer.versions)
 
     def test_a_version_is_retired_until_its_last_request_unpins_it(self):
         tree, head = make_version(1)
-        self.keeper.pull_if_newer(head, FakeSource(tree))
-        pinned = self.keeper.view.pin()
+        self.version_manager.pull_if_newer(head, FakeSource(tree))
+        pinned = self.version_manager.view.pin()
         tree, head = make_version(2)
-        self.keeper.pull_if_newer(head, FakeSource(tree))
-        self.assertEqual(1, self.keeper.retired)
+        self.version_manager.pull_if_newer(head, FakeSource(tree))
+        self.assertEqual(1, self.version_manager.retired)
         self.assertEqual(1, pinned.version)
         pinned.unpin()
-        self.assertEqual(0, self.keeper.retired)
+        self.assertEqual(0, self.version_manager.retired)
 
     def test_sections_of_the_previous_version_are_still_served(self):
         tree, head = make_version(1)
-        self.keeper.pull_if_newer(head, FakeSource(tree))
+        self.version_manager.pull_if_newer(head, FakeSource(tree))
         newer, newer_head = make_version(2, "[organisation x]\nkey_hashes =\n")
-        self.keeper.pull_if_newer(newer_head, FakeSource(newer))
+        self.version_manager.pull_if_newer(newer_head, FakeSource(newer))
         for digest in [*tree.sections, *newer.sections]:
-            self.assertIsNotNone(self.keeper.section(digest))
+            self.assertIsNotNone(self.version_manager.section(digest))
 
     def test_agents_do_not_pull_organisations(self):
         tree, head = make_version(1)
         public = SIGNING.public_key().public_bytes_raw()
         check = HeadVerifier({"approver": public})
-        keeper = VersionManager(check, self.observer, needs_organisations=False)
+        version_manager = VersionManager(
+            check, self.observer, needs_organisations=False
+        )
         source = FakeSource(tree)
-        keeper.pull_if_newer(head, source)
-        self.assertIn("chat", keeper.view.services)
-        self.assertIsNone(keeper.view.organisation("small"))
+        version_manager.pull_if_newer(head, source)
+        self.assertIn("chat", version_manager.view.services)
+        self.assertIsNone(version_manager.view.organisation("small"))
         self.assertTrue(len(source.requested) < len(tree.sections))
