--- a/src/primrosescale/process/daemons/router.py
+++ b/src/primrosescale/process/daemons/router.py
@@ -206,7 +206,7 @@
         return self._settings
 
     @property
-    def under_way(self) -> int:
+    def in_flight(self) -> int:
         """Return the number of requests in flight."""
         return len(self._active_calls)
 
--- a/tests/process/test_callers.py
+++ b/tests/process/test_callers.py
@@ -246,7 +246,7 @@
     def test_a_stopping_router_refuses_new_work_and_finishes_what_it_has(self):
         content = {**CHAT, "stream": True, "max_tokens": 30}
         in_flight = self.call("/v1/chat/completions", content)
-        while not self.router.under_way:
+        while not self.router.in_flight:
             yield self.deployment.pause(0.01)
         self.deployment.routers.remove(self.router)
         stopped = self.router.stop()
