--- a/src/primrosescale/process/entry/harm_report_exchange.py
+++ b/src/primrosescale/process/entry/harm_report_exchange.py
@@ -108,7 +108,7 @@
         if answer is not None and not is_queued:
             self._pending.appendleft(_PendingReport(answer))
 
-    def ends(self, now: float) -> list[wire.EndNews]:
+    def reports_to_send(self, now: float) -> list[wire.EndNews]:
         """Return the reports to send in the next message.
 
         Parameters
@@ -130,7 +130,7 @@
                 self._pending.append(each)
         return [_end_report(each.item, now) for each in sent]
 
-    def held(self, now: float) -> list[wire.EndNews]:
+    def held_reports_to_send(self, now: float) -> list[wire.EndNews]:
         """Return some of the ends because of which requests are held back here.
 
         Parameters
--- a/src/primrosescale/process/entry/state_exchange.py
+++ b/src/primrosescale/process/entry/state_exchange.py
@@ -435,8 +435,10 @@
             self._parts.take_away_from_home if is_relayed else self._parts.take_updates
         )
         parts = [_part_update(use, now) for use in take_uses()]
-        ends = self._harm.ends(now) if self._harm else []
-        held = self._harm.held(now) if self._harm and not is_urgent else []
+        ends = self._harm.reports_to_send(now) if self._harm else []
+        held = (
+            self._harm.held_reports_to_send(now) if self._harm and not is_urgent else []
+        )
         if is_relayed:
             own = self._codec.own_load(now, reaches_store=not is_store_lost)
             updates = self._relay.compose(own, parts, ends, now, is_urgent=is_urgent)
--- a/tests/entry/test_harm_watch.py
+++ b/tests/entry/test_harm_watch.py
@@ -323,7 +323,7 @@
         self.assertTrue(self.exchange.record(TargetEnd(1, 7, START), START))
         self.assertFalse(self.exchange.record(TargetEnd(1, 7, START), START))
         self.assertTrue(self.exchange.is_urgent)
-        sent = [self.exchange.ends(START + 0.25 * turn) for turn in range(6)]
+        sent = [self.exchange.reports_to_send(START + 0.25 * turn) for turn in range(6)]
         self.assertEqual(SENDS_PER_REPORT, sum(map(len, sent)))
         self.assertEqual([0, 250, 500], [e.age_ms for each in sent for e in each])
         self.assertFalse(self.exchange.is_urgent)
@@ -331,7 +331,7 @@
     def test_messages_stay_small_and_the_newest_goes_first(self):
         for number in range(100):
             self.exchange.record(TargetEnd(number, 7, START), START)
-        sent = self.exchange.ends(START)
+        sent = self.exchange.reports_to_send(START)
         self.assertEqual(MAX_REPORTS_PER_MESSAGE, len(sent))
         self.assertEqual(99, sent[0].fingerprint)
 
@@ -339,7 +339,7 @@
         for number in (7, 8, 9):
             self.exchange.record(TargetEnd(1, number, START), START)
         other = self.new()
-        other.receive(self.message(self.exchange.ends(START)), {}, START)
+        other.receive(self.message(self.exchange.reports_to_send(START)), {}, START)
         self.assertEqual([1], other._requests.held(START))
         self.assertEqual("r2", self.log.of(Event.REQUEST_HELD_BACK)[-1]["told_by"])
 
@@ -348,10 +348,14 @@
             self.exchange.record(TargetEnd(1, number, START), START)
         other = self.new()
         later = START + 60
-        held = self.exchange.held(later)
+        held = self.exchange.held_reports_to_send(later)
         self.assertLessEqual(len(held), MAX_HELD_PER_MESSAGE)
-        self.assertEqual([], self.exchange.held(later + HELD_INTERVAL_SECONDS / 2))
-        self.assertNotEqual([], self.exchange.held(later + HELD_INTERVAL_SECONDS))
+        self.assertEqual(
+            [], self.exchange.held_reports_to_send(later + HELD_INTERVAL_SECONDS / 2)
+        )
+        self.assertNotEqual(
+            [], self.exchange.held_reports_to_send(later + HELD_INTERVAL_SECONDS)
+        )
         other.receive(self.message(held=held), {}, later)
         self.assertEqual([1], other._requests.held(later))
 
@@ -366,7 +370,7 @@
         held_for = other._requests.held_for
         self.assertEqual(0.0, held_for(1, START))
         self.exchange.record(SuspectTrial(1, START), START)
-        other.receive(self.message(self.exchange.ends(START)[:1]), {}, START)
+        other.receive(self.message(self.exchange.reports_to_send(START)[:1]), {}, START)
         self.assertEqual(TRIAL_SECONDS, held_for(1, START))
         self.assertEqual(0.0, held_for(1, START + TRIAL_SECONDS))
         self.assertFalse(self.exchange.record(SuspectTrial(3, START), START))
@@ -389,7 +393,7 @@
         answered.record(CompleteAnswer(1, START - 5), START)
         end = TargetEnd(1, 7, START)
         answered.receive(self.message([wire.EndNews(1, 0, 7)]), {}, START)
-        sent = answered.ends(START)
+        sent = answered.reports_to_send(START)
         self.exchange.record(end, START)
         self.exchange.receive(self.message(sent), {}, START)
         self.assertEqual(
