--- a/src/primrosescale/process/entry/news_relay.py
+++ b/src/primrosescale/process/entry/news_relay.py
@@ -37,8 +37,8 @@
 # bytes) a second. Loads, which become stale, are not delayed to send more of them.
 MAX_PARTS_PER_MESSAGE = 4
 # Harm reports that wait to be forwarded, and those in one message of a relay.
-MAX_QUEUED_ENDS = 200
-MAX_ENDS_PER_MESSAGE = 12
+MAX_QUEUED_HARM_REPORTS = 200
+MAX_HARM_REPORTS_PER_MESSAGE = 12
 # For this many seconds a harm report is forwarded only once, however many routers send
 # it; and the number of reports that are remembered for that.
 END_DEDUPLICATION_SECONDS = 5.0
@@ -215,7 +215,7 @@
             MAX_QUEUED_PARTS, MAX_PARTS_PER_MESSAGE
         )
         self._ends: _ForwardQueue[wire.EndNews] = _ForwardQueue(
-            MAX_QUEUED_ENDS, MAX_ENDS_PER_MESSAGE
+            MAX_QUEUED_HARM_REPORTS, MAX_HARM_REPORTS_PER_MESSAGE
         )
         self._forwarded_ends = _ForwardedEnds()
 
