--- a/src/primrosescale/process/entry/cache_ownership.py
+++ b/src/primrosescale/process/entry/cache_ownership.py
@@ -157,7 +157,7 @@
         self._pending_requesters.add(message.origin)
         return self._pending_answers(now) if self._is_own_share_read else []
 
-    def share_read(self, now: float) -> list[tuple[PeerRouter, wire.CacheAnswer]]:
+    def mark_share_read(self, now: float) -> list[tuple[PeerRouter, wire.CacheAnswer]]:
         """Record that this router has read its own share.
 
         Parameters
--- a/src/primrosescale/process/entry/router_datagrams.py
+++ b/src/primrosescale/process/entry/router_datagrams.py
@@ -143,7 +143,7 @@
 
     def answer_cache_requests(self) -> None:
         """Answer pending requests, now that this router has read its own share."""
-        self._write_all(self._shares.share_read(self._reactor.seconds()))
+        self._write_all(self._shares.mark_share_read(self._reactor.seconds()))
 
     def _urgent_round(self) -> None:
         if not self._exchange.is_relayed:
--- a/tests/entry/test_cache_shares.py
+++ b/tests/entry/test_cache_shares.py
@@ -69,7 +69,7 @@
         super().setUp()
         self.fleet = Fleet(self.ROUTERS, self.ENGINES, self.DOMAINS, 100.0, 3)
         for router in self.fleet.routers:
-            router.shares.share_read(FLEET_START)
+            router.shares.mark_share_read(FLEET_START)
         self.fleet.begin()
         self.fleet.run(8.0)
         self.engines = Engines(self.fleet)
@@ -224,13 +224,13 @@
 
     def test_a_request_to_a_router_that_has_just_started_is_answered_later(self):
         self.assertEqual([], self.request())
-        [(asker, message)] = self.shares.share_read(START)
+        [(asker, message)] = self.shares.mark_share_read(START)
         self.assertEqual(("b", True), (asker.name, message.is_last))
-        self.assertEqual([], self.shares.share_read(START))
+        self.assertEqual([], self.shares.mark_share_read(START))
         self.assertEqual(1, len(self.request()))
 
     def test_an_unlisted_router_gets_no_answer_and_its_answers_are_ignored(self):
-        self.shares.share_read(START)
+        self.shares.mark_share_read(START)
         self.assertEqual([], self.request("c"))
         self.receive("c")
         self.assertEqual(0, self.held())
@@ -250,7 +250,7 @@
     def test_parts_of_a_single_chat_are_not_reported(self):
         parts = prompt(("tariffs", 9000), ("chat", 10)).parts
         self.parts.record_own_request(self.own_target, parts, START)
-        self.shares.share_read(START)
+        self.shares.mark_share_read(START)
         [(_, message)] = self.request()
         [cache] = message.caches
         self.assertEqual(["tariffs"], [part.part for part in cache.parts])
@@ -260,7 +260,7 @@
         for number in range(count):
             use = PartUse(f"{number:08x}", self.own_target, 9000, START - 30)
             self.parts.record_use(use)
-        self.shares.share_read(START)
+        self.shares.mark_share_read(START)
         frames = [encode(message) for _, message in self.request()]
         self.assertEqual(math.ceil(count / MAX_PARTS_PER_ANSWER), len(frames))
         self.assertLess(max(map(len, frames)), MAX_DATAGRAM_BYTES)
