--- a/src/primrosescale/process/entry/entry_router.py
+++ b/src/primrosescale/process/entry/entry_router.py
@@ -184,7 +184,7 @@
             self._state_exchange,
             self._version,
             self._is_store_lost,
-            lambda: self._store_state.listed.revision,
+            lambda: self._store_state.target_list_sync.revision,
             parts,
             shares,
         )
@@ -575,7 +575,7 @@
             self._state_exchange.newest_list_revision(),
             now,
         )
-        for incarnation in self._store_state.listed.forget_expired(now):
+        for incarnation in self._store_state.target_list_sync.forget_expired(now):
             self._prefix_index.forget_target(incarnation)
             self._harm_monitor.target_ended(incarnation, ENTRY_GONE, now)
             self._target_client.forget(incarnation.name)
--- a/src/primrosescale/process/entry/store_state.py
+++ b/src/primrosescale/process/entry/store_state.py
@@ -164,7 +164,7 @@
         self._on_complete: Callable[[], None] | None = None
         self._freshness = freshness
         self._targets = targets
-        self._listed = TargetListSync(
+        self._target_list_sync = TargetListSync(
             targets,
             watches.targets.rest,
             parts.decoder,
@@ -189,7 +189,9 @@
         self._list_lag = _Lag(watches.targets.rest + LIST_ARRIVAL_SECONDS)
         self._watches: list[StoreWatch] = []
         self._follow(watches.configuration, self._handler, self._configuration_wait)
-        self._targets_watch = self._follow_lists(watches.targets, self._listed)
+        self._targets_watch = self._follow_lists(
+            watches.targets, self._target_list_sync
+        )
         self._follow_lists(watches.routers, routers)
         self._evacuations: EvacuationListSync | None = None
         if watches.evacuations is not None and evacuations is not None:
@@ -212,9 +214,9 @@
         return self._targets
 
     @property
-    def listed(self) -> TargetListSync:
+    def target_list_sync(self) -> TargetListSync:
         """Return what keeps the list of targets in sync with the store."""
-        return self._listed
+        return self._target_list_sync
 
     @property
     def table(self) -> RoutingTable | None:
@@ -239,7 +241,7 @@
     @property
     def _missing_list(self) -> str:
         """Return what has not been read from the store yet; empty for nothing."""
-        if not self._listed.is_complete:
+        if not self._target_list_sync.is_complete:
             return "no list of targets"
         if self._evacuations is not None and not self._evacuations.is_complete:
             return "no list of evacuations"
@@ -349,7 +351,7 @@
     def _check_target_list(self, newest: int, now: float) -> None:
         """Renew the watch of targets if another router knows a change first."""
         watch = self._targets_watch
-        is_behind = self._listed.is_complete and newest > watch.revision
+        is_behind = self._target_list_sync.is_complete and newest > watch.revision
         if self._list_lag.is_overdue(now, is_behind=is_behind):
             self._list_lag.restart()
             self._log.emit(
--- a/tests/entry/test_entry_router.py
+++ b/tests/entry/test_entry_router.py
@@ -494,7 +494,7 @@
     @inlineCallbacks
     def test_targets_removed_while_the_watch_paused_are_kept_for_less_time(self):
         yield self.start()
-        handler = self.router._store_state.listed
+        handler = self.router._store_state.target_list_sync
         handler._rest = 0.6
         names = [state.target.name for state in handler._targets.states]
         now = reactor.seconds()
