--- a/src/primrosescale/process/membership/members.py
+++ b/src/primrosescale/process/membership/members.py
@@ -345,7 +345,7 @@
         newer = [entry for entry in entries if entry.version > version]
         return sorted(newer, key=lambda entry: entry.version)[:count]
 
-    def notices(self) -> list[Member]:
+    def not_ready_agents(self) -> list[Member]:
         """Return the agents that are down or leaving.
 
         Returns
