--- a/src/primrosescale/process/ledger/claim_writer.py
+++ b/src/primrosescale/process/ledger/claim_writer.py
@@ -112,7 +112,7 @@
         return self._writes
 
     @property
-    def keys(self) -> int:
+    def key_count(self) -> int:
         """Return the number of keys held in memory."""
         return sum(
             len(bucket.entries) + sum(len(index) for index in bucket.sealed)
--- a/tests/process/test_ledger.py
+++ b/tests/process/test_ledger.py
@@ -229,7 +229,7 @@
             key = bytes([number]) * 16
             self.submit(writer, make_request(key=key, token=key), replies)
             self.run_for(0.1)
-        self.assertTrue(writer.keys < 40, writer.keys)
+        self.assertTrue(writer.key_count < 40, writer.key_count)
         names = [
             o.key for o in self.store.list("ledger/", "", 999, self.clock.seconds())
         ]
