--- a/src/primrosescale/process/configuration/version_manager.py
+++ b/src/primrosescale/process/configuration/version_manager.py
@@ -162,7 +162,7 @@
         return self.head.version
 
     @property
-    def retired(self) -> int:
+    def retired_count(self) -> int:
         """Return how many replaced versions are still pinned by requests."""
         self._retired = [view for view in self._retired if view.pins]
         return len(self._retired)
--- a/src/primrosescale/process/membership/fleet_status.py
+++ b/src/primrosescale/process/membership/fleet_status.py
@@ -48,7 +48,7 @@
         "in_force_everywhere": bool(lowest)
         and min(lowest) >= version_manager.version > 0,
         "lowest_version": min(lowest, default=0),
-        "older_versions_in_use": version_manager.retired,
+        "older_versions_in_use": version_manager.retired_count,
         "news_age": round(control.load_report_age, 3),
         "domains": domains,
     }
--- a/tests/process/test_version_keeper.py
+++ b/tests/process/test_version_keeper.py
@@ -153,10 +153,10 @@
         pinned = self.version_manager.view.pin()
         tree, head = make_version(2)
         self.version_manager.pull_if_newer(head, FakeSource(tree))
-        self.assertEqual(1, self.version_manager.retired)
+        self.assertEqual(1, self.version_manager.retired_count)
         self.assertEqual(1, pinned.version)
         pinned.unpin()
-        self.assertEqual(0, self.version_manager.retired)
+        self.assertEqual(0, self.version_manager.retired_count)
 
     def test_sections_of_the_previous_version_are_still_served(self):
         tree, head = make_version(1)
