--- a/src/primrosescale/request/event_stream.py
+++ b/src/primrosescale/request/event_stream.py
@@ -74,7 +74,7 @@
             start = end
         self._remainder = text[start:]
         if len(self._remainder) > MAX_EVENT_BYTES:
-            raise ValueError(f"event exceeds {MAX_EVENT_BYTES} bytes")
+            raise ValueError(f"event over {MAX_EVENT_BYTES} bytes")
         return events
 
 
