--- a/src/primrosescale/connection/wire.thrift
+++ b/src/primrosescale/connection/wire.thrift
@@ -57,13 +57,14 @@
   4: required list<Header> headers
 }
 /* A short answer in one message; the digest covers the body.
- * "load" is the work outstanding at the agent, here and in the other ends. */
+ * "load" is the work outstanding at the agent, here and in the other messages that
+ * end a call. */
 struct Answer {
   1: required i64 router, 2: required i64 number, 3: required i32 status,
   4: required list<Header> headers, 5: required binary body,
   6: required binary digest, 7: required i32 cached_tokens, 8: required i32 load
 }
-/* Told to a chat's first candidate: where the chat was served instead. */
+/* Sent to the first candidate of a chat: the target that served the chat instead. */
 struct Placed {
   1: required string service_name, 2: required string chat, 3: required string place
 }
@@ -109,8 +110,8 @@
   7: required string service_name, 8: required bool leaving, 9: required bool gone,
   10: required i64 version, 11: required i64 incarnation
 }
-/* "routers" holds the routers of the agent's domain when the list changed;
- * "targets" holds its service's targets when the agent is leaving. */
+/* "routers" contains the routers of the agent's domain if the list has changed;
+ * "targets" contains the targets of its service if the agent is leaving. */
 struct HeartbeatReply {
   1: required i64 sequence, 2: required list<ServiceMean> means,
   3: required Head head, 4: required i64 list_version,
@@ -152,13 +153,14 @@
 }
 struct DomainSums { 1: required DomainReport report, 2: required Head head }
 
-/* What an entry router tells the others, in one datagram each.
- * "heard" is the newest sequence that the sender has from the receiver, so
- * that the receiver knows after which of its own messages this was sent.
- * "knowledge_age_ms" is the age of the sender's newest answer of the store
- * about the configuration; -1 for none. Targets are named by a hash of their
- * name; "good_percent" and "bad_percent" are left out where nothing failed, and "good"
- * has the good outcomes there. */
+/* State update for a target, part of RouterNews, which an entry router sends to each
+ * of its peers in one datagram.
+ * In RouterNews, "heard" is the highest sequence number that the sender has received
+ * from the receiver, so that the receiver knows after which of its own messages this
+ * one was sent. "knowledge_age_ms" is the age of the store's latest answer to the
+ * sender about the configuration; -1 for none.
+ * Targets are identified by a hash of their name. "good_percent" and "bad_percent" are
+ * absent if nothing failed; "good" then contains the successes. */
 struct TargetNews {
   1: required i32 target, 2: required i32 running,
   3: optional i32 good_percent, 4: optional i32 bad_percent, 5: optional i32 good
@@ -167,28 +169,30 @@
   1: required string part, 2: required i32 target, 3: required i32 tokens,
   4: required i32 age_ms, 5: optional list<string> before
 }
-/* Whose requests a message counts: the sender's own, those of all routers of its
- * failure domain, or those of all routers but the one that it is sent to. */
+/* The requests that a message counts: the sender's own, those of all routers of its
+ * failure domain, or those of all routers except the receiver. */
 enum NewsScope { ROUTER = 1, DOMAIN = 2, FLEET = 3 }
-/* A target ended with a request on board. Without "target" the request was answered
- * whole, and earlier ends do not count; or, with "is_try", it was sent to see whether
- * its target ends, and is not to be sent besides. "fingerprint" is the request's;
- * "was_answered" tells that the target had answered it just before. */
+/* A target ended while running a request. Without "target", the request was answered
+ * completely and earlier ends no longer count; or, with "is_try", the suspect request
+ * was sent to one target as a trial and must not be sent to others meanwhile.
+ * "fingerprint" identifies the request; "was_answered" is set if the target had
+ * answered it just before it ended. */
 struct EndNews {
   1: required i64 fingerprint, 2: required i32 age_ms, 3: optional i32 target,
   4: optional bool is_try, 5: optional bool was_answered
 }
 
-/* "ends" are passed on by relays; "held" are the ends for which the sender holds
- * requests back, told again and again and not passed on.
- * "scope" is absent where all routers tell all. The loads of a message with a
- * scope stand in "running", a byte a target in the order of the targets' short
- * names, where "targets_digest" is that of the receiver's list; else in "targets".
- * They are deflated where "is_packed" says so.
- * "age_ms" is the age of the oldest load in it, "routers" how many it counts.
- * "evacuated" names the failure domains that were at the store's revision
- * "evacuated_revision". "leaving" are short names of targets that said in an answer
- * that they leave, while their entries do not. */
+/* "ends" are forwarded by relays; "held" are the ends because of which the sender holds
+ * requests back: they are sent repeatedly and not forwarded.
+ * "scope" is absent if every router sends updates to every other one. The loads of a
+ * message with a scope are in "running", one byte per target in the order of the
+ * targets' keys (hashes of their names), if "targets_digest" equals the digest of the
+ * receiver's list, and otherwise in "targets". "running" is compressed with deflate if
+ * "is_packed" is set. "age_ms" is the age of the oldest load in the message, "routers"
+ * the number of routers that it counts.
+ * "evacuated" contains the failure domains that were evacuated at the store's revision
+ * "evacuated_revision". "leaving" contains the keys of targets that reported in an
+ * answer that they are leaving, while their entries do not show it. */
 struct RouterNews {
   1: required string origin, 2: required i64 incarnation, 3: required i64 sequence,
   4: required i64 heard, 5: required i64 version, 6: required i32 knowledge_age_ms,
@@ -202,9 +206,10 @@
   22: optional list<i32> leaving
 }
 
-/* What a router that has just started asks the others, and what one answers: the
- * parts of prompts that targets hold, of those targets for which it is the first
- * in the order of routers that all agree on. "is_last" ends its answer. */
+/* Request of a router that has just started for the prefix cache index of its peers.
+ * Each peer answers with the parts of prompts that targets hold, for those targets of
+ * which it is the first router in rendezvous order. "is_last" marks the last
+ * message of its answer. */
 struct CacheQuestion { 1: required string origin }
 struct CachedPart {
   1: required string part, 2: required i32 tokens, 3: required i32 age_ms
