--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Puts the package and its locked libraries under target/deps, byte-compiled
-# with and without docstrings: the processes run without, which saves memory.
+# Installs the package and its locked dependencies into target/deps, byte-compiled
+# with and without docstrings: the processes run without them, which saves memory.
 set -eu
 cd "$(dirname "$0")/.."
 deps=target/deps
@@ -13,7 +13,7 @@
     python3 -m compileall -q -o 0 -o 2 "$deps" || true
     cat requirements/platform.txt deploy/build.sh > "$stamp"
 fi
-# Processes may run from here: what is unchanged is left alone.
+# Processes may be running from here, so the package is replaced only if it changed.
 if ! diff -rq --exclude=__pycache__ src/primrosescale "$deps/primrosescale" \
         > /dev/null 2>&1; then
     rm -rf "$deps/primrosescale"
