--- a/tests/entry/test_entry_router.py
+++ b/tests/entry/test_entry_router.py
@@ -213,7 +213,7 @@
         yield self.ask(text(headers=b"traceparent: %b\r\n" % context))
         arrivals = self.arrivals("p1", "p2")
         sent = [a.headers[b"traceparent"].decode().split("-") for a in arrivals]
-        spans = [said for event, said in self.events if event == "SPAN"]
+        spans = [details for event, details in self.events if event == "SPAN"]
         self.assertEqual({trace.decode()}, {s["trace"] for s in spans})
         self.assertEqual({trace.decode()}, {parts[1] for parts in sent})
         [router] = [s for s in spans if s["name"] == "router"]
@@ -300,7 +300,7 @@
         for script in self.scripts.values():
             script.faults.clear()
         yield self.ask(text(b"/once/a", method=b"POST", body=b"two", rid=b"r4"))
-        lines = [said for event, said in self.events if event == "REQUEST_ENDED"]
+        lines = [details for event, details in self.events if event == "REQUEST_ENDED"]
         first, second, third, whole = [line["fingerprint"] for line in lines]
         self.assertEqual(first, second)
         self.assertNotEqual(first, third)
@@ -326,8 +326,8 @@
             script.faults += [EngineFault.FAIL] * 2
         yield self.ask(text(), b"")
         yield self.ask(text(b"/none/x"), b"")
-        said = [values for name, values in self.events if name == "REQUEST_ENDED"]
-        self.assertEqual([200, 500, None], [item.get("status") for item in said])
+        details = [values for name, values in self.events if name == "REQUEST_ENDED"]
+        self.assertEqual([200, 500, None], [item.get("status") for item in details])
 
     @inlineCallbacks
     def test_what_is_not_allowed_is_refused_with_its_status(self):
@@ -613,10 +613,12 @@
     @inlineCallbacks
     def test_no_malformed_entry_stops_the_watch_of_targets(self):
         yield self.start()
-        for number, odd in enumerate((float("inf"), 10**400, [[[]]], None, {"a": 1})):
-            entry = target_entry("portal", f"{LOOPBACK}:1", slots=odd)
+        for number, invalid in enumerate(
+            (float("inf"), 10**400, [[[]]], None, {"a": 1})
+        ):
+            entry = target_entry("portal", f"{LOOPBACK}:1", slots=invalid)
             self.store.write("servers", f"odd{number}", entry)
-            self.store.write("servers", f"text{number}", odd)
+            self.store.write("servers", f"text{number}", invalid)
             self.engine(f"p{number + 3}", "portal")
             yield self.eventually(
                 lambda name=f"p{number + 3}": (
@@ -719,15 +721,19 @@
         self.assertNotIn(b"Retry-After", caller.data)
         self.assertEqual(1, len(self.arrivals()))
         yield self.eventually(lambda: self.arrivals()[0].is_left)
-        [said] = [said for event, said in self.events if event == "TARGET_RESTARTED"]
+        [details] = [
+            details for event, details in self.events if event == "TARGET_RESTARTED"
+        ]
         expected = {
             "target": name,
             "started_at": SECOND,
             "former": FIRST,
             "told_by": "store",
         }
-        self.assertEqual(expected, said)
-        [ended] = [said for event, said in self.events if event == "REQUEST_ENDED"]
+        self.assertEqual(expected, details)
+        [ended] = [
+            details for event, details in self.events if event == "REQUEST_ENDED"
+        ]
         self.assertEqual("lost: target started again", ended["attempts"][0]["outcome"])
         self.assertIn(b"target_restarts_total 1.0", self.router._metrics.text())
 
@@ -806,7 +812,9 @@
         self.assertFalse(self.knows_as_draining("m2"))
         self.assertEqual(500, directory.held(self.incarnation("m2"), parts, now))
         self.assertEqual(THIRD, self.incarnation("m2").started_at)
-        restarts = [said for event, said in self.events if event == "TARGET_RESTARTED"]
+        restarts = [
+            details for event, details in self.events if event == "TARGET_RESTARTED"
+        ]
         self.assertEqual(
             [("m2", "target")], [(s["target"], s["told_by"]) for s in restarts]
         )
@@ -821,13 +829,13 @@
         yield self.start()
         yield self.ask(text(rid=b"abc"))
         yield self.eventually(lambda: "REQUEST_ENDED" in [n for n, _ in self.events])
-        said = next(s for n, s in self.events if n == "REQUEST_ENDED")
-        self.assertEqual(("abc", "answered", 1), self.outcome(said))
-        json.dumps(said)
+        details = next(s for n, s in self.events if n == "REQUEST_ENDED")
+        self.assertEqual(("abc", "answered", 1), self.outcome(details))
+        json.dumps(details)
         caller = yield self.connect(self.settings.metrics)
         caller.transport.write(b"GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n")
         yield caller.answered(b"\n")
         self.assertIn(b'outcome="answered",route="plain"', caller.data)
 
-    def outcome(self, said):
-        return said["request"], said["outcome"], said["version"]
+    def outcome(self, details):
+        return details["request"], details["outcome"], details["version"]
--- a/tests/entry/test_evacuations.py
+++ b/tests/entry/test_evacuations.py
@@ -365,8 +365,12 @@
         taken_back = reactor.seconds()
         yield self.ask_for(APPLIED_WITHIN_SECONDS + 1.0)
         self.assertEqual({"a", "b"}, self.reached_after(taken_back))
-        changes = [said for name, said in self.events if name == "DOMAINS_EVACUATED"]
-        self.assertEqual({("a",), ()}, {tuple(said["domains"]) for said in changes})
+        changes = [
+            details for name, details in self.events if name == "DOMAINS_EVACUATED"
+        ]
+        self.assertEqual(
+            {("a",), ()}, {tuple(details["domains"]) for details in changes}
+        )
 
     @inlineCallbacks
     def test_a_router_that_starts_meanwhile_sends_nothing_to_the_domain(self):
--- a/tests/entry/test_failure_text.py
+++ b/tests/entry/test_failure_text.py
@@ -14,10 +14,10 @@
     def test_wrapped_causes_are_listed_in_order(self):
         inner = Failure(ConnectionDone("closed"))
         cut = Failure(ResponseFailed([inner, Failure(ValueError("half a chunk"))]))
-        told = failure_text(cut)
-        self.assertIn("ConnectionDone", told)
-        self.assertTrue(told.endswith("; ValueError: half a chunk"), told)
-        self.assertNotIn("Failure", told)
+        text = failure_text(cut)
+        self.assertIn("ConnectionDone", text)
+        self.assertTrue(text.endswith("; ValueError: half a chunk"), text)
+        self.assertNotIn("Failure", text)
 
     def test_a_cause_without_message_is_shown_by_its_type(self):
         self.assertEqual("KeyError", failure_text(KeyError()))
--- a/tests/entry/test_foreign_entries.py
+++ b/tests/entry/test_foreign_entries.py
@@ -211,12 +211,12 @@
 
     @drawn(200)
     @given(st.lists(st.tuples(names, contents(TARGET)), max_size=5), st.booleans())
-    def test_drawn_entries_leave_the_others_in_use(self, unreadable, is_whole):
+    def test_drawn_entries_leave_the_others_in_use(self, unreadable, is_full_list):
         self.setUp_again()
         unreadable = [
             entry(name, value, 2) for name, value in unreadable if name != "i-1"
         ]
-        notify = self.listed.replaced if is_whole else self.listed.changed
+        notify = self.listed.replaced if is_full_list else self.listed.changed
         notify((*unreadable, entry("i-1", TARGET, 2)), self.now)
         notify((entry("i-1", TARGET, 3), *unreadable), self.now)
         self.assertIn("i-1", self.usable())
--- a/tests/entry/test_harm_watch.py
+++ b/tests/entry/test_harm_watch.py
@@ -53,11 +53,11 @@
     def __init__(self):
         self.lines = []
 
-    def emit(self, event, **said):
-        self.lines.append((event, said))
+    def emit(self, event, **details):
+        self.lines.append((event, details))
 
     def of(self, event):
-        return [said for each, said in self.lines if each is event]
+        return [details for each, details in self.lines if each is event]
 
 
 class HarmMonitorTest(TestCase):
@@ -116,10 +116,10 @@
         self.find(ProbeResult.ENDED)
         self.assertEqual(1, self.ends())
         self.assertEqual(1, self.sent_soon)
-        [said] = self.log.of(Event.TARGET_ENDED)
-        self.assertEqual(("t1", 1), (said["target"], said["on_board"]))
+        [details] = self.log.of(Event.TARGET_ENDED)
+        self.assertEqual(("t1", 1), (details["target"], details["on_board"]))
 
-    def heard(self, name, after):
+    def receive_answer(self, name, after):
         """Receive an answer to a request that was sent some time ago."""
         now = self.clock.seconds()
         self.targets.state(name).bytes_received(now)
@@ -135,7 +135,7 @@
             self.lose(name)
             self.find(ProbeResult.CONNECTED)
             self.clock.advance(0.1)
-            self.heard(name, 0.05)
+            self.receive_answer(name, 0.05)
         self.gone(*NAMES)
         self.assertEqual(0, self.ends())
         self.assertEqual(0.0, self.held_for())
@@ -150,7 +150,7 @@
     def test_an_answer_to_an_earlier_request_does_not_show_it_either(self):
         self.lose("t1")
         self.clock.advance(0.1)
-        self.heard("t1", 0.5)
+        self.receive_answer("t1", 0.5)
         self.gone("t1")
         self.assertEqual(1, self.ends())
 
@@ -158,7 +158,7 @@
         self.targets.put(target("t1", started_at=1), START)
         self.lose("t1")
         self.clock.advance(0.1)
-        self.heard("t1", 0.05)
+        self.receive_answer("t1", 0.05)
         self.gone("t1")
         self.assertEqual(1, self.ends())
 
@@ -171,7 +171,7 @@
         self.assertGreater(self.held_for(), 0)
         self.assertEqual(
             {"another in its place"},
-            {said["how"] for said in self.log.of(Event.TARGET_ENDED)},
+            {details["how"] for details in self.log.of(Event.TARGET_ENDED)},
         )
 
     def test_a_later_loss_at_the_same_target_is_checked_too(self):
@@ -212,7 +212,7 @@
         self.answer("t1")
         self.clock.advance(CONFIRMATION_SECONDS)
         self.assertIsNone(self.requests.last_answer(self.request.fingerprint))
-        self.heard("t1", 0.0)
+        self.receive_answer("t1", 0.0)
         self.clock.advance(CONFIRMATION_INTERVAL_SECONDS)
         self.assertIsNotNone(self.requests.last_answer(self.request.fingerprint))
         self.gone("t1")
@@ -272,23 +272,23 @@
         self.end("t1", "t2", "t3")
         self.assertGreater(self.held_for(), 0)
         self.clock.advance(0.5)
-        self.heard("t3", 0.1)
+        self.receive_answer("t3", 0.1)
         self.assertEqual(2, self.ends())
         self.assertEqual(0.0, self.held_for())
 
     def test_data_sent_before_the_end_does_not_revoke_it(self):
         self.end("t1")
         self.clock.advance(0.1)
-        self.heard("t1", 0.05)
+        self.receive_answer("t1", 0.05)
         self.assertEqual(1, self.ends())
 
     def test_holding_back_and_clearing_a_request_are_logged(self):
         self.end("t1", "t2", "t3")
-        [said] = self.log.of(Event.REQUEST_HELD_BACK)
-        self.assertEqual((3, ""), (said["ends"], said["told_by"]))
+        [details] = self.log.of(Event.REQUEST_HELD_BACK)
+        self.assertEqual((3, ""), (details["ends"], details["told_by"]))
         self.answer("t4")
         self.clock.advance(CONFIRMATION_SECONDS)
-        self.heard("t4", 0.0)
+        self.receive_answer("t4", 0.0)
         self.clock.advance(CONFIRMATION_INTERVAL_SECONDS)
         self.assertEqual(1, len(self.log.of(Event.REQUEST_CLEARED)))
         self.assertEqual(0.0, self.held_for())
@@ -410,7 +410,7 @@
     def __init__(self):
         self.is_holding = False
         self.lost = []
-        self.whole = []
+        self.completed = []
         self.out = []
 
     def held_for(self, request, now):
@@ -423,7 +423,7 @@
         self.lost.append(state.target.name)
 
     def answered(self, request, state, now):
-        self.whole.append(request.request_id)
+        self.completed.append(request.request_id)
 
     def answer_began(self, state, sent_at, now):
         pass
@@ -480,7 +480,7 @@
         first.observer.response_lost("closed")
         self.assertEqual([first.name], self.watch.lost)
         self.harness.caller.last.answer(body=b"done")
-        self.assertEqual(["r1"], self.watch.whole)
+        self.assertEqual(["r1"], self.watch.completed)
 
     def test_a_stream_is_not_resumed_once_held_back(self):
         self.harness.states += ForwardingHarness([target("m1"), target("m2")]).states
@@ -496,4 +496,4 @@
     def test_an_error_status_of_the_target_is_no_complete_answer(self):
         self.harness.call(request(replace(LOOKUP, max_targets=1)))
         self.harness.caller.last.answer(500)
-        self.assertEqual([], self.watch.whole)
+        self.assertEqual([], self.watch.completed)
--- a/tests/entry/test_harmful_requests.py
+++ b/tests/entry/test_harmful_requests.py
@@ -174,8 +174,8 @@
             LessThan(MAX_ARRIVALS_AFTERWARDS + 1),
         )
         for router in self.routers:
-            whole = yield self.ask(router, path, b"another of the same caller")
-            self.assertIn(b"HTTP/1.1 200", whole)
+            response = yield self.ask(router, path, b"another of the same caller")
+            self.assertIn(b"HTTP/1.1 200", response)
 
     def test_a_stream_that_its_caller_retries(self):
         return self.check(b"/draft/x")
--- a/tests/entry/test_log_writer.py
+++ b/tests/entry/test_log_writer.py
@@ -21,17 +21,17 @@
 
 class FailureObserverTest(TestCase):
     def test_failures_logged_by_twisted_become_numbered_events(self):
-        told = []
+        emitted = []
         log = EventLog("r1")
-        log.emit = lambda event, **said: told.append((event, said))
+        log.emit = lambda event, **details: emitted.append((event, details))
         observer = FailureObserver(log)
         publisher = LogPublisher(observer)
         logger = Logger(observer=publisher)
         logger.info("all is well")
         logger.failure("while doing something", failure=Failure(KeyError("lost")))
-        [(event, said)] = told
+        [(event, details)] = emitted
         self.assertEqual(Event.LOOP_FAILED, event)
-        self.assertIn("KeyError", said["detail"])
+        self.assertIn("KeyError", details["detail"])
 
 
 class LogWriterTest(TestCase):
--- a/tests/entry/test_silent_target.py
+++ b/tests/entry/test_silent_target.py
@@ -97,7 +97,7 @@
         self.second.observer.response_data(event(2) + event(3))
         self.first.observer.response_data(event(3))
         self.first.observer.response_done()
-        self.check_whole(3)
+        self.check_complete(3)
 
     def test_the_first_is_ignored_once_the_next_has_begun(self):
         self.second.observer.response_head(head())
@@ -106,7 +106,7 @@
         self.assertEqual(event(1), self.sink.body)
         self.second.observer.response_data(event(2) + event(3))
         self.second.observer.response_done()
-        self.check_whole(3)
+        self.check_complete(3)
 
     def test_a_hedge_that_fails_costs_nothing(self):
         for fail in (
@@ -135,7 +135,7 @@
         self.second.observer.response_head(head())
         self.second.observer.response_data(event(2))
         self.second.observer.response_done()
-        self.check_whole(2)
+        self.check_complete(2)
 
     def test_a_hedge_that_is_silent_does_not_end_the_first(self):
         harness = ForwardingHarness(MODEL[:2])
@@ -168,7 +168,7 @@
         self.second.observer.response_head(head(503, is_not_run=True))
         self.first.observer.response_data(event(2))
         self.first.observer.response_done()
-        self.check_whole(2)
+        self.check_complete(2)
 
     def test_a_target_whose_hedge_was_not_needed_can_be_used_again(self):
         self.first.observer.response_data(event(2))
@@ -179,7 +179,7 @@
         third.observer.response_head(head())
         third.observer.response_data(event(3))
         third.observer.response_done()
-        self.check_whole(3)
+        self.check_complete(3)
 
     def test_a_caller_that_disconnects_cancels_both(self):
         self.call.caller_gone()
@@ -187,7 +187,7 @@
         self.assertTrue(self.second.is_cancelled)
         self.assertEqual([], self.harness.clock.getDelayedCalls())
 
-    def check_whole(self, events):
+    def check_complete(self, events):
         expected = b"".join(event(number) for number in range(1, events + 1))
         self.assertEqual(expected, self.sink.body)
         self.assertTrue(self.sink.is_finished)
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -243,9 +243,9 @@
             request.leaving_reported_at = reactor.seconds()
         collected = _BodyCollector()
         response.deliverBody(collected)
-        is_whole = yield collected.ended
+        is_complete = yield collected.ended
         request.body = collected.data
-        request.outcome = request.outcome or (ANSWERED if is_whole else CUT)
+        request.outcome = request.outcome or (ANSWERED if is_complete else CUT)
 
     def _abort(self, request, channel):
         request.outcome = LEFT
--- a/tests/standin/test_users_store.py
+++ b/tests/standin/test_users_store.py
@@ -36,8 +36,8 @@
     def test_each_field_is_missing_once_and_of_another_type(self):
         found = foreign_entries(ENTRY)
         for name in ENTRY:
-            odd = [c for c in found.values() if isinstance(c, dict) and name in c]
-            types = {type(c[name]) for c in odd}
+            affected = [c for c in found.values() if isinstance(c, dict) and name in c]
+            types = {type(c[name]) for c in affected}
             self.assertTrue(len(types) > 2, name)
             self.assertEqual(name != "born", f"no {name}" in found)
 
--- a/tests/support/entry_site.py
+++ b/tests/support/entry_site.py
@@ -167,7 +167,7 @@
 ):
     """Return the collaborators of a router; its events are appended to a list."""
     log = EventLog(name)
-    log.emit = lambda event, **said: events.append((event.name, said))
+    log.emit = lambda event, **details: events.append((event.name, details))
     return EntryDependencies(
         reactor=reactor,
         platform=ObjectPlatform(reactor, store, 0.5),
--- a/tests/support/harm_fleet.py
+++ b/tests/support/harm_fleet.py
@@ -191,7 +191,9 @@
     def _build_state_exchange(self, incarnation):
         self.events = self.fleet.events
         log = SimpleNamespace(
-            emit=lambda event, **said: self.events.append((self.name, event, said))
+            emit=lambda event, **details: self.events.append(
+                (self.name, event, details)
+            )
         )
         self.requests = HarmfulRequests(self.fleet.harm_settings)
         self.harm_exchange = HarmReportExchange(self.requests, log)
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -310,7 +310,7 @@
         self.targets = {}
         self.routers = {}
         self.agents = {}
-        self.lives = {}
+        self.incarnations = {}
         self.hooks = {}
         self.hooked = set()
         self.domains = domains
@@ -333,10 +333,10 @@
         return [*self.errors, *Checker(self.history).faults()]
 
     def is_process_dead(self, name):
-        return f"{name}#{self.lives.get(name, 0)}" in self.network.dead
+        return f"{name}#{self.incarnations.get(name, 0)}" in self.network.dead
 
     def owner(self, name):
-        return f"{name}#{self.lives[name]}"
+        return f"{name}#{self.incarnations[name]}"
 
     # Actions of tests.
 
@@ -381,7 +381,7 @@
         return MemoryPlatform(self.store, MemoryReactor(self, owner))
 
     def start_router(self, name):
-        incarnation = self.lives[name] = self.lives.get(name, 0) + 1
+        incarnation = self.incarnations[name] = self.incarnations.get(name, 0) + 1
         seeds = ", ".join(f"127.0.0.1:{r.link_port}" for r in self.routers.values())
         text = "[router]\nport = 0\nadmin_port = 0\nlink_port = 0\n"
         text += f"seeds = {seeds}\n" if seeds else ""
@@ -427,7 +427,7 @@
         return self.start_agent(name, port=port)
 
     def start_agent(self, name, target=None, port=0):
-        incarnation = self.lives[name] = self.lives.get(name, 0) + 1
+        incarnation = self.incarnations[name] = self.incarnations.get(name, 0) + 1
         number = int(name[1:])
         found = target or self.targets.get(number) or FakeTarget(self, name)
         found.is_dead = False
@@ -525,13 +525,13 @@
         """Stop an agent gracefully; its calls in flight must get complete answers."""
         agent = self.agents[name]
         now = self.clock.seconds()
-        self.history.leave(name, self.lives[name], now)
+        self.history.leave(name, self.incarnations[name], now)
         self.history.plan_stop(self.calls_at(name))
-        incarnation = self.lives[name]
+        incarnation = self.incarnations[name]
         stopped = agent.stop()
 
         def exit_process(_):
-            if self.lives[name] == incarnation:
+            if self.incarnations[name] == incarnation:
                 self.kill(name, with_reset=True)
 
         return stopped.addCallback(exit_process)
