--- a/tests/connection/test_rest_limit.py
+++ b/tests/connection/test_rest_limit.py
@@ -23,7 +23,7 @@
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nKeep-Alive: timeout=9\r\n\r\nok"
 
 
-class RestLimitTest(TestCase):
+class IdleLimitTest(TestCase):
     def setUp(self):
         super().setUp()
         self.limit = IdleLimit()
@@ -52,7 +52,7 @@
         self.assertTrue(self.limit.allows(0.4, later))
 
 
-class RestLimitSourcesTest(TestCase):
+class IdleLimitSourcesTest(TestCase):
     def setUp(self):
         super().setUp()
         self.limit = IdleLimit()
--- a/tests/entry/test_evacuations.py
+++ b/tests/entry/test_evacuations.py
@@ -260,7 +260,7 @@
             self.state_exchange.put(PeerRouter(other, endpoint, "x"), START)
 
 
-class EvacuationNewsTest(TestCase):
+class EvacuationExchangeTest(TestCase):
     """A router that cannot reach the store learns of evacuations from the others."""
 
     def sides(self, count, settings=None):
--- a/tests/entry/test_harm_watch.py
+++ b/tests/entry/test_harm_watch.py
@@ -140,7 +140,7 @@
         self.assertEqual(0, self.ends())
         self.assertEqual(0.0, self.held_for())
 
-    def test_a_connection_alone_does_not_show_that_it_lives(self):
+    def test_a_connection_alone_does_not_show_that_it_is_alive(self):
         self.lose("t1")
         self.find(ProbeResult.CONNECTED)
         self.clock.advance(3.0)
--- a/tests/entry/test_leaving_answers.py
+++ b/tests/entry/test_leaving_answers.py
@@ -151,7 +151,7 @@
         return {s.target.name for s in self.targets.states if s.is_leaving}
 
 
-class LeavingNewsTest(TestCase):
+class LeavingExchangeTest(TestCase):
     """Routers learn from others that a target leaves which has not answered them."""
 
     def routers_by_name(self, count, settings=None, entries=None):
--- a/tests/entry/test_router_news.py
+++ b/tests/entry/test_router_news.py
@@ -53,7 +53,7 @@
         return decode(encode(message))
 
 
-class NewsTest(TestCase):
+class StateExchangeTest(TestCase):
     def setUp(self):
         super().setUp()
         self.a, self.b = ExchangingRouter("a"), ExchangingRouter("b")
--- a/tests/entry/test_shrinking_fleet.py
+++ b/tests/entry/test_shrinking_fleet.py
@@ -125,7 +125,7 @@
         self.check_bound(self.shrink(29, 27, 1, told=0.0))
 
     # Guards against refusing requests while the targets that stay have capacity.
-    def test_nobody_is_refused_where_enough_targets_stay(self):
+    def test_no_request_is_refused_where_enough_targets_stay(self):
         for size in ((29, 27, 18), (4, 5, 4)):
             fleet = self.shrink(*size)
             self.check_bound(fleet)
--- a/tests/request/test_admission.py
+++ b/tests/request/test_admission.py
@@ -119,7 +119,7 @@
         self.assertEqual(Reason.OVER_BOUND, verdict.reason)
         self.assertEqual([], verdict.displaced)
 
-    def test_nobody_is_displaced_for_a_call_that_still_does_not_fit(self):
+    def test_no_call_is_displaced_for_a_call_that_still_does_not_fit(self):
         admission = make(floor=100, slots=1)
         admission.offer(call("a", work=60), 0.0)
         admission.start_next(0.0)
--- a/tests/request/test_cold_targets.py
+++ b/tests/request/test_cold_targets.py
@@ -443,7 +443,7 @@
         now = self.harness.clock.seconds()
         self.assertTrue(self.cold.is_cold(self.harness.state(run.name), now))
 
-    def test_without_patience_it_is_refused_where_it_could_have_waited(self):
+    def test_without_a_wait_time_it_is_refused_where_it_could_have_waited(self):
         self.harness.tools.settings = ForwardingSettings(cold_patience=0.0)
         self.count_for("stranger", 3)
         self.make_cold("m1", "m2", seconds=0.1)
--- a/tests/request/test_target_statements.py
+++ b/tests/request/test_target_statements.py
@@ -169,7 +169,7 @@
         self.assertTrue(kept.pop(make_incarnation("m1", 5)).is_leaving)
         self.assertFalse(kept.pop(make_incarnation("m1", 5)).is_leaving)
 
-    def test_nothing_is_kept_of_targets_that_said_nothing(self):
+    def test_nothing_is_kept_of_targets_that_reported_nothing(self):
         kept = RetainedSelfReports()
         kept.keep(make_incarnation("m1"), TargetSelfReports(), START)
         self.assertEqual(0, len(kept))
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -80,7 +80,7 @@
         self.add(request(), delivery(), delivery(at=100.3, target="t1"))
         self.assertEqual([], self.broken())
 
-    def test_a_run_that_nobody_asked_for(self):
+    def test_a_run_without_a_request(self):
         self.add(delivery("ghost"))
         self.assertEqual(["at most once"], self.broken())
 
@@ -89,7 +89,7 @@
             self.add(request(status=status), delivery())
             self.assertEqual(["not run is true"], self.broken())
 
-    def test_answers_that_are_not_whole_or_another_s(self):
+    def test_answers_that_are_incomplete_or_another_s(self):
         event = b"id: 1\ndata: a\n\n"
         for fields in (
             {"echoed": "b"},
@@ -185,22 +185,22 @@
         self.add(request("b", status=502, sent_at=95.0, ended_at=95.2))
         self.assertEqual([], self.broken())
 
-    def test_what_may_run_once_runs_at_both_lives_of_a_target(self):
+    def test_what_may_run_once_runs_at_both_incarnations_of_a_target(self):
         self.add(request(kind="once"), delivery(start=1), delivery(at=100.3, start=2))
         self.assertEqual(["at most once"], self.broken())
 
-    def test_not_run_is_said_of_what_a_former_life_ran(self):
+    def test_not_run_is_reported_of_what_a_former_incarnation_ran(self):
         self.history.ended["t0", 1] = 100.15
         self.add(request(kind="once", status=503), delivery(start=1))
         self.assertEqual(["not run is true"], self.broken())
 
-    def test_an_answer_of_a_life_that_never_ran_it(self):
+    def test_an_answer_of_an_incarnation_that_never_ran_it(self):
         self.add(request(signed="t0/2"), delivery(start=1))
         self.assertEqual(["former lives"], self.broken())
         self.history.sent_requests["a"].signed = "t0/1"
         self.assertEqual([], self.broken())
 
-    def test_an_answer_of_a_life_that_has_ended(self):
+    def test_an_answer_of_an_incarnation_that_has_ended(self):
         self.history.ended["t0", 1] = 99.0
         self.add(request(**SIGNED), delivery(at=98.9, start=1))
         self.assertEqual(["former lives"], self.broken())
@@ -208,7 +208,7 @@
         self.add(delivery(start=2))
         self.assertEqual([], self.broken())
 
-    def test_an_answer_of_a_life_that_ends_while_it_is_sent(self):
+    def test_an_answer_of_an_incarnation_that_ends_while_it_is_sent(self):
         self.history.ended["t0", 1] = 99.5
         self.add(request(**SIGNED), delivery(at=99.4, start=1))
         self.assertEqual([], self.broken())
@@ -220,7 +220,7 @@
             self.add(request(name, sent_at=at, ended_at=at + 0.1))
             self.add(delivery(name, at + 0.05, target=target, **fields))
 
-    def test_a_new_life_that_gets_no_work(self):
+    def test_a_new_incarnation_that_gets_no_work(self):
         self.history.listed.append(Entry("t0", "portal", 2, 95.0))
         self.add_requests(60, target="t1")
         self.assertEqual(["good entries"], self.broken())
@@ -363,7 +363,7 @@
         entry.domain = "b"
         self.assertEqual(overdue, list(promises.good_entries_get_work(self.history)))
 
-    def test_a_target_that_said_that_it_leaves_may_get_no_work(self):
+    def test_a_target_that_reported_that_it_leaves_may_get_no_work(self):
         for number in range(60):
             at = 100.0 + number / 10
             self.add(request(f"a{number}", sent_at=at, ended_at=at + 0.1))
@@ -415,7 +415,7 @@
         self.add(delivery("c", late + 1.1, start=1))
         self.assertEqual(["leaving answers"], self.broken())
 
-    def test_another_router_life_or_target_has_not_passed_it_on(self):
+    def test_another_router_incarnation_or_target_has_not_passed_it_on(self):
         self.add(request(leaving_reported_at=100.1, **SIGNED), delivery(start=1))
         for n, fields in enumerate(({"router": "r1"}, {"process_number": 2})):
             self.add(request(f"b{n}", sent_at=105.0, ended_at=105.2, **fields))
@@ -486,7 +486,9 @@
             self.add(delivery(at=100.0 + n * 0.053))
         self.assertEqual([], self.find_overloads())
 
-    def test_nor_what_another_life_of_it_gets_or_what_comes_when_it_is_warm(self):
+    def test_nor_what_another_incarnation_of_it_gets_or_what_comes_when_it_is_warm(
+        self,
+    ):
         self.add_cold_period(start=7)
         for n in range(60):
             self.add(delivery(at=101.0 + n * 0.01), delivery(at=103.01, start=7))
--- a/tests/standin/test_deployment.py
+++ b/tests/standin/test_deployment.py
@@ -82,7 +82,7 @@
         self.assertEqual(0, target.resource.fence)
 
     @inlineCallbacks
-    def test_what_was_running_is_cut_and_the_new_life_gets_work(self):
+    def test_what_was_running_is_cut_and_the_new_incarnation_gets_work(self):
         running = self.chat("c2", 600, stream=True)
         busy = []
         while not busy:
--- a/tests/standin/test_users_engine.py
+++ b/tests/standin/test_users_engine.py
@@ -40,16 +40,16 @@
     def description(self, path):
         return json.loads(self.ask(path, b"GET").value().partition(b"\r\n\r\n")[2])
 
-    def test_it_tells_its_start_wherever_it_tells_of_itself(self):
+    def test_it_reports_its_start_in_each_report_of_itself(self):
         self.engine.restart(FIRST_START)
         for path in (b"/api/report", b"/api/kv-list", b"/up"):
             self.assertEqual(FIRST_START, self.description(path)["born"], path)
 
-    def test_without_a_start_it_tells_none(self):
+    def test_without_a_start_it_reports_none(self):
         for path in (b"/api/report", b"/api/kv-list", b"/up"):
             self.assertNotIn("born", self.description(path), path)
 
-    def test_a_new_life_has_forgotten_all(self):
+    def test_a_new_incarnation_has_forgotten_all(self):
         self.engine.restart(FIRST_START)
         incarnation = self.script.current_incarnation
         incarnation.sequence = 5
@@ -72,7 +72,7 @@
         self.assertTrue(transport.disconnecting or transport.aborting)
         self.assertEqual(0, self.script.running)
 
-    def test_the_end_of_the_former_life_takes_nothing_off_the_new_one(self):
+    def test_the_end_of_the_former_incarnation_takes_nothing_off_the_new_one(self):
         self.ask(b"/story/x")
         former = self.channel
         self.engine.restart(FIRST_START)
--- a/tests/standin/test_users_store.py
+++ b/tests/standin/test_users_store.py
@@ -75,7 +75,7 @@
         self.assertEqual(ENTRY, found["spec"])
 
     @inlineCallbacks
-    def test_watches_hear_late_of_what_came_while_it_lagged(self):
+    def test_watches_receive_late_what_was_written_while_it_lagged(self):
         self.store.faults.drops_watch_events = True
         found = []
         watching = self.read(f"{LIST}?watch=2&wait_ms=2000").addCallback(found.append)
