--- a/src/primrosescale/process/entry/entry_metrics.py
+++ b/src/primrosescale/process/entry/entry_metrics.py
@@ -62,12 +62,12 @@
             "Requests sent to a target while cold ones were passed over",
             registry=self._registry,
         )
-        self._rest_passes = Counter(
+        self._paused_passes = Counter(
             "primrosescale_rest_passes",
             "Requests sent to a target while resting ones were passed over",
             registry=self._registry,
         )
-        self._odd_rests = Counter(
+        self._corrected_pauses = Counter(
             "primrosescale_odd_rests",
             "Answers whose Retry-After had to be bounded, or could not be read",
             registry=self._registry,
@@ -174,9 +174,9 @@
             if attempt.passed_cold:
                 self._cold_passes.inc()
             if attempt.passed_resting:
-                self._rest_passes.inc()
+                self._paused_passes.inc()
             if attempt.is_rest_odd:
-                self._odd_rests.inc()
+                self._corrected_pauses.inc()
             if request.prompt is not None:
                 self._prompts.labels(
                     "home" if attempt.is_home else "elsewhere",
--- a/src/primrosescale/process/entry/load_codec.py
+++ b/src/primrosescale/process/entry/load_codec.py
@@ -83,7 +83,7 @@
         ]
         # The limit keeps the most loaded targets; those with failures come next.
         states.sort(key=lambda state: (-state.own_running, -state.outcomes(now)[1]))
-        return [_target_news(state, now) for state in states[:MAX_TARGETS]]
+        return [_target_update(state, now) for state in states[:MAX_TARGETS]]
 
     def own_load(self, now: float, *, reaches_store: bool) -> LoadSum:
         """Return this router's own load at targets as a sum.
@@ -236,7 +236,7 @@
     return bad > MIN_REPORTED_FAILURES or round(good) > 0
 
 
-def _target_news(state: TargetState, now: float) -> wire.TargetNews:
+def _target_update(state: TargetState, now: float) -> wire.TargetNews:
     """Return this router's report on a target.
 
     Successes are sent even without failures: otherwise a single failure among many
--- a/src/primrosescale/process/ledger/ledger_bucket.py
+++ b/src/primrosescale/process/ledger/ledger_bucket.py
@@ -211,7 +211,7 @@
         return len(self._keys) // DIGEST_BYTES
 
     def holds(self, key: bytes) -> bool:
-        """Tell whether a key is in the segment.
+        """Return whether a key is in the segment.
 
         Parameters
         ----------
--- a/src/primrosescale/request/answer_relay.py
+++ b/src/primrosescale/request/answer_relay.py
@@ -37,12 +37,12 @@
 
     @property
     def has_begun(self) -> bool:
-        """Tell whether a head was sent to the caller."""
+        """Return whether a head was sent to the caller."""
         return self._has_begun
 
     @property
     def is_stream(self) -> bool:
-        """Tell whether the head of a stream was sent to the caller."""
+        """Return whether the head of a stream was sent to the caller."""
         return self._is_stream
 
     @property
--- a/src/primrosescale/request/answer_sink.py
+++ b/src/primrosescale/request/answer_sink.py
@@ -23,12 +23,12 @@
     @property
     @abstractmethod
     def has_begun(self) -> bool:
-        """Tell whether any of the answer was sent to the caller."""
+        """Return whether any of the answer was sent to the caller."""
 
     @property
     @abstractmethod
     def is_blocked(self) -> bool:
-        """Tell whether the caller is not reading at the moment."""
+        """Return whether the caller is not reading at the moment."""
 
     @abstractmethod
     def head(self, status: int, headers: list[Header]) -> None:
--- a/src/primrosescale/request/forwarded_call.py
+++ b/src/primrosescale/request/forwarded_call.py
@@ -112,7 +112,7 @@
 
     @property
     def is_suspect(self) -> bool:
-        """Tell whether an answer was lost or the harm monitor held the request back."""
+        """Return whether an answer was lost or the harm monitor held the request back."""
         return self._is_suspect
 
     @property
@@ -122,7 +122,7 @@
 
     @property
     def is_over(self) -> bool:
-        """Tell whether the call has ended."""
+        """Return whether the call has ended."""
         return self._is_over
 
     def start(self, now: float) -> None:
@@ -409,7 +409,7 @@
         attempt.begin(self._tools.client, sending, now)
 
     def _needs_new_connection(self, attempt: TargetAttempt, now: float) -> bool:
-        """Tell whether the attempt must not risk a stale pooled connection.
+        """Return whether the attempt must not risk a stale pooled connection.
 
         Opening a connection shows that the target is alive, and a new connection
         cannot carry an old answer.
@@ -441,7 +441,7 @@
         return left >= self._tools.settings.shortest_time
 
     def _may_retry(self, now: float) -> bool:
-        """Tell whether it may be sent again although it may already have run."""
+        """Return whether it may be sent again although it may already have run."""
         if not self._request.route.may_retry or self._held_for(now):
             return False
         return self._relay.is_stream or not self._relay.has_begun
--- a/src/primrosescale/request/forwarding_interfaces.py
+++ b/src/primrosescale/request/forwarding_interfaces.py
@@ -262,7 +262,7 @@
 
     @property
     def is_not_run(self) -> bool:
-        """Tell whether the status promises that nothing ran or will run."""
+        """Return whether the status promises that nothing ran or will run."""
         return self.status == 503  # noqa: PLR2004 - the status that promises it
 
 
--- a/src/primrosescale/request/lost_answers.py
+++ b/src/primrosescale/request/lost_answers.py
@@ -50,7 +50,7 @@
             waiting[fingerprint] = now
 
     def has_ended(self, target: int, now: float) -> bool:
-        """Tell whether a target is known to have ended recently.
+        """Return whether a target is known to have ended recently.
 
         Parameters
         ----------
@@ -67,7 +67,7 @@
         return now - self._ended.get(target, -MAX_WAIT_SECONDS) < MAX_WAIT_SECONDS
 
     def is_waiting(self, target: int, now: float) -> bool:
-        """Tell whether lost answers of a target wait.
+        """Return whether lost answers of a target wait.
 
         Parameters
         ----------
--- a/src/primrosescale/request/retry_after.py
+++ b/src/primrosescale/request/retry_after.py
@@ -43,7 +43,7 @@
 
 
 def is_irregular_retry_after(status: int, values: Sequence[str]) -> bool:
-    """Tell whether Retry-After is anything but one number within bounds.
+    """Return whether Retry-After is anything but one number within bounds.
 
     Parameters
     ----------
--- a/src/primrosescale/request/target_attempt.py
+++ b/src/primrosescale/request/target_attempt.py
@@ -203,7 +203,7 @@
 
     @property
     def is_home(self) -> bool:
-        """Tell whether its target is the home target of the prompt."""
+        """Return whether its target is the home target of the prompt."""
         return self._record.is_home
 
     @property
@@ -233,12 +233,12 @@
 
     @property
     def was_sent(self) -> bool:
-        """Tell whether the request was sent and may run."""
+        """Return whether the request was sent and may run."""
         return self._was_sent
 
     @property
     def is_inside_event(self) -> bool:
-        """Tell whether the last event received is incomplete."""
+        """Return whether the last event received is incomplete."""
         return bool(self._splitter.remainder)
 
     @property
--- a/src/primrosescale/request/target_choice.py
+++ b/src/primrosescale/request/target_choice.py
@@ -231,7 +231,7 @@
         self._settings = settings
         self._parts = parts
         self._rng = rng
-        self._news_age = news_age
+        self._load_report_age = news_age
         self._relies_on_homes = relies_on_homes
         self._availability = availability or TargetAvailability()
         self._recently_delisted = recently_delisted
@@ -349,7 +349,7 @@
     def _loads(
         self, states: Sequence[TargetState], serving: Sequence[TargetState], now: float
     ) -> _Loads:
-        age = 0.0 if self._news_age is None else self._news_age()
+        age = 0.0 if self._load_report_age is None else self._load_report_age()
         return _Loads(serving, self._departing(states, serving, now), age, now)
 
     def _departing(
--- a/src/primrosescale/request/target_state.py
+++ b/src/primrosescale/request/target_state.py
@@ -561,7 +561,7 @@
         return max(0.0, now - max(self._last_received_at, self._awaiting_since))
 
     def is_avoided(self, now: float) -> bool:
-        """Return whether it is avoided: unreachable lately, or silent now.
+        """Return whether it is avoided: unreachable recently, or silent now.
 
         Parameters
         ----------
--- a/src/primrosescale/standin/engine.py
+++ b/src/primrosescale/standin/engine.py
@@ -73,7 +73,7 @@
         return list(self._chats)
 
     def __contains__(self, chat: object) -> bool:
-        """Tell whether a chat has cached tokens."""
+        """Return whether a chat has cached tokens."""
         return chat in self._chats
 
     def hit(self, chat: str, prompt: int) -> int:
--- a/src/primrosescale/version/head.py
+++ b/src/primrosescale/version/head.py
@@ -166,7 +166,7 @@
             raise HeadError(head.version, "its signature is wrong") from error
 
     def is_newer(self, head: VersionHead, known: VersionHead) -> bool:
-        """Tell whether a head replaces the known one.
+        """Return whether a head replaces the known one.
 
         Parameters
         ----------
--- a/src/primrosescale/version/records.py
+++ b/src/primrosescale/version/records.py
@@ -65,7 +65,7 @@
     )
 
     def is_idempotent(self, method: str, path: str) -> bool:
-        """Tell whether a call may run more than once.
+        """Return whether a call may run more than once.
 
         Parameters
         ----------
--- a/src/primrosescale/version/routing_table.py
+++ b/src/primrosescale/version/routing_table.py
@@ -92,14 +92,14 @@
 
     @property
     def may_retry(self) -> bool:
-        """Tell whether a request that may have run may be retried."""
+        """Return whether a request that may have run may be retried."""
         if self.retry_policy is RetryPolicy.STREAM:
             return self.is_resumable
         return self.retry_policy is RetryPolicy.IDEMPOTENT
 
     @property
     def is_stream(self) -> bool:
-        """Tell whether its answers are event streams."""
+        """Return whether its answers are event streams."""
         return self.retry_policy is RetryPolicy.STREAM
 
 
@@ -219,7 +219,7 @@
 
     @property
     def has_keys(self) -> bool:
-        """Tell whether the version has any keys; without any, callers need none."""
+        """Return whether the version has any keys; without any, callers need none."""
         return bool(self._keys)
 
     def service(self, name: str) -> Service | None:
--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -317,7 +317,7 @@
         target.restart(moves=moves)
 
     def is_only_listed(self, target):
-        """Tell whether no other target of its service has a valid entry."""
+        """Return whether no other target of its service has a valid entry."""
         now = {(t.name, t.start) for t in self.targets if t is not target}
         return not any(
             entry.service == target.service and (entry.target, entry.start) in now
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -178,7 +178,7 @@
     last_disturbance_ended: float | None = None
 
     def is_undisturbed(self, began, ended, scopes):
-        """Tell whether no disturbance affected the scopes then or just before."""
+        """Return whether no disturbance affected the scopes then or just before."""
         return not any(
             disturbance.scope in scopes
             and disturbance.began <= ended
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -144,14 +144,14 @@
 
 
 def _was_held_back(history, delivery):
-    """Tell whether the link to the target was faulty just before the delivery."""
+    """Return whether the link to the target was faulty just before the delivery."""
     return _is_link_harmed(
         history, delivery.target, delivery.at - LINK_DELIVERY_SECONDS, delivery.at
     )
 
 
 def _is_link_harmed(history, target, began, ended):
-    """Tell whether the link to a target was faulty at some moment of a period."""
+    """Return whether the link to a target was faulty at some moment of a period."""
     return any(
         disturbance.scope == target
         and disturbance.kind.startswith("link")
