--- a/src/primrosescale/request/forwarded_call.py
+++ b/src/primrosescale/request/forwarded_call.py
@@ -112,7 +112,7 @@
 
     @property
     def is_suspect(self) -> bool:
-        """Return whether an answer was lost or the harm monitor held the request back."""
+        """Return whether an answer was lost or the harm monitor held it back."""
         return self._is_suspect
 
     @property
