--- a/src/primrosescale/process/entry/harm_report_exchange.py
+++ b/src/primrosescale/process/entry/harm_report_exchange.py
@@ -38,7 +38,7 @@
 # Reports in one message, at 20 bytes each.
 MAX_REPORTS_PER_MESSAGE = 12
 MAX_HELD_PER_MESSAGE = 8
-# Seconds between two messages with ends because of which requests are held back.
+# Seconds between two messages with ends for which requests are held back.
 HELD_INTERVAL_SECONDS = 1.0
 
 
@@ -131,7 +131,7 @@
         return [_end_report(each.item, now) for each in sent]
 
     def held_reports_to_send(self, now: float) -> list[wire.EndNews]:
-        """Return some of the ends because of which requests are held back here.
+        """Return some of the ends for which requests are held back here.
 
         Parameters
         ----------
@@ -202,7 +202,7 @@
         return is_new
 
     def _log_hold_change(self, fingerprint: int, told_by: str, now: float) -> None:
-        """Log that a request is held back from now on, or no longer."""
+        """Log that a request is held back from now on, or no more."""
         seconds = self._requests.held_for(fingerprint, now)
         if bool(seconds) == (fingerprint in self._known_held):
             return
--- a/src/primrosescale/request/unconfirmed_answers.py
+++ b/src/primrosescale/request/unconfirmed_answers.py
@@ -44,7 +44,7 @@
     state: TargetState
 
     def is_confirmed(self, now: float) -> bool:
-        """Return whether the request did not crash its target.
+        """Tell whether the request did not crash its target.
 
         Parameters
         ----------
@@ -65,7 +65,7 @@
         return now - self.at >= MAX_UNCONFIRMED_SECONDS
 
     def may_have_ended_target(self, lost_at: float | None) -> bool:
-        """Return whether its target, which has ended, ended just after the answer.
+        """Tell whether its target, which has ended, ended just after the answer.
 
         Parameters
         ----------
@@ -125,7 +125,7 @@
         return confirmed
 
     def has_from(self, target: int) -> bool:
-        """Return whether any answer of a target is unconfirmed.
+        """Tell whether any answer of a target is unconfirmed.
 
         Parameters
         ----------
