--- a/src/primrosescale/process/entry/harm_report_exchange.py
+++ b/src/primrosescale/process/entry/harm_report_exchange.py
@@ -38,7 +38,7 @@
 # Reports in one message, at 20 bytes each.
 MAX_REPORTS_PER_MESSAGE = 12
 MAX_HELD_PER_MESSAGE = 8
-# Seconds between two messages with ends because of which requests are held back.
+# Seconds between two messages with ends for which requests are held back.
 HELD_INTERVAL_SECONDS = 1.0
 
 
@@ -108,7 +108,7 @@
         if answer is not None and not is_queued:
             self._pending.appendleft(_PendingReport(answer))
 
-    def ends(self, now: float) -> list[wire.EndNews]:
+    def reports_to_send(self, now: float) -> list[wire.EndNews]:
         """Return the reports to send in the next message.
 
         Parameters
@@ -130,8 +130,8 @@
                 self._pending.append(each)
         return [_end_report(each.item, now) for each in sent]
 
-    def held(self, now: float) -> list[wire.EndNews]:
-        """Return some of the ends because of which requests are held back here.
+    def held_reports_to_send(self, now: float) -> list[wire.EndNews]:
+        """Return some of the ends for which requests are held back here.
 
         Parameters
         ----------
@@ -202,7 +202,7 @@
         return is_new
 
     def _log_hold_change(self, fingerprint: int, told_by: str, now: float) -> None:
-        """Log that a request is held back from now on, or no longer."""
+        """Log that a request is held back from now on, or no more."""
         seconds = self._requests.held_for(fingerprint, now)
         if bool(seconds) == (fingerprint in self._known_held):
             return
--- a/tests/standin/test_users_store.py
+++ b/tests/standin/test_users_store.py
@@ -36,8 +36,8 @@
     def test_each_field_is_missing_once_and_of_another_type(self):
         found = foreign_entries(ENTRY)
         for name in ENTRY:
-            odd = [c for c in found.values() if isinstance(c, dict) and name in c]
-            types = {type(c[name]) for c in odd}
+            affected = [c for c in found.values() if isinstance(c, dict) and name in c]
+            types = {type(c[name]) for c in affected}
             self.assertTrue(len(types) > 2, name)
             self.assertEqual(name != "born", f"no {name}" in found)
 
@@ -75,7 +75,7 @@
         self.assertEqual(ENTRY, found["spec"])
 
     @inlineCallbacks
-    def test_watches_hear_late_of_what_came_while_it_lagged(self):
+    def test_watches_receive_late_what_was_written_while_it_lagged(self):
         self.store.faults.drops_watch_events = True
         found = []
         watching = self.read(f"{LIST}?watch=2&wait_ms=2000").addCallback(found.append)
