--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -131,7 +131,7 @@
             # in the fleet.
             self.incarnation += 1000 * int(settings.process.name[1:])
 
-    def _guarded(self, act):
+    def _call_and_log_errors(self, act):
         """Record an unexpected error of a loop; it fails the test."""
         try:
             act()
