--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -227,7 +227,7 @@
         count = count or self.candidates
         return [self.engines[t.name] for t in self.targets.order(call.chat, count)]
 
-    # The policies.
+    # The policies, which are called by name.
 
     def choose_random(self, call):
         return self.engines[self.rng.choice(list(self.engines))]
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -1,12 +1,14 @@
-"""Switch mechanisms off, one at a time, and say what each is worth.
+"""Measure what each mechanism contributes by switching it off (an ablation).
 
     python tools/ablate.py --bench PATH --site SITE.toml --folder EMPTY --why "..."
         [--day trouble-1 ...] [--seed 1 ...] [--jobs 3] [--switch NAME ...]
 
-Copies this checkout once for each switch of ``switches.toml`` and once as it is, plays
-the days with the seeds on each, and prints a table: the difference that switching off
-makes to the worth, mean over the pairs of the same day and seed, least and most. The
-copies' journals are brought back. Commit first: copies hold what is committed.
+Clones this checkout once for each switch of ``switches.toml`` and once unchanged as
+the baseline. On each clone the play program (``--bench``) plays the given days, which
+are scripted load and fault scenarios, with each seed. The table printed shows how the
+worth, the score of a day, differs from the baseline: mean, minimum and maximum over
+the pairs of the same day and seed. Journal entries of the clones are copied back.
+Commit first: clones hold only what is committed.
 """
 
 from __future__ import annotations
@@ -24,27 +26,27 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 SWITCHES = ROOT / "tools/switches.toml"
-WHOLE = "as-it-is"
+BASELINE = "as-it-is"
 
 
 class SwitchError(Exception):
-    """A switch that does not fit the code; the message names the remedy."""
+    """The text of a switch does not occur exactly once; the message says where."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Switch:
-    """A text of the code and what it is replaced by.
+    """A replacement in the source code that switches a mechanism off.
 
     Attributes
     ----------
     name : str
-        What is switched off.
+        The mechanism.
     file : str
         Path of the source file in the checkout.
     old : str
-        Text that stands there once.
+        Text that occurs there exactly once.
     new : str
-        What takes its place.
+        Text that replaces it.
     """
 
     name: str
@@ -56,20 +58,20 @@
         """Replace the text in a checkout."""
         path = checkout / self.file
         text = path.read_text()
-        found = text.count(self.old)
-        if found != 1:
+        occurrences = text.count(self.old)
+        if occurrences != 1:
             raise SwitchError(
-                f"{self.name}: its text stands {found} times in {self.file}; "
-                f"mend it in {SWITCHES.name}"
+                f"{self.name}: its text occurs {occurrences} times in {self.file}; "
+                f"correct it in {SWITCHES.name}"
             )
         path.write_text(text.replace(self.old, self.new))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Play:
-    """One day with one seed on one copy."""
+    """One day with one seed on one clone."""
 
-    copy: str
+    clone: str
     day: str
     seed: int
 
@@ -79,53 +81,65 @@
     return [Switch(**item) for item in tomllib.loads(path.read_text())["switch"]]
 
 
-def make_copy(folder: pathlib.Path, name: str) -> pathlib.Path:
-    """Return a fresh copy of what is committed here."""
-    copy = folder / name
-    subprocess.run(["git", "clone", "--quiet", str(ROOT), str(copy)], check=True)
-    return copy
+def clone_checkout(folder: pathlib.Path, name: str) -> pathlib.Path:
+    """Clone what is committed in this checkout and return the path."""
+    clone = folder / name
+    subprocess.run(["git", "clone", "--quiet", str(ROOT), str(clone)], check=True)
+    return clone
 
 
-def play(given: argparse.Namespace, item: Play) -> float | None:
-    """Play a day on a copy; return its worth, None for one that broke a rule."""
-    report = given.folder / f"{item.copy}-{item.day}-{item.seed}.json"
-    why = f"{given.why}: {item.copy}, {item.day}, seed {item.seed}"
-    words = [str(given.bench), "run", str(given.site), item.day, "--jobs", "1"]
-    words += ["--seed", str(item.seed), "--report", str(report), "--why", why]
+def play(options: argparse.Namespace, item: Play) -> float | None:
+    """Play a day on a clone; return its worth, None if it failed or broke a rule."""
+    report = options.folder / f"{item.clone}-{item.day}-{item.seed}.json"
+    why = f"{options.why}: {item.clone}, {item.day}, seed {item.seed}"
+    command = [str(options.bench), "run", str(options.site), item.day, "--jobs", "1"]
+    command += ["--seed", str(item.seed), "--report", str(report), "--why", why]
     subprocess.run(
-        words, cwd=given.folder / item.copy, stdout=subprocess.DEVNULL, check=False
+        command, cwd=options.folder / item.clone, stdout=subprocess.DEVNULL, check=False
     )
     if not report.exists():
         return None
-    told = json.loads(report.read_text())
-    return None if told["breaks"] else float(told["G"])
+    result = json.loads(report.read_text())
+    return None if result["breaks"] else float(result["G"])
 
 
-def table(names: dict[str, str], found: dict[Play, float | None]) -> str:
-    """Return what each copy's worth differs by from that of the whole code."""
+def table(names: dict[str, str], worths: dict[Play, float | None]) -> str:
+    """Return a table of the differences in worth from the baseline."""
     lines = [
         "| switched off | mean | least | most | pairs | not counted |",
         "| --- | --- | --- | --- | --- | --- |",
     ]
-    for copy, name in names.items():
+    for clone, name in names.items():
         pairs = [
-            (worth, found[dataclasses.replace(item, copy=WHOLE)])
-            for item, worth in found.items()
-            if item.copy == copy
+            (worth, worths[dataclasses.replace(item, clone=BASELINE)])
+            for item, worth in worths.items()
+            if item.clone == clone
         ]
-        by = [one - other for one, other in pairs if None not in (one, other)]
+        differences = [one - other for one, other in pairs if None not in (one, other)]
         figures = ["-"] * 3
-        if by:
-            figures = [f"{x:+.3f}" for x in (sum(by) / len(by), min(by), max(by))]
-        cells = [name, *figures, str(len(by)), str(len(pairs) - len(by))]
+        if differences:
+            figures = [
+                f"{x:+.3f}"
+                for x in (
+                    sum(differences) / len(differences),
+                    min(differences),
+                    max(differences),
+                )
+            ]
+        cells = [
+            name,
+            *figures,
+            str(len(differences)),
+            str(len(pairs) - len(differences)),
+        ]
         lines.append(f"| {' | '.join(cells)} |")
     return "\n".join(lines) + "\n"
 
 
-def bring_journal(copy: pathlib.Path) -> None:
-    """Add a copy's journal to this checkout's, entries that are here stay."""
-    for path in (copy / "journal").rglob("*"):
-        target = ROOT / "journal" / path.relative_to(copy / "journal")
+def copy_journal(clone: pathlib.Path) -> None:
+    """Copy journal entries of a clone that this checkout does not have."""
+    for path in (clone / "journal").rglob("*"):
+        target = ROOT / "journal" / path.relative_to(clone / "journal")
         if path.is_file() and not target.exists():
             target.parent.mkdir(parents=True, exist_ok=True)
             shutil.copy(path, target)
@@ -141,36 +155,36 @@
     parser.add_argument("--day", nargs="+", default=["trouble-1", "scale-2"])
     parser.add_argument("--seed", nargs="+", type=int, default=[1, 2, 3, 4, 5])
     parser.add_argument("--jobs", type=int, default=1)
-    parser.add_argument("--switch", nargs="+", help="names; all without this")
+    parser.add_argument("--switch", nargs="+", help="names of switches; default: all")
     return parser.parse_args()
 
 
 def main() -> None:
-    """Play and print the table."""
-    given = arguments()
-    given.folder.mkdir(parents=True, exist_ok=True)
+    """Play all days on all clones and print the table."""
+    options = arguments()
+    options.folder.mkdir(parents=True, exist_ok=True)
     switches = [
         switch
         for switch in read_switches(SWITCHES)
-        if given.switch is None or switch.name in given.switch
+        if options.switch is None or switch.name in options.switch
     ]
     names = {f"off-{place}": item.name for place, item in enumerate(switches)}
-    make_copy(given.folder, WHOLE)
+    clone_checkout(options.folder, BASELINE)
     try:
-        for copy, switch in zip(names, switches, strict=True):
-            switch.turn_off(make_copy(given.folder, copy))
+        for clone, switch in zip(names, switches, strict=True):
+            switch.turn_off(clone_checkout(options.folder, clone))
     except SwitchError as error:
         sys.exit(str(error))
     plays = [
         Play(*item)
-        for item in itertools.product([WHOLE, *names], given.day, given.seed)
+        for item in itertools.product([BASELINE, *names], options.day, options.seed)
     ]
-    with concurrent.futures.ThreadPoolExecutor(given.jobs) as pool:
-        worth = pool.map(lambda item: play(given, item), plays)
-        found = dict(zip(plays, worth, strict=True))
-    for copy in (WHOLE, *names):
-        bring_journal(given.folder / copy)
-    sys.stdout.write(table(names, found))
+    with concurrent.futures.ThreadPoolExecutor(options.jobs) as pool:
+        worth = pool.map(lambda item: play(options, item), plays)
+        worths = dict(zip(plays, worth, strict=True))
+    for clone in (BASELINE, *names):
+        copy_journal(options.folder / clone)
+    sys.stdout.write(table(names, worths))
 
 
 if __name__ == "__main__":
--- a/tools/plot_day.py
+++ b/tools/plot_day.py
@@ -1,11 +1,11 @@
-"""Plot worth, refusals and failures over a day from a report of the bench.
+"""Plot the worth served and the requests not served over a day, from its report.
 
     fleetbench run SITE DAY --report REPORT.json --why "..."
     python tools/plot_day.py REPORT.json "title" PLOT.svg
 
-A report holds two-second windows. The upper line is the share of their worth that
-was served; the bars below are requests refused, failed and late. Grey bands are
-what happened meanwhile, with its kind.
+A report of the play program holds windows of two seconds. The line shows the share
+of their worth that was served; the bars below it count requests refused, failed and
+late. Grey bands mark planned operations and faults, labelled with their kinds.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """What became of the requests of two seconds.
+    """Outcomes of the requests of two seconds.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
     worth : float
         Share of their worth that was served.
     counts : dict[str, int]
-        Requests refused, failed and late.
+        Numbers of requests refused, failed and late.
     """
 
     at: float
@@ -45,7 +45,7 @@
 
 
 def read_windows(report: dict[str, Any]) -> list[Window]:
-    """Return the windows of a report, in order."""
+    """Return the windows of a report in order of time."""
     return [
         Window(
             float(item["name"]),
@@ -57,14 +57,14 @@
 
 
 class Plot:
-    """An SVG picture of one day.
+    """An SVG plot of one day.
 
     Parameters
     ----------
     windows : list[Window]
-        What to show.
+        Windows of the day, in order of time.
     title : str
-        Stands above it.
+        Title above the plot.
     """
 
     def __init__(self, windows: list[Window], title: str) -> None:
@@ -80,21 +80,21 @@
         self._text(LEFT, 16, title, **{"font-size": "13"})
 
     def _add(self, tag: str, **values: Any) -> ET.Element:
-        told = {
+        attributes = {
             key: f"{value:.1f}" if isinstance(value, float) else str(value)
             for key, value in values.items()
         }
-        return ET.SubElement(self._root, tag, told)
+        return ET.SubElement(self._root, tag, attributes)
 
     def _text(self, x: float, y: float, content: str, **values: str) -> None:
         self._add("text", x=x, y=y, **{**FONT, **values}).text = content
 
     def _x(self, seconds: float) -> float:
-        inside = min(max(seconds, 0.0), self._end)
-        return LEFT + (RIGHT - LEFT) * inside / self._end
+        clamped = min(max(seconds, 0.0), self._end)
+        return LEFT + (RIGHT - LEFT) * clamped / self._end
 
-    def add_troubles(self, events: list[dict[str, Any]]) -> None:
-        """Shade what happened."""
+    def add_events(self, events: list[dict[str, Any]]) -> None:
+        """Shade the times of planned operations and faults."""
         for place, event in enumerate(events):
             begins, ends = self._x(event["at_s"]), self._x(event["to_s"])
             self._add(
@@ -109,7 +109,7 @@
             self._text(begins, TOP - 4 - 10 * (place % LABEL_ROWS), event["kind"])
 
     def add_worth(self) -> None:
-        """Draw the share of worth that was served."""
+        """Draw the line of the share of worth that was served."""
         points = " ".join(
             f"{self._x(window.at + self._step / 2):.1f},"
             f"{TOP + WORTH_HEIGHT * (1.0 - max(0.0, window.worth)):.1f}"
@@ -124,30 +124,30 @@
         )
 
     def add_bars(self) -> None:
-        """Draw how many requests were refused, failed and late."""
-        most = max(1, *(sum(window.counts.values()) for window in self._windows))
+        """Draw the bars of requests refused, failed and late."""
+        largest = max(1, *(sum(window.counts.values()) for window in self._windows))
         bottom = TOP + WORTH_HEIGHT + GAP + BARS_HEIGHT
         width = (self._x(self._step) - LEFT) * 0.7
         for window in self._windows:
             y = bottom
             for name, color in BARS:
-                height = BARS_HEIGHT * window.counts[name] / most
+                height = BARS_HEIGHT * window.counts[name] / largest
                 y -= height
                 x = self._x(window.at) + width * 0.2
                 self._add("rect", x=x, y=y, width=width, height=height, fill=color)
-        self._text(8.0, bottom - BARS_HEIGHT + 8, str(most))
+        self._text(8.0, bottom - BARS_HEIGHT + 8, str(largest))
         for place, (name, color) in enumerate(BARS):
             self._text(LEFT + 70.0 * place, HEIGHT - 6, name, fill=color)
         for seconds in range(0, int(self._end) + 1, 10):
             self._text(self._x(seconds) - 5, bottom + 12, f"{seconds} s")
 
     def text(self) -> str:
-        """Return the picture."""
+        """Return the plot as SVG."""
         return ET.tostring(self._root, encoding="unicode") + "\n"
 
 
 def main() -> None:
-    """Read a report and write a plot."""
+    """Read a report and write its plot."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("report", type=pathlib.Path)
     parser.add_argument("title")
@@ -158,7 +158,7 @@
     if not windows:
         parser.error(f"{arguments.report} holds no windows: was the day played?")
     plot = Plot(windows, f"{arguments.title}: worth {report['G']:.3f}")
-    plot.add_troubles(report["events"])
+    plot.add_events(report["events"])
     plot.add_worth()
     plot.add_bars()
     arguments.plot.write_text(plot.text())
--- a/tools/small_organisations.py
+++ b/tools/small_organisations.py
@@ -1,8 +1,9 @@
-"""Compare small organisations on days with and without a large one's surge.
+"""Compare service of small organisations with and without the surge of a large one.
 
-Plays pairs of days with the same seed, one calm and one on which the largest
-organisation sends many times its usual, and sums up from the routers' logs how
-the others fare: share answered, and the first byte's median and 95th percentile.
+Plays pairs of days with the same seed. In the second day of a pair the largest
+organisation sends many times its usual rate. From the routers' logs the tool takes the
+share of the other organisations' requests that were answered, and the median and 95th
+percentile of the time to the first byte.
 
     python tools/small_organisations.py --bench PATH --site SITE.toml --why "..."
 """
@@ -19,12 +20,12 @@
 
 import play_days
 
-SURGE = ['kind = "hot_tenant", at = 4, x = {times}, count = 1, for_s = 26']
-GOOD = "answered"
+SURGE_TROUBLES = ['kind = "hot_tenant", at = 4, x = {times}, count = 1, for_s = 26']
+ANSWERED = "answered"
 
 
-def logged(arguments: argparse.Namespace, troubles: list[str], seed: int) -> str:
-    """Play a day and return its report and logs."""
+def play_day(arguments: argparse.Namespace, troubles: list[str], seed: int) -> str:
+    """Play a day and return the report and logs that were printed."""
     with tempfile.NamedTemporaryFile("w", suffix=".toml", delete=False) as file:
         file.write(play_days.day_text("surge" if troubles else "calm", troubles, seed))
     command = [arguments.bench, "run", arguments.site, file.name, "--jobs", "1"]
@@ -33,13 +34,13 @@
     # The report is on standard output, the logs on standard error.
     text = done.stdout + done.stderr
     if '"number":202' not in text:
-        sys.exit(f"the bench played no day: {text[-300:]}")
+        sys.exit(f"the play program logged no ended request: {text[-300:]}")
     pathlib.Path(file.name).unlink()
     return text
 
 
 def by_organisation(text: str) -> dict[str, list[dict]]:
-    """Return the ended requests of each organisation."""
+    """Return the logged ends of requests (event 202) of each organisation."""
     found: dict[str, list[dict]] = {}
     for line in text.splitlines():
         start = line.find('{"number":202')
@@ -51,17 +52,17 @@
     return found
 
 
-def fares(requests: list[dict]) -> tuple[float, float, float]:
-    """Return the share answered and the first byte's median and 95th percentile."""
+def summarise(requests: list[dict]) -> tuple[float, float, float]:
+    """Return the share answered and median and 95th percentile of the first byte."""
     kept = [item for item in requests if item["outcome"] != "caller_gone"]
-    good = [item for item in kept if item["outcome"] == GOOD]
+    good = [item for item in kept if item["outcome"] == ANSWERED]
     first = sorted(item["first_byte"] for item in good if item["first_byte"])
-    last = first[min(len(first) - 1, int(0.95 * len(first)))]
-    return len(good) / len(kept), statistics.median(first), last
+    percentile_95 = first[min(len(first) - 1, int(0.95 * len(first)))]
+    return len(good) / len(kept), statistics.median(first), percentile_95
 
 
 def main() -> None:
-    """Play the pairs and print a table."""
+    """Play the pairs and print a table of both days' figures."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--bench", required=True)
     parser.add_argument("--site", required=True)
@@ -75,16 +76,22 @@
     )
     sys.stdout.write("| --- | --- | --- | --- | --- | --- |\n")
     for seed in arguments.seeds:
-        calm = by_organisation(logged(arguments, [], seed))
-        surge = [line.format(times=arguments.times) for line in SURGE]
-        hot = by_organisation(logged(arguments, surge, seed))
-        large = max(hot, key=lambda name: len(hot[name]) - len(calm.get(name, [])))
+        calm = by_organisation(play_day(arguments, [], seed))
+        surge = [line.format(times=arguments.times) for line in SURGE_TROUBLES]
+        surged = by_organisation(play_day(arguments, surge, seed))
+        large = max(
+            surged, key=lambda name: len(surged[name]) - len(calm.get(name, []))
+        )
         rows = []
-        for day in (calm, hot):
+        for day in (calm, surged):
             small = {n: r for n, r in day.items() if n != large}
-            answered, median, last = fares([r for rs in small.values() for r in rs])
-            worst = min(fares(rs)[0] for rs in small.values())
-            rows.append((len(day.get(large, [])), answered, worst, median, last))
+            answered, median, percentile_95 = summarise(
+                [r for rs in small.values() for r in rs]
+            )
+            worst = min(summarise(rs)[0] for rs in small.values())
+            rows.append(
+                (len(day.get(large, [])), answered, worst, median, percentile_95)
+            )
         cells = [f"{a:.3g} → {b:.3g}" for a, b in zip(*rows, strict=True)]
         sys.stdout.write(f"| {seed} | {' | '.join(cells)} |\n")
         sys.stdout.flush()
--- a/tools/sum_days.py
+++ b/tools/sum_days.py
@@ -1,8 +1,9 @@
-"""Lay the reports of days that were kept side by side, a column a deployment.
+"""Print a table of kept day reports with a column for each deployment.
 
-Each folder is one that ``play_days.py --keep`` wrote; its name heads the column.
-A cell holds the share served and the worth, or the rules that were broken, or that
-the deployment does not know the kind of trouble.
+Each folder is one that ``play_days.py --keep`` wrote; its name heads the column. A
+cell holds the share of requests served and the worth, with the rules that were broken,
+or says that the day was not played or holds a kind of trouble that is not available
+for the deployment.
 
     python tools/sum_days.py FOLDER...
 """
@@ -16,25 +17,25 @@
 import play_days
 
 NOT_PLAYED = "not played"
-UNKNOWN = "not open"
-REFUSAL = "is not open"
+NOT_AVAILABLE = "not open"
+NOT_AVAILABLE_MESSAGE = "is not open"
 
 
 def cell(folder: pathlib.Path, name: str) -> str:
-    """Return what one day showed on one deployment."""
+    """Return the result of one day on one deployment."""
     report = folder / f"{name}.json"
     if report.exists():
-        told = json.loads(report.read_text())
-        figures = f"{told['served']:.3f} / {told['G']:.3f}"
-        broken = play_days.broken(told)
-        return f"**{', '.join(broken)}**, {figures}" if broken else figures
-    said = folder / f"{name}.txt"
-    refused = said.exists() and REFUSAL in said.read_text()
-    return UNKNOWN if refused else NOT_PLAYED
+        result = json.loads(report.read_text())
+        figures = f"{result['served']:.3f} / {result['G']:.3f}"
+        violations = play_days.violations(result)
+        return f"**{', '.join(violations)}**, {figures}" if violations else figures
+    output = folder / f"{name}.txt"
+    refused = output.exists() and NOT_AVAILABLE_MESSAGE in output.read_text()
+    return NOT_AVAILABLE if refused else NOT_PLAYED
 
 
 def table(folders: list[pathlib.Path]) -> str:
-    """Return the table of all days that any folder holds."""
+    """Return the table of all days that are in any of the folders."""
     names = sorted({path.stem for folder in folders for path in folder.glob("*.toml")})
     lines = [
         ["day", *(folder.name for folder in folders)],
@@ -48,7 +49,7 @@
     """Print the table."""
     if len(sys.argv) == 1:
         sys.exit(__doc__)
-    sys.stdout.write(table([pathlib.Path(word) for word in sys.argv[1:]]))
+    sys.stdout.write(table([pathlib.Path(argument) for argument in sys.argv[1:]]))
 
 
 if __name__ == "__main__":
